--- a/tests/golden/test_golden_messages.py
+++ b/tests/golden/test_golden_messages.py
@@ -192,32 +192,42 @@
 # The check itself: a class that differs from the one that wrote the lines is found.
 
 
-def fields_below(kind: Any, path: tuple[str, ...] = ()) -> Iterator[tuple[str, ...]]:
-    """The path of each field of a record and of those nested in it."""
+def fields_below(kind: Any, part: Any, path: tuple[str, ...] = ()) -> Iterator[tuple[str, ...]]:
+    """The path, in wire keys, of each field of a record and of those nested in it."""
     if attrs.has(kind):
-        for field in attrs.fields(kind):
-            yield (*path, field.name)
-            yield from fields_below(typing.get_type_hints(kind)[field.name], (*path, field.name))
-    else:
-        for argument in typing.get_args(kind):
-            yield from fields_below(argument, path)
+        hints = typing.get_type_hints(kind)
+        for field, key in zip(attrs.fields(kind), part, strict=True):
+            yield (*path, key)
+            yield from fields_below(hints[field.name], part[key], (*path, key))
+    elif arguments := typing.get_args(kind):
+        yield from fields_below(*inner_of(kind, arguments, part), path)
+
+
+def inner_of(kind: Any, arguments: tuple[Any, ...], part: Any) -> tuple[Any, Any]:
+    """The type of what a tuple, dict or optional holds, and an example of it."""
+    if typing.get_origin(kind) is dict:
+        return arguments[1], next(iter(part.values()))
+    return arguments[0], part[0] if typing.get_origin(kind) is tuple else part
 
 
-def with_renamed(kind: Any, path: tuple[str, ...]) -> Any:
-    """The same type with the field at this path under another name."""
+def copy_of(kind: Any, part: Any, renamed: tuple[str, ...]) -> Any:
+    """The same type with fields named as the wire keys, whatever they are named in the code, and the one at the path
+    `renamed` named differently."""
     if attrs.has(kind):
         hints = typing.get_type_hints(kind)
         made = {}
-        for field in attrs.fields(kind):
-            below = field.name == path[0] and len(path) > 1
-            name = f"{field.name}_x" if path == (field.name,) else field.name
-            hint = with_renamed(hints[field.name], path[1:]) if below else hints[field.name]
-            made[name] = attrs.field(default=field.default, type=hint)
+        for field, key in zip(attrs.fields(kind), part, strict=True):
+            below = renamed[1:] if renamed[:1] == (key,) else ()
+            name = f"{key}_x" if renamed == (key,) else key
+            made[name] = attrs.field(default=field.default, type=copy_of(hints[field.name], part[key], below))
         return attrs.make_class(kind.__name__, made, frozen=True)
     origin, arguments = typing.get_origin(kind), typing.get_args(kind)
     if not arguments:
         return kind
-    fresh = tuple(argument if argument is ... else with_renamed(argument, path) for argument in arguments)
+    inner, example = inner_of(kind, arguments, part)
+    fresh = tuple(
+        copy_of(inner, example, renamed) if argument is inner else argument for argument in arguments
+    )
     return typing.Union[fresh] if origin in (typing.Union, types.UnionType) else origin[fresh]  # noqa: UP007
 
 
@@ -229,14 +239,15 @@
 
 @pytest.mark.parametrize("kind", sorted(FULL_LINES))
 def test_each_renamed_field_is_found(kind: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    for path in fields_below(CLASSES[kind]):
-        put(monkeypatch, kind, with_renamed(CLASSES[kind], path))
+    part = json.loads(FULL_LINES[kind])["b"]
+    for path in fields_below(CLASSES[kind], part):
+        put(monkeypatch, kind, copy_of(CLASSES[kind], part, path))
         assert faults_of(FULL_LINES[kind], every_key=True), path
 
 
 def test_a_copy_without_a_renamed_field_is_in_order(monkeypatch: pytest.MonkeyPatch) -> None:
     for kind, line in FULL_LINES.items():
-        put(monkeypatch, kind, with_renamed(CLASSES[kind], ("no such field",)))
+        put(monkeypatch, kind, copy_of(CLASSES[kind], json.loads(line)["b"], ()))
         assert faults_of(line, every_key=True) == []
 
 
