--- a/tests/golden/golden_api.py
+++ b/tests/golden/golden_api.py
@@ -24,9 +24,6 @@
 ROOT = Path(__file__).parents[2]
 RECORD_VARIABLE = "GOLDEN_API_RECORD"
 
-for _folder in ("control", "gateway", "store", "cli"):
-    sys.path.append(str(ROOT / "tests" / "emberring" / _folder))
-
 
 def check_golden(name: str, found: Any) -> None:
     """Compare with the recorded file; when recording, write it if it does not exist."""
