--- a/tests/versions/test_two_versions.py
+++ b/tests/versions/test_two_versions.py
@@ -10,9 +10,12 @@
 from pathlib import Path
 
 import pytest
-from versioned_tier import NEW_PROGRAM, ROLES, World, package_folder, reference_program
+from versioned_tier import NEW_PROGRAM, ROLES, Traffic, World, package_folder, reference_program
 
 WHOLE_S = 300.0
+STREAMS_PER_S = 8.0
+LOT_EVERY_S = 1.0
+SERVED_SHARE = 0.9  # of the streams while nodes are replaced; those refused ran nowhere, which is checked too
 
 
 @pytest.fixture(scope="module")
@@ -66,3 +69,49 @@
     other = "old" if rest == "new" else "new"
     chosen = {each: programs[other if each == role else rest] for each in ROLES}
     run_world(tmp_path, chosen, serve_all)
+
+
+async def replace_all(world: World, program: Path) -> None:
+    """Replace node after node by this program under traffic; nothing that was acknowledged is lost."""
+    await world.start()
+    finished = await world.submit_lot(40, seed=3)
+    await world.finish_lot(finished)
+    await world.drain_server()
+    await world.add_route()
+    open_lot = await world.submit_lot(200, seed=5, gateway=1)
+    world.start_traffic(STREAMS_PER_S, LOT_EVERY_S)
+    for role in ROLES:
+        for node in world.tier.of_role(role):
+            await world.tier.replace(node.place.name, program)
+            await world.settle()
+    traffic = await world.stop_traffic()
+    assert {node.program for node in world.tier.versioned()} == {program}
+    await world.finish_lot(open_lot)
+    check_traffic(world, traffic)
+    for lot in (finished, open_lot, *traffic.lots):
+        await world.read_lot_again(lot)
+    world.check_drains()
+    # What was acknowledged before stands, and the replaced tier takes orders.
+    await world.settle()
+    await world.ask_added_route()
+    await world.drain_server()
+    await world.replace_configuration()
+    await world.ask_streams(2)
+    world.check_drains()
+    await world.stop()
+
+
+def check_traffic(world: World, traffic: Traffic) -> None:
+    """Every batch job was accepted and every result is listed once; streams were served, or ran nowhere."""
+    assert world.own_breaches(traffic) == [], world.logs()
+    assert traffic.lots
+    for lot in traffic.lots:
+        assert lot.accepted, (lot.statuses, world.logs())
+        world.check_lot(lot)
+    for name, tally in traffic.tallies.items():
+        assert tally.asked, name
+        assert tally.served >= SERVED_SHARE * tally.asked, (name, tally, world.logs())
+
+
+def test_a_tier_is_replaced_node_by_node_and_loses_nothing(old_program, tmp_path):
+    run_world(tmp_path, dict.fromkeys(ROLES, old_program), lambda world: replace_all(world, NEW_PROGRAM))
--- a/tests/versions/versioned_tier.py
+++ b/tests/versions/versioned_tier.py
@@ -137,6 +137,10 @@
             versioned.program = programs[node.place.role]
             self.nodes[name] = versioned
 
+    def versioned(self) -> list[VersionedNode]:
+        """All nodes."""
+        return [node for node in self.nodes.values() if isinstance(node, VersionedNode)]
+
     async def replace(self, name: str, program: Path) -> None:
         """End a node by SIGTERM and start it with this program on the same data directory."""
         node = self.nodes[name]
@@ -278,10 +282,13 @@
 
     async def ask_streams(self, count: int, prefix: str = EXPLAIN_PREFIX) -> None:
         """Ask each gateway for so many streams, one after another; all are served and no rule is broken."""
-        for address in self.gateway_addresses():
+
+        async def ask(address: str) -> None:
             for _ in range(count):
                 await self._ask_stream(address, prefix)
 
+        await asyncio.gather(*(ask(address) for address in self.gateway_addresses()))
+
     async def _ask_stream(self, address: str, prefix: str) -> set[str]:
         """The servers that ran one stream, asked for at this gateway."""
         self._asked += 1
@@ -331,12 +338,15 @@
 
     async def drain_server(self) -> str:
         """A server drains; from the return on, no gateway sends it anything."""
-        server_id = next(iter(self.fleet.servers))
+        server_id = next(name for name in self.fleet.servers if name not in self.drained)
         server, beats = self._server(server_id)
         assert await beats.drain(), self.logs()
         assert server.draining
-        for address in self.gateway_addresses():
-            assert await holds_within(lambda address=address: self._avoids(address, server_id), SETTLE_S)
+        heard = [
+            holds_within(lambda address=address: self._avoids(address, server_id), SETTLE_S)
+            for address in self.gateway_addresses()
+        ]
+        assert all(await asyncio.gather(*heard)), self.logs()
         self.drained[server_id] = asyncio.get_running_loop().time()
         await self.settle()
         return server_id
@@ -371,6 +381,14 @@
         await self.settle()
         await self.ask_added_route()
 
+    async def replace_configuration(self) -> None:
+        """The operator brings a whole configuration anew; every node has it."""
+        document = trial_configuration(self.version + 1, TERMS)
+        outcome = await self.operator.put_configuration(document, self.version, ORDER_S)
+        assert outcome.acknowledged, (outcome, self.logs())
+        self.version += 1
+        await self.settle()
+
     async def ask_added_route(self) -> None:
         """Every gateway serves the added route."""
         await self.ask_streams(1, ADDED_PREFIX)
