--- /dev/null
+++ b/tests/versions/test_two_versions.py
@@ -0,0 +1,117 @@
+"""Nodes of two versions in one tier: each role on the other version, and a tier replaced node by node.
+
+All tests of this module share a worker (`--dist loadscope`), so one such tier runs at a time.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable, Iterator, Mapping
+from pathlib import Path
+
+import pytest
+from versioned_tier import NEW_PROGRAM, ROLES, Traffic, World, package_folder, reference_program
+
+WHOLE_S = 300.0
+STREAMS_PER_S = 8.0
+LOT_EVERY_S = 1.0
+SERVED_SHARE = 0.9  # of the streams while nodes are replaced; those refused ran nowhere, which is checked too
+
+
+@pytest.fixture(scope="module")
+def old_program(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Path]:
+    with reference_program(tmp_path_factory.mktemp("program")) as program:
+        yield program
+
+
+def run_world(folder: Path, programs: Mapping[str, Path], play: Callable[[World], Awaitable[None]]) -> None:
+    """Play in a tier of these programs by role; no process is left."""
+
+    async def run() -> None:
+        world = World(folder, programs)
+        try:
+            async with asyncio.timeout(WHOLE_S):
+                await play(world)
+        finally:
+            await world.clear()
+
+    asyncio.run(run())
+
+
+async def serve_all(world: World) -> None:
+    """Everything that a tier does for its users, once."""
+    await world.start()
+    await world.ask_streams(3)
+    before = await world.submit_lot(40, seed=3, gateway=0)
+    await world.finish_lot(before)
+    await world.read_lot_again(before)
+    await world.drain_server()
+    await world.add_route()
+    after = await world.submit_lot(20, seed=4, gateway=1)
+    await world.finish_lot(after)
+    await world.read_lot_again(after)
+    await world.read_lot_again(before)
+    await world.ask_streams(3)
+    world.check_drains()
+    await world.end_lot(before)
+    await world.stop()
+
+
+def test_each_program_starts_from_its_own_folder(old_program):
+    for program in (NEW_PROGRAM, old_program):
+        assert package_folder(program) == program.resolve() / "emberring"
+
+
+@pytest.mark.parametrize("rest", ["new", "old"])
+@pytest.mark.parametrize("role", ROLES)
+def test_a_role_of_the_other_version_serves_with_the_rest(role, rest, old_program, tmp_path):
+    programs = {"new": NEW_PROGRAM, "old": old_program}
+    other = "old" if rest == "new" else "new"
+    chosen = {each: programs[other if each == role else rest] for each in ROLES}
+    run_world(tmp_path, chosen, serve_all)
+
+
+async def replace_all(world: World, program: Path) -> None:
+    """Replace node after node by this program under traffic; nothing that was acknowledged is lost."""
+    await world.start()
+    finished = await world.submit_lot(40, seed=3)
+    await world.finish_lot(finished)
+    await world.drain_server()
+    await world.add_route()
+    open_lot = await world.submit_lot(200, seed=5, gateway=1)
+    world.start_traffic(STREAMS_PER_S, LOT_EVERY_S)
+    for role in ROLES:
+        for node in world.tier.of_role(role):
+            await world.tier.replace(node.place.name, program)
+            await world.settle()
+    traffic = await world.stop_traffic()
+    assert {node.program for node in world.tier.versioned()} == {program}
+    await world.finish_lot(open_lot)
+    check_traffic(world, traffic)
+    for lot in (finished, open_lot, *traffic.lots):
+        await world.read_lot_again(lot)
+    world.check_drains()
+    # What was acknowledged before stands, and the replaced tier takes orders.
+    await world.settle()
+    await world.ask_added_route()
+    await world.drain_server()
+    await world.replace_configuration()
+    await world.ask_streams(2)
+    world.check_drains()
+    await world.stop()
+
+
+def check_traffic(world: World, traffic: Traffic) -> None:
+    """Every batch job was accepted and every result is listed once; streams were served, or ran nowhere."""
+    assert world.own_breaches(traffic) == [], world.logs()
+    assert traffic.lots
+    for lot in traffic.lots:
+        assert lot.accepted, (lot.statuses, world.logs())
+        world.check_lot(lot)
+    for name, tally in traffic.tallies.items():
+        assert tally.asked, name
+        assert tally.served >= SERVED_SHARE * tally.asked, (name, tally, world.logs())
+
+
+def test_a_tier_is_replaced_node_by_node_and_loses_nothing(old_program, tmp_path):
+    run_world(tmp_path, dict.fromkeys(ROLES, old_program), lambda world: replace_all(world, NEW_PROGRAM))
