--- a/benchmarks/drains.py
+++ b/benchmarks/drains.py
@@ -21,11 +21,11 @@
 from pathlib import Path
 from typing import Any
 
-from orchidledge.runtime.sidecar import Sidecar
-from orchidledge.sidecar.models import Configuration
-from orchidledge.standin.box import Behaviour, Box, Seen
-from orchidledge.standin.caller import Application
-from orchidledge.standin.xds import CLUSTER, ControlPlane, cluster, endpoints
+from loadbalancer.emulator.box import Behaviour, Box, Seen
+from loadbalancer.emulator.caller import Application
+from loadbalancer.emulator.xds import CLUSTER, ControlPlane, cluster, endpoints
+from loadbalancer.runtime.sidecar import Sidecar
+from loadbalancer.sidecar.models import Configuration
 
 WAYS: dict[str, dict[str, str]] = {
     "aggregated state": {"updates": "state"},
--- a/benchmarks/own_load.py
+++ b/benchmarks/own_load.py
@@ -233,7 +233,7 @@
                 command = [
                     sys.executable,
                     "-m",
-                    "orchidledge.standin.box",
+                    "loadbalancer.emulator.box",
                     "--port",
                     str(port),
                     "--name",
@@ -263,7 +263,7 @@
                 command = [
                     sys.executable,
                     "-c",
-                    "import sys; from orchidledge.cli import main; sys.exit(main())",
+                    "import sys; from loadbalancer.cli import main; sys.exit(main())",
                 ]
                 command += ["sidecar", str(path)]
                 log = Path(args.logs or folder, f"{row['label']}-{row['name']}.log".replace(" ", "-"))
--- a/benchmarks/retry_storm.py
+++ b/benchmarks/retry_storm.py
@@ -30,11 +30,11 @@
 from random import Random
 from typing import Any
 
-from orchidledge.fleet.processes import Supervisor
-from orchidledge.sidecar.models import BudgetModel
-from orchidledge.standin.box import Behaviour, Box, Seen
-from orchidledge.standin.caller import Application
-from orchidledge.standin.tier import OWN, TRACE, TierApplication
+from loadbalancer.emulator.box import Behaviour, Box, Seen
+from loadbalancer.emulator.caller import Application
+from loadbalancer.emulator.tier import OWN, TRACE, TierApplication
+from loadbalancer.sidecar.models import BudgetModel
+from loadbalancer.test_rig.processes import Supervisor
 
 WIDE = 4  # instances in each tier
 PATIENCE_S = 0.7
--- a/benchmarks/retry_waves.py
+++ b/benchmarks/retry_waves.py
@@ -31,9 +31,9 @@
 from random import Random
 from typing import Any
 
-from orchidledge import interface as api
-from orchidledge.brain import Balancer
-from orchidledge.sidecar.models import BudgetModel
+from loadbalancer import interface as api
+from loadbalancer.balancer import Balancer
+from loadbalancer.sidecar.models import BudgetModel
 
 QUIET_S, TAIL_S = 15.0, 14.0
 TROUBLES = {"cut": 0.9, "fails": 4.0, "stalls": 4.0}
--- a/benchmarks/thrift_fuzz.py
+++ b/benchmarks/thrift_fuzz.py
@@ -19,8 +19,8 @@
 from collections import Counter
 
 from benchmarks.thrift_speed import body
-from orchidledge.thrift.codec import Decoder, encode, transcode
-from orchidledge.thrift.types import Form, Message, MessageKind, ProtocolError
+from loadbalancer.thrift.codec import Decoder, encode, transcode
+from loadbalancer.thrift.types import Form, Message, MessageKind, ProtocolError
 
 LIMIT = 4096
 
--- a/benchmarks/thrift_kill.py
+++ b/benchmarks/thrift_kill.py
@@ -18,11 +18,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from orchidledge.runtime.sidecar import Sidecar
-from orchidledge.sidecar.models import Configuration
-from orchidledge.standin.thrift import ThriftBehaviour, ThriftBox
-from orchidledge.thrift.codec import Decoder, encode, read_exception, writer_of
-from orchidledge.thrift.types import STRING, STRUCT, Form, Message, MessageKind
+from loadbalancer.emulator.thrift import ThriftBehaviour, ThriftBox
+from loadbalancer.runtime.sidecar import Sidecar
+from loadbalancer.sidecar.models import Configuration
+from loadbalancer.thrift.codec import Decoder, encode, read_exception, writer_of
+from loadbalancer.thrift.types import STRING, STRUCT, Form, Message, MessageKind
 
 PATIENCE_S = 30.0  # for a reply that has to come: longer than any deadline here
 
--- a/benchmarks/thrift_speed.py
+++ b/benchmarks/thrift_speed.py
@@ -24,8 +24,8 @@
 from typing import Any
 
 from benchmarks.throughput import Load, free_port
-from orchidledge.thrift.codec import Decoder, check, encode, transcode, writer_of
-from orchidledge.thrift.types import I32, I64, LIST, STRING, STRUCT, Form, Message, MessageKind
+from loadbalancer.thrift.codec import Decoder, check, encode, transcode, writer_of
+from loadbalancer.thrift.types import I32, I64, LIST, STRING, STRUCT, Form, Message, MessageKind
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -271,11 +271,11 @@
     with tempfile.TemporaryDirectory() as folder, contextlib.ExitStack() as stack:
         path = Path(folder) / "bench.toml"
         path.write_text(CONFIGURATION.format(descriptors=4 * idle + 512, **ports))
-        box = ("-m", "orchidledge.standin.box", "--port", str(ports["http_box"]))
+        box = ("-m", "loadbalancer.emulator.box", "--port", str(ports["http_box"]))
         stack.enter_context(process(cores - 2, *box))
-        box = ("-m", "orchidledge.standin.thrift", "--port", str(ports["thrift_box"]))
+        box = ("-m", "loadbalancer.emulator.thrift", "--port", str(ports["thrift_box"]))
         stack.enter_context(process(cores - 3, *box))
-        sidecar = stack.enter_context(process(cores - 4, "-m", "orchidledge.cli", "sidecar", str(path)))
+        sidecar = stack.enter_context(process(cores - 4, "-m", "loadbalancer.cli", "sidecar", str(path)))
         for port in ports.values():
             await up(port)
         cases: dict[str, Callable[[], Any]] = {
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -210,7 +210,7 @@
     with tempfile.TemporaryDirectory() as folder:
         try:
             box = free_port()
-            command = [sys.executable, "-m", "orchidledge.standin.box", "--port", str(box)]
+            command = [sys.executable, "-m", "loadbalancer.emulator.box", "--port", str(box)]
             running.append(start(command, cores[0], ROOT, Path(folder, "box.log"), {}))
             ports = {"direct": box}
             for label, root in nodes.items():
@@ -218,7 +218,7 @@
                 path = Path(folder, f"{label}.json")
                 path.write_text(json.dumps(platform_config(box, ports[label])))
                 log = Path(folder, f"{label}.log")
-                command = [sys.executable, "-m", "orchidledge"]
+                command = [sys.executable, "-m", "loadbalancer"]
                 running.append(
                     start(command, cores[1], Path(root).resolve(), log, {"PROXY_CONFIG": str(path)})
                 )
@@ -229,7 +229,7 @@
                 command = [
                     sys.executable,
                     "-c",
-                    "import sys; from orchidledge.cli import main; sys.exit(main())",
+                    "import sys; from loadbalancer.cli import main; sys.exit(main())",
                 ]
                 command += ["sidecar", str(path)]
                 running.append(start(command, cores[1], ROOT, Path(folder, f"{label}.log"), {}))
--- a/benchmarks/xds_updates.py
+++ b/benchmarks/xds_updates.py
@@ -22,7 +22,7 @@
 
 from throughput import ROOT, SIDECAR, Load, free_port, resident_mb, start, wait_for
 
-from orchidledge.standin.xds import ControlPlane, cluster, endpoints
+from loadbalancer.emulator.xds import ControlPlane, cluster, endpoints
 
 MOST_S = 120.0
 
@@ -36,9 +36,9 @@
 
 async def follow(address: str, count: int, delta: bool) -> None:
     """In the other process: print, as JSON lines, when all clusters were first served, and each change of the first."""
-    from orchidledge.lists.membership import Roster
-    from orchidledge.xds.protocol import XdsClient
-    from orchidledge.xds.stream import XdsStream
+    from loadbalancer.discovery.membership import Roster
+    from loadbalancer.xds.protocol import XdsClient
+    from loadbalancer.xds.stream import XdsStream
 
     names = [f"c{at}" for at in range(count)]
     before, began = resident_mb(os.getpid()), time.time()
@@ -101,14 +101,14 @@
     with tempfile.TemporaryDirectory() as folder:
         try:
             port, listen = free_port(), free_port()
-            command = [sys.executable, "-m", "orchidledge.standin.box", "--port", str(port)]
+            command = [sys.executable, "-m", "loadbalancer.emulator.box", "--port", str(port)]
             running.append(start(command, cores[0], ROOT, Path(folder, "box.log"), {}))
             live = {"address": f"127.0.0.1:{port}"}
             idle = [row | {"health_status": "DRAINING"} for row in rows(200)]
             plane.put(cluster("box"), endpoints("box", live, *idle))
             path = Path(folder, "sidecar.toml")
             path.write_text(SIDECAR.format(listen=listen, source=XDS.format(plane=plane.endpoint)))
-            command = [sys.executable, "-m", "orchidledge.cli", "sidecar", str(path)]
+            command = [sys.executable, "-m", "loadbalancer.cli", "sidecar", str(path)]
             running.append(start(command, cores[1], ROOT, Path(folder, "sidecar.log"), {}))
             await asyncio.to_thread(wait_for, listen)
             await asyncio.sleep(1.0)
--- a/benchmarks/zone_return.py
+++ b/benchmarks/zone_return.py
@@ -24,8 +24,8 @@
 from pathlib import Path
 from random import Random
 
-from orchidledge.fleet.processes import Supervisor
-from orchidledge.standin.caller import Application
+from loadbalancer.emulator.caller import Application
+from loadbalancer.test_rig.processes import Supervisor
 
 AIM_S, GIVE_UP_S = 1.0, 2.5
 CLASSES = {"high": 12.0, "low": 2.0}
@@ -118,7 +118,7 @@
     def command(zone: str, *more: str) -> list[str]:
         record = str(folder / f"{zone}.jsonl")
         fixed = ["--work-ms", str(args.work_ms), "--cold-ms", str(args.cold_ms), "--record", record]
-        return ["-m", "orchidledge.fleet.boxes", *fixed, *more, *boxes[zone]]
+        return ["-m", "loadbalancer.test_rig.boxes", *fixed, *more, *boxes[zone]]
 
     async with Supervisor(folder) as supervisor:
         await asyncio.gather(*(supervisor.start(f"zone-{zone}", command(zone), "ready") for zone in boxes))
--- a/emberring/admission/load.py
+++ b/emberring/admission/load.py
@@ -1,14 +1,14 @@
 """The load of a pool of servers, from what this gateway sees: latency over its quiet baseline, and answers that
 said "full". 1 is the target; above it the cursor of the table steps right.
 
-The baseline, its pace and its slack are those of the decision module of the node (`orchidledge.brain`). What
+The baseline, its pace and its slack are those of the decision module of the node (`loadbalancer.balancer`). What
 differs: outcomes are the waits for a first event, each as a share of its own aim, and since the prompts' lengths
 differ a hundredfold, the wait that the prompt itself explains is taken off before.
 """
 
 from __future__ import annotations
 
-from orchidledge.brain import BASE_FALL, BASE_LEAST, BASE_RISE, FULL_TARGET, JAM, QUIET, SLACK_ROOM
+from loadbalancer.balancer import BASE_FALL, BASE_LEAST, BASE_RISE, FULL_TARGET, JAM, QUIET, SLACK_ROOM
 
 OUTCOMES = 10.0  # outcomes that give a period half the say in the smoothed wait
 WORST = 3.0  # a wait counts as no more than this, so that a jam is forgotten once it has passed
--- a/emberring/gateway/clients.py
+++ b/emberring/gateway/clients.py
@@ -12,7 +12,7 @@
 from uvicorn.server import ServerState
 
 from emberring.configuration.model import ClientLimits
-from orchidledge.core.outgoing import readable
+from loadbalancer.core.outgoing import readable
 
 BACKLOG = 2048
 ACCEPT_ROUNDS = 3  # turns of the loop after which what stood in the accept queue has been taken
--- a/emberring/gateway/upstream.py
+++ b/emberring/gateway/upstream.py
@@ -8,7 +8,7 @@
 import httptools
 
 from emberring.gateway.messages import BODILESS_STATUSES, AnswerHead, Header
-from orchidledge.core.outgoing import Outgoing
+from loadbalancer.core.outgoing import Outgoing
 
 MAX_HEAD_BYTES = 32 * 1024
 SUCCESS_FROM, SUCCESS_BELOW = 200, 300
@@ -32,7 +32,7 @@
 
 
 class _Relay:
-    """Takes the place of `Exchange` in `orchidledge.core.outgoing`, which knows whole answers alone."""
+    """Takes the place of `Exchange` in `loadbalancer.core.outgoing`, which knows whole answers alone."""
 
     def __init__(self, connection: ServerConnection, exchange: Exchange) -> None:
         self.connection = connection
--- /dev/null
+++ b/loadbalancer/__main__.py
@@ -0,0 +1,70 @@
+"""One real node: `python -m loadbalancer`, told what it is by the file that PROXY_CONFIG names."""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import logging
+import os
+import sys
+from pathlib import Path
+
+from loadbalancer.core.leaving import signals
+from loadbalancer.node.config import Config, parse_config
+from loadbalancer.node.node import Node
+
+
+def read_config() -> Config:
+    path = os.environ.get("PROXY_CONFIG")
+    if not path:
+        raise ValueError("PROXY_CONFIG is not set")
+    return parse_config(Path(path).read_bytes())
+
+
+async def serve() -> int:
+    """Run the node until SIGTERM or SIGINT; SIGHUP has it read its configuration again."""
+    stop, hangup = signals()
+    try:
+        config = read_config()
+    except (OSError, ValueError) as error:
+        print(f"loadbalancer: bad configuration: {_one_line(error)}", file=sys.stderr)
+        return 2
+    node = Node(config)
+    await node.start()
+    reloading = asyncio.create_task(_reload(node, hangup))
+    gc.collect()
+    gc.freeze()  # what is there for good need not be looked at again
+    logging.info("%s serves on %s:%d", config.name, *node.server.address)
+    await stop.wait()
+    reloading.cancel()
+    logging.info("%s stops", config.name)
+    await node.stop()
+    return 0
+
+
+async def _reload(node: Node, hangup: asyncio.Event) -> None:
+    """Read the configuration again at each hang-up; a bad file leaves the one that is in force."""
+    while True:
+        await hangup.wait()
+        hangup.clear()
+        try:
+            node.reconfigure(read_config())
+        except (OSError, ValueError) as error:
+            logging.error("bad configuration, the old one stays: %s", _one_line(error))
+
+
+def _one_line(error: Exception) -> str:
+    return " ".join(str(error).split())
+
+
+def main() -> int:
+    logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
+    try:
+        return asyncio.run(serve())
+    except OSError as error:
+        print(f"loadbalancer: {error}", file=sys.stderr)
+        return 1
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/orchidledge/brain.py
+++ b/loadbalancer/balancer.py
@@ -1,4 +1,4 @@
-"""The decision module of orchidledge. Its types, events and actions are in orchidledge/interface.py.
+"""The decision module of loadbalancer. Its types, events and actions are in loadbalancer/interface.py.
 
 Cursor-table admission: every period the pool's load moves a cursor one step over a table of queue
 thresholds; a call that meets its row's threshold is refused at once; an admitted call goes to the
@@ -13,9 +13,9 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from orchidledge import interface as api
-from orchidledge.levels import Group, groups_of
-from orchidledge.retries import Quantile, RetryBudget, Spent, backoff_ms
+from loadbalancer import interface as api
+from loadbalancer.priority_levels import Group, groups_of
+from loadbalancer.retry_policy import Quantile, RetryBudget, Spent, backoff_ms
 
 PERIOD = 0.15  # P, as a share of the shortest aim
 FLAT = 2  # n: slots of T1 at the table's left
--- a/orchidledge/budget/decider.py
+++ b/loadbalancer/budget/decider.py
@@ -15,10 +15,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from orchidledge.budget.carried import Carried, Stamp
-from orchidledge.budget.elapsed import Elapsed
-from orchidledge.budget.patience import Patience
-from orchidledge.interface import ServiceClass
+from loadbalancer.budget.carried import Carried, Stamp
+from loadbalancer.budget.elapsed import Elapsed
+from loadbalancer.budget.patience import Patience
+from loadbalancer.interface import ServiceClass
 
 
 class Trust(Enum):
--- a/orchidledge/budget/elapsed.py
+++ b/loadbalancer/budget/elapsed.py
@@ -10,7 +10,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from orchidledge.budget.carried import Stamp
+from loadbalancer.budget.carried import Stamp
 
 STRETCH_MS = (
     150_000.0  # a least difference counts for one to two of these; clocks that drift part by 15 ms in one
--- a/orchidledge/budget/repeats.py
+++ b/loadbalancer/budget/repeats.py
@@ -22,7 +22,7 @@
 from functools import cached_property
 from typing import Any
 
-from orchidledge.interface import Earlier, Effect
+from loadbalancer.interface import Earlier, Effect
 
 # Fields that may differ between two tries of one request; any other that does makes them two.
 VARYING = frozenset(
--- a/orchidledge/cli/__init__.py
+++ b/loadbalancer/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The `orchidledge` command: one module a subcommand, imported when it is asked for."""
+"""The `loadbalancer` command: one module a subcommand, imported when it is asked for."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 def main(argv: list[str] | None = None) -> int:
     """Run a subcommand; returns its exit code."""
     parser = argparse.ArgumentParser(
-        prog="orchidledge",
+        prog="loadbalancer",
         description="A load-balancing sidecar for services that call services in tiers.",
-        epilog="Begin with `orchidledge try`. Each command has a --help of its own.",
+        epilog="Begin with `loadbalancer try`. Each command has a --help of its own.",
     )
     commands = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
     words = sys.argv[1:] if argv is None else argv
     for name, (module, text) in COMMANDS.items():
         command = commands.add_parser(name, help=text, description=text[0].upper() + text[1:] + ".")
         if words and words[0] == name:
-            import_module(f"orchidledge.cli.{module}").add_arguments(command)
+            import_module(f"loadbalancer.cli.{module}").add_arguments(command)
     args = parser.parse_args(words)
     result: int = args.run(args)
     return result
--- a/orchidledge/cli/budgets.py
+++ b/loadbalancer/cli/budgets.py
@@ -1,4 +1,4 @@
-"""`orchidledge budgets ADDRESS...`: what running sidecars spend on attempts beyond the first, and what time is left."""
+"""`loadbalancer budgets ADDRESS...`: attempts that running sidecars spend beyond the first, and the time left."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from orchidledge.cli.fetching import admin_url, fetch
-from orchidledge.sidecar.load import UnusableError
+from loadbalancer.cli.fetching import admin_url, fetch
+from loadbalancer.sidecar.load import UnusableError
 
 WIDTH = 200
 COLUMNS = (
@@ -59,7 +59,7 @@
         try:
             pages = {text: fetch(admin_url(text), "/budgets") for text in args.addresses}
         except (UnusableError, ValueError) as error:
-            print(f"orchidledge: {error}", file=sys.stderr)
+            print(f"loadbalancer: {error}", file=sys.stderr)
             return 2
         if args.json:
             print(orjson.dumps(pages, option=orjson.OPT_INDENT_2).decode(), flush=True)
--- a/orchidledge/cli/config.py
+++ b/loadbalancer/cli/config.py
@@ -1,4 +1,4 @@
-"""`orchidledge config write | check | explain | drift | schema`."""
+"""`loadbalancer config write | check | explain | drift | schema`."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 import orjson
 
-from orchidledge.cli.fetching import admin_url, fetch
-from orchidledge.core.descriptors import descriptors_here
-from orchidledge.sidecar.checks import check
-from orchidledge.sidecar.derive import Derived, derive, text_of
-from orchidledge.sidecar.drift import Difference, compare
-from orchidledge.sidecar.idl import hold, methods_of
-from orchidledge.sidecar.load import Document, UnusableError, read
-from orchidledge.sidecar.locate import Path as Place
-from orchidledge.sidecar.loops import find_loops
-from orchidledge.sidecar.mistakes import Mistake, shown
-from orchidledge.sidecar.models import KINDS, Configuration, plain
-from orchidledge.sidecar.toml import scalar
+from loadbalancer.cli.fetching import admin_url, fetch
+from loadbalancer.core.descriptors import descriptors_here
+from loadbalancer.sidecar.checks import check
+from loadbalancer.sidecar.derive import Derived, derive, text_of
+from loadbalancer.sidecar.drift import Difference, compare
+from loadbalancer.sidecar.idl import hold, methods_of
+from loadbalancer.sidecar.load import Document, UnusableError, read
+from loadbalancer.sidecar.locate import Path as Place
+from loadbalancer.sidecar.loops import find_loops
+from loadbalancer.sidecar.mistakes import Mistake, shown
+from loadbalancer.sidecar.models import KINDS, Configuration, plain
+from loadbalancer.sidecar.toml import scalar
 
 RESOURCES = (".json", ".yaml", ".yml")  # files of xDS resources
 EXITS = "Exit codes: 0 none found, 1 mistakes or drift, 2 the call itself can't be carried out."
@@ -90,7 +90,7 @@
 
 
 def _unusable(error: object) -> int:
-    print(f"orchidledge: {error}", file=sys.stderr)
+    print(f"loadbalancer: {error}", file=sys.stderr)
     return 2
 
 
@@ -105,11 +105,9 @@
 def _resources(path: str) -> Document:
     """A file of xDS resources, read by what the sidecar reads it by."""
     try:
-        from orchidledge.xds.files import FileError, load
+        from loadbalancer.xds.files import FileError, load
     except ImportError as error:
-        raise UnusableError(
-            f"{path}: xDS resources need the extra: pip install 'orchidledge[xds]'"
-        ) from error
+        raise UnusableError(f"{path}: xDS resources need the extra: pip install 'emberring[xds]'") from error
     document = Document(path, "")
     try:
         load(path)
@@ -274,7 +272,7 @@
         document = read(source)
         check(document)
         if document.mistakes:
-            raise UnusableError(f"{source} has mistakes; `orchidledge config check {source}` tells them")
+            raise UnusableError(f"{source} has mistakes; `loadbalancer config check {source}` tells them")
         if not isinstance(document.model, Configuration):
             raise UnusableError(f"{source}: kind is {document.kind!r}, and a configuration is wanted here")
         model = document.model
--- a/orchidledge/cli/fetching.py
+++ b/loadbalancer/cli/fetching.py
@@ -8,8 +8,8 @@
 
 import orjson
 
-from orchidledge.core.address import parse_address
-from orchidledge.sidecar.load import UnusableError
+from loadbalancer.core.address import parse_address
+from loadbalancer.sidecar.load import UnusableError
 
 FETCH_S = 3.0
 
--- a/orchidledge/cli/lab.py
+++ b/loadbalancer/cli/lab.py
@@ -1,4 +1,4 @@
-"""`orchidledge lab`: run, sweep and compare experiments on a model of what is balanced."""
+"""`loadbalancer lab`: run, sweep and compare experiments on a model of what is balanced."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TimeElapsedColumn
 from rich.table import Table
 
-from orchidledge.sidecar.load import UnusableError
+from loadbalancer.sidecar.load import UnusableError
 
 if TYPE_CHECKING:
-    from orchidledge.lab.experiment import Experiment
+    from loadbalancer.experiments.experiment import Experiment
 
-NEEDS = "the lab needs its extra: pip install 'orchidledge[lab]'"
+NEEDS = "the lab needs its extra: pip install 'emberring[lab]'"
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     try:
-        from orchidledge.lab.library import shipped
+        from loadbalancer.experiments.library import shipped
     except ImportError as error:
         parser.set_defaults(run=lambda args, error=error: _missing(error))
         return
@@ -92,7 +92,7 @@
 
 
 def _list(args: argparse.Namespace) -> int:
-    from orchidledge.lab.library import load, shipped
+    from loadbalancer.experiments.library import load, shipped
 
     table = Table("name", "servers", "nodes", "runs", "what it asks", box=None)
     for name in shipped():
@@ -105,7 +105,7 @@
 
 def _load(name: str) -> Experiment | None:
     """An experiment; None once it has been said what is wrong with it."""
-    from orchidledge.lab.library import ExperimentError, load
+    from loadbalancer.experiments.library import ExperimentError, load
 
     try:
         return load(name)
@@ -129,9 +129,9 @@
 
 
 def _run(args: argparse.Namespace) -> int:
-    from orchidledge.lab.compare import FIGURES, interval
-    from orchidledge.lab.engine import sweep
-    from orchidledge.lab.results import jobs, read
+    from loadbalancer.experiments.compare import FIGURES, interval
+    from loadbalancer.experiments.engine import sweep
+    from loadbalancer.experiments.results import jobs, read
 
     asked = []
     for name in args.experiment:
@@ -177,7 +177,7 @@
 
 
 def _returns(args: argparse.Namespace) -> int:
-    from orchidledge.lab.returns import LOADS, REPEATS, SHORT, known, search
+    from loadbalancer.experiments.returns import LOADS, REPEATS, SHORT, known, search
 
     plan = _load(args.experiment)
     if plan is None:
@@ -202,10 +202,10 @@
 
 
 def _report(args: argparse.Namespace) -> int:
-    from orchidledge.lab.results import ResultError, runs
+    from loadbalancer.experiments.results import ResultError, runs
 
     try:
-        from orchidledge.lab.report import write
+        from loadbalancer.experiments.report import write
     except ImportError as error:
         return _missing(error)
     try:
@@ -218,8 +218,8 @@
 
 
 def _compare(args: argparse.Namespace) -> int:
-    from orchidledge.lab.compare import CompareError, compare
-    from orchidledge.lab.results import ResultError, runs
+    from loadbalancer.experiments.compare import CompareError, compare
+    from loadbalancer.experiments.results import ResultError, runs
 
     try:
         sides = [list(runs(folder)) for folder in (args.a, args.b)]
--- a/orchidledge/cli/sidecar.py
+++ b/loadbalancer/cli/sidecar.py
@@ -1,4 +1,4 @@
-"""`orchidledge sidecar CONFIG`: run until SIGTERM or SIGINT; SIGHUP puts the file in force anew."""
+"""`loadbalancer sidecar CONFIG`: run until SIGTERM or SIGINT; SIGHUP puts the file in force anew."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 import resource
 import sys
 
-from orchidledge.core.descriptors import descriptors_here
-from orchidledge.core.leaving import signals
-from orchidledge.core.turns import TurnLoop
-from orchidledge.runtime.building import ReloadError, descriptors_of
-from orchidledge.runtime.sidecar import PlacedError, Sidecar
-from orchidledge.sidecar.checks import check
-from orchidledge.sidecar.load import UnusableError, read
-from orchidledge.sidecar.models import Configuration
+from loadbalancer.core.descriptors import descriptors_here
+from loadbalancer.core.leaving import signals
+from loadbalancer.core.turns import TurnLoop
+from loadbalancer.runtime.building import ReloadError, descriptors_of
+from loadbalancer.runtime.sidecar import PlacedError, Sidecar
+from loadbalancer.sidecar.checks import check
+from loadbalancer.sidecar.load import UnusableError, read
+from loadbalancer.sidecar.models import Configuration
 
-log = logging.getLogger("orchidledge")
+log = logging.getLogger("loadbalancer")
 COLLECT = 5000, 20, 50  # new objects, and collections of the younger, before a generation is collected
 
 
@@ -27,7 +27,7 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("configuration", help="the file that `orchidledge config write` has written")
+    parser.add_argument("configuration", help="the file that `loadbalancer config write` has written")
     parser.epilog = (
         "SIGHUP reads the file again and puts it in force whole or not at all; SIGTERM finishes what is open. "
         "Exit codes: 0 ended by a signal, 1 an address can't be had, 2 bad configuration."
@@ -118,5 +118,5 @@
         print(f"{args.configuration}: {error}", file=sys.stderr)
         return 1
     except OSError as error:
-        print(f"orchidledge: {error}", file=sys.stderr)
+        print(f"loadbalancer: {error}", file=sys.stderr)
         return 1
--- a/orchidledge/cli/xds.py
+++ b/loadbalancer/cli/xds.py
@@ -1,4 +1,4 @@
-"""`orchidledge xds watch ADDRESS CLUSTER...`: what a control plane would tell a sidecar."""
+"""`loadbalancer xds watch ADDRESS CLUSTER...`: what a control plane would tell a sidecar."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from orchidledge.xds.protocol import Served, XdsClient
+    from loadbalancer.xds.protocol import Served, XdsClient
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -30,16 +30,16 @@
 
 def run(args: argparse.Namespace) -> int:
     try:
-        from orchidledge.xds import stream  # noqa: F401 - to see whether it can be had
+        from loadbalancer.xds import stream  # noqa: F401 - to see whether it can be had
     except ImportError:
-        print("orchidledge: this needs the extra: pip install 'orchidledge[xds]'", file=sys.stderr)
+        print("loadbalancer: this needs the extra: pip install 'emberring[xds]'", file=sys.stderr)
         return 2
     return asyncio.run(_watch(args))
 
 
 async def _watch(args: argparse.Namespace) -> int:
-    from orchidledge.xds.protocol import XdsClient
-    from orchidledge.xds.stream import XdsStream
+    from loadbalancer.xds.protocol import XdsClient
+    from loadbalancer.xds.stream import XdsStream
 
     client = XdsClient(args.node, args.clusters, args.updates == "incremental", time.time_ns() % 2**32)
     shown: dict[str, object] = {}
--- a/orchidledge/core/listener.py
+++ b/loadbalancer/core/listener.py
@@ -11,9 +11,9 @@
 from itertools import islice
 from typing import Any
 
-from orchidledge.core.outgoing import OWN, readable, waits
-from orchidledge.core.turns import turns_of
-from orchidledge.limits.connections import SILENT_S, Door
+from loadbalancer.core.outgoing import OWN, readable, waits
+from loadbalancer.core.turns import turns_of
+from loadbalancer.overload.connections import SILENT_S, Door
 
 BACKLOG = 4096  # connections that wait in the kernel, where it allows so many
 SPARED_S = 2.0  # of which an idle connection is spared where room is short and no request waits for it
--- a/orchidledge/core/pool.py
+++ b/loadbalancer/core/pool.py
@@ -9,14 +9,14 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from orchidledge import interface as api
-from orchidledge.brain import Balancer
-from orchidledge.core.address import Address
-from orchidledge.core.clock import Clock
-from orchidledge.core.turns import turns_of
-from orchidledge.core.types import Answer, Attempt, Back, Cause, Kind, Room
-
-log = logging.getLogger("orchidledge")
+from loadbalancer import interface as api
+from loadbalancer.balancer import Balancer
+from loadbalancer.core.address import Address
+from loadbalancer.core.clock import Clock
+from loadbalancer.core.turns import turns_of
+from loadbalancer.core.types import Answer, Attempt, Back, Cause, Kind, Room
+
+log = logging.getLogger("loadbalancer")
 
 BACKSTOP_S = 0.005  # after which a request that the module left unanswered is answered for it
 FAULT_PAUSE_S = 0.5  # before an alarm or a watch is tried again that a fault of the module has lost
--- a/orchidledge/core/pooled.py
+++ b/loadbalancer/core/pooled.py
@@ -13,12 +13,12 @@
 from functools import partial
 from typing import Any
 
-from orchidledge.core.address import Address
-from orchidledge.core.outgoing import OWN, Outgoing
-from orchidledge.core.turns import turns_of
-from orchidledge.core.types import OnEnd
-from orchidledge.interface import Result
-from orchidledge.limits.connections import Line
+from loadbalancer.core.address import Address
+from loadbalancer.core.outgoing import OWN, Outgoing
+from loadbalancer.core.turns import turns_of
+from loadbalancer.core.types import OnEnd
+from loadbalancer.interface import Result
+from loadbalancer.overload.connections import Line
 
 IDLE_SHARE = 0.5  # of the time after which a server closes an idle connection: ours goes well before
 LOOKED_AT = 16  # of those in line, for one that goes to the server whose connection has become free
--- a/orchidledge/core/turns.py
+++ b/loadbalancer/core/turns.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from orchidledge.limits.turns import Turns
+from loadbalancer.overload.turns import Turns
 
 BEAT_S = 0.01  # longest sleep while requests are open: a core that was away for longer than this is noticed
 
--- a/orchidledge/core/types.py
+++ b/loadbalancer/core/types.py
@@ -6,8 +6,8 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from orchidledge.core.address import Address
-from orchidledge.interface import Result
+from loadbalancer.core.address import Address
+from loadbalancer.interface import Result
 
 
 class Kind(Enum):
--- a/orchidledge/lists/membership.py
+++ b/loadbalancer/discovery/membership.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from orchidledge.core.address import Address
-from orchidledge.interface import Levels, ListForm, Server, ServerState
+from loadbalancer.core.address import Address
+from loadbalancer.interface import Levels, ListForm, Server, ServerState
 
 
 @dataclass(slots=True, frozen=True)
--- a/orchidledge/lists/discovery.py
+++ b/loadbalancer/discovery/watcher.py
@@ -10,12 +10,12 @@
 
 import orjson
 
-from orchidledge.core.address import Address, parse_address
-from orchidledge.http.client import Awaited, ClientConnection
-from orchidledge.interface import ListForm, Server, ServerState
-from orchidledge.lists.membership import Entry, News, Roster
+from loadbalancer.core.address import Address, parse_address
+from loadbalancer.discovery.membership import Entry, News, Roster
+from loadbalancer.http.client import Awaited, ClientConnection
+from loadbalancer.interface import ListForm, Server, ServerState
 
-log = logging.getLogger("orchidledge")
+log = logging.getLogger("loadbalancer")
 
 # A call unanswered so long after its wait has failed; 2 s after it, its news counts as told.
 LATE_S = 0.8
--- a/orchidledge/standin/box.py
+++ b/loadbalancer/emulator/box.py
@@ -1,6 +1,6 @@
 """A stand-in ledger box: answers HTTP/1.1, keeps how often each posting ran, and misbehaves as told.
 
-    python -m orchidledge.standin.box --port 0 --name box-1 --work-ms 4
+    python -m loadbalancer.emulator.box --port 0 --name box-1 --work-ms 4
 
 prints `NAME listens on HOST:PORT` and serves until it is ended, or for `--seconds`.
 
@@ -19,9 +19,9 @@
 
 import httptools
 
-from orchidledge.core.address import parse_address
-from orchidledge.interface import warmth
-from orchidledge.standin.listening import Counted, Counting, command, run
+from loadbalancer.core.address import parse_address
+from loadbalancer.emulator.listening import Counted, Counting, command, run
+from loadbalancer.interface import warmth
 
 POSTING = b"x-posting"  # the header by which a posting is counted; else its idempotency key, else its id
 FALLEN_S = 2.0  # until a box that fell over is started anew
@@ -242,7 +242,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    parser = command("orchidledge.standin.box", "A stand-in box.")
+    parser = command("loadbalancer.emulator.box", "A stand-in box.")
     parser.add_argument("--cores", type=int, default=64)
     args = parser.parse_args(argv)
     return run(Box(args.name, Behaviour(work_ms=args.work_ms, cores=args.cores)), args)
--- a/orchidledge/standin/caller.py
+++ b/loadbalancer/emulator/caller.py
@@ -5,8 +5,8 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from orchidledge.core.address import Address
-from orchidledge.http.client import Awaited, ClientConnection, Response
+from loadbalancer.core.address import Address
+from loadbalancer.http.client import Awaited, ClientConnection, Response
 
 MAX_BODY = 16 * 1024 * 1024
 
--- a/orchidledge/standin/discovery.py
+++ b/loadbalancer/emulator/discovery.py
@@ -8,8 +8,8 @@
 
 import orjson
 
-from orchidledge.standin.box import Box
-from orchidledge.standin.listening import Listening
+from loadbalancer.emulator.box import Box
+from loadbalancer.emulator.listening import Listening
 
 
 class Discovery(Listening):
--- a/orchidledge/standin/thrift.py
+++ b/loadbalancer/emulator/thrift.py
@@ -1,9 +1,9 @@
 """A stand-in ledger box that speaks Thrift: keeps how often each posting ran, and misbehaves as told.
 
-    python -m orchidledge.standin.thrift --port 0 --name box-1 --work-ms 4
+    python -m loadbalancer.emulator.thrift --port 0 --name box-1 --work-ms 4
 
 prints `NAME listens on HOST:PORT` and serves until it is ended, or for `--seconds`. It takes any of the protocols and
-transports, runs the calls of a connection one after another, and speaks `orchidledge/examples/ledger.thrift`.
+transports, runs the calls of a connection one after another, and speaks `loadbalancer/examples/ledger.thrift`.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from collections import Counter, deque
 from dataclasses import dataclass
 
-from orchidledge.standin.listening import Counted, Counting, command, run
-from orchidledge.thrift.codec import Decoder, application_exception, encode, field_at, writer_of
-from orchidledge.thrift.types import I64, STRING, STRUCT, Form, Message, MessageKind, ProtocolError
+from loadbalancer.emulator.listening import Counted, Counting, command, run
+from loadbalancer.thrift.codec import Decoder, application_exception, encode, field_at, writer_of
+from loadbalancer.thrift.types import I64, STRING, STRUCT, Form, Message, MessageKind, ProtocolError
 
 POSTING = (1, 1)  # the path of a posting's id in the arguments
 LIMIT = 16 * 1024 * 1024
@@ -212,7 +212,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    parser = command("orchidledge.standin.thrift", "A stand-in box that speaks Thrift.")
+    parser = command("loadbalancer.emulator.thrift", "A stand-in box that speaks Thrift.")
     args = parser.parse_args(argv)
     return run(ThriftBox(args.name, ThriftBehaviour(work_ms=args.work_ms)), args)
 
--- a/orchidledge/standin/tier.py
+++ b/loadbalancer/emulator/tier.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from orchidledge.core.address import Address
-from orchidledge.http.server import Call, Dialect, Server
-from orchidledge.standin.caller import Application
+from loadbalancer.core.address import Address
+from loadbalancer.emulator.caller import Application
+from loadbalancer.http.server import Call, Dialect, Server
 
 TRACE = frozenset((b"traceparent", b"tracestate", b"baggage"))
 OWN = frozenset((b"idempotency-key", b"x-posting"))
--- a/orchidledge/standin/xds.py
+++ b/loadbalancer/emulator/xds.py
@@ -18,7 +18,7 @@
 from google.protobuf import any_pb2, json_format
 from google.protobuf.message import Message
 
-from orchidledge.standin.box import Box, Seen
+from loadbalancer.emulator.box import Box, Seen
 
 CLUSTER = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
 ENDPOINTS = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
--- a/orchidledge/lab/compare.py
+++ b/loadbalancer/experiments/compare.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-from orchidledge.lab.results import Run
+from loadbalancer.experiments.results import Run
 
 DRAWS = 10_000  # of the bootstrap (Efron 1979), percentiles of the mean of paired differences
 LEVEL = 0.95
--- a/orchidledge/lab/engine.py
+++ b/loadbalancer/experiments/engine.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 from typing import Any
 
-from orchidledge.lab.results import FIGURES, Job, manifest, write
-from orchidledge.lab.world import World
+from loadbalancer.experiments.results import FIGURES, Job, manifest, write
+from loadbalancer.experiments.world import World
 
 SIMULATED = "simulated time"
 
--- a/orchidledge/lab/experiment.py
+++ b/loadbalancer/experiments/experiment.py
@@ -10,8 +10,8 @@
 
 from pydantic import Field, model_validator
 
-from orchidledge.lab.policies import LIMITS, PICKERS
-from orchidledge.sidecar.models import EffectName, Milliseconds, Model, Name, Share
+from loadbalancer.experiments.policies import LIMITS, PICKERS
+from loadbalancer.sidecar.models import EffectName, Milliseconds, Model, Name, Share
 
 Seconds = Annotated[float, Field(gt=0, le=86_400)]
 OURS = "ours"
--- a/orchidledge/lab/library.py
+++ b/loadbalancer/experiments/library.py
@@ -5,8 +5,8 @@
 from importlib.resources import files
 from pathlib import Path
 
-from orchidledge.lab.experiment import Experiment
-from orchidledge.sidecar.load import Document, read
+from loadbalancer.experiments.experiment import Experiment
+from loadbalancer.sidecar.load import Document, read
 
 KINDS = {"experiment": Experiment}
 
@@ -17,7 +17,7 @@
 
 def shipped() -> dict[str, Path]:
     """Name and file of each."""
-    folder = Path(str(files("orchidledge.lab") / "experiments"))
+    folder = Path(str(files("loadbalancer.experiments") / "definitions"))
     return {path.stem: path for path in sorted(folder.glob("*.toml"))}
 
 
--- a/orchidledge/lab/nodes.py
+++ b/loadbalancer/experiments/nodes.py
@@ -5,14 +5,14 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, Protocol
 
-from orchidledge import interface as api
-from orchidledge.brain import Balancer
-from orchidledge.lab.experiment import Experiment
-from orchidledge.lab.policies import Random, Unlimited
-from orchidledge.sidecar.models import NEAR_MS, start_calls
+from loadbalancer import interface as api
+from loadbalancer.balancer import Balancer
+from loadbalancer.experiments.experiment import Experiment
+from loadbalancer.experiments.policies import Random, Unlimited
+from loadbalancer.sidecar.models import NEAR_MS, start_calls
 
 if TYPE_CHECKING:
-    from orchidledge.lab.world import Attempt, Call, World
+    from loadbalancer.experiments.world import Attempt, Call, World
 
 Result = api.Result
 
--- a/orchidledge/lab/policies.py
+++ b/loadbalancer/experiments/policies.py
@@ -9,7 +9,7 @@
 import math
 from collections.abc import Callable, Sequence
 
-from orchidledge.lab.servers import Server
+from loadbalancer.experiments.servers import Server
 
 Draw = Callable[[], float]
 
--- a/orchidledge/lab/results.py
+++ b/loadbalancer/experiments/results.py
@@ -19,7 +19,7 @@
 
 import orjson
 
-from orchidledge.lab.experiment import Experiment
+from loadbalancer.experiments.experiment import Experiment
 
 MANIFEST, FIGURES = "manifest.json", "figures.json"
 SORTED = orjson.OPT_SORT_KEYS | orjson.OPT_APPEND_NEWLINE
@@ -65,7 +65,7 @@
 def manifest(job: Job, engine: str, took_s: float) -> dict[str, Any]:
     return {
         "format": 1,
-        "program": importlib.metadata.version("orchidledge"),
+        "program": importlib.metadata.version("emberring"),
         "experiment": job.plan.name,
         "digest": digest(job.plan),
         "policy": job.plan.policies[job.policy].model_dump(mode="json"),
--- a/orchidledge/lab/returns.py
+++ b/loadbalancer/experiments/returns.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass
 from itertools import product
 
-from orchidledge.lab.engine import simulate, workers
-from orchidledge.lab.experiment import Experiment, Trouble
-from orchidledge.lab.results import Job
+from loadbalancer.experiments.engine import simulate, workers
+from loadbalancer.experiments.experiment import Experiment, Trouble
+from loadbalancer.experiments.results import Job
 
 BEGINS_S, ENDS_S = 5.0, 13.0  # of each trouble
 AFTER_S, SEEN_S = 20.0, 10.0  # from its end to when it is to be over, and how long is looked at from there
--- a/orchidledge/lab/servers.py
+++ b/loadbalancer/experiments/servers.py
@@ -10,7 +10,7 @@
 from heapq import heappop, heappush, heapreplace
 from typing import NamedTuple
 
-from orchidledge.interface import warmth
+from loadbalancer.interface import warmth
 
 OVERLOAD_MS = 1000.0  # over which it is counted whether a cold server is sent more than it bears
 
--- a/orchidledge/lab/world.py
+++ b/loadbalancer/experiments/world.py
@@ -11,13 +11,13 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from orchidledge.interface import Result
-from orchidledge.lab import draws
-from orchidledge.lab.experiment import OURS, Experiment, Policy, Service, Trouble
-from orchidledge.lab.nodes import ModuleNode, Node, PolicyNode, settings_of
-from orchidledge.lab.policies import LIMITS, PICKERS
-from orchidledge.lab.recorder import Recorder
-from orchidledge.lab.servers import Dependency, Server
+from loadbalancer.experiments import draws
+from loadbalancer.experiments.experiment import OURS, Experiment, Policy, Service, Trouble
+from loadbalancer.experiments.nodes import ModuleNode, Node, PolicyNode, settings_of
+from loadbalancer.experiments.policies import LIMITS, PICKERS
+from loadbalancer.experiments.recorder import Recorder
+from loadbalancer.experiments.servers import Dependency, Server
+from loadbalancer.interface import Result
 
 SAMPLE_MS = 1000.0
 CONNECT_MS = 250.0  # until a server that does not answer at all is given up
--- a/orchidledge/http/back.py
+++ b/loadbalancer/http/back.py
@@ -4,9 +4,9 @@
 
 from typing import Any, Protocol
 
-from orchidledge.core.pooled import Attempt, PooledBack
-from orchidledge.http.client import ClientConnection, Response
-from orchidledge.interface import Result
+from loadbalancer.core.pooled import Attempt, PooledBack
+from loadbalancer.http.client import ClientConnection, Response
+from loadbalancer.interface import Result
 
 
 class Wire(Protocol):
--- a/orchidledge/http/client.py
+++ b/loadbalancer/http/client.py
@@ -8,7 +8,7 @@
 
 import httptools
 
-from orchidledge.core.outgoing import Exchange, Outgoing
+from loadbalancer.core.outgoing import Exchange, Outgoing
 
 MAX_BODY = 64 * 1024
 MAX_HEAD = 16 * 1024
--- a/orchidledge/http/server.py
+++ b/loadbalancer/http/server.py
@@ -12,9 +12,9 @@
 
 import httptools
 
-from orchidledge.core.listener import IncomingConnection, Listener, waited_s
-from orchidledge.core.outgoing import ended, readable
-from orchidledge.http.client import MAX_BODY, MAX_HEAD, NO_BODY, Header
+from loadbalancer.core.listener import IncomingConnection, Listener, waited_s
+from loadbalancer.core.outgoing import ended, readable
+from loadbalancer.http.client import MAX_BODY, MAX_HEAD, NO_BODY, Header
 
 REQUEST_S = 2.5  # within which a request has to come in whole, from connecting or from its first byte
 IDLE_S = 8.0  # after which a connection that carries nothing is closed
--- a/orchidledge/platform/config.py
+++ b/loadbalancer/node/config.py
@@ -6,10 +6,10 @@
 
 import orjson
 
-from orchidledge.core.address import Address, parse_address
-from orchidledge.interface import Settings
-from orchidledge.lists.discovery import Listing, parse_listing
-from orchidledge.settings import Row, settings_from
+from loadbalancer.core.address import Address, parse_address
+from loadbalancer.discovery.watcher import Listing, parse_listing
+from loadbalancer.interface import Settings
+from loadbalancer.settings import Row, settings_from
 
 
 @dataclass(slots=True, frozen=True)
--- a/orchidledge/platform/front.py
+++ b/loadbalancer/node/front.py
@@ -6,12 +6,12 @@
 from collections import Counter
 from urllib.parse import unquote_to_bytes
 
-from orchidledge import interface as api
-from orchidledge.core.pool import Job, Pool
-from orchidledge.core.types import Answer, Cause, Kind
-from orchidledge.http.client import MAX_BODY, Response
-from orchidledge.http.server import FRAMING, Call, Dialect, Server
-from orchidledge.settings import report_from
+from loadbalancer import interface as api
+from loadbalancer.core.pool import Job, Pool
+from loadbalancer.core.types import Answer, Cause, Kind
+from loadbalancer.http.client import MAX_BODY, Response
+from loadbalancer.http.server import FRAMING, Call, Dialect, Server
+from loadbalancer.settings import report_from
 
 WAY_BACK_S = 0.015  # an answer leaves this long before the client's time is up
 
--- a/orchidledge/platform/node.py
+++ b/loadbalancer/node/node.py
@@ -6,19 +6,19 @@
 import logging
 from dataclasses import replace
 
-from orchidledge import interface as api
-from orchidledge.core.clock import Clock
-from orchidledge.core.leaving import finish
-from orchidledge.core.pool import Pool
-from orchidledge.core.types import Cause, Room
-from orchidledge.http.back import HttpBack
-from orchidledge.limits.connections import SPARE, share_out
-from orchidledge.lists.discovery import Listing, Watcher, news_of, watch_ms
-from orchidledge.lists.membership import Roster
-from orchidledge.platform.config import Config
-from orchidledge.platform.front import PlatformFront, PlatformWire
-
-log = logging.getLogger("orchidledge")
+from loadbalancer import interface as api
+from loadbalancer.core.clock import Clock
+from loadbalancer.core.leaving import finish
+from loadbalancer.core.pool import Pool
+from loadbalancer.core.types import Cause, Room
+from loadbalancer.discovery.membership import Roster
+from loadbalancer.discovery.watcher import Listing, Watcher, news_of, watch_ms
+from loadbalancer.http.back import HttpBack
+from loadbalancer.node.config import Config
+from loadbalancer.node.front import PlatformFront, PlatformWire
+from loadbalancer.overload.connections import SPARE, share_out
+
+log = logging.getLogger("loadbalancer")
 
 LEAST_USABLE = 16  # descriptors beside the spare ones, however few the settings allow
 LONGEST_DEADLINE_S = 3.0  # the platform waits no longer before it kills
--- a/orchidledge/levels.py
+++ b/loadbalancer/priority_levels.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Generic, TypeVar
 
-from orchidledge.interface import Levels, Server, ServerState
+from loadbalancer.interface import Levels, Server, ServerState
 
 Member = TypeVar("Member")
 
--- a/orchidledge/router/router.py
+++ b/loadbalancer/router/router.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from orchidledge.router.paths import PathPattern, segments
+from loadbalancer.router.paths import PathPattern, segments
 
 
 @dataclass(slots=True, frozen=True)
--- a/orchidledge/runtime/admin.py
+++ b/loadbalancer/runtime/admin.py
@@ -18,8 +18,8 @@
 
 import orjson
 
-from orchidledge.core.pool import Pool
-from orchidledge.http.server import Call, Dialect, Server
+from loadbalancer.core.pool import Pool
+from loadbalancer.http.server import Call, Dialect, Server
 
 LIMIT = 8  # connections
 
--- a/orchidledge/runtime/backs.py
+++ b/loadbalancer/runtime/backs.py
@@ -4,15 +4,15 @@
 
 from typing import Any
 
-from orchidledge.core.address import Address
-from orchidledge.core.pooled import PooledBack
-from orchidledge.core.types import Attempt, OnEnd
-from orchidledge.http.back import HttpBack
-from orchidledge.runtime.front import SidecarWire
-from orchidledge.sidecar.models import Configuration, PoolModel, ThriftModel
-from orchidledge.thrift.back import ThriftBack
-from orchidledge.thrift.client import Outbound, ThriftWire
-from orchidledge.thrift.types import Form
+from loadbalancer.core.address import Address
+from loadbalancer.core.pooled import PooledBack
+from loadbalancer.core.types import Attempt, OnEnd
+from loadbalancer.http.back import HttpBack
+from loadbalancer.runtime.front import SidecarWire
+from loadbalancer.sidecar.models import Configuration, PoolModel, ThriftModel
+from loadbalancer.thrift.back import ThriftBack
+from loadbalancer.thrift.client import Outbound, ThriftWire
+from loadbalancer.thrift.types import Form
 
 
 class BothBack:
--- a/orchidledge/runtime/budgets.py
+++ b/loadbalancer/runtime/budgets.py
@@ -9,16 +9,16 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from orchidledge import interface as api
-from orchidledge.budget.carried import Carried
-from orchidledge.budget.decider import Decider, Denial, Grant, Terms, Trust
-from orchidledge.budget.figures import ClassFigures, Figures
-from orchidledge.budget.repeats import Identity, Kind, Repeats, Verdict
-from orchidledge.core.pool import Job, Pool
-from orchidledge.core.types import Answer
-from orchidledge.core.types import Kind as AnswerKind
-from orchidledge.runtime.taking import WAY_BACK_S
-from orchidledge.sidecar.models import BudgetModel
+from loadbalancer import interface as api
+from loadbalancer.budget.carried import Carried
+from loadbalancer.budget.decider import Decider, Denial, Grant, Terms, Trust
+from loadbalancer.budget.figures import ClassFigures, Figures
+from loadbalancer.budget.repeats import Identity, Kind, Repeats, Verdict
+from loadbalancer.core.pool import Job, Pool
+from loadbalancer.core.types import Answer
+from loadbalancer.core.types import Kind as AnswerKind
+from loadbalancer.runtime.taking import WAY_BACK_S
+from loadbalancer.sidecar.models import BudgetModel
 
 
 class Budgets:
--- a/orchidledge/runtime/building.py
+++ b/loadbalancer/runtime/building.py
@@ -5,16 +5,16 @@
 from collections.abc import Iterator
 from typing import Any
 
-from orchidledge import interface as api
-from orchidledge.core.address import parse_address
-from orchidledge.core.descriptors import descriptors_here
-from orchidledge.http.server import FRAMING
-from orchidledge.limits.connections import MOST
-from orchidledge.lists.membership import Entry
-from orchidledge.router.calls import CallTable
-from orchidledge.router.router import Router
-from orchidledge.sidecar.checks import call_route_of, route_of
-from orchidledge.sidecar.models import (
+from loadbalancer import interface as api
+from loadbalancer.core.address import parse_address
+from loadbalancer.core.descriptors import descriptors_here
+from loadbalancer.discovery.membership import Entry
+from loadbalancer.http.server import FRAMING
+from loadbalancer.overload.connections import MOST
+from loadbalancer.router.calls import CallTable
+from loadbalancer.router.router import Router
+from loadbalancer.sidecar.checks import call_route_of, route_of
+from loadbalancer.sidecar.models import (
     NEAR_MS,
     BudgetModel,
     ClassModel,
@@ -106,10 +106,10 @@
     sources = [pool.servers_from for pool in configuration.pools]
     if any(source is not None and source.source == "xds" for source in sources):
         try:
-            import orchidledge.runtime.xds  # noqa: F401
+            import loadbalancer.runtime.xds  # noqa: F401
         except ImportError as error:
             raise ReloadError(
-                f"a list from xDS needs the extra: pip install 'orchidledge[xds]' ({error})"
+                f"a list from xDS needs the extra: pip install 'emberring[xds]' ({error})"
             ) from error
 
 
--- a/orchidledge/runtime/front.py
+++ b/loadbalancer/runtime/front.py
@@ -13,19 +13,19 @@
 from dataclasses import dataclass, field
 from functools import lru_cache, partial
 
-from orchidledge import interface as api
-from orchidledge.budget.carried import WRITTEN, read_http, write_http
-from orchidledge.budget.decider import Denial
-from orchidledge.core.pool import Job, Pool
-from orchidledge.core.types import Answer, Cause, Kind
-from orchidledge.http.client import NO_BODY, Header, Response
-from orchidledge.http.server import Call, Dialect, Server
-from orchidledge.limits.whose import Whose
-from orchidledge.router.router import Router
-from orchidledge.runtime.budgets import Asked, FrontBudget
-from orchidledge.runtime.gate import Gate
-from orchidledge.runtime.taking import WAY_BACK_S, ids, patience_ms
-from orchidledge.settings import report_from
+from loadbalancer import interface as api
+from loadbalancer.budget.carried import WRITTEN, read_http, write_http
+from loadbalancer.budget.decider import Denial
+from loadbalancer.core.pool import Job, Pool
+from loadbalancer.core.types import Answer, Cause, Kind
+from loadbalancer.http.client import NO_BODY, Header, Response
+from loadbalancer.http.server import Call, Dialect, Server
+from loadbalancer.overload.whose import Whose
+from loadbalancer.router.router import Router
+from loadbalancer.runtime.budgets import Asked, FrontBudget
+from loadbalancer.runtime.gate import Gate
+from loadbalancer.runtime.taking import WAY_BACK_S, ids, patience_ms
+from loadbalancer.settings import report_from
 
 DEADLINE = re.compile(rb"[0-9]{1,9}")
 
--- a/orchidledge/runtime/gate.py
+++ b/loadbalancer/runtime/gate.py
@@ -8,13 +8,13 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
-from orchidledge import interface as api
-from orchidledge.core.listener import Listener
-from orchidledge.core.pool import Pool
-from orchidledge.core.turns import Beat, turns_of
-from orchidledge.core.types import Cause, Room
-from orchidledge.limits.core import CoreLimit
-from orchidledge.limits.whose import Tally, Whose
+from loadbalancer import interface as api
+from loadbalancer.core.listener import Listener
+from loadbalancer.core.pool import Pool
+from loadbalancer.core.turns import Beat, turns_of
+from loadbalancer.core.types import Cause, Room
+from loadbalancer.overload.core import CoreLimit
+from loadbalancer.overload.whose import Tally, Whose
 
 LOOK_S = 0.1  # between two looks at which class has most time
 RETRY_AFTER_S = 1  # told with what this core refuses, where the settings allow it
@@ -48,7 +48,7 @@
         self._taken = 0
         self._before = self.loop.time(), 0.0, 0, 0, 0.0, 0  # at the last look, as told there
         self._told: Counter[str] = Counter()
-        self.configure("orchidledge", False)
+        self.configure("loadbalancer", False)
 
     def configure(self, name: str, retry_after: bool) -> None:
         """Put in force: the name in `Proxy-Status`, and whether a refusal may say when to come back."""
--- a/orchidledge/runtime/sidecar.py
+++ b/loadbalancer/runtime/sidecar.py
@@ -11,21 +11,21 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from orchidledge import interface as api
-from orchidledge.core.address import Address, parse_address
-from orchidledge.core.clock import Clock
-from orchidledge.core.leaving import finish
-from orchidledge.core.listener import Listener
-from orchidledge.core.pool import Pool
-from orchidledge.core.types import Cause, Room
-from orchidledge.http.server import Dialect
-from orchidledge.limits.connections import share_out
-from orchidledge.lists.discovery import Listing, Watcher, news_of, watch_ms
-from orchidledge.lists.membership import Roster
-from orchidledge.runtime.admin import Admin
-from orchidledge.runtime.backs import AnyBack, back_of, form_of, message_limit, rewire
-from orchidledge.runtime.budgets import Budgets, FrontBudget, front_budget
-from orchidledge.runtime.building import (
+from loadbalancer import interface as api
+from loadbalancer.core.address import Address, parse_address
+from loadbalancer.core.clock import Clock
+from loadbalancer.core.leaving import finish
+from loadbalancer.core.listener import Listener
+from loadbalancer.core.pool import Pool
+from loadbalancer.core.types import Cause, Room
+from loadbalancer.discovery.membership import Roster
+from loadbalancer.discovery.watcher import Listing, Watcher, news_of, watch_ms
+from loadbalancer.http.server import Dialect
+from loadbalancer.overload.connections import share_out
+from loadbalancer.runtime.admin import Admin
+from loadbalancer.runtime.backs import AnyBack, back_of, form_of, message_limit, rewire
+from loadbalancer.runtime.budgets import Budgets, FrontBudget, front_budget
+from loadbalancer.runtime.building import (
     DEFAULT_KEY,
     ReloadError,
     calls_of,
@@ -37,10 +37,10 @@
     settings_of,
     static,
 )
-from orchidledge.runtime.front import Plan, SidecarFront
-from orchidledge.runtime.gate import Gate
-from orchidledge.runtime.thrift import ThriftFront, ThriftPlan
-from orchidledge.sidecar.models import (
+from loadbalancer.runtime.front import Plan, SidecarFront
+from loadbalancer.runtime.gate import Gate
+from loadbalancer.runtime.thrift import ThriftFront, ThriftPlan
+from loadbalancer.sidecar.models import (
     Configuration,
     ListenerModel,
     ListSource,
@@ -50,12 +50,12 @@
     field_ids,
     plain,
 )
-from orchidledge.thrift.server import Limits as ThriftLimits
+from loadbalancer.thrift.server import Limits as ThriftLimits
 
 if TYPE_CHECKING:
-    from orchidledge.runtime.xds import Planes, XdsFeed
+    from loadbalancer.runtime.xds import Planes, XdsFeed
 
-log = logging.getLogger("orchidledge")
+log = logging.getLogger("loadbalancer")
 
 STATS_S = 10.0
 RETIRE_S = 0.05  # between two looks at what a reload has retired
@@ -380,7 +380,7 @@
         self, managed: _Managed, source: ListSource, new: Configuration, old: _Managed | None
     ) -> None:
         # Imported here: only installations with such a list have what it needs.
-        from orchidledge.runtime.xds import Planes, XdsFeed
+        from loadbalancer.runtime.xds import Planes, XdsFeed
 
         if self._planes is None:
             self._planes = Planes(self.clock.ms)
--- a/orchidledge/runtime/taking.py
+++ b/loadbalancer/runtime/taking.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from itertools import count
 
-from orchidledge.interface import ServiceClass
+from loadbalancer.interface import ServiceClass
 
 WAY_BACK_S = 0.002  # an answer leaves this long before the caller's time is up: it is on this machine
 
--- a/orchidledge/runtime/thrift.py
+++ b/loadbalancer/runtime/thrift.py
@@ -19,19 +19,19 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from orchidledge.budget.carried import NOTHING, Carried, read_baggage, write_baggage
-from orchidledge.budget.decider import Denial
-from orchidledge.core.pool import Job, Pool
-from orchidledge.core.types import Answer, Cause, Kind
-from orchidledge.limits.whose import Whose
-from orchidledge.router.calls import CallTable
-from orchidledge.runtime.budgets import Asked, FrontBudget
-from orchidledge.runtime.gate import Gate
-from orchidledge.runtime.taking import WAY_BACK_S, ids, patience_ms
-from orchidledge.thrift.client import Outbound
-from orchidledge.thrift.codec import check, field_at, transcode, with_text
-from orchidledge.thrift.server import Limits, ThriftCall, ThriftServer, bad_call
-from orchidledge.thrift.types import ExceptionKind, Form, Message, MessageKind, ProtocolError
+from loadbalancer.budget.carried import NOTHING, Carried, read_baggage, write_baggage
+from loadbalancer.budget.decider import Denial
+from loadbalancer.core.pool import Job, Pool
+from loadbalancer.core.types import Answer, Cause, Kind
+from loadbalancer.overload.whose import Whose
+from loadbalancer.router.calls import CallTable
+from loadbalancer.runtime.budgets import Asked, FrontBudget
+from loadbalancer.runtime.gate import Gate
+from loadbalancer.runtime.taking import WAY_BACK_S, ids, patience_ms
+from loadbalancer.thrift.client import Outbound
+from loadbalancer.thrift.codec import check, field_at, transcode, with_text
+from loadbalancer.thrift.server import Limits, ThriftCall, ThriftServer, bad_call
+from loadbalancer.thrift.types import ExceptionKind, Form, Message, MessageKind, ProtocolError
 
 LEAST_S = 0.001  # with less time left nothing is begun
 WORDS = {
--- a/orchidledge/runtime/xds.py
+++ b/loadbalancer/runtime/xds.py
@@ -7,15 +7,15 @@
 from collections.abc import Callable
 from typing import Any
 
-from orchidledge.core.pool import Pool
-from orchidledge.lists.membership import Change, Roster
-from orchidledge.runtime.backs import AnyBack
-from orchidledge.sidecar.models import ListSource
-from orchidledge.xds.files import FileClient
-from orchidledge.xds.protocol import Served, XdsClient
-from orchidledge.xds.stream import XdsPolling, XdsStream
-
-log = logging.getLogger("orchidledge")
+from loadbalancer.core.pool import Pool
+from loadbalancer.discovery.membership import Change, Roster
+from loadbalancer.runtime.backs import AnyBack
+from loadbalancer.sidecar.models import ListSource
+from loadbalancer.xds.files import FileClient
+from loadbalancer.xds.protocol import Served, XdsClient
+from loadbalancer.xds.stream import XdsPolling, XdsStream
+
+log = logging.getLogger("loadbalancer")
 
 MOST = 0.5  # of a pool's servers: an update that takes more of them away is told in the log
 
--- a/orchidledge/settings.py
+++ b/loadbalancer/settings.py
@@ -5,7 +5,7 @@
 import re
 from typing import Any
 
-from orchidledge.interface import Effect, Scope, ServiceClass, Settings, Tenant
+from loadbalancer.interface import Effect, Scope, ServiceClass, Settings, Tenant
 
 Row = dict[str, Any]
 
--- a/orchidledge/sidecar/checks.py
+++ b/loadbalancer/sidecar/checks.py
@@ -7,15 +7,15 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any
 
-from orchidledge.core.address import parse_address
-from orchidledge.limits.connections import SPARE
-from orchidledge.router.calls import CallPattern, CallRoute, CallTable
-from orchidledge.router.paths import PathPattern
-from orchidledge.router.router import HeaderMatch, Route, Router
-from orchidledge.sidecar.load import Document
-from orchidledge.sidecar.locate import Path
-from orchidledge.sidecar.mistakes import near
-from orchidledge.sidecar.models import (
+from loadbalancer.core.address import parse_address
+from loadbalancer.overload.connections import SPARE
+from loadbalancer.router.calls import CallPattern, CallRoute, CallTable
+from loadbalancer.router.paths import PathPattern
+from loadbalancer.router.router import HeaderMatch, Route, Router
+from loadbalancer.sidecar.load import Document
+from loadbalancer.sidecar.locate import Path
+from loadbalancer.sidecar.mistakes import near
+from loadbalancer.sidecar.models import (
     Application,
     Catalogue,
     ClassModel,
--- a/orchidledge/sidecar/derive.py
+++ b/loadbalancer/sidecar/derive.py
@@ -14,12 +14,12 @@
 
 from pydantic import BaseModel
 
-from orchidledge.core.address import parse_address
-from orchidledge.sidecar.checks import check
-from orchidledge.sidecar.load import Document, parse
-from orchidledge.sidecar.locate import Path
-from orchidledge.sidecar.mistakes import near
-from orchidledge.sidecar.models import (
+from loadbalancer.core.address import parse_address
+from loadbalancer.sidecar.checks import check
+from loadbalancer.sidecar.load import Document, parse
+from loadbalancer.sidecar.locate import Path
+from loadbalancer.sidecar.mistakes import near
+from loadbalancer.sidecar.models import (
     EFFECTS,
     VERSION,
     Application,
@@ -30,7 +30,7 @@
     Configuration,
     plain,
 )
-from orchidledge.sidecar.toml import dumps
+from loadbalancer.sidecar.toml import dumps
 
 OPEN_LEAST = 64  # requests open at once that a sidecar has room for, whatever its rates
 OPEN_FACTOR = 4.0  # times what the rates keep open if every call takes as long as it may
--- a/orchidledge/sidecar/idl.py
+++ b/loadbalancer/sidecar/idl.py
@@ -8,12 +8,12 @@
 from pathlib import Path as FilePath
 from typing import Any
 
-from orchidledge.router.calls import CallTable
-from orchidledge.sidecar.checks import call_route_of
-from orchidledge.sidecar.load import Document, UnusableError
-from orchidledge.sidecar.locate import Path
-from orchidledge.sidecar.mistakes import near
-from orchidledge.sidecar.models import Catalogue, ClassModel, Configuration, RouteModel, field_ids
+from loadbalancer.router.calls import CallTable
+from loadbalancer.sidecar.checks import call_route_of
+from loadbalancer.sidecar.load import Document, UnusableError
+from loadbalancer.sidecar.locate import Path
+from loadbalancer.sidecar.mistakes import near
+from loadbalancer.sidecar.models import Catalogue, ClassModel, Configuration, RouteModel, field_ids
 
 STRUCT = 12  # as thriftpy2 and the binary protocol number it
 SINGLE = {2, 3, 6, 8, 10, 11}  # types of which a field can name a key or a tenant: bool, integers, string
@@ -50,7 +50,7 @@
         from thriftpy2.parser.parser import parse
     except ImportError as error:
         raise UnusableError(
-            f"{path}: an IDL file needs the extra: pip install 'orchidledge[thrift]'"
+            f"{path}: an IDL file needs the extra: pip install 'emberring[thrift]'"
         ) from error
     try:
         FilePath(path).read_bytes()
--- a/orchidledge/sidecar/load.py
+++ b/loadbalancer/sidecar/load.py
@@ -13,9 +13,9 @@
 
 from pydantic import BaseModel, ValidationError
 
-from orchidledge.sidecar.locate import Path, locate
-from orchidledge.sidecar.mistakes import Mistake, near, shown
-from orchidledge.sidecar.models import KINDS, VERSION
+from loadbalancer.sidecar.locate import Path, locate
+from loadbalancer.sidecar.mistakes import Mistake, near, shown
+from loadbalancer.sidecar.models import KINDS, VERSION
 
 AT_LINE = re.compile(r"\(at line (\d+), column \d+\)|\(at end of document\)")
 LARGEST = 16 * 1024 * 1024
--- a/orchidledge/sidecar/loops.py
+++ b/loadbalancer/sidecar/loops.py
@@ -10,10 +10,10 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from orchidledge.core.address import parse_address
-from orchidledge.sidecar.load import Document
-from orchidledge.sidecar.locate import Path
-from orchidledge.sidecar.models import Application, Catalogue, Configuration
+from loadbalancer.core.address import parse_address
+from loadbalancer.sidecar.load import Document
+from loadbalancer.sidecar.locate import Path
+from loadbalancer.sidecar.models import Application, Catalogue, Configuration
 
 
 @dataclass(slots=True, frozen=True)
--- a/orchidledge/sidecar/mistakes.py
+++ b/loadbalancer/sidecar/mistakes.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import asdict, dataclass
 
-from orchidledge.sidecar.locate import Path
+from loadbalancer.sidecar.locate import Path
 
 
 @dataclass(slots=True, frozen=True, order=True)
--- a/orchidledge/sidecar/models.py
+++ b/loadbalancer/sidecar/models.py
@@ -13,9 +13,9 @@
 import orjson
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field
 
-from orchidledge.core.address import parse_address
-from orchidledge.router.calls import CallPattern
-from orchidledge.router.paths import PathPattern
+from loadbalancer.core.address import parse_address
+from loadbalancer.router.calls import CallPattern
+from loadbalancer.router.paths import PathPattern
 
 VERSION = 1  # of all three files
 NEAR_MS = 1.0  # what a loop's turn may hide of a latency
--- a/orchidledge/sidecar/toml.py
+++ b/loadbalancer/sidecar/toml.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from orchidledge.sidecar.locate import Path
+from loadbalancer.sidecar.locate import Path
 
 BARE = re.compile(r"[A-Za-z0-9_-]+")
 ESCAPES = {"\\": "\\\\", '"': '\\"', "\n": "\\n", "\r": "\\r", "\t": "\\t", "\b": "\\b", "\f": "\\f"}
--- a/orchidledge/simhost.py
+++ b/loadbalancer/simulator_adapter.py
@@ -1,6 +1,6 @@
 """The wire adapter: reads the simulator's batches on standard input and writes replies on standard output.
 
-Translation only; every decision is made by orchidledge.brain. One process hosts many nodes, which share
+Translation only; every decision is made by loadbalancer.balancer. One process hosts many nodes, which share
 nothing.
 """
 
@@ -13,8 +13,8 @@
 
 import orjson
 
-from orchidledge.brain import Balancer
-from orchidledge.interface import (
+from loadbalancer.balancer import Balancer
+from loadbalancer.interface import (
     Action,
     Alarm,
     Cancel,
@@ -35,7 +35,7 @@
     Wake,
     Watch,
 )
-from orchidledge.settings import Row, settings_from
+from loadbalancer.settings import Row, settings_from
 
 RESULTS = {
     0: Result.OK,
@@ -231,7 +231,7 @@
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
-        print(f"orchidledge.simhost: {error}", file=sys.stderr)
+        print(f"loadbalancer.simulator_adapter: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/orchidledge/fleet/boxes.py
+++ b/loadbalancer/test_rig/boxes.py
@@ -1,6 +1,6 @@
 """The boxes of one zone, in a process of their own, so that a zone can be stopped, killed and started as one.
 
-    python -m orchidledge.fleet.boxes --record b.jsonl --work-ms 20 127.1.2.1:7070 127.1.2.2:7070
+    python -m loadbalancer.test_rig.boxes --record b.jsonl --work-ms 20 127.1.2.1:7070 127.1.2.2:7070
 
 Prints where each listens, `ready` once all do, and serves until it is ended. Four times a second it appends to
 `--record` what each box has taken and how often it fell over, so that the counts outlast any kill.
@@ -15,8 +15,8 @@
 import time
 from pathlib import Path
 
-from orchidledge.core.address import parse_address
-from orchidledge.standin.box import Behaviour, Box
+from loadbalancer.core.address import parse_address
+from loadbalancer.emulator.box import Behaviour, Box
 
 RECORD_S = 0.25
 
@@ -50,7 +50,7 @@
 
 def main(argv: list[str] | None = None) -> int:
     parser = argparse.ArgumentParser(
-        prog="python -m orchidledge.fleet.boxes", description="Boxes of one zone."
+        prog="python -m loadbalancer.test_rig.boxes", description="Boxes of one zone."
     )
     parser.add_argument("addresses", nargs="+", help="HOST:PORT of each box, on loopback")
     parser.add_argument("--record", type=Path, required=True, help="file that the counts are appended to")
--- a/orchidledge/fleet/processes.py
+++ b/loadbalancer/test_rig/processes.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from orchidledge.sidecar.toml import dumps
+from loadbalancer.sidecar.toml import dumps
 
 READY_S = 30.0
 PR_SET_PDEATHSIG = 1  # prctl(2)
@@ -82,7 +82,7 @@
         """A sidecar with this configuration, which is written to the folder."""
         path = self.folder / f"{name}.toml"
         path.write_text(dumps(configuration, {}))
-        return await self.start(name, ["-m", "orchidledge.cli", "sidecar", str(path)], "in force")
+        return await self.start(name, ["-m", "loadbalancer.cli", "sidecar", str(path)], "in force")
 
     async def kill(self, *names: str) -> None:
         """SIGKILL to all of them at once; returns when they have ended."""
--- a/orchidledge/thrift/back.py
+++ b/loadbalancer/thrift/back.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from orchidledge.core.pooled import Attempt, PooledBack
-from orchidledge.interface import Result
-from orchidledge.thrift.client import Outbound, ThriftConnection, ThriftWire
-from orchidledge.thrift.codec import read_exception
-from orchidledge.thrift.types import ExceptionKind, Message, MessageKind, ProtocolError
+from loadbalancer.core.pooled import Attempt, PooledBack
+from loadbalancer.interface import Result
+from loadbalancer.thrift.client import Outbound, ThriftConnection, ThriftWire
+from loadbalancer.thrift.codec import read_exception
+from loadbalancer.thrift.types import ExceptionKind, Message, MessageKind, ProtocolError
 
 # A server that answers so has been asked wrongly: another would say the same, and nothing is wrong with it.
 CALLERS_FAULT = frozenset(
--- a/orchidledge/thrift/client.py
+++ b/loadbalancer/thrift/client.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from orchidledge.core.outgoing import Exchange, Outgoing
-from orchidledge.thrift.codec import Decoder, check, encode
-from orchidledge.thrift.types import Form, Message, MessageKind, ProtocolError
+from loadbalancer.core.outgoing import Exchange, Outgoing
+from loadbalancer.thrift.codec import Decoder, check, encode
+from loadbalancer.thrift.types import Form, Message, MessageKind, ProtocolError
 
 ONEWAY_SHARE = 0.9  # of the time that is left, at most, for which a oneway call counts as running
 
--- a/orchidledge/thrift/codec.py
+++ b/loadbalancer/thrift/codec.py
@@ -9,7 +9,7 @@
 import struct
 from collections.abc import Iterator
 
-from orchidledge.thrift.types import (
+from loadbalancer.thrift.types import (
     BOOL,
     I8,
     I32,
@@ -24,7 +24,7 @@
     MessageKind,
     ProtocolError,
 )
-from orchidledge.thrift.values import (
+from loadbalancer.thrift.values import (
     BITS,
     BinaryReader,
     BinaryWriter,
--- a/orchidledge/thrift/server.py
+++ b/loadbalancer/thrift/server.py
@@ -11,10 +11,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from orchidledge.core.listener import IncomingConnection, Listener
-from orchidledge.core.outgoing import ended, readable
-from orchidledge.thrift.codec import Decoder, application_exception, encode
-from orchidledge.thrift.types import ExceptionKind, Form, Message, MessageKind, ProtocolError
+from loadbalancer.core.listener import IncomingConnection, Listener
+from loadbalancer.core.outgoing import ended, readable
+from loadbalancer.thrift.codec import Decoder, application_exception, encode
+from loadbalancer.thrift.types import ExceptionKind, Form, Message, MessageKind, ProtocolError
 
 PIPELINE = 32  # whole calls that may wait on one connection before no more is read of it
 
--- a/orchidledge/thrift/values.py
+++ b/loadbalancer/thrift/values.py
@@ -12,7 +12,7 @@
 import struct
 from typing import Any
 
-from orchidledge.thrift.types import (
+from loadbalancer.thrift.types import (
     BOOL,
     DOUBLE,
     I8,
--- a/orchidledge/xds/files.py
+++ b/loadbalancer/xds/files.py
@@ -22,9 +22,9 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf import json_format
 
-from orchidledge.interface import Levels
-from orchidledge.xds.protocol import Served
-from orchidledge.xds.resources import (
+from loadbalancer.interface import Levels
+from loadbalancer.xds.protocol import Served
+from loadbalancer.xds.resources import (
     Assignment,
     Cluster,
     Kind,
@@ -35,7 +35,7 @@
     read_cluster,
 )
 
-log = logging.getLogger("orchidledge")
+log = logging.getLogger("loadbalancer")
 
 LOOK_S = 0.1  # between two looks at a file: well within the time in which a drain has to be kept
 LARGEST = 64 * 1024 * 1024
--- a/orchidledge/xds/protocol.py
+++ b/loadbalancer/xds/protocol.py
@@ -17,9 +17,9 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.rpc import code_pb2, status_pb2
 
-from orchidledge.interface import Levels, Server, ServerState
-from orchidledge.lists.membership import Entry
-from orchidledge.xds.resources import (
+from loadbalancer.discovery.membership import Entry
+from loadbalancer.interface import Levels, Server, ServerState
+from loadbalancer.xds.resources import (
     CLUSTER,
     ENDPOINTS,
     Assignment,
--- a/orchidledge/xds/resources.py
+++ b/loadbalancer/xds/resources.py
@@ -19,9 +19,9 @@
 from google.protobuf import any_pb2
 from google.protobuf.message import DecodeError, Message
 
-from orchidledge.core.address import Address
-from orchidledge.interface import Levels, Server, ServerState
-from orchidledge.lists.membership import Entry
+from loadbalancer.core.address import Address
+from loadbalancer.discovery.membership import Entry
+from loadbalancer.interface import Levels, Server, ServerState
 
 CLUSTER = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
 ENDPOINTS = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
--- a/orchidledge/xds/stream.py
+++ b/loadbalancer/xds/stream.py
@@ -18,12 +18,12 @@
 from envoy.service.endpoint.v3 import eds_pb2_grpc
 from google.protobuf import json_format
 
-from orchidledge.core.address import parse_address
-from orchidledge.http.client import Awaited, ClientConnection
-from orchidledge.xds.protocol import XdsClient
-from orchidledge.xds.resources import CLUSTER, ENDPOINTS
+from loadbalancer.core.address import parse_address
+from loadbalancer.http.client import Awaited, ClientConnection
+from loadbalancer.xds.protocol import XdsClient
+from loadbalancer.xds.resources import CLUSTER, ENDPOINTS
 
-log = logging.getLogger("orchidledge")
+log = logging.getLogger("loadbalancer")
 
 POLL_S = 0.2  # between two polls: a drain has to be kept within 500 ms of being written
 POLL_WAIT_S = 5.0  # for the answer to one
--- a/tests/budget/test_carried.py
+++ b/tests/budget/test_carried.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidledge.budget.carried import (
+from loadbalancer.budget.carried import (
     MOST_MEMBERS,
     NOTHING,
     Carried,
--- a/tests/budget/test_chain.py
+++ b/tests/budget/test_chain.py
@@ -14,10 +14,10 @@
 from beside import address, application, configuration, row
 from loopback import until
 
-from orchidledge.runtime.sidecar import Sidecar
-from orchidledge.standin.box import Behaviour, Box
-from orchidledge.standin.caller import Application
-from orchidledge.standin.tier import OWN, TRACE, TierApplication
+from loadbalancer.emulator.box import Behaviour, Box
+from loadbalancer.emulator.caller import Application
+from loadbalancer.emulator.tier import OWN, TRACE, TierApplication
+from loadbalancer.runtime.sidecar import Sidecar
 
 WIDE, TIERS, TRIES = 2, 3, 4
 EXTRA = 2
--- a/tests/budget/test_decider.py
+++ b/tests/budget/test_decider.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from orchidledge import interface as api
-from orchidledge.budget.carried import NOTHING, Carried, Stamp
-from orchidledge.budget.decider import Allowance, Decider, Denial, Grant, Terms, Trust
-from orchidledge.budget.elapsed import MOST_MS, STRETCH_MS, WRITERS, Elapsed
-from orchidledge.budget.patience import LEAST, Patience
+from loadbalancer import interface as api
+from loadbalancer.budget.carried import NOTHING, Carried, Stamp
+from loadbalancer.budget.decider import Allowance, Decider, Denial, Grant, Terms, Trust
+from loadbalancer.budget.elapsed import MOST_MS, STRETCH_MS, WRITERS, Elapsed
+from loadbalancer.budget.patience import LEAST, Patience
 
 KIND = api.ServiceClass("read", aim_ms=1000, give_up_ms=2500, worth=12, effect=api.Effect.SAFE)
 INSIDE = Terms("post", Trust.INSIDE, extra=2, tenants=frozenset({"hotels"}))
--- a/tests/budget/test_repeats.py
+++ b/tests/budget/test_repeats.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 from random import Random
 
-from orchidledge.budget.repeats import FAILURES, TRIES, Identity, Kind, Repeats, digest
-from orchidledge.interface import Earlier, Effect
+from loadbalancer.budget.repeats import FAILURES, TRIES, Identity, Kind, Repeats, digest
+from loadbalancer.interface import Earlier, Effect
 
 KEYED = Identity("move", Effect.KEYED, (b"asked",), key=b"k1")
 READ = Identity("read", Effect.SAFE, (b"asked",), carried="id-1")
--- a/tests/lists/test_membership.py
+++ b/tests/discovery/test_membership.py
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidledge.interface import Levels, ListForm, Server, ServerState
-from orchidledge.lists.membership import Change, Entry, Roster
+from loadbalancer.discovery.membership import Change, Entry, Roster
+from loadbalancer.interface import Levels, ListForm, Server, ServerState
 
 
 def entry(name: str, port: int = 1, **more) -> Entry:
--- a/tests/lab/laboratory.py
+++ b/tests/experiments/laboratory.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from orchidledge.lab.experiment import Experiment
+from loadbalancer.experiments.experiment import Experiment
 
 
 def plan(**more: Any) -> Experiment:
--- a/tests/lab/test_model.py
+++ b/tests/experiments/test_model.py
@@ -13,13 +13,13 @@
 from hypothesis import strategies as st
 from laboratory import plan
 
-from orchidledge.interface import Result
-from orchidledge.lab import draws
-from orchidledge.lab.experiment import Experiment, Policy, Service
-from orchidledge.lab.library import load, shipped
-from orchidledge.lab.policies import LIMITS, PICKERS
-from orchidledge.lab.servers import Server
-from orchidledge.lab.world import World, times_of
+from loadbalancer.experiments import draws
+from loadbalancer.experiments.experiment import Experiment, Policy, Service
+from loadbalancer.experiments.library import load, shipped
+from loadbalancer.experiments.policies import LIMITS, PICKERS
+from loadbalancer.experiments.servers import Server
+from loadbalancer.experiments.world import World, times_of
+from loadbalancer.interface import Result
 
 EVERY = [Policy(name=pick, pick=pick) for pick in ("ours", "peak_ewma", "omniscient")]  # type: ignore[arg-type]
 
--- a/tests/lab/test_results.py
+++ b/tests/experiments/test_results.py
@@ -12,11 +12,11 @@
 from hypothesis import strategies as st
 from laboratory import plan
 
-from orchidledge.cli import main
-from orchidledge.lab import engine, policies, results
-from orchidledge.lab.compare import CompareError, compare, interval
-from orchidledge.lab.recorder import FLUSH, Latencies
-from orchidledge.lab.report import PLOTS
+from loadbalancer.cli import main
+from loadbalancer.experiments import engine, policies, results
+from loadbalancer.experiments.compare import CompareError, compare, interval
+from loadbalancer.experiments.recorder import FLUSH, Latencies
+from loadbalancer.experiments.report import PLOTS
 
 TEXT = """kind = "experiment"
 version = 1
--- a/tests/faults/test_callers_that_leave.py
+++ b/tests/faults/test_callers_that_leave.py
@@ -14,9 +14,9 @@
 from beside import address, alongside, boxes, row
 from loopback import Caller, Held, Peer, Scripted, ask, reply, request, running, until
 
-from orchidledge import interface as api
-from orchidledge.budget.repeats import Repeats
-from orchidledge.core import pooled
+from loadbalancer import interface as api
+from loadbalancer.budget.repeats import Repeats
+from loadbalancer.core import pooled
 
 MANY = 70  # more than are connected to one server at a time, so that some stand behind those
 
--- a/tests/faults/test_connections.py
+++ b/tests/faults/test_connections.py
@@ -20,7 +20,7 @@
 )
 from test_callers_that_leave import first_to, names
 
-from orchidledge import interface as api
+from loadbalancer import interface as api
 
 BODY = b"x" * 60_000
 
--- a/tests/faults/test_drains.py
+++ b/tests/faults/test_drains.py
@@ -7,8 +7,8 @@
 import pytest
 from loopback import Caller, Held, Peer, Scripted, ask, request, running, until
 
-from orchidledge import interface as api
-from orchidledge.lists.discovery import Listing
+from loadbalancer import interface as api
+from loadbalancer.discovery.watcher import Listing
 
 MANY = 70  # more than are connected to one server at a time
 
--- a/tests/faults/test_end_of_service.py
+++ b/tests/faults/test_end_of_service.py
@@ -23,8 +23,8 @@
 )
 from test_main import start
 
-from orchidledge.core import leaving, listener
-from orchidledge.platform.config import parse_config
+from loadbalancer.core import leaving, listener
+from loadbalancer.node.config import parse_config
 
 BRIEF = {"categories": [{"name": "post", "aimMs": 200.0, "giveUpMs": 200.0, "effect": "single_shot"}]}
 
--- a/tests/faults/test_retired_listeners.py
+++ b/tests/faults/test_retired_listeners.py
@@ -9,7 +9,7 @@
 from beside import address, application, boxes, configuration, row, running
 from loopback import until
 
-from orchidledge.core import leaving
+from loadbalancer.core import leaving
 
 ASK = b"GET /x HTTP/1.1\r\nHost: x\r\n\r\n"
 
--- a/tests/faults/test_thrift_callers_that_leave.py
+++ b/tests/faults/test_thrift_callers_that_leave.py
@@ -13,9 +13,9 @@
 from loopback import until
 from thrifty import Caller, address, boxes, posting, running
 
-from orchidledge.thrift.codec import encode
-from orchidledge.thrift.server import PIPELINE
-from orchidledge.thrift.types import Form, Message, MessageKind
+from loadbalancer.thrift.codec import encode
+from loadbalancer.thrift.server import PIPELINE
+from loadbalancer.thrift.types import Form, Message, MessageKind
 
 ONEWAY = MessageKind.ONEWAY
 
--- a/tests/faults/test_whose_settings.py
+++ b/tests/faults/test_whose_settings.py
@@ -7,7 +7,7 @@
 import pytest
 from loopback import SETTINGS, Caller, Peer, Scripted, ask, request, running
 
-from orchidledge import interface as api
+from loadbalancer import interface as api
 
 
 def kinds(*names):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from orchidledge import interface as api
-from orchidledge.brain import Balancer
+from loadbalancer import interface as api
+from loadbalancer.balancer import Balancer
 
 SAFE = api.ServiceClass("read", aim_ms=1000, give_up_ms=2500, worth=12, effect=api.Effect.SAFE)
 UNSAFE = api.ServiceClass("post", aim_ms=1000, give_up_ms=2500, worth=1, effect=api.Effect.UNSAFE)
--- a/tests/http/test_requirements.py
+++ b/tests/http/test_requirements.py
@@ -10,7 +10,7 @@
 import pytest
 from beside import application, boxes, raw, running
 
-from orchidledge.standin.box import Box
+from loadbalancer.emulator.box import Box
 
 HEAD = b"Host: x\r\n"
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -10,9 +10,9 @@
 
 import orjson
 
-from orchidledge import interface as api
-from orchidledge.platform.config import Config, parse_config
-from orchidledge.platform.node import Node
+from loadbalancer import interface as api
+from loadbalancer.node.config import Config, parse_config
+from loadbalancer.node.node import Node
 
 SETTINGS: dict[str, Any] = {
     "bounds": {
--- a/tests/limits/test_own_limits.py
+++ b/tests/overload/test_own_limits.py
@@ -10,10 +10,10 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
-from orchidledge import interface as api
-from orchidledge.limits.connections import SPARE, Door, Line, share_out
-from orchidledge.limits.core import LAST_SHARE, LOW_SHARE, TURN_LEAST_S, CoreLimit
-from orchidledge.limits.turns import OVERSLEPT_S, Turns
+from loadbalancer import interface as api
+from loadbalancer.overload.connections import SPARE, Door, Line, share_out
+from loadbalancer.overload.core import LAST_SHARE, LOW_SHARE, TURN_LEAST_S, CoreLimit
+from loadbalancer.overload.turns import OVERSLEPT_S, Turns
 
 SECONDS = st.floats(0.0, 2.0)
 
--- a/tests/router/test_router.py
+++ b/tests/router/test_router.py
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidledge.router.paths import PathPattern, segments
-from orchidledge.router.router import HeaderMatch, Route, Router
+from loadbalancer.router.paths import PathPattern, segments
+from loadbalancer.router.router import HeaderMatch, Route, Router
 
 
 @pytest.mark.parametrize(
--- a/tests/runtime/beside.py
+++ b/tests/runtime/beside.py
@@ -9,13 +9,13 @@
 
 from loopback import until
 
-from orchidledge.runtime.sidecar import Sidecar
-from orchidledge.sidecar.checks import check
-from orchidledge.sidecar.load import parse
-from orchidledge.sidecar.models import Configuration
-from orchidledge.sidecar.toml import dumps
-from orchidledge.standin.box import Box
-from orchidledge.standin.caller import Application
+from loadbalancer.emulator.box import Box
+from loadbalancer.emulator.caller import Application
+from loadbalancer.runtime.sidecar import Sidecar
+from loadbalancer.sidecar.checks import check
+from loadbalancer.sidecar.load import parse
+from loadbalancer.sidecar.models import Configuration
+from loadbalancer.sidecar.toml import dumps
 
 LONG = {"aim_ms": 20000, "give_up_ms": 30000}
 CLASSES = [
--- a/tests/runtime/test_budgets.py
+++ b/tests/runtime/test_budgets.py
@@ -26,15 +26,15 @@
 from thrifty import Caller, box_of, posting, said, shape
 from thrifty import boxes as thrift_boxes
 
-from orchidledge.brain import ROOTS
-from orchidledge.budget.carried import Carried, Stamp, read_baggage, read_http, write_baggage
-from orchidledge.runtime.sidecar import Sidecar
-from orchidledge.sidecar.models import START_MOST
-from orchidledge.standin.box import Behaviour
-from orchidledge.standin.caller import Application
-from orchidledge.standin.tier import OWN, TRACE, TierApplication
-from orchidledge.thrift.codec import field_at
-from orchidledge.thrift.types import Form
+from loadbalancer.balancer import ROOTS
+from loadbalancer.budget.carried import Carried, Stamp, read_baggage, read_http, write_baggage
+from loadbalancer.emulator.box import Behaviour
+from loadbalancer.emulator.caller import Application
+from loadbalancer.emulator.tier import OWN, TRACE, TierApplication
+from loadbalancer.runtime.sidecar import Sidecar
+from loadbalancer.sidecar.models import START_MOST
+from loadbalancer.thrift.codec import field_at
+from loadbalancer.thrift.types import Form
 
 BUDGET: dict[str, Any] = {"share": 0.5, "floor_per_s": 5.0}
 INSIDE = [{"name": "application", "address": "127.0.0.1:0", "trust": "inside"}]
@@ -593,7 +593,7 @@
 
 
 def with_budget(body: bytes, form: Form, **values: Any) -> bytes:
-    from orchidledge.thrift.codec import with_text
+    from loadbalancer.thrift.codec import with_text
 
     return with_text(body, form, FIELD, write_baggage(Carried(**values), ["user=amina"]).encode())
 
--- a/tests/runtime/test_front.py
+++ b/tests/runtime/test_front.py
@@ -9,8 +9,8 @@
 from beside import CLASSES, ROUTES, address, application, boxes, raw, row, running
 from loopback import until
 
-from orchidledge.runtime.front import passed_on
-from orchidledge.standin.box import Box
+from loadbalancer.emulator.box import Box
+from loadbalancer.runtime.front import passed_on
 
 
 def head_of(data: bytes) -> tuple[bytes, list[bytes], bytes]:
--- a/tests/runtime/test_load.py
+++ b/tests/runtime/test_load.py
@@ -11,10 +11,10 @@
 from beside import CLASSES, ROUTES, address, application, boxes, operator, raw, row, running
 from loopback import until
 
-from orchidledge import interface as api
-from orchidledge.cli.sidecar import run
-from orchidledge.limits.turns import Turns
-from orchidledge.sidecar.toml import dumps
+from loadbalancer import interface as api
+from loadbalancer.cli.sidecar import run
+from loadbalancer.overload.turns import Turns
+from loadbalancer.sidecar.toml import dumps
 
 ASK = b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n"
 SHORT = [kind | {"aim_ms": 1000, "give_up_ms": 2500} for kind in CLASSES]
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -13,9 +13,9 @@
 from beside import CLASSES, ROUTES, application, boxes, configuration, operator, row, running
 from loopback import until
 
-from orchidledge.runtime.sidecar import ReloadError
-from orchidledge.standin.box import Box
-from orchidledge.standin.discovery import Discovery
+from loadbalancer.emulator.box import Box
+from loadbalancer.emulator.discovery import Discovery
+from loadbalancer.runtime.sidecar import ReloadError
 
 
 def listener(name: str, port: int = 0) -> dict[str, Any]:
--- a/tests/runtime/test_xds_pool.py
+++ b/tests/runtime/test_xds_pool.py
@@ -15,9 +15,9 @@
 from envoy.config.endpoint.v3 import endpoint_pb2
 from loopback import until
 
-from orchidledge.runtime.sidecar import Sidecar
-from orchidledge.standin.box import Box
-from orchidledge.standin.xds import CLUSTER, ENDPOINTS, ControlPlane, cluster, endpoints, packed
+from loadbalancer.emulator.box import Box
+from loadbalancer.emulator.xds import CLUSTER, ENDPOINTS, ControlPlane, cluster, endpoints, packed
+from loadbalancer.runtime.sidecar import Sidecar
 
 WAYS = {
     "state": {"updates": "state"},
--- a/tests/runtime/test_xds_shared.py
+++ b/tests/runtime/test_xds_shared.py
@@ -11,10 +11,10 @@
 from loopback import until
 from test_xds_pool import WAYS, planned, rows_of
 
-from orchidledge.runtime.sidecar import Sidecar
-from orchidledge.runtime.xds import XdsFeed
-from orchidledge.standin.box import Box
-from orchidledge.standin.xds import CLUSTER, ControlPlane, cluster, endpoints
+from loadbalancer.emulator.box import Box
+from loadbalancer.emulator.xds import CLUSTER, ControlPlane, cluster, endpoints
+from loadbalancer.runtime.sidecar import Sidecar
+from loadbalancer.runtime.xds import XdsFeed
 
 POOLS = ("ledger", "reports")
 
--- a/tests/sidecar/test_drift.py
+++ b/tests/sidecar/test_drift.py
@@ -10,10 +10,10 @@
 import pytest
 from pydantic import BaseModel
 
-from orchidledge.cli import main
-from orchidledge.sidecar.drift import SETTINGS, Rule, compare, flat, setting_of
-from orchidledge.sidecar.load import _inner, parse
-from orchidledge.sidecar.models import Configuration, plain
+from loadbalancer.cli import main
+from loadbalancer.sidecar.drift import SETTINGS, Rule, compare, flat, setting_of
+from loadbalancer.sidecar.load import _inner, parse
+from loadbalancer.sidecar.models import Configuration, plain
 
 GOOD = Path(__file__).parent / "good"
 BASE = plain(parse((GOOD / "configuration.toml").read_text(), "c").model)
--- a/tests/sidecar/test_locate.py
+++ b/tests/sidecar/test_locate.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidledge.sidecar.locate import locate
+from loadbalancer.sidecar.locate import locate
 
 TEXT = '''# a comment = 1
 top = 2
--- a/tests/sidecar/test_loops.py
+++ b/tests/sidecar/test_loops.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from orchidledge.cli import main
-from orchidledge.cli.config import check_files
-from orchidledge.sidecar.toml import dumps
+from loadbalancer.cli import main
+from loadbalancer.cli.config import check_files
+from loadbalancer.sidecar.toml import dumps
 
 LIMIT = {"aim_ms": 1000, "give_up_ms": 2500}
 
--- a/tests/sidecar/test_mutations.py
+++ b/tests/sidecar/test_mutations.py
@@ -10,10 +10,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidledge.cli.config import check_files
-from orchidledge.sidecar.checks import check
-from orchidledge.sidecar.load import parse
-from orchidledge.sidecar.toml import dumps
+from loadbalancer.cli.config import check_files
+from loadbalancer.sidecar.checks import check
+from loadbalancer.sidecar.load import parse
+from loadbalancer.sidecar.toml import dumps
 
 GOOD = sorted((Path(__file__).parent / "good").glob("*.toml"))
 FILES = {path.name: tomllib.loads(path.read_text()) for path in GOOD}
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -7,7 +7,7 @@
 import pytest
 from helpers import Bed, kinds, sent, servers
 
-from orchidledge import interface as api
+from loadbalancer import interface as api
 
 NEVER_RAN = [api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.MOOT]
 MAY_HAVE_RUN = [api.Result.ERROR, api.Result.TIMEOUT, api.Result.RESET, api.Result.CANCELLED]
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -7,7 +7,7 @@
 import pytest
 from helpers import SAFE, Bed, kinds, sent
 
-from orchidledge import interface as api
+from loadbalancer import interface as api
 
 
 def load_period(bed: Bed, latency: float, count: int = 30) -> None:
@@ -102,7 +102,7 @@
 
 
 def judged(bed: Bed, server: str, latency: float):
-    from orchidledge.brain import _Job, _Try
+    from loadbalancer.balancer import _Job, _Try
 
     request = api.Request("x", "read", 9e9)
     attempt = _Try(bed.brain.peers[server], bed.now - latency, 0.0)
--- a/tests/test_levels.py
+++ b/tests/test_priority_levels.py
@@ -7,10 +7,10 @@
 import pytest
 from helpers import settings
 
-from orchidledge import interface as api
-from orchidledge.brain import Balancer
-from orchidledge.interface import ListForm, Membership, ServerState
-from orchidledge.levels import groups_of, loads_of
+from loadbalancer import interface as api
+from loadbalancer.balancer import Balancer
+from loadbalancer.interface import ListForm, Membership, ServerState
+from loadbalancer.priority_levels import groups_of, loads_of
 
 UP, DEGRADED, SICK, DRAINING = ServerState.UP, ServerState.DEGRADED, ServerState.SICK, ServerState.DRAINING
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -7,8 +7,8 @@
 import pytest
 from helpers import KEYED, SAFE, UNSAFE, Bed, kinds, sent
 
-from orchidledge import interface as api
-from orchidledge.retries import LEAST, Quantile, RetryBudget, Spent, backoff_ms
+from loadbalancer import interface as api
+from loadbalancer.retry_policy import LEAST, Quantile, RetryBudget, Spent, backoff_ms
 
 HEDGED = api.ServiceClass("read", aim_ms=1000, give_up_ms=2500, worth=12, effect=api.Effect.SAFE, hedge=True)
 BUDGET = {"retry_share": 0.1, "retry_window_ms": 10_000.0}
--- a/tests/test_return.py
+++ b/tests/test_return.py
@@ -7,8 +7,8 @@
 import pytest
 from helpers import Bed, sent, servers
 
-from orchidledge import interface as api
-from orchidledge.brain import ASK_MS, ASK_SHARE, ASK_WAIT, SILENT_MS
+from loadbalancer import interface as api
+from loadbalancer.balancer import ASK_MS, ASK_SHARE, ASK_WAIT, SILENT_MS
 
 OK, FAILURES = (
     api.Result.OK,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidledge import interface as api
-from orchidledge.brain import Balancer
+from loadbalancer import interface as api
+from loadbalancer.balancer import Balancer
 
 NEVER = (api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.MOOT, api.Result.NO_ROOM)
 CLASSES = (
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -11,11 +11,11 @@
 from loopback import Caller, Held, Peer, Scripted, ask, read_message, reply, request, running, until
 from test_upstream import Bytes
 
-from orchidledge import interface as api
-from orchidledge.http import server as server_module
-from orchidledge.http.back import HttpBack
-from orchidledge.interface import Result
-from orchidledge.settings import report_from
+from loadbalancer import interface as api
+from loadbalancer.http import server as server_module
+from loadbalancer.http.back import HttpBack
+from loadbalancer.interface import Result
+from loadbalancer.settings import report_from
 
 
 @pytest.fixture
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -10,13 +10,13 @@
 import pytest
 from loopback import Held, Message, Peer, reply, until
 
-from orchidledge.core.outgoing import readable
-from orchidledge.core.pooled import OPENING
-from orchidledge.http.back import HttpBack
-from orchidledge.http.client import ClientConnection, Response
-from orchidledge.interface import Result
-from orchidledge.limits.turns import Turns
-from orchidledge.platform.front import PlatformWire
+from loadbalancer.core.outgoing import readable
+from loadbalancer.core.pooled import OPENING
+from loadbalancer.http.back import HttpBack
+from loadbalancer.http.client import ClientConnection, Response
+from loadbalancer.interface import Result
+from loadbalancer.node.front import PlatformWire
+from loadbalancer.overload.turns import Turns
 
 DATA = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
 
--- a/tests/thrift/test_both_protocols.py
+++ b/tests/thrift/test_both_protocols.py
@@ -13,12 +13,12 @@
 from loopback import until
 from thrifty import Caller, address, box_of, posting, said, shape
 
-from orchidledge import interface as api
-from orchidledge.core.address import parse_address
-from orchidledge.runtime.sidecar import Sidecar
-from orchidledge.standin.box import Box
-from orchidledge.standin.thrift import ThriftBox
-from orchidledge.thrift.types import MessageKind
+from loadbalancer import interface as api
+from loadbalancer.core.address import parse_address
+from loadbalancer.emulator.box import Box
+from loadbalancer.emulator.thrift import ThriftBox
+from loadbalancer.runtime.sidecar import Sidecar
+from loadbalancer.thrift.types import MessageKind
 
 LONG = {"aim_ms": 20000, "give_up_ms": 30000}
 
--- a/tests/thrift/test_codec.py
+++ b/tests/thrift/test_codec.py
@@ -13,11 +13,11 @@
 from trees import a_type, a_value, body_of, protocol, write
 
 from benchmarks.thrift_fuzz import mutate, play
-from orchidledge.thrift import codec
-from orchidledge.thrift import types as t
-from orchidledge.thrift.codec import Decoder, HeaderTransportError, encode, field_at, transcode
-from orchidledge.thrift.types import Form, Message, MessageKind, ProtocolError
-from orchidledge.thrift.values import Walker, past_binary
+from loadbalancer.thrift import codec
+from loadbalancer.thrift import types as t
+from loadbalancer.thrift.codec import Decoder, HeaderTransportError, encode, field_at, transcode
+from loadbalancer.thrift.types import Form, Message, MessageKind, ProtocolError
+from loadbalancer.thrift.values import Walker, past_binary
 
 BINARY, OLD, COMPACT = Form.BINARY, Form.OLD_BINARY, Form.COMPACT
 FORMS = pytest.mark.parametrize("form", list(Form), ids=lambda form: form.value)
--- a/tests/thrift/test_oneway.py
+++ b/tests/thrift/test_oneway.py
@@ -9,7 +9,7 @@
 from loopback import until
 from thrifty import CLASSES, Caller, address, box_of, boxes, posting, running, shape
 
-from orchidledge.thrift.types import MessageKind
+from loadbalancer.thrift.types import MessageKind
 
 ONEWAY = MessageKind.ONEWAY
 
--- a/tests/thrift/test_thrift_front.py
+++ b/tests/thrift/test_thrift_front.py
@@ -12,10 +12,10 @@
 from thrifty import CLASSES, Caller, address, box_of, boxes, posting, running, said, shape
 from trees import body_of
 
-from orchidledge.standin.thrift import ThriftBehaviour
-from orchidledge.thrift import types as t
-from orchidledge.thrift.codec import field_at
-from orchidledge.thrift.types import Form, MessageKind
+from loadbalancer.emulator.thrift import ThriftBehaviour
+from loadbalancer.thrift import types as t
+from loadbalancer.thrift.codec import field_at
+from loadbalancer.thrift.types import Form, MessageKind
 
 FORMS = pytest.mark.parametrize("form", list(Form), ids=lambda form: form.value)
 FRAMED = pytest.mark.parametrize("framed", [True, False], ids=["framed", "unframed"])
--- a/tests/thrift/thrifty.py
+++ b/tests/thrift/thrifty.py
@@ -9,11 +9,11 @@
 from beside import address, alongside, row
 from trees import body_of
 
-from orchidledge.runtime.sidecar import Sidecar
-from orchidledge.standin.thrift import ThriftBox
-from orchidledge.thrift import types as t
-from orchidledge.thrift.codec import Decoder, encode, field_at, read_exception
-from orchidledge.thrift.types import Form, Message, MessageKind, ProtocolError
+from loadbalancer.emulator.thrift import ThriftBox
+from loadbalancer.runtime.sidecar import Sidecar
+from loadbalancer.thrift import types as t
+from loadbalancer.thrift.codec import Decoder, encode, field_at, read_exception
+from loadbalancer.thrift.types import Form, Message, MessageKind, ProtocolError
 
 __all__ = ["address"]  # for those that import it from here
 
--- a/tests/thrift/trees.py
+++ b/tests/thrift/trees.py
@@ -10,8 +10,8 @@
 from thrift.protocol.TCompactProtocol import TCompactProtocol
 from thrift.transport.TTransport import TMemoryBuffer
 
-from orchidledge.thrift import types as t
-from orchidledge.thrift.types import Form
+from loadbalancer.thrift import types as t
+from loadbalancer.thrift.types import Form
 
 SIMPLE = (t.BOOL, t.I8, t.DOUBLE, t.I16, t.I32, t.I64, t.STRING, t.UUID)
 NESTED = (t.STRUCT, t.MAP, t.SET, t.LIST)
--- a/tests/xds/test_fuzz_streams.py
+++ b/tests/xds/test_fuzz_streams.py
@@ -17,8 +17,8 @@
 from test_stalls import Between
 from test_stream import addresses, following
 
-from orchidledge.standin.xds import CLUSTER, ENDPOINTS, ControlPlane, cluster, endpoints
-from orchidledge.xds import protocol
+from loadbalancer.emulator.xds import CLUSTER, ENDPOINTS, ControlPlane, cluster, endpoints
+from loadbalancer.xds import protocol
 
 A = {"address": "127.0.0.1:7001"}
 GOOD = ["127.0.0.1:7001"]
--- a/tests/xds/test_protocol.py
+++ b/tests/xds/test_protocol.py
@@ -12,9 +12,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidledge.interface import ServerState
-from orchidledge.standin.xds import CLUSTER, ENDPOINTS, cluster, endpoints
-from orchidledge.xds.protocol import FIRST_WAIT_S, INITIAL_FETCH_MS, LONGEST_WAIT_S, XdsClient
+from loadbalancer.emulator.xds import CLUSTER, ENDPOINTS, cluster, endpoints
+from loadbalancer.interface import ServerState
+from loadbalancer.xds.protocol import FIRST_WAIT_S, INITIAL_FETCH_MS, LONGEST_WAIT_S, XdsClient
 
 A, B = {"address": "127.0.0.1:7001"}, {"address": "127.0.0.1:7002"}
 BAD = cluster("bad", lb_policy="MAGLEV")
--- a/tests/xds/test_resources.py
+++ b/tests/xds/test_resources.py
@@ -11,8 +11,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from orchidledge.interface import Levels, ServerState
-from orchidledge.xds.resources import (
+from loadbalancer.interface import Levels, ServerState
+from loadbalancer.xds.resources import (
     CLUSTER,
     ENDPOINTS,
     Assignment,
--- a/tests/xds/test_stalls.py
+++ b/tests/xds/test_stalls.py
@@ -10,8 +10,8 @@
 from loopback import until
 from test_stream import addresses, following
 
-from orchidledge.standin.xds import ControlPlane, cluster, endpoints
-from orchidledge.xds import protocol, stream
+from loadbalancer.emulator.xds import ControlPlane, cluster, endpoints
+from loadbalancer.xds import protocol, stream
 
 A, B = {"address": "127.0.0.1:7001"}, {"address": "127.0.0.1:7002"}
 
--- a/tests/xds/test_stream.py
+++ b/tests/xds/test_stream.py
@@ -13,10 +13,10 @@
 from google.protobuf import any_pb2
 from loopback import until
 
-from orchidledge.standin.xds import CLUSTER, ENDPOINTS, ControlPlane, cluster, endpoints
-from orchidledge.xds import protocol
-from orchidledge.xds.protocol import XdsClient
-from orchidledge.xds.stream import XdsStream
+from loadbalancer.emulator.xds import CLUSTER, ENDPOINTS, ControlPlane, cluster, endpoints
+from loadbalancer.xds import protocol
+from loadbalancer.xds.protocol import XdsClient
+from loadbalancer.xds.stream import XdsStream
 
 A, B = {"address": "127.0.0.1:7001"}, {"address": "127.0.0.1:7002"}
 BOTH = pytest.mark.parametrize("delta", [False, True], ids=["state-of-the-world", "incremental"])
