--- a/emberring/cli/ablation_command.py
+++ b/emberring/cli/ablation_command.py
@@ -12,9 +12,9 @@
 from emberring.cli.places import JsonOption
 from emberring.cli.printing import print_json, print_line, print_table
 from emberring.errors import BadRequestError
-from emberring.lab.ablation import Case, Mechanism, Worth, play, worth_of
-from emberring.lab.admission_site import SITES
-from emberring.lab.admission_trial import Figures
+from emberring.simulation.admission.ablation import Case, Mechanism, Worth, play, worth_of
+from emberring.simulation.admission.site import SITES
+from emberring.simulation.admission.trial import Figures
 
 SWITCHES = ", ".join(one.value for one in Mechanism)
 
--- a/emberring/cli/check_commands.py
+++ b/emberring/cli/check_commands.py
@@ -18,9 +18,9 @@
 
 # Modules with `play_seed`, `shorten` and `describe`; imported when they are played.
 SIMULATORS = {
-    "register": "emberring.lab.register_simulator",
-    "lots": "emberring.lab.lots_simulator",
-    "control": "emberring.lab.controlplane.simulator",
+    "register": "emberring.simulation.register.simulator",
+    "lots": "emberring.simulation.jobs.simulator",
+    "control": "emberring.simulation.control_plane.simulator",
 }
 
 app = typer.Typer(no_args_is_help=True, epilog=EXIT_CODES_TEXT)
@@ -120,7 +120,7 @@
     as_json: JsonOption = False,
 ) -> None:
     """Look at every order of events in a small register: two proposers, a replacement, a lost disk, a restart."""
-    from emberring.lab.register_model import Bounds, search
+    from emberring.simulation.register.model import Bounds, search
 
     parts = ballots.split(",")
     if len(parts) != 2 or not all(part.strip().isdigit() for part in parts):
--- a/emberring/cli/control_plane.py
+++ b/emberring/cli/control_plane.py
@@ -8,8 +8,8 @@
 
 import orjson
 
+from emberring.emulator.operator import Operator, OrderOutcome
 from emberring.errors import EmberringError, InDoubtError, PeerUnavailableError, error_from_wire
-from emberring.standin.operator import Operator, OrderOutcome
 
 _KIND_OF_STATUS = {
     400: "bad_request",
--- a/emberring/cli/disk_reports.py
+++ b/emberring/cli/disk_reports.py
@@ -10,11 +10,11 @@
 
 from emberring.configuration.state import ControlState
 from emberring.errors import BadRequestError, CorruptRecordError
+from emberring.jobs.records import DEFINITION, END, FORGOTTEN
+from emberring.jobs.replica import Replica
+from emberring.jobs.replica_log import decode_entry
 from emberring.journal.layout import Record
 from emberring.journal.survey import JournalSurvey, survey_journal
-from emberring.lots.records import DEFINITION, END, FORGOTTEN
-from emberring.lots.replica import Replica
-from emberring.lots.replica_log import decode_entry
 from emberring.register.acceptor import Acceptor
 from emberring.store.disk import JOURNAL_FOLDER, restore
 from emberring.store.identity import FILE_NAME, read_identity
--- a/emberring/cli/lot_commands.py
+++ b/emberring/cli/lot_commands.py
@@ -13,7 +13,7 @@
 from emberring.cli.status_commands import first_status
 from emberring.distribution.facts import NodeRole
 from emberring.errors import EmberringError, PeerUnavailableError
-from emberring.lots.status import AskStoreStatus, StoreStatus
+from emberring.jobs.status import AskStoreStatus, StoreStatus
 from emberring.transport.network import Network
 
 DEFAULT_TIMEOUT_S = 2.0
--- a/emberring/cli/lab_commands.py
+++ b/emberring/cli/simulation_commands.py
@@ -13,18 +13,18 @@
 from emberring.cli.places import JsonOption
 from emberring.cli.printing import EXIT_CODES_TEXT, print_json, print_line, print_table
 from emberring.errors import BadRequestError
-from emberring.lab.ablation import SEED_STEP, whole_admission
-from emberring.lab.admission_baselines import (
+from emberring.simulation.admission.ablation import SEED_STEP, whole_admission
+from emberring.simulation.admission.baselines import (
     PlainPolicy,
     least_in_flight,
     round_robin,
     two_choices,
 )
-from emberring.lab.admission_simulator import MakePolicy, run_trial
-from emberring.lab.admission_site import SITES
-from emberring.lab.admission_trial import Figures, figures_of
-from emberring.lab.control_cut import CutFigures, measure_cut
-from emberring.lab.control_scale import RoleFigures, ScaleFigures, Size, measure, power
+from emberring.simulation.admission.simulator import MakePolicy, run_trial
+from emberring.simulation.admission.site import SITES
+from emberring.simulation.admission.trial import Figures, figures_of
+from emberring.simulation.scale.control_plane import RoleFigures, ScaleFigures, Size, measure, power
+from emberring.simulation.scale.partition import CutFigures, measure_cut
 
 app = typer.Typer(no_args_is_help=True, epilog=EXIT_CODES_TEXT)
 app.command(epilog=EXIT_CODES_TEXT)(ablation)
--- a/emberring/cli/trial_command.py
+++ b/emberring/cli/trial_command.py
@@ -12,9 +12,9 @@
 
 from emberring.cli.places import JsonOption
 from emberring.cli.printing import ExitCode, leave, print_json, print_line, print_table
-from emberring.standin.lot_client import LotHistory
-from emberring.standin.traffic import TrafficPlan
-from emberring.standin.trial import Trial, TrialPlan, TrialReport
+from emberring.emulator.lot_client import LotHistory
+from emberring.emulator.traffic import TrafficPlan
+from emberring.emulator.trial import Trial, TrialPlan, TrialReport
 
 MOST_SHOWN = 10
 
--- a/emberring/standin/connection.py
+++ b/emberring/emulator/connection.py
@@ -11,7 +11,7 @@
 
 import httptools
 
-from emberring.standin.wire import ServerRequest
+from emberring.emulator.wire import ServerRequest
 
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # linger for no time
 
--- a/emberring/standin/engine.py
+++ b/emberring/emulator/engine.py
@@ -10,8 +10,8 @@
 
 import attrs
 
-from emberring.standin.kv_cache import KvCache, PromptPart
-from emberring.standin.output import event_count
+from emberring.emulator.kv_cache import KvCache, PromptPart
+from emberring.emulator.output import event_count
 
 
 @attrs.frozen
--- a/emberring/standin/heartbeats.py
+++ b/emberring/emulator/heartbeats.py
@@ -9,8 +9,8 @@
 
 import orjson
 
-from emberring.standin.http_calls import CALL_ERRORS, call_once
-from emberring.standin.model_server import ModelServer
+from emberring.emulator.http_calls import CALL_ERRORS, call_once
+from emberring.emulator.model_server import ModelServer
 
 ACKNOWLEDGE_WITHIN_S = 1.0
 MAX_ANSWER_BYTES = 4096
--- a/emberring/standin/judge.py
+++ b/emberring/emulator/judge.py
@@ -6,10 +6,10 @@
 
 import attrs
 
-from emberring.standin.live_client import StreamCall, StreamEnd, StreamResult
-from emberring.standin.lot_client import LotHistory
-from emberring.standin.observations import Observations
-from emberring.standin.output import event_count, whole_output
+from emberring.emulator.live_client import StreamCall, StreamEnd, StreamResult
+from emberring.emulator.lot_client import LotHistory
+from emberring.emulator.observations import Observations
+from emberring.emulator.output import event_count, whole_output
 
 
 @attrs.frozen
--- a/emberring/standin/live_client.py
+++ b/emberring/emulator/live_client.py
@@ -11,9 +11,9 @@
 import attrs
 import httpcore
 
-from emberring.standin.configurations import HOST
-from emberring.standin.events import EventReader, StreamEvent
-from emberring.standin.http_calls import plain_headers, timeouts
+from emberring.emulator.configurations import HOST
+from emberring.emulator.events import EventReader, StreamEvent
+from emberring.emulator.http_calls import plain_headers, timeouts
 
 PROMISES = frozenset({408, 421, 429, 503})
 CONNECT_S = 1.0
--- a/emberring/standin/local_tier.py
+++ b/emberring/emulator/local_tier.py
@@ -11,9 +11,8 @@
 
 import attrs
 
-from emberring.errors import NotReadyError
-from emberring.standin.http_calls import CALL_ERRORS, call_once
-from emberring.standin.local_node import (
+from emberring.emulator.http_calls import CALL_ERRORS, call_once
+from emberring.emulator.local_node import (
     CONTROL_PLANE,
     FIRST_INTERNAL,
     FRONTEND,
@@ -22,7 +21,8 @@
     LocalNode,
     NodePlace,
 )
-from emberring.standin.waiting import wait_until
+from emberring.emulator.waiting import wait_until
+from emberring.errors import NotReadyError
 
 PORTS = range(20_000, 30_000, 16)  # below those that systems give to callers
 LOOK_EVERY_S = 0.1
--- a/emberring/standin/lot_client.py
+++ b/emberring/emulator/lot_client.py
@@ -13,8 +13,8 @@
 import attrs
 import orjson
 
-from emberring.standin.configurations import HOST, LOT_PREFIX
-from emberring.standin.http_calls import CALL_ERRORS, HttpAnswer, call_once
+from emberring.emulator.configurations import HOST, LOT_PREFIX
+from emberring.emulator.http_calls import CALL_ERRORS, HttpAnswer, call_once
 
 ANSWER_WITHIN_S = 2.5
 READ_EVERY_S = 0.5
--- a/emberring/standin/model_server.py
+++ b/emberring/emulator/model_server.py
@@ -8,12 +8,12 @@
 import attrs
 import orjson
 
-from emberring.standin.connection import ServerConnection
-from emberring.standin.engine import Engine, EngineSpec, Job, Produced
-from emberring.standin.faults import Faults
-from emberring.standin.observations import Observations, Run
-from emberring.standin.output import FIRST_EVENT_ID, event_bytes, event_text
-from emberring.standin.wire import LAST_CHUNK, NOT_AN_ANSWER, ServerRequest, chunk, head, whole_answer
+from emberring.emulator.connection import ServerConnection
+from emberring.emulator.engine import Engine, EngineSpec, Job, Produced
+from emberring.emulator.faults import Faults
+from emberring.emulator.observations import Observations, Run
+from emberring.emulator.output import FIRST_EVENT_ID, event_bytes, event_text
+from emberring.emulator.wire import LAST_CHUNK, NOT_AN_ANSWER, ServerRequest, chunk, head, whole_answer
 
 NOT_EXECUTED = {"Not-Executed": "1"}
 IMPOSSIBLE = "/impossible/"  # items with this in their path get 422
--- a/emberring/standin/operator.py
+++ b/emberring/emulator/operator.py
@@ -10,7 +10,7 @@
 import attrs
 import orjson
 
-from emberring.standin.http_calls import CALL_ERRORS, HttpAnswer, call_once
+from emberring.emulator.http_calls import CALL_ERRORS, HttpAnswer, call_once
 
 SILENCE_S = 1.0
 FIRST_PAUSE_S = 0.05
--- a/emberring/standin/server_fleet.py
+++ b/emberring/emulator/server_fleet.py
@@ -5,11 +5,11 @@
 import asyncio
 from collections.abc import Callable, Sequence
 
-from emberring.standin.engine import EngineSpec
-from emberring.standin.heartbeats import Heartbeats
-from emberring.standin.model_server import ModelServer, ServerSpec
-from emberring.standin.observations import Observations
-from emberring.standin.waiting import wait_until
+from emberring.emulator.engine import EngineSpec
+from emberring.emulator.heartbeats import Heartbeats
+from emberring.emulator.model_server import ModelServer, ServerSpec
+from emberring.emulator.observations import Observations
+from emberring.emulator.waiting import wait_until
 
 SERVE_ON_S = 2.5  # after a drain was acknowledged; longer than gateways may take to hear of it
 
--- a/emberring/standin/store_survey.py
+++ b/emberring/emulator/store_survey.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
+from emberring.emulator.local_tier import INTERNAL_OF_ROLE, LocalTier
 from emberring.errors import EmberringError
-from emberring.lots.status import AskStoreStatus, StoreStatus
-from emberring.standin.local_tier import INTERNAL_OF_ROLE, LocalTier
+from emberring.jobs.status import AskStoreStatus, StoreStatus
 from emberring.transport.network import Network
 
 ANSWER_S = 1.0
--- a/emberring/standin/traffic.py
+++ b/emberring/emulator/traffic.py
@@ -10,11 +10,11 @@
 
 import attrs
 
-from emberring.standin.configurations import ADDED_PREFIX, EXPLAIN_PREFIX, REVIEW_PREFIX
-from emberring.standin.judge import Breach, judge_lot, judge_stream, judge_unasked
-from emberring.standin.live_client import LiveClient, StreamCall, StreamEnd
-from emberring.standin.lot_client import LotClient, LotHistory, make_lot
-from emberring.standin.observations import Observations
+from emberring.emulator.configurations import ADDED_PREFIX, EXPLAIN_PREFIX, REVIEW_PREFIX
+from emberring.emulator.judge import Breach, judge_lot, judge_stream, judge_unasked
+from emberring.emulator.live_client import LiveClient, StreamCall, StreamEnd
+from emberring.emulator.lot_client import LotClient, LotHistory, make_lot
+from emberring.emulator.observations import Observations
 
 SHARED_PARTS = (("5eed02", 400), ("5eed03", 400))
 OUTPUT_TOKENS = 40
--- a/emberring/standin/trial.py
+++ b/emberring/emulator/trial.py
@@ -8,17 +8,17 @@
 
 import attrs
 
+from emberring.emulator.configurations import SERVICE, TrialTerms, added_route, trial_configuration
+from emberring.emulator.engine import EngineSpec
+from emberring.emulator.judge import Breach
+from emberring.emulator.local_tier import LocalTier, TierSize
+from emberring.emulator.lot_client import LotHistory
+from emberring.emulator.observations import Observations
+from emberring.emulator.operator import Operator
+from emberring.emulator.server_fleet import ServerFleet
+from emberring.emulator.store_survey import busiest_store
+from emberring.emulator.traffic import Tally, Traffic, TrafficPlan
 from emberring.errors import NotReadyError
-from emberring.standin.configurations import SERVICE, TrialTerms, added_route, trial_configuration
-from emberring.standin.engine import EngineSpec
-from emberring.standin.judge import Breach
-from emberring.standin.local_tier import LocalTier, TierSize
-from emberring.standin.lot_client import LotHistory
-from emberring.standin.observations import Observations
-from emberring.standin.operator import Operator
-from emberring.standin.server_fleet import ServerFleet
-from emberring.standin.store_survey import busiest_store
-from emberring.standin.traffic import Tally, Traffic, TrafficPlan
 
 START_S = 15.0
 BACK_S = 15.0
--- a/emberring/standin/wire.py
+++ b/emberring/emulator/wire.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from emberring.standin.kv_cache import PromptPart
+from emberring.emulator.kv_cache import PromptPart
 
 LAST_CHUNK = b"0\r\n\r\n"
 NOT_AN_ANSWER = b"\x00\x01 these bytes are no answer\r\n\r\n"
--- a/emberring/gateway/execution.py
+++ b/emberring/gateway/execution.py
@@ -19,7 +19,7 @@
 from emberring.gateway.ports import AdmissionPort
 from emberring.gateway.reply import Hearing, Patience
 from emberring.gateway.servers import ServerBook
-from emberring.lots.items import ItemCall, ItemEvent, ItemOutcome, OutcomeKind
+from emberring.jobs.items import ItemCall, ItemEvent, ItemOutcome, OutcomeKind
 
 # With calls that may go to another server. Clients leave after 2 s of silence at the earliest; a server that is heard
 # elsewhere is at work on what came before.
--- a/emberring/gateway/items.py
+++ b/emberring/gateway/items.py
@@ -8,7 +8,7 @@
 from emberring.gateway.attempt import Ended
 from emberring.gateway.events import Event
 from emberring.gateway.messages import AnswerHead, ClientRequest
-from emberring.lots.items import ItemCall, ItemEvent, ItemOutcome, OutcomeKind
+from emberring.jobs.items import ItemCall, ItemEvent, ItemOutcome, OutcomeKind
 
 IMPOSSIBLE_STATUS = 422
 FAILED_STATUS = 500
--- a/emberring/gateway/role.py
+++ b/emberring/gateway/role.py
@@ -23,10 +23,10 @@
 from emberring.gateway.readiness import Readiness, ReadinessPages
 from emberring.gateway.servers import ServerBook
 from emberring.gateway.suspicions import SuspicionReport
+from emberring.jobs.client import LotClient
+from emberring.jobs.directory import OwnerDirectory
+from emberring.jobs.runner import UnitRunner
 from emberring.logs import get_logger
-from emberring.lots.client import LotClient
-from emberring.lots.directory import OwnerDirectory
-from emberring.lots.runner import UnitRunner
 from emberring.settings import GATEWAY_PORT_OFFSET, Settings
 from emberring.transport.network import Network
 
--- a/emberring/lots/adoption.py
+++ b/emberring/jobs/adoption.py
@@ -4,12 +4,12 @@
 
 from collections.abc import Iterator
 
-from emberring.lots.merge import Inventories, MergedSlot, merge, misplaced
-from emberring.lots.owned import OwnedLot, OwnedSlot
-from emberring.lots.peer import Ref
-from emberring.lots.records import Record, Term, checksum, pack_records
-from emberring.lots.replica import Replica
-from emberring.lots.results import item_index
+from emberring.jobs.merge import Inventories, MergedSlot, merge, misplaced
+from emberring.jobs.owned import OwnedLot, OwnedSlot
+from emberring.jobs.peer import Ref
+from emberring.jobs.records import Record, Term, checksum, pack_records
+from emberring.jobs.replica import Replica
+from emberring.jobs.results import item_index
 from emberring.placement.model import Group
 
 FETCH_BYTES = 256 * 1024
--- a/emberring/lots/book.py
+++ b/emberring/jobs/book.py
@@ -8,7 +8,7 @@
 
 from emberring.configuration.model import Configuration
 from emberring.errors import EmberringError
-from emberring.lots.calls import (
+from emberring.jobs.calls import (
     Assignment,
     EndLot,
     FinishRun,
@@ -18,15 +18,15 @@
     ReportRuns,
     SubmitLot,
 )
-from emberring.lots.definition import decode_items, decode_terms
-from emberring.lots.lot import Item, Lot
-from emberring.lots.owned import OwnedLot, OwnedRecords
-from emberring.lots.reading import Reading
-from emberring.lots.records import DEFINITION, END, FORGOTTEN
-from emberring.lots.results import item_index
-from emberring.lots.running import Running
-from emberring.lots.shelf import BookAction, Forget, Refuse, Shelf
-from emberring.lots.taking import Taking
+from emberring.jobs.definition import decode_items, decode_terms
+from emberring.jobs.lot import Item, Lot
+from emberring.jobs.owned import OwnedLot, OwnedRecords
+from emberring.jobs.reading import Reading
+from emberring.jobs.records import DEFINITION, END, FORGOTTEN
+from emberring.jobs.results import item_index
+from emberring.jobs.running import Running
+from emberring.jobs.shelf import BookAction, Forget, Refuse, Shelf
+from emberring.jobs.taking import Taking
 
 LOOK_EVERY_S = 0.5  # between looks at all lots
 FORGET_SLACK_S = 5.0
--- a/emberring/lots/client.py
+++ b/emberring/jobs/client.py
@@ -24,7 +24,7 @@
     ProtocolViolationError,
     QuotaExceededError,
 )
-from emberring.lots.calls import (
+from emberring.jobs.calls import (
     EndLot,
     ItemBody,
     LotPage,
@@ -33,9 +33,9 @@
     ReadLot,
     SubmitLot,
 )
-from emberring.lots.directory import Knowledge, OwnerDirectory
-from emberring.lots.packing import squeeze
-from emberring.lots.results import page_json
+from emberring.jobs.directory import Knowledge, OwnerDirectory
+from emberring.jobs.packing import squeeze
+from emberring.jobs.results import page_json
 from emberring.placement.model import shard_of
 from emberring.transport.messages import Ok
 from emberring.transport.network import Network
--- a/emberring/lots/definition.py
+++ b/emberring/jobs/definition.py
@@ -10,8 +10,8 @@
 import orjson
 
 from emberring.errors import BadRequestError, CorruptRecordError
-from emberring.lots.calls import LotTerms
-from emberring.lots.packing import expand
+from emberring.jobs.calls import LotTerms
+from emberring.jobs.packing import expand
 
 MAX_ITEMS = 200
 _END_OF_TERMS = b"\n"
--- a/emberring/lots/lot.py
+++ b/emberring/jobs/lot.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from emberring.lots.calls import EventData, LotTerms
+from emberring.jobs.calls import EventData, LotTerms
 
 
 class ItemStatus(IntEnum):
--- a/emberring/lots/merge.py
+++ b/emberring/jobs/merge.py
@@ -6,8 +6,8 @@
 
 import attrs
 
-from emberring.lots.lease import has_quorum
-from emberring.lots.records import FORGOTTEN, LotState, SlotState, Term
+from emberring.jobs.lease import has_quorum
+from emberring.jobs.records import FORGOTTEN, LotState, SlotState, Term
 from emberring.placement.model import Group
 
 
--- a/emberring/lots/messages.py
+++ b/emberring/jobs/messages.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from emberring.lots.records import NO_TERM, Term
+from emberring.jobs.records import NO_TERM, Term
 from emberring.transport.messages import message
 
 
--- a/emberring/lots/owned.py
+++ b/emberring/jobs/owned.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-from emberring.lots.records import checksum
-from emberring.lots.replica import slot_digest
+from emberring.jobs.records import checksum
+from emberring.jobs.replica import slot_digest
 
 
 @attrs.define(eq=False)
--- a/emberring/lots/owner.py
+++ b/emberring/jobs/owner.py
@@ -13,9 +13,9 @@
 
 import attrs
 
-from emberring.lots.adoption import Adoption
-from emberring.lots.lease import OwnerLease, has_quorum
-from emberring.lots.messages import (
+from emberring.jobs.adoption import Adoption
+from emberring.jobs.lease import OwnerLease, has_quorum
+from emberring.jobs.messages import (
     AskInventory,
     Claim,
     ClaimReply,
@@ -27,10 +27,10 @@
     Release,
     WriteReply,
 )
-from emberring.lots.owned import OwnedLot, OwnedRecords
-from emberring.lots.records import FORGOTTEN, NO_TERM, LotState, Term, unpack_inventory, unpack_records
-from emberring.lots.replica import CLAIM_HOLD_S, REFUSE_S, Replica
-from emberring.lots.replication import Replication
+from emberring.jobs.owned import OwnedLot, OwnedRecords
+from emberring.jobs.records import FORGOTTEN, NO_TERM, LotState, Term, unpack_inventory, unpack_records
+from emberring.jobs.replica import CLAIM_HOLD_S, REFUSE_S, Replica
+from emberring.jobs.replication import Replication
 from emberring.placement.model import Group, in_order
 
 RANK_DELAY_S = 0.25  # each store waits so much longer than the one before it in the order
--- a/emberring/lots/packing.py
+++ b/emberring/jobs/packing.py
@@ -12,7 +12,7 @@
 import orjson
 
 from emberring.errors import CorruptRecordError
-from emberring.lots.calls import EventData
+from emberring.jobs.calls import EventData
 
 LEVEL = 1
 MEMORY_LEVEL = 8
--- a/emberring/lots/reading.py
+++ b/emberring/jobs/reading.py
@@ -5,11 +5,11 @@
 import attrs
 
 from emberring.errors import NotFoundError, NotReadyError
-from emberring.lots.calls import ItemBody, ReadItem, ReadLot
-from emberring.lots.lot import Lot
-from emberring.lots.records import lot_key
-from emberring.lots.results import build_page
-from emberring.lots.shelf import Answer, Refuse, Shelf
+from emberring.jobs.calls import ItemBody, ReadItem, ReadLot
+from emberring.jobs.lot import Lot
+from emberring.jobs.records import lot_key
+from emberring.jobs.results import build_page
+from emberring.jobs.shelf import Answer, Refuse, Shelf
 
 
 @attrs.frozen
--- a/emberring/lots/replica.py
+++ b/emberring/jobs/replica.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from emberring.lots.messages import (
+from emberring.jobs.messages import (
     AskInventory,
     Claim,
     ClaimReply,
@@ -27,7 +27,7 @@
     WriteReply,
     WriteSlots,
 )
-from emberring.lots.records import (
+from emberring.jobs.records import (
     FORGOTTEN,
     MAX_AGE_MS,
     NO_TERM,
@@ -40,7 +40,7 @@
     pack_records,
     unpack_records,
 )
-from emberring.lots.replica_log import Copied, Dropped, Emptied, Entry, Promised, Started, Written
+from emberring.jobs.replica_log import Copied, Dropped, Emptied, Entry, Promised, Started, Written
 from emberring.transport.messages import Ok
 
 REFUSE_S = (
--- a/emberring/lots/replica_log.py
+++ b/emberring/jobs/replica_log.py
@@ -8,7 +8,7 @@
 import attrs
 
 from emberring.errors import CorruptRecordError
-from emberring.lots.records import Record, Term, pack_records, pack_term, unpack_records, unpack_term
+from emberring.jobs.records import Record, Term, pack_records, pack_term, unpack_records, unpack_term
 
 _HEAD = struct.Struct("<BBd")  # kind, shard, clock
 _WRITTEN, _PROMISED, _DROPPED, _EMPTIED, _COPIED, _STARTED = 1, 2, 3, 4, 5, 6
--- a/emberring/lots/replication.py
+++ b/emberring/jobs/replication.py
@@ -4,12 +4,12 @@
 
 from collections.abc import Mapping
 
-from emberring.lots.lease import has_quorum
-from emberring.lots.messages import DropSlots, WriteSlots
-from emberring.lots.owned import OwnedRecords
-from emberring.lots.peer import FETCH_AGAIN_S, Peer, Ref
-from emberring.lots.records import FORGOTTEN, NO_TERM, LotState, Record, Term, pack_records
-from emberring.lots.replica import age_ms
+from emberring.jobs.lease import has_quorum
+from emberring.jobs.messages import DropSlots, WriteSlots
+from emberring.jobs.owned import OwnedRecords
+from emberring.jobs.peer import FETCH_AGAIN_S, Peer, Ref
+from emberring.jobs.records import FORGOTTEN, NO_TERM, LotState, Record, Term, pack_records
+from emberring.jobs.replica import age_ms
 from emberring.placement.model import Group, quorum
 
 MESSAGE_BYTES = 256 * 1024
--- a/emberring/lots/results.py
+++ b/emberring/jobs/results.py
@@ -9,8 +9,8 @@
 import orjson
 
 from emberring.errors import CorruptRecordError
-from emberring.lots.calls import LotPage
-from emberring.lots.packing import expand, squeeze
+from emberring.jobs.calls import LotPage
+from emberring.jobs.packing import expand, squeeze
 
 _HEAD = struct.Struct("<HII")  # the item's index, bytes of the JSON object, bytes of it squeezed
 MAX_PAGE_BYTES = 1_000_000  # with some room below the 1 MB of the interface
--- a/emberring/lots/runner.py
+++ b/emberring/jobs/runner.py
@@ -10,7 +10,7 @@
 import attrs
 
 from emberring.errors import EmberringError, NotOwnerError, PeerError
-from emberring.lots.calls import (
+from emberring.jobs.calls import (
     Assignment,
     EventData,
     FinishRun,
@@ -21,9 +21,9 @@
     RunFinished,
     RunProgress,
 )
-from emberring.lots.directory import Knowledge, OwnerDirectory
-from emberring.lots.items import ItemCall, ItemEvent, ItemExecutor, OutcomeKind
-from emberring.lots.packing import pack_events, unpack_events
+from emberring.jobs.directory import Knowledge, OwnerDirectory
+from emberring.jobs.items import ItemCall, ItemEvent, ItemExecutor, OutcomeKind
+from emberring.jobs.packing import pack_events, unpack_events
 from emberring.transport.network import Network
 
 LEASE_S = 1.5  # from the sending of a report that the owner granted
--- a/emberring/lots/running.py
+++ b/emberring/jobs/running.py
@@ -4,7 +4,7 @@
 
 import random
 
-from emberring.lots.calls import (
+from emberring.jobs.calls import (
     Assignment,
     EventData,
     FinishRun,
@@ -14,11 +14,11 @@
     RunFinished,
     RunProgress,
 )
-from emberring.lots.items import OutcomeKind
-from emberring.lots.lot import Item, ItemStatus, Lot, Run
-from emberring.lots.packing import pack_events, unpack_events
-from emberring.lots.results import ResultState
-from emberring.lots.shelf import Answer, Shelf
+from emberring.jobs.items import OutcomeKind
+from emberring.jobs.lot import Item, ItemStatus, Lot, Run
+from emberring.jobs.packing import pack_events, unpack_events
+from emberring.jobs.results import ResultState
+from emberring.jobs.shelf import Answer, Shelf
 
 RUN_LEASE_S = 2.0  # the owner's side of a gateway's lease of 1.5 s, which counts from the gateway's sending
 ANNOUNCE_S = 0.7  # a new owner waits so long for gateways that run items already
--- a/emberring/lots/shelf.py
+++ b/emberring/jobs/shelf.py
@@ -9,12 +9,12 @@
 
 from emberring.configuration.model import Configuration, Route, RouteType
 from emberring.errors import EmberringError
-from emberring.lots.definition import ItemSpec, decode_items
-from emberring.lots.lot import Item, ItemStatus, Lot
-from emberring.lots.owned import OwnedRecords
-from emberring.lots.records import DEFINITION
-from emberring.lots.results import ResultState, encode_result
-from emberring.lots.schedule import Entry, Schedule
+from emberring.jobs.definition import ItemSpec, decode_items
+from emberring.jobs.lot import Item, ItemStatus, Lot
+from emberring.jobs.owned import OwnedRecords
+from emberring.jobs.records import DEFINITION
+from emberring.jobs.results import ResultState, encode_result
+from emberring.jobs.schedule import Entry, Schedule
 
 SPECS_KEPT = 16
 
--- a/emberring/lots/taking.py
+++ b/emberring/jobs/taking.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from emberring.errors import InDoubtError, NotFoundError, QuotaExceededError
-from emberring.lots.calls import EndLot, SubmitLot
-from emberring.lots.definition import encode_definition, parse_items
-from emberring.lots.lot import Item, Lot
-from emberring.lots.records import DEFINITION, END, FORGOTTEN, lot_key
-from emberring.lots.shelf import Answer, Propose, Refuse, Shelf
+from emberring.jobs.calls import EndLot, SubmitLot
+from emberring.jobs.definition import encode_definition, parse_items
+from emberring.jobs.lot import Item, Lot
+from emberring.jobs.records import DEFINITION, END, FORGOTTEN, lot_key
+from emberring.jobs.shelf import Answer, Propose, Refuse, Shelf
 from emberring.transport.messages import Ok
 
 QUOTA_SLACK = 1.02  # what servers have finished is known a little late
--- /dev/null
+++ b/emberring/simulation/admission/__init__.py
@@ -0,0 +1,1 @@
+"""Trials of admission in simulated time: sites, traffic, policies, and what is counted."""
--- a/emberring/lab/ablation.py
+++ b/emberring/simulation/admission/ablation.py
@@ -31,9 +31,9 @@
 from emberring.admission.prefixes import PrefixMemory
 from emberring.admission.server import ServerView
 from emberring.admission.table import CursorTable
-from emberring.lab.admission_simulator import run_trial
-from emberring.lab.admission_site import Burst, Crash, Site
-from emberring.lab.admission_trial import Figures, figures_of
+from emberring.simulation.admission.simulator import run_trial
+from emberring.simulation.admission.site import Burst, Crash, Site
+from emberring.simulation.admission.trial import Figures, figures_of
 
 SEED_STEP = 100  # between the seeds of the gateways of one trial
 DARK_SHARE = 0.2  # of the servers, in the hard case
--- a/emberring/lab/admission_parts.py
+++ b/emberring/simulation/admission/parts.py
@@ -5,9 +5,9 @@
 import attrs
 
 from emberring.admission import AttemptBudget
-from emberring.lab.admission_site import Kind
-from emberring.lab.admission_trial import Asked
-from emberring.lab.engine_model import Engine, EngineCall, Part
+from emberring.simulation.admission.engine_model import Engine, EngineCall, Part
+from emberring.simulation.admission.site import Kind
+from emberring.simulation.admission.trial import Asked
 
 
 @attrs.define(eq=False)
--- a/emberring/lab/admission_simulator.py
+++ b/emberring/simulation/admission/simulator.py
@@ -19,13 +19,13 @@
 from emberring.configuration.model import Service
 from emberring.distribution.contacts import summed
 from emberring.distribution.facts import ServerFact, ServerState
-from emberring.lab.admission_baselines import Policy
-from emberring.lab.admission_parts import Attempt, Request, Server
-from emberring.lab.admission_site import Burst, Crash, Site
-from emberring.lab.admission_traffic import MARGIN_MS, Traffic
-from emberring.lab.admission_trial import Tally
-from emberring.lab.engine_model import Engine, EngineCall
 from emberring.registry.known_load import KnownLoad
+from emberring.simulation.admission.baselines import Policy
+from emberring.simulation.admission.engine_model import Engine, EngineCall
+from emberring.simulation.admission.parts import Attempt, Request, Server
+from emberring.simulation.admission.site import Burst, Crash, Site
+from emberring.simulation.admission.traffic import MARGIN_MS, Traffic
+from emberring.simulation.admission.trial import Tally
 
 SERVICE = "llm"
 REPORT_MS = 100.0  # how often a gateway reports its calls in flight and learns the sums,
--- a/emberring/lab/admission_site.py
+++ b/emberring/simulation/admission/site.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from emberring.lab.engine_model import EngineFigures
+from emberring.simulation.admission.engine_model import EngineFigures
 
 
 @attrs.frozen
--- a/emberring/lab/admission_traffic.py
+++ b/emberring/simulation/admission/traffic.py
@@ -9,10 +9,10 @@
 from typing import Protocol
 
 from emberring.admission import AttemptBudget
-from emberring.lab.admission_parts import Request
-from emberring.lab.admission_site import Burst, Kind, Site, Sizes
-from emberring.lab.admission_trial import OUT_WEIGHT, Asked, Tally
-from emberring.lab.engine_model import Part
+from emberring.simulation.admission.engine_model import Part
+from emberring.simulation.admission.parts import Request
+from emberring.simulation.admission.site import Burst, Kind, Site, Sizes
+from emberring.simulation.admission.trial import OUT_WEIGHT, Asked, Tally
 
 MARGIN_MS = 2.0  # for the way between client and gateway
 
--- a/emberring/lab/controlplane/client_steps.py
+++ b/emberring/simulation/control_plane/client_steps.py
@@ -7,11 +7,11 @@
 from typing import Any
 
 from emberring.configuration.orders import OrderKind
-from emberring.lab.controlplane.clients import ModelServer
-from emberring.lab.controlplane.control_machine import ControlMachine
-from emberring.lab.controlplane.deployment import Deployment
-from emberring.lab.controlplane.history import TAKEN, OrderSeen
-from emberring.lab.controlplane.schedule import Step
+from emberring.simulation.control_plane.clients import ModelServer
+from emberring.simulation.control_plane.control_machine import ControlMachine
+from emberring.simulation.control_plane.deployment import Deployment
+from emberring.simulation.control_plane.history import TAKEN, OrderSeen
+from emberring.simulation.control_plane.schedule import Step
 
 MANY = 40  # orders in a row
 ANSWERS_LOST = 0.7  # share of the answers to operators, while they are lost
--- a/emberring/lab/controlplane/clients.py
+++ b/emberring/simulation/control_plane/clients.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 from emberring.configuration.orders import OrderKind, read_order
-from emberring.lab.controlplane.control_machine import HEARTBEAT_MS, Answer, ControlMachine
-from emberring.lab.controlplane.follower_process import MARK_PREFIX
-from emberring.lab.controlplane.history import REFUSED, TAKEN, OrderSeen
-from emberring.lab.controlplane.world import ControlWorld
-from emberring.standin.configurations import HOST, SERVICE, trial_configuration
+from emberring.emulator.configurations import HOST, SERVICE, trial_configuration
+from emberring.simulation.control_plane.control_machine import HEARTBEAT_MS, Answer, ControlMachine
+from emberring.simulation.control_plane.follower_process import MARK_PREFIX
+from emberring.simulation.control_plane.history import REFUSED, TAKEN, OrderSeen
+from emberring.simulation.control_plane.world import ControlWorld
 
 SILENCE_S = 1.0
 FIRST_PAUSE_S = 0.05
--- a/emberring/lab/controlplane/control_machine.py
+++ b/emberring/simulation/control_plane/control_machine.py
@@ -11,10 +11,6 @@
 from emberring.configuration.state import ControlState
 from emberring.control.node import ControlNode
 from emberring.distribution.facts import NodeFact
-from emberring.lab.controlplane.network import SimulatedNetwork
-from emberring.lab.controlplane.process import Process
-from emberring.lab.controlplane.world import ControlWorld
-from emberring.lab.register_world import Machine
 from emberring.register.events import (
     Action,
     ChangeAsked,
@@ -28,6 +24,10 @@
 from emberring.register.model import Member
 from emberring.register.service import settle
 from emberring.settings import FaultTolerance, Settings
+from emberring.simulation.control_plane.network import SimulatedNetwork
+from emberring.simulation.control_plane.process import Process
+from emberring.simulation.control_plane.world import ControlWorld
+from emberring.simulation.register.world import Machine
 
 FIRST_PORT = 7000
 INTERNAL_PORT = FIRST_PORT + 1
--- a/emberring/lab/controlplane/deployment.py
+++ b/emberring/simulation/control_plane/deployment.py
@@ -7,14 +7,14 @@
 
 from emberring.configuration.orders import OrderKind
 from emberring.distribution.facts import NodeRole, ServerState
-from emberring.lab.controlplane.clients import DRAIN_MS, ModelServer, Operators, Platform
-from emberring.lab.controlplane.control_machine import ControlMachine, internal_address
-from emberring.lab.controlplane.follower_process import FollowerMachine, ShardCopies
-from emberring.lab.controlplane.mistakes import Mistake
-from emberring.lab.controlplane.network import SimulatedNetwork
-from emberring.lab.controlplane.schedule import Schedule
-from emberring.lab.controlplane.world import ControlWorld
-from emberring.lab.register_world import Bugs, Weather
+from emberring.simulation.control_plane.clients import DRAIN_MS, ModelServer, Operators, Platform
+from emberring.simulation.control_plane.control_machine import ControlMachine, internal_address
+from emberring.simulation.control_plane.follower_process import FollowerMachine, ShardCopies
+from emberring.simulation.control_plane.mutations import Mistake
+from emberring.simulation.control_plane.network import SimulatedNetwork
+from emberring.simulation.control_plane.schedule import Schedule
+from emberring.simulation.control_plane.world import ControlWorld
+from emberring.simulation.register.world import Bugs, Weather
 
 FOUNDERS = 3
 GATEWAYS = 3
--- a/emberring/lab/controlplane/troubles.py
+++ b/emberring/simulation/control_plane/fault_schedule.py
@@ -5,13 +5,13 @@
 import asyncio
 from collections.abc import Callable
 
-from emberring.lab.controlplane.client_steps import ClientSteps
-from emberring.lab.controlplane.control_machine import ControlMachine
-from emberring.lab.controlplane.deployment import Deployment
-from emberring.lab.controlplane.follower_process import FollowerMachine
-from emberring.lab.controlplane.history import TAKEN
-from emberring.lab.controlplane.schedule import Kind, Step
-from emberring.lab.register_world import Weather
+from emberring.simulation.control_plane.client_steps import ClientSteps
+from emberring.simulation.control_plane.control_machine import ControlMachine
+from emberring.simulation.control_plane.deployment import Deployment
+from emberring.simulation.control_plane.follower_process import FollowerMachine
+from emberring.simulation.control_plane.history import TAKEN
+from emberring.simulation.control_plane.schedule import Kind, Step
+from emberring.simulation.register.world import Weather
 
 CATCH_UP_S = 4.9  # after it has come back, a machine that lost its disk still counts as lost for so long
 LEAVE_S = 0.3
--- a/emberring/lab/controlplane/follower_process.py
+++ b/emberring/simulation/control_plane/follower_process.py
@@ -10,10 +10,10 @@
 from emberring.distribution.follower import Follower
 from emberring.distribution.messages import PlacementMoved
 from emberring.errors import EmberringError
-from emberring.lab.controlplane.network import SimulatedNetwork
-from emberring.lab.controlplane.process import Process
-from emberring.lab.controlplane.world import ControlWorld
 from emberring.placement.model import SHARDS, Group, Placement, quorum
+from emberring.simulation.control_plane.network import SimulatedNetwork
+from emberring.simulation.control_plane.process import Process
+from emberring.simulation.control_plane.world import ControlWorld
 from emberring.transport.messages import Ok
 
 MARK_PREFIX = "/mark-"
--- a/emberring/lab/controlplane/history.py
+++ b/emberring/simulation/control_plane/history.py
@@ -7,7 +7,7 @@
 import attrs
 
 from emberring.configuration.state import ControlState
-from emberring.lab.register_history import History
+from emberring.simulation.register.history import History
 
 TAKEN = 200
 REFUSED = frozenset({400, 409, 412})
--- a/emberring/lab/controlplane/mistakes.py
+++ b/emberring/simulation/control_plane/mutations.py
@@ -17,10 +17,10 @@
 from emberring.distribution.sources import SourceChoice
 from emberring.distribution.view import FollowerView
 from emberring.errors import VersionConflictError
-from emberring.lab.controlplane.control_machine import ControlMachine, HostedRegister
 from emberring.register.acceptor import Acceptor
 from emberring.register.model import Proposal, ReplicaSet, State
 from emberring.register.node import RegisterNode
+from emberring.simulation.control_plane.control_machine import ControlMachine, HostedRegister
 
 
 class Mistake(Enum):
--- a/emberring/lab/controlplane/network.py
+++ b/emberring/simulation/control_plane/network.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from emberring.errors import PeerTimeoutError, PeerUnavailableError
-from emberring.lab.controlplane.process import Process
-from emberring.lab.controlplane.world import ControlWorld
+from emberring.simulation.control_plane.process import Process
+from emberring.simulation.control_plane.world import ControlWorld
 from emberring.transport.network import Caller, Network, Reply, expected
 
 FOREVER_S = 1e6
--- a/emberring/lab/controlplane/process.py
+++ b/emberring/simulation/control_plane/process.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable
 from typing import Any
 
-from emberring.lab.task_owner import TaskOwner
+from emberring.simulation.common.task_owner import TaskOwner
 
 
 class Process(TaskOwner):
--- a/emberring/lab/controlplane/schedule.py
+++ b/emberring/simulation/control_plane/schedule.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from emberring.lab.scheduled_step import ScheduledStep
+from emberring.simulation.common.scheduled_step import ScheduledStep
 
 
 class Kind(Enum):
--- a/emberring/lab/controlplane/simulator.py
+++ b/emberring/simulation/control_plane/simulator.py
@@ -8,14 +8,14 @@
 import attrs
 
 from emberring.configuration.orders import OrderKind
-from emberring.lab.controlplane.deployment import APPLY_S, CONTACT_S, Deployment
-from emberring.lab.controlplane.history import TAKEN
-from emberring.lab.controlplane.mistakes import Mistake, seeded
-from emberring.lab.controlplane.schedule import Schedule, make_schedule
-from emberring.lab.controlplane.troubles import Troubles
-from emberring.lab.shortening import shortened
-from emberring.lab.task_owner import own_tasks
-from emberring.lab.virtual_time import run_virtually
+from emberring.simulation.common.shrinking import shortened
+from emberring.simulation.common.task_owner import own_tasks
+from emberring.simulation.common.virtual_time import run_virtually
+from emberring.simulation.control_plane.deployment import APPLY_S, CONTACT_S, Deployment
+from emberring.simulation.control_plane.fault_schedule import Troubles
+from emberring.simulation.control_plane.history import TAKEN
+from emberring.simulation.control_plane.mutations import Mistake, seeded
+from emberring.simulation.control_plane.schedule import Schedule, make_schedule
 
 ACK_S = 4.0
 # Inside the bound of 4.9 s, and before the change that is made in the calm could help a replica on.
--- a/emberring/lab/controlplane/world.py
+++ b/emberring/simulation/control_plane/world.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from emberring.lab.controlplane.history import ControlHistory
-from emberring.lab.register_world import Bugs, World
 from emberring.register.keeper import PATIENCE
+from emberring.simulation.control_plane.history import ControlHistory
+from emberring.simulation.register.world import Bugs, World
 
 
 class ControlWorld(World):
--- a/emberring/lab/lots_client.py
+++ b/emberring/simulation/jobs/client.py
@@ -8,13 +8,13 @@
 import orjson
 
 from emberring.errors import NotFoundError
-from emberring.lab.lots_gateway import GatewayMachine
-from emberring.lab.lots_history import History, ItemTruth, LotTruth, Try
-from emberring.lab.lots_store import is_error
-from emberring.lab.lots_world import World
-from emberring.lots.calls import EndLot, LotPage, LotTerms, ReadLot, SubmitLot
-from emberring.lots.packing import squeeze
-from emberring.lots.results import page_json
+from emberring.jobs.calls import EndLot, LotPage, LotTerms, ReadLot, SubmitLot
+from emberring.jobs.packing import squeeze
+from emberring.jobs.results import page_json
+from emberring.simulation.jobs.gateway import GatewayMachine
+from emberring.simulation.jobs.history import History, ItemTruth, LotTruth, Try
+from emberring.simulation.jobs.store import is_error
+from emberring.simulation.jobs.world import World
 
 HOST = "lots.example"
 MAX_TOKENS = 400
--- a/emberring/lab/lots_gateway.py
+++ b/emberring/simulation/jobs/gateway.py
@@ -14,10 +14,7 @@
     PeerUnavailableError,
     QuotaExceededError,
 )
-from emberring.lab.lots_history import History, Try
-from emberring.lab.lots_store import StoreMachine, is_error
-from emberring.lab.lots_world import World
-from emberring.lots.calls import (
+from emberring.jobs.calls import (
     Assignment,
     EventData,
     FinishRun,
@@ -27,8 +24,11 @@
     RunFinished,
     RunProgress,
 )
-from emberring.lots.items import OutcomeKind
-from emberring.lots.packing import pack_events, unpack_events
+from emberring.jobs.items import OutcomeKind
+from emberring.jobs.packing import pack_events, unpack_events
+from emberring.simulation.jobs.history import History, Try
+from emberring.simulation.jobs.store import StoreMachine, is_error
+from emberring.simulation.jobs.world import World
 
 LEASE_S = 1.5
 FIRST_LEASE_S = 0.8
--- a/emberring/lab/lots_bugs.py
+++ b/emberring/simulation/jobs/mutations.py
@@ -8,11 +8,11 @@
 
 import attrs
 
-from emberring.lots import adoption, merge, owner, replication
-from emberring.lots.messages import Lease, LeaseAnswer, WriteSlots
-from emberring.lots.owner import ShardOwner
-from emberring.lots.records import NO_TERM
-from emberring.lots.replica import Action, Replica
+from emberring.jobs import adoption, merge, owner, replication
+from emberring.jobs.messages import Lease, LeaseAnswer, WriteSlots
+from emberring.jobs.owner import ShardOwner
+from emberring.jobs.records import NO_TERM
+from emberring.jobs.replica import Action, Replica
 from emberring.placement.model import Group, quorum
 
 
--- a/emberring/lab/lots_schedule.py
+++ b/emberring/simulation/jobs/schedule.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from emberring.lab.scheduled_step import ScheduledStep
+from emberring.simulation.common.scheduled_step import ScheduledStep
 
 TROUBLE_S = 12.0
 MOST_TROUBLES = 7
--- a/emberring/lab/lots_simulator.py
+++ b/emberring/simulation/jobs/simulator.py
@@ -10,17 +10,17 @@
 
 from emberring.distribution.facts import NodeFact, NodeRole
 from emberring.errors import ConflictError, NotFoundError
-from emberring.lab.lots_bugs import Bugs, seeded
-from emberring.lab.lots_client import HOST, MAX_ATTEMPTS, MAX_TOKENS, RETENTION_S, Clients
-from emberring.lab.lots_gateway import GatewayMachine
-from emberring.lab.lots_history import History
-from emberring.lab.lots_schedule import TROUBLE_S, Kind, Schedule, Step, Verdict, make_schedule
-from emberring.lab.lots_store import SYNC_S, StoreMachine
-from emberring.lab.lots_world import Weather, World
-from emberring.lab.shortening import shortened
 from emberring.placement.model import Placement, finish_move, shard_of
 from emberring.placement.planning import PlanMemory, plan
 from emberring.placement.retirement import begin_retire, retire_state
+from emberring.simulation.common.shrinking import shortened
+from emberring.simulation.jobs.client import HOST, MAX_ATTEMPTS, MAX_TOKENS, RETENTION_S, Clients
+from emberring.simulation.jobs.gateway import GatewayMachine
+from emberring.simulation.jobs.history import History
+from emberring.simulation.jobs.mutations import Bugs, seeded
+from emberring.simulation.jobs.schedule import TROUBLE_S, Kind, Schedule, Step, Verdict, make_schedule
+from emberring.simulation.jobs.store import SYNC_S, StoreMachine
+from emberring.simulation.jobs.world import Weather, World
 
 CALM_S = 8.0
 LAST_READS_S = 2.0
--- a/emberring/lab/lots_store.py
+++ b/emberring/simulation/jobs/store.py
@@ -8,10 +8,8 @@
 import attrs
 
 from emberring.errors import EmberringError, InDoubtError, NotOwnerError
-from emberring.lab.lots_bugs import Bugs, make_owner, make_replica
-from emberring.lab.lots_world import World
-from emberring.lots.book import LotBook
-from emberring.lots.calls import (
+from emberring.jobs.book import LotBook
+from emberring.jobs.calls import (
     EndLot,
     FinishRun,
     LeasedItems,
@@ -21,12 +19,14 @@
     ReportRuns,
     SubmitLot,
 )
-from emberring.lots.messages import Touch, TouchReply
-from emberring.lots.owner import BecameOwner, Chosen, LostOwnership, Moved, OwnerAction, Send, ShardOwner
-from emberring.lots.replica import REFUSE_S, Action, Fail, Persist, Replica, Reply
-from emberring.lots.replica_log import decode_entry, encode_entry
-from emberring.lots.shelf import Answer, BookAction, Propose, Refuse
+from emberring.jobs.messages import Touch, TouchReply
+from emberring.jobs.owner import BecameOwner, Chosen, LostOwnership, Moved, OwnerAction, Send, ShardOwner
+from emberring.jobs.replica import REFUSE_S, Action, Fail, Persist, Replica, Reply
+from emberring.jobs.replica_log import decode_entry, encode_entry
+from emberring.jobs.shelf import Answer, BookAction, Propose, Refuse
 from emberring.placement.model import Placement
+from emberring.simulation.jobs.mutations import Bugs, make_owner, make_replica
+from emberring.simulation.jobs.world import World
 
 TICK_S = 0.05
 TOUCH_S = 0.2
--- a/emberring/lab/register_simulator.py
+++ b/emberring/simulation/register/simulator.py
@@ -11,11 +11,11 @@
 
 import attrs
 
-from emberring.lab.register_world import Bugs, Machine, Weather, World
-from emberring.lab.scheduled_step import ScheduledStep
-from emberring.lab.shortening import shortened
 from emberring.register.keeper import PATIENCE, Patience
 from emberring.register.model import Proposal
+from emberring.simulation.common.scheduled_step import ScheduledStep
+from emberring.simulation.common.shrinking import shortened
+from emberring.simulation.register.world import Bugs, Machine, Weather, World
 
 FOUNDERS = ("core-a", "core-b", "core-c")
 TROUBLE_S = 5.0  # how long troubles and callers go on
--- a/emberring/lab/register_world.py
+++ b/emberring/simulation/register/world.py
@@ -14,8 +14,6 @@
 
 from emberring.errors import CorruptRecordError, DiskFailedError
 from emberring.journal.ring import Ring
-from emberring.lab.register_disk import SimulatedFolder
-from emberring.lab.register_history import History, Operation, add_number
 from emberring.register.acceptor import Acceptor
 from emberring.register.events import (
     Action,
@@ -39,6 +37,8 @@
 from emberring.register.keeper import Patience
 from emberring.register.model import Member, Proposal, founding_identity, founding_proposal
 from emberring.register.node import RegisterNode
+from emberring.simulation.register.disk import SimulatedFolder
+from emberring.simulation.register.history import History, Operation, add_number
 
 SEGMENT_BYTES = 4096
 RING_BYTES = 64 * 1024
--- a/emberring/lab/control_scale.py
+++ b/emberring/simulation/scale/control_plane.py
@@ -27,10 +27,10 @@
 from emberring.distribution.facts import NodeFact, NodeRole, ServerState
 from emberring.distribution.follower import Follower
 from emberring.distribution.messages import Pull
-from emberring.lab.hollow_network import HollowNetwork, Meter
-from emberring.lab.task_owner import own_tasks
-from emberring.lab.virtual_time import run_virtually
 from emberring.settings import FaultTolerance
+from emberring.simulation.common.task_owner import own_tasks
+from emberring.simulation.common.virtual_time import run_virtually
+from emberring.simulation.scale.metered_network import HollowNetwork, Meter
 
 HEARTBEAT_S = 1.2
 START_S = 4.0  # until all know one another,
--- a/emberring/lab/hollow_network.py
+++ b/emberring/simulation/scale/metered_network.py
@@ -14,7 +14,7 @@
 import attrs
 
 from emberring.errors import PeerTimeoutError, PeerUnavailableError
-from emberring.lab.task_owner import TaskOwner
+from emberring.simulation.common.task_owner import TaskOwner
 from emberring.transport.messages import Envelope, decode, encode
 from emberring.transport.network import Caller, Network, Reply, expected
 
--- a/emberring/lab/control_cut.py
+++ b/emberring/simulation/scale/partition.py
@@ -12,7 +12,8 @@
 
 import attrs
 
-from emberring.lab.control_scale import (
+from emberring.simulation.common.virtual_time import run_virtually
+from emberring.simulation.scale.control_plane import (
     HollowControl,
     HollowGateway,
     RoleFigures,
@@ -25,8 +26,7 @@
     started,
     time_until,
 )
-from emberring.lab.hollow_network import HollowNetwork
-from emberring.lab.virtual_time import run_virtually
+from emberring.simulation.scale.metered_network import HollowNetwork
 
 PARTED = "parted"
 SETTLE_S = 5.0  # measured after the cut
--- a/emberring/store/disk.py
+++ b/emberring/store/disk.py
@@ -9,12 +9,12 @@
 import attrs
 
 from emberring.errors import CorruptRecordError, DiskFailedError
+from emberring.jobs.replica import REFUSE_S, Replica
+from emberring.jobs.replica_log import Logged, Started, decode_entry, encode_entry
 from emberring.journal.journal import Journal
 from emberring.journal.layout import Position
 from emberring.journal.layout import Record as JournalRecord
 from emberring.logs import get_logger
-from emberring.lots.replica import REFUSE_S, Replica
-from emberring.lots.replica_log import Logged, Started, decode_entry, encode_entry
 from emberring.placement.model import SHARDS
 from emberring.store.identity import create_identity, read_identity
 
--- a/emberring/store/dispatch.py
+++ b/emberring/store/dispatch.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from emberring.lots.calls import Assignment, LeasedItems, LeaseItems
+from emberring.jobs.calls import Assignment, LeasedItems, LeaseItems
 from emberring.store.shards import Shards
 
 FAR_AFTER_S = 0.25  # items wait for gateways of this zone for so long
--- a/emberring/store/gateway_calls.py
+++ b/emberring/store/gateway_calls.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from emberring.errors import NotReadyError, OverloadedError
-from emberring.lots.calls import EndLot, FinishRun, ReadItem, ReadLot, ReportAnswer, ReportRuns, SubmitLot
-from emberring.lots.records import lot_key
+from emberring.jobs.calls import EndLot, FinishRun, ReadItem, ReadLot, ReportAnswer, ReportRuns, SubmitLot
+from emberring.jobs.records import lot_key
 from emberring.placement.model import shard_of
 from emberring.store.shards import Shards
 
--- a/emberring/store/peers.py
+++ b/emberring/store/peers.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from emberring.errors import EmberringError, PeerUnavailableError
-from emberring.lots.messages import (
+from emberring.jobs.messages import (
     AskInventory,
     Claim,
     ClaimReply,
--- a/emberring/store/replicas.py
+++ b/emberring/store/replicas.py
@@ -7,11 +7,11 @@
 from typing import Any
 
 from emberring.errors import DiskFailedError, EmberringError, FencedError
+from emberring.jobs.messages import LeaseAnswer, Touch, TouchReply
+from emberring.jobs.replica import Action, Fail, Persist, Replica, ReplicaMessage, Reply
+from emberring.jobs.replica_log import Copied, Entry, encode_entry, split_by_size
 from emberring.journal.journal import Journal
 from emberring.journal.layout import Position
-from emberring.lots.messages import LeaseAnswer, Touch, TouchReply
-from emberring.lots.replica import Action, Fail, Persist, Replica, ReplicaMessage, Reply
-from emberring.lots.replica_log import Copied, Entry, encode_entry, split_by_size
 
 REWRITE_BYTES = 512 * 1024
 
--- a/emberring/store/role.py
+++ b/emberring/store/role.py
@@ -17,11 +17,11 @@
 from emberring.distribution.follower import Follower
 from emberring.distribution.messages import PlacementMoved
 from emberring.errors import EmberringError
+from emberring.jobs.calls import EndLot, FinishRun, LeaseItems, ReadItem, ReadLot, ReportRuns, SubmitLot
+from emberring.jobs.directory import Knowledge
+from emberring.jobs.messages import AskInventory, Claim, DropSlots, Fetch, Release, Touch, WriteSlots
+from emberring.jobs.status import AskStoreStatus
 from emberring.logs import get_logger
-from emberring.lots.calls import EndLot, FinishRun, LeaseItems, ReadItem, ReadLot, ReportRuns, SubmitLot
-from emberring.lots.directory import Knowledge
-from emberring.lots.messages import AskInventory, Claim, DropSlots, Fetch, Release, Touch, WriteSlots
-from emberring.lots.status import AskStoreStatus
 from emberring.settings import STORE_PORT_OFFSET, Settings
 from emberring.store.disk import begin_life, open_disk
 from emberring.store.dispatch import Dispatch
--- a/emberring/store/shards.py
+++ b/emberring/store/shards.py
@@ -9,11 +9,11 @@
 
 from emberring.configuration.model import Configuration
 from emberring.errors import InDoubtError, NotOwnerError
+from emberring.jobs.book import LotBook
+from emberring.jobs.messages import TouchReply
+from emberring.jobs.owner import BecameOwner, Chosen, LostOwnership, Moved, OwnerAction, Send, ShardOwner
+from emberring.jobs.shelf import Answer, BookAction, Propose, Refuse
 from emberring.logs import get_logger
-from emberring.lots.book import LotBook
-from emberring.lots.messages import TouchReply
-from emberring.lots.owner import BecameOwner, Chosen, LostOwnership, Moved, OwnerAction, Send, ShardOwner
-from emberring.lots.shelf import Answer, BookAction, Propose, Refuse
 from emberring.placement.model import SHARDS, Placement
 from emberring.store.peers import Peers
 from emberring.store.replicas import ReplicaHost
--- a/emberring/store/status.py
+++ b/emberring/store/status.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
-from emberring.lots.lot import Lot
-from emberring.lots.records import Term
-from emberring.lots.status import AskStoreStatus, LotStatus, ShardStatus, StoreStatus
+from emberring.jobs.lot import Lot
+from emberring.jobs.records import Term
+from emberring.jobs.status import AskStoreStatus, LotStatus, ShardStatus, StoreStatus
 from emberring.store.shards import Shards
 from emberring.transport.network import Caller
 
--- a/emberring/transport/messages.py
+++ b/emberring/transport/messages.py
@@ -8,11 +8,12 @@
 
 import base64
 import zlib
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from typing import Any, TypeVar
 
 import attrs
 import orjson
+from cattrs.gen import make_dict_structure_fn, make_dict_unstructure_fn, override
 from cattrs.preconf.orjson import make_converter
 
 from emberring.errors import ProtocolViolationError
@@ -72,8 +73,38 @@
 converter.register_structure_hook(bytes, _bytes_from_json)
 
 
-def message(kind: str) -> Callable[[type[T]], type[T]]:
-    """Register a frozen `attrs` class as the message of this kind, e.g. `register.prepare`."""
+def wire_record(wire_keys: Mapping[str, str]) -> Callable[[type[T]], type[T]]:
+    """Pin the JSON keys of an `attrs` class that travels inside messages or records.
+
+    `wire_keys` maps the names of fields to the keys that nodes of every version read and write for them. Fields that
+    are not named travel under their own names. `ValueError` where a name is no field of the class.
+    """
+
+    def register(cls: type[T]) -> type[T]:
+        names = {field.name for field in attrs.fields(cls)}  # type: ignore[arg-type]
+        unknown = sorted(set(wire_keys) - names)
+        if unknown:
+            raise ValueError(f"{cls.__name__} has no field {', '.join(unknown)}")
+        overrides = {name: override(rename=key) for name, key in wire_keys.items()}
+        # Factories, as types that the fields name may be defined further down in the module.
+        converter.register_unstructure_hook_factory(
+            lambda found: found is cls,
+            lambda found: make_dict_unstructure_fn(found, converter, **overrides),  # type: ignore[arg-type]
+        )
+        converter.register_structure_hook_factory(
+            lambda found: found is cls,
+            lambda found: make_dict_structure_fn(found, converter, **overrides),  # type: ignore[arg-type]
+        )
+        return cls
+
+    return register
+
+
+def message(kind: str, wire_keys: Mapping[str, str] | None = None) -> Callable[[type[T]], type[T]]:
+    """Register a frozen `attrs` class as the message of this kind, e.g. `register.prepare`.
+
+    `wire_keys` pins the JSON keys of fields as `wire_record` does.
+    """
 
     def register(cls: type[T]) -> type[T]:
         if _CLASS_OF.get(kind, cls) is not cls:
@@ -82,7 +113,7 @@
             raise TypeError(f"{cls.__name__} is not an attrs class")
         _KIND_OF[cls] = kind
         _CLASS_OF[kind] = cls
-        return cls
+        return wire_record(wire_keys)(cls) if wire_keys else cls
 
     return register
 
--- a/tests/emberring/cli/test_tier_check_disk.py
+++ b/tests/emberring/cli/test_tier_check_disk.py
@@ -16,11 +16,11 @@
 from emberring.cli.disk_reports import report_register, report_store
 from emberring.cli.simulator_checks import run_check
 from emberring.configuration.state import ControlState
+from emberring.jobs.records import Record, Term
+from emberring.jobs.replica_log import Promised, Written, encode_entry
 from emberring.journal.journal import Journal
 from emberring.journal.layout import SEGMENT_HEADER_BYTES
 from emberring.journal.survey import survey_journal
-from emberring.lots.records import Record, Term
-from emberring.lots.replica_log import Promised, Written, encode_entry
 from emberring.register.acceptor import Acceptor
 from emberring.register.model import Ballot, Member, Proposal, ReplicaSet, State
 from emberring.store.disk import JOURNAL_FOLDER
--- a/tests/emberring/cli/test_tier_cli.py
+++ b/tests/emberring/cli/test_tier_cli.py
@@ -10,8 +10,8 @@
 from emberring.cli import status_commands
 from emberring.cli.app import main
 from emberring.cli.config_diff import differences
+from emberring.emulator.configurations import trial_configuration
 from emberring.errors import PeerUnavailableError
-from emberring.standin.configurations import trial_configuration
 
 NODE = """
 NodeName = "core-1"
--- a/tests/emberring/distribution/test_tier_calls_in_flight.py
+++ b/tests/emberring/distribution/test_tier_calls_in_flight.py
@@ -16,9 +16,9 @@
 from emberring.distribution.load import FREQUENT_PAIRS, Word, WordSchedule
 from emberring.distribution.messages import Delta, Exchange, Pull, ServerEntry, Update
 from emberring.distribution.view import FollowerView
-from emberring.lab.hollow_network import HollowNetwork
-from emberring.lab.virtual_time import run_virtually
 from emberring.registry.known_load import GATEWAYS_BY_WORD, USUAL_S, KnownLoad
+from emberring.simulation.common.virtual_time import run_virtually
+from emberring.simulation.scale.metered_network import HollowNetwork
 from emberring.transport.network import Caller
 
 
--- a/tests/emberring/standin/test_tier_local_tier.py
+++ b/tests/emberring/emulator/test_tier_local_tier.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from emberring.standin.local_node import FRONTEND
-from emberring.standin.local_tier import LocalTier
+from emberring.emulator.local_node import FRONTEND
+from emberring.emulator.local_tier import LocalTier
 
 CASES = [
     ("a late answer takes nobody out", [(True, True), (False, True)], {0, 1}),
--- a/tests/emberring/standin/test_tier_standin_clients.py
+++ b/tests/emberring/emulator/test_tier_standin_clients.py
@@ -8,14 +8,14 @@
 import orjson
 import pytest
 
-from emberring.standin.connection import ServerConnection
-from emberring.standin.events import EventReader, StreamEvent
-from emberring.standin.heartbeats import Heartbeats
-from emberring.standin.model_server import ModelServer, ServerSpec
-from emberring.standin.observations import Observations
-from emberring.standin.operator import Operator
-from emberring.standin.waiting import wait_until
-from emberring.standin.wire import ServerRequest, whole_answer
+from emberring.emulator.connection import ServerConnection
+from emberring.emulator.events import EventReader, StreamEvent
+from emberring.emulator.heartbeats import Heartbeats
+from emberring.emulator.model_server import ModelServer, ServerSpec
+from emberring.emulator.observations import Observations
+from emberring.emulator.operator import Operator
+from emberring.emulator.waiting import wait_until
+from emberring.emulator.wire import ServerRequest, whole_answer
 
 
 class ScriptedControl:
--- a/tests/emberring/standin/test_tier_standin_engine.py
+++ b/tests/emberring/emulator/test_tier_standin_engine.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from emberring.standin.engine import Engine, EngineSpec, Job, Produced
-from emberring.standin.kv_cache import KvCache, PromptPart
+from emberring.emulator.engine import Engine, EngineSpec, Job, Produced
+from emberring.emulator.kv_cache import KvCache, PromptPart
 
 SPEC = EngineSpec(capacity=2, queue_limit=1, kv_tokens=1000, stride=4, prefill_chunk=100)
 
--- a/tests/emberring/standin/test_tier_standin_server.py
+++ b/tests/emberring/emulator/test_tier_standin_server.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from emberring.standin.engine import EngineSpec
-from emberring.standin.http_calls import CALL_ERRORS, call_once
-from emberring.standin.judge import judge_stream
-from emberring.standin.live_client import StreamCall, StreamEnd, try_once
-from emberring.standin.model_server import ModelServer, ServerSpec
-from emberring.standin.observations import Observations
-from emberring.standin.output import event_bytes, event_text, whole_output
-from emberring.standin.waiting import wait_until
+from emberring.emulator.engine import EngineSpec
+from emberring.emulator.http_calls import CALL_ERRORS, call_once
+from emberring.emulator.judge import judge_stream
+from emberring.emulator.live_client import StreamCall, StreamEnd, try_once
+from emberring.emulator.model_server import ModelServer, ServerSpec
+from emberring.emulator.observations import Observations
+from emberring.emulator.output import event_bytes, event_text, whole_output
+from emberring.emulator.waiting import wait_until
 
 STRIDE = 4
 ENGINE = EngineSpec(capacity=2, queue_limit=1, kv_tokens=5000, stride=STRIDE, step_s=0.0005)
--- a/tests/emberring/gateway/test_tier_gateway_items.py
+++ b/tests/emberring/gateway/test_tier_gateway_items.py
@@ -33,7 +33,7 @@
 )
 from emberring.gateway import execution, lots_api
 from emberring.gateway.reply import Patience
-from emberring.lots.items import ItemCall, ItemEvent, OutcomeKind
+from emberring.jobs.items import ItemCall, ItemEvent, OutcomeKind
 
 ROUTE = route("/lots/", RouteType.BATCH)
 SHORT = Patience(0.1, 0.2)
--- a/tests/emberring/lots/test_tier_lots_book.py
+++ b/tests/emberring/jobs/test_tier_lots_book.py
@@ -17,8 +17,8 @@
     NotReadyError,
     QuotaExceededError,
 )
-from emberring.lots.book import LISTED_SLACK_S, LotBook
-from emberring.lots.calls import (
+from emberring.jobs.book import LISTED_SLACK_S, LotBook
+from emberring.jobs.calls import (
     Assignment,
     EndLot,
     EventData,
@@ -33,13 +33,13 @@
     RunProgress,
     SubmitLot,
 )
-from emberring.lots.items import OutcomeKind
-from emberring.lots.owned import OwnedRecords
-from emberring.lots.packing import pack_events, squeeze, unpack_events
-from emberring.lots.records import DEFINITION, END, FORGOTTEN
-from emberring.lots.results import page_json
-from emberring.lots.running import ANNOUNCE_S, RETENTION_SLACK_S, RUN_LEASE_S
-from emberring.lots.shelf import Answer, BookAction, Forget, Propose, Refuse
+from emberring.jobs.items import OutcomeKind
+from emberring.jobs.owned import OwnedRecords
+from emberring.jobs.packing import pack_events, squeeze, unpack_events
+from emberring.jobs.records import DEFINITION, END, FORGOTTEN
+from emberring.jobs.results import page_json
+from emberring.jobs.running import ANNOUNCE_S, RETENTION_SLACK_S, RUN_LEASE_S
+from emberring.jobs.shelf import Answer, BookAction, Forget, Propose, Refuse
 from emberring.transport.messages import Ok
 
 HOST = "lots.example"
--- a/tests/emberring/lots/test_tier_lots_client.py
+++ b/tests/emberring/jobs/test_tier_lots_client.py
@@ -23,9 +23,9 @@
     PeerUnavailableError,
     QuotaExceededError,
 )
-from emberring.lots.calls import LotPage, SubmitLot
-from emberring.lots.client import LotClient
-from emberring.lots.results import ResultState, encode_result
+from emberring.jobs.calls import LotPage, SubmitLot
+from emberring.jobs.client import LotClient
+from emberring.jobs.results import ResultState, encode_result
 from emberring.placement.model import SHARDS, Group, Placement, StoreMember
 from emberring.transport.messages import Ok
 
--- a/tests/emberring/lots/test_tier_lots_merge.py
+++ b/tests/emberring/jobs/test_tier_lots_merge.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from emberring.lots.adoption import Adoption
-from emberring.lots.lease import LEASE_S, OwnerLease, has_quorum
-from emberring.lots.merge import merge, misplaced
-from emberring.lots.records import (
+from emberring.jobs.adoption import Adoption
+from emberring.jobs.lease import LEASE_S, OwnerLease, has_quorum
+from emberring.jobs.merge import merge, misplaced
+from emberring.jobs.records import (
     DEFINITION,
     FORGOTTEN,
     LotState,
@@ -17,9 +17,9 @@
     checksum,
     unpack_records,
 )
-from emberring.lots.replica import Replica
-from emberring.lots.replica_log import Written
-from emberring.lots.results import ResultState, encode_result
+from emberring.jobs.replica import Replica
+from emberring.jobs.replica_log import Written
+from emberring.jobs.results import ResultState, encode_result
 from emberring.placement.model import Group
 
 GROUP = Group(0, 1, ("a", "b", "c"))
--- a/tests/emberring/lots/test_tier_lots_owner.py
+++ b/tests/emberring/jobs/test_tier_lots_owner.py
@@ -8,12 +8,12 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from tier_lots_trio import Trio
 
-from emberring.lots.lease import LEASE_S
-from emberring.lots.messages import Claim
-from emberring.lots.owner import Stage
-from emberring.lots.records import DEFINITION, FORGOTTEN, Term
-from emberring.lots.replica import REFUSE_S
-from emberring.lots.results import ResultState, encode_result, item_index
+from emberring.jobs.lease import LEASE_S
+from emberring.jobs.messages import Claim
+from emberring.jobs.owner import Stage
+from emberring.jobs.records import DEFINITION, FORGOTTEN, Term
+from emberring.jobs.replica import REFUSE_S
+from emberring.jobs.results import ResultState, encode_result, item_index
 from emberring.placement.model import Group, in_order
 
 ABC = Group(0, 1, ("a", "b", "c"))
--- a/tests/emberring/lots/test_tier_lots_packing.py
+++ b/tests/emberring/jobs/test_tier_lots_packing.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 
 from emberring.errors import CorruptRecordError
-from emberring.lots.calls import EventData, LotPage
-from emberring.lots.packing import expand, pack_events, squeeze, unpack_events
-from emberring.lots.results import ResultState, build_page, encode_result, item_index, page_json
+from emberring.jobs.calls import EventData, LotPage
+from emberring.jobs.packing import expand, pack_events, squeeze, unpack_events
+from emberring.jobs.results import ResultState, build_page, encode_result, item_index, page_json
 
 TEXT = st.text(st.characters(exclude_categories=("Cs",)), max_size=60)
 EVENTS = st.lists(st.builds(EventData, st.integers(0, 10**9), TEXT), max_size=6).map(tuple)
--- a/tests/emberring/lots/test_tier_lots_records.py
+++ b/tests/emberring/jobs/test_tier_lots_records.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from emberring.errors import CorruptRecordError
-from emberring.lots.records import (
+from emberring.jobs.records import (
     LotState,
     Record,
     SlotState,
@@ -17,7 +17,7 @@
     unpack_inventory,
     unpack_records,
 )
-from emberring.lots.replica_log import (
+from emberring.jobs.replica_log import (
     Copied,
     Dropped,
     Emptied,
--- a/tests/emberring/lots/test_tier_lots_replica.py
+++ b/tests/emberring/jobs/test_tier_lots_replica.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from emberring.lots.messages import (
+from emberring.jobs.messages import (
     AskInventory,
     Claim,
     ClaimReply,
@@ -17,7 +17,7 @@
     WriteReply,
     WriteSlots,
 )
-from emberring.lots.records import (
+from emberring.jobs.records import (
     DEFINITION,
     FORGOTTEN,
     Record,
@@ -26,8 +26,8 @@
     unpack_inventory,
     unpack_records,
 )
-from emberring.lots.replica import CLAIM_HOLD_S, REFUSE_S, Action, Fail, Persist, Replica, Reply
-from emberring.lots.replica_log import Copied, Dropped, Emptied, Entry, Promised, Written
+from emberring.jobs.replica import CLAIM_HOLD_S, REFUSE_S, Action, Fail, Persist, Replica, Reply
+from emberring.jobs.replica_log import Copied, Dropped, Emptied, Entry, Promised, Written
 from emberring.transport.messages import Ok
 
 OLD, NEW, NEWEST = Term(1, 1, "a"), Term(1, 2, "b"), Term(2, 1, "a")
--- a/tests/emberring/lots/test_tier_schedule.py
+++ b/tests/emberring/jobs/test_tier_schedule.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from emberring.lots.schedule import LEAST_TIGHT_S, MOST_TIGHT_S, Entry, Schedule
+from emberring.jobs.schedule import LEAST_TIGHT_S, MOST_TIGHT_S, Entry, Schedule
 
 
 def entry(name: str, due_s: float, given_up_s: float = 100.0) -> Entry:
--- a/tests/emberring/lots/tier_lots_trio.py
+++ b/tests/emberring/jobs/tier_lots_trio.py
@@ -6,10 +6,10 @@
 
 import attrs
 
-from emberring.lots.messages import Touch
-from emberring.lots.owner import BecameOwner, Chosen, LostOwnership, Moved, OwnerAction, Send, ShardOwner
-from emberring.lots.replica import REFUSE_S, Action, Fail, Persist, Replica, Reply
-from emberring.lots.replica_log import Entry
+from emberring.jobs.messages import Touch
+from emberring.jobs.owner import BecameOwner, Chosen, LostOwnership, Moved, OwnerAction, Send, ShardOwner
+from emberring.jobs.replica import REFUSE_S, Action, Fail, Persist, Replica, Reply
+from emberring.jobs.replica_log import Entry
 from emberring.placement.model import Group
 
 
--- a/tests/emberring/journal/test_tier_journal.py
+++ b/tests/emberring/journal/test_tier_journal.py
@@ -12,7 +12,7 @@
 from emberring.journal import Journal, Position
 from emberring.journal import journal as module
 from emberring.journal.ring import Ring
-from emberring.lab.register_disk import SimulatedFolder
+from emberring.simulation.register.disk import SimulatedFolder
 
 SEGMENT = 4096
 LIMIT = 8 * SEGMENT
--- a/tests/emberring/journal/test_tier_journal_ring.py
+++ b/tests/emberring/journal/test_tier_journal_ring.py
@@ -11,7 +11,7 @@
 
 from emberring.errors import CorruptRecordError, DiskFailedError
 from emberring.journal.ring import Ring
-from emberring.lab.register_disk import SimulatedFolder
+from emberring.simulation.register.disk import SimulatedFolder
 
 SEGMENT = 512
 LIMIT = 16 * SEGMENT
--- a/tests/emberring/register/test_tier_register_model.py
+++ b/tests/emberring/register/test_tier_register_model.py
@@ -5,8 +5,8 @@
 import attrs
 import pytest
 
-from emberring.lab.controlplane.mistakes import Mistake, seeded
-from emberring.lab.register_model import Bounds, Found, search
+from emberring.simulation.control_plane.mutations import Mistake, seeded
+from emberring.simulation.register.model import Bounds, Found, search
 
 SMALL = Bounds(ballots=(1, 1), losses=0, restarts=0)
 
--- a/tests/emberring/register/test_tier_register_simulator.py
+++ b/tests/emberring/register/test_tier_register_simulator.py
@@ -4,9 +4,10 @@
 
 import pytest
 
-from emberring.lab.controlplane.mistakes import Mistake, seeded
-from emberring.lab.register_history import History, add_number, parse_value
-from emberring.lab.register_simulator import (
+from emberring.register.keeper import PATIENCE
+from emberring.simulation.control_plane.mutations import Mistake, seeded
+from emberring.simulation.register.history import History, add_number, parse_value
+from emberring.simulation.register.simulator import (
     FOUNDERS,
     Kind,
     Schedule,
@@ -17,8 +18,7 @@
     play_seed,
     shorten,
 )
-from emberring.lab.register_world import Bugs, Machine, Weather, World
-from emberring.register.keeper import PATIENCE
+from emberring.simulation.register.world import Bugs, Machine, Weather, World
 
 OLD_SET_SEED = 20  # within 40 seeds from here a change of the set by the old set alone does harm
 
--- a/tests/emberring/lab/control_worst_days.py
+++ b/tests/emberring/simulation/control_worst_days.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from emberring.lab.controlplane.schedule import Kind, Schedule, Step
+from emberring.simulation.control_plane.schedule import Kind, Schedule, Step
 
 SPAN_S = 24.0
 
--- a/tests/emberring/lab/test_tier_ablation.py
+++ b/tests/emberring/simulation/test_tier_ablation.py
@@ -11,10 +11,10 @@
 from emberring.admission import candidates, pool
 from emberring.admission.table import CursorTable
 from emberring.cli.app import main
-from emberring.lab import ablation
-from emberring.lab.ablation import Case, Mechanism, play, without, worth_of
-from emberring.lab.admission_site import LEDGER, SITES
-from emberring.lab.admission_trial import Figures
+from emberring.simulation.admission import ablation
+from emberring.simulation.admission.ablation import Case, Mechanism, play, without, worth_of
+from emberring.simulation.admission.site import LEDGER, SITES
+from emberring.simulation.admission.trial import Figures
 
 SHORT = Case(LEDGER, seconds=1.5, factor=0.5)
 
--- a/tests/emberring/lab/test_tier_control_cut.py
+++ b/tests/emberring/simulation/test_tier_control_cut.py
@@ -7,14 +7,14 @@
 import pytest
 from typer.testing import CliRunner
 
-from emberring.cli.lab_commands import app
+from emberring.cli.simulation_commands import app
 from emberring.distribution.view import ORPHAN_S
 from emberring.errors import PeerTimeoutError
-from emberring.lab.control_cut import measure_cut
-from emberring.lab.control_scale import Size
-from emberring.lab.hollow_network import HollowNetwork
-from emberring.lab.task_owner import own_tasks
-from emberring.lab.virtual_time import run_virtually
+from emberring.simulation.common.task_owner import own_tasks
+from emberring.simulation.common.virtual_time import run_virtually
+from emberring.simulation.scale.control_plane import Size
+from emberring.simulation.scale.metered_network import HollowNetwork
+from emberring.simulation.scale.partition import measure_cut
 from emberring.transport.messages import Ok
 
 
--- a/tests/emberring/lab/test_tier_control_mistakes.py
+++ b/tests/emberring/simulation/test_tier_control_mutations.py
@@ -7,8 +7,8 @@
 import pytest
 from control_worst_days import worst_day
 
-from emberring.lab.controlplane.mistakes import Mistake
-from emberring.lab.controlplane.simulator import Verdict, play
+from emberring.simulation.control_plane.mutations import Mistake
+from emberring.simulation.control_plane.simulator import Verdict, play
 
 TRIED = 10  # seeds; the first that shows the mistake ends it
 SLOW_SYNC_S = 0.05
--- a/tests/emberring/lab/test_tier_control_scale.py
+++ b/tests/emberring/simulation/test_tier_control_scale.py
@@ -8,13 +8,13 @@
 import pytest
 from typer.testing import CliRunner
 
-from emberring.cli.lab_commands import app
+from emberring.cli.simulation_commands import app
 from emberring.distribution.follower import REPORT_WAIT_S, WORD_WAIT_S
 from emberring.errors import PeerTimeoutError, PeerUnavailableError
-from emberring.lab.control_scale import Size, measure, power
-from emberring.lab.hollow_network import HollowNetwork
-from emberring.lab.task_owner import own_tasks
-from emberring.lab.virtual_time import run_virtually
+from emberring.simulation.common.task_owner import own_tasks
+from emberring.simulation.common.virtual_time import run_virtually
+from emberring.simulation.scale.control_plane import Size, measure, power
+from emberring.simulation.scale.metered_network import HollowNetwork
 from emberring.transport.messages import Ok
 
 VIRTUAL_S = 60.0  # of a clock that jumps
--- a/tests/emberring/lab/test_tier_control_simulator.py
+++ b/tests/emberring/simulation/test_tier_control_simulator.py
@@ -7,13 +7,13 @@
 import pytest
 
 from emberring.configuration.state import ControlState
-from emberring.lab.controlplane.history import ControlHistory, OrderSeen
-from emberring.lab.controlplane.mistakes import Mistake, seeded
-from emberring.lab.controlplane.process import Process
-from emberring.lab.controlplane.schedule import Kind, Schedule, Step
-from emberring.lab.controlplane.simulator import describe, play, play_seed, shorten
-from emberring.lab.task_owner import own_tasks
-from emberring.lab.virtual_time import run_virtually
+from emberring.simulation.common.task_owner import own_tasks
+from emberring.simulation.common.virtual_time import run_virtually
+from emberring.simulation.control_plane.history import ControlHistory, OrderSeen
+from emberring.simulation.control_plane.mutations import Mistake, seeded
+from emberring.simulation.control_plane.process import Process
+from emberring.simulation.control_plane.schedule import Kind, Schedule, Step
+from emberring.simulation.control_plane.simulator import describe, play, play_seed, shorten
 
 
 @pytest.mark.parametrize("first", [0, 8])
--- a/tests/emberring/lab/test_tier_control_worst_days.py
+++ b/tests/emberring/simulation/test_tier_control_worst_days.py
@@ -5,7 +5,7 @@
 import pytest
 from control_worst_days import WORST_DAYS, worst_day
 
-from emberring.lab.controlplane.simulator import play
+from emberring.simulation.control_plane.simulator import play
 
 
 @pytest.mark.parametrize("spares", [0, 2])
--- a/tests/emberring/lab/test_tier_engine_model.py
+++ b/tests/emberring/simulation/test_tier_engine_model.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from emberring.lab.engine_model import Engine, EngineCall, EngineFigures, Part
+from emberring.simulation.admission.engine_model import Engine, EngineCall, EngineFigures, Part
 
 FIGURES = EngineFigures(
     capacity=2,
--- a/tests/emberring/lab/test_tier_lots_simulator.py
+++ b/tests/emberring/simulation/test_tier_lots_simulator.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from emberring.lab.lots_bugs import Bugs
-from emberring.lab.lots_simulator import describe, make_schedule, play, play_seed
+from emberring.simulation.jobs.mutations import Bugs
+from emberring.simulation.jobs.simulator import describe, make_schedule, play, play_seed
 
 
 def test_schedules_are_clean_and_something_happens_in_them() -> None:
--- a/tests/emberring/store/test_tier_store_disk.py
+++ b/tests/emberring/store/test_tier_store_disk.py
@@ -4,10 +4,10 @@
 
 import pytest
 
+from emberring.jobs.records import Record, Term
+from emberring.jobs.replica_log import Entry, Promised, Started, Written, encode_entry
 from emberring.journal.layout import Position
 from emberring.journal.layout import Record as JournalRecord
-from emberring.lots.records import Record, Term
-from emberring.lots.replica_log import Entry, Promised, Started, Written, encode_entry
 from emberring.store.disk import restore
 
 
--- a/tests/emberring/store/test_tier_store_dispatch.py
+++ b/tests/emberring/store/test_tier_store_dispatch.py
@@ -9,8 +9,8 @@
 import attrs
 import pytest
 
-from emberring.lab.virtual_time import run_virtually
-from emberring.lots.calls import LeasedItems, LeaseItems
+from emberring.jobs.calls import LeasedItems, LeaseItems
+from emberring.simulation.common.virtual_time import run_virtually
 from emberring.store.dispatch import FAR_AFTER_S, Dispatch
 
 WAIT_MS = 800
--- a/tests/emberring/store/test_tier_store_path.py
+++ b/tests/emberring/store/test_tier_store_path.py
@@ -10,7 +10,7 @@
 from tier_store_cluster import HOST, ROUTE, Cluster, FakeExecutor, lot_body, read_all, run, text_of
 
 from emberring.errors import NotFoundError, QuotaExceededError
-from emberring.lots.items import OutcomeKind
+from emberring.jobs.items import OutcomeKind
 from emberring.placement.model import shard_of
 
 
--- a/tests/emberring/store/tier_store_cluster.py
+++ b/tests/emberring/store/tier_store_cluster.py
@@ -16,10 +16,10 @@
 from emberring.distribution.facts import NodeFact, NodeRole
 from emberring.distribution.messages import PlacementMoved
 from emberring.errors import NotReadyError
-from emberring.lots.client import LotClient
-from emberring.lots.directory import OwnerDirectory
-from emberring.lots.items import ItemCall, ItemEvent, ItemOutcome, OutcomeKind
-from emberring.lots.runner import UnitRunner
+from emberring.jobs.client import LotClient
+from emberring.jobs.directory import OwnerDirectory
+from emberring.jobs.items import ItemCall, ItemEvent, ItemOutcome, OutcomeKind
+from emberring.jobs.runner import UnitRunner
 from emberring.placement.model import Placement, finish_move
 from emberring.placement.planning import PlanMemory, plan
 from emberring.settings import Limits, Settings
--- a/tests/emberring/test_tier_structure.py
+++ b/tests/emberring/test_tier_structure.py
@@ -17,10 +17,10 @@
 LAYERS: tuple[frozenset[str], ...] = (
     frozenset({"__main__"}),
     frozenset({"cli"}),
-    frozenset({"lab"}),
+    frozenset({"simulation"}),
     frozenset({"gateway", "control", "store"}),
-    frozenset({"standin"}),
-    frozenset({"lots"}),
+    frozenset({"emulator"}),
+    frozenset({"jobs"}),
     frozenset({"admission", "distribution"}),
     frozenset({"registry", "configuration"}),
     frozenset({"placement"}),
@@ -107,4 +107,4 @@
     modules = {name.split(".")[0] for name in done.stdout.split()}
     assert not HEAVY & modules
     ours = {name.split(".")[1] for name in done.stdout.split() if name.startswith("emberring.")}
-    assert not {"cli", "lab", "standin"} & ours
+    assert not {"cli", "simulation", "emulator"} & ours
--- a/tests/emberring/test_tier_whole.py
+++ b/tests/emberring/test_tier_whole.py
@@ -5,16 +5,16 @@
 import asyncio
 from pathlib import Path
 
-from emberring.standin.configurations import EXPLAIN_PREFIX, SERVICE, added_route, trial_configuration
-from emberring.standin.engine import EngineSpec
-from emberring.standin.judge import judge_lot, judge_stream
-from emberring.standin.live_client import LiveClient, StreamCall, StreamEnd
-from emberring.standin.local_tier import LocalTier
-from emberring.standin.lot_client import LotClient, make_lot
-from emberring.standin.observations import Observations
-from emberring.standin.operator import Operator
-from emberring.standin.server_fleet import ServerFleet
-from emberring.standin.store_survey import busiest_store
+from emberring.emulator.configurations import EXPLAIN_PREFIX, SERVICE, added_route, trial_configuration
+from emberring.emulator.engine import EngineSpec
+from emberring.emulator.judge import judge_lot, judge_stream
+from emberring.emulator.live_client import LiveClient, StreamCall, StreamEnd
+from emberring.emulator.local_tier import LocalTier
+from emberring.emulator.lot_client import LotClient, make_lot
+from emberring.emulator.observations import Observations
+from emberring.emulator.operator import Operator
+from emberring.emulator.server_fleet import ServerFleet
+from emberring.emulator.store_survey import busiest_store
 
 START_S = 40.0  # several processes start at once, perhaps on a busy machine
 ORDER_S = 20.0
--- a/tests/emberring/transport/test_tier_network.py
+++ b/tests/emberring/transport/test_tier_network.py
@@ -9,6 +9,7 @@
 import orjson
 import pytest
 
+from emberring.emulator.waiting import wait_until
 from emberring.errors import (
     FencedError,
     InternalError,
@@ -16,7 +17,6 @@
     PeerUnavailableError,
     ProtocolViolationError,
 )
-from emberring.standin.waiting import wait_until
 from emberring.transport import network as network_module
 from emberring.transport.messages import Envelope, encode, message
 from emberring.transport.network import Caller, Network
--- a/tests/golden/record_disk.py
+++ b/tests/golden/record_disk.py
@@ -20,12 +20,10 @@
 from emberring.configuration.orders import OrderKind, judge, read_order
 from emberring.configuration.reading import build, pack
 from emberring.configuration.state import ControlState
-from emberring.journal.folder import DiskFolder
-from emberring.journal.ring import Ring
-from emberring.lots.calls import EventData, LotTerms
-from emberring.lots.definition import encode_definition, parse_items
-from emberring.lots.packing import pack_events, squeeze
-from emberring.lots.records import (
+from emberring.jobs.calls import EventData, LotTerms
+from emberring.jobs.definition import encode_definition, parse_items
+from emberring.jobs.packing import pack_events, squeeze
+from emberring.jobs.records import (
     LotState,
     Record,
     SlotState,
@@ -36,9 +34,11 @@
     pack_records,
     pack_term,
 )
-from emberring.lots.replica import slot_digest
-from emberring.lots.replica_log import Copied, Dropped, Emptied, Promised, Started, Written, encode_entry
-from emberring.lots.results import ResultState, encode_result
+from emberring.jobs.replica import slot_digest
+from emberring.jobs.replica_log import Copied, Dropped, Emptied, Promised, Started, Written, encode_entry
+from emberring.jobs.results import ResultState, encode_result
+from emberring.journal.folder import DiskFolder
+from emberring.journal.ring import Ring
 from emberring.placement.model import Group, Placement, StoreMember, score, shard_of
 from emberring.register.acceptor import Acceptor
 from emberring.register.messages import Accept, Prepare
--- a/tests/golden/record_golden.py
+++ b/tests/golden/record_golden.py
@@ -22,7 +22,7 @@
 
 import emberring
 from emberring.errors import ErrorKind
-from emberring.lots.items import OutcomeKind
+from emberring.jobs.items import OutcomeKind
 from emberring.registry.trouble import Trouble
 from emberring.transport.messages import _CLASS_OF, Envelope, encode
 
--- a/tests/golden/test_golden_commands.py
+++ b/tests/golden/test_golden_commands.py
@@ -25,12 +25,12 @@
 from emberring.cli.trial_command import document as trial_document
 from emberring.configuration.state import ControlState
 from emberring.distribution.facts import NodeRole
+from emberring.emulator.judge import Breach
+from emberring.emulator.traffic import Tally
+from emberring.emulator.trial import TrialReport, Trouble
 from emberring.journal.folder import DiskFile
 from emberring.register.acceptor import Acceptor
 from emberring.register.model import Ballot, Member, Proposal, ReplicaSet, State
-from emberring.standin.judge import Breach
-from emberring.standin.traffic import Tally
-from emberring.standin.trial import TrialReport, Trouble
 from loadbalancer.cli import main as node_main
 
 GOOD = ROOT / "tests" / "sidecar" / "good"
--- a/tests/golden/test_golden_disk.py
+++ b/tests/golden/test_golden_disk.py
@@ -23,9 +23,9 @@
 from emberring.configuration.state import ControlState as ControlValue
 from emberring.control import remembered
 from emberring.errors import CorruptRecordError as Corrupt
+from emberring.jobs import definition, packing, records, replica, replica_log, results
 from emberring.journal.journal import Journal
 from emberring.journal.survey import survey_journal
-from emberring.lots import definition, packing, records, replica, replica_log, results
 from emberring.placement import model as placement
 from emberring.register import acceptor as register_records
 from emberring.register import service as register_service
--- a/tests/golden/test_golden_messages.py
+++ b/tests/golden/test_golden_messages.py
@@ -26,7 +26,7 @@
 
 import emberring as package
 from emberring.errors import ErrorKind as FailureKinds
-from emberring.lots.items import OutcomeKind as RunEnds
+from emberring.jobs.items import OutcomeKind as RunEnds
 from emberring.registry.trouble import Trouble as Troubles
 from emberring.transport import messages as wire
 
--- a/tests/versions/versioned_tier.py
+++ b/tests/versions/versioned_tier.py
@@ -20,9 +20,7 @@
 import orjson
 import pytest
 
-from emberring.errors import EmberringError
-from emberring.settings import SETTINGS_VARIABLE
-from emberring.standin.configurations import (
+from emberring.emulator.configurations import (
     ADDED_PREFIX,
     EXPLAIN_PREFIX,
     SERVICE,
@@ -30,21 +28,23 @@
     added_route,
     trial_configuration,
 )
-from emberring.standin.engine import EngineSpec
-from emberring.standin.heartbeats import Heartbeats
-from emberring.standin.http_calls import CALL_ERRORS, call_once
-from emberring.standin.judge import judge_lot, judge_stream
-from emberring.standin.live_client import LiveClient, StreamCall, StreamEnd
-from emberring.standin.local_node import CONTROL_PLANE, FRONTEND, READINESS, LocalNode, settings_text
-from emberring.standin.local_tier import LocalTier, TierSize
-from emberring.standin.lot_client import LotClient, LotHistory, make_lot
-from emberring.standin.model_server import ModelServer
-from emberring.standin.observations import Observations
-from emberring.standin.operator import Operator
-from emberring.standin.server_fleet import ServerFleet
-from emberring.standin.store_survey import survey_stores
-from emberring.standin.traffic import Traffic, TrafficPlan
-from emberring.standin.waiting import LOOK_EVERY_S
+from emberring.emulator.engine import EngineSpec
+from emberring.emulator.heartbeats import Heartbeats
+from emberring.emulator.http_calls import CALL_ERRORS, call_once
+from emberring.emulator.judge import judge_lot, judge_stream
+from emberring.emulator.live_client import LiveClient, StreamCall, StreamEnd
+from emberring.emulator.local_node import CONTROL_PLANE, FRONTEND, READINESS, LocalNode, settings_text
+from emberring.emulator.local_tier import LocalTier, TierSize
+from emberring.emulator.lot_client import LotClient, LotHistory, make_lot
+from emberring.emulator.model_server import ModelServer
+from emberring.emulator.observations import Observations
+from emberring.emulator.operator import Operator
+from emberring.emulator.server_fleet import ServerFleet
+from emberring.emulator.store_survey import survey_stores
+from emberring.emulator.traffic import Traffic, TrafficPlan
+from emberring.emulator.waiting import LOOK_EVERY_S
+from emberring.errors import EmberringError
+from emberring.settings import SETTINGS_VARIABLE
 
 # The last release before the renaming of landing 13: what stands in service while a node of this checkout starts.
 REFERENCE_COMMIT = "e0fe695"
