--- a/tests/versions/versioned_tier.py
+++ b/tests/versions/versioned_tier.py
@@ -59,6 +59,7 @@
 NODE_GRACE_S = 3.0
 PAGE_S = 2.0
 FRESH_MAJORITY_S = 1.0  # a control node that heard of a majority longer ago is cut off
+SIGNS_OF_FAULTS = ("protocol_violation", "Traceback", "level=ERROR")
 STRIDE = 8
 SERVERS = 3
 TERMS = TrialTerms(stride=STRIDE, retention_s=600)
@@ -207,6 +208,17 @@
         """End all nodes in order."""
         codes = await self.tier.stop()
         assert set(codes.values()) == {0}, (codes, self.logs())
+        self.check_logs()
+
+    def check_logs(self) -> None:
+        """No node met a message of another that it could not read, or an error that it did not expect."""
+        lines = [
+            f"{name}: {line}"
+            for name, node in self.tier.nodes.items()
+            for line in node.log_path.read_text(errors="replace").splitlines()
+            if any(sign in line for sign in SIGNS_OF_FAULTS)
+        ]
+        assert lines == []
 
     async def clear(self) -> None:
         """End whatever still runs."""
