--- a/tests/versions/test_two_versions.py
+++ b/tests/versions/test_two_versions.py
@@ -115,3 +115,25 @@
 
 def test_a_tier_is_replaced_node_by_node_and_loses_nothing(old_program, tmp_path):
     run_world(tmp_path, dict.fromkeys(ROLES, old_program), lambda world: replace_all(world, NEW_PROGRAM))
+
+
+async def replace_whole(world: World, program: Path) -> None:
+    """Stop the whole tier and start this program on its data: no node can teach another what it could not read."""
+    await world.start()
+    finished = await world.submit_lot(40, seed=3)
+    await world.finish_lot(finished)
+    await world.drain_server()
+    await world.add_route()
+    open_lot = await world.submit_lot(200, seed=5, gateway=1)
+    await world.tier.replace_whole(program)
+    await world.settle()
+    await world.finish_lot(open_lot)
+    await world.read_lot_again(finished)
+    await world.ask_added_route()
+    await world.replace_configuration()
+    world.check_drains()
+    await world.stop()
+
+
+def test_a_tier_started_anew_finds_what_the_other_version_wrote(old_program, tmp_path):
+    run_world(tmp_path, dict.fromkeys(ROLES, old_program), lambda world: replace_whole(world, NEW_PROGRAM))
--- a/tests/versions/versioned_tier.py
+++ b/tests/versions/versioned_tier.py
@@ -152,6 +152,18 @@
         node.start(bootstrap=False)
         assert await self.wait_up([name], START_S) is not None, (name, node.log_tail())
 
+    async def replace_whole(self, program: Path) -> None:
+        """End all nodes, and only then start all with this program on the same data directories."""
+        codes = await self.stop()
+        assert set(codes.values()) == {0}, codes
+        for node in self.versioned():
+            node.program = program
+            node.start(bootstrap=False)
+        self._prober = asyncio.get_running_loop().create_task(self._probe_on())
+        assert await self.wait_up(self.nodes, START_S) is not None, [
+            (name, node.log_tail()) for name, node in self.nodes.items()
+        ]
+
 
 async def holds_within(check: Callable[[], Awaitable[bool]], within_s: float) -> bool:
     """Ask again and again until the answer is yes; whether it was within the time (seconds)."""
