--- a/tests/golden/test_golden_http.py
+++ b/tests/golden/test_golden_http.py
@@ -13,8 +13,13 @@
 
 import pytest
 import tier_store_cluster as stores
+from beside import address, boxes
+from beside import running as sidecar_running
 from gateway_world import ROUTES, Client, Received, World, play, request, until
 from golden_api import check_golden, flat, shape
+from loopback import Discovery, Peer, listing, reply
+from loopback import request as node_request
+from loopback import running as node_running
 from test_tier_gateway_role import FakeControl, with_control
 from tier_control_fixture import AFollower, Cluster, a_document, a_heartbeat, eventually, now, on_cluster
 
@@ -390,3 +395,99 @@
 
     on_cluster(scenario)
     check_golden("http/control_status.json", found)
+
+
+# ------------------------------------------------------------------ the platform's node and the sidecar
+
+
+def test_the_platform_nodes_answers_are_the_recorded_ones() -> None:
+    found: dict[str, Any] = {}
+
+    async def by_path(message: Any) -> bytes:
+        busy = message.headers.get("req-id") in ("busy", "busy-retry")
+        return reply(503, b"", Srv_Declined="1") if busy else reply(200, b"done", Srv_Load="TEXT depth=3")
+
+    async def main() -> None:
+        server = Peer(by_path)
+        discovery = Discovery()
+        async with node_running(server, discovery=discovery) as node:
+
+            async def ask(name: str, data: bytes) -> None:
+                client = Client(*await asyncio.open_connection(*node.server.address))
+                await client.send(data)
+                found[name] = seen(await client.receive())
+                client.close()
+
+            more = {
+                "Idempotency_Key": "k",
+                "Req_Owner": "o",
+                "Req_Retry": "1",
+                "Req_Cost": "5",
+                "Req_Extra": "e",
+            }
+            more |= {"Accept": "a", "Content_Type": "t/t", "Content_Encoding": "c", "Other": "x"}
+            await ask("free", node_request("read", "q1", Req_Deadline_Ms="20000"))
+            await ask("guarded", node_request("move", "q2", b"body", **more))
+            await ask("guarded without a key", node_request("move", "q3", b"body"))
+            await ask("single", node_request("post", "q4", b"body"))
+            await ask("unknown class", node_request("nosuch", "q5"))
+            await ask("no id", b"GET /read/1 HTTP/1.1\r\nHost: s\r\n\r\n")
+            await ask("wrong method", b"DELETE /read/1 HTTP/1.1\r\nHost: s\r\nReq-Id: q6\r\n\r\n")
+            await ask("bad deadline", node_request("read", "q7", Req_Deadline_Ms="x"))
+            await ask("bad cost", node_request("read", "q8", Req_Cost="-1"))
+            await ask("declined", node_request("read", "busy", Req_Deadline_Ms="300"))
+            await ask("ready", b"GET /up HTTP/1.1\r\nHost: s\r\n\r\n")
+            await until(lambda: bool(discovery.seen))
+            found["sent on"] = {
+                told.headers["req-id"]: [*told.first, *sorted(told.headers)]
+                for told in server.seen
+                if told.headers["req-id"].startswith("q")
+            }
+            found["asked of discovery"] = [*discovery.seen[0].first, *sorted(discovery.seen[0].headers)]
+
+    asyncio.run(asyncio.wait_for(main(), PATIENCE_S))
+    check_golden("http/node.json", found)
+
+
+def test_the_platform_node_takes_a_list_of_discovery() -> None:
+    async def main() -> None:
+        first, second = Peer(), await Peer().start()
+        news = listing(2, True, s9=(second.endpoint, "Ready"))
+        try:
+            async with node_running(first, discovery=Discovery(news)) as node:
+                number = 0
+                while not second.seen:
+                    number += 1
+                    client = Client(*await asyncio.open_connection(*node.server.address))
+                    await client.send(node_request("read", f"q{number}"))
+                    assert (await client.receive()).status == 200
+                    client.close()
+        finally:
+            second.stop()
+
+    asyncio.run(asyncio.wait_for(main(), PATIENCE_S))
+
+
+def test_the_sidecars_admin_pages_are_the_recorded_ones() -> None:
+    found: dict[str, Any] = {}
+
+    async def main() -> None:
+        (box,) = boxes(1)
+        async with sidecar_running(box, budget={}) as sidecar:
+
+            async def ask(place: tuple[str, int], method: str, path: str) -> Received:
+                client = Client(*await asyncio.open_connection(*place))
+                await client.send(f"{method} {path} HTTP/1.1\r\nHost: s\r\n\r\n".encode())
+                answer = await client.receive()
+                client.close()
+                return answer
+
+            assert sidecar.admin is not None
+            admin = sidecar.admin.server.address
+            assert (await ask(address(sidecar), "GET", "/balance/1")).status == 200
+            for path in ("/config", "/servers", "/requests", "/lists", "/budgets", "/load", "/up", "/nosuch"):
+                found[path] = seen(await ask(admin, "GET", path))
+            found["another method"] = seen(await ask(admin, "POST", "/config"))
+
+    asyncio.run(asyncio.wait_for(main(), PATIENCE_S))
+    check_golden("http/sidecar_admin.json", found)
