--- a/emberring/admission/admission.py
+++ b/emberring/admission/admission.py
@@ -11,9 +11,9 @@
 from emberring.admission.suspicion import SuspicionChange
 from emberring.admission.types import AdmissionSettings, CallInfo, CallOutcome, Decision, NoServer
 from emberring.configuration.model import Service
-from emberring.distribution.facts import ServerFact
+from emberring.distribution.records import ServerRecord
+from emberring.registry.faults import Fault
 from emberring.registry.known_load import KnownLoad
-from emberring.registry.trouble import Trouble
 
 
 def always_connected(server_id: str) -> bool:
@@ -40,7 +40,7 @@
     def set_servers(
         self,
         now_s: float,
-        servers: Iterable[ServerFact],
+        servers: Iterable[ServerRecord],
         service_info: Mapping[str, Service],
         gateways: int,
         load: KnownLoad,
@@ -124,9 +124,9 @@
         """Which servers came into trouble, or are well again, since the last look."""
         return [change for pool in self._pools.values() for change in pool.look_at_servers(now_s)]
 
-    def suspects(self) -> dict[str, Trouble]:
+    def suspects(self) -> dict[str, Fault]:
         """The servers held to be in trouble at the last look, by id."""
-        found: dict[str, Trouble] = {}
+        found: dict[str, Fault] = {}
         for pool in self._pools.values():
             found.update(pool.suspicions.troubles)
         return found
--- a/emberring/admission/lot_pressure.py
+++ b/emberring/admission/job_pressure.py
@@ -21,7 +21,7 @@
 
 
 @attrs.define
-class LotPressure:
+class JobPressure:
     """The usual share of their time that items have left as they are taken here. Times are seconds."""
 
     _left: float = UNKNOWN_LEFT
--- a/emberring/admission/placement.py
+++ b/emberring/admission/placement.py
@@ -11,7 +11,7 @@
 from emberring.admission.candidates import candidates, still_there
 from emberring.admission.ranking import (
     CONNECT_MS,
-    Surroundings,
+    RankingContext,
     cost_ms,
     expected_wait_ms,
     own_tokens,
@@ -34,7 +34,7 @@
 
 
 def choose(
-    around: Surroundings,
+    around: RankingContext,
     call: CallInfo,
     servers: Sequence[ServerView],
     connected: Callable[[str], bool],
@@ -57,7 +57,7 @@
     return min(ranked, key=lambda entry: entry[0])[1]
 
 
-def place(around: Surroundings, call: CallInfo, choice: Choice) -> Placed:
+def place(around: RankingContext, call: CallInfo, choice: Choice) -> Placed:
     """Count the call at the server chosen for it."""
     server = choice.server
     placed = Placed(
--- a/emberring/admission/pool.py
+++ b/emberring/admission/pool.py
@@ -7,13 +7,13 @@
 from random import Random
 
 from emberring.admission import pacing
+from emberring.admission.job_pressure import JobPressure
 from emberring.admission.known_calls import KnownCalls, own_calls, places
 from emberring.admission.load import LoadMeter
-from emberring.admission.lot_pressure import LotPressure
-from emberring.admission.pace import Pace
 from emberring.admission.placement import choose, place
-from emberring.admission.ranking import Surroundings
+from emberring.admission.ranking import RankingContext
 from emberring.admission.server import Placed, ServerView
+from emberring.admission.service_rate import ServiceRateEstimator
 from emberring.admission.suspicion import SuspicionBook, SuspicionChange
 from emberring.admission.table import CursorTable
 from emberring.admission.types import (
@@ -25,7 +25,7 @@
     NoServer,
     Refused,
 )
-from emberring.distribution.facts import ServerState
+from emberring.distribution.records import ServerState
 
 NEVER_HELD = 0.34  # share of the places under which no item is held back
 NEVER_REFUSED = 0.75  # share of the places under which no live call is refused
@@ -45,8 +45,8 @@
         self.gateways = 1
         self.table = CursorTable()
         self.meter = LoadMeter()
-        self.pace = Pace(settings.start_prefill_tokens_per_ms, settings.start_hold_s)
-        self.pressure = LotPressure()
+        self.pace = ServiceRateEstimator(settings.start_prefill_tokens_per_ms, settings.start_hold_s)
+        self.pressure = JobPressure()
         self.usual_pause_ms = 0.0
         self.suspicions = SuspicionBook()
         self._settings = settings
@@ -191,7 +191,7 @@
         return min(RETRY_MOST_S, max(RETRY_LEAST_S, wait_s)) * self._random.uniform(0.75, 1.25)
 
     def _place(self, now_s: float, call: CallInfo, servers: list[ServerView]) -> Decision:
-        around = Surroundings(
+        around = RankingContext(
             now_s,
             self.pace,
             self.usual_pause_ms,
--- a/emberring/admission/ranking.py
+++ b/emberring/admission/ranking.py
@@ -12,8 +12,8 @@
 
 import attrs
 
-from emberring.admission.pace import Pace
 from emberring.admission.server import ServerView, trust_in_word
+from emberring.admission.service_rate import ServiceRateEstimator
 from emberring.admission.types import CallInfo, PrefixPart
 
 UNTOLD_TOKENS = 200.0  # a prompt whose parts are not told
@@ -57,13 +57,13 @@
 
 
 @attrs.frozen
-class Surroundings:
+class RankingContext:
     """What a decision goes by besides the call and the server. `mean_others` are the others' calls at a server,
     `mean_waiting` the tokens that wait to be read for each call in flight; `zone` is the caller's, if it has one;
     `word_age_s` is how long ago word of the others' calls was true."""
 
     now_s: float
-    pace: Pace
+    pace: ServiceRateEstimator
     usual_pause_ms: float
     mean_others: float
     mean_waiting: float
@@ -72,7 +72,7 @@
     word_age_s: float = math.inf
 
 
-def expected_wait_ms(around: Surroundings, server: ServerView, ahead: float, to_read: float) -> float:
+def expected_wait_ms(around: RankingContext, server: ServerView, ahead: float, to_read: float) -> float:
     """The wait for the first event of a call with so many tokens to read, that many being ahead of it."""
     wait_ms = around.pace.wait_ms(ahead + to_read)
     likely = server.likely_load(around.gateways) - len(server.calls)
@@ -83,7 +83,7 @@
     return wait_ms
 
 
-def cost_ms(around: Surroundings, server: ServerView, ahead: float, to_read: float) -> float:
+def cost_ms(around: RankingContext, server: ServerView, ahead: float, to_read: float) -> float:
     """What ranks servers; less is better."""
     wait_ms = expected_wait_ms(around, server, ahead, to_read) * server.handicap(around.now_s)
     slower_ms = max(0.0, server.pause(around.now_s) - around.usual_pause_ms) * PAUSE_WEIGHT
--- a/emberring/admission/server.py
+++ b/emberring/admission/server.py
@@ -10,7 +10,7 @@
 from emberring.admission.failures import FailureShare
 from emberring.admission.prefixes import PrefixMemory
 from emberring.admission.types import CallInfo, CallOutcome
-from emberring.distribution.facts import ServerFact
+from emberring.distribution.records import ServerRecord
 from emberring.registry.known_load import GATEWAYS_BY_WORD, USUAL_S
 
 DEFAULT_CAPACITY = 16
@@ -54,7 +54,7 @@
 class ServerView:
     """One server's incarnation."""
 
-    fact: ServerFact
+    fact: ServerRecord
     since_s: float
     connections: float = math.inf  # that this gateway may hold there
     kv_tokens: float = math.inf
--- a/emberring/admission/pace.py
+++ b/emberring/admission/service_rate.py
@@ -13,7 +13,7 @@
 )
 
 
-class Pace:
+class ServiceRateEstimator:
     """A line through (tokens to read, wait), the latest outcomes counting most."""
 
     def __init__(self, tokens_per_ms: float, hold_s: float) -> None:
--- a/emberring/admission/suspicion.py
+++ b/emberring/admission/suspicion.py
@@ -14,28 +14,28 @@
 from emberring.admission.failures import CHANCE
 from emberring.admission.server import SLOW_CHANCE, ServerView
 from emberring.admission.types import CallOutcome
-from emberring.registry.trouble import Trouble
+from emberring.registry.faults import Fault
 
 WELL_AFTER_S = 2.0  # without a sign of trouble
 
 
 _BY_OUTCOME = {
-    CallOutcome.CONNECT_FAILED: Trouble.UNREACHABLE,
-    CallOutcome.SILENT: Trouble.SILENT,
-    CallOutcome.BROKEN: Trouble.BREAKING_OFF,
+    CallOutcome.CONNECT_FAILED: Fault.UNREACHABLE,
+    CallOutcome.SILENT: Fault.SILENT,
+    CallOutcome.BROKEN: Fault.BREAKING_OFF,
 }
 
 
-def trouble_of(now_s: float, server: ServerView, usual_pause_ms: float) -> Trouble | None:
+def trouble_of(now_s: float, server: ServerView, usual_pause_ms: float) -> Fault | None:
     """What speaks against it now, the gravest first."""
     if pacing.failing(server) and server.failed_by is not None:
-        return _BY_OUTCOME.get(server.failed_by, Trouble.FAILING)
+        return _BY_OUTCOME.get(server.failed_by, Fault.FAILING)
     if pacing.silent(now_s, server, usual_pause_ms):
-        return Trouble.SILENT
+        return Fault.SILENT
     if server.failed.share(now_s) > CHANCE:
-        return Trouble.FAILING
+        return Fault.FAILING
     if server.slowness(now_s) > SLOW_CHANCE:
-        return Trouble.SLOW
+        return Fault.SLOW
     return None
 
 
@@ -44,13 +44,13 @@
     """A server came into trouble, or is well again (`trouble` is None) after `lasted_s` seconds."""
 
     server: ServerView
-    trouble: Trouble | None
+    trouble: Fault | None
     lasted_s: float = 0.0
 
 
 @attrs.define
 class _Suspicion:
-    trouble: Trouble
+    trouble: Fault
     since_s: float
     last_sign_s: float
 
@@ -62,7 +62,7 @@
         self._held: dict[str, _Suspicion] = {}
 
     @property
-    def troubles(self) -> dict[str, Trouble]:
+    def troubles(self) -> dict[str, Fault]:
         """What each suspected server is held to suffer from."""
         return {server_id: held.trouble for server_id, held in self._held.items()}
 
@@ -81,7 +81,7 @@
             del self._held[server_id]
         return changes
 
-    def _look_at(self, now_s: float, server: ServerView, found: Trouble | None) -> SuspicionChange | None:
+    def _look_at(self, now_s: float, server: ServerView, found: Fault | None) -> SuspicionChange | None:
         held = self._held.get(server.fact.id)
         if found is not None and held is None:
             self._held[server.fact.id] = _Suspicion(found, now_s, now_s)
--- a/emberring/cli/app.py
+++ b/emberring/cli/app.py
@@ -7,7 +7,7 @@
 from emberring.cli import (
     check_commands,
     config_commands,
-    lot_commands,
+    job_commands,
     retire_command,
     role_commands,
     simulation_commands,
@@ -34,7 +34,7 @@
 for tool in (status_commands.status, status_commands.nodes, status_commands.servers):
     app.command(epilog=EXIT_CODES_TEXT)(tool)
 app.add_typer(simulation_commands.app, name="lab", help="Experiments with the tier's decisions.")
-app.add_typer(lot_commands.app, name="lots", help="What stores hold of lots.")
+app.add_typer(job_commands.app, name="lots", help="What stores hold of lots.")
 app.add_typer(config_commands.app, name="config", help="Check, compare, read and change the configuration.")
 app.add_typer(check_commands.app, name="check", help="Check settings, and what a node keeps on disk.")
 app.command(epilog=EXIT_CODES_TEXT)(retire_command.retire)
--- a/emberring/cli/control_plane.py
+++ b/emberring/cli/control_plane.py
@@ -9,7 +9,7 @@
 import orjson
 
 from emberring.emulator.operator import Operator, OrderOutcome
-from emberring.errors import EmberringError, InDoubtError, PeerUnavailableError, error_from_wire
+from emberring.errors import EmberringError, PeerUnavailableError, UnknownOutcomeError, error_from_wire
 
 _KIND_OF_STATUS = {
     400: "bad_request",
@@ -46,7 +46,7 @@
         last = f" (last: {told.get('Detail')})" if told.get("Detail") else ""
         if method == "GET":
             return PeerUnavailableError(detail + last)
-        return InDoubtError(f"{detail}{last}: the order may or may not have been taken")
+        return UnknownOutcomeError(f"{detail}{last}: the order may or may not have been taken")
     kind = told.get("Error") or _KIND_OF_STATUS.get(outcome.status, "internal")
     return error_from_wire(str(kind), str(told.get("Detail") or f"answered {outcome.status}"))
 
--- a/emberring/cli/disk_reports.py
+++ b/emberring/cli/disk_reports.py
@@ -14,7 +14,7 @@
 from emberring.jobs.replica import Replica
 from emberring.jobs.replica_log import decode_entry
 from emberring.journal.layout import Record
-from emberring.journal.survey import JournalSurvey, survey_journal
+from emberring.journal.scan import JournalScan, scan_journal
 from emberring.register.acceptor import Acceptor
 from emberring.store.disk import JOURNAL_FOLDER, restore
 from emberring.store.identity import FILE_NAME, read_identity
@@ -81,16 +81,16 @@
         there = (directory / FILE_NAME).exists()
         damages.append(f"the file {FILE_NAME} is {'damaged' if there else 'missing'}: it will start anew")
     replicas = restore(readable, 0.0)
-    facts = {"Shards": [_shard_facts(replica) for replica in replicas.values() if replica.lots]}
+    facts = {"Shards": [_shard_facts(replica) for replica in replicas.values() if replica.jobs]}
     return _report(directory, identity or "", survey, facts, damages)
 
 
 def _shard_facts(replica: Replica) -> dict[str, Any]:
-    slots = [slot for lot in replica.lots.values() for slot in lot.slots]
+    slots = [slot for job in replica.jobs.values() for slot in job.slots]
     return {
         "Shard": replica.shard,
         "Promised": f"{replica.promised.epoch}.{replica.promised.counter}",
-        "Lots": len(replica.lots),
+        "Lots": len(replica.jobs),
         "WithDefinition": slots.count(DEFINITION),
         "Results": sum(slot >= 0 for slot in slots),
         "Ended": slots.count(END),
@@ -98,9 +98,9 @@
     }
 
 
-def _survey(folder: Path) -> JournalSurvey:
+def _survey(folder: Path) -> JournalScan:
     try:
-        return survey_journal(folder)
+        return scan_journal(folder)
     except OSError as error:
         raise BadRequestError(f"{folder}: {error.strerror or error}") from error
 
@@ -118,7 +118,7 @@
 
 
 def _report(
-    folder: Path, identity: str, survey: JournalSurvey, facts: dict[str, Any], damages: list[str]
+    folder: Path, identity: str, survey: JournalScan, facts: dict[str, Any], damages: list[str]
 ) -> DiskReport:
     if not survey.segments:
         facts = {**facts, "Empty": True}
--- a/emberring/cli/lot_commands.py
+++ b/emberring/cli/job_commands.py
@@ -1,4 +1,4 @@
-"""`emberring lots`: what stores hold of lots, by shard and by lot."""
+"""`emberring jobs`: what stores hold of lots, by shard and by lot."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from emberring.cli.places import ControlOption, JsonOption, TimeoutOption, control_addresses
 from emberring.cli.printing import EXIT_CODES_TEXT, complain, print_json, print_table
 from emberring.cli.status_commands import first_status
-from emberring.distribution.facts import NodeRole
+from emberring.distribution.records import NodeRole
 from emberring.errors import EmberringError, PeerUnavailableError
-from emberring.jobs.status import AskStoreStatus, StoreStatus
+from emberring.jobs.status import StoreStatus, StoreStatusRequest
 from emberring.transport.network import Network
 
 DEFAULT_TIMEOUT_S = 2.0
@@ -21,13 +21,13 @@
 app = typer.Typer(no_args_is_help=True, epilog=EXIT_CODES_TEXT)
 
 
-async def ask_stores(addresses: dict[str, str], lots: bool, timeout_s: float) -> dict[str, StoreStatus]:
+async def ask_stores(addresses: dict[str, str], jobs: bool, timeout_s: float) -> dict[str, StoreStatus]:
     """The answers of stores by name; those that did not come are told on standard error."""
     network = Network()
 
     async def ask(name: str, address: str) -> tuple[str, StoreStatus | None]:
         try:
-            return name, await network.call(address, AskStoreStatus(lots), StoreStatus, timeout_s)
+            return name, await network.call(address, StoreStatusRequest(jobs), StoreStatus, timeout_s)
         except EmberringError as error:
             complain(f"{name}: {error.detail}")
             return name, None
@@ -37,10 +37,10 @@
     return {name: status for name, status in found if status is not None}
 
 
-def _ask(control: list[str] | None, lots: bool, timeout_s: float) -> dict[str, StoreStatus]:
+def _ask(control: list[str] | None, jobs: bool, timeout_s: float) -> dict[str, StoreStatus]:
     nodes = first_status(control_addresses(control), timeout_s)["Nodes"]
     addresses = {node["Name"]: node["Address"] for node in nodes if node["Role"] == NodeRole.STORE.value}
-    found = asyncio.run(ask_stores(addresses, lots, timeout_s))
+    found = asyncio.run(ask_stores(addresses, jobs, timeout_s))
     if not found:
         raise PeerUnavailableError("no store answers")
     return found
@@ -76,31 +76,31 @@
         "Replicas": " ".join(sorted(held)),
         "Epoch": told.epoch,
         "Term": told.term,
-        "Lots": told.lots,
+        "Lots": told.jobs,
         "WaitingItems": told.waiting_items,
         "WaitingTokens": told.waiting_tokens,
     }
 
 
 @app.command("list", epilog=EXIT_CODES_TEXT)
-def list_lots(
+def list_jobs(
     control: ControlOption = None, timeout: TimeoutOption = DEFAULT_TIMEOUT_S, as_json: JsonOption = False
 ) -> None:
     """List lots with how many of their items have a result; at most 500 of each store."""
     found = _ask(control, True, timeout)
-    lots = sorted((lot for status in found.values() for lot in status.lots), key=lambda lot: -lot.age_s)
+    jobs = sorted((job for status in found.values() for job in status.jobs), key=lambda job: -job.age_s)
     if as_json:
-        print_json([attrs.asdict(lot) for lot in lots])
+        print_json([attrs.asdict(job) for job in jobs])
         return
     rows = [
         (
-            lot.id,
-            lot.host,
-            lot.shard,
-            f"{lot.listed} of {lot.total}",
-            "ended" if lot.ended else "open",
-            f"{lot.age_s:.0f}",
+            job.id,
+            job.host,
+            job.shard,
+            f"{job.listed} of {job.total}",
+            "ended" if job.ended else "open",
+            f"{job.age_s:.0f}",
         )
-        for lot in lots
+        for job in jobs
     ]
     print_table(("lot", "host", "shard", "results", "state", "age s"), rows)
--- a/emberring/cli/trial_command.py
+++ b/emberring/cli/trial_command.py
@@ -12,7 +12,7 @@
 
 from emberring.cli.places import JsonOption
 from emberring.cli.printing import ExitCode, leave, print_json, print_line, print_table
-from emberring.emulator.lot_client import LotHistory
+from emberring.emulator.job_client import JobHistory
 from emberring.emulator.traffic import TrafficPlan
 from emberring.emulator.trial import Trial, TrialPlan, TrialReport
 
@@ -65,7 +65,7 @@
     print_line("")
     print_table(("streams", "asked", "served", "not served", "p50 ms", "p99 ms"), _stream_rows(report))
     print_line("")
-    print_table(("lots", "taken", "items", "completed", "dead", "slowest s"), [_lot_row(report.lots)])
+    print_table(("lots", "taken", "items", "completed", "dead", "slowest s"), [_job_row(report.jobs)])
     print_line("")
     for breach in report.breaches[:MOST_SHOWN]:
         print_line(f"broken: {breach.rule} {breach.id}: {breach.detail}")
@@ -89,13 +89,13 @@
     return rows
 
 
-def _lot_row(lots: tuple[LotHistory, ...]) -> tuple[object, ...]:
-    taken = [history for history in lots if history.accepted]
+def _job_row(jobs: tuple[JobHistory, ...]) -> tuple[object, ...]:
+    taken = [history for history in jobs if history.accepted]
     results = [result for history in taken for result in history.results]
-    items = sum(len(history.lot.items) for history in taken)
+    items = sum(len(history.job.items) for history in taken)
     done = sum(result.state == "completed" for result in results)
     slowest = max((history.done_s for history in taken), default=0.0)
-    return (len(lots), len(taken), items, done, len(results) - done, f"{slowest:.1f}")
+    return (len(jobs), len(taken), items, done, len(results) - done, f"{slowest:.1f}")
 
 
 def document(report: TrialReport) -> dict[str, Any]:
@@ -110,14 +110,14 @@
         }
         for name, tally in report.tallies.items()
     }
-    lots, taken, items, done, dead, slowest = _lot_row(report.lots)
+    jobs, taken, items, done, dead, slowest = _job_row(report.jobs)
     return {
         "Clean": report.clean,
         "StartedAfterS": round(report.started_s, 2),
         "Troubles": [attrs.asdict(item) for item in report.troubles],
         "Streams": streams,
         "Lots": {
-            "Sent": lots,
+            "Sent": jobs,
             "Taken": taken,
             "Items": items,
             "Completed": done,
--- a/emberring/configuration/orders.py
+++ b/emberring/configuration/change_requests.py
@@ -22,7 +22,7 @@
 )
 
 
-class OrderKind(Enum):
+class ChangeRequestKind(Enum):
     """A whole configuration, or named items of it."""
 
     WHOLE = "PUT"
@@ -30,11 +30,11 @@
 
 
 @attrs.frozen
-class Order:
+class ChangeRequest:
     """A change that could be read. `base` is the version it builds on; `digest` is the same for the same change
     in another spelling, and differs for another base."""
 
-    kind: OrderKind
+    kind: ChangeRequestKind
     base: int
     version: int
     digest: bytes
@@ -57,18 +57,18 @@
     error: EmberringError
 
 
-def read_order(kind: OrderKind, if_match: str | None, body: bytes) -> Order:
+def read_change_request(kind: ChangeRequestKind, if_match: str | None, body: bytes) -> ChangeRequest:
     """The order in a call; `BadRequestError` or `InvalidConfigurationError` where no state could take it."""
     base = _base(if_match)
     reading = read(body)
     change = reading.value
     if not is_whole(change.get("Version")):
         raise InvalidConfigurationError(("Version is not a whole number",))
-    if kind is OrderKind.WHOLE:
+    if kind is ChangeRequestKind.WHOLE:
         mistakes = mistakes_in(change)
         if mistakes:
             raise InvalidConfigurationError(mistakes)
-    return Order(kind, base, change["Version"], _digest(kind, base, reading.canonical), body, change)
+    return ChangeRequest(kind, base, change["Version"], _digest(kind, base, reading.canonical), body, change)
 
 
 def _base(if_match: str | None) -> int:
@@ -78,12 +78,12 @@
     return int(text)
 
 
-def _digest(kind: OrderKind, base: int, canonical: bytes) -> bytes:
+def _digest(kind: ChangeRequestKind, base: int, canonical: bytes) -> bytes:
     head = f"{kind.value} {base}\n".encode()
     return hashlib.blake2b(head + canonical, digest_size=DIGEST_BYTES).digest()
 
 
-def judge(state: ControlState, order: Order) -> Taken | Refused:
+def judge(state: ControlState, order: ChangeRequest) -> Taken | Refused:
     """What becomes of this order on this state."""
     if order.digest in state.taken:
         return Taken(state, again=True)
@@ -92,12 +92,12 @@
     if order.version <= state.version:
         detail = f"Version {order.version} is not above {state.version}"
         return Refused(InvalidConfigurationError((detail,)))
-    if order.kind is OrderKind.WHOLE:
+    if order.kind is ChangeRequestKind.WHOLE:
         return Taken(state.with_configuration(order.version, order.body, order.digest), again=False)
     return _judge_patch(state, order)
 
 
-def _judge_patch(state: ControlState, order: Order) -> Taken | Refused:
+def _judge_patch(state: ControlState, order: ChangeRequest) -> Taken | Refused:
     try:
         document = patched(state.read_document(), order.change)
     except InvalidConfigurationError as error:
--- a/emberring/configuration/reading.py
+++ b/emberring/configuration/reading.py
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class Reading:
+class JobQueries:
     """An object that was read, and the one spelling that all its spellings share."""
 
     value: dict[str, Any]
@@ -56,7 +56,7 @@
     return read(body).value
 
 
-def read(body: bytes) -> Reading:
+def read(body: bytes) -> JobQueries:
     """The object in this text, with its canonical spelling; `InvalidConfigurationError` where it is cut short, has
     a key twice in one object, or is no JSON object at all."""
     try:
@@ -68,7 +68,7 @@
         raise InvalidConfigurationError((f"not readable as JSON: {error}",)) from error
     if not isinstance(value, dict):
         raise InvalidConfigurationError(("not a JSON object",))
-    return Reading(value, canonical)
+    return JobQueries(value, canonical)
 
 
 def _canonical(value: Any) -> bytes:
--- a/emberring/control/app.py
+++ b/emberring/control/app.py
@@ -10,9 +10,9 @@
 import attrs
 import orjson
 
-from emberring.configuration.orders import OrderKind
-from emberring.control.heartbeat_desk import HeartbeatDesk
-from emberring.control.operator_orders import OperatorOrders
+from emberring.configuration.change_requests import ChangeRequestKind
+from emberring.control.heartbeat_handler import HeartbeatHandler
+from emberring.control.operator_requests import OperatorRequests
 from emberring.control.status_page import StatusPage
 from emberring.errors import BadRequestError, EmberringError, NotFoundError
 from emberring.logs import get_logger
@@ -46,7 +46,7 @@
 class ControlApp:
     """Hands each call to the part that answers it."""
 
-    def __init__(self, orders: OperatorOrders, desk: HeartbeatDesk, page: StatusPage) -> None:
+    def __init__(self, orders: OperatorRequests, desk: HeartbeatHandler, page: StatusPage) -> None:
         self._orders = orders
         self._desk = desk
         self._page = page
@@ -96,7 +96,7 @@
         return Reply(200)
 
     async def _configure(self, call: Call, _: str) -> Reply:
-        version = await self._orders.configure(OrderKind(call.method), call.if_match, call.body)
+        version = await self._orders.configure(ChangeRequestKind(call.method), call.if_match, call.body)
         return Reply(200, orjson.dumps({"Version": version}))
 
     async def _configuration(self, call: Call, _: str) -> Reply:
--- a/emberring/control/signal.py
+++ b/emberring/control/change_notifier.py
@@ -6,7 +6,7 @@
 import contextlib
 
 
-class Signal:
+class ChangeNotifier:
     """Each `give` ends every `wait` that is under way, in the order of their beginnings, and none that begins later."""
 
     def __init__(self) -> None:
--- a/emberring/control/board.py
+++ b/emberring/control/cluster_state.py
@@ -8,19 +8,19 @@
 import attrs
 
 from emberring.configuration.state import ControlState
-from emberring.control.load_ledger import LoadLedger
-from emberring.control.signal import Signal
-from emberring.control.suspicion_ledger import SuspicionLedger
+from emberring.control.change_notifier import ChangeNotifier
+from emberring.control.load_aggregator import LoadAggregator
+from emberring.control.suspicion_table import SuspicionTable
 from emberring.distribution.contacts import Contacts, Report
-from emberring.distribution.facts import NodeFact, NodeRole, ServerFact
-from emberring.distribution.facts_store import FactStore
 from emberring.distribution.messages import Delta, Exchange, Exchanged
 from emberring.distribution.peers import Peer, PeerTable
+from emberring.distribution.records import NodeRecord, NodeRole, ServerRecord
+from emberring.distribution.status_table import StatusTable
 from emberring.logs import get_logger
+from emberring.registry.faults import sum_suspicions
 from emberring.registry.heartbeats import Heartbeat
 from emberring.registry.merge import level, merged
 from emberring.registry.servers import ServerRegistry
-from emberring.registry.trouble import summed_suspects
 
 logger = get_logger("control")
 
@@ -30,28 +30,28 @@
 HEARD_SPAN_S = 5.0  # heartbeats of so long ago are told to a control node that could not be told before
 
 
-class Board:
+class ClusterState:
     """Statements, contacts, peers and servers of one control node. All calls give the time in seconds of the
     steady clock; nothing here waits."""
 
-    def __init__(self, now_s: float, me: NodeFact, seeds: Iterable[str], heartbeat_s: float) -> None:
+    def __init__(self, now_s: float, me: NodeRecord, seeds: Iterable[str], heartbeat_s: float) -> None:
         self.me = me
         self.state = ControlState()
-        self.store = FactStore(me.incarnation)
+        self.store = StatusTable(me.incarnation)
         self.peers = PeerTable(me, seeds)
         self.contacts = Contacts()
         self.registry = ServerRegistry(now_s, heartbeat_s)
-        self.load = LoadLedger(self._told_loads, self.load_age_s, self.store.servers)
-        self.suspicions = SuspicionLedger(self.store.servers)
+        self.load = LoadAggregator(self._told_loads, self.load_age_s, self.store.servers)
+        self.suspicions = SuspicionTable(self.store.servers)
         self.quorum_age_s: Callable[[], float] = lambda: 0.0
-        self._news = Signal()
-        self._exchanges = Signal()
-        self._hurry = Signal()
+        self._news = ChangeNotifier()
+        self._exchanges = ChangeNotifier()
+        self._hurry = ChangeNotifier()
         self._last_tick_s = now_s
         self._settled_since_s = now_s
         self._grace_until_s = now_s
         self._seen_origins: dict[str, float] = {}
-        self._counted: Mapping[str, NodeFact] = {}
+        self._counted: Mapping[str, NodeRecord] = {}
         self._gateways = 1
         self.store.state_node(me, present=True)
 
@@ -100,7 +100,7 @@
         """Incarnations of the control nodes that live, this one too."""
         return {self.me.incarnation, *(peer.origin for peer in self.peers.live(now_s))}
 
-    def live_nodes(self, now_s: float) -> list[NodeFact]:
+    def live_nodes(self, now_s: float) -> list[NodeRecord]:
         """All nodes that live, as far as this control node knows."""
         roles = (NodeRole.GATEWAY, NodeRole.STORE, NodeRole.CONTROL)
         return list(self.store.live_nodes(self.live_origins(now_s), roles).values())
@@ -131,12 +131,12 @@
 
     # -- nodes
 
-    def node_called(self, now_s: float, fact: NodeFact, report: Report | None = None) -> None:
+    def node_called(self, now_s: float, fact: NodeRecord, report: Report | None = None) -> None:
         """A gateway or store pulled; `report` is what it told, if it did."""
         if self.contacts.note(now_s, fact, report):
             self._state_node(now_s, fact, present=True)
 
-    def _state_node(self, now_s: float, fact: NodeFact, present: bool) -> None:
+    def _state_node(self, now_s: float, fact: NodeRecord, present: bool) -> None:
         word = "present" if present else "absent"
         logger.info("event=node_%s name=%s role=%s zone=%s", word, fact.name, fact.role.value, fact.zone)
         self.store.state_node(fact, present)
@@ -153,7 +153,7 @@
                 self.contacts.drop(name)
                 self._state_node(now_s, mine, present=False)
 
-    def _elsewhere_as_another(self, mine: NodeFact) -> bool:
+    def _elsewhere_as_another(self, mine: NodeRecord) -> bool:
         return any(
             entry.present
             and entry.origin != self.me.incarnation
@@ -173,12 +173,12 @@
         """A server said that it ends."""
         self.state_servers(now_s, self.registry.on_goodbye(server_id, self.store.servers()))
 
-    def _listed(self, live: set[str], server_id: str) -> ServerFact | None:
+    def _listed(self, live: set[str], server_id: str) -> ServerRecord | None:
         """What the control nodes that live state about this server together."""
         facts = [entry.fact for entry in self.store.server_entries(server_id) if entry.origin in live]
         return functools.reduce(merged, facts) if facts else None
 
-    def state_servers(self, now_s: float, facts: list[ServerFact]) -> None:
+    def state_servers(self, now_s: float, facts: list[ServerRecord]) -> None:
         """State these facts in this node's own name, and have them told at once."""
         for fact in facts:
             self.store.state_server(fact)
@@ -186,7 +186,7 @@
             self.hurry(now_s)
             self.changed()
 
-    def holders_of_end(self, now_s: float, server_id: str) -> list[NodeFact]:
+    def holders_of_end(self, now_s: float, server_id: str) -> list[NodeRecord]:
         """The other control nodes that live and know that this server drains or is gone."""
         entries = [entry for entry in self.store.server_entries(server_id) if level(entry.fact.state) > 0]
         return [
@@ -276,7 +276,7 @@
         self._forget(now_s)
 
     def _look_at_suspects(self, now_s: float) -> None:
-        told = summed_suspects([self.contacts.suspects(now_s), *self.peers.suspects(now_s)])
+        told = sum_suspicions([self.contacts.suspects(now_s), *self.peers.suspects(now_s)])
         self.suspicions.look(now_s, told, self.gateways(now_s))
 
     def _expire_peers(self, now_s: float) -> None:
--- a/emberring/control/exchanger.py
+++ b/emberring/control/exchanger.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from emberring.control.board import Board
+from emberring.control.cluster_state import ClusterState
 from emberring.distribution.messages import Exchange, Exchanged
 from emberring.distribution.peers import Peer
 from emberring.errors import EmberringError
@@ -20,7 +20,7 @@
 class Exchanger:
     """Runs the exchanges that are due, each in a task of its own, so that a silent node holds up no other."""
 
-    def __init__(self, network: Network, board: Board) -> None:
+    def __init__(self, network: Network, board: ClusterState) -> None:
         self._network = network
         self._board = board
         self._tasks: set[asyncio.Task[None]] = set()
--- a/emberring/control/heartbeat_desk.py
+++ b/emberring/control/heartbeat_handler.py
@@ -7,19 +7,21 @@
 import asyncio
 from collections.abc import Callable
 
-from emberring.control.board import Board
-from emberring.control.holders import HolderRule
+from emberring.control.cluster_state import ClusterState
+from emberring.control.replication_policy import ReplicationPolicy
 from emberring.errors import NotReadyError
 from emberring.registry.heartbeats import read_heartbeat
 
 CONFIRM_TIMEOUT_S = 0.8
 
 
-class HeartbeatDesk:
+class HeartbeatHandler:
     """Takes heartbeats. `rule` says which other control nodes must know of a drain, `is_quorum` whether the register's
     replicas among those who know it are a quorum."""
 
-    def __init__(self, board: Board, rule: HolderRule, is_quorum: Callable[[frozenset[str]], bool]) -> None:
+    def __init__(
+        self, board: ClusterState, rule: ReplicationPolicy, is_quorum: Callable[[frozenset[str]], bool]
+    ) -> None:
         self._board = board
         self._rule = rule
         self._is_quorum = is_quorum
--- a/emberring/control/load_ledger.py
+++ b/emberring/control/load_aggregator.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from emberring.distribution.contacts import summed
-from emberring.distribution.facts import ServerFact
+from emberring.distribution.records import ServerRecord
 from emberring.registry.known_load import USUAL_S
 
 KEPT_S = 0.02  # the least time for which sums hold,
@@ -24,10 +24,10 @@
 """At a time, how long ago (seconds) the sources told that in the mean."""
 
 
-class LoadLedger:
+class LoadAggregator:
     """Sums over what `loads` gives, which is as old as `age` says; `servers` are the known servers by id."""
 
-    def __init__(self, loads: Loads, age: Age, servers: Callable[[], Mapping[str, ServerFact]]) -> None:
+    def __init__(self, loads: Loads, age: Age, servers: Callable[[], Mapping[str, ServerRecord]]) -> None:
         self._loads = loads
         self._age = age
         self._servers = servers
--- a/emberring/control/node.py
+++ b/emberring/control/node.py
@@ -12,18 +12,18 @@
 
 from emberring.configuration.state import ControlState
 from emberring.control.app import ControlApp
-from emberring.control.board import Board
+from emberring.control.cluster_state import ClusterState
 from emberring.control.exchanger import Exchanger
-from emberring.control.feed import Feed
-from emberring.control.heartbeat_desk import HeartbeatDesk
-from emberring.control.holders import holder_rule, most_lost
-from emberring.control.operator_orders import OperatorOrders
+from emberring.control.heartbeat_handler import HeartbeatHandler
+from emberring.control.operator_requests import OperatorRequests
+from emberring.control.peer_cache import PeerCache
 from emberring.control.placement_loop import PlacementLoop
 from emberring.control.register_port import Register
-from emberring.control.remembered import RememberedNodes
+from emberring.control.replication_policy import max_simultaneous_failures, replication_policy
 from emberring.control.status_page import StatusPage
-from emberring.distribution.facts import NodeFact, NodeRole
+from emberring.control.update_stream import UpdateStream
 from emberring.distribution.messages import PlacementMoved, Pull
+from emberring.distribution.records import NodeRecord, NodeRole
 from emberring.errors import EmberringError
 from emberring.logs import get_logger
 from emberring.settings import CONTROL_PORT_OFFSET, Settings
@@ -50,11 +50,11 @@
         network: Network,
         register: Register,
         seeds: Sequence[str] | None = None,
-        remembered: RememberedNodes | None = None,
+        remembered: PeerCache | None = None,
         incarnation: str = "",
     ) -> None:
         loop = asyncio.get_running_loop()
-        me = NodeFact(
+        me = NodeRecord(
             name=settings.node_name,
             role=NodeRole.CONTROL,
             address=settings.internal_address(CONTROL_PORT_OFFSET),
@@ -62,10 +62,10 @@
             identity=register.identity,
             incarnation=incarnation or new_incarnation(),
         )
-        tolerance = most_lost(settings.fault_tolerance)
+        tolerance = max_simultaneous_failures(settings.fault_tolerance)
         known = settings.internal_seeds() if seeds is None else tuple(seeds)
         others = len(set(known) - {me.address})
-        self.board = Board(loop.time(), me, known, settings.heartbeat_ms / 1000)
+        self.board = ClusterState(loop.time(), me, known, settings.heartbeat_ms / 1000)
         self.board.quorum_age_s = register.majority_age_s
         self._remembered = remembered
         self._saving: asyncio.Task[None] | None = None
@@ -73,10 +73,10 @@
             self.board.peers.note(loop.time(), remembered.load())
         self._register = register
         self._exchanger = Exchanger(network, self.board)
-        self._feed = Feed(self.board)
-        self._orders = OperatorOrders(register, self.board, tolerance)
+        self._feed = UpdateStream(self.board)
+        self._orders = OperatorRequests(register, self.board, tolerance)
         self._placement = PlacementLoop(register, self.board, tolerance)
-        desk = HeartbeatDesk(self.board, holder_rule(settings, others), register.is_quorum)
+        desk = HeartbeatHandler(self.board, replication_policy(settings, others), register.is_quorum)
         self.app = ControlApp(self._orders, desk, StatusPage(self.board))
         self._tasks: list[asyncio.Task[None]] = []
         network.handle(Pull, self._feed.on_pull)
@@ -103,7 +103,7 @@
         self._tasks.append(asyncio.get_running_loop().create_task(run()))
 
     async def _note_peers(self) -> None:
-        told: list[NodeFact] = []
+        told: list[NodeRecord] = []
         while True:
             now_s = asyncio.get_running_loop().time()
             live = [fact for fact in self.board.live_nodes(now_s) if fact.role is NodeRole.CONTROL]
@@ -114,7 +114,7 @@
                 self._remember(others)
             await asyncio.sleep(NOTE_PEERS_EVERY_S)
 
-    def _remember(self, others: list[NodeFact]) -> None:
+    def _remember(self, others: list[NodeRecord]) -> None:
         """Keep the others' addresses in the background: the disk may stall."""
         if self._remembered is not None and (self._saving is None or self._saving.done()):
             saving = self._remembered.save([fact.address for fact in others])
--- a/emberring/control/operator_orders.py
+++ b/emberring/control/operator_requests.py
@@ -8,11 +8,18 @@
 
 import attrs
 
-from emberring.configuration.orders import Order, OrderKind, Refused, Taken, judge, read_order
+from emberring.configuration.change_requests import (
+    ChangeRequest,
+    ChangeRequestKind,
+    Refused,
+    Taken,
+    judge,
+    read_change_request,
+)
 from emberring.configuration.state import ControlState
-from emberring.control.board import Board
+from emberring.control.cluster_state import ClusterState
 from emberring.control.register_port import Register
-from emberring.distribution.facts import NodeRole
+from emberring.distribution.records import NodeRole
 from emberring.errors import ConflictError, NotFoundError, NotReadyError
 from emberring.logs import get_logger
 from emberring.placement.model import finish_move
@@ -28,10 +35,10 @@
 logger = get_logger("control")
 
 
-class OperatorOrders:
+class OperatorRequests:
     """Carries out orders on the register."""
 
-    def __init__(self, register: Register, board: Board, tolerance: int) -> None:
+    def __init__(self, register: Register, board: ClusterState, tolerance: int) -> None:
         self._register = register
         self._board = board
         self._tolerance = tolerance
@@ -41,9 +48,9 @@
             return CUT_OFF_TIMEOUT_S
         return LARGE_TIMEOUT_S if body_bytes > LARGE_BODY_BYTES else ORDER_TIMEOUT_S
 
-    async def configure(self, kind: OrderKind, if_match: str | None, body: bytes) -> int:
+    async def configure(self, kind: ChangeRequestKind, if_match: str | None, body: bytes) -> int:
         """Take a configuration or a patch; the version that it made current, now or before."""
-        order = read_order(kind, if_match, body)
+        order = read_change_request(kind, if_match, body)
         state = await self._swap(lambda state: _wanted(state, order), self._timeout_s(len(body)))
         outcome = judge(state, order)  # on a value that a quorum holds: a refusal is certain
         if isinstance(outcome, Refused):
@@ -111,7 +118,7 @@
         await self._swap(wanted, self._timeout_s())
 
 
-def _wanted(state: ControlState, order: Order) -> ControlState | None:
+def _wanted(state: ControlState, order: ChangeRequest) -> ControlState | None:
     outcome = judge(state, order)
     if isinstance(outcome, Taken) and not outcome.again:
         return outcome.state
--- a/emberring/control/remembered.py
+++ b/emberring/control/peer_cache.py
@@ -18,7 +18,7 @@
 logger = get_logger("control")
 
 
-class RememberedNodes:
+class PeerCache:
     """Addresses in a small file, one a line."""
 
     def __init__(self, path: Path) -> None:
--- a/emberring/control/placement_loop.py
+++ b/emberring/control/placement_loop.py
@@ -8,9 +8,9 @@
 import attrs
 
 from emberring.configuration.state import ControlState
-from emberring.control.board import Board
+from emberring.control.cluster_state import ClusterState
 from emberring.control.register_port import Register
-from emberring.distribution.facts import NodeRole
+from emberring.distribution.records import NodeRole
 from emberring.errors import EmberringError
 from emberring.logs import get_logger
 from emberring.placement.planning import PlanMemory, plan
@@ -25,7 +25,7 @@
 class PlacementLoop:
     """Compares the placement with the stores that live, and changes it where they differ."""
 
-    def __init__(self, register: Register, board: Board, tolerance: int) -> None:
+    def __init__(self, register: Register, board: ClusterState, tolerance: int) -> None:
         self._register = register
         self._board = board
         self._tolerance = tolerance
--- a/emberring/control/register_port.py
+++ b/emberring/control/register_port.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from emberring.distribution.facts import NodeFact
+from emberring.distribution.records import NodeRecord
 
 
 class Register(Protocol):
@@ -24,7 +24,7 @@
     async def change(self, decide: Callable[[bytes | None], bytes | None], timeout_s: float) -> bytes | None:
         """Swap the value for `decide(value)`, or confirm it where that is None; the value that holds then, None
         or nothing where there is none yet.
-        `NoQuorumError` or `InDoubtError` where the outcome is not known."""
+        `NoQuorumError` or `UnknownOutcomeError` where the outcome is not known."""
 
     async def read(self, timeout_s: float) -> bytes | None:
         """The value that a quorum holds."""
@@ -38,5 +38,5 @@
     def is_quorum(self, identities: frozenset[str]) -> bool:
         """Whether these replicas are a quorum of the replica set in force, as far as this node knows."""
 
-    def note_peers(self, facts: Sequence[NodeFact]) -> None:
+    def note_peers(self, facts: Sequence[NodeRecord]) -> None:
         """The other control nodes that live."""
--- a/emberring/control/holders.py
+++ b/emberring/control/replication_policy.py
@@ -6,12 +6,12 @@
 
 import attrs
 
-from emberring.distribution.facts import NodeFact
+from emberring.distribution.records import NodeRecord
 from emberring.settings import FaultTolerance, Settings
 
 
 @attrs.frozen
-class HolderRule:
+class ReplicationPolicy:
     """How many control nodes, in how many zones and regions, must have a fact besides its first. `others` is how
     many other control nodes there are from the start; `regions` gives the region of a zone."""
 
@@ -19,7 +19,7 @@
     tolerance: FaultTolerance
     regions: Mapping[str, str]
 
-    def satisfied(self, me: NodeFact, holders: Iterable[NodeFact], met: Iterable[NodeFact]) -> bool:
+    def satisfied(self, me: NodeRecord, holders: Iterable[NodeRecord], met: Iterable[NodeRecord]) -> bool:
         """Whether these others are enough. No more zones are asked for than those of the nodes met so far."""
         have = [me, *holders]
         exist = [me, *met]
@@ -33,15 +33,15 @@
     def _machines(self) -> int:
         return max(1, self.tolerance.machines)
 
-    def _regions(self, facts: Iterable[NodeFact]) -> set[str]:
+    def _regions(self, facts: Iterable[NodeRecord]) -> set[str]:
         return {self.regions.get(fact.zone, fact.zone) for fact in facts}
 
 
-def holder_rule(settings: Settings, others: int) -> HolderRule:
+def replication_policy(settings: Settings, others: int) -> ReplicationPolicy:
     """The rule of a deployment with so many other control nodes from the start."""
-    return HolderRule(others, settings.fault_tolerance, settings.zones)
+    return ReplicationPolicy(others, settings.fault_tolerance, settings.zones)
 
 
-def most_lost(tolerance: FaultTolerance) -> int:
+def max_simultaneous_failures(tolerance: FaultTolerance) -> int:
     """How many replicas in different places may be lost at once."""
     return max(tolerance.machines, tolerance.zones, tolerance.regions)
--- a/emberring/control/role.py
+++ b/emberring/control/role.py
@@ -8,7 +8,7 @@
 
 from emberring.control.http_server import HttpServer
 from emberring.control.node import ControlNode
-from emberring.control.remembered import RememberedNodes
+from emberring.control.peer_cache import PeerCache
 from emberring.logs import get_logger
 from emberring.register.service import RegisterService
 from emberring.settings import CONTROL_PORT_OFFSET, Settings
@@ -29,7 +29,7 @@
     network = Network()
     register = RegisterService(settings, network, Path(settings.data_dir) / "register")
     await register.start()
-    remembered = RememberedNodes(Path(settings.data_dir) / "control-nodes")
+    remembered = PeerCache(Path(settings.data_dir) / "control-nodes")
     node = ControlNode(settings, network, register, remembered=remembered)
     await network.listen(settings.internal_address(CONTROL_PORT_OFFSET))
     node.start()
--- a/emberring/control/status_page.py
+++ b/emberring/control/status_page.py
@@ -6,16 +6,16 @@
 
 import orjson
 
-from emberring.control.board import Board
-from emberring.control.suspicion_ledger import Failing
-from emberring.distribution.facts import NodeFact, ServerFact
+from emberring.control.cluster_state import ClusterState
+from emberring.control.suspicion_table import FailingServer
+from emberring.distribution.records import NodeRecord, ServerRecord
 from emberring.placement.model import Placement
 
 
 class StatusPage:
     """Answers `GET /v1/status`; reading it changes nothing and asks no other node."""
 
-    def __init__(self, board: Board) -> None:
+    def __init__(self, board: ClusterState) -> None:
         self._board = board
 
     def render(self, now_s: float) -> bytes:
@@ -39,7 +39,7 @@
         return orjson.dumps(shown)
 
 
-def _node(fact: NodeFact) -> dict[str, Any]:
+def _node(fact: NodeRecord) -> dict[str, Any]:
     return {
         "Name": fact.name,
         "Role": fact.role.value,
@@ -50,7 +50,7 @@
     }
 
 
-def _server(now_s: float, fact: ServerFact, load: int, failing: Failing | None) -> dict[str, Any]:
+def _server(now_s: float, fact: ServerRecord, load: int, failing: FailingServer | None) -> dict[str, Any]:
     return {
         "Id": fact.id,
         "Service": fact.service,
--- a/emberring/control/suspicion_ledger.py
+++ b/emberring/control/suspicion_table.py
@@ -11,9 +11,9 @@
 
 import attrs
 
-from emberring.distribution.facts import ServerFact
+from emberring.distribution.records import ServerRecord
 from emberring.logs import get_logger
-from emberring.registry.trouble import Suspects, Trouble
+from emberring.registry.faults import Fault, Suspects
 
 WITNESSES = 2  # gateways that must suspect a server, where there are so many
 WELL_AFTER_S = 2.0  # without that
@@ -22,7 +22,7 @@
 
 
 @attrs.define
-class Failing:
+class FailingServer:
     """A server that gateways agree on. Times are seconds of the steady clock; `warned` is whether it was called failing
     already, and not only slow."""
 
@@ -32,12 +32,12 @@
     warned: bool = False
 
 
-class SuspicionLedger:
+class SuspicionTable:
     """Takes in what was told at each look, and writes a line where a server begins to fail, or ends to."""
 
-    def __init__(self, servers: Callable[[], Mapping[str, ServerFact]]) -> None:
+    def __init__(self, servers: Callable[[], Mapping[str, ServerRecord]]) -> None:
         self._servers = servers
-        self.failing: dict[str, Failing] = {}
+        self.failing: dict[str, FailingServer] = {}
 
     def look(self, now_s: float, told: Suspects, gateways: int) -> None:
         """What gateways hold now; `gateways` is how many there are."""
@@ -52,7 +52,7 @@
     def _suffers(self, now_s: float, server_id: str, troubles: Mapping[str, int], wanted: int) -> None:
         known = self.failing.get(server_id)
         if known is None:
-            known = self.failing[server_id] = Failing(now_s, now_s, troubles)
+            known = self.failing[server_id] = FailingServer(now_s, now_s, troubles)
             if not _grave(troubles, wanted):
                 logger.info("event=server_slow %s", self._described(server_id, troubles))
         known.last_s, known.troubles = now_s, troubles
@@ -66,7 +66,7 @@
         counts = ",".join(f"{name}:{count}" for name, count in sorted(troubles.items()))
         return f"server={server_id} service={service} address={address} zone={zone} troubles={counts}"
 
-    def _ends(self, server_id: str, failing: Failing) -> None:
+    def _ends(self, server_id: str, failing: FailingServer) -> None:
         del self.failing[server_id]
         logger.info(
             "event=server_recovered server=%s lasted_s=%.1f", server_id, failing.last_s - failing.since_s
@@ -75,4 +75,4 @@
 
 def _grave(troubles: Mapping[str, int], wanted: int) -> bool:
     """Whether so many gateways find more than slowness."""
-    return sum(count for name, count in troubles.items() if name != Trouble.SLOW.value) >= wanted
+    return sum(count for name, count in troubles.items() if name != Fault.SLOW.value) >= wanted
--- a/emberring/control/feed.py
+++ b/emberring/control/update_stream.py
@@ -4,11 +4,11 @@
 
 import asyncio
 
-from emberring.control.board import Board
+from emberring.control.cluster_state import ClusterState
 from emberring.distribution.contacts import Report
-from emberring.distribution.facts import NodeRole
-from emberring.distribution.load import Word
+from emberring.distribution.load_report import LoadReportDetail
 from emberring.distribution.messages import Pull, Update
+from emberring.distribution.records import NodeRole
 from emberring.transport.network import Caller
 
 LONGEST_WAIT_S = 2.0
@@ -18,10 +18,10 @@
 LONGEST_BUNDLE_S = 0.1
 
 
-class Feed:
+class UpdateStream:
     """Tells followers what they lack."""
 
-    def __init__(self, board: Board) -> None:
+    def __init__(self, board: ClusterState) -> None:
         self._board = board
 
     async def on_pull(self, pull: Pull, caller: Caller) -> Update:
@@ -62,17 +62,19 @@
             placement=placement if newer_placement else None,
             server_load=self._server_load(now_s, pull),
             controls=board.peers.addresses(),
-            usual_load=board.load.usual(now_s, pull.load) if pull.word is Word.SERVERS_IN_USE else {},
+            usual_load=board.load.usual(now_s, pull.load)
+            if pull.word is LoadReportDetail.SERVERS_IN_USE
+            else {},
             service_load=board.load.totals(now_s) if routing else {},
             load_age_ms=round(board.load.age_s(now_s) * 1000.0) if routing else 0.0,
         )
 
     def _server_load(self, now_s: float, pull: Pull) -> dict[str, int]:
         """The calls in flight at each server, as far as they are asked for."""
-        if pull.me.role is not NodeRole.GATEWAY or pull.word is Word.TOTALS:
+        if pull.me.role is not NodeRole.GATEWAY or pull.word is LoadReportDetail.TOTALS:
             return {}
         calls = self._board.load.calls(now_s)
-        if pull.word is Word.SERVERS_IN_USE:
+        if pull.word is LoadReportDetail.SERVERS_IN_USE:
             return {server_id: calls.get(server_id, 0) for server_id in pull.load}
         return calls
 
--- a/emberring/distribution/contacts.py
+++ b/emberring/distribution/contacts.py
@@ -7,8 +7,8 @@
 
 import attrs
 
-from emberring.distribution.facts import NodeFact
-from emberring.registry.trouble import summed_suspects
+from emberring.distribution.records import NodeRecord
+from emberring.registry.faults import sum_suspicions
 
 ABSENT_S = 1.4  # a node that did not pull for so long is no longer in contact
 LOAD_FRESH_S = 1.2
@@ -16,7 +16,7 @@
 
 @attrs.define
 class _Contact:
-    fact: NodeFact
+    fact: NodeRecord
     at_s: float
 
 
@@ -41,7 +41,7 @@
         self._contacts: dict[str, _Contact] = {}
         self._told: dict[str, _Told] = {}
 
-    def note(self, now_s: float, fact: NodeFact, report: Report | None = None) -> bool:
+    def note(self, now_s: float, fact: NodeRecord, report: Report | None = None) -> bool:
         """A node called, and may have told something; whether this says anything new about the node."""
         if report is not None:
             self._told[fact.name] = _Told(report, now_s)
@@ -53,7 +53,7 @@
         contact.fact, contact.at_s = fact, now_s
         return changed
 
-    def expired(self, now_s: float) -> list[NodeFact]:
+    def expired(self, now_s: float) -> list[NodeRecord]:
         """Nodes whose contact has just ended."""
         gone = [contact.fact for contact in self._contacts.values() if now_s - contact.at_s > ABSENT_S]
         for fact in gone:
@@ -66,12 +66,12 @@
         for contact in self._contacts.values():
             contact.at_s = now_s
 
-    def drop(self, name: str) -> NodeFact | None:
+    def drop(self, name: str) -> NodeRecord | None:
         """Forget a contact that another control node has under a newer incarnation."""
         contact = self._contacts.pop(name, None)
         return contact.fact if contact is not None else None
 
-    def fact_of(self, name: str) -> NodeFact | None:
+    def fact_of(self, name: str) -> NodeRecord | None:
         """What a node in contact said of itself."""
         contact = self._contacts.get(name)
         return contact.fact if contact is not None else None
@@ -87,7 +87,7 @@
 
     def suspects(self, now_s: float) -> dict[str, dict[str, int]]:
         """By server id: how many nodes that told this control node hold it to have which trouble."""
-        return summed_suspects(
+        return sum_suspicions(
             {server_id: {trouble: 1} for server_id, trouble in report.suspects.items()}
             for report in self._fresh(now_s)
         )
--- a/emberring/distribution/follower.py
+++ b/emberring/distribution/follower.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from emberring.configuration.model import Configuration
-from emberring.distribution.facts import NodeFact, NodeRole, ServerFact
-from emberring.distribution.load import Word, WordSchedule
+from emberring.distribution.load_report import LoadReportDetail, LoadReportSchedule
 from emberring.distribution.messages import Pull, Update
+from emberring.distribution.records import NodeRecord, NodeRole, ServerRecord
 from emberring.distribution.sources import SourceChoice
 from emberring.distribution.view import FollowerView
 from emberring.errors import EmberringError
@@ -41,7 +41,7 @@
     node is leaving.
     """
 
-    def __init__(self, network: Network, me: NodeFact, seeds: Sequence[str]) -> None:
+    def __init__(self, network: Network, me: NodeRecord, seeds: Sequence[str]) -> None:
         self.me = me
         self.report: Callable[[bool], dict[str, int]] | None = None
         self.suspects: Callable[[], dict[str, str]] | None = None
@@ -51,7 +51,7 @@
         self._callbacks: list[Callable[[], None]] = []
         self._load_callbacks: list[Callable[[], None]] = []
         self._tasks: list[asyncio.Task[None]] = []
-        self._word = WordSchedule()
+        self._word = LoadReportSchedule()
 
     async def start(self) -> None:
         """Begin to pull; returns at once."""
@@ -74,12 +74,12 @@
         return self._view.configuration if self._view is not None else None
 
     @property
-    def servers(self) -> dict[str, ServerFact]:
+    def servers(self) -> dict[str, ServerRecord]:
         """Servers that serve or drain, by id."""
         return self._view.servers if self._view is not None else {}
 
     @property
-    def nodes(self) -> dict[str, NodeFact]:
+    def nodes(self) -> dict[str, NodeRecord]:
         """Live stores and control nodes, by name."""
         return self._view.nodes if self._view is not None else {}
 
@@ -147,7 +147,7 @@
         if view.take(loop.time(), update, pull.word):
             self._sources.prefer(self._controls_near(view))
             _tell(self._callbacks)
-        if pull.word is not Word.TOTALS:
+        if pull.word is not LoadReportDetail.TOTALS:
             _tell(self._load_callbacks)
 
     def _controls_near(self, view: FollowerView) -> list[str]:
@@ -158,26 +158,26 @@
             if fact.role is NodeRole.CONTROL and fact.zone == self.me.zone
         ]
 
-    def _wait_s(self, word: Word, servers: int, slot: int) -> float:
+    def _wait_s(self, word: LoadReportDetail, servers: int, slot: int) -> float:
         """How long the answer to a pull may be held back. Word of every server is worth little once it is old: a call
         holds its place for about a second."""
         if self.report is None:
             return WAIT_S
-        if word is not Word.EVERY_SERVER or slot != 0:
+        if word is not LoadReportDetail.EVERY_SERVER or slot != 0:
             return REPORT_WAIT_S
         return min(REPORT_WAIT_S, max(WORD_WAIT_S, WORD_WAIT_EACH_S * servers))
 
-    def _word_for(self, now_s: float, view: FollowerView, slot: int) -> Word:
+    def _word_for(self, now_s: float, view: FollowerView, slot: int) -> LoadReportDetail:
         """What to ask for of calls in flight."""
         if self.report is None:
-            return Word.TOTALS
+            return LoadReportDetail.TOTALS
         return self._word.next(now_s, view.gateways, len(view.servers), reporting=slot == 0)
 
-    def _question(self, view: FollowerView, slot: int, word: Word, wait_s: float) -> Pull:
+    def _question(self, view: FollowerView, slot: int, word: LoadReportDetail, wait_s: float) -> Pull:
         """What to ask a control node. The first of the two is told this node's calls, and asked for all others'
         where these are asked for seldom; an answer of the other would be counted against another report."""
         report = self.report
-        told = report(word is not Word.TOTALS) if report is not None and slot == 0 else None
+        told = report(word is not LoadReportDetail.TOTALS) if report is not None and slot == 0 else None
         return Pull(
             me=self.me,
             vector=dict(view.store.vector),
--- a/emberring/distribution/load.py
+++ b/emberring/distribution/load_report.py
@@ -10,7 +10,7 @@
 FREQUENT_PAIRS = 12_000  # gateways times servers up to which control can tell of all servers at each answer
 
 
-class Word(Enum):
+class LoadReportDetail(Enum):
     """What an answer is to tell of calls in flight besides the totals: nothing, those at every server, or those at
     the servers that the asker uses, smoothed as well."""
 
@@ -19,7 +19,7 @@
     SERVERS_IN_USE = "servers_in_use"
 
 
-class WordSchedule:
+class LoadReportSchedule:
     """When a gateway asks for each server's calls; the totals come with every answer.
 
     Where gateways are few, or gateways times servers are, every answer brings them. Elsewhere a gateway goes by what is
@@ -30,14 +30,14 @@
     def __init__(self) -> None:
         self._asked_s = -WORD_EVERY_S
 
-    def next(self, now_s: float, gateways: int, servers: int, reporting: bool) -> Word:
+    def next(self, now_s: float, gateways: int, servers: int, reporting: bool) -> LoadReportDetail:
         """What to ask for now. What is told of the servers in use holds this node's calls as they were `reporting`."""
         if gateways <= GATEWAYS_BY_WORD or gateways * servers <= FREQUENT_PAIRS:
-            return Word.EVERY_SERVER
+            return LoadReportDetail.EVERY_SERVER
         due = now_s - self._asked_s >= WORD_EVERY_S
-        return Word.SERVERS_IN_USE if due and reporting else Word.TOTALS
+        return LoadReportDetail.SERVERS_IN_USE if due and reporting else LoadReportDetail.TOTALS
 
-    def answered(self, asked_s: float, word: Word) -> None:
+    def answered(self, asked_s: float, word: LoadReportDetail) -> None:
         """This came that was asked for then."""
-        if word is not Word.TOTALS:
+        if word is not LoadReportDetail.TOTALS:
             self._asked_s = asked_s
--- a/emberring/distribution/messages.py
+++ b/emberring/distribution/messages.py
@@ -8,8 +8,8 @@
 
 import attrs
 
-from emberring.distribution.facts import NodeFact, ServerFact
-from emberring.distribution.load import Word
+from emberring.distribution.load_report import LoadReportDetail
+from emberring.distribution.records import NodeRecord, ServerRecord
 from emberring.placement.model import Placement
 from emberring.transport.messages import message
 
@@ -22,7 +22,7 @@
 
     origin: str
     number: int
-    fact: ServerFact
+    fact: ServerRecord
 
 
 @attrs.frozen
@@ -31,7 +31,7 @@
 
     origin: str
     number: int
-    fact: NodeFact
+    fact: NodeRecord
     present: bool
 
 
@@ -58,14 +58,14 @@
     `word` says what to tell of all gateways' calls; the servers in use are those in `load`, with none of the asker's
     calls maybe."""
 
-    me: NodeFact
+    me: NodeRecord
     vector: dict[str, int]
     configuration_version: int = 0
     placement_epoch: int = 0
     wait_ms: int = 0
     load: dict[str, int] = attrs.field(factory=dict)
     tells_load: bool = False
-    word: Word = Word.EVERY_SERVER
+    word: LoadReportDetail = LoadReportDetail.EVERY_SERVER
     suspects: dict[str, str] = attrs.field(factory=dict)
 
 
@@ -102,7 +102,7 @@
     (`load_age_ms` ago in the mean), `suspects` how many of them hold a server to have which trouble.
     `to` is the origin for which `delta` was made; any other takes nothing from it."""
 
-    me: NodeFact
+    me: NodeRecord
     to: str
     delta: Delta
     vector: dict[str, int]
@@ -117,7 +117,7 @@
 class Exchanged:
     """The answer to an exchange: what the asker lacked. `vector` counts what the exchange brought."""
 
-    me: NodeFact
+    me: NodeRecord
     delta: Delta
     vector: dict[str, int]
 
--- a/emberring/distribution/peers.py
+++ b/emberring/distribution/peers.py
@@ -6,8 +6,8 @@
 
 import attrs
 
-from emberring.distribution.facts import NodeFact
 from emberring.distribution.messages import Exchange, Exchanged
+from emberring.distribution.records import NodeRecord
 
 EXCHANGE_EVERY_S = 0.3  # among many control nodes; among few as often as these allow:
 EXCHANGE_EACH_S = 0.025  # for each other control node, and
@@ -25,7 +25,7 @@
     address: str
     seed: bool
     known_since_s: float
-    fact: NodeFact | None = None
+    fact: NodeRecord | None = None
     vector: dict[str, int] = attrs.field(factory=dict)
     load: dict[str, int] = attrs.field(factory=dict)
     load_s: float = -1e9
@@ -47,7 +47,7 @@
 class PeerTable:
     """The other control nodes by address."""
 
-    def __init__(self, me: NodeFact, seeds: Iterable[str]) -> None:
+    def __init__(self, me: NodeRecord, seeds: Iterable[str]) -> None:
         self.me = me
         self._peers: dict[str, Peer] = {}
         for address in seeds:
@@ -86,7 +86,7 @@
         """All control nodes heard of, this one too."""
         return (self.me.address, *self._peers)
 
-    def met(self) -> list[NodeFact]:
+    def met(self) -> list[NodeRecord]:
         """The other control nodes that were heard at any time."""
         return [peer.fact for peer in self._peers.values() if peer.fact is not None]
 
--- a/emberring/distribution/facts.py
+++ b/emberring/distribution/records.py
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen
-class NodeFact:
+class NodeRecord:
     """A node of the tier. `identity` is kept on its disk ("" without one), `incarnation` is new at each start."""
 
     name: str
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen
-class ServerFact:
+class ServerRecord:
     """A model server's incarnation, as its newest heartbeat said. `cold_ms` is how much longer it is slow."""
 
     id: str
--- a/emberring/distribution/facts_store.py
+++ b/emberring/distribution/status_table.py
@@ -7,8 +7,8 @@
 import attrs
 from sortedcontainers import SortedDict
 
-from emberring.distribution.facts import NodeFact, NodeRole, ServerFact
 from emberring.distribution.messages import Delta, NodeEntry, ServerEntry
+from emberring.distribution.records import NodeRecord, NodeRole, ServerRecord
 from emberring.registry.merge import dominates, merged
 
 MOST_CACHED = 8  # answers about who lives, each for a set of origins
@@ -25,19 +25,19 @@
         return bool(self.servers or self.nodes)
 
 
-class FactStore:
+class StatusTable:
     """Statements by origin and number. Those of an ended origin are dropped where another says as much."""
 
     def __init__(self, origin: str = "") -> None:
         self.origin = origin
         self.vector: dict[str, int] = {}
         self._servers: dict[str, dict[str, ServerEntry]] = {}
-        self._merged: dict[str, ServerFact] = {}
+        self._merged: dict[str, ServerRecord] = {}
         self._nodes: dict[str, dict[str, NodeEntry]] = {}
         self._arrivals: dict[tuple[str, str], int] = {}
         self._arrived = 0
         self._numbered: dict[str, SortedDict] = {}  # by origin: the kept statements by their numbers
-        self._live_nodes: dict[tuple[frozenset[str], tuple[NodeRole, ...]], dict[str, NodeFact]] = {}
+        self._live_nodes: dict[tuple[frozenset[str], tuple[NodeRole, ...]], dict[str, NodeRecord]] = {}
 
     # -- statements of this node
 
@@ -46,7 +46,7 @@
         self.vector[self.origin] = number
         return number
 
-    def state_server(self, fact: ServerFact) -> ServerEntry:
+    def state_server(self, fact: ServerRecord) -> ServerEntry:
         """State this about a server in this node's own name, joined with what is known: a statement replaces the
         older ones of its origin, and must say all that they did."""
         known = self._merged.get(fact.id)
@@ -55,7 +55,7 @@
         self._take_server(entry)
         return entry
 
-    def state_node(self, fact: NodeFact, present: bool) -> NodeEntry:
+    def state_node(self, fact: NodeRecord, present: bool) -> NodeEntry:
         """State in this node's own name whether a node is in contact with it."""
         entry = NodeEntry(self.origin, self._next_number(), fact, present)
         self._take_node(entry)
@@ -63,7 +63,7 @@
 
     # -- what is held
 
-    def servers(self) -> Mapping[str, ServerFact]:
+    def servers(self) -> Mapping[str, ServerRecord]:
         """The join of all statements, by server id, in every state."""
         return self._merged
 
@@ -80,7 +80,7 @@
         """What this origin stated last about a node."""
         return self._nodes.get(name, {}).get(origin)
 
-    def live_nodes(self, live: Collection[str], roles: Collection[NodeRole]) -> Mapping[str, NodeFact]:
+    def live_nodes(self, live: Collection[str], roles: Collection[NodeRole]) -> Mapping[str, NodeRecord]:
         """Nodes of these roles in contact with an origin that lives; of two incarnations the one told last."""
         key = (frozenset(live), tuple(roles))
         known = self._live_nodes.get(key)
@@ -90,7 +90,7 @@
             known = self._live_nodes[key] = self._find_live(live, roles)
         return known
 
-    def _find_live(self, live: Collection[str], roles: Collection[NodeRole]) -> dict[str, NodeFact]:
+    def _find_live(self, live: Collection[str], roles: Collection[NodeRole]) -> dict[str, NodeRecord]:
         found: dict[str, NodeEntry] = {}
         for entry in self.node_entries():
             if not entry.present or entry.origin not in live or entry.fact.role not in roles:
--- a/emberring/distribution/view.py
+++ b/emberring/distribution/view.py
@@ -9,10 +9,10 @@
 
 from emberring.configuration.model import Configuration
 from emberring.configuration.reading import unpack_configuration
-from emberring.distribution.facts import NodeFact, NodeRole, ServerFact, ServerState
-from emberring.distribution.facts_store import FactStore
-from emberring.distribution.load import Word
+from emberring.distribution.load_report import LoadReportDetail
 from emberring.distribution.messages import Update
+from emberring.distribution.records import NodeRecord, NodeRole, ServerRecord, ServerState
+from emberring.distribution.status_table import StatusTable
 from emberring.placement.model import Placement
 from emberring.registry.known_load import NO_LOAD, KnownLoad
 from emberring.registry.merge import merged
@@ -34,11 +34,11 @@
     """The configuration, servers and nodes as the last answers told them."""
 
     def __init__(self, now_s: float) -> None:
-        self.store = FactStore()
+        self.store = StatusTable()
         self.configuration: Configuration | None = None
         self.placement: Placement | None = None
-        self.servers: dict[str, ServerFact] = {}
-        self.nodes: dict[str, NodeFact] = {}
+        self.servers: dict[str, ServerRecord] = {}
+        self.nodes: dict[str, NodeRecord] = {}
         self.gateways = 1
         self._gateways_told: dict[str, tuple[float, int]] = {}
         self.load: KnownLoad = NO_LOAD
@@ -55,7 +55,9 @@
         """The epoch of the placement known; 0 without one."""
         return self.placement.epoch if self.placement is not None else 0
 
-    def take(self, now_s: float, update: Update, word: Word = Word.EVERY_SERVER) -> bool:
+    def take(
+        self, now_s: float, update: Update, word: LoadReportDetail = LoadReportDetail.EVERY_SERVER
+    ) -> bool:
         """Take in an answer; whether anything but the load changed. `word` as the pull said."""
         self._pass_time(now_s)
         self._answers[update.origin] = (self._alive_s, update.live_origins)
@@ -70,14 +72,14 @@
         changed |= self._show_servers(entry.fact.id for entry in update.delta.servers)
         return self._show_nodes() or changed
 
-    def _take_load(self, now_s: float, update: Update, word: Word) -> None:
+    def _take_load(self, now_s: float, update: Update, word: LoadReportDetail) -> None:
         """A control node that has just started, or is cut off, knows no load; that is not taken for none."""
         if not (update.server_load or update.service_load) and update.quorum_age_ms >= QUORUM_FRESH_S * 1000:
             return
-        if word is Word.TOTALS:
+        if word is LoadReportDetail.TOTALS:
             self.load = attrs.evolve(self.load, totals=update.service_load)
         else:
-            usual = update.usual_load if word is Word.SERVERS_IN_USE else None
+            usual = update.usual_load if word is LoadReportDetail.SERVERS_IN_USE else None
             true_s = now_s - update.load_age_ms / 1000.0
             self.load = KnownLoad(update.server_load, usual, update.service_load, true_s)
 
@@ -125,17 +127,17 @@
         listing = frozenset(origin for origin in self._origins_seen if self._live(origin, ORPHAN_S))
         if listing != self._listing:
             self._listing, told = listing, list(self.store.servers())
-        changed: dict[str, ServerFact | None] = {}
+        changed: dict[str, ServerRecord | None] = {}
         for server_id in told:
             shown = self._shown(server_id)
             if shown != self.servers.get(server_id):
                 changed[server_id] = shown
         if changed:
-            merged_view: dict[str, ServerFact | None] = {**self.servers, **changed}
+            merged_view: dict[str, ServerRecord | None] = {**self.servers, **changed}
             self.servers = {name: fact for name, fact in merged_view.items() if fact is not None}
         return bool(changed)
 
-    def _shown(self, server_id: str) -> ServerFact | None:
+    def _shown(self, server_id: str) -> ServerRecord | None:
         """The server as it may be used; None where it may not."""
         known = self.store.servers().get(server_id)
         fact = self._listed(server_id)
@@ -143,7 +145,7 @@
             return None
         return attrs.evolve(fact, state=known.state)
 
-    def _listed(self, server_id: str) -> ServerFact | None:
+    def _listed(self, server_id: str) -> ServerRecord | None:
         """What origins that live, or did a short while ago, say of a server together. An ended origin's word for
         a server's life must not outlast it; its word for a drain does."""
         listed = [
--- a/emberring/emulator/configurations.py
+++ b/emberring/emulator/configurations.py
@@ -10,7 +10,7 @@
 SERVICE = "ledger-llm"
 EXPLAIN_PREFIX = "/explain/"  # streams that run once at most
 REVIEW_PREFIX = "/review/"  # streams that may be resumed
-LOT_PREFIX = "/lots-in/"
+JOB_PREFIX = "/lots-in/"
 ADDED_PREFIX = "/added/"  # of a route that a later version adds
 
 
@@ -49,7 +49,7 @@
     routes = [
         _route("explain", EXPLAIN_PREFIX, "streaming", terms, MaxAttempts=2, Resumable=False, **stream),
         _route("review", REVIEW_PREFIX, "streaming", terms, MaxAttempts=3, Resumable=True, **stream),
-        _route("lots", LOT_PREFIX, "batch", terms, MaxAttempts=3, **batch),
+        _route("lots", JOB_PREFIX, "batch", terms, MaxAttempts=3, **batch),
     ]
     runtime = {"Capacity": terms.capacity, "KvCacheTokens": terms.kv_tokens, "stride": terms.stride}
     service = {
--- a/emberring/emulator/judge.py
+++ b/emberring/emulator/invariant_checker.py
@@ -6,8 +6,8 @@
 
 import attrs
 
+from emberring.emulator.job_client import JobHistory
 from emberring.emulator.live_client import StreamCall, StreamEnd, StreamResult
-from emberring.emulator.lot_client import LotHistory
 from emberring.emulator.observations import Observations
 from emberring.emulator.output import event_count, whole_output
 
@@ -43,29 +43,29 @@
     return found
 
 
-def judge_lot(history: LotHistory, seen: Observations, stride: int) -> list[Breach]:
+def judge_job(history: JobHistory, seen: Observations, stride: int) -> list[Breach]:
     """The rules broken by what was read of a lot."""
-    lot = history.lot
-    found = [Breach("TWICE", lot.id, f"position {at} has changed") for at in history.changed]
+    job = history.job
+    found = [Breach("TWICE", job.id, f"position {at} has changed") for at in history.changed]
     if history.wrong_totals:
-        found.append(Breach("MIXED", lot.id, f"Total was {history.total}, not {len(lot.items)}"))
+        found.append(Breach("MIXED", job.id, f"Total was {history.total}, not {len(job.items)}"))
     if history.unreadable:
-        found.append(Breach("LOST", lot.id, f"{history.unreadable} reads found nothing"))
+        found.append(Breach("LOST", job.id, f"{history.unreadable} reads found nothing"))
     found += _judge_results(history, stride)
     refused = not history.accepted and history.statuses
     if refused and all(status in (429, 503, 408, 421) for status in history.statuses):
-        ran = [item.id for item in lot.items if seen.runs.get(item.id)]
+        ran = [item.id for item in job.items if seen.runs.get(item.id)]
         found += [Breach("REFUSED", item_id, "ran though its lot was refused") for item_id in ran]
     return found
 
 
-def _judge_results(history: LotHistory, stride: int) -> Iterable[Breach]:
-    items = {item.id: item for item in history.lot.items}
+def _judge_results(history: JobHistory, stride: int) -> Iterable[Breach]:
+    items = {item.id: item for item in history.job.items}
     listed: set[str] = set()
     for position, result in enumerate(history.results):
         item = items.get(result.item_id)
         if item is None:
-            yield Breach("MIXED", history.lot.id, f"position {position} names {result.item_id!r}")
+            yield Breach("MIXED", history.job.id, f"position {position} names {result.item_id!r}")
             continue
         if item.id in listed:
             yield Breach("TWICE", item.id, "stands at two positions")
--- a/emberring/emulator/lot_client.py
+++ b/emberring/emulator/job_client.py
@@ -13,7 +13,7 @@
 import attrs
 import orjson
 
-from emberring.emulator.configurations import HOST, LOT_PREFIX
+from emberring.emulator.configurations import HOST, JOB_PREFIX
 from emberring.emulator.http_calls import CALL_ERRORS, HttpAnswer, call_once
 
 ANSWER_WITHIN_S = 2.5
@@ -22,7 +22,7 @@
 
 
 @attrs.frozen
-class LotItem:
+class JobItem:
     """An item of a lot as the client made it."""
 
     id: str
@@ -55,15 +55,15 @@
 
 
 @attrs.frozen
-class Lot:
+class BatchJob:
     """A lot by its id, with its items in order."""
 
     id: str
-    items: tuple[LotItem, ...]
+    items: tuple[JobItem, ...]
 
 
 @attrs.frozen
-class LotResult:
+class JobResult:
     """A result at a position: `state` is `completed` or `dead_letter`."""
 
     item_id: str
@@ -72,15 +72,15 @@
 
 
 @attrs.define
-class LotHistory:
+class JobHistory:
     """What a client was told of a lot; `changed` has the positions that held two results."""
 
-    lot: Lot
+    job: BatchJob
     statuses: list[int] = attrs.field(factory=list)
     accepted_s: float = 0.0  # from the first send to the 202
     done_s: float = 0.0  # from the first send to the last result
     total: int = 0
-    results: list[LotResult] = attrs.field(factory=list)
+    results: list[JobResult] = attrs.field(factory=list)
     changed: list[int] = attrs.field(factory=list)
     wrong_totals: int = 0
     unreadable: int = 0  # reads that were answered 404 or 410 after the 202
@@ -93,36 +93,36 @@
     @property
     def complete(self) -> bool:
         """Whether every item has a result."""
-        return len(self.results) >= len(self.lot.items)
+        return len(self.results) >= len(self.job.items)
 
 
-def make_lot(items: int, seed: int, output_tokens: int = 40) -> Lot:
+def make_job(items: int, seed: int, output_tokens: int = 40) -> BatchJob:
     """A lot whose items share the first part of their prompts."""
     rng = random.Random(seed)
     made = []
     for _ in range(items):
         item_id = rng.randbytes(8).hex()
         parts = (("5eed01", 300), (item_id, rng.randint(50, 200)))
-        path = f"{LOT_PREFIX}{item_id[:4]}"
-        made.append(LotItem(item_id, path, rng.randbytes(24), parts, output_tokens))
-    return Lot(secrets.token_hex(8), tuple(made))
+        path = f"{JOB_PREFIX}{item_id[:4]}"
+        made.append(JobItem(item_id, path, rng.randbytes(24), parts, output_tokens))
+    return BatchJob(secrets.token_hex(8), tuple(made))
 
 
-class LotClient:
+class JobClient:
     """Hands lots in and follows them. `frontends` is asked at each call."""
 
     def __init__(self, frontends: Callable[[], Sequence[str]], seed: int) -> None:
         self._frontends = frontends
         self._random = random.Random(seed)
 
-    async def submit(self, lot: Lot, within_s: float = 6.0) -> LotHistory:
+    async def submit(self, job: BatchJob, within_s: float = 6.0) -> JobHistory:
         """Hand a lot in, again at other gateways after anything but 202 and a plain mistake."""
         loop = asyncio.get_running_loop()
-        history = LotHistory(lot)
+        history = JobHistory(job)
         began = loop.time()
-        content = orjson.dumps({"Requests": [item.document() for item in lot.items]})
+        content = orjson.dumps({"Requests": [item.document() for item in job.items]})
         while loop.time() - began < within_s:
-            answer = await self._call("POST", f"{LOT_PREFIX}{lot.id}", content, {"Request-Id": lot.id})
+            answer = await self._call("POST", f"{JOB_PREFIX}{job.id}", content, {"Request-Id": job.id})
             history.statuses.append(answer.status if answer else 0)
             if answer is not None and answer.status == 202:
                 history.accepted_s = loop.time() - began
@@ -132,7 +132,7 @@
             await asyncio.sleep(0.1)
         return history
 
-    async def follow(self, history: LotHistory, within_s: float) -> LotHistory:
+    async def follow(self, history: JobHistory, within_s: float) -> JobHistory:
         """Read results until all are there or the time is over."""
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -147,9 +147,9 @@
         history.done_s = history.accepted_s + loop.time() - began
         return history
 
-    async def read(self, history: LotHistory, start_after: int) -> bool:
+    async def read(self, history: JobHistory, start_after: int) -> bool:
         """Read one page into the history; whether it came."""
-        path = f"/v1/lots/{history.lot.id}?StartAfter={start_after}"
+        path = f"/v1/lots/{history.job.id}?StartAfter={start_after}"
         answer = await self._call("GET", path, b"", {"Wait-Ms": str(WAIT_MS)})
         if answer is None:
             return False
@@ -159,16 +159,16 @@
         _note_page(history, start_after, orjson.loads(answer.body))
         return True
 
-    async def body_of(self, lot: Lot, item_id: str) -> HttpAnswer | None:
+    async def body_of(self, job: BatchJob, item_id: str) -> HttpAnswer | None:
         """The body of an item that is not listed yet."""
-        return await self._call("GET", f"/v1/items/{lot.id}?Id={quote(item_id)}", b"", {})
+        return await self._call("GET", f"/v1/items/{job.id}?Id={quote(item_id)}", b"", {})
 
-    async def end(self, lot: Lot, within_s: float = 6.0) -> bool:
+    async def end(self, job: BatchJob, within_s: float = 6.0) -> bool:
         """End a lot; whether that was acknowledged."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         while loop.time() - began < within_s:
-            answer = await self._call("DELETE", f"/v1/lots/{lot.id}", b"", {})
+            answer = await self._call("DELETE", f"/v1/lots/{job.id}", b"", {})
             if answer is not None and answer.status == 200:
                 return True
             await asyncio.sleep(0.1)
@@ -189,11 +189,11 @@
             return None
 
 
-def _note_page(history: LotHistory, start_after: int, page: dict[str, Any]) -> None:
+def _note_page(history: JobHistory, start_after: int, page: dict[str, Any]) -> None:
     history.total = page["Total"]
-    history.wrong_totals += history.total != len(history.lot.items)
+    history.wrong_totals += history.total != len(history.job.items)
     for offset, row in enumerate(page["Results"]):
-        result = LotResult(row["Id"], row["State"], row.get("Message", ""))
+        result = JobResult(row["Id"], row["State"], row.get("Message", ""))
         position = start_after + offset
         if position < len(history.results):
             if history.results[position] != result:
--- a/emberring/emulator/store_survey.py
+++ b/emberring/emulator/store_scan.py
@@ -6,7 +6,7 @@
 
 from emberring.emulator.local_tier import INTERNAL_OF_ROLE, LocalTier
 from emberring.errors import EmberringError
-from emberring.jobs.status import AskStoreStatus, StoreStatus
+from emberring.jobs.status import StoreStatus, StoreStatusRequest
 from emberring.transport.network import Network
 
 ANSWER_S = 1.0
@@ -18,7 +18,7 @@
 
     async def ask(name: str, address: str) -> tuple[str, StoreStatus | None]:
         try:
-            return name, await network.call(address, AskStoreStatus(), StoreStatus, ANSWER_S)
+            return name, await network.call(address, StoreStatusRequest(), StoreStatus, ANSWER_S)
         except EmberringError:
             return name, None
 
@@ -31,9 +31,9 @@
 
 async def busiest_store(tier: LocalTier) -> str | None:
     """The store that owns the most lots; None where no store owns any."""
-    lots = {
-        name: sum(shard.lots for shard in status.shards if shard.owner)
+    jobs = {
+        name: sum(shard.jobs for shard in status.shards if shard.owner)
         for name, status in (await survey_stores(tier)).items()
     }
-    best = max(lots, key=lambda name: lots[name], default=None)
-    return best if best is not None and lots[best] else None
+    best = max(jobs, key=lambda name: jobs[name], default=None)
+    return best if best is not None and jobs[best] else None
--- a/emberring/emulator/traffic.py
+++ b/emberring/emulator/traffic.py
@@ -11,14 +11,14 @@
 import attrs
 
 from emberring.emulator.configurations import ADDED_PREFIX, EXPLAIN_PREFIX, REVIEW_PREFIX
-from emberring.emulator.judge import Breach, judge_lot, judge_stream, judge_unasked
+from emberring.emulator.invariant_checker import Breach, judge_job, judge_stream, judge_unasked
+from emberring.emulator.job_client import JobClient, JobHistory, make_job
 from emberring.emulator.live_client import LiveClient, StreamCall, StreamEnd
-from emberring.emulator.lot_client import LotClient, LotHistory, make_lot
 from emberring.emulator.observations import Observations
 
 SHARED_PARTS = (("5eed02", 400), ("5eed03", 400))
 OUTPUT_TOKENS = 40
-LOT_ITEMS = 20
+JOB_ITEMS = 20
 RESUMABLE_SHARE = 0.4
 
 
@@ -27,8 +27,8 @@
     """How much is asked for: streams a second, seconds between lots, and how long a lot may take."""
 
     streams_per_s: float = 20.0
-    lot_every_s: float = 3.0
-    lot_patience_s: float = 30.0
+    job_every_s: float = 3.0
+    job_patience_s: float = 30.0
     stride: int = 8
 
 
@@ -57,14 +57,14 @@
         self, frontends: Callable[[], list[str]], seen: Observations, plan: TrafficPlan, seed: int = 1
     ) -> None:
         self.tallies: dict[str, Tally] = {"explain": Tally(), "review": Tally()}
-        self.lots: list[LotHistory] = []
+        self.jobs: list[JobHistory] = []
         self.breaches: list[Breach] = []
         self.added_route = False
         self._seen = seen
         self._plan = plan
         self._random = random.Random(seed)
         self._client = LiveClient(frontends, seed, retries=2)
-        self._lot_client = LotClient(frontends, seed)
+        self._job_client = JobClient(frontends, seed)
         self._asked_ids: set[str] = set()
         self._calls: set[asyncio.Task[None]] = set()
         self._sources: list[asyncio.Task[None]] = []
@@ -72,7 +72,7 @@
     def start(self) -> None:
         """Begin to ask."""
         loop = asyncio.get_running_loop()
-        self._sources = [loop.create_task(self._streams()), loop.create_task(self._lots())]
+        self._sources = [loop.create_task(self._streams()), loop.create_task(self._jobs())]
 
     async def stop(self, within_s: float) -> None:
         """Ask nothing new, wait for what is open, and judge the lots."""
@@ -84,8 +84,8 @@
             await asyncio.wait(self._calls, timeout=within_s)
         for call in self._calls:
             call.cancel()
-        for history in self.lots:
-            self.breaches += judge_lot(history, self._seen, self._plan.stride)
+        for history in self.jobs:
+            self.breaches += judge_job(history, self._seen, self._plan.stride)
         self.breaches += judge_unasked(self._asked_ids, self._seen)
 
     def _spawn(self, task: asyncio.Task[None]) -> None:
@@ -98,11 +98,11 @@
             self._spawn(loop.create_task(self._one_stream()))
             await asyncio.sleep(self._random.expovariate(self._plan.streams_per_s))
 
-    async def _lots(self) -> None:
+    async def _jobs(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            self._spawn(loop.create_task(self._one_lot()))
-            await asyncio.sleep(self._plan.lot_every_s)
+            self._spawn(loop.create_task(self._one_job()))
+            await asyncio.sleep(self._plan.job_every_s)
 
     def _make_call(self) -> tuple[str, StreamCall]:
         name, prefix = "explain", EXPLAIN_PREFIX
@@ -132,10 +132,10 @@
         else:
             tally.ends[results[-1].end.value if results else "no gateway"] += 1
 
-    async def _one_lot(self) -> None:
-        lot = make_lot(LOT_ITEMS, self._random.getrandbits(32), OUTPUT_TOKENS)
-        self._asked_ids.update(item.id for item in lot.items)
-        history = await self._lot_client.submit(lot)
-        self.lots.append(history)
+    async def _one_job(self) -> None:
+        job = make_job(JOB_ITEMS, self._random.getrandbits(32), OUTPUT_TOKENS)
+        self._asked_ids.update(item.id for item in job.items)
+        history = await self._job_client.submit(job)
+        self.jobs.append(history)
         if history.accepted:
-            await self._lot_client.follow(history, self._plan.lot_patience_s)
+            await self._job_client.follow(history, self._plan.job_patience_s)
--- a/emberring/emulator/trial.py
+++ b/emberring/emulator/trial.py
@@ -10,13 +10,13 @@
 
 from emberring.emulator.configurations import SERVICE, TrialTerms, added_route, trial_configuration
 from emberring.emulator.engine import EngineSpec
-from emberring.emulator.judge import Breach
+from emberring.emulator.invariant_checker import Breach
+from emberring.emulator.job_client import JobHistory
 from emberring.emulator.local_tier import LocalTier, TierSize
-from emberring.emulator.lot_client import LotHistory
 from emberring.emulator.observations import Observations
 from emberring.emulator.operator import Operator
 from emberring.emulator.server_fleet import ServerFleet
-from emberring.emulator.store_survey import busiest_store
+from emberring.emulator.store_scan import busiest_store
 from emberring.emulator.traffic import Tally, Traffic, TrafficPlan
 from emberring.errors import NotReadyError
 
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen
-class Trouble:
+class Fault:
     """A trouble and how long the way back took from the restart (seconds); None where there was none."""
 
     what: str
@@ -54,9 +54,9 @@
     """What came of a trial."""
 
     started_s: float
-    troubles: tuple[Trouble, ...]
+    troubles: tuple[Fault, ...]
     tallies: dict[str, Tally]
-    lots: tuple[LotHistory, ...]
+    jobs: tuple[JobHistory, ...]
     breaches: tuple[Breach, ...]
     exit_codes: dict[str, int | None]
     logs: dict[str, tuple[str, ...]]  # the last lines of nodes that did not end in order
@@ -65,12 +65,12 @@
     def clean(self) -> bool:
         """Whether no rule was broken, every lot that was taken is whole and every node came back and ended."""
         back = all(trouble.back_s is not None for trouble in self.troubles)
-        taken = [history for history in self.lots if history.accepted]
-        lots = bool(taken) and all(history.complete for history in taken)
+        taken = [history for history in self.jobs if history.accepted]
+        jobs = bool(taken) and all(history.complete for history in taken)
         ended = all(code == 0 for code in self.exit_codes.values())
         asked = sum(tally.asked for tally in self.tallies.values())
         served = sum(tally.served for tally in self.tallies.values())
-        return not self.breaches and back and lots and ended and served * 2 > asked
+        return not self.breaches and back and jobs and ended and served * 2 > asked
 
 
 class Trial:
@@ -85,7 +85,7 @@
         engine = EngineSpec(stride=plan.traffic.stride)
         self._fleet = ServerFleet(SERVICE, engine, self._tier.controls, self._seen)
         self._traffic = Traffic(self._tier.frontends, self._seen, plan.traffic, seed)
-        self._troubles: list[Trouble] = []
+        self._troubles: list[Fault] = []
 
     async def play(self) -> TrialReport:
         """The whole trial; `NotReadyError` where the tier does not come up."""
@@ -144,7 +144,7 @@
         back_s = await self._tier.wait_up([node.place.name], BACK_S)
         told = "did not come back" if back_s is None else f"back {back_s:.1f} s after its restart"
         self._say(f"{node.place.name} {told}")
-        self._troubles.append(Trouble(f"{role} killed", node.place.name, back_s))
+        self._troubles.append(Fault(f"{role} killed", node.place.name, back_s))
 
     async def _trouble_servers(self) -> None:
         first, second, *_ = self._fleet.servers
@@ -155,14 +155,14 @@
         await self._fleet.add()
         await self._fleet.add()
         released = await self._fleet.release(second)
-        self._troubles.append(Trouble("server released", second, loop.time() - began if released else None))
+        self._troubles.append(Fault("server released", second, loop.time() - began if released else None))
         await self._change_configuration()
 
     async def _change_configuration(self) -> None:
         outcome = await self._operator.patch_configuration(added_route(2), 1)
         took_s = outcome.took_s if outcome.acknowledged else None
         self._say(f"version 2 adds a route: status {outcome.status}")
-        self._troubles.append(Trouble("route added", "version 2", took_s))
+        self._troubles.append(Fault("route added", "version 2", took_s))
         self._traffic.added_route = outcome.acknowledged
 
     def _first_log(self) -> str:
@@ -177,7 +177,7 @@
             started_s=started_s,
             troubles=tuple(self._troubles),
             tallies=self._traffic.tallies,
-            lots=tuple(self._traffic.lots),
+            jobs=tuple(self._traffic.jobs),
             breaches=tuple(self._traffic.breaches),
             exit_codes=codes,
             logs={name: tuple(self._tier.nodes[name].log_tail(8)) for name in bad},
--- a/emberring/errors.py
+++ b/emberring/errors.py
@@ -147,7 +147,7 @@
     kind = ErrorKind.NOT_READY
 
 
-class InDoubtError(EmberringError):
+class UnknownOutcomeError(EmberringError):
     """The effect may or may not have taken place; no promise is made."""
 
     kind = ErrorKind.IN_DOUBT
--- a/emberring/gateway/app.py
+++ b/emberring/gateway/app.py
@@ -14,7 +14,7 @@
 from emberring.gateway.client_answer import ClientAnswer
 from emberring.gateway.clients import ClientConnection
 from emberring.gateway.execution import Executor
-from emberring.gateway.lots_api import LotsApi
+from emberring.gateway.jobs_api import JobsApi
 from emberring.gateway.messages import ClientRequest
 from emberring.gateway.ports import Directory
 from emberring.logs import get_logger
@@ -28,10 +28,10 @@
 class Application:
     """An ASGI application; one call for each request."""
 
-    def __init__(self, directory: Directory, executor: Executor, lots: LotsApi) -> None:
+    def __init__(self, directory: Directory, executor: Executor, jobs: JobsApi) -> None:
         self._directory = directory
         self._executor = executor
-        self._lots = lots
+        self._jobs = jobs
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
         """Answer one request; a client that leaves ends all work for it at once."""
@@ -78,8 +78,8 @@
         request = attrs.evolve(request, body=body)
         # What is in force once the request is whole decides.
         route = _route_of(self._directory.configuration or configuration, request)
-        if self._lots.takes(request, route):
-            return await self._lots.answer(request, route, answer)
+        if self._jobs.takes(request, route):
+            return await self._jobs.answer(request, route, answer)
         return await self._forward(request, route, answer)
 
     async def _forward(
--- a/emberring/gateway/attempt.py
+++ b/emberring/gateway/attempt.py
@@ -9,7 +9,7 @@
 import attrs
 
 from emberring.admission.types import CallOutcome
-from emberring.distribution.facts import ServerFact
+from emberring.distribution.records import ServerRecord
 from emberring.gateway.answers import OUTCOME_OF, Verdict, judge
 from emberring.gateway.events import Event, EventCutter
 from emberring.gateway.messages import AnswerHead, ClientRequest, render_request
@@ -88,14 +88,14 @@
     pool: ServerPool
     admission: AdmissionPort
     hearing: Hearing
-    sendable: Callable[[str], ServerFact | None]
+    sendable: Callable[[str], ServerRecord | None]
 
 
 class Attempt:
     """One send to one server."""
 
     def __init__(
-        self, means: Means, call: Call, server: ServerFact, receiver: Receiver, patience: Patience | None
+        self, means: Means, call: Call, server: ServerRecord, receiver: Receiver, patience: Patience | None
     ) -> None:
         self._means = means
         self._call = call
--- a/emberring/gateway/connect_patience.py
+++ b/emberring/gateway/connect_timeout.py
@@ -17,7 +17,7 @@
 
 
 @attrs.define
-class ConnectPatience:
+class ConnectTimeoutEstimator:
     """The time within which a connection must be up (seconds)."""
 
     _usual_s: float = 0.0
--- a/emberring/gateway/departure.py
+++ b/emberring/gateway/graceful_shutdown.py
@@ -33,7 +33,7 @@
     busy: int
 
 
-class Departure:
+class GracefulShutdown:
     """From SIGTERM (`began_s`) to the end."""
 
     def __init__(self, began_s: float, grace_s: float) -> None:
--- a/emberring/gateway/lots_api.py
+++ b/emberring/gateway/jobs_api.py
@@ -7,13 +7,19 @@
 from urllib.parse import parse_qs
 
 from emberring.configuration.model import Route, RouteType
-from emberring.errors import BadRequestError, EmberringError, InDoubtError, NotFoundError, NotReadyError
+from emberring.errors import (
+    BadRequestError,
+    EmberringError,
+    NotFoundError,
+    NotReadyError,
+    UnknownOutcomeError,
+)
 from emberring.gateway.answers import OwnAnswer
 from emberring.gateway.calls import read_milliseconds
 from emberring.gateway.client_answer import ClientAnswer
 from emberring.gateway.messages import ClientRequest
 
-LOTS_PATH = "/v1/lots/"
+JOBS_PATH = "/v1/lots/"
 ITEMS_PATH = "/v1/items/"
 OWN_PATHS = "/v1/"
 MAX_WAIT_MS = 2000.0  # for which a page may be held until there is a result
@@ -24,34 +30,34 @@
 BYTES = b"application/octet-stream"
 
 
-class Lots(Protocol):
+class Jobs(Protocol):
     """The client of the stores. Errors are those of `emberring.errors`; a failure that is no promise is in doubt."""
 
-    async def submit(self, host: str, route: Route, lot: str, body: bytes) -> None:
+    async def submit(self, host: str, route: Route, job: str, body: bytes) -> None:
         """Have a lot taken; returns once it is kept."""
 
-    async def read(self, host: str, lot: str, start_after: int, wait_ms: float) -> bytes:
+    async def read(self, host: str, job: str, start_after: int, wait_ms: float) -> bytes:
         """A page of results as JSON."""
 
-    async def item(self, host: str, lot: str, item: str) -> bytes:
+    async def item(self, host: str, job: str, item: str) -> bytes:
         """The body of an item that is not listed yet."""
 
-    async def end(self, host: str, lot: str) -> None:
+    async def end(self, host: str, job: str) -> None:
         """End a lot."""
 
 
-class LotsApi:
+class JobsApi:
     """Maps calls to the client of the stores."""
 
-    def __init__(self, lots: Lots) -> None:
-        self._lots = lots
+    def __init__(self, jobs: Jobs) -> None:
+        self._jobs = jobs
 
     def takes(self, request: ClientRequest, route: Route | None) -> bool:
         """Whether a request belongs to this interface."""
         if route is not None and route.type is RouteType.BATCH and request.method == b"POST":
             return True
         # A route below these paths goes first; one that covers the whole host doesn't hide them.
-        own = request.path.startswith((LOTS_PATH, ITEMS_PATH))
+        own = request.path.startswith((JOBS_PATH, ITEMS_PATH))
         return own and (route is None or not route.path_prefix.startswith(OWN_PATHS))
 
     async def answer(
@@ -63,7 +69,7 @@
             if route is not None and route.type is RouteType.BATCH and request.method == b"POST":
                 await self._submit(request, route)
                 await answer.whole(202, JSON, b"{}")
-            elif request.path.startswith(LOTS_PATH) and request.method == b"DELETE":
+            elif request.path.startswith(JOBS_PATH) and request.method == b"DELETE":
                 await self._end(request)
                 await answer.whole(200, JSON, b"{}")
             elif request.method == b"GET":
@@ -72,7 +78,7 @@
             else:
                 return OwnAnswer(405, "GET or DELETE is wanted")
         except TimeoutError:
-            raise InDoubtError("no clear end in time") from None
+            raise UnknownOutcomeError("no clear end in time") from None
         return None
 
     async def _look_up(self, request: ClientRequest) -> tuple[bytes, bytes]:
@@ -88,30 +94,30 @@
     async def _submit(self, request: ClientRequest, route: Route) -> None:
         if not request.request_id:
             raise BadRequestError("a lot wants a Request-Id")
-        lot = request.request_id.decode("latin-1")
+        job = request.request_id.decode("latin-1")
         async with asyncio.timeout_at(request.arrived_s + route.timeout_ms / 1000.0):
-            await self._lots.submit(request.host_name, route, lot, request.body)
+            await self._jobs.submit(request.host_name, route, job, request.body)
 
     async def _end(self, request: ClientRequest) -> None:
         async with asyncio.timeout(END_LIMIT_S):
-            await self._lots.end(request.host_name, request.path[len(LOTS_PATH) :])
+            await self._jobs.end(request.host_name, request.path[len(JOBS_PATH) :])
 
     async def _read(self, request: ClientRequest) -> bytes:
         start_text = _query(request, "StartAfter") or "0"
         if not start_text.isdigit():
             raise BadRequestError("StartAfter is no number")
         wait_ms = read_milliseconds(request.header(b"wait-ms")) or 0.0
-        lot = request.path[len(LOTS_PATH) :]
+        job = request.path[len(JOBS_PATH) :]
         wait_ms = min(wait_ms, MAX_WAIT_MS)
         async with asyncio.timeout(wait_ms / 1000.0 + READ_SLACK_S):
-            return await self._lots.read(request.host_name, lot, int(start_text), wait_ms)
+            return await self._jobs.read(request.host_name, job, int(start_text), wait_ms)
 
     async def _item(self, request: ClientRequest) -> bytes:
         item = _query(request, "Id")
         if not item:
             raise BadRequestError("Id is missing")
         async with asyncio.timeout(READ_SLACK_S):
-            return await self._lots.item(request.host_name, request.path[len(ITEMS_PATH) :], item)
+            return await self._jobs.item(request.host_name, request.path[len(ITEMS_PATH) :], item)
 
 
 def _query(request: ClientRequest, name: str) -> str:
@@ -120,21 +126,21 @@
     return parse_qs(text).get(name, [""])[-1]
 
 
-class NoLots:
+class NoJobs:
     """Stands in where no store can be reached: nothing is taken, nothing is known."""
 
-    async def submit(self, host: str, route: Route, lot: str, body: bytes) -> None:
+    async def submit(self, host: str, route: Route, job: str, body: bytes) -> None:
         """Refuse a lot."""
         raise NotReadyError("no store is known")
 
-    async def read(self, host: str, lot: str, start_after: int, wait_ms: float) -> bytes:
+    async def read(self, host: str, job: str, start_after: int, wait_ms: float) -> bytes:
         """Say that nothing is certain."""
         raise NotReadyError("no store is known")
 
-    async def item(self, host: str, lot: str, item: str) -> bytes:
+    async def item(self, host: str, job: str, item: str) -> bytes:
         """Say that nothing is certain."""
         raise NotReadyError("no store is known")
 
-    async def end(self, host: str, lot: str) -> None:
+    async def end(self, host: str, job: str) -> None:
         """Say that nothing was done."""
         raise NotReadyError("no store is known")
--- a/emberring/gateway/pool.py
+++ b/emberring/gateway/pool.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from emberring.gateway.connect_patience import MOST_S, ConnectPatience
+from emberring.gateway.connect_timeout import MOST_S, ConnectTimeoutEstimator
 from emberring.gateway.upstream import ServerConnection
 
 CONNECT_TIMEOUT_S = MOST_S  # less where connections usually come up sooner
@@ -52,7 +52,7 @@
         self._servers: dict[str, _Server] = {}
         self._share: Callable[[str], int] = lambda server_id: 1
         self._sweeper: asyncio.TimerHandle | None = None
-        self._patience = ConnectPatience()
+        self._patience = ConnectTimeoutEstimator()
         self.opened = 0
         self.unreachable_s = 0.0  # when a connection last did not come up (the loop's time)
 
--- a/emberring/gateway/ports.py
+++ b/emberring/gateway/ports.py
@@ -7,7 +7,7 @@
 
 from emberring.admission.types import CallInfo, CallOutcome, Decision
 from emberring.configuration.model import Configuration
-from emberring.distribution.facts import ServerFact
+from emberring.distribution.records import ServerRecord
 
 
 class Directory(Protocol):
@@ -18,7 +18,7 @@
         """The configuration in force; None until one chosen by a quorum is known."""
 
     @property
-    def servers(self) -> Mapping[str, ServerFact]:
+    def servers(self) -> Mapping[str, ServerRecord]:
         """The servers by the id of their incarnation, draining ones among them."""
 
     @property
--- a/emberring/gateway/role.py
+++ b/emberring/gateway/role.py
@@ -12,20 +12,20 @@
 from emberring.admission.admission import Admission
 from emberring.admission.types import AdmissionSettings
 from emberring.configuration.model import ClientLimits
-from emberring.distribution.facts import NodeFact, NodeRole
 from emberring.distribution.follower import Follower
+from emberring.distribution.records import NodeRecord, NodeRole
 from emberring.gateway.app import Application
 from emberring.gateway.clients import ClientPort
-from emberring.gateway.departure import Departure, Seen, Stage
 from emberring.gateway.execution import Executor
-from emberring.gateway.lots_api import LotsApi
+from emberring.gateway.graceful_shutdown import GracefulShutdown, Seen, Stage
+from emberring.gateway.jobs_api import JobsApi
 from emberring.gateway.pool import ServerPool
 from emberring.gateway.readiness import Readiness, ReadinessPages
 from emberring.gateway.servers import ServerBook
 from emberring.gateway.suspicions import SuspicionReport
-from emberring.jobs.client import LotClient
+from emberring.jobs.client import JobClient
 from emberring.jobs.directory import OwnerDirectory
-from emberring.jobs.runner import UnitRunner
+from emberring.jobs.runner import ItemRunner
 from emberring.logs import get_logger
 from emberring.settings import GATEWAY_PORT_OFFSET, Settings
 from emberring.transport.network import Network
@@ -45,7 +45,7 @@
         self._settings = settings
         self._loop = asyncio.get_running_loop()
         self.network = Network()
-        me = NodeFact(
+        me = NodeRecord(
             name=settings.node_name,
             role=NodeRole.GATEWAY,
             address=settings.internal_address(GATEWAY_PORT_OFFSET),
@@ -61,10 +61,10 @@
         self.executor = Executor(self.admission, self.pool, self.book)
         self.readiness = Readiness(self.follower, self._cut_off)
         owners = OwnerDirectory(self.follower)
-        lots = LotsApi(LotClient(self.network, self.follower, owners))
+        jobs = JobsApi(JobClient(self.network, self.follower, owners))
         name = f"{me.name}/{me.incarnation}"
-        self.runner = UnitRunner(self.network, self.follower, self.executor, name, owners, me.zone)
-        self.clients = ClientPort(Application(self.follower, self.executor, lots), self._limits)
+        self.runner = ItemRunner(self.network, self.follower, self.executor, name, owners, me.zone)
+        self.clients = ClientPort(Application(self.follower, self.executor, jobs), self._limits)
         self.probes = ClientPort(ReadinessPages(self._ready, self._figures), ClientLimits)
         self._suspicions = SuspicionReport(self.admission)
         self._refresher: asyncio.TimerHandle | None = None
@@ -152,9 +152,9 @@
             "items_running": float(self.runner.running),
             "server_connections_total": float(self.pool.opened),
         }
-        cursor, lot_share, word_age_s = self.admission.decides_by(self._loop.time())
+        cursor, job_share, word_age_s = self.admission.decides_by(self._loop.time())
         figures["admission_cursor"] = float(cursor)
-        figures["admission_lot_share"] = lot_share
+        figures["admission_lot_share"] = job_share
         figures["admission_word_age_seconds"] = word_age_s
         figures.update(self._suspicions.figures())
         for status, count in sorted(self.clients.answers.items()):
@@ -167,7 +167,7 @@
         self.clients.leaving = True
         self.follower.me = attrs.evolve(self.follower.me, leaving=True)
         grace_s = self._settings.bounds.grace_s
-        departure = Departure(self._loop.time(), grace_s)
+        departure = GracefulShutdown(self._loop.time(), grace_s)
         handing_back = self._loop.create_task(self.runner.leave(grace_s * ITEMS_SHARE))
         while True:
             open_now = len(self.clients.connections) + self.runner.running
--- a/emberring/gateway/servers.py
+++ b/emberring/gateway/servers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from emberring.distribution.facts import ServerFact, ServerState
+from emberring.distribution.records import ServerRecord, ServerState
 from emberring.gateway.ports import Directory
 
 UNLIMITED = 64  # connections to a server whose service states no limit
@@ -15,7 +15,7 @@
         self._directory = directory
         self._misdirected: set[str] = set()
 
-    def sendable(self, server_id: str) -> ServerFact | None:
+    def sendable(self, server_id: str) -> ServerRecord | None:
         """The server, if something new may be sent to it now."""
         fact = self._directory.servers.get(server_id)
         if fact is None or fact.state is not ServerState.READY or server_id in self._misdirected:
@@ -26,7 +26,7 @@
         """Whether a server of this service may get something new."""
         return any(fact.service == service for fact in self.usable())
 
-    def usable(self) -> list[ServerFact]:
+    def usable(self) -> list[ServerRecord]:
         """All servers that may get something new."""
         return [
             fact
--- a/emberring/gateway/suspicions.py
+++ b/emberring/gateway/suspicions.py
@@ -7,7 +7,7 @@
 from emberring.admission import Admission
 from emberring.admission.suspicion import SuspicionChange
 from emberring.logs import get_logger
-from emberring.registry.trouble import Trouble
+from emberring.registry.faults import Fault
 
 logger = get_logger("gateway")
 
@@ -17,7 +17,7 @@
 
     def __init__(self, admission: Admission) -> None:
         self._admission = admission
-        self._begun: Counter[Trouble] = Counter()
+        self._begun: Counter[Fault] = Counter()
 
     def look(self, now_s: float) -> None:
         """Write a line for each server that came into trouble, or is well again."""
@@ -53,6 +53,6 @@
     def figures(self) -> dict[str, float]:
         """For the page of figures."""
         figures = {"servers_suspected": float(len(self._admission.suspects()))}
-        for trouble in Trouble:
+        for trouble in Fault:
             figures[f'server_suspicions_total{{trouble="{trouble.value}"}}'] = float(self._begun[trouble])
         return figures
--- a/emberring/jobs/lot.py
+++ b/emberring/jobs/batch_job.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from emberring.jobs.calls import EventData, LotTerms
+from emberring.jobs.calls import EventData, JobTerms
 
 
 class ItemStatus(IntEnum):
@@ -48,11 +48,11 @@
 
 
 @attrs.define(eq=False)
-class Lot:
+class BatchJob:
     """A lot. Positions that are shown are the chosen ones from 0 on without a gap."""
 
     key: str
-    terms: LotTerms
+    terms: JobTerms
     accepted_s: float
     items: list[Item]
     accepted: bool = False
--- a/emberring/jobs/calls.py
+++ b/emberring/jobs/calls.py
@@ -4,11 +4,11 @@
 
 import attrs
 
-from emberring.transport.messages import message
+from emberring.transport.messages import message, wire_record
 
 
 @attrs.frozen
-class LotTerms:
+class JobTerms:
     """What a lot's route said when the lot was handed in. `version` is the configuration's; times as named."""
 
     route: str
@@ -20,31 +20,31 @@
     max_queued_tokens: int
 
 
-@message("lots.submit")
+@message("lots.submit", wire_keys={"job": "lot"})
 @attrs.frozen
-class SubmitLot:
+class SubmitJob:
     """A lot is handed in: `body` as the client sent it, squeezed."""
 
     host: str
-    lot: str
-    terms: LotTerms
+    job: str
+    terms: JobTerms
     body: bytes
 
 
-@message("lots.read")
+@message("lots.read", wire_keys={"job": "lot"})
 @attrs.frozen
-class ReadLot:
+class ReadJob:
     """Results from position `start_after` on; the answer may be held back up to `wait_ms` until there is one."""
 
     host: str
-    lot: str
+    job: str
     start_after: int
     wait_ms: int
 
 
 @message("lots.page")
 @attrs.frozen
-class LotPage:
+class JobPage:
     """Results from position `start` on, of a lot of `total` items: their values one behind the other."""
 
     total: int
@@ -52,13 +52,13 @@
     results: bytes
 
 
-@message("lots.item")
+@message("lots.item", wire_keys={"job": "lot"})
 @attrs.frozen
 class ReadItem:
     """The decoded body of an item."""
 
     host: str
-    lot: str
+    job: str
     item: str
 
 
@@ -70,13 +70,13 @@
     body: bytes
 
 
-@message("lots.end")
+@message("lots.end", wire_keys={"job": "lot"})
 @attrs.frozen
-class EndLot:
+class EndJob:
     """The client ends a lot."""
 
     host: str
-    lot: str
+    job: str
 
 
 @attrs.frozen
@@ -99,6 +99,7 @@
     zone: str = ""
 
 
+@wire_record({"job_path": "lot_path"})
 @attrs.frozen
 class Assignment:
     """An item to run under a ticket. `events` (packed) are those already held: the run goes on after the last."""
@@ -111,7 +112,7 @@
     host: str
     path: str
     route: str
-    lot_path: str
+    job_path: str
     headers: dict[str, str]
     body: bytes
     tokens: int
--- a/emberring/jobs/client.py
+++ b/emberring/jobs/client.py
@@ -12,7 +12,6 @@
     DiskFailedError,
     EmberringError,
     FencedError,
-    InDoubtError,
     InternalError,
     NoQuorumError,
     NotFoundError,
@@ -23,17 +22,18 @@
     PeerUnavailableError,
     ProtocolViolationError,
     QuotaExceededError,
+    UnknownOutcomeError,
 )
 from emberring.jobs.calls import (
-    EndLot,
+    EndJob,
     ItemBody,
-    LotPage,
-    LotTerms,
+    JobPage,
+    JobTerms,
     ReadItem,
-    ReadLot,
-    SubmitLot,
+    ReadJob,
+    SubmitJob,
 )
-from emberring.jobs.directory import Knowledge, OwnerDirectory
+from emberring.jobs.directory import OwnerDirectory, TierKnowledge
 from emberring.jobs.packing import squeeze
 from emberring.jobs.results import page_json
 from emberring.placement.model import shard_of
@@ -51,7 +51,7 @@
 
 _IN_DOUBT = (
     PeerTimeoutError,
-    InDoubtError,
+    UnknownOutcomeError,
     NoQuorumError,
     FencedError,
     DiskFailedError,
@@ -71,21 +71,21 @@
     reason: str = ""
 
 
-class LotClient:
+class JobClient:
     """Calls about lots. Used from one event loop."""
 
     def __init__(
-        self, network: Network, knowledge: Knowledge, directory: OwnerDirectory | None = None
+        self, network: Network, knowledge: TierKnowledge, directory: OwnerDirectory | None = None
     ) -> None:
         self._network = network
         self._knowledge = knowledge
         self._directory = directory or OwnerDirectory(knowledge)
 
-    async def submit(self, host: str, route: Route, lot: str, body: bytes) -> None:
+    async def submit(self, host: str, route: Route, job: str, body: bytes) -> None:
         """Have a lot taken; returns once it is kept. `QuotaExceededError`, `OverloadedError` and
-        `NotReadyError` only where nothing was written; `InDoubtError` where that is not certain."""
+        `NotReadyError` only where nothing was written; `UnknownOutcomeError` where that is not certain."""
         configuration = self._knowledge.configuration
-        terms = LotTerms(
+        terms = JobTerms(
             route=route.name,
             path=route.path_prefix,
             version=configuration.version if configuration else 0,
@@ -96,37 +96,37 @@
         )
         search = self._search(host, min(SUBMIT_LIMIT_S, 0.8 * route.timeout_ms / 1000), ATTEMPT_S)
         try:
-            await self._ask(search, SubmitLot(host, lot, terms, squeeze(body)), Ok)
+            await self._ask(search, SubmitJob(host, job, terms, squeeze(body)), Ok)
         except (QuotaExceededError, OverloadedError, NotReadyError) as error:
             if search.doubt:
-                raise InDoubtError(f"{search.reason}; then {error.detail}") from error
+                raise UnknownOutcomeError(f"{search.reason}; then {error.detail}") from error
             raise
 
-    async def read(self, host: str, lot: str, start_after: int, wait_ms: float) -> bytes:
+    async def read(self, host: str, job: str, start_after: int, wait_ms: float) -> bytes:
         """A page of results as JSON. `NotFoundError` where there is certainly no such lot."""
         wait_s = wait_ms / 1000
         search = self._search(host, wait_s + READ_SLACK_S, wait_s + ATTEMPT_S)
         loop = asyncio.get_running_loop()
         wait_until_s = loop.time() + wait_s
 
-        def message() -> ReadLot:
-            return ReadLot(host, lot, start_after, max(0, int((wait_until_s - loop.time()) * 1000)))
+        def message() -> ReadJob:
+            return ReadJob(host, job, start_after, max(0, int((wait_until_s - loop.time()) * 1000)))
 
-        return page_json(await self._ask(search, message, LotPage))
+        return page_json(await self._ask(search, message, JobPage))
 
-    async def item(self, host: str, lot: str, item: str) -> bytes:
+    async def item(self, host: str, job: str, item: str) -> bytes:
         """The body of an item. `NotFoundError` where there is certainly no such lot or item."""
         search = self._search(host, ITEM_LIMIT_S, ATTEMPT_S)
-        return (await self._ask(search, ReadItem(host, lot, item), ItemBody)).body
+        return (await self._ask(search, ReadItem(host, job, item), ItemBody)).body
 
-    async def end(self, host: str, lot: str) -> None:
+    async def end(self, host: str, job: str) -> None:
         """End a lot; returns once the end lasts."""
         search = self._search(host, END_LIMIT_S, ATTEMPT_S)
         try:
-            await self._ask(search, EndLot(host, lot), Ok)
+            await self._ask(search, EndJob(host, job), Ok)
         except NotReadyError as error:
             if search.doubt:
-                raise InDoubtError(search.reason) from error
+                raise UnknownOutcomeError(search.reason) from error
             raise
 
     def _search(self, host: str, limit_s: float, attempt_s: float) -> _Search:
--- a/emberring/jobs/definition.py
+++ b/emberring/jobs/definition.py
@@ -10,7 +10,7 @@
 import orjson
 
 from emberring.errors import BadRequestError, CorruptRecordError
-from emberring.jobs.calls import LotTerms
+from emberring.jobs.calls import JobTerms
 from emberring.jobs.packing import expand
 
 MAX_ITEMS = 200
@@ -82,15 +82,15 @@
     )
 
 
-def encode_definition(terms: LotTerms, squeezed: bytes) -> bytes:
+def encode_definition(terms: JobTerms, squeezed: bytes) -> bytes:
     """The value of a lot's definition: its terms on one line, then the body, squeezed."""
     return orjson.dumps(attrs.asdict(terms)) + _END_OF_TERMS + squeezed
 
 
-def decode_terms(value: bytes) -> LotTerms:
+def decode_terms(value: bytes) -> JobTerms:
     """The terms in a definition's value."""
     try:
-        return LotTerms(**orjson.loads(value[: value.index(_END_OF_TERMS)]))
+        return JobTerms(**orjson.loads(value[: value.index(_END_OF_TERMS)]))
     except (ValueError, TypeError) as error:
         raise CorruptRecordError(f"definition: {error}") from error
 
--- a/emberring/jobs/directory.py
+++ b/emberring/jobs/directory.py
@@ -6,11 +6,11 @@
 from typing import Protocol
 
 from emberring.configuration.model import Configuration
-from emberring.distribution.facts import NodeFact, NodeRole
+from emberring.distribution.records import NodeRecord, NodeRole
 from emberring.placement.model import Placement, in_order
 
 
-class Knowledge(Protocol):
+class TierKnowledge(Protocol):
     """What is read of the tier; a follower has it."""
 
     @property
@@ -22,7 +22,7 @@
         """Which stores keep which shard."""
 
     @property
-    def nodes(self) -> dict[str, NodeFact]:
+    def nodes(self) -> dict[str, NodeRecord]:
         """Live stores and control nodes, by name."""
 
     def subscribe(self, callback: Callable[[], None]) -> None:
@@ -32,7 +32,7 @@
 class OwnerDirectory:
     """The owner's address of each shard, learned from answers and forgotten after failures."""
 
-    def __init__(self, knowledge: Knowledge) -> None:
+    def __init__(self, knowledge: TierKnowledge) -> None:
         self._knowledge = knowledge
         self._owners: dict[int, str] = {}
         self._turns: dict[int, int] = {}
--- a/emberring/jobs/running.py
+++ b/emberring/jobs/execution.py
@@ -4,6 +4,7 @@
 
 import random
 
+from emberring.jobs.batch_job import BatchJob, Item, ItemStatus, Run
 from emberring.jobs.calls import (
     Assignment,
     EventData,
@@ -15,10 +16,9 @@
     RunProgress,
 )
 from emberring.jobs.items import OutcomeKind
-from emberring.jobs.lot import Item, ItemStatus, Lot, Run
+from emberring.jobs.job_table import Answer, JobTable
 from emberring.jobs.packing import pack_events, unpack_events
 from emberring.jobs.results import ResultState
-from emberring.jobs.shelf import Answer, Shelf
 
 RUN_LEASE_S = 2.0  # the owner's side of a gateway's lease of 1.5 s, which counts from the gateway's sending
 ANNOUNCE_S = 0.7  # a new owner waits so long for gateways that run items already
@@ -26,10 +26,10 @@
 TICKET_BITS = 52
 
 
-class Running:
+class JobExecution:
     """Runs of one shard's items."""
 
-    def __init__(self, shelf: Shelf, seed: int) -> None:
+    def __init__(self, shelf: JobTable, seed: int) -> None:
         self._shelf = shelf
         self._random = random.Random(seed)
         self._held: list[tuple[float, str, int]] = []  # until when, the lot's key, the item's index
@@ -48,57 +48,57 @@
         """Whether nothing runs and nothing is held back."""
         return not (self._running or self._held)
 
-    def adopt(self, now_s: float, lot: Lot, index: int, known: Item | None) -> None:
+    def adopt(self, now_s: float, job: BatchJob, index: int, known: Item | None) -> None:
         """An item without a result is adopted. A run known here goes on; otherwise wait for word of one."""
-        item = lot.items[index]
+        item = job.items[index]
         if known is not None:
             item.events, item.failures = known.events, known.failures
         if known is not None and known.run is not None:
-            self._begin(now_s, lot, index, known.run.ticket, known.run.gateway)
+            self._begin(now_s, job, index, known.run.ticket, known.run.gateway)
         else:
-            self._held.append((now_s + ANNOUNCE_S, lot.key, index))
+            self._held.append((now_s + ANNOUNCE_S, job.key, index))
 
     def take(self, now_s: float, gateway: str, room: int, shard: int) -> list[Assignment]:
         """Up to `room` items for a gateway, each under a new ticket."""
         taken: list[Assignment] = []
         while len(taken) < room and (entry := self._shelf.schedule.pop(now_s)) is not None:
-            lot = self._shelf.lots.get(entry.key)
-            if lot is None or lot.ended or lot.items[entry.index].status is not ItemStatus.WAITING:
+            job = self._shelf.jobs.get(entry.key)
+            if job is None or job.ended or job.items[entry.index].status is not ItemStatus.WAITING:
                 continue
-            taken.append(self._assign(now_s, gateway, shard, lot, entry.index))
+            taken.append(self._assign(now_s, gateway, shard, job, entry.index))
         return taken
 
-    def _assign(self, now_s: float, gateway: str, shard: int, lot: Lot, index: int) -> Assignment:
-        item, spec = lot.items[index], self._shelf.specs(lot)[index]
+    def _assign(self, now_s: float, gateway: str, shard: int, job: BatchJob, index: int) -> Assignment:
+        item, spec = job.items[index], self._shelf.specs(job)[index]
         ticket = self._random.getrandbits(TICKET_BITS)
-        self._begin(now_s, lot, index, ticket, gateway)
+        self._begin(now_s, job, index, ticket, gateway)
         return Assignment(
             shard=shard,
-            key=lot.key,
+            key=job.key,
             index=index,
             ticket=ticket,
             id=item.id,
-            host=lot.host,
+            host=job.host,
             path=spec.path,
-            route=lot.terms.route,
-            lot_path=lot.terms.path,
+            route=job.terms.route,
+            job_path=job.terms.path,
             headers=spec.headers,
             body=spec.decoded_body(),
             tokens=item.tokens,
-            due_ms=int((lot.due_s - now_s) * 1000),
+            due_ms=int((job.due_s - now_s) * 1000),
             events=pack_events(item.events),
         )
 
-    def _begin(self, now_s: float, lot: Lot, index: int, ticket: int, gateway: str) -> None:
-        item = lot.items[index]
+    def _begin(self, now_s: float, job: BatchJob, index: int, ticket: int, gateway: str) -> None:
+        item = job.items[index]
         item.status, item.run = ItemStatus.RUNNING, Run(ticket, gateway, now_s + RUN_LEASE_S, now_s)
-        self._running[(lot.key, index)] = None
+        self._running[(job.key, index)] = None
 
-    def _requeue(self, lot: Lot, index: int) -> None:
-        item = lot.items[index]
+    def _requeue(self, job: BatchJob, index: int) -> None:
+        item = job.items[index]
         item.status, item.run = ItemStatus.WAITING, None
-        self._running.pop((lot.key, index), None)
-        self._shelf.queue(lot, index)
+        self._running.pop((job.key, index), None)
+        self._shelf.queue(job, index)
 
     # What gateways tell.
 
@@ -108,12 +108,12 @@
         return ReportAnswer(tuple(answers))
 
     def _report(self, now_s: float, gateway: str, run: RunProgress) -> RunAnswer:
-        lot = self._shelf.lots.get(run.key)
-        if lot is None or lot.ended or run.index >= len(lot.items):
+        job = self._shelf.jobs.get(run.key)
+        if job is None or job.ended or run.index >= len(job.items):
             return RunAnswer(run.ticket, False, 0)
-        item = lot.items[run.index]
+        item = job.items[run.index]
         if item.status is ItemStatus.WAITING:  # known to its gateway alone: it goes on under its ticket
-            self._begin(now_s, lot, run.index, run.ticket, gateway)
+            self._begin(now_s, job, run.index, run.ticket, gateway)
             item.events = ()
         if item.run is None or item.run.ticket != run.ticket:
             return RunAnswer(run.ticket, False, 0)
@@ -124,16 +124,16 @@
 
     def finish(self, now_s: float, call: int, message: FinishRun) -> None:
         """A run has ended. Its gateway is answered once nothing can be lost any more."""
-        lot = self._shelf.lots.get(message.key)
-        item = lot.items[message.index] if lot and message.index < len(lot.items) else None
-        if lot is None or item is None or (lot.ended and not item.done) or item.status is ItemStatus.LISTED:
+        job = self._shelf.jobs.get(message.key)
+        item = job.items[message.index] if job and message.index < len(job.items) else None
+        if job is None or item is None or (job.ended and not item.done) or item.status is ItemStatus.LISTED:
             self._shelf.out.append(Answer(call, RunFinished(True)))
         elif item.status is ItemStatus.PLACED:
-            self._finishers.setdefault((lot.key, message.index), []).append(call)
+            self._finishers.setdefault((job.key, message.index), []).append(call)
         else:
-            self._finish(now_s, call, message, lot, item)
+            self._finish(now_s, call, message, job, item)
 
-    def _finish(self, now_s: float, call: int, message: FinishRun, lot: Lot, item: Item) -> None:
+    def _finish(self, now_s: float, call: int, message: FinishRun, job: BatchJob, item: Item) -> None:
         current = item.run is not None and item.run.ticket == message.ticket
         kind = OutcomeKind(message.kind)
         events = self._events_of(message, item, current)
@@ -141,26 +141,26 @@
             if events is None or len(events) != message.total:
                 self._shelf.out.append(Answer(call, RunFinished(False)))
                 return
-            self._finishers.setdefault((lot.key, message.index), []).append(call)
+            self._finishers.setdefault((job.key, message.index), []).append(call)
             if item.run is not None and current:
                 self._shelf.schedule.note_run(now_s - item.run.began_s)
-            self._place(lot, message.index, ResultState.COMPLETED, "\n".join(event.data for event in events))
+            self._place(job, message.index, ResultState.COMPLETED, "\n".join(event.data for event in events))
             return
         if kind is OutcomeKind.IMPOSSIBLE_422:
-            self._finishers.setdefault((lot.key, message.index), []).append(call)
-            self._place(lot, message.index, ResultState.DEAD_LETTER, "")
+            self._finishers.setdefault((job.key, message.index), []).append(call)
+            self._place(job, message.index, ResultState.DEAD_LETTER, "")
             return
         self._shelf.out.append(Answer(call, RunFinished(True)))
         if kind is OutcomeKind.FAILED_500:
             item.failures |= {message.ticket}
-            if len(item.failures) >= self._shelf.max_attempts(lot):
-                self._place(lot, message.index, ResultState.DEAD_LETTER, "")
+            if len(item.failures) >= self._shelf.max_attempts(job):
+                self._place(job, message.index, ResultState.DEAD_LETTER, "")
                 return
         if current or item.status is ItemStatus.WAITING:
             if events is not None and len(events) >= len(item.events):
                 item.events = events
             if current:
-                self._requeue(lot, message.index)
+                self._requeue(job, message.index)
 
     def _events_of(self, message: FinishRun, item: Item, current: bool) -> tuple[EventData, ...] | None:
         """All events of the run; None where its gateway must tell them again."""
@@ -170,13 +170,13 @@
             return item.events[: message.start] + unpack_events(message.events)
         return None
 
-    def _place(self, lot: Lot, index: int, state: ResultState, text: str) -> None:
-        self._running.pop((lot.key, index), None)
-        self._shelf.place(lot, index, state, text)
+    def _place(self, job: BatchJob, index: int, state: ResultState, text: str) -> None:
+        self._running.pop((job.key, index), None)
+        self._shelf.place(job, index, state, text)
 
-    def listed(self, lot: Lot, index: int) -> None:
+    def listed(self, job: BatchJob, index: int) -> None:
         """An item's result lasts."""
-        for call in self._finishers.pop((lot.key, index), ()):
+        for call in self._finishers.pop((job.key, index), ()):
             self._shelf.out.append(Answer(call, RunFinished(True)))
 
     # Time.
@@ -184,26 +184,26 @@
     def tick(self, now_s: float) -> None:
         """Runs whose gateway fell silent are given out again, and so are items that nobody announced."""
         for key, index in list(self._running):
-            lot = self._shelf.lots.get(key)
-            run = lot.items[index].run if lot else None
-            if lot is None or run is None:
+            job = self._shelf.jobs.get(key)
+            run = job.items[index].run if job else None
+            if job is None or run is None:
                 self._running.pop((key, index), None)
             elif run.expires_s <= now_s:
-                self._requeue(lot, index)
+                self._requeue(job, index)
         while self._held and self._held[0][0] <= now_s:
             _, key, index = self._held.pop(0)
-            lot = self._shelf.lots.get(key)
-            if lot is not None and lot.items[index].status is ItemStatus.WAITING:
-                self._shelf.queue(lot, index)
+            job = self._shelf.jobs.get(key)
+            if job is not None and job.items[index].status is ItemStatus.WAITING:
+                self._shelf.queue(job, index)
 
-    def give_up(self, now_s: float, lot: Lot) -> None:
+    def give_up(self, now_s: float, job: BatchJob) -> None:
         """Items of a lot past its retention, or without a route, become dead letters."""
-        too_old = now_s - lot.accepted_s > self._shelf.retention_s(lot) + RETENTION_SLACK_S
-        if lot.ended or not lot.accepted or not (too_old or self._shelf.route_gone(lot)):
+        too_old = now_s - job.accepted_s > self._shelf.retention_s(job) + RETENTION_SLACK_S
+        if job.ended or not job.accepted or not (too_old or self._shelf.route_gone(job)):
             return
-        for index, item in enumerate(lot.items):
+        for index, item in enumerate(job.items):
             if not item.done:
-                self._place(lot, index, ResultState.DEAD_LETTER, "")
+                self._place(job, index, ResultState.DEAD_LETTER, "")
 
     def lost(self) -> None:
         """Another store owns the shard; gateways tell it what they have."""
--- a/emberring/jobs/book.py
+++ b/emberring/jobs/job_manager.py
@@ -8,40 +8,40 @@
 
 from emberring.configuration.model import Configuration
 from emberring.errors import EmberringError
+from emberring.jobs.batch_job import BatchJob, Item
 from emberring.jobs.calls import (
     Assignment,
-    EndLot,
+    EndJob,
     FinishRun,
     ReadItem,
-    ReadLot,
+    ReadJob,
     ReportAnswer,
     ReportRuns,
-    SubmitLot,
+    SubmitJob,
 )
 from emberring.jobs.definition import decode_items, decode_terms
-from emberring.jobs.lot import Item, Lot
-from emberring.jobs.owned import OwnedLot, OwnedRecords
-from emberring.jobs.reading import Reading
+from emberring.jobs.execution import JobExecution
+from emberring.jobs.job_table import BookAction, Forget, JobTable, Refuse
+from emberring.jobs.owned import OwnedJob, OwnedRecords
+from emberring.jobs.queries import JobQueries
 from emberring.jobs.records import DEFINITION, END, FORGOTTEN
 from emberring.jobs.results import item_index
-from emberring.jobs.running import Running
-from emberring.jobs.shelf import BookAction, Forget, Refuse, Shelf
-from emberring.jobs.taking import Taking
+from emberring.jobs.submission import JobSubmission
 
 LOOK_EVERY_S = 0.5  # between looks at all lots
 FORGET_SLACK_S = 5.0
 LISTED_SLACK_S = 30.0  # a lot that is all listed but not ended is kept for so much longer than `StatusS`
 
 
-class LotBook:
+class JobManager:
     """One shard's lots. `status_s`: for how long an ended lot can be read after it was handed in."""
 
     def __init__(self, shard: int, records: OwnedRecords, status_s: float, seed: int) -> None:
         self.shard = shard
-        self._shelf = Shelf(records)
-        self._taking = Taking(self._shelf)
-        self._reading = Reading(self._shelf)
-        self._running = Running(self._shelf, seed)
+        self._shelf = JobTable(records)
+        self._taking = JobSubmission(self._shelf)
+        self._reading = JobQueries(self._shelf)
+        self._running = JobExecution(self._shelf, seed)
         self._status_s = status_s
         self._looked_s = 0.0
 
@@ -51,9 +51,9 @@
         return self._running.waiting
 
     @property
-    def lots(self) -> dict[str, Lot]:
+    def jobs(self) -> dict[str, BatchJob]:
         """All lots by key."""
-        return self._shelf.lots
+        return self._shelf.jobs
 
     @property
     def waiting_tokens(self) -> dict[str, int]:
@@ -66,32 +66,32 @@
 
     # Ownership.
 
-    def adopt(self, now_s: float, lots: dict[str, OwnedLot]) -> list[BookAction]:
+    def adopt(self, now_s: float, jobs: dict[str, OwnedJob]) -> list[BookAction]:
         """This store owns the shard, and these records are all there are. Runs that the book knows of go on;
         calls that wait for something to last are sent away, to ask again."""
-        before = dict(self._shelf.lots)
+        before = dict(self._shelf.jobs)
         self.lose_calls()
         self._shelf.clear()
-        for key, owned in lots.items():
+        for key, owned in jobs.items():
             if DEFINITION in owned.slots and FORGOTTEN not in owned.slots:
-                self._adopt_lot(now_s, key, owned, before.get(key))
+                self._adopt_job(now_s, key, owned, before.get(key))
         return self._take()
 
-    def _adopt_lot(self, now_s: float, key: str, owned: OwnedLot, known: Lot | None) -> None:
+    def _adopt_job(self, now_s: float, key: str, owned: OwnedJob, known: BatchJob | None) -> None:
         value = owned.slots[DEFINITION].value
         specs = decode_items(value)
         items = [Item(spec.id, spec.tokens, counted=False) for spec in specs]
-        lot = Lot(key, decode_terms(value), owned.accepted_s, items, accepted=True)
-        lot.ended = lot.end_lasts = END in owned.slots
-        self._shelf.lots[key] = lot
+        job = BatchJob(key, decode_terms(value), owned.accepted_s, items, accepted=True)
+        job.ended = job.end_lasts = END in owned.slots
+        self._shelf.jobs[key] = job
         for position, slot in owned.slots.items():
             if position >= 0:
-                lot.positions[position] = item_index(slot.value)
-                lot.choose(position)
+                job.positions[position] = item_index(slot.value)
+                job.choose(position)
         for index, item in enumerate(items):
-            if not item.done and not lot.ended:
-                self._shelf.count(lot, item)
-                self._running.adopt(now_s, lot, index, known.items[index] if known else None)
+            if not item.done and not job.ended:
+                self._shelf.count(job, item)
+                self._running.adopt(now_s, job, index, known.items[index] if known else None)
 
     def lose(self) -> list[BookAction]:
         """Another store may own the shard."""
@@ -107,25 +107,25 @@
 
     def chosen(self, now_s: float, key: str, slot: int) -> list[BookAction]:
         """What was proposed for a slot lasts."""
-        lot = self._shelf.lots.get(key)
-        if lot is None:
+        job = self._shelf.jobs.get(key)
+        if job is None:
             return []
         if slot == DEFINITION:
-            self._taking.taken(lot)
+            self._taking.taken(job)
         elif slot == END:
-            self._taking.ended(lot)
-            self._reading.more(lot)
+            self._taking.ended(job)
+            self._reading.more(job)
         elif slot == FORGOTTEN:
-            del self._shelf.lots[key]
-        elif slot in lot.positions:
-            lot.choose(slot)
-            self._running.listed(lot, lot.positions[slot])
-            self._reading.more(lot)
+            del self._shelf.jobs[key]
+        elif slot in job.positions:
+            job.choose(slot)
+            self._running.listed(job, job.positions[slot])
+            self._reading.more(job)
         return self._take()
 
     # Calls.
 
-    def submit(self, now_s: float, call: int, message: SubmitLot) -> list[BookAction]:
+    def submit(self, now_s: float, call: int, message: SubmitJob) -> list[BookAction]:
         """A lot is handed in."""
         try:
             self._taking.submit(now_s, call, message)
@@ -133,12 +133,12 @@
             self._shelf.out.append(Refuse(call, error))
         return self._take()
 
-    def end(self, call: int, message: EndLot) -> list[BookAction]:
+    def end(self, call: int, message: EndJob) -> list[BookAction]:
         """A lot is ended."""
         self._taking.end(call, message)
         return self._take()
 
-    def read(self, now_s: float, call: int, message: ReadLot) -> list[BookAction]:
+    def read(self, now_s: float, call: int, message: ReadJob) -> list[BookAction]:
         """Results are read."""
         self._reading.read(now_s, call, message)
         return self._take()
@@ -171,18 +171,18 @@
             self._running.tick(now_s)
         if now_s - self._looked_s >= LOOK_EVERY_S:
             self._looked_s = now_s
-            for lot in list(self._shelf.lots.values()):
-                self._look_at(now_s, lot)
+            for job in list(self._shelf.jobs.values()):
+                self._look_at(now_s, job)
         return self._take()
 
-    def _look_at(self, now_s: float, lot: Lot) -> None:
-        if not lot.all_shown:
-            self._running.give_up(now_s, lot)
-        age_s = now_s - lot.accepted_s
-        kept_s = self._status_s + (FORGET_SLACK_S if lot.end_lasts else LISTED_SLACK_S)
-        if age_s > kept_s and (lot.end_lasts or lot.all_shown) and not lot.forgetting:
-            lot.forgetting = True
-            self._shelf.out.append(Forget(lot.key))
+    def _look_at(self, now_s: float, job: BatchJob) -> None:
+        if not job.all_shown:
+            self._running.give_up(now_s, job)
+        age_s = now_s - job.accepted_s
+        kept_s = self._status_s + (FORGET_SLACK_S if job.end_lasts else LISTED_SLACK_S)
+        if age_s > kept_s and (job.end_lasts or job.all_shown) and not job.forgetting:
+            job.forgetting = True
+            self._shelf.out.append(Forget(job.key))
 
     def _take(self) -> list[BookAction]:
         out, self._shelf.out = self._shelf.out, []
--- a/emberring/jobs/merge.py
+++ b/emberring/jobs/merge.py
@@ -7,7 +7,7 @@
 import attrs
 
 from emberring.jobs.lease import has_quorum
-from emberring.jobs.records import FORGOTTEN, LotState, SlotState, Term
+from emberring.jobs.records import FORGOTTEN, JobState, SlotState, Term
 from emberring.placement.model import Group
 
 
@@ -21,30 +21,30 @@
 
 
 @attrs.frozen
-class MergedLot:
+class MergedJob:
     """A lot's slots, and its greatest known age."""
 
     age_ms: int
     slots: dict[int, MergedSlot]
 
 
-Inventories = Mapping[str, Mapping[str, LotState]]
+Inventories = Mapping[str, Mapping[str, JobState]]
 
 
-def merge(inventories: Inventories, group: Group) -> dict[str, MergedLot]:
+def merge(inventories: Inventories, group: Group) -> dict[str, MergedJob]:
     """The records that an owner of this group adopts, given what a quorum of replicas holds."""
     keys = {key for inventory in inventories.values() for key in inventory}
     quorums: dict[tuple[str, ...], bool] = {}
-    return {key: _merge_lot(key, inventories, group, quorums) for key in keys}
+    return {key: _merge_job(key, inventories, group, quorums) for key in keys}
 
 
-def _merge_lot(
+def _merge_job(
     key: str, inventories: Inventories, group: Group, quorums: dict[tuple[str, ...], bool]
-) -> MergedLot:
+) -> MergedJob:
     held = [(identity, inventory[key]) for identity, inventory in inventories.items() if key in inventory]
     best: dict[int, tuple[SlotState, list[str]]] = {}
-    for identity, lot in held:
-        for slot, state in lot.slots.items():
+    for identity, job in held:
+        for slot, state in job.slots.items():
             known = best.get(slot)
             if known is None or state.term > known[0].term:
                 best[slot] = (state, [identity])
@@ -58,7 +58,7 @@
         if holders not in quorums:
             quorums[holders] = has_quorum(group, set(holders))
         slots[slot] = MergedSlot(state, holders, quorums[holders])
-    return MergedLot(max(lot.age_ms for _, lot in held), slots)
+    return MergedJob(max(job.age_ms for _, job in held), slots)
 
 
 def misplaced(results: Mapping[int, tuple[Term, int]]) -> set[int]:
--- a/emberring/jobs/messages.py
+++ b/emberring/jobs/messages.py
@@ -74,7 +74,7 @@
 
 @message("lots.touch")
 @attrs.frozen
-class Touch:
+class RenewLeases:
     """An owner keeps its leases: the replica grants no other claim for a while after this."""
 
     sender: str
@@ -94,7 +94,7 @@
 
 @message("lots.touched")
 @attrs.frozen
-class TouchReply:
+class RenewLeasesReply:
     """The answers to a touch, one for each lease."""
 
     answers: tuple[LeaseAnswer, ...]
@@ -112,7 +112,7 @@
 
 @message("lots.inventory")
 @attrs.frozen
-class AskInventory:
+class InventoryRequest:
     """The owner asks what the replica holds."""
 
     shard: int
--- a/emberring/jobs/owned.py
+++ b/emberring/jobs/owned.py
@@ -19,7 +19,7 @@
 
 
 @attrs.define(eq=False)
-class OwnedLot:
+class OwnedJob:
     """The slots of a lot, and when it was accepted (seconds of the steady clock, at the latest)."""
 
     accepted_s: float
@@ -30,46 +30,46 @@
     """All lots of a shard."""
 
     def __init__(self) -> None:
-        self.lots: dict[str, OwnedLot] = {}
+        self.jobs: dict[str, OwnedJob] = {}
         self.unchosen = 0
         self.digest = 0
 
-    def replace(self, lots: dict[str, OwnedLot]) -> None:
+    def replace(self, jobs: dict[str, OwnedJob]) -> None:
         """Begin anew with these."""
-        self.lots = lots
+        self.jobs = jobs
         self.unchosen = 0
         self.digest = 0
-        for key, lot in lots.items():
-            for slot, owned in lot.slots.items():
+        for key, job in jobs.items():
+            for slot, owned in job.slots.items():
                 self.digest ^= slot_digest(key, slot, owned.checksum)
                 self.unchosen += not owned.chosen
 
     def find(self, key: str, slot: int) -> OwnedSlot | None:
         """The slot, or None."""
-        lot = self.lots.get(key)
-        return lot.slots.get(slot) if lot else None
+        job = self.jobs.get(key)
+        return job.slots.get(slot) if job else None
 
     def put(self, key: str, slot: int, value: bytes, accepted_s: float) -> None:
         """A new value, not chosen yet."""
-        lot = self.lots.get(key)
-        if lot is None:
-            lot = self.lots[key] = OwnedLot(accepted_s)
+        job = self.jobs.get(key)
+        if job is None:
+            job = self.jobs[key] = OwnedJob(accepted_s)
         self.erase(key, slot)
         owned = OwnedSlot(value, checksum(value), acks=set())
-        self.lots.setdefault(key, lot).slots[slot] = owned
+        self.jobs.setdefault(key, job).slots[slot] = owned
         self.digest ^= slot_digest(key, slot, owned.checksum)
         self.unchosen += 1
 
     def erase(self, key: str, slot: int) -> None:
         """Forget a slot; a lot without slots is gone."""
-        lot = self.lots.get(key)
-        owned = lot.slots.pop(slot, None) if lot else None
-        if lot is None or owned is None:
+        job = self.jobs.get(key)
+        owned = job.slots.pop(slot, None) if job else None
+        if job is None or owned is None:
             return
         self.digest ^= slot_digest(key, slot, owned.checksum)
         self.unchosen -= not owned.chosen
-        if not lot.slots:
-            del self.lots[key]
+        if not job.slots:
+            del self.jobs[key]
 
     def choose(self, owned: OwnedSlot) -> None:
         """A quorum has it."""
--- a/emberring/jobs/owner.py
+++ b/emberring/jobs/owner.py
@@ -13,22 +13,22 @@
 
 import attrs
 
-from emberring.jobs.adoption import Adoption
 from emberring.jobs.lease import OwnerLease, has_quorum
 from emberring.jobs.messages import (
-    AskInventory,
     Claim,
     ClaimReply,
     Fetch,
     Fetched,
     Inventory,
+    InventoryRequest,
     Lease,
     LeaseAnswer,
     Release,
     WriteReply,
 )
-from emberring.jobs.owned import OwnedLot, OwnedRecords
-from emberring.jobs.records import FORGOTTEN, NO_TERM, LotState, Term, unpack_inventory, unpack_records
+from emberring.jobs.owned import OwnedJob, OwnedRecords
+from emberring.jobs.owner_recovery import OwnerRecovery
+from emberring.jobs.records import FORGOTTEN, NO_TERM, JobState, Term, unpack_inventory, unpack_records
 from emberring.jobs.replica import CLAIM_HOLD_S, REFUSE_S, Replica
 from emberring.jobs.replication import Replication
 from emberring.placement.model import Group, in_order
@@ -48,7 +48,7 @@
     FOLLOWING = "following"
     CLAIMING = "claiming"
     FETCHING = "fetching"
-    REWRITING = "rewriting"
+    REPLICATING = "rewriting"
     SERVING = "serving"
 
 
@@ -73,7 +73,7 @@
 class BecameOwner:
     """These lots, all chosen, are the shard's whole truth."""
 
-    lots: dict[str, OwnedLot]
+    jobs: dict[str, OwnedJob]
 
 
 @attrs.frozen
@@ -105,8 +105,8 @@
         self._replication = Replication(self.records)
         self._random = random.Random(seed)
         self._counter = 0
-        self._inventories: dict[str, dict[str, LotState]] = {}
-        self._adoption: Adoption | None = None
+        self._inventories: dict[str, dict[str, JobState]] = {}
+        self._adoption: OwnerRecovery | None = None
         self._stage_since_s = 0.0
         self._not_before_s = 0.0
         self._claimed_s = -math.inf  # when the claim was sent that a quorum has granted
@@ -129,7 +129,7 @@
         """What to keep with a replica."""
         if self.group is None or identity not in self.group.everyone:
             return []
-        owns = self.stage in (Stage.FETCHING, Stage.REWRITING, Stage.SERVING)
+        owns = self.stage in (Stage.FETCHING, Stage.REPLICATING, Stage.SERVING)
         return [Lease(self.group.shard, self.term)] if owns else []
 
     def set_group(self, now_s: float, group: Group) -> list[OwnerAction]:
@@ -184,10 +184,10 @@
 
     def forget(self, now_s: float, key: str) -> list[OwnerAction]:
         """Let go of a lot. It is marked first, so that no replica that was away can bring it back."""
-        lot = self.records.lots.get(key)
-        if lot is None or FORGOTTEN in lot.slots:
+        job = self.records.jobs.get(key)
+        if job is None or FORGOTTEN in job.slots:
             return []
-        return self.propose(now_s, key, FORGOTTEN, b"", lot.accepted_s)
+        return self.propose(now_s, key, FORGOTTEN, b"", job.accepted_s)
 
     # What replicas answer.
 
@@ -199,14 +199,14 @@
             self._overruled(now_s, answer.promised)
         elif answer.granted and answer.promised == self.term:
             self.lease.grant(identity, sent_s)
-            if self.stage in (Stage.REWRITING, Stage.SERVING):
+            if self.stage in (Stage.REPLICATING, Stage.SERVING):
                 self._look_after(now_s, identity, sent_s, answer.digest)
         return self._take()
 
     def _look_after(self, now_s: float, identity: str, sent_s: float, digest: int) -> None:
         assert self.group is not None
         if self._replication.wants_inventory(now_s, identity, sent_s, digest):
-            self._send(identity, AskInventory(self.group.shard, identity, self.term))
+            self._send(identity, InventoryRequest(self.group.shard, identity, self.term))
 
     def answered(self, now_s: float, ticket: int, reply: Any) -> list[OwnerAction]:
         """A call had this reply."""
@@ -284,7 +284,7 @@
             return
         self._claimed_s = self._stage_since_s
         self._enter(now_s, Stage.FETCHING)
-        self._adoption = Adoption(now_s, dict(self._inventories), self.group, self.me, self.replica)
+        self._adoption = OwnerRecovery(now_s, dict(self._inventories), self.group, self.me, self.replica)
         self._fetch(now_s)
 
     def _fetch(self, now_s: float) -> None:
@@ -304,11 +304,11 @@
             self._adoption.fetched(sent.target, unpack_records(reply.records))
             self._fetch(now_s)
 
-    def _rewrite(self, now_s: float, adoption: Adoption) -> None:
+    def _rewrite(self, now_s: float, adoption: OwnerRecovery) -> None:
         assert self.group is not None
         self._adoption = None
-        self._enter(now_s, Stage.REWRITING)
-        self.records.replace(adoption.lots())
+        self._enter(now_s, Stage.REPLICATING)
+        self.records.replace(adoption.jobs())
         self._replication.begin(self.group, self.term)
         for identity, inventory in self._inventories.items():
             self._replication.compare(identity, inventory)
@@ -317,22 +317,22 @@
         self._serve_if_rewritten(now_s)
 
     def _serve_if_rewritten(self, now_s: float) -> None:
-        if self.stage is Stage.REWRITING and not self.records.unchosen:
+        if self.stage is Stage.REPLICATING and not self.records.unchosen:
             self._enter(now_s, Stage.SERVING)
             self._announced = True
-            self._out.append(BecameOwner(self.records.lots))
+            self._out.append(BecameOwner(self.records.jobs))
 
     # Writing.
 
     def _flush(self, now_s: float) -> None:
-        if self.group is None or self.stage not in (Stage.REWRITING, Stage.SERVING):
+        if self.group is None or self.stage not in (Stage.REPLICATING, Stage.SERVING):
             return
         for identity in self.group.everyone:
             while (message := self._replication.next_message(now_s, identity, self._next_ticket)) is not None:
                 self._send(identity, message)
 
     def _on_write_reply(self, now_s: float, sent: Send, reply: WriteReply) -> None:
-        if sent.message.term != self.term or self.stage not in (Stage.REWRITING, Stage.SERVING):
+        if sent.message.term != self.term or self.stage not in (Stage.REPLICATING, Stage.SERVING):
             return
         if not reply.written:
             if reply.promised > self.term:
@@ -357,7 +357,7 @@
                 owned.value = value
 
     def _on_inventory(self, now_s: float, sent: Send, reply: Inventory) -> None:
-        if sent.message.term != self.term or self.stage not in (Stage.REWRITING, Stage.SERVING):
+        if sent.message.term != self.term or self.stage not in (Stage.REPLICATING, Stage.SERVING):
             return
         if reply.inventory is None:
             self._overruled(now_s, reply.promised)
--- a/emberring/jobs/adoption.py
+++ b/emberring/jobs/owner_recovery.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 
 from emberring.jobs.merge import Inventories, MergedSlot, merge, misplaced
-from emberring.jobs.owned import OwnedLot, OwnedSlot
+from emberring.jobs.owned import OwnedJob, OwnedSlot
 from emberring.jobs.peer import Ref
 from emberring.jobs.records import Record, Term, checksum, pack_records
 from emberring.jobs.replica import Replica
@@ -15,7 +15,7 @@
 FETCH_BYTES = 256 * 1024
 
 
-class Adoption:
+class OwnerRecovery:
     """From a quorum's inventories to the shard's records. Sans-I/O: `wanted` says what to fetch from whom."""
 
     def __init__(
@@ -26,9 +26,9 @@
         self._missing: dict[Ref, list[str]] = {}
         self._asked: dict[str, dict[Ref, None]] = {}
         self._now_s = now_s
-        for key, lot in self._merged.items():
-            held = replica.lots.get(key)
-            for slot, found in lot.slots.items():
+        for key, job in self._merged.items():
+            held = replica.jobs.get(key)
+            for slot, found in job.slots.items():
                 mine = held.slots.get(slot) if held else None
                 if mine is not None and mine.checksum == found.state.checksum:
                     self._values[(key, slot)] = mine.value
@@ -85,9 +85,9 @@
             if sources and identity in sources:
                 sources.remove(identity)
 
-    def lots(self) -> dict[str, OwnedLot]:
+    def jobs(self) -> dict[str, OwnedJob]:
         """The records, once all values are there. Of one item at two positions the highest term's stays."""
-        result: dict[str, OwnedLot] = {}
+        result: dict[str, OwnedJob] = {}
         for key, merged in self._merged.items():
             positions: dict[int, tuple[Term, int]] = {
                 slot: (found.state.term, item_index(self._values[(key, slot)]))
@@ -95,11 +95,11 @@
                 if slot >= 0
             }
             out = misplaced(positions)
-            lot = OwnedLot(self._now_s - merged.age_ms / 1000)
+            job = OwnedJob(self._now_s - merged.age_ms / 1000)
             for slot, found in merged.slots.items():
                 if slot not in out:
                     value = self._values[(key, slot)]
                     acks = None if found.chosen else set[str]()
-                    lot.slots[slot] = OwnedSlot(value, found.state.checksum, found.chosen, acks)
-            result[key] = lot
+                    job.slots[slot] = OwnedSlot(value, found.state.checksum, found.chosen, acks)
+            result[key] = job
         return result
--- a/emberring/jobs/reading.py
+++ b/emberring/jobs/queries.py
@@ -5,11 +5,11 @@
 import attrs
 
 from emberring.errors import NotFoundError, NotReadyError
-from emberring.jobs.calls import ItemBody, ReadItem, ReadLot
-from emberring.jobs.lot import Lot
-from emberring.jobs.records import lot_key
+from emberring.jobs.batch_job import BatchJob
+from emberring.jobs.calls import ItemBody, ReadItem, ReadJob
+from emberring.jobs.job_table import Answer, JobTable, Refuse
+from emberring.jobs.records import job_key
 from emberring.jobs.results import build_page
-from emberring.jobs.shelf import Answer, Refuse, Shelf
 
 
 @attrs.frozen
@@ -21,10 +21,10 @@
     until_s: float
 
 
-class Reading:
+class JobQueries:
     """Reads of one shard's lots."""
 
-    def __init__(self, shelf: Shelf) -> None:
+    def __init__(self, shelf: JobTable) -> None:
         self._shelf = shelf
         self._readers: dict[str, list[_Reader]] = {}
 
@@ -33,69 +33,69 @@
         """Whether no read waits."""
         return not self._readers
 
-    def read(self, now_s: float, call: int, message: ReadLot) -> None:
+    def read(self, now_s: float, call: int, message: ReadJob) -> None:
         """A page of results; it may wait for the first."""
-        lot = self._find(call, message.host, message.lot)
-        if lot is None:
+        job = self._find(call, message.host, message.job)
+        if job is None:
             return
         start = max(0, message.start_after)
-        if start < lot.shown or lot.all_shown or lot.ended or message.wait_ms <= 0:
-            self._answer(lot, call, start)
+        if start < job.shown or job.all_shown or job.ended or message.wait_ms <= 0:
+            self._answer(job, call, start)
         else:
             reader = _Reader(call, start, now_s + message.wait_ms / 1000)
-            self._readers.setdefault(lot.key, []).append(reader)
+            self._readers.setdefault(job.key, []).append(reader)
 
     def item(self, call: int, message: ReadItem) -> None:
         """An item's body as it was handed in."""
-        lot = self._find(call, message.host, message.lot)
-        if lot is None:
+        job = self._find(call, message.host, message.job)
+        if job is None:
             return
-        found = next((spec for spec in self._shelf.specs(lot) if spec.id == message.item), None)
-        if found is None or lot.end_lasts:
+        found = next((spec for spec in self._shelf.specs(job) if spec.id == message.item), None)
+        if found is None or job.end_lasts:
             self._shelf.out.append(Refuse(call, NotFoundError(f"no item {message.item}")))
         else:
             self._shelf.out.append(Answer(call, ItemBody(found.decoded_body())))
 
-    def _find(self, call: int, host: str, lot_id: str) -> Lot | None:
+    def _find(self, call: int, host: str, job_id: str) -> BatchJob | None:
         """The lot; where it is certain that there is none, the call is refused so."""
-        lot = self._shelf.lots.get(lot_key(host, lot_id))
-        if lot is None:
-            self._shelf.out.append(Refuse(call, NotFoundError(f"no lot {lot_id}")))
-        elif not lot.accepted:
-            self._shelf.out.append(Refuse(call, NotReadyError(f"lot {lot_id} is being taken")))
+        job = self._shelf.jobs.get(job_key(host, job_id))
+        if job is None:
+            self._shelf.out.append(Refuse(call, NotFoundError(f"no lot {job_id}")))
+        elif not job.accepted:
+            self._shelf.out.append(Refuse(call, NotReadyError(f"lot {job_id} is being taken")))
             return None
-        return lot
+        return job
 
-    def _answer(self, lot: Lot, call: int, start: int) -> None:
+    def _answer(self, job: BatchJob, call: int, start: int) -> None:
         values = (
             owned.value
-            for position in range(start, lot.shown)
-            if (owned := self._shelf.records.find(lot.key, position)) is not None
+            for position in range(start, job.shown)
+            if (owned := self._shelf.records.find(job.key, position)) is not None
         )
-        self._shelf.out.append(Answer(call, build_page(len(lot.items), start, values)))
+        self._shelf.out.append(Answer(call, build_page(len(job.items), start, values)))
 
-    def more(self, lot: Lot) -> None:
+    def more(self, job: BatchJob) -> None:
         """More results are shown, or the lot has ended."""
-        readers = self._readers.pop(lot.key, [])
+        readers = self._readers.pop(job.key, [])
         left = []
         for reader in readers:
-            if reader.start_after < lot.shown or lot.all_shown or lot.ended:
-                self._answer(lot, reader.call, reader.start_after)
+            if reader.start_after < job.shown or job.all_shown or job.ended:
+                self._answer(job, reader.call, reader.start_after)
             else:
                 left.append(reader)
         if left:
-            self._readers[lot.key] = left
+            self._readers[job.key] = left
 
     def tick(self, now_s: float) -> None:
         """Reads that have waited long enough get what there is."""
         for key in list(self._readers):
-            lot = self._shelf.lots.get(key)
+            job = self._shelf.jobs.get(key)
             left = []
             for reader in self._readers.pop(key):
-                if now_s < reader.until_s and lot is not None:
+                if now_s < reader.until_s and job is not None:
                     left.append(reader)
-                elif lot is not None:
-                    self._answer(lot, reader.call, reader.start_after)
+                elif job is not None:
+                    self._answer(job, reader.call, reader.start_after)
                 else:
                     self._shelf.out.append(Refuse(reader.call, NotReadyError("the lot is not held here")))
             if left:
--- a/emberring/jobs/records.py
+++ b/emberring/jobs/records.py
@@ -22,7 +22,7 @@
 _TERM = struct.Struct("<QQB")  # epoch, counter, length of the owner's identity
 _RECORD = struct.Struct("<HiII")  # length of the key, slot, age in ms, length of the value
 _COUNT = struct.Struct("<I")
-_LOT = struct.Struct("<HII")  # length of the key, age in ms, slots
+_JOB = struct.Struct("<HII")  # length of the key, age in ms, slots
 _SLOT = struct.Struct("<iHII")  # slot, index of its term, checksum and length of its value
 
 
@@ -72,16 +72,16 @@
 
 
 @attrs.frozen
-class LotState:
+class JobState:
     """What a replica holds of a lot."""
 
     age_ms: int
     slots: dict[int, SlotState]
 
 
-def lot_key(host: str, lot_id: str) -> str:
+def job_key(host: str, job_id: str) -> str:
     """The key of a lot: one id under two hosts is two lots."""
-    return f"{host.lower()}/{lot_id}"
+    return f"{host.lower()}/{job_id}"
 
 
 def checksum(value: bytes) -> int:
@@ -132,21 +132,21 @@
     return records
 
 
-def pack_inventory(lots: dict[str, LotState]) -> bytes:
+def pack_inventory(jobs: dict[str, JobState]) -> bytes:
     """What a replica holds, compactly: the terms that occur, then each lot with its slots."""
     terms: dict[Term, int] = {}
     body: list[bytes] = []
-    for key, lot in lots.items():
+    for key, job in jobs.items():
         name = key.encode()
-        body.append(_LOT.pack(len(name), min(lot.age_ms, MAX_AGE_MS), len(lot.slots)))
+        body.append(_JOB.pack(len(name), min(job.age_ms, MAX_AGE_MS), len(job.slots)))
         body.append(name)
-        for slot, state in lot.slots.items():
+        for slot, state in job.slots.items():
             index = terms.setdefault(state.term, len(terms))
             body.append(_SLOT.pack(slot, index, state.checksum, state.length))
     return b"".join((_COUNT.pack(len(terms)), *(pack_term(term) for term in terms), *body))
 
 
-def unpack_inventory(data: bytes) -> dict[str, LotState]:
+def unpack_inventory(data: bytes) -> dict[str, JobState]:
     """The reverse of `pack_inventory`; `CorruptRecordError` where the bytes are none."""
     try:
         return _unpack_inventory(data)
@@ -154,17 +154,17 @@
         raise CorruptRecordError(f"inventory: {error}") from error
 
 
-def _unpack_inventory(data: bytes) -> dict[str, LotState]:
+def _unpack_inventory(data: bytes) -> dict[str, JobState]:
     (count,) = _COUNT.unpack_from(data, 0)
     offset = _COUNT.size
     terms: list[Term] = []
     for _ in range(count):
         term, offset = unpack_term(data, offset)
         terms.append(term)
-    lots: dict[str, LotState] = {}
+    jobs: dict[str, JobState] = {}
     while offset < len(data):
-        key_length, age_ms, slots = _LOT.unpack_from(data, offset)
-        offset += _LOT.size
+        key_length, age_ms, slots = _JOB.unpack_from(data, offset)
+        offset += _JOB.size
         key = data[offset : offset + key_length].decode()
         offset += key_length
         found: dict[int, SlotState] = {}
@@ -172,5 +172,5 @@
             slot, index, check, length = _SLOT.unpack_from(data, offset)
             offset += _SLOT.size
             found[slot] = SlotState(terms[index], check, length)
-        lots[key] = LotState(age_ms, found)
-    return lots
+        jobs[key] = JobState(age_ms, found)
+    return jobs
--- a/emberring/jobs/replica.py
+++ b/emberring/jobs/replica.py
@@ -14,13 +14,13 @@
 import attrs
 
 from emberring.jobs.messages import (
-    AskInventory,
     Claim,
     ClaimReply,
     DropSlots,
     Fetch,
     Fetched,
     Inventory,
+    InventoryRequest,
     Lease,
     LeaseAnswer,
     Release,
@@ -31,7 +31,7 @@
     FORGOTTEN,
     MAX_AGE_MS,
     NO_TERM,
-    LotState,
+    JobState,
     Record,
     SlotState,
     Term,
@@ -48,7 +48,7 @@
 )
 CLAIM_HOLD_S = 0.3  # nor for so long after a claim was granted
 
-ReplicaMessage = Claim | WriteSlots | DropSlots | AskInventory | Fetch | Release
+ReplicaMessage = Claim | WriteSlots | DropSlots | InventoryRequest | Fetch | Release
 
 
 @attrs.frozen
@@ -88,7 +88,7 @@
 
 
 @attrs.define
-class HeldLot:
+class HeldJob:
     """The slots of a lot, and when it was accepted (this machine's steady clock, at the latest)."""
 
     accepted_s: float
@@ -117,7 +117,7 @@
     def __init__(self, shard: int) -> None:
         self.shard = shard
         self.promised = NO_TERM
-        self.lots: dict[str, HeldLot] = {}
+        self.jobs: dict[str, HeldJob] = {}
         self.digest = 0
         self.bytes = 0  # of all values
         self._lasting_promise = NO_TERM
@@ -143,7 +143,7 @@
             return self._on_claim(now_s, call, message)
         if isinstance(message, DropSlots):
             return self._on_drop(now_s, call, message)
-        if isinstance(message, AskInventory):
+        if isinstance(message, InventoryRequest):
             allowed = message.term >= self.promised
             inventory = self.inventory(now_s) if allowed else None
             return [Reply(call, Inventory(inventory, self.promised))]
@@ -179,10 +179,10 @@
 
     def _found(self, now_s: float, message: Fetch) -> Iterable[Record]:
         for wanted in unpack_records(message.records):
-            lot = self.lots.get(wanted.key)
-            held = lot.slots.get(wanted.slot) if lot else None
-            if lot is not None and held is not None:
-                yield Record(wanted.key, wanted.slot, age_ms(now_s, lot.accepted_s), held.value)
+            job = self.jobs.get(wanted.key)
+            held = job.slots.get(wanted.slot) if job else None
+            if job is not None and held is not None:
+                yield Record(wanted.key, wanted.slot, age_ms(now_s, job.accepted_s), held.value)
 
     def touch(self, now_s: float, lease: Lease) -> tuple[LeaseAnswer, list[Action]]:
         """An owner keeps its lease. A term not yet promised on disk is promised first, and counts the next time."""
@@ -214,21 +214,21 @@
 
     def value(self, key: str, slot: int) -> bytes | None:
         """The value in a slot, or None."""
-        lot = self.lots.get(key)
-        held = lot.slots.get(slot) if lot else None
+        job = self.jobs.get(key)
+        held = job.slots.get(slot) if job else None
         return held.value if held else None
 
-    def state(self, now_s: float) -> dict[str, LotState]:
+    def state(self, now_s: float) -> dict[str, JobState]:
         """What lasts on this replica's disk."""
         return {
-            key: LotState(
-                age_ms(now_s, lot.accepted_s),
+            key: JobState(
+                age_ms(now_s, job.accepted_s),
                 {
                     slot: SlotState(held.term, held.checksum, len(held.value))
-                    for slot, held in lot.slots.items()
+                    for slot, held in job.slots.items()
                 },
             )
-            for key, lot in self.lots.items()
+            for key, job in self.jobs.items()
         }
 
     def inventory(self, now_s: float) -> bytes:
@@ -244,7 +244,7 @@
 
     def leave(self, now_s: float) -> list[Action]:
         """The shard is kept elsewhere now: forget its records, but not the promise."""
-        if self._emptying or not self.lots:
+        if self._emptying or not self.jobs:
             return []
         self._emptying = True
         return [self._persist(0, Emptied(), now_s)]
@@ -290,7 +290,7 @@
         if isinstance(entry, Started):
             return
         if isinstance(entry, Emptied):
-            self.lots.clear()
+            self.jobs.clear()
             self.digest = self.bytes = 0
             self._emptying, self._emptied = False, True
             return
@@ -309,25 +309,25 @@
 
     def _may_be_copied(self, term: Term, record: Record) -> bool:
         """Whether a copy found at a start still counts: what it was copied from stood here and was not erased."""
-        lot = self.lots.get(record.key)
-        if lot is not None and record.slot in lot.slots:
+        job = self.jobs.get(record.key)
+        if job is not None and record.slot in job.slots:
             return True
         return not self._emptied and self._erased.get((record.key, record.slot), NO_TERM) < term
 
     def _put(self, now_s: float, term: Term, record: Record, segment: int) -> None:
         accepted_s = now_s - record.age_ms / 1000
-        lot = self.lots.get(record.key)
-        if lot is None:
-            lot = self.lots[record.key] = HeldLot(accepted_s)
-        lot.accepted_s = min(lot.accepted_s, accepted_s)
-        held = lot.slots.get(record.slot)
+        job = self.jobs.get(record.key)
+        if job is None:
+            job = self.jobs[record.key] = HeldJob(accepted_s)
+        job.accepted_s = min(job.accepted_s, accepted_s)
+        held = job.slots.get(record.slot)
         if held is not None and held.term > term:
             return
         if held is not None:
             self.digest ^= slot_digest(record.key, record.slot, held.checksum)
             self.bytes -= len(held.value)
         check = checksum(record.value)
-        lot.slots[record.slot] = HeldSlot(term, check, record.value, segment)
+        job.slots[record.slot] = HeldSlot(term, check, record.value, segment)
         self._erased.pop((record.key, record.slot), None)
         self.digest ^= slot_digest(record.key, record.slot, check)
         self.bytes += len(record.value)
@@ -336,25 +336,25 @@
         self._dropping.discard((record.key, record.slot))
         if not self._restored:
             self._erased[(record.key, record.slot)] = term
-        lot = self.lots.get(record.key)
-        held = lot.slots.get(record.slot) if lot else None
-        if lot is None or held is None or held.term > term:
+        job = self.jobs.get(record.key)
+        held = job.slots.get(record.slot) if job else None
+        if job is None or held is None or held.term > term:
             return
-        if held.term == term and FORGOTTEN not in lot.slots:
+        if held.term == term and FORGOTTEN not in job.slots:
             return  # an erasure that came late: the owner has written the slot since
         self.digest ^= slot_digest(record.key, record.slot, held.checksum)
         self.bytes -= len(held.value)
-        del lot.slots[record.slot]
-        if not lot.slots:
-            del self.lots[record.key]
+        del job.slots[record.slot]
+        if not job.slots:
+            del self.jobs[record.key]
 
     def kept_in(self, now_s: float, segment: int) -> list[Entry]:
         """What still counts of a segment of the journal, to be appended anew: the promise and live slots."""
         by_term: dict[Term, list[Record]] = {}
-        for key, lot in self.lots.items() if not self._emptying else ():
-            for slot, held in lot.slots.items():
+        for key, job in self.jobs.items() if not self._emptying else ():
+            for slot, held in job.slots.items():
                 if held.segment == segment and (key, slot) not in self._dropping:
-                    record = Record(key, slot, age_ms(now_s, lot.accepted_s), held.value)
+                    record = Record(key, slot, age_ms(now_s, job.accepted_s), held.value)
                     by_term.setdefault(held.term, []).append(record)
         entries: list[Entry] = [Promised(self.promised)] if self.promised != NO_TERM else []
         entries += [Copied(term, tuple(records)) for term, records in by_term.items()]
@@ -365,8 +365,8 @@
         if not isinstance(entry, Copied):
             return
         for record in entry.records:
-            lot = self.lots.get(record.key)
-            held = lot.slots.get(record.slot) if lot else None
+            job = self.jobs.get(record.key)
+            held = job.slots.get(record.slot) if job else None
             if held is not None and held.term == entry.term:
                 held.segment = segment
 
--- a/emberring/jobs/replication.py
+++ b/emberring/jobs/replication.py
@@ -8,7 +8,7 @@
 from emberring.jobs.messages import DropSlots, WriteSlots
 from emberring.jobs.owned import OwnedRecords
 from emberring.jobs.peer import FETCH_AGAIN_S, Peer, Ref
-from emberring.jobs.records import FORGOTTEN, NO_TERM, LotState, Record, Term, pack_records
+from emberring.jobs.records import FORGOTTEN, NO_TERM, JobState, Record, Term, pack_records
 from emberring.jobs.replica import age_ms
 from emberring.placement.model import Group, quorum
 
@@ -31,8 +31,8 @@
         self._group, self._term = group, term
         self._mismatch_since.clear()
         self.peers = {identity: Peer(identity) for identity in group.everyone}
-        for key, lot in self._records.lots.items():
-            for slot, owned in lot.slots.items():
+        for key, job in self._records.jobs.items():
+            for slot, owned in job.slots.items():
                 if not owned.chosen:
                     self.write((key, slot))
 
@@ -47,7 +47,7 @@
             peer.backlog.pop(ref, None)
             peer.fresh[ref] = None
 
-    def compare(self, identity: str, inventory: Mapping[str, LotState]) -> None:
+    def compare(self, identity: str, inventory: Mapping[str, JobState]) -> None:
         """What a replica holds is known: find what it lacks and what it has too much."""
         peer = self.peers.get(identity)
         if peer is None:
@@ -55,18 +55,18 @@
         peer.known = True
         self._mismatch_since.pop(identity, None)
         under_way = {ref for refs in peer.in_flight.values() for ref in refs}
-        for key, lot in self._records.lots.items():
+        for key, job in self._records.jobs.items():
             theirs = inventory[key].slots if key in inventory else {}
-            for slot, owned in lot.slots.items():
+            for slot, owned in job.slots.items():
                 ref = (key, slot)
                 held = theirs.get(slot)
                 if held is not None and held.checksum == owned.checksum:
                     continue
                 if ref not in peer.fresh and ref not in under_way:
                     peer.backlog[ref] = None
-        for key, theirs_lot in inventory.items():
-            mine = self._records.lots.get(key)
-            for slot in theirs_lot.slots:
+        for key, theirs_job in inventory.items():
+            mine = self._records.jobs.get(key)
+            for slot in theirs_job.slots:
                 if mine is None or slot not in mine.slots:
                     peer.extra[(key, slot)] = None
 
@@ -127,8 +127,8 @@
 
     def _record(self, now_s: float, ref: Ref) -> Record:
         key, slot = ref
-        lot = self._records.lots[key]
-        return Record(key, slot, age_ms(now_s, lot.accepted_s), lot.slots[slot].value)
+        job = self._records.jobs[key]
+        return Record(key, slot, age_ms(now_s, job.accepted_s), job.slots[slot].value)
 
     def under_way(self, identity: str, ticket: int) -> tuple[Ref, ...]:
         """What a message that is on its way to a replica holds."""
@@ -164,8 +164,8 @@
 
     def shed(self, key: str) -> None:
         """A lot's mark that it is forgotten is chosen: its other slots go, here and at every replica."""
-        lot = self._records.lots.get(key)
-        for slot in [slot for slot in lot.slots if slot != FORGOTTEN] if lot else ():
+        job = self._records.jobs.get(key)
+        for slot in [slot for slot in job.slots if slot != FORGOTTEN] if job else ():
             self._records.erase(key, slot)
             self._erase_everywhere((key, slot))
 
@@ -173,9 +173,9 @@
         """Once every replica holds the marks and has shed the rest, the marks go too."""
         if not all(peer.clean for peer in self.peers.values()):
             return
-        marked = [key for key, lot in self._records.lots.items() if set(lot.slots) == {FORGOTTEN}]
+        marked = [key for key, job in self._records.jobs.items() if set(job.slots) == {FORGOTTEN}]
         for key in marked:
-            if self._records.lots[key].slots[FORGOTTEN].chosen:
+            if self._records.jobs[key].slots[FORGOTTEN].chosen:
                 self._records.erase(key, FORGOTTEN)
                 self._erase_everywhere((key, FORGOTTEN))
 
--- a/emberring/jobs/results.py
+++ b/emberring/jobs/results.py
@@ -9,7 +9,7 @@
 import orjson
 
 from emberring.errors import CorruptRecordError
-from emberring.jobs.calls import LotPage
+from emberring.jobs.calls import JobPage
 from emberring.jobs.packing import expand, squeeze
 
 _HEAD = struct.Struct("<HII")  # the item's index, bytes of the JSON object, bytes of it squeezed
@@ -35,7 +35,7 @@
     return int(_HEAD.unpack_from(value, 0)[0])
 
 
-def build_page(total: int, start: int, values: Iterable[bytes]) -> LotPage:
+def build_page(total: int, start: int, values: Iterable[bytes]) -> JobPage:
     """A page with these results: at least one if there is one, and at most 1 MB of them."""
     parts: list[bytes] = []
     size = 0
@@ -44,10 +44,10 @@
         if parts and size > MAX_PAGE_BYTES:
             break
         parts.append(value)
-    return LotPage(total, start, b"".join(parts))
+    return JobPage(total, start, b"".join(parts))
 
 
-def page_json(page: LotPage) -> bytes:
+def page_json(page: JobPage) -> bytes:
     """The JSON answer for the client; `CorruptRecordError` where the page is none."""
     found: list[bytes] = []
     offset = 0
--- a/emberring/jobs/runner.py
+++ b/emberring/jobs/runner.py
@@ -21,7 +21,7 @@
     RunFinished,
     RunProgress,
 )
-from emberring.jobs.directory import Knowledge, OwnerDirectory
+from emberring.jobs.directory import OwnerDirectory, TierKnowledge
 from emberring.jobs.items import ItemCall, ItemEvent, ItemExecutor, OutcomeKind
 from emberring.jobs.packing import pack_events, unpack_events
 from emberring.transport.network import Network
@@ -54,13 +54,13 @@
     task: asyncio.Task[None] | None = None
 
 
-class UnitRunner:
+class ItemRunner:
     """The runner of one gateway. Used from one event loop."""
 
     def __init__(
         self,
         network: Network,
-        knowledge: Knowledge,
+        knowledge: TierKnowledge,
         executor: ItemExecutor,
         gateway: str,
         directory: OwnerDirectory | None = None,
@@ -174,7 +174,7 @@
     async def _execute(self, run: _Run) -> OutcomeKind:
         item = run.assignment
         configuration = self._knowledge.configuration
-        route = configuration.route_for(item.host, item.lot_path) if configuration else None
+        route = configuration.route_for(item.host, item.job_path) if configuration else None
         if route is None:
             return OutcomeKind.NOT_RUN
         call = ItemCall(
--- a/emberring/jobs/status.py
+++ b/emberring/jobs/status.py
@@ -4,17 +4,18 @@
 
 import attrs
 
-from emberring.transport.messages import message
+from emberring.transport.messages import message, wire_record
 
 
-@message("store.ask_status")
+@message("store.ask_status", wire_keys={"jobs": "lots"})
 @attrs.frozen
-class AskStoreStatus:
-    """A tool asks a store what it holds. `lots`: also list lots of the shards that it owns."""
+class StoreStatusRequest:
+    """A tool asks a store what it holds. `jobs`: also list lots of the shards that it owns."""
 
-    lots: bool = False
+    jobs: bool = False
 
 
+@wire_record({"jobs": "lots"})
 @attrs.frozen
 class ShardStatus:
     """A shard on this store; the figures are those of its owner, and 0 on others."""
@@ -23,13 +24,13 @@
     owner: bool
     epoch: int
     term: str
-    lots: int = 0
+    jobs: int = 0
     waiting_items: int = 0
     waiting_tokens: int = 0
 
 
 @attrs.frozen
-class LotStatus:
+class JobStatus:
     """A lot: how many of its items are listed, and how long ago it was accepted (seconds)."""
 
     shard: int
@@ -41,7 +42,7 @@
     age_s: float
 
 
-@message("store.status")
+@message("store.status", wire_keys={"jobs": "lots"})
 @attrs.frozen
 class StoreStatus:
     """The answer."""
@@ -50,4 +51,4 @@
     disk_failed: bool
     disk_stalled_s: float
     shards: tuple[ShardStatus, ...]
-    lots: tuple[LotStatus, ...] = ()
+    jobs: tuple[JobStatus, ...] = ()
--- a/emberring/journal/survey.py
+++ b/emberring/journal/scan.py
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen
-class JournalSurvey:
+class JournalScan:
     """All segments in order, their records, the files that are free, and one line for each damage."""
 
     segments: tuple[SegmentSurvey, ...]
@@ -44,7 +44,7 @@
         return sum(segment.end for segment in self.segments)
 
 
-def survey_journal(directory: Path) -> JournalSurvey:
+def scan_journal(directory: Path) -> JournalScan:
     """The survey of a folder; `OSError` where it can't be read.
 
     A last segment that ends in bytes which are no record is in order: a process or machine ended while it wrote."""
@@ -66,7 +66,7 @@
             damages.append(f"{path.name}: {other if version != FORMAT_VERSION else 'its header is damaged'}")
     found.sort(key=lambda item: item[0].number)
     segments, records = _read(found, damages)
-    return JournalSurvey(tuple(segments), tuple(records), free_files, tuple(damages))
+    return JournalScan(tuple(segments), tuple(records), free_files, tuple(damages))
 
 
 def _read(
--- a/emberring/membership/sampler.py
+++ b/emberring/membership/sampler.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from emberring.distribution.facts import NodeFact
+from emberring.distribution.records import NodeRecord
 from emberring.errors import EmberringError
 from emberring.membership.view import Descriptor, PartialView
 from emberring.transport.messages import message
@@ -40,7 +40,7 @@
 class Sampler:
     """The process's part in peer sampling. `seeds` are addresses asked while the view is empty."""
 
-    def __init__(self, network: Network, me: NodeFact, seeds: Sequence[str], seed: int) -> None:
+    def __init__(self, network: Network, me: NodeRecord, seeds: Sequence[str], seed: int) -> None:
         self._network = network
         self._seeds = tuple(address for address in seeds if address != me.address)
         self._asked = 0
@@ -48,7 +48,7 @@
         self.view = PartialView(me, seed)
         network.handle(Shuffle, self._on_shuffle)
 
-    def controls(self) -> list[NodeFact]:
+    def controls(self) -> list[NodeRecord]:
         """The control nodes known from sampling, the most recently heard of first."""
         return self.view.controls()
 
--- a/emberring/membership/view.py
+++ b/emberring/membership/view.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from emberring.distribution.facts import NodeFact, NodeRole
+from emberring.distribution.records import NodeRecord, NodeRole
 
 VIEW_SIZE = 12
 CONTROL_VIEW_SIZE = 6
@@ -24,7 +24,7 @@
 class Descriptor:
     """A node as somebody saw it, and how long ago its own word for it was (seconds)."""
 
-    node: NodeFact
+    node: NodeRecord
     age_s: float
 
 
@@ -38,29 +38,29 @@
 
 @attrs.define
 class _Entry:
-    node: NodeFact
+    node: NodeRecord
     born_s: float
 
 
 class PartialView:
     """One node's view. Times are seconds of the steady clock."""
 
-    def __init__(self, me: NodeFact, seed: int) -> None:
+    def __init__(self, me: NodeRecord, seed: int) -> None:
         self.me = me
         self._random = random.Random(seed)
         self._entries: dict[str, _Entry] = {}
 
-    def controls(self) -> list[NodeFact]:
+    def controls(self) -> list[NodeRecord]:
         """The control nodes known, the most recently heard of first."""
         known = [entry for entry in self._entries.values() if entry.node.role is NodeRole.CONTROL]
         known.sort(key=lambda entry: -entry.born_s)
         return [entry.node for entry in known]
 
-    def nodes(self) -> list[NodeFact]:
+    def nodes(self) -> list[NodeRecord]:
         """All nodes in the view."""
         return [entry.node for entry in self._entries.values()]
 
-    def note(self, now_s: float, node: NodeFact) -> None:
+    def note(self, now_s: float, node: NodeRecord) -> None:
         """A node was heard directly."""
         self._merge(now_s, (Descriptor(node, 0.0),))
 
--- a/emberring/placement/planning.py
+++ b/emberring/placement/planning.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from emberring.distribution.facts import NodeFact, NodeRole
+from emberring.distribution.records import NodeRecord, NodeRole
 from emberring.placement.model import SHARDS, Group, Placement, StoreMember, in_order
 
 SETTLE_S = 0.4  # after enough stores are known, before the first table is made
@@ -28,7 +28,7 @@
     began_s: float | None = None
     enough_since_s: float | None = None
 
-    def observe(self, now_s: float, live: Sequence[NodeFact], placement: Placement | None) -> None:
+    def observe(self, now_s: float, live: Sequence[NodeRecord], placement: Placement | None) -> None:
         """Note who is live now. A member never seen counts as last seen when this memory began."""
         if self.began_s is None:
             self.began_s = now_s
@@ -49,7 +49,7 @@
 
 
 def plan(
-    current: Placement | None, live: Sequence[NodeFact], now_s: float, tolerance: int, memory: PlanMemory
+    current: Placement | None, live: Sequence[NodeRecord], now_s: float, tolerance: int, memory: PlanMemory
 ) -> Placement | None:
     """The table that should hold now: `current` itself where nothing changes, None while there can be none yet.
 
@@ -64,7 +64,7 @@
     return current if attrs.evolve(changed, epoch=current.epoch) == current else changed
 
 
-def _first(stores: Sequence[NodeFact], now_s: float, wanted: int, memory: PlanMemory) -> Placement | None:
+def _first(stores: Sequence[NodeRecord], now_s: float, wanted: int, memory: PlanMemory) -> Placement | None:
     if len(stores) >= wanted and memory.enough_since_s is None:
         memory.enough_since_s = now_s
     settled = memory.enough_since_s is not None and now_s - memory.enough_since_s >= SETTLE_S
@@ -76,7 +76,7 @@
     return Placement(1, members, groups)
 
 
-def _member(fact: NodeFact) -> StoreMember:
+def _member(fact: NodeRecord) -> StoreMember:
     return StoreMember(fact.identity, fact.name, fact.address, fact.zone)
 
 
@@ -98,7 +98,7 @@
     def __init__(
         self,
         current: Placement,
-        live: Sequence[NodeFact],
+        live: Sequence[NodeRecord],
         now_s: float,
         wanted: int,
         memory: PlanMemory,
--- a/emberring/placement/retirement.py
+++ b/emberring/placement/retirement.py
@@ -6,13 +6,13 @@
 
 import attrs
 
-from emberring.distribution.facts import NodeFact, NodeRole
+from emberring.distribution.records import NodeRecord, NodeRole
 from emberring.errors import ConflictError, NotFoundError
 from emberring.placement.model import Placement
 
 
 def begin_retire(
-    placement: Placement | None, name: str, live: Sequence[NodeFact], tolerance: int = 1
+    placement: Placement | None, name: str, live: Sequence[NodeRecord], tolerance: int = 1
 ) -> Placement:
     """The table in which this store is being emptied; `NotFoundError` where no store has this name,
     `ConflictError` where too few stores would remain. Asked again, it changes nothing."""
--- a/emberring/register/acceptor.py
+++ b/emberring/register/acceptor.py
@@ -10,7 +10,7 @@
 
 from emberring.errors import CorruptRecordError
 from emberring.register.messages import Accept, Accepted, Held, Prepare, Promise, Query, Refuse, Stranger
-from emberring.register.model import Ballot, Proposal, State
+from emberring.register.model import Proposal, ProposalNumber, State
 from emberring.transport.messages import converter
 
 Judgement = Promise | Accepted | Refuse | Stranger | Held
@@ -30,8 +30,8 @@
     """The head of a record: what is not bytes of the value. A field that is None says nothing."""
 
     identity: str | None = None
-    promised: Ballot | None = None
-    accepted: Ballot | None = None
+    promised: ProposalNumber | None = None
+    accepted: ProposalNumber | None = None
     state: State | None = None
     has_payload: bool = False
 
@@ -41,11 +41,11 @@
 
     def __init__(self, identity: str, accepted: Proposal | None = None) -> None:
         self.identity = identity
-        self.promised: Ballot | None = None if accepted is None else accepted.ballot
+        self.promised: ProposalNumber | None = None if accepted is None else accepted.ballot
         self.accepted = accepted
 
     @property
-    def accepted_ballot(self) -> Ballot | None:
+    def accepted_ballot(self) -> ProposalNumber | None:
         """The ballot of what was accepted last."""
         return None if self.accepted is None else self.accepted.ballot
 
@@ -108,7 +108,7 @@
             state = attrs.evolve(head.state, payload=value if head.has_payload else None)
             self.accepted = Proposal(head.accepted, state)
 
-    def _report(self, known: Ballot | None) -> tuple[Ballot | None, State | None]:
+    def _report(self, known: ProposalNumber | None) -> tuple[ProposalNumber | None, State | None]:
         if self.accepted is None:
             return None, None
         return self.accepted.ballot, None if self.accepted.ballot == known else self.accepted.state
--- a/emberring/register/contacts.py
+++ b/emberring/register/contacts.py
@@ -6,7 +6,7 @@
 
 from emberring.register.events import Peer
 from emberring.register.messages import Pong
-from emberring.register.model import Ballot, Member, ReplicaSet
+from emberring.register.model import Member, ProposalNumber, ReplicaSet
 
 FIRST_PING_S = 0.1  # until a node has been heard once
 MEMBER_PING_S = 0.25
@@ -22,7 +22,7 @@
     """What is known of the node at an address."""
 
     identity: str = ""
-    learned: Ballot | None = None
+    learned: ProposalNumber | None = None
     voting: bool = False
     heard_at: float = float("-inf")
     sent_at: float = float("-inf")
@@ -119,7 +119,7 @@
             return 0.0 if self.voting else now_s - self._listening_since
         return now_s - max(self._heard_at(member), self._listening_since)
 
-    def learned(self, member: Member) -> Ballot | None:
+    def learned(self, member: Member) -> ProposalNumber | None:
         """The newest ballot that a replica said it knows to be chosen."""
         contact = self._contacts.get(self.address(member))
         return contact.learned if contact is not None and contact.identity == member.identity else None
--- a/emberring/register/events.py
+++ b/emberring/register/events.py
@@ -14,7 +14,7 @@
 """From the present value to the next; None leaves it; an `EmberringError` refuses.
 
 May be called several times, and may then find its own effect, which another node finished: it should know it and
-leave it (None). A refusal after an attempt that may have been taken reaches the caller as `InDoubtError`."""
+leave it (None). A refusal after an attempt that may have been taken reaches the caller as `UnknownOutcomeError`."""
 
 
 @attrs.frozen
@@ -58,7 +58,7 @@
 
 
 @attrs.frozen
-class ChangeAsked:
+class ChangeRequested:
     """A change of the value is wanted."""
 
     job: int
@@ -67,7 +67,7 @@
 
 
 @attrs.frozen
-class ReadAsked:
+class ReadRequested:
     """The value is wanted, as a quorum has it from now on."""
 
     job: int
@@ -75,7 +75,7 @@
 
 
 @attrs.frozen
-class PeersNoted:
+class PeersChanged:
     """All other control nodes known at present."""
 
     peers: tuple[Peer, ...]
@@ -86,7 +86,7 @@
     """Time has passed."""
 
 
-Event = Received | Replied | Synced | DiskRefused | ChangeAsked | ReadAsked | PeersNoted | Tick
+Event = Received | Replied | Synced | DiskRefused | ChangeRequested | ReadRequested | PeersChanged | Tick
 
 
 @attrs.frozen
@@ -100,7 +100,7 @@
 
 
 @attrs.frozen
-class Tell:
+class NotifyLearned:
     """Send a hint."""
 
     address: str
@@ -140,4 +140,4 @@
     payload: bytes
 
 
-Action = Call | Tell | Append | Reply | Resolve | Learned
+Action = Call | NotifyLearned | Append | Reply | Resolve | Learned
--- a/emberring/register/messages.py
+++ b/emberring/register/messages.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from emberring.register.model import Ballot, Proposal, State
+from emberring.register.model import Proposal, ProposalNumber, State
 from emberring.transport.messages import message
 
 
@@ -17,8 +17,8 @@
     """Promise to take no older ballot, and say what was accepted. `known` is a ballot whose state the caller has."""
 
     target: str
-    ballot: Ballot
-    known: Ballot | None = None
+    ballot: ProposalNumber
+    known: ProposalNumber | None = None
 
 
 @message("register.promise")
@@ -27,8 +27,8 @@
     """The promise, with the newest ballot accepted; its state is left out where the caller has it."""
 
     identity: str
-    ballot: Ballot
-    accepted: Ballot | None = None
+    ballot: ProposalNumber
+    accepted: ProposalNumber | None = None
     state: State | None = None
 
 
@@ -38,7 +38,7 @@
     """Accept this state under this ballot."""
 
     target: str
-    ballot: Ballot
+    ballot: ProposalNumber
     state: State
 
 
@@ -48,7 +48,7 @@
     """It lies on this replica's disk."""
 
     identity: str
-    ballot: Ballot
+    ballot: ProposalNumber
 
 
 @message("register.refuse")
@@ -57,7 +57,7 @@
     """A newer ballot has been promised here."""
 
     identity: str
-    promised: Ballot
+    promised: ProposalNumber
 
 
 @message("register.stranger")
@@ -74,7 +74,7 @@
     """Say what was accepted, without a promise."""
 
     target: str
-    known: Ballot | None = None
+    known: ProposalNumber | None = None
 
 
 @message("register.held")
@@ -83,7 +83,7 @@
     """What a replica's disk holds; its state is left out where the caller has it."""
 
     identity: str
-    accepted: Ballot | None = None
+    accepted: ProposalNumber | None = None
     state: State | None = None
 
 
@@ -94,7 +94,7 @@
 
     identity: str
     address: str
-    learned: Ballot | None = None
+    learned: ProposalNumber | None = None
 
 
 @message("register.pong")
@@ -103,7 +103,7 @@
     """Yes. `voting` is false while the disk refuses or stalls."""
 
     identity: str
-    learned: Ballot | None = None
+    learned: ProposalNumber | None = None
     voting: bool = True
 
 
@@ -126,7 +126,7 @@
 class Chosen:
     """A hint that the proposal of this ballot is chosen; the sender's internal address has it."""
 
-    ballot: Ballot
+    ballot: ProposalNumber
     address: str
 
 
