--- a/emberring/register/model.py
+++ b/emberring/register/model.py
@@ -6,28 +6,28 @@
 
 
 @attrs.frozen(order=False)
-class Ballot:
+class ProposalNumber:
     """A proposer's attempt. Counters order them; a proposer's name, new at each start, makes each one unique."""
 
     counter: int
     proposer: str
 
-    def __lt__(self, other: Ballot) -> bool:
+    def __lt__(self, other: ProposalNumber) -> bool:
         if self.counter != other.counter:
             return self.counter < other.counter
         return self.proposer < other.proposer
 
-    def __gt__(self, other: Ballot) -> bool:
+    def __gt__(self, other: ProposalNumber) -> bool:
         return other < self
 
-    def __le__(self, other: Ballot) -> bool:
+    def __le__(self, other: ProposalNumber) -> bool:
         return not other < self
 
-    def __ge__(self, other: Ballot) -> bool:
+    def __ge__(self, other: ProposalNumber) -> bool:
         return not self < other
 
 
-GENESIS = Ballot(0, "")
+GENESIS = ProposalNumber(0, "")
 
 
 @attrs.frozen
@@ -82,7 +82,7 @@
 class Proposal:
     """A state under the ballot of its proposer. No two proposals share a ballot."""
 
-    ballot: Ballot
+    ballot: ProposalNumber
     state: State
 
 
--- a/emberring/register/node.py
+++ b/emberring/register/node.py
@@ -15,20 +15,18 @@
 from emberring.register.events import (
     Action,
     Call,
-    ChangeAsked,
+    ChangeRequested,
     DiskRefused,
     Event,
     Learned,
-    PeersNoted,
-    ReadAsked,
+    NotifyLearned,
+    PeersChanged,
+    ReadRequested,
     Received,
     Replied,
     Reply,
     Synced,
-    Tell,
 )
-from emberring.register.jobs import Batch, Job, give_up
-from emberring.register.keeper import PATIENCE, Patience, SetKeeper, SetStep
 from emberring.register.messages import (
     Accept,
     Chosen,
@@ -40,9 +38,16 @@
     Query,
     Request,
 )
-from emberring.register.model import Ballot, Member, Proposal, State
+from emberring.register.model import Member, Proposal, ProposalNumber, State
+from emberring.register.pending_operations import Batch, PendingOperation, give_up
 from emberring.register.persistence import Persistence
-from emberring.register.proposer import Phase, QueryRound, Round, Send
+from emberring.register.proposer import Phase, ProposalAttempt, QuorumRead, Send
+from emberring.register.replica_set_manager import (
+    RECONFIGURATION_TIMEOUTS,
+    ReconfigurationStep,
+    ReconfigurationTimeouts,
+    ReplicaSetManager,
+)
 
 CALL_TIMEOUT_S = 0.8
 ROUND_TIMEOUT_S = 0.9
@@ -58,13 +63,13 @@
 
 @attrs.frozen
 class _RoundCall:
-    round: Round
+    round: ProposalAttempt
     member: Member
 
 
 @attrs.frozen
 class _QueryCall:
-    query: QueryRound
+    query: QuorumRead
     member: Member
 
 
@@ -93,7 +98,7 @@
         wanted: int,
         rng: random.Random,
         now_s: float,
-        patience: Patience = PATIENCE,
+        patience: ReconfigurationTimeouts = RECONFIGURATION_TIMEOUTS,
     ) -> None:
         self.me = me
         self.acceptor = acceptor
@@ -107,23 +112,23 @@
         self._numbers = 0
         self._look_at = now_s
         self._counter = 0
-        self._jobs: deque[Job] = deque()
-        self._reads: deque[Job] = deque()
-        self._round: Round | None = None
-        self._round_jobs: deque[Job] = deque()  # asked before the ballot under way began
+        self._jobs: deque[PendingOperation] = deque()
+        self._reads: deque[PendingOperation] = deque()
+        self._round: ProposalAttempt | None = None
+        self._round_jobs: deque[PendingOperation] = deque()  # asked before the ballot under way began
         self._round_began = now_s
         self._batch: Batch | None = None
-        self._query: QueryRound | None = None
+        self._query: QuorumRead | None = None
         self._query_began = now_s
-        self._query_reads: deque[Job] = deque()
+        self._query_reads: deque[PendingOperation] = deque()
         self._confirm = False
         self._failures = 0
         self._retry_at = now_s
         self._told: bytes | None = None
         self._fetching = False
         self._scrub_at: float | None = now_s
-        self.keeper = SetKeeper(me, wanted, self.contacts, patience)
-        self._step: SetStep | None = None
+        self.keeper = ReplicaSetManager(me, wanted, self.contacts, patience)
+        self._step: ReconfigurationStep | None = None
         if acceptor.accepted is not None and acceptor.accepted.ballot.counter == 0:
             self.learned = acceptor.accepted
 
@@ -148,7 +153,7 @@
         return self.learned is not None and self.learned.state.replicas.has_quorum(identities)
 
     @property
-    def _queues(self) -> tuple[deque[Job], ...]:
+    def _queues(self) -> tuple[deque[PendingOperation], ...]:
         """All jobs that wait, but those of the ballot that has decided."""
         return (self._jobs, self._round_jobs, self._reads, self._query_reads)
 
@@ -179,11 +184,11 @@
                 self._disk.synced(event.append)
             case DiskRefused():
                 self._disk.refused(event.append)
-            case ChangeAsked():
-                self._jobs.append(Job(event.job, event.deadline_s, event.change))
-            case ReadAsked():
-                self._reads.append(Job(event.job, event.deadline_s))
-            case PeersNoted():
+            case ChangeRequested():
+                self._jobs.append(PendingOperation(event.job, event.deadline_s, event.change))
+            case ReadRequested():
+                self._reads.append(PendingOperation(event.job, event.deadline_s))
+            case PeersChanged():
                 self.contacts.note(event.peers)
             case _:
                 pass
@@ -250,7 +255,7 @@
 
     # Learning what is chosen.
 
-    def _hear_of(self, now_s: float, ballot: Ballot | None, address: str) -> None:
+    def _hear_of(self, now_s: float, ballot: ProposalNumber | None, address: str) -> None:
         """Somebody knows the proposal of this ballot to be chosen."""
         if ballot is None or (self.learned is not None and ballot <= self.learned.ballot):
             return
@@ -309,7 +314,7 @@
         known = self.known
         if known is None:
             return
-        self._query, self._query_began = QueryRound(known), now_s
+        self._query, self._query_began = QuorumRead(known), now_s
         self._query_reads, self._reads = self._reads, deque()
         self._send_query(self._query.start(known.state.replicas.everyone))
 
@@ -343,7 +348,7 @@
 
     # Ballots.
 
-    def _see(self, ballot: Ballot | None) -> None:
+    def _see(self, ballot: ProposalNumber | None) -> None:
         if ballot is not None:
             self._counter = max(self._counter, ballot.counter)
 
@@ -358,8 +363,8 @@
         self._see(self.acceptor.promised)
         self._see(known.ballot)
         self._counter += 1
-        ballot = Ballot(self._counter, self._proposer)
-        self._round, self._round_began = Round(ballot, known, self._decide), now_s
+        ballot = ProposalNumber(self._counter, self._proposer)
+        self._round, self._round_began = ProposalAttempt(ballot, known, self._decide), now_s
         # Guard: a job that comes while promises are under way waits for the next ballot. What those promises show may
         # be older than a change that was acknowledged elsewhere before the job was asked.
         self._round_jobs, self._jobs = self._jobs, deque()
@@ -403,7 +408,7 @@
         self._failures = min(self._failures + 1, 10)
         self._retry_at = now_s + longest * self._rng.random()
 
-    def _end_round(self, now_s: float, ended: Round) -> None:
+    def _end_round(self, now_s: float, ended: ProposalAttempt) -> None:
         assert ended.outcome is not None
         self._round, self._failures, self._confirm, self._step = None, 0, False, None
         self._learn(now_s, ended.outcome)
@@ -417,7 +422,7 @@
         addresses = {self.contacts.address(member) for member in chosen.state.replicas.everyone}
         addresses |= {peer.member.address for peer in self.contacts.peers}
         for address in sorted(addresses - {self.me.address}):
-            self._out.append(Tell(address, Chosen(chosen.ballot, self.me.address)))
+            self._out.append(NotifyLearned(address, Chosen(chosen.ballot, self.me.address)))
 
     def _expire(self, now_s: float) -> None:
         for jobs in self._queues:
--- a/emberring/register/jobs.py
+++ b/emberring/register/pending_operations.py
@@ -4,14 +4,14 @@
 
 import attrs
 
-from emberring.errors import EmberringError, InDoubtError, InternalError, NoQuorumError
+from emberring.errors import EmberringError, InternalError, NoQuorumError, UnknownOutcomeError
 from emberring.register.events import Change, Resolve
 
 IN_DOUBT = "the change may or may not have been taken"
 
 
 @attrs.define(eq=False)
-class Job:
+class PendingOperation:
     """One change or read. In doubt once a state made with it may have been accepted somewhere."""
 
     number: int
@@ -24,7 +24,7 @@
 class _Judgement:
     """What comes of a job if the ballot is chosen."""
 
-    job: Job
+    job: PendingOperation
     payload: bytes | None = None
     error: EmberringError | None = None
     changed: bool = False
@@ -33,11 +33,11 @@
 class Batch:
     """Jobs applied one after another to the value that a ballot found."""
 
-    def __init__(self, jobs: tuple[Job, ...], payload: bytes | None) -> None:
+    def __init__(self, jobs: tuple[PendingOperation, ...], payload: bytes | None) -> None:
         self.payload = payload
         self._judgements = [self._apply(job) for job in jobs]
 
-    def _apply(self, job: Job) -> _Judgement:
+    def _apply(self, job: PendingOperation) -> _Judgement:
         try:
             changed = None if job.change is None else job.change(self.payload)
         except EmberringError as error:
@@ -60,7 +60,7 @@
         return [give_up(found.job) for found in late]
 
     @property
-    def jobs(self) -> tuple[Job, ...]:
+    def jobs(self) -> tuple[PendingOperation, ...]:
         """The jobs in it."""
         return tuple(judgement.job for judgement in self._judgements)
 
@@ -69,14 +69,14 @@
         return [Resolve(found.job.number, found.payload, found.error) for found in self._judgements]
 
 
-def _certain(job: Job, refusal: EmberringError) -> EmberringError:
+def _certain(job: PendingOperation, refusal: EmberringError) -> EmberringError:
     """A refusal says that nothing was changed. A job in doubt may have refused its own effect, which another
     proposer finished."""
-    return InDoubtError(f"{IN_DOUBT}; now: {refusal.detail}") if job.in_doubt else refusal
+    return UnknownOutcomeError(f"{IN_DOUBT}; now: {refusal.detail}") if job.in_doubt else refusal
 
 
-def give_up(job: Job) -> Resolve:
+def give_up(job: PendingOperation) -> Resolve:
     """Its time has run out."""
     if job.in_doubt:
-        return Resolve(job.number, error=InDoubtError(IN_DOUBT))
+        return Resolve(job.number, error=UnknownOutcomeError(IN_DOUBT))
     return Resolve(job.number, error=NoQuorumError("too few replicas answered in time"))
--- a/emberring/register/proposer.py
+++ b/emberring/register/proposer.py
@@ -13,7 +13,7 @@
 import attrs
 
 from emberring.register.messages import Accept, Accepted, Held, Prepare, Promise, Query, Refuse
-from emberring.register.model import Ballot, Member, Proposal, State
+from emberring.register.model import Member, Proposal, ProposalNumber, State
 
 
 class Phase(Enum):
@@ -42,14 +42,14 @@
 
     def __init__(self, known: Proposal | None) -> None:
         self._known = known
-        self.ballots: dict[str, Ballot | None] = {}
+        self.ballots: dict[str, ProposalNumber | None] = {}
         self.newest: Proposal | None = None
 
     @property
-    def known_ballot(self) -> Ballot | None:
+    def known_ballot(self) -> ProposalNumber | None:
         return None if self._known is None else self._known.ballot
 
-    def take(self, identity: str, ballot: Ballot | None, state: State | None) -> None:
+    def take(self, identity: str, ballot: ProposalNumber | None, state: State | None) -> None:
         """Take in an answer; a state that was left out is the one known."""
         if ballot is not None:
             if state is None:
@@ -93,14 +93,14 @@
         return not state.replicas.has_quorum(everyone - self.lost)
 
 
-class Round:
+class ProposalAttempt:
     """One ballot: prepare, decide, accept. `outcome` is what was chosen, once the phase says so."""
 
-    def __init__(self, ballot: Ballot, known: Proposal | None, decide: Decide) -> None:
+    def __init__(self, ballot: ProposalNumber, known: Proposal | None, decide: Decide) -> None:
         self.ballot = ballot
         self.phase = Phase.PREPARING
         self.outcome: Proposal | None = None
-        self.refused_by: Ballot | None = None
+        self.refused_by: ProposalNumber | None = None
         self._known = known
         self._decide = decide
         self._answers = _Answers(known)
@@ -174,7 +174,7 @@
             self.phase = Phase.FAILED
 
 
-class QueryRound:
+class QuorumRead:
     """A read without a ballot: `chosen` is what a quorum holds, or None while, or where, that is not plain."""
 
     def __init__(self, known: Proposal | None) -> None:
@@ -189,7 +189,7 @@
         return self._answers.newest if self._answers.complete and self._answers.chosen else None
 
     @property
-    def highest(self) -> Ballot | None:
+    def highest(self) -> ProposalNumber | None:
         """The newest ballot seen."""
         return None if self._answers.newest is None else self._answers.newest.ballot
 
--- a/emberring/register/keeper.py
+++ b/emberring/register/replica_set_manager.py
@@ -12,7 +12,7 @@
 
 
 @attrs.frozen
-class Patience:
+class ReconfigurationTimeouts:
     """How long (s) a replica may be silent before it counts as dead, and before another node of its name takes its
     place; how much longer each further replica waits before it acts; how long new ones have to get the value."""
 
@@ -22,21 +22,27 @@
     joiner_wait_s: float = 1.0
 
 
-PATIENCE = Patience()
+RECONFIGURATION_TIMEOUTS = ReconfigurationTimeouts()
 
 
 @attrs.frozen
-class SetStep:
+class ReconfigurationStep:
     """A wanted step from one replica set to the next."""
 
     previous: ReplicaSet
     following: ReplicaSet
 
 
-class SetKeeper:
+class ReplicaSetManager:
     """Plans steps from what the contacts show. Replicas further down the set wait longer before they act."""
 
-    def __init__(self, me: Member, wanted: int, contacts: Contacts, patience: Patience = PATIENCE) -> None:
+    def __init__(
+        self,
+        me: Member,
+        wanted: int,
+        contacts: Contacts,
+        patience: ReconfigurationTimeouts = RECONFIGURATION_TIMEOUTS,
+    ) -> None:
         self.patience = patience
         self._me = me
         self._wanted = wanted
@@ -45,7 +51,7 @@
         self._joint_epoch = -1
         self._joint_since = 0.0
 
-    def step(self, now_s: float, learned: Proposal | None) -> SetStep | None:
+    def step(self, now_s: float, learned: Proposal | None) -> ReconfigurationStep | None:
         """The step that this node should propose now, on top of what it knows to be chosen."""
         following = None if learned is None else self._following(now_s, learned)
         if following is None or learned is None:
@@ -56,7 +62,7 @@
         current = learned.state.replicas
         if now_s - self._wanted_since < self._rank(now_s, current) * self.patience.rank_delay_s:
             return None
-        return SetStep(current, following)
+        return ReconfigurationStep(current, following)
 
     def _following(self, now_s: float, learned: Proposal) -> ReplicaSet | None:
         current = learned.state.replicas
--- a/emberring/register/service.py
+++ b/emberring/register/service.py
@@ -25,19 +25,19 @@
     Append,
     Call,
     Change,
-    ChangeAsked,
+    ChangeRequested,
     DiskRefused,
     Event,
     Learned,
+    NotifyLearned,
     Peer,
-    PeersNoted,
-    ReadAsked,
+    PeersChanged,
+    ReadRequested,
     Received,
     Replied,
     Reply,
     Resolve,
     Synced,
-    Tell,
     Tick,
 )
 from emberring.register.messages import Accept, Answer, Chosen, Fetch, Ping, Prepare, Query, Request
@@ -65,7 +65,7 @@
         future.set_result(outcome.payload)
 
 
-class NodeFactLike(Protocol):
+class NodeRecordLike(Protocol):
     """What `note_peers` needs of a node's fact."""
 
     @property
@@ -122,7 +122,7 @@
         rng = random.Random(os.urandom(8))
         self._node = RegisterNode(me, acceptor, proposer, seeds, wanted, rng, now_s)
         logger.info("event=register_started identity=%s", acceptor.identity)
-        self._apply(PeersNoted(self._peers))
+        self._apply(PeersChanged(self._peers))
 
     async def stop(self) -> None:
         """Take part no longer; changes and reads under way end in doubt or without a quorum."""
@@ -146,9 +146,10 @@
 
         Returns the new value, or the present one where `decide` returned None (empty bytes if there is none yet).
         An `EmberringError` from `decide` is raised once a quorum has confirmed the value that it judged.
-        `NoQuorumError`: not taken, as far as this node knows, for want of a quorum; `InDoubtError`: perhaps taken.
+        `NoQuorumError`: not taken, as far as this node knows, for want of a quorum.
+        `UnknownOutcomeError`: it may have been taken.
         """
-        payload = await self._job(lambda job, until: ChangeAsked(job, decide, until), timeout_s)
+        payload = await self._job(lambda job, until: ChangeRequested(job, decide, until), timeout_s)
         return payload or b""
 
     async def read(self, timeout_s: float) -> bytes | None:
@@ -156,7 +157,7 @@
 
         `NoQuorumError` where too few replicas answer in time.
         """
-        return await self._job(lambda job, until: ReadAsked(job, until), timeout_s)
+        return await self._job(lambda job, until: ReadRequested(job, until), timeout_s)
 
     def subscribe(self, callback: Callable[[bytes], None]) -> None:
         """Be told each value known to be chosen, the present one at once; never an older one after a newer."""
@@ -174,12 +175,12 @@
         """Whether these replicas are a quorum of the set that this node knows to be chosen; not before it knows one."""
         return self._node is not None and self._node.is_quorum(identities)
 
-    def note_peers(self, facts: Sequence[NodeFactLike]) -> None:
+    def note_peers(self, facts: Sequence[NodeRecordLike]) -> None:
         """All other control nodes known at present; those that are not replicas may become some."""
         self._peers = tuple(
             Peer(fact.name, Member(fact.identity, fact.address), fact.zone, fact.leaving) for fact in facts
         )
-        self._apply(PeersNoted(self._peers))
+        self._apply(PeersChanged(self._peers))
 
     async def _job(self, event: Callable[[int, float], Event], timeout_s: float) -> bytes | None:
         if self._node is None:
@@ -267,7 +268,7 @@
         match action:
             case Call():
                 self._spawn(self._call(action))
-            case Tell():
+            case NotifyLearned():
                 self._spawn(self._network.tell(action.address, action.message))
             case Append():
                 self._append(action)
--- a/emberring/registry/trouble.py
+++ b/emberring/registry/faults.py
@@ -11,7 +11,7 @@
 may name troubles that this one does not know."""
 
 
-class Trouble(Enum):
+class Fault(Enum):
     """What speaks against a server: its connections don't come up, it owes events, it breaks answers off, it fails
     a part of its calls, its first events come late."""
 
@@ -22,7 +22,7 @@
     SLOW = "slow"
 
 
-def summed_suspects(parts: Iterable[Suspects]) -> dict[str, dict[str, int]]:
+def sum_suspicions(parts: Iterable[Suspects]) -> dict[str, dict[str, int]]:
     """The sum by server and trouble."""
     total: dict[str, Counter[str]] = {}
     for part in parts:
--- a/emberring/registry/heartbeats.py
+++ b/emberring/registry/heartbeats.py
@@ -7,7 +7,7 @@
 import attrs
 import orjson
 
-from emberring.distribution.facts import ServerFact, ServerState
+from emberring.distribution.records import ServerRecord, ServerState
 from emberring.errors import BadRequestError
 
 _STATES = {"ready": ServerState.READY, "draining": ServerState.DRAINING}
@@ -17,7 +17,7 @@
 class Heartbeat:
     """What a server says of itself; `fact.sequence` rises with each call of the server."""
 
-    fact: ServerFact
+    fact: ServerRecord
 
     @property
     def draining(self) -> bool:
@@ -29,7 +29,7 @@
     """The heartbeat in a call; `BadRequestError` where it is none. Fields that are not known are skipped."""
     try:
         table = orjson.loads(body)
-        fact = ServerFact(
+        fact = ServerRecord(
             id=server_id,
             service=_text(table, "Service"),
             address=_text(table, "Address"),
--- a/emberring/registry/merge.py
+++ b/emberring/registry/merge.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from emberring.distribution.facts import ServerFact, ServerState
+from emberring.distribution.records import ServerRecord, ServerState
 
 _LEVEL = {ServerState.READY: 0, ServerState.LOST: 0, ServerState.DRAINING: 1, ServerState.GONE: 2}
 
@@ -18,7 +18,7 @@
     return _LEVEL[state]
 
 
-def merged(first: ServerFact, second: ServerFact) -> ServerFact:
+def merged(first: ServerRecord, second: ServerRecord) -> ServerRecord:
     """The join of two statements about the same server id."""
     newer, older = (first, second) if _rank(first) >= _rank(second) else (second, first)
     if level(older.state) > level(newer.state):
@@ -26,11 +26,11 @@
     return newer
 
 
-def dominates(first: ServerFact, second: ServerFact) -> bool:
+def dominates(first: ServerRecord, second: ServerRecord) -> bool:
     """Whether the first statement says all that the second does, so that the second need not be kept."""
     joined = merged(first, second)
     return joined.state is first.state and joined.sequence == first.sequence
 
 
-def _rank(fact: ServerFact) -> tuple[int, bool, int]:
+def _rank(fact: ServerRecord) -> tuple[int, bool, int]:
     return (fact.sequence, fact.state is ServerState.LOST, level(fact.state))
--- a/emberring/registry/servers.py
+++ b/emberring/registry/servers.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from emberring.distribution.facts import ServerFact, ServerState
+from emberring.distribution.records import ServerRecord, ServerState
 from emberring.registry.heartbeats import Heartbeat
 from emberring.registry.merge import merged
 
@@ -59,8 +59,8 @@
         return True
 
     def on_heartbeat(
-        self, now_s: float, beat: Heartbeat, known: Mapping[str, ServerFact], listed: ServerFact | None
-    ) -> list[ServerFact]:
+        self, now_s: float, beat: Heartbeat, known: Mapping[str, ServerRecord], listed: ServerRecord | None
+    ) -> list[ServerRecord]:
         """What to state after a heartbeat. `known` is the join of all statements; `listed` that of the control
         nodes that live about this server, which is what other nodes go by."""
         fact = beat.fact
@@ -75,7 +75,9 @@
             return []
         return [after]
 
-    def _ended_at(self, now_s: float, fact: ServerFact, known: Mapping[str, ServerFact]) -> list[ServerFact]:
+    def _ended_at(
+        self, now_s: float, fact: ServerRecord, known: Mapping[str, ServerRecord]
+    ) -> list[ServerRecord]:
         """Older servers at the address of a new one: they have ended."""
         ended = []
         for other in known.values():
@@ -86,16 +88,16 @@
                 ended.append(attrs.evolve(other, state=ServerState.GONE))
         return ended
 
-    def on_goodbye(self, server_id: str, known: Mapping[str, ServerFact]) -> list[ServerFact]:
+    def on_goodbye(self, server_id: str, known: Mapping[str, ServerRecord]) -> list[ServerRecord]:
         """What to state after a server said that it ends; a server never heard of is stated as well."""
         before = known.get(server_id)
         if before is None:
-            return [ServerFact(server_id, "", "", "", 0, ServerState.GONE, 0)]
+            return [ServerRecord(server_id, "", "", "", 0, ServerState.GONE, 0)]
         if before.state is ServerState.GONE:
             return []
         return [attrs.evolve(before, state=ServerState.GONE)]
 
-    def on_learnt(self, now_s: float, fact: ServerFact) -> list[ServerFact]:
+    def on_learnt(self, now_s: float, fact: ServerRecord) -> list[ServerRecord]:
         """What to state after others stated something: that a server lives which they took for lost."""
         heard = self._heard.get(fact.id)
         if fact.state is not ServerState.LOST or heard is None or heard.sequence <= fact.sequence:
@@ -107,10 +109,10 @@
     def on_tick(
         self,
         now_s: float,
-        known: Mapping[str, ServerFact],
+        known: Mapping[str, ServerRecord],
         listed: Callable[[str], bool],
         trusted: bool,
-    ) -> list[ServerFact]:
+    ) -> list[ServerRecord]:
         """What to state of servers that fell silent. Where silence proves nothing, as this node is cut off or was
         frozen, `trusted` is false, and every server gets its patience anew."""
         gap_s, self._last_tick_s = now_s - self._last_tick_s, now_s
@@ -120,7 +122,7 @@
             return []
         return [lost for fact in known.values() if (lost := self._silent(now_s, fact, listed)) is not None]
 
-    def _silent(self, now_s: float, fact: ServerFact, listed: Callable[[str], bool]) -> ServerFact | None:
+    def _silent(self, now_s: float, fact: ServerRecord, listed: Callable[[str], bool]) -> ServerRecord | None:
         if fact.state not in (ServerState.READY, ServerState.DRAINING):
             return None
         heard = self._heard.setdefault(fact.id, _Heard(fact.sequence, now_s))
@@ -130,7 +132,7 @@
         state = ServerState.GONE if fact.state is ServerState.DRAINING else ServerState.LOST
         return attrs.evolve(fact, state=state, sequence=max(fact.sequence, heard.sequence))
 
-    def forgettable(self, now_s: float, known: Mapping[str, ServerFact]) -> list[str]:
+    def forgettable(self, now_s: float, known: Mapping[str, ServerRecord]) -> list[str]:
         """Servers gone or lost for long, of which nothing needs to be kept."""
         out = {fact.id for fact in known.values() if fact.state in (ServerState.GONE, ServerState.LOST)}
         for server in list(self._gone_since):
@@ -145,10 +147,10 @@
         return old
 
 
-def _alike(first: ServerFact, second: ServerFact) -> bool:
+def _alike(first: ServerRecord, second: ServerRecord) -> bool:
     """Whether two facts differ in nothing that other nodes need: of the cold time, whether it is over."""
     return _told(first) == _told(second)
 
 
-def _told(fact: ServerFact) -> ServerFact:
+def _told(fact: ServerRecord) -> ServerRecord:
     return attrs.evolve(fact, sequence=0, cold_ms=1.0 if fact.cold_ms > 0 else 0.0)
--- a/emberring/simulation/admission/ablation.py
+++ b/emberring/simulation/admission/ablation.py
@@ -19,7 +19,7 @@
     AdmissionSettings,
     candidates,
     failures,
-    lot_pressure,
+    job_pressure,
     pacing,
     placement,
     pool,
@@ -48,7 +48,7 @@
     NEVER_HELD = "never-held"
     NEVER_REFUSED = "never-refused"
     EVEN_SHARES = "even-shares"
-    LOT_PRESSURE = "lot-pressure"
+    JOB_PRESSURE = "lot-pressure"
     PROMPT_PACING = "prompt-pacing"
     DRAW_BY_ROOM = "draw-by-room"
     LIKELY_LOAD = "likely-load"
@@ -97,7 +97,7 @@
     Mechanism.NEVER_HELD: ((pool, "NEVER_HELD", 0.0),),
     Mechanism.NEVER_REFUSED: ((pool, "NEVER_REFUSED", 0.0),),
     Mechanism.EVEN_SHARES: ((Pool, "_batch_threshold", _without_even_shares),),
-    Mechanism.LOT_PRESSURE: ((lot_pressure.LotPressure, "share", lambda self, now_s: 0.85),),
+    Mechanism.JOB_PRESSURE: ((job_pressure.JobPressure, "share", lambda self, now_s: 0.85),),
     Mechanism.PROMPT_PACING: ((pool, "BATCH_PROMPTS", LARGE),),
     Mechanism.DRAW_BY_ROOM: ((candidates, "LEAST_CHANCE", LARGE),),
     Mechanism.LIKELY_LOAD: ((ServerView, "likely_load", _own_calls_alone),),
@@ -135,8 +135,8 @@
 
     def bursts(self) -> list[Burst]:
         """The burst of lots."""
-        lots = next(kind.name for kind in self.site.kinds if kind.items is not None)
-        return [Burst(lots, 1.0, 3.0, 6.0)]
+        jobs = next(kind.name for kind in self.site.kinds if kind.items is not None)
+        return [Burst(jobs, 1.0, 3.0, 6.0)]
 
     def crashes(self) -> list[Crash]:
         """The servers that go dark."""
--- a/emberring/simulation/admission/baselines.py
+++ b/emberring/simulation/admission/baselines.py
@@ -11,7 +11,7 @@
 
 from emberring.admission import Admitted, CallInfo, CallOutcome, Decision, NoServer, Refused
 from emberring.configuration.model import Service
-from emberring.distribution.facts import ServerFact, ServerState
+from emberring.distribution.records import ServerRecord, ServerState
 from emberring.registry.known_load import KnownLoad
 
 
@@ -21,7 +21,7 @@
     def set_servers(
         self,
         now_s: float,
-        servers: Iterable[ServerFact],
+        servers: Iterable[ServerRecord],
         service_info: Mapping[str, Service],
         gateways: int,
         load: KnownLoad,
@@ -69,7 +69,7 @@
     def set_servers(
         self,
         now_s: float,
-        servers: Iterable[ServerFact],
+        servers: Iterable[ServerRecord],
         service_info: Mapping[str, Service],
         gateways: int,
         load: KnownLoad,
--- a/emberring/simulation/admission/simulator.py
+++ b/emberring/simulation/admission/simulator.py
@@ -18,7 +18,7 @@
 from emberring.admission import Admitted, AttemptBudget, CallInfo, CallOutcome, PrefixPart, Refused
 from emberring.configuration.model import Service
 from emberring.distribution.contacts import summed
-from emberring.distribution.facts import ServerFact, ServerState
+from emberring.distribution.records import ServerRecord, ServerState
 from emberring.registry.known_load import KnownLoad
 from emberring.simulation.admission.baselines import Policy
 from emberring.simulation.admission.engine_model import Engine, EngineCall
@@ -125,7 +125,7 @@
 
     def _tell(self, index: int) -> None:
         facts = [
-            ServerFact(server.id, SERVICE, server.id, "a", self.site.engine.capacity, ServerState.READY, 1)
+            ServerRecord(server.id, SERVICE, server.id, "a", self.site.engine.capacity, ServerState.READY, 1)
             for server in self.servers
             if server.known
         ]
--- a/emberring/simulation/control_plane/client_steps.py
+++ b/emberring/simulation/control_plane/client_steps.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from emberring.configuration.orders import OrderKind
+from emberring.configuration.change_requests import ChangeRequestKind
 from emberring.simulation.control_plane.clients import ModelServer
 from emberring.simulation.control_plane.control_machine import ControlMachine
 from emberring.simulation.control_plane.deployment import Deployment
@@ -25,7 +25,7 @@
         self._world = deployment.world
         self._ended = False
         self._tasks: set[asyncio.Task[None]] = set()
-        self._orders: list[tuple[OrderSeen, OrderKind]] = []
+        self._orders: list[tuple[OrderSeen, ChangeRequestKind]] = []
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -41,9 +41,9 @@
 
     # Operators.
 
-    def _kind(self) -> OrderKind:
+    def _kind(self) -> ChangeRequestKind:
         patch = self._deployment.operators.known > 0 and self._world.rng.random() < 0.5
-        return OrderKind.PATCH if patch else OrderKind.WHOLE
+        return ChangeRequestKind.PATCH if patch else ChangeRequestKind.WHOLE
 
     def _order(self, step: Step, version: int | None = None) -> None:
         operators = self._deployment.operators
@@ -52,7 +52,7 @@
         order = operators.order(known, version or known + self._world.rng.randint(1, 3), kind)
         self._spawn(self._send(order, kind, self._core(step)))
 
-    async def _send(self, order: OrderSeen, kind: OrderKind, machine: ControlMachine) -> None:
+    async def _send(self, order: OrderSeen, kind: ChangeRequestKind, machine: ControlMachine) -> None:
         if await self._deployment.operators.send(order, kind, machine) == TAKEN:
             self._orders.append((order, kind))
 
--- a/emberring/simulation/control_plane/clients.py
+++ b/emberring/simulation/control_plane/clients.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from emberring.configuration.orders import OrderKind, read_order
+from emberring.configuration.change_requests import ChangeRequestKind, read_change_request
 from emberring.emulator.configurations import HOST, SERVICE, trial_configuration
 from emberring.simulation.control_plane.control_machine import HEARTBEAT_MS, Answer, ControlMachine
 from emberring.simulation.control_plane.follower_process import MARK_PREFIX
@@ -40,9 +40,9 @@
     }
 
 
-def order_body(kind: OrderKind, number: int, version: int) -> bytes:
+def order_body(kind: ChangeRequestKind, number: int, version: int) -> bytes:
     """What an order says: a whole configuration, or a patch."""
-    if kind is OrderKind.PATCH:
+    if kind is ChangeRequestKind.PATCH:
         return json.dumps({"Version": version, "Upsert": {"Routes": [mark_route(number)]}}).encode()
     document = trial_configuration(version)
     document["Routes"].append(mark_route(number))
@@ -102,14 +102,16 @@
         self._numbers = 0
         self.known = 0  # the newest version that an operator knows to be in force
 
-    def order(self, base: int, version: int, kind: OrderKind) -> OrderSeen:
+    def order(self, base: int, version: int, kind: ChangeRequestKind) -> OrderSeen:
         """A new order, not sent yet."""
         self._numbers += 1
         body = order_body(kind, self._numbers, version)
-        digest = read_order(kind, str(base), body).digest
+        digest = read_change_request(kind, str(base), body).digest
         return OrderSeen(self._numbers, base, version, digest, self._world.sync())
 
-    async def send(self, order: OrderSeen, kind: OrderKind, first: ControlMachine | None = None) -> int:
+    async def send(
+        self, order: OrderSeen, kind: ChangeRequestKind, first: ControlMachine | None = None
+    ) -> int:
         """Send an order until its answer is clear; its last status, 0 where it was given up."""
         body = order_body(kind, order.number, order.version)
         self._world.seen.order_sent(order)
@@ -126,7 +128,7 @@
         return 0
 
     async def _send_once(
-        self, machine: ControlMachine, order: OrderSeen, kind: OrderKind, body: bytes
+        self, machine: ControlMachine, order: OrderSeen, kind: ChangeRequestKind, body: bytes
     ) -> int:
         answer = await self._platform.call(machine, kind.value, "/v1/config", body, str(order.base))
         now_s = self._world.sync()
@@ -142,7 +144,7 @@
             return 0
         return answer.status
 
-    async def repeat(self, order: OrderSeen, kind: OrderKind, machine: ControlMachine) -> None:
+    async def repeat(self, order: OrderSeen, kind: ChangeRequestKind, machine: ControlMachine) -> None:
         """Send an order that was acknowledged once more, as after a lost answer: it must not be refused."""
         body = order_body(kind, order.number, order.version)
         answer = await self._platform.call(machine, kind.value, "/v1/config", body, str(order.base))
--- a/emberring/simulation/control_plane/control_machine.py
+++ b/emberring/simulation/control_plane/control_machine.py
@@ -10,15 +10,15 @@
 
 from emberring.configuration.state import ControlState
 from emberring.control.node import ControlNode
-from emberring.distribution.facts import NodeFact
+from emberring.distribution.records import NodeRecord
 from emberring.register.events import (
     Action,
-    ChangeAsked,
+    ChangeRequested,
     Event,
     Learned,
     Peer,
-    PeersNoted,
-    ReadAsked,
+    PeersChanged,
+    ReadRequested,
     Resolve,
 )
 from emberring.register.model import Member
@@ -151,13 +151,13 @@
         self._handle(self.life, event(number, now_s + timeout_s))
         return await future
 
-    def peers_noted(self, facts: Sequence[NodeFact]) -> None:
+    def peers_noted(self, facts: Sequence[NodeRecord]) -> None:
         """The control node names the others that live."""
         self.world.sync()
         peers = tuple(
             Peer(fact.name, Member(fact.identity, fact.address), fact.zone, fact.leaving) for fact in facts
         )
-        self._handle(self.life, PeersNoted(peers))
+        self._handle(self.life, PeersChanged(peers))
 
     def subscribe(self, callback: Callable[[bytes], None]) -> None:
         """Tell each value known to be chosen."""
@@ -230,11 +230,11 @@
 
     async def change(self, decide: Callable[[bytes | None], bytes | None], timeout_s: float) -> bytes | None:
         """Swap the value."""
-        return await self._machine.job(lambda job, until_s: ChangeAsked(job, decide, until_s), timeout_s)
+        return await self._machine.job(lambda job, until_s: ChangeRequested(job, decide, until_s), timeout_s)
 
     async def read(self, timeout_s: float) -> bytes | None:
         """The value that a quorum holds."""
-        return await self._machine.job(lambda job, until_s: ReadAsked(job, until_s), timeout_s)
+        return await self._machine.job(lambda job, until_s: ReadRequested(job, until_s), timeout_s)
 
     def subscribe(self, callback: Callable[[bytes], None]) -> None:
         """Tell every chosen value."""
@@ -250,6 +250,6 @@
         node = self._machine.node
         return node is not None and node.is_quorum(identities)
 
-    def note_peers(self, facts: Sequence[NodeFact]) -> None:
+    def note_peers(self, facts: Sequence[NodeRecord]) -> None:
         """The other control nodes that live."""
         self._machine.peers_noted(facts)
--- a/emberring/simulation/control_plane/deployment.py
+++ b/emberring/simulation/control_plane/deployment.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections.abc import Callable
 
-from emberring.configuration.orders import OrderKind
-from emberring.distribution.facts import NodeRole, ServerState
+from emberring.configuration.change_requests import ChangeRequestKind
+from emberring.distribution.records import NodeRole, ServerState
 from emberring.simulation.control_plane.clients import DRAIN_MS, ModelServer, Operators, Platform
 from emberring.simulation.control_plane.control_machine import ControlMachine, internal_address
 from emberring.simulation.control_plane.follower_process import FollowerMachine, ShardCopies
@@ -107,8 +107,8 @@
         for _ in range(SERVERS):
             self.add_server()
         self._tasks.append(asyncio.get_running_loop().create_task(self.copies.run()))
-        order = self.operators.order(0, 1, OrderKind.WHOLE)
-        await self.operators.send(order, OrderKind.WHOLE)
+        order = self.operators.order(0, 1, ChangeRequestKind.WHOLE)
+        await self.operators.send(order, ChangeRequestKind.WHOLE)
         await asyncio.sleep(1.0)
 
     def fair(self) -> None:
--- a/emberring/simulation/control_plane/follower_process.py
+++ b/emberring/simulation/control_plane/follower_process.py
@@ -6,9 +6,9 @@
 from collections.abc import Sequence
 
 from emberring.configuration.model import Configuration
-from emberring.distribution.facts import NodeFact, NodeRole
 from emberring.distribution.follower import Follower
 from emberring.distribution.messages import PlacementMoved
+from emberring.distribution.records import NodeRecord, NodeRole
 from emberring.errors import EmberringError
 from emberring.placement.model import SHARDS, Group, Placement, quorum
 from emberring.simulation.control_plane.network import SimulatedNetwork
@@ -72,7 +72,7 @@
         self.process = Process(self.address)
         self._world.dark.discard(self.address)
         self.network = SimulatedNetwork(self._world, self.process, self._hub)
-        me = NodeFact(
+        me = NodeRecord(
             self.name, self.role, self.address, "zone-0", self.identity, f"{self.name}.{self._life}"
         )
         self.follower = Follower(self.network, me, self._seeds)
--- a/emberring/simulation/control_plane/mutations.py
+++ b/emberring/simulation/control_plane/mutations.py
@@ -10,10 +10,10 @@
 
 import attrs
 
-from emberring.configuration import orders
+from emberring.configuration import change_requests
 from emberring.configuration.state import ControlState
-from emberring.control import operator_orders
-from emberring.control.heartbeat_desk import HeartbeatDesk
+from emberring.control import operator_requests
+from emberring.control.heartbeat_handler import HeartbeatHandler
 from emberring.distribution.sources import SourceChoice
 from emberring.distribution.view import FollowerView
 from emberring.errors import VersionConflictError
@@ -56,7 +56,7 @@
     return _decide(self, found, chosen)
 
 
-def _held_alone(self: HeartbeatDesk, now_s: float, server_id: str) -> bool:
+def _held_alone(self: HeartbeatHandler, now_s: float, server_id: str) -> bool:
     return True
 
 
@@ -85,22 +85,26 @@
     return attrs.evolve(_with_configuration(self, version, document, digest), taken=(digest,))
 
 
-_judge = orders.judge
+_judge = change_requests.judge
 
 
-def _judge_without_comparison(state: ControlState, order: orders.Order) -> orders.Taken | orders.Refused:
+def _judge_without_comparison(
+    state: ControlState, order: change_requests.ChangeRequest
+) -> change_requests.Taken | change_requests.Refused:
     if order.digest not in state.taken and order.version > state.version:
         order = attrs.evolve(order, base=state.version)
     return _judge(state, order)
 
 
-_configure = operator_orders.OperatorOrders.configure
+_configure = operator_requests.OperatorRequests.configure
 
 
-async def _configure_by_memory(self: Any, kind: orders.OrderKind, if_match: str | None, body: bytes) -> int:
-    order = orders.read_order(kind, if_match, body)
+async def _configure_by_memory(
+    self: Any, kind: change_requests.ChangeRequestKind, if_match: str | None, body: bytes
+) -> int:
+    order = change_requests.read_change_request(kind, if_match, body)
     outcome = _judge(self._board.state, order)
-    if isinstance(outcome, orders.Refused) and isinstance(outcome.error, VersionConflictError):
+    if isinstance(outcome, change_requests.Refused) and isinstance(outcome.error, VersionConflictError):
         raise outcome.error
     return await _configure(self, kind, if_match, body)
 
@@ -133,12 +137,12 @@
 _PATCHES: dict[Mistake, tuple[tuple[Any, str, Callable[..., Any]], ...]] = {
     Mistake.READS_FROM_MEMORY: ((HostedRegister, "read", _read_from_memory),),
     Mistake.LATE_JOBS: ((RegisterNode, "_decide", _decide_with_late_jobs),),
-    Mistake.LONE_DRAINS: ((HeartbeatDesk, "_held", _held_alone),),
+    Mistake.LONE_DRAINS: ((HeartbeatHandler, "_held", _held_alone),),
     Mistake.KEEPS_WEAK_SOURCES: ((SourceChoice, "answered", _answered_whatever_its_quorum),),
     Mistake.TAKES_OLDER_CONFIGURATION: ((FollowerView, "take", _take_older),),
     Mistake.FORGETS_DIGESTS: ((ControlState, "with_configuration", _with_last_digest_alone),),
-    Mistake.NO_COMPARISON: ((operator_orders, "judge", _judge_without_comparison),),
-    Mistake.REFUSES_BY_MEMORY: ((operator_orders.OperatorOrders, "configure", _configure_by_memory),),
+    Mistake.NO_COMPARISON: ((operator_requests, "judge", _judge_without_comparison),),
+    Mistake.REFUSES_BY_MEMORY: ((operator_requests.OperatorRequests, "configure", _configure_by_memory),),
     Mistake.OLD_SET_ALONE: ((ReplicaSet, "has_quorum", _quorum_of_members),),
     Mistake.REWRITES_WITHOUT_SNAPSHOT: ((ControlMachine, "_reclaim", _reclaim_without_snapshot),),
     Mistake.NEVER_FETCHES: ((RegisterNode, "_hear_of", _never_hears),),
--- a/emberring/simulation/control_plane/simulator.py
+++ b/emberring/simulation/control_plane/simulator.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from emberring.configuration.orders import OrderKind
+from emberring.configuration.change_requests import ChangeRequestKind
 from emberring.simulation.common.shrinking import shortened
 from emberring.simulation.common.task_owner import own_tasks
 from emberring.simulation.common.virtual_time import run_virtually
@@ -114,8 +114,8 @@
         operators = self._deployment.operators
         began_s = self._world.sync()
         base = max([operators.known, *(machine.told_version for machine in self._deployment.cores)])
-        order = operators.order(base, base + 1, OrderKind.WHOLE)
-        status = await operators.send(order, OrderKind.WHOLE)
+        order = operators.order(base, base + 1, ChangeRequestKind.WHOLE)
+        status = await operators.send(order, ChangeRequestKind.WHOLE)
         took_s = self._world.sync() - began_s
         if status != TAKEN:
             self._world.seen.wrong(f"in the calm at the end, {order} was answered {status}")
--- a/emberring/simulation/control_plane/world.py
+++ b/emberring/simulation/control_plane/world.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from emberring.register.keeper import PATIENCE
+from emberring.register.replica_set_manager import RECONFIGURATION_TIMEOUTS
 from emberring.simulation.control_plane.history import ControlHistory
 from emberring.simulation.register.world import Bugs, World
 
@@ -15,7 +15,7 @@
     """`at` and `send` run on the event loop; cuts are told by direction."""
 
     def __init__(self, seed: int, bugs: Bugs) -> None:
-        super().__init__(seed, bugs, PATIENCE)
+        super().__init__(seed, bugs, RECONFIGURATION_TIMEOUTS)
         self.seen = ControlHistory()
         self.history = self.seen
         self.dark: set[str] = set()  # addresses of machines without power
--- a/emberring/simulation/jobs/client.py
+++ b/emberring/simulation/jobs/client.py
@@ -8,11 +8,11 @@
 import orjson
 
 from emberring.errors import NotFoundError
-from emberring.jobs.calls import EndLot, LotPage, LotTerms, ReadLot, SubmitLot
+from emberring.jobs.calls import EndJob, JobPage, JobTerms, ReadJob, SubmitJob
 from emberring.jobs.packing import squeeze
 from emberring.jobs.results import page_json
 from emberring.simulation.jobs.gateway import GatewayMachine
-from emberring.simulation.jobs.history import History, ItemTruth, LotTruth, Try
+from emberring.simulation.jobs.history import History, ItemTruth, JobTruth, Try
 from emberring.simulation.jobs.store import is_error
 from emberring.simulation.jobs.world import World
 
@@ -20,7 +20,7 @@
 MAX_TOKENS = 400
 MAX_ATTEMPTS = 2
 RETENTION_S = 60.0
-TERMS = LotTerms("r-lots", "/batch/", 1, 4000.0, RETENTION_S, MAX_ATTEMPTS, MAX_TOKENS)
+TERMS = JobTerms("r-lots", "/batch/", 1, 4000.0, RETENTION_S, MAX_ATTEMPTS, MAX_TOKENS)
 MOST_TRIES = 5
 
 
@@ -38,24 +38,24 @@
     def hand_in(self) -> None:
         """A new lot."""
         rng = self.world.rng
-        lot_id = f"lot{len(self.history.lots)}"
+        job_id = f"lot{len(self.history.jobs)}"
         items = {
-            f"{lot_id}-{number}": ItemTruth(rng.randint(5, 15), rng.randint(1, 5), rng.random() < 0.04)
+            f"{job_id}-{number}": ItemTruth(rng.randint(5, 15), rng.randint(1, 5), rng.random() < 0.04)
             for number in range(rng.randint(1, 12))
         }
-        lot = LotTruth(lot_id, items, self.world.now_s)
-        self.history.sent(self.world.now_s, lot)
+        job = JobTruth(job_id, items, self.world.now_s)
+        self.history.sent(self.world.now_s, job)
         listed = [
             {"Id": name, "Path": "/batch/x", "Headers": {}, "Body": "", "Tokens": item.tokens}
             for name, item in items.items()
         ]
-        self._try(lot, SubmitLot(HOST, lot_id, TERMS, squeeze(orjson.dumps({"Requests": listed}))))
+        self._try(job, SubmitJob(HOST, job_id, TERMS, squeeze(orjson.dumps({"Requests": listed}))))
 
     def _gateway(self) -> GatewayMachine:
         running = [gateway for gateway in self.gateways if gateway.running] or self.gateways
         return self.world.rng.choice(running)
 
-    def _try(self, lot: LotTruth, message: SubmitLot) -> None:
+    def _try(self, job: JobTruth, message: SubmitJob) -> None:
         gateway = self._gateway()
         over = [False]
 
@@ -63,49 +63,49 @@
             if over[0]:
                 return
             over[0] = True
-            self.history.tried(self.world.now_s, lot, how)
+            self.history.tried(self.world.now_s, job, how)
             if how is Try.TAKEN:
                 self.on_taken()
-                self._follow(lot)
-            elif len(lot.tries) < MOST_TRIES and not self.ending:
-                self.world.after(0.1 + self.world.rng.random() * 0.5, self._try, lot, message)
+                self._follow(job)
+            elif len(job.tries) < MOST_TRIES and not self.ending:
+                self.world.after(0.1 + self.world.rng.random() * 0.5, self._try, job, message)
 
         self.world.after(3.5, done, Try.UNCLEAR)  # the gateway died or froze
         gateway.when_awake(gateway.life, gateway.submit, message, done)
 
-    def _follow(self, lot: LotTruth) -> None:
-        self.world.after(0.2, self._read_on, lot)
+    def _follow(self, job: JobTruth) -> None:
+        self.world.after(0.2, self._read_on, job)
         if self.world.rng.random() < 0.2:
-            self.world.after(self.world.rng.random() * 2.0, self._end, lot)
+            self.world.after(self.world.rng.random() * 2.0, self._end, job)
 
-    def _read_on(self, lot: LotTruth) -> None:
-        whole = len(lot.shown) == len(lot.items)
+    def _read_on(self, job: JobTruth) -> None:
+        whole = len(job.shown) == len(job.items)
         back = self.world.rng.random() < 0.2
-        start = self.world.rng.randint(0, len(lot.shown)) if back or whole else len(lot.shown)
-        self.read(lot, start, 400)
+        start = self.world.rng.randint(0, len(job.shown)) if back or whole else len(job.shown)
+        self.read(job, start, 400)
         if not self.ending:
-            self.world.after(0.3 + self.world.rng.random() * 0.5, self._read_on, lot)
+            self.world.after(0.3 + self.world.rng.random() * 0.5, self._read_on, job)
 
-    def read(self, lot: LotTruth, start: int, wait_ms: int) -> None:
+    def read(self, job: JobTruth, start: int, wait_ms: int) -> None:
         """Read a page; what was listed when the question left must be in the answer."""
         gateway, asked_s = self._gateway(), self.world.now_s
-        known = dict(lot.shown)
+        known = dict(job.shown)
 
         def done(body: Any, doubt: bool) -> None:
             if isinstance(body, NotFoundError):
-                self.history.not_found(self.world.now_s, lot, asked_s)
-            elif isinstance(body, LotPage) and (start in known or body.results):
-                self.history.read(self.world.now_s, lot, start, page_json(body))
-                if len(lot.shown) > len(known):
+                self.history.not_found(self.world.now_s, job, asked_s)
+            elif isinstance(body, JobPage) and (start in known or body.results):
+                self.history.read(self.world.now_s, job, start, page_json(body))
+                if len(job.shown) > len(known):
                     self.on_shown()
 
-        message = ReadLot(HOST, lot.id, start, wait_ms)
+        message = ReadJob(HOST, job.id, start, wait_ms)
         limit_s = wait_ms / 1000 + 1.1
         gateway.when_awake(gateway.life, gateway.ask, message, limit_s, wait_ms / 1000 + 0.8, done)
 
-    def _end(self, lot: LotTruth) -> None:
-        if lot.end_asked_s is None:
-            lot.end_asked_s = self.world.now_s
+    def _end(self, job: JobTruth) -> None:
+        if job.end_asked_s is None:
+            job.end_asked_s = self.world.now_s
         gateway = self._gateway()
         over = [False]
 
@@ -114,12 +114,12 @@
                 return
             over[0] = True
             if isinstance(body, NotFoundError):
-                self.history.not_found(self.world.now_s, lot, self.world.now_s)
+                self.history.not_found(self.world.now_s, job, self.world.now_s)
             elif body is not None and not is_error(body):
-                if lot.end_acked_s is None:
-                    lot.end_acked_s = self.world.now_s
+                if job.end_acked_s is None:
+                    job.end_acked_s = self.world.now_s
             else:
-                self.world.after(0.3, self._end, lot)
+                self.world.after(0.3, self._end, job)
 
         self.world.after(4.0, done, None, True)
-        gateway.when_awake(gateway.life, gateway.ask, EndLot(HOST, lot.id), 2.8, 0.8, done)
+        gateway.when_awake(gateway.life, gateway.ask, EndJob(HOST, job.id), 2.8, 0.8, done)
--- a/emberring/simulation/jobs/gateway.py
+++ b/emberring/simulation/jobs/gateway.py
@@ -194,8 +194,8 @@
         name = run.assignment.id
         resume = run.events[-1].id if run.events else None
         number = self.history.started(self.world.now_s, name, resume)
-        lot = self.history.lots[run.assignment.key.partition("/")[2]]
-        item = lot.items[name]
+        job = self.history.jobs[run.assignment.key.partition("/")[2]]
+        item = job.items[name]
         if item.impossible:
             item.refused_422 = True
             self._ended(run, OutcomeKind.IMPOSSIBLE_422)
--- a/emberring/simulation/jobs/history.py
+++ b/emberring/simulation/jobs/history.py
@@ -44,7 +44,7 @@
 
 
 @attrs.define(eq=False)
-class LotTruth:
+class JobTruth:
     """A lot as its client knows it."""
 
     id: str
@@ -64,37 +64,37 @@
         self.max_tokens = max_tokens
         self.max_attempts = max_attempts
         self.retention_s = retention_s
-        self.lots: dict[str, LotTruth] = {}
+        self.jobs: dict[str, JobTruth] = {}
         self.runs: dict[int, RunTruth] = {}
         self.mistakes: list[str] = []
-        self._owners: dict[str, LotTruth] = {}
+        self._owners: dict[str, JobTruth] = {}
 
     def wrong(self, now_s: float, text: str) -> None:
         """A mistake."""
         self.mistakes.append(f"{now_s:.3f} s: {text}")
 
-    def sent(self, now_s: float, lot: LotTruth) -> None:
+    def sent(self, now_s: float, job: JobTruth) -> None:
         """A lot is handed in for the first time."""
-        self.lots[lot.id] = lot
-        for item in lot.items:
-            self._owners[item] = lot
+        self.jobs[job.id] = job
+        for item in job.items:
+            self._owners[item] = job
 
-    def tried(self, now_s: float, lot: LotTruth, how: Try) -> None:
+    def tried(self, now_s: float, job: JobTruth, how: Try) -> None:
         """A try has ended."""
-        lot.tries.append(how)
-        if how is Try.TAKEN and lot.taken_s is None:
-            lot.taken_s = now_s
-            waiting = sum(self._waiting(other) for other in self.lots.values())
+        job.tries.append(how)
+        if how is Try.TAKEN and job.taken_s is None:
+            job.taken_s = now_s
+            waiting = sum(self._waiting(other) for other in self.jobs.values())
             if waiting > self.max_tokens * OVERAGE:
-                self.wrong(now_s, f"QUOTA {waiting} tokens wait after {lot.id}")
+                self.wrong(now_s, f"QUOTA {waiting} tokens wait after {job.id}")
 
-    def _waiting(self, lot: LotTruth) -> int:
-        if lot.taken_s is None or lot.end_asked_s is not None:
+    def _waiting(self, job: JobTruth) -> int:
+        if job.taken_s is None or job.end_asked_s is not None:
             return 0
-        dead = {item for item, state, _ in lot.shown.values() if state == "dead_letter"}
+        dead = {item for item, state, _ in job.shown.values() if state == "dead_letter"}
         return sum(
             item.tokens
-            for name, item in lot.items.items()
+            for name, item in job.items.items()
             if not item.finished and not item.refused_422 and name not in dead
         )
 
@@ -102,50 +102,50 @@
 
     def started(self, now_s: float, item: str, resume_after: int | None) -> int:
         """An item reached a server; the number of the run."""
-        lot = self._owners[item]
-        lot.items[item].started += 1
-        if lot.end_acked_s is not None and now_s > lot.end_acked_s + CANCEL_S:
-            self.wrong(now_s, f"UNASKED {item} ran after the end of {lot.id}")
+        job = self._owners[item]
+        job.items[item].started += 1
+        if job.end_acked_s is not None and now_s > job.end_acked_s + CANCEL_S:
+            self.wrong(now_s, f"UNASKED {item} ran after the end of {job.id}")
         number = len(self.runs) + 1
         self.runs[number] = RunTruth(item, resume_after, False)
         return number
 
     # Reads.
 
-    def read(self, now_s: float, lot: LotTruth, start: int, body: bytes) -> None:
+    def read(self, now_s: float, job: JobTruth, start: int, body: bytes) -> None:
         """A page came."""
         page = orjson.loads(body)
-        if page["Total"] != len(lot.items):
-            self.wrong(now_s, f"MIXED Total {page['Total']} of {lot.id}")
+        if page["Total"] != len(job.items):
+            self.wrong(now_s, f"MIXED Total {page['Total']} of {job.id}")
         results = page["Results"]
         if page["NextPageToken"] != start + len(results):
-            self.wrong(now_s, f"MIXED NextPageToken of {lot.id}")
-        if not results and start in lot.shown:
-            self.wrong(now_s, f"LOST nothing at {start} of {lot.id}, which was read before")
+            self.wrong(now_s, f"MIXED NextPageToken of {job.id}")
+        if not results and start in job.shown:
+            self.wrong(now_s, f"LOST nothing at {start} of {job.id}, which was read before")
         for offset, result in enumerate(results):
             found = (result["Id"], result["State"], result["Message"])
-            self._shown(now_s, lot, start + offset, found)
+            self._shown(now_s, job, start + offset, found)
 
-    def _shown(self, now_s: float, lot: LotTruth, position: int, found: tuple[str, str, str]) -> None:
-        before = lot.shown.get(position)
+    def _shown(self, now_s: float, job: JobTruth, position: int, found: tuple[str, str, str]) -> None:
+        before = job.shown.get(position)
         if before is not None:
             if before != found:
-                self.wrong(now_s, f"TWICE {lot.id} at {position}: {before} then {found}")
+                self.wrong(now_s, f"TWICE {job.id} at {position}: {before} then {found}")
             return
-        if any(other[0] == found[0] for other in lot.shown.values()):
-            self.wrong(now_s, f"TWICE {found[0]} at two positions of {lot.id}")
-        lot.shown[position] = found
-        item = lot.items.get(found[0])
+        if any(other[0] == found[0] for other in job.shown.values()):
+            self.wrong(now_s, f"TWICE {found[0]} at two positions of {job.id}")
+        job.shown[position] = found
+        item = job.items.get(found[0])
         if item is None:
-            self.wrong(now_s, f"MIXED {found[0]} is not of {lot.id}")
+            self.wrong(now_s, f"MIXED {found[0]} is not of {job.id}")
         elif found[1] == "completed":
             self._check_text(now_s, found[0], item, found[2])
-        elif not self._may_be_dead(now_s, lot, item):
+        elif not self._may_be_dead(now_s, job, item):
             self.wrong(now_s, f"MIXED {found[0]} dead too soon")
 
-    def _may_be_dead(self, now_s: float, lot: LotTruth, item: ItemTruth) -> bool:
-        old = now_s - lot.sent_s >= self.retention_s
-        ended = lot.end_asked_s is not None
+    def _may_be_dead(self, now_s: float, job: JobTruth, item: ItemTruth) -> bool:
+        old = now_s - job.sent_s >= self.retention_s
+        ended = job.end_asked_s is not None
         return item.refused_422 or item.failures >= self.max_attempts or old or ended
 
     def _check_text(self, now_s: float, name: str, item: ItemTruth, text: str) -> None:
@@ -163,19 +163,19 @@
         if last != item.events - 1:
             self.wrong(now_s, f"MIXED the text of {name} ends after {last}")
 
-    def not_found(self, now_s: float, lot: LotTruth, asked_s: float) -> None:
+    def not_found(self, now_s: float, job: JobTruth, asked_s: float) -> None:
         """A read was told that there is no such lot."""
-        if lot.taken_s is not None and asked_s >= lot.taken_s + SETTLE_S:
-            self.wrong(now_s, f"LOST {lot.id} is not found")
+        if job.taken_s is not None and asked_s >= job.taken_s + SETTLE_S:
+            self.wrong(now_s, f"LOST {job.id} is not found")
 
     # The end.
 
     def finish(self, now_s: float) -> list[str]:
         """The last checks: refused lots never ran, taken ones are whole."""
-        for lot in self.lots.values():
-            refused = lot.tries and all(how in (Try.QUOTA, Try.NOT_READY) for how in lot.tries)
-            if refused and any(item.started for item in lot.items.values()):
-                self.wrong(now_s, f"REFUSED {lot.id} ran")
-            if lot.taken_s is not None and lot.end_asked_s is None and len(lot.shown) != len(lot.items):
-                self.wrong(now_s, f"LOST {lot.id} has {len(lot.shown)} of {len(lot.items)} results")
+        for job in self.jobs.values():
+            refused = job.tries and all(how in (Try.QUOTA, Try.NOT_READY) for how in job.tries)
+            if refused and any(item.started for item in job.items.values()):
+                self.wrong(now_s, f"REFUSED {job.id} ran")
+            if job.taken_s is not None and job.end_asked_s is None and len(job.shown) != len(job.items):
+                self.wrong(now_s, f"LOST {job.id} has {len(job.shown)} of {len(job.items)} results")
         return self.mistakes
--- a/emberring/simulation/jobs/mutations.py
+++ b/emberring/simulation/jobs/mutations.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from emberring.jobs import adoption, merge, owner, replication
+from emberring.jobs import merge, owner, owner_recovery, replication
 from emberring.jobs.messages import Lease, LeaseAnswer, WriteSlots
 from emberring.jobs.owner import ShardOwner
 from emberring.jobs.records import NO_TERM
@@ -70,7 +70,7 @@
     """The mistakes that sit in functions, for as long as this lasts."""
     with contextlib.ExitStack() as stack:
         if bugs.doubles:
-            stack.enter_context(mock.patch.object(adoption, "misplaced", return_value=set()))
+            stack.enter_context(mock.patch.object(owner_recovery, "misplaced", return_value=set()))
         if bugs.single_quorum:
             for module in (merge, owner, replication):
                 stack.enter_context(mock.patch.object(module, "has_quorum", _quorum_of_the_next))
--- a/emberring/simulation/jobs/schedule.py
+++ b/emberring/simulation/jobs/schedule.py
@@ -11,13 +11,13 @@
 
 TROUBLE_S = 12.0
 MOST_TROUBLES = 7
-MOST_LOTS = 30
+MOST_JOBS = 30
 
 
 class Kind(Enum):
     """What may happen."""
 
-    LOT = "lot"
+    JOB = "lot"
     KILL = "kill"
     POWER = "power"
     KILL_ALL = "kill_all"
@@ -43,7 +43,7 @@
     GATEWAY_CUT = "gateway_cut"
 
 
-_TROUBLES = tuple(kind for kind in Kind if kind is not Kind.LOT)
+_TROUBLES = tuple(kind for kind in Kind if kind is not Kind.JOB)
 
 
 Step = ScheduledStep[Kind]
@@ -79,6 +79,6 @@
         steps.append(
             Step(1.0 + rng.random() * TROUBLE_S, kind, rng.randrange(6), 0.1 + rng.random() ** 2 * 3.5)
         )
-    for _ in range(rng.randint(4, MOST_LOTS)):
-        steps.append(Step(0.8 + rng.random() * TROUBLE_S, Kind.LOT))
+    for _ in range(rng.randint(4, MOST_JOBS)):
+        steps.append(Step(0.8 + rng.random() * TROUBLE_S, Kind.JOB))
     return Schedule(seed, rng.choice((3, 3, 4)), tuple(sorted(steps, key=lambda step: step.at_s)))
--- a/emberring/simulation/jobs/simulator.py
+++ b/emberring/simulation/jobs/simulator.py
@@ -8,7 +8,7 @@
 import random
 from collections.abc import Callable
 
-from emberring.distribution.facts import NodeFact, NodeRole
+from emberring.distribution.records import NodeRecord, NodeRole
 from emberring.errors import ConflictError, NotFoundError
 from emberring.placement.model import Placement, finish_move, shard_of
 from emberring.placement.planning import PlanMemory, plan
@@ -71,12 +71,12 @@
         self._read_last()
         self.history.finish(world.now_s)
         self._check_stores()
-        lots = self.history.lots.values()
+        jobs = self.history.jobs.values()
         return Verdict(
             self.schedule,
             tuple(self.history.mistakes),
-            sum(1 for lot in lots if lot.taken_s is not None),
-            sum(len(lot.shown) for lot in lots),
+            sum(1 for job in jobs if job.taken_s is not None),
+            sum(len(job.shown) for job in jobs),
             len(self.history.runs),
             world.handled,
         )
@@ -89,7 +89,7 @@
             if store.running and now_s >= store.thaw_at_s and name not in self.world.cut:
                 self._heard[name] = now_s
         live = [
-            NodeFact(name, NodeRole.STORE, name, "", store.identity, leaving=store.leaving)
+            NodeRecord(name, NodeRole.STORE, name, "", store.identity, leaving=store.leaving)
             for name, store in self.stores.items()
             if now_s - self._heard.get(name, -9.0) < SILENT_S and name not in self.gone
         ]
@@ -154,10 +154,10 @@
 
     def _read_last(self) -> None:
         self.clients.ending = True
-        for lot in self.history.lots.values():
-            if lot.taken_s is not None:
-                for position in range(len(lot.shown) + 1):
-                    self.clients.read(lot, position, 0)
+        for job in self.history.jobs.values():
+            if job.taken_s is not None:
+                for position in range(len(job.shown) + 1):
+                    self.clients.read(job, position, 0)
         self.world.run(self.world.now_s + LAST_READS_S)
 
     def _check_stores(self) -> None:
@@ -242,7 +242,7 @@
         store = present[step.slot % len(present)]
         gateway = self.gateways[step.slot % len(self.gateways)]
         match step.kind:
-            case Kind.LOT:
+            case Kind.JOB:
                 self.clients.hand_in()
             case Kind.KILL:
                 self._down(store, store.kill, step.lasts_s)
@@ -313,7 +313,7 @@
 
     def _retire(self, store: StoreMachine) -> None:
         live = [
-            NodeFact(found.name, NodeRole.STORE, found.name, "", found.identity)
+            NodeRecord(found.name, NodeRole.STORE, found.name, "", found.identity)
             for found in self._present()
             if found.running
         ]
--- a/emberring/simulation/jobs/store.py
+++ b/emberring/simulation/jobs/store.py
@@ -7,23 +7,23 @@
 
 import attrs
 
-from emberring.errors import EmberringError, InDoubtError, NotOwnerError
-from emberring.jobs.book import LotBook
+from emberring.errors import EmberringError, NotOwnerError, UnknownOutcomeError
 from emberring.jobs.calls import (
-    EndLot,
+    EndJob,
     FinishRun,
     LeasedItems,
     LeaseItems,
     ReadItem,
-    ReadLot,
+    ReadJob,
     ReportRuns,
-    SubmitLot,
+    SubmitJob,
 )
-from emberring.jobs.messages import Touch, TouchReply
+from emberring.jobs.job_manager import JobManager
+from emberring.jobs.job_table import Answer, BookAction, Propose, Refuse
+from emberring.jobs.messages import RenewLeases, RenewLeasesReply
 from emberring.jobs.owner import BecameOwner, Chosen, LostOwnership, Moved, OwnerAction, Send, ShardOwner
 from emberring.jobs.replica import REFUSE_S, Action, Fail, Persist, Replica, Reply
 from emberring.jobs.replica_log import decode_entry, encode_entry
-from emberring.jobs.shelf import Answer, BookAction, Propose, Refuse
 from emberring.placement.model import Placement
 from emberring.simulation.jobs.mutations import Bugs, make_owner, make_replica
 from emberring.simulation.jobs.world import World
@@ -69,7 +69,7 @@
         self.on_shown: Callable[[str], None] = lambda key: None
         self.replica: Replica
         self.owner: ShardOwner
-        self.book: LotBook
+        self.book: JobManager
         self._calls: dict[int, Done] = {}
         self._book_calls: dict[int, Done] = {}
         self._number = 0
@@ -103,7 +103,7 @@
         self.replica.restored(now_s + REFUSE_S)
         seed = self.world.rng.getrandbits(32)
         self.owner = make_owner(self.bugs, self.identity, self.replica, seed)
-        self.book = LotBook(self.shard, self.owner.records, 30.0, seed)
+        self.book = JobManager(self.shard, self.owner.records, 30.0, seed)
         self.learn(self.placement)
         self._tick(self.life)
         self._touch_all(self.life)
@@ -163,13 +163,13 @@
             for identity in self.owner.group.everyone:
                 leases = self.owner.leases(identity)
                 if leases:
-                    message = Touch(self.identity, identity, tuple(leases))
+                    message = RenewLeases(self.identity, identity, tuple(leases))
                     self._call(identity, message, self._touched(identity, self.world.now_s))
         self.world.after(TOUCH_S, self._touch_all, life)
 
     def _touched(self, identity: str, sent_s: float) -> Done:
         def done(reply: Any) -> None:
-            if isinstance(reply, TouchReply):
+            if isinstance(reply, RenewLeasesReply):
                 for answer in reply.answers:
                     self.perform(self.owner.touched(self.world.now_s, identity, sent_s, answer))
 
@@ -213,10 +213,10 @@
 
         if message.target != self.identity:
             reply(None)
-        elif isinstance(message, Touch):
+        elif isinstance(message, RenewLeases):
             answer, actions = self.replica.touch(self.world.now_s, message.leases[0])
             self._act(actions)
-            reply(TouchReply((answer,)))
+            reply(RenewLeasesReply((answer,)))
         else:
             self._number += 1
             self._calls[self._number] = reply
@@ -273,7 +273,7 @@
             elif isinstance(action, Chosen):
                 self.perform_book(self.book.chosen(now_s, action.key, action.slot))
             elif isinstance(action, BecameOwner):
-                self.perform_book(self.book.adopt(now_s, action.lots))
+                self.perform_book(self.book.adopt(now_s, action.jobs))
             elif isinstance(action, LostOwnership):
                 self.perform_book(self.book.lose())
             elif isinstance(action, Moved):
@@ -336,13 +336,13 @@
             self.perform_book(self._put(now_s, self._number, question))
 
     def _put(self, now_s: float, call: int, question: Any) -> list[BookAction]:
-        if isinstance(question, SubmitLot):
+        if isinstance(question, SubmitJob):
             return self.book.submit(now_s, call, question)
-        if isinstance(question, ReadLot):
+        if isinstance(question, ReadJob):
             return self.book.read(now_s, call, question)
         if isinstance(question, ReadItem):
             return self.book.item(call, question)
-        if isinstance(question, EndLot):
+        if isinstance(question, EndJob):
             return self.book.end(call, question)
         assert isinstance(question, FinishRun)
         return self.book.finish(now_s, call, question)
@@ -351,8 +351,8 @@
         """After a wait, reads are answered by an owner only."""
 
         def done(body: Any) -> None:
-            stale = isinstance(question, ReadLot) and not self.owner.serving(self.world.now_s)
-            reply(InDoubtError("the owner may have changed") if stale else body)
+            stale = isinstance(question, ReadJob) and not self.owner.serving(self.world.now_s)
+            reply(UnknownOutcomeError("the owner may have changed") if stale else body)
 
         return done
 
--- a/emberring/simulation/register/model.py
+++ b/emberring/simulation/register/model.py
@@ -21,8 +21,8 @@
 from emberring.register.acceptor import Acceptor
 from emberring.register.changes import Candidate, View, next_set
 from emberring.register.messages import Accept, Prepare, Promise
-from emberring.register.model import Ballot, Member, Proposal, ReplicaSet, State, founding_proposal
-from emberring.register.proposer import Phase, Round
+from emberring.register.model import Member, Proposal, ProposalNumber, ReplicaSet, State, founding_proposal
+from emberring.register.proposer import Phase, ProposalAttempt
 
 FOUNDERS = ("a", "b", "c")
 FOUNDING = founding_proposal(FOUNDERS)
@@ -136,8 +136,8 @@
 
 
 @functools.lru_cache
-def _ballot(counter: int) -> Ballot:
-    return Ballot(counter, f"p{(counter - 1) % PROPOSERS}") if counter else FOUNDING.ballot
+def _ballot(counter: int) -> ProposalNumber:
+    return ProposalNumber(counter, f"p{(counter - 1) % PROPOSERS}") if counter else FOUNDING.ballot
 
 
 def _proposer(counter: int) -> int:
@@ -249,7 +249,7 @@
 ) -> State | None:
     """What the real ballot proposes once the last of these promises has come; None where it does not."""
     known = model.proposal(attempt.known)
-    ballot = Round(_ballot(counter), known, _Decide(counter))
+    ballot = ProposalAttempt(_ballot(counter), known, _Decide(counter))
     ballot.start(known.state.replicas.everyone)
     for number, (place, had) in enumerate(promises, 1):
         accepted = None if had < 0 else model.proposal(had)
--- a/emberring/simulation/register/simulator.py
+++ b/emberring/simulation/register/simulator.py
@@ -11,8 +11,8 @@
 
 import attrs
 
-from emberring.register.keeper import PATIENCE, Patience
 from emberring.register.model import Proposal
+from emberring.register.replica_set_manager import RECONFIGURATION_TIMEOUTS, ReconfigurationTimeouts
 from emberring.simulation.common.scheduled_step import ScheduledStep
 from emberring.simulation.common.shrinking import shortened
 from emberring.simulation.register.world import Bugs, Machine, Weather, World
@@ -27,8 +27,8 @@
 MOST_OPERATIONS = 30
 BURST_OPERATIONS = 60  # reads, changes made before and new ones, at all nodes
 BURST_S = 0.6
-HASTY = Patience(dead_after_s=0.4, name_silent_s=0.2, rank_delay_s=0.1, joiner_wait_s=0.2)
-HASTIER = Patience(dead_after_s=0.2, name_silent_s=0.1, rank_delay_s=0.0, joiner_wait_s=0.0)
+HASTY = ReconfigurationTimeouts(dead_after_s=0.4, name_silent_s=0.2, rank_delay_s=0.1, joiner_wait_s=0.2)
+HASTIER = ReconfigurationTimeouts(dead_after_s=0.2, name_silent_s=0.1, rank_delay_s=0.0, joiner_wait_s=0.0)
 
 
 class Kind(Enum):
@@ -84,7 +84,7 @@
     lost: float = 0.0
     doubled: float = 0.0
     spares: int = 0
-    patience: Patience = PATIENCE
+    patience: ReconfigurationTimeouts = RECONFIGURATION_TIMEOUTS
     slow_share: float = 1.0
 
 
@@ -132,7 +132,7 @@
         lost=rng.choice((0.0, 0.0, 0.1, 0.3)),
         doubled=rng.choice((0.0, 0.1, 0.3)),
         spares=rng.choice((0, 0, 1, 2)),
-        patience=rng.choice((PATIENCE, PATIENCE, HASTY, HASTIER)),
+        patience=rng.choice((RECONFIGURATION_TIMEOUTS, RECONFIGURATION_TIMEOUTS, HASTY, HASTIER)),
         slow_share=rng.choice((1.0, 1.0, 0.15)),
     )
 
@@ -185,7 +185,7 @@
         world = self._world
         self._ended = True
         self._after_ack.clear()
-        world.weather, world.patience = Weather(), PATIENCE
+        world.weather, world.patience = Weather(), RECONFIGURATION_TIMEOUTS
         world.join()
         for machine in self._present():
             machine.folder.refusing = False
@@ -193,7 +193,7 @@
             machine.thaw_at_s = min(machine.thaw_at_s, world.now_s)
             machine.start()
             if machine.node is not None:
-                machine.node.keeper.patience = PATIENCE
+                machine.node.keeper.patience = RECONFIGURATION_TIMEOUTS
 
     def _read_last(self) -> None:
         """Every node must have the same value now, and every replica of the set must be there."""
--- a/emberring/simulation/register/world.py
+++ b/emberring/simulation/register/world.py
@@ -19,24 +19,24 @@
     Action,
     Append,
     Call,
-    ChangeAsked,
+    ChangeRequested,
     DiskRefused,
     Event,
     Learned,
+    NotifyLearned,
     Peer,
-    PeersNoted,
-    ReadAsked,
+    PeersChanged,
+    ReadRequested,
     Received,
     Replied,
     Reply,
     Resolve,
     Synced,
-    Tell,
     Tick,
 )
-from emberring.register.keeper import Patience
 from emberring.register.model import Member, Proposal, founding_identity, founding_proposal
 from emberring.register.node import RegisterNode
+from emberring.register.replica_set_manager import ReconfigurationTimeouts
 from emberring.simulation.register.disk import SimulatedFolder
 from emberring.simulation.register.history import History, Operation, add_number
 
@@ -77,7 +77,7 @@
 class World:
     """The clock and the network. `machines` by name; a name is also its address."""
 
-    def __init__(self, seed: int, bugs: Bugs, patience: Patience) -> None:
+    def __init__(self, seed: int, bugs: Bugs, patience: ReconfigurationTimeouts) -> None:
         self.patience = patience
         self.rng = random.Random(seed)
         self.bugs = bugs
@@ -265,9 +265,9 @@
         self._jobs[self._requests] = operation
         until_s = self.world.now_s + patience_s
         if number:
-            event: Event = ChangeAsked(self._requests, lambda value: add_number(value, number), until_s)
+            event: Event = ChangeRequested(self._requests, lambda value: add_number(value, number), until_s)
         else:
-            event = ReadAsked(self._requests, until_s)
+            event = ReadRequested(self._requests, until_s)
         self._handle(self.life, event)
 
     def note_peers(self) -> None:
@@ -278,7 +278,7 @@
             if name != self.name and self.world.reach(self.name, name)
         ]
         peers = tuple(Peer(found.name, Member(found.identity, found.name)) for found in others)
-        self._handle(self.life, PeersNoted(peers))
+        self._handle(self.life, PeersChanged(peers))
 
     # The machine.
 
@@ -315,7 +315,7 @@
                         self.name, action.address, target.receive, self.name, self.life, action.call, action
                     )
                 world.at(world.now_s + action.timeout_s, self._replied, self.life, action.call, None)
-            case Tell():
+            case NotifyLearned():
                 if action.address in world.machines:
                     target = world.machines[action.address]
                     world.send(self.name, action.address, target.hint, action)
@@ -342,7 +342,7 @@
         self._replies[self._requests] = (origin, sender._replied, (life, call))
         self._handle(self.life, Received(self._requests, action.message))
 
-    def hint(self, action: Tell) -> None:
+    def hint(self, action: NotifyLearned) -> None:
         """A hint from another machine."""
         self._handle(self.life, Received(0, action.message))
 
--- a/emberring/simulation/scale/control_plane.py
+++ b/emberring/simulation/scale/control_plane.py
@@ -19,14 +19,14 @@
 
 from emberring.configuration.reading import pack
 from emberring.configuration.state import ControlState
-from emberring.control.board import Board
+from emberring.control.cluster_state import ClusterState
 from emberring.control.exchanger import Exchanger
-from emberring.control.feed import Feed
-from emberring.control.heartbeat_desk import HeartbeatDesk
-from emberring.control.holders import HolderRule
-from emberring.distribution.facts import NodeFact, NodeRole, ServerState
+from emberring.control.heartbeat_handler import HeartbeatHandler
+from emberring.control.replication_policy import ReplicationPolicy
+from emberring.control.update_stream import UpdateStream
 from emberring.distribution.follower import Follower
 from emberring.distribution.messages import Pull
+from emberring.distribution.records import NodeRecord, NodeRole, ServerState
 from emberring.settings import FaultTolerance
 from emberring.simulation.common.task_owner import own_tasks
 from emberring.simulation.common.virtual_time import run_virtually
@@ -81,14 +81,16 @@
 
     def __init__(self, hub: dict[str, HollowNetwork], number: int, seeds: Sequence[str]) -> None:
         address = seeds[number]
-        me = NodeFact(f"core-{number}", NodeRole.CONTROL, address, f"zone-{number}", address, f"{number}.1")
+        me = NodeRecord(f"core-{number}", NodeRole.CONTROL, address, f"zone-{number}", address, f"{number}.1")
         self.network = HollowNetwork(hub, address)
-        self.board = Board(0.0, me, seeds, HEARTBEAT_S)
-        rule = HolderRule(len(seeds) - 1, FaultTolerance(1, 0, 0), {})
+        self.board = ClusterState(0.0, me, seeds, HEARTBEAT_S)
+        rule = ReplicationPolicy(len(seeds) - 1, FaultTolerance(1, 0, 0), {})
         replicas = frozenset(seeds)  # a control node's identity is its address here
-        self.desk = HeartbeatDesk(self.board, rule, lambda found: 2 * len(found & replicas) > len(replicas))
+        self.desk = HeartbeatHandler(
+            self.board, rule, lambda found: 2 * len(found & replicas) > len(replicas)
+        )
         self._exchanger = Exchanger(self.network, self.board)
-        self.network.handle(Pull, Feed(self.board).on_pull)
+        self.network.handle(Pull, UpdateStream(self.board).on_pull)
 
     def start(self) -> None:
         """Begin to exchange."""
@@ -99,7 +101,7 @@
     """The part of a gateway that follows the control nodes."""
 
     def __init__(self, hub: dict[str, HollowNetwork], number: int, seeds: Sequence[str], calls: int) -> None:
-        me = NodeFact(f"edge-{number}", NodeRole.GATEWAY, f"edge-{number}:1", "zone-0", "", f"{number}.1")
+        me = NodeRecord(f"edge-{number}", NodeRole.GATEWAY, f"edge-{number}:1", "zone-0", "", f"{number}.1")
         self.network = HollowNetwork(hub, me.address)
         self.follower = Follower(self.network, me, seeds)
         self.follower.report = self._report
--- a/emberring/store/gateway_calls.py
+++ b/emberring/store/gateway_calls.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from emberring.errors import NotReadyError, OverloadedError
-from emberring.jobs.calls import EndLot, FinishRun, ReadItem, ReadLot, ReportAnswer, ReportRuns, SubmitLot
-from emberring.jobs.records import lot_key
+from emberring.jobs.calls import EndJob, FinishRun, ReadItem, ReadJob, ReportAnswer, ReportRuns, SubmitJob
+from emberring.jobs.records import job_key
 from emberring.placement.model import shard_of
 from emberring.store.shards import Shards
 
@@ -18,15 +18,15 @@
     def __init__(self, shards: Shards) -> None:
         self._shards = shards
 
-    async def submit(self, message: SubmitLot) -> Any:
+    async def submit(self, message: SubmitJob) -> Any:
         """A lot is handed in. `OverloadedError` where the disk has no room for more."""
         shard = shard_of(message.host)
-        known = lot_key(message.host, message.lot) in self._shards.serving(shard).lots
+        known = job_key(message.host, message.job) in self._shards.serving(shard).jobs
         if not known and self._shards.host.crowded:
             raise OverloadedError("the store is full")
         return await self._shards.ask(shard, lambda book, call: book.submit(_now_s(), call, message))
 
-    async def read(self, message: ReadLot) -> Any:
+    async def read(self, message: ReadJob) -> Any:
         """Results are read. After a wait, this store must still be the owner."""
         shard = shard_of(message.host)
         page = await self._shards.ask(shard, lambda book, call: book.read(_now_s(), call, message))
@@ -39,7 +39,7 @@
         shard = shard_of(message.host)
         return await self._shards.ask(shard, lambda book, call: book.item(call, message))
 
-    async def end(self, message: EndLot) -> Any:
+    async def end(self, message: EndJob) -> Any:
         """A lot is ended."""
         return await self._shards.ask(shard_of(message.host), lambda book, call: book.end(call, message))
 
--- a/emberring/store/peers.py
+++ b/emberring/store/peers.py
@@ -8,17 +8,17 @@
 
 from emberring.errors import EmberringError, PeerUnavailableError
 from emberring.jobs.messages import (
-    AskInventory,
     Claim,
     ClaimReply,
     DropSlots,
     Fetch,
     Fetched,
     Inventory,
+    InventoryRequest,
     Lease,
     Release,
-    Touch,
-    TouchReply,
+    RenewLeases,
+    RenewLeasesReply,
     WriteReply,
     WriteSlots,
 )
@@ -33,7 +33,7 @@
     Claim: ClaimReply,
     WriteSlots: WriteReply,
     DropSlots: WriteReply,
-    AskInventory: Inventory,
+    InventoryRequest: Inventory,
     Fetch: Fetched,
     Release: Ok,
 }
@@ -41,13 +41,13 @@
     Claim: 0.6,
     WriteSlots: 1.0,
     DropSlots: 1.0,
-    AskInventory: 1.5,
+    InventoryRequest: 1.5,
     Fetch: 1.5,
     Release: 0.5,
 }
 
 Done = Callable[[Any], None]  # gets the reply, or None
-Touched = Callable[[str, float, TouchReply], None]
+Touched = Callable[[str, float, RenewLeasesReply], None]
 
 
 class Peers:
@@ -81,7 +81,7 @@
 
     def touch(self, target: str, leases: list[Lease], done: Touched) -> None:
         """Keep these leases at a replica."""
-        message = Touch(self._host.identity, target, tuple(leases))
+        message = RenewLeases(self._host.identity, target, tuple(leases))
         sent_s = asyncio.get_running_loop().time()
         if target == self._host.identity:
             done(target, sent_s, self._host.touch(message))
@@ -89,9 +89,9 @@
             self._touching[target] = self._touching.get(target, 0) + 1
             self._spawn(self._touch(target, message, sent_s, done))
 
-    async def _touch(self, target: str, message: Touch, sent_s: float, done: Touched) -> None:
+    async def _touch(self, target: str, message: RenewLeases, sent_s: float, done: Touched) -> None:
         try:
-            reply = await self._ask(target, message, TouchReply, TOUCH_TIMEOUT_S)
+            reply = await self._ask(target, message, RenewLeasesReply, TOUCH_TIMEOUT_S)
         except EmberringError:
             return
         finally:
--- a/emberring/store/replicas.py
+++ b/emberring/store/replicas.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from emberring.errors import DiskFailedError, EmberringError, FencedError
-from emberring.jobs.messages import LeaseAnswer, Touch, TouchReply
+from emberring.jobs.messages import LeaseAnswer, RenewLeases, RenewLeasesReply
 from emberring.jobs.replica import Action, Fail, Persist, Replica, ReplicaMessage, Reply
 from emberring.jobs.replica_log import Copied, Entry, encode_entry, split_by_size
 from emberring.journal.journal import Journal
@@ -57,7 +57,7 @@
         replica = self.replicas[message.shard]
         self._perform(replica, replica.handle(now_s, call, message))
 
-    def touch(self, message: Touch) -> TouchReply:
+    def touch(self, message: RenewLeases) -> RenewLeasesReply:
         """An owner keeps its leases."""
         if message.target != self.identity:
             raise FencedError(f"{message.target} is not the disk of this store")
@@ -68,7 +68,7 @@
             answer, actions = replica.touch(now_s, lease)
             answers.append(answer)
             self._perform(replica, actions)
-        return TouchReply(tuple(answers))
+        return RenewLeasesReply(tuple(answers))
 
     def leave(self, shard: int) -> None:
         """The shard is kept elsewhere now."""
--- a/emberring/store/role.py
+++ b/emberring/store/role.py
@@ -13,14 +13,22 @@
 
 import attrs
 
-from emberring.distribution.facts import NodeFact, NodeRole
 from emberring.distribution.follower import Follower
 from emberring.distribution.messages import PlacementMoved
+from emberring.distribution.records import NodeRecord, NodeRole
 from emberring.errors import EmberringError
-from emberring.jobs.calls import EndLot, FinishRun, LeaseItems, ReadItem, ReadLot, ReportRuns, SubmitLot
-from emberring.jobs.directory import Knowledge
-from emberring.jobs.messages import AskInventory, Claim, DropSlots, Fetch, Release, Touch, WriteSlots
-from emberring.jobs.status import AskStoreStatus
+from emberring.jobs.calls import EndJob, FinishRun, LeaseItems, ReadItem, ReadJob, ReportRuns, SubmitJob
+from emberring.jobs.directory import TierKnowledge
+from emberring.jobs.messages import (
+    Claim,
+    DropSlots,
+    Fetch,
+    InventoryRequest,
+    Release,
+    RenewLeases,
+    WriteSlots,
+)
+from emberring.jobs.status import StoreStatusRequest
 from emberring.logs import get_logger
 from emberring.settings import STORE_PORT_OFFSET, Settings
 from emberring.store.disk import begin_life, open_disk
@@ -42,10 +50,10 @@
 logger = get_logger("store")
 
 
-class StoreKnowledge(Knowledge, Protocol):
+class StoreKnowledge(TierKnowledge, Protocol):
     """What a store learns of the tier, and what it tells of itself; a follower is one."""
 
-    me: NodeFact
+    me: NodeRecord
 
     async def start(self) -> None:
         """Begin to learn."""
@@ -54,7 +62,7 @@
         """Stop learning."""
 
 
-Learn = Callable[[Network, NodeFact, Sequence[str]], StoreKnowledge]
+Learn = Callable[[Network, NodeRecord, Sequence[str]], StoreKnowledge]
 
 
 class Store:
@@ -65,7 +73,7 @@
         disk = open_disk(Path(settings.data_dir), settings.limits.disk_mb, loop.time())
         self.network = Network()
         self.address = settings.internal_address(STORE_PORT_OFFSET)
-        me = NodeFact(
+        me = NodeRecord(
             name=settings.node_name,
             role=NodeRole.STORE,
             address=self.address,
@@ -88,19 +96,19 @@
     def _register(self, dispatch: Dispatch) -> None:
         calls = GatewayCalls(self.shards)
         network = self.network
-        for kind in (Claim, WriteSlots, DropSlots, AskInventory, Fetch, Release):
+        for kind in (Claim, WriteSlots, DropSlots, InventoryRequest, Fetch, Release):
             network.handle(kind, lambda message, _: self.host.answer(message))
-        network.handle(Touch, self._on_touch)
-        network.handle(SubmitLot, lambda message, _: calls.submit(message))
-        network.handle(ReadLot, lambda message, _: calls.read(message))
+        network.handle(RenewLeases, self._on_touch)
+        network.handle(SubmitJob, lambda message, _: calls.submit(message))
+        network.handle(ReadJob, lambda message, _: calls.read(message))
         network.handle(ReadItem, lambda message, _: calls.item(message))
-        network.handle(EndLot, lambda message, _: calls.end(message))
+        network.handle(EndJob, lambda message, _: calls.end(message))
         network.handle(ReportRuns, lambda message, _: calls.report(message))
         network.handle(FinishRun, lambda message, _: calls.finish(message))
         network.handle(LeaseItems, lambda message, _: dispatch.lease(message))
-        network.handle(AskStoreStatus, StatusDesk(self.shards).answer)
+        network.handle(StoreStatusRequest, StatusDesk(self.shards).answer)
 
-    async def _on_touch(self, message: Touch, _: object) -> object:
+    async def _on_touch(self, message: RenewLeases, _: object) -> object:
         return self.host.touch(message)
 
     async def start(self) -> None:
@@ -136,7 +144,7 @@
             self._configuration_version = configuration.version
             self.shards.configure(configuration)
 
-    def _stores(self) -> list[NodeFact]:
+    def _stores(self) -> list[NodeRecord]:
         return [
             fact for fact in self.follower.nodes.values() if fact.role is NodeRole.STORE and fact.identity
         ]
--- a/emberring/store/shards.py
+++ b/emberring/store/shards.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 from emberring.configuration.model import Configuration
-from emberring.errors import InDoubtError, NotOwnerError
-from emberring.jobs.book import LotBook
-from emberring.jobs.messages import TouchReply
+from emberring.errors import NotOwnerError, UnknownOutcomeError
+from emberring.jobs.job_manager import JobManager
+from emberring.jobs.job_table import Answer, BookAction, Propose, Refuse
+from emberring.jobs.messages import RenewLeasesReply
 from emberring.jobs.owner import BecameOwner, Chosen, LostOwnership, Moved, OwnerAction, Send, ShardOwner
-from emberring.jobs.shelf import Answer, BookAction, Propose, Refuse
 from emberring.logs import get_logger
 from emberring.placement.model import SHARDS, Placement
 from emberring.store.peers import Peers
@@ -31,7 +31,7 @@
     ) -> None:
         self.host = host
         self.owners: dict[int, ShardOwner] = {}
-        self.books: dict[int, LotBook] = {}
+        self.books: dict[int, JobManager] = {}
         self.items_wait: Callable[[], None] = lambda: None
         self._peers = peers
         self._on_moved = on_moved
@@ -41,7 +41,7 @@
             seed = random.getrandbits(64)
             owner = ShardOwner(host.identity, host.replicas[shard], seed)
             self.owners[shard] = owner
-            self.books[shard] = LotBook(shard, owner.records, status_s, seed)
+            self.books[shard] = JobManager(shard, owner.records, status_s, seed)
 
     # What this store learns.
 
@@ -81,14 +81,14 @@
             if leases:
                 self._peers.touch(identity, leases, self._touched)
 
-    def _touched(self, identity: str, sent_s: float, reply: TouchReply) -> None:
+    def _touched(self, identity: str, sent_s: float, reply: RenewLeasesReply) -> None:
         for answer in reply.answers:
             owner = self.owners[answer.shard]
             self._perform(answer.shard, owner.touched(_now_s(), identity, sent_s, answer))
 
     # What gateways ask.
 
-    def serving(self, shard: int) -> LotBook:
+    def serving(self, shard: int) -> JobManager:
         """The book of a shard that this store may answer for; otherwise `NotOwnerError` with the owner's
         address, if it is known."""
         owner = self.owners[shard]
@@ -97,7 +97,7 @@
             raise NotOwnerError(known if known != self._peers.addresses.get(self.host.identity) else "")
         return self.books[shard]
 
-    async def ask(self, shard: int, question: Callable[[LotBook, int], list[BookAction]]) -> Any:
+    async def ask(self, shard: int, question: Callable[[JobManager, int], list[BookAction]]) -> Any:
         """Ask the book of a shard and wait for the answer. Nothing was done where `NotOwnerError` is raised."""
         book = self.serving(shard)
         call = self._next_call
@@ -108,7 +108,7 @@
             async with asyncio.timeout(CALL_LIMIT_S):
                 return await future
         except TimeoutError:
-            raise InDoubtError("no quorum of replicas in time") from None
+            raise UnknownOutcomeError("no quorum of replicas in time") from None
         finally:
             self._calls.pop(call, None)
 
@@ -122,9 +122,9 @@
                 self._perform_book(shard, self.books[shard].chosen(_now_s(), action.key, action.slot))
             elif isinstance(action, BecameOwner):
                 logger.info(
-                    "event=owner shard=%d term=%s lots=%d", shard, self.owners[shard].term, len(action.lots)
+                    "event=owner shard=%d term=%s lots=%d", shard, self.owners[shard].term, len(action.jobs)
                 )
-                self._perform_book(shard, self.books[shard].adopt(_now_s(), action.lots))
+                self._perform_book(shard, self.books[shard].adopt(_now_s(), action.jobs))
             elif isinstance(action, LostOwnership):
                 logger.info("event=owner_lost shard=%d", shard)
                 self._perform_book(shard, self.books[shard].lose())
--- a/emberring/store/status.py
+++ b/emberring/store/status.py
@@ -4,13 +4,13 @@
 
 import asyncio
 
-from emberring.jobs.lot import Lot
+from emberring.jobs.batch_job import BatchJob
 from emberring.jobs.records import Term
-from emberring.jobs.status import AskStoreStatus, LotStatus, ShardStatus, StoreStatus
+from emberring.jobs.status import JobStatus, ShardStatus, StoreStatus, StoreStatusRequest
 from emberring.store.shards import Shards
 from emberring.transport.network import Caller
 
-MOST_LOTS = 500  # that one answer lists
+MOST_JOBS = 500  # that one answer lists
 
 
 class StatusDesk:
@@ -19,15 +19,15 @@
     def __init__(self, shards: Shards) -> None:
         self._shards = shards
 
-    async def answer(self, asked: AskStoreStatus, caller: Caller) -> StoreStatus:
+    async def answer(self, asked: StoreStatusRequest, caller: Caller) -> StoreStatus:
         """The status of this moment."""
         now_s = asyncio.get_running_loop().time()
         host = self._shards.host
         owned = [shard for shard, owner in self._shards.owners.items() if owner.serving(now_s)]
-        lots = [
-            _lot_status(now_s, shard, lot)
-            for shard in (owned if asked.lots else ())
-            for lot in self._shards.books[shard].lots.values()
+        jobs = [
+            _job_status(now_s, shard, job)
+            for shard in (owned if asked.jobs else ())
+            for job in self._shards.books[shard].jobs.values()
         ]
         return StoreStatus(
             identity=host.identity,
@@ -38,7 +38,7 @@
                 for shard, owner in self._shards.owners.items()
                 if owner.group is not None and host.identity in owner.group.everyone
             ),
-            lots=tuple(lots[:MOST_LOTS]),
+            jobs=tuple(jobs[:MOST_JOBS]),
         )
 
     def _shard_status(self, shard: int, owned: bool) -> ShardStatus:
@@ -47,13 +47,13 @@
         if not owned:
             return ShardStatus(shard, False, epoch, _text(owner.replica.promised))
         tokens = sum(book.waiting_tokens.values())
-        return ShardStatus(shard, True, epoch, _text(owner.term), len(book.lots), book.waiting, tokens)
+        return ShardStatus(shard, True, epoch, _text(owner.term), len(book.jobs), book.waiting, tokens)
 
 
 def _text(term: Term) -> str:
     return f"{term.epoch}.{term.counter}"
 
 
-def _lot_status(now_s: float, shard: int, lot: Lot) -> LotStatus:
-    host, _, name = lot.key.partition("/")
-    return LotStatus(shard, host, name, len(lot.items), lot.shown, lot.ended, now_s - lot.accepted_s)
+def _job_status(now_s: float, shard: int, job: BatchJob) -> JobStatus:
+    host, _, name = job.key.partition("/")
+    return JobStatus(shard, host, name, len(job.items), job.shown, job.ended, now_s - job.accepted_s)
--- a/tests/emberring/admission/test_tier_admission.py
+++ b/tests/emberring/admission/test_tier_admission.py
@@ -16,17 +16,17 @@
 )
 from emberring.admission.pacing import SILENCE_MS_MOST
 from emberring.configuration.model import Service
-from emberring.distribution.facts import ServerFact, ServerState
+from emberring.distribution.records import ServerRecord, ServerState
 from emberring.registry.known_load import NO_LOAD, KnownLoad
 
 SERVICES = {"llm": Service("llm", max_connections=200, capacity=8, kv_cache_tokens=100_000, stride=20)}
 
 
-def fact(name: str, state: ServerState = ServerState.READY, service: str = "llm") -> ServerFact:
-    return ServerFact(name, service, f"10.0.0.1:{name[1:]}", "a", 8, state, 1)
+def fact(name: str, state: ServerState = ServerState.READY, service: str = "llm") -> ServerRecord:
+    return ServerRecord(name, service, f"10.0.0.1:{name[1:]}", "a", 8, state, 1)
 
 
-def admission_of(*facts: ServerFact) -> Admission:
+def admission_of(*facts: ServerRecord) -> Admission:
     admission = Admission(AdmissionSettings(), seed=1)
     admission.set_servers(0.0, facts, SERVICES, 1, NO_LOAD)
     return admission
@@ -44,7 +44,7 @@
         (fact("s1", service="other"),),
     ],
 )
-def test_no_server(facts: tuple[ServerFact, ...]) -> None:
+def test_no_server(facts: tuple[ServerRecord, ...]) -> None:
     assert admission_of(*facts).offer(0.0, call("c1")) == NoServer()
 
 
@@ -61,7 +61,7 @@
     assert all(isinstance(decision, Admitted) for decision in decisions)
 
 
-def test_lots_are_held_back_before_live_calls_are_refused() -> None:
+def test_jobs_are_held_back_before_live_calls_are_refused() -> None:
     admission = admission_of(fact("s1"), fact("s2"))
     taken = 0
     while isinstance(admission.offer(0.0, call(f"b{taken}", batch=True)), Admitted):
@@ -74,7 +74,7 @@
 GATEWAYS = 7
 
 
-def gateways_that_hear_late(servers: int) -> tuple[list[Admission], list[ServerFact]]:
+def gateways_that_hear_late(servers: int) -> tuple[list[Admission], list[ServerRecord]]:
     """So many gateways before these servers; the others' calls were told as none."""
     facts = [fact(f"s{number}") for number in range(servers)]
     gateways = [Admission(AdmissionSettings(), seed=number) for number in range(GATEWAYS)]
@@ -188,7 +188,7 @@
     assert views["s2"].others == views["s2"].others_usual
 
 
-def test_a_gateway_alone_uses_the_places_of_lots() -> None:
+def test_a_gateway_alone_uses_the_places_of_jobs() -> None:
     admission = admission_of(fact("s1"), fact("s2"))
     assert take_items(admission, "b", 0.0) >= 0.8 * 16
 
@@ -221,8 +221,8 @@
 
 
 def test_servers_of_the_gateways_zone_come_first_until_they_are_busier() -> None:
-    near = ServerFact("near", "llm", "10.0.0.1:1", "here", 8, ServerState.READY, 1)
-    far = ServerFact("far", "llm", "10.0.0.1:2", "there", 8, ServerState.READY, 1)
+    near = ServerRecord("near", "llm", "10.0.0.1:1", "here", 8, ServerState.READY, 1)
+    far = ServerRecord("far", "llm", "10.0.0.1:2", "there", 8, ServerState.READY, 1)
     admission = Admission(AdmissionSettings(zone="here"), seed=1)
     admission.set_servers(0.0, (far, near), SERVICES, 1, NO_LOAD)
     decisions = [admission.offer(0.0, call(f"c{number}")) for number in range(4)]
--- a/tests/emberring/admission/test_tier_admission_machine.py
+++ b/tests/emberring/admission/test_tier_admission_machine.py
@@ -17,7 +17,7 @@
     Refused,
 )
 from emberring.configuration.model import Service
-from emberring.distribution.facts import ServerFact, ServerState
+from emberring.distribution.records import ServerRecord, ServerState
 from emberring.registry.known_load import NO_LOAD
 
 CAPACITY, CONNECTIONS = 4, 40
@@ -55,7 +55,7 @@
 
     def tell(self) -> None:
         facts = [
-            ServerFact(name, "llm", name, "z", CAPACITY, state, 1) for name, state in self.states.items()
+            ServerRecord(name, "llm", name, "z", CAPACITY, state, 1) for name, state in self.states.items()
         ]
         self.admission.set_servers(self.now_s, facts, SERVICES, 1, NO_LOAD)
 
--- a/tests/emberring/admission/test_tier_candidates.py
+++ b/tests/emberring/admission/test_tier_candidates.py
@@ -19,14 +19,14 @@
     still_there,
 )
 from emberring.admission.server import ServerView
-from emberring.distribution.facts import ServerFact, ServerState
+from emberring.distribution.records import ServerRecord, ServerState
 from emberring.registry.known_load import KnownLoad
 
 KEPT = 0.75  # of the calls told are still there
 
 
-def fact(number: int) -> ServerFact:
-    return ServerFact(f"s{number}", "llm", f"10.0.0.1:{number}", "a", 12, ServerState.READY, 1)
+def fact(number: int) -> ServerRecord:
+    return ServerRecord(f"s{number}", "llm", f"10.0.0.1:{number}", "a", 12, ServerState.READY, 1)
 
 
 def views(count: int) -> list[ServerView]:
--- a/tests/emberring/admission/test_tier_failures.py
+++ b/tests/emberring/admission/test_tier_failures.py
@@ -6,7 +6,7 @@
 
 from emberring.admission import Admission, AdmissionSettings, Admitted, CallInfo, CallOutcome
 from emberring.admission.failures import CHANCE, FailureShare
-from emberring.distribution.facts import ServerFact, ServerState
+from emberring.distribution.records import ServerRecord, ServerState
 from emberring.registry.known_load import NO_LOAD
 
 GREY = "grey"
@@ -60,7 +60,7 @@
 @pytest.mark.parametrize("bad", BAD)
 def test_a_server_that_fails_half_gets_little_and_all_again_once_it_is_well(bad: CallOutcome) -> None:
     facts = [
-        ServerFact(name, "llm", f"10.0.0.1:{port}", "a", 8, ServerState.READY, 1)
+        ServerRecord(name, "llm", f"10.0.0.1:{port}", "a", 8, ServerState.READY, 1)
         for port, name in enumerate((GREY, "good-1", "good-2"), start=1)
     ]
     admission = Admission(AdmissionSettings(), seed=3)
--- a/tests/emberring/admission/test_tier_lot_pressure.py
+++ b/tests/emberring/admission/test_tier_job_pressure.py
@@ -7,23 +7,23 @@
 import pytest
 
 from emberring.admission import Admission, AdmissionSettings, Admitted, CallInfo
-from emberring.admission.lot_pressure import (
+from emberring.admission.job_pressure import (
     EASY_LEFT,
     EASY_SHARE,
     FORGET_S,
     PRESSED_LEFT,
     PRESSED_SHARE,
-    LotPressure,
+    JobPressure,
 )
-from emberring.distribution.facts import ServerFact, ServerState
+from emberring.distribution.records import ServerRecord, ServerState
 from emberring.registry.known_load import KnownLoad
 
 TARGET_S = 10.0
 
 
-def heard(left: float, count: int = 60) -> LotPressure:
+def heard(left: float, count: int = 60) -> JobPressure:
     """After so many items with this share of their time left, all at once."""
-    pressure = LotPressure()
+    pressure = JobPressure()
     for _ in range(count):
         pressure.taken(0.0, left * TARGET_S, TARGET_S)
     return pressure
@@ -48,20 +48,20 @@
     [(-1.0, TARGET_S), (0.0, TARGET_S), (1.0, 0.0)],  # late already, late just now, no time told
 )
 def test_items_that_more_places_can_not_save_say_nothing(due_s: float, target_s: float) -> None:
-    pressure = LotPressure()
+    pressure = JobPressure()
     for _ in range(60):
         pressure.taken(0.0, due_s, target_s)
     assert pressure.share(0.0) == pytest.approx(0.85)
 
 
 @pytest.mark.parametrize("left", [0.1, 1.0])
-def test_what_was_heard_is_forgotten_soon_after_the_lots_are_done(left: float) -> None:
+def test_what_was_heard_is_forgotten_soon_after_the_jobs_are_done(left: float) -> None:
     assert heard(left).share(5.0 * FORGET_S) == pytest.approx(0.85, abs=0.01)
 
 
 def test_a_gateway_takes_more_items_once_those_it_gets_are_pressed() -> None:
     facts = [
-        ServerFact(f"s{number}", "llm", f"10.0.0.1:{number}", "a", 12, ServerState.READY, 1)
+        ServerRecord(f"s{number}", "llm", f"10.0.0.1:{number}", "a", 12, ServerState.READY, 1)
         for number in range(4)
     ]
 
@@ -85,7 +85,7 @@
 def test_what_decisions_go_by_is_told_to_operators() -> None:
     admission = Admission(AdmissionSettings(), seed=1)
     assert admission.decides_by(1.0) == (0, 0.0, math.inf)
-    facts = [ServerFact("s1", "llm", "10.0.0.1:1", "a", 12, ServerState.READY, 1)]
+    facts = [ServerRecord("s1", "llm", "10.0.0.1:1", "a", 12, ServerState.READY, 1)]
     admission.set_servers(1.0, facts, {}, 1, KnownLoad(true_s=0.8))
     cursor, share, word_age_s = admission.decides_by(1.1)
     assert (cursor, share) == (0, pytest.approx(0.85))
--- a/tests/emberring/admission/test_tier_many_gateways.py
+++ b/tests/emberring/admission/test_tier_many_gateways.py
@@ -9,7 +9,7 @@
 
 from emberring.admission import Admission, AdmissionSettings, Admitted, CallInfo, CallOutcome
 from emberring.admission.server import ServerView
-from emberring.distribution.facts import ServerFact, ServerState
+from emberring.distribution.records import ServerRecord, ServerState
 from emberring.registry.known_load import GATEWAYS_BY_WORD, USUAL_S, KnownLoad
 
 GATEWAYS, SERVERS, PLACES = 50, 36, 12
@@ -19,8 +19,8 @@
 TELL_EVERY_S, TOLD_AFTER_S = 0.3, 0.7
 
 
-def fact(number: int) -> ServerFact:
-    return ServerFact(f"s{number}", "llm", f"10.0.0.1:{number}", "a", PLACES, ServerState.READY, 1)
+def fact(number: int) -> ServerRecord:
+    return ServerRecord(f"s{number}", "llm", f"10.0.0.1:{number}", "a", PLACES, ServerState.READY, 1)
 
 
 def test_few_gateways_go_by_what_was_just_told() -> None:
--- a/tests/emberring/admission/test_tier_suspicion.py
+++ b/tests/emberring/admission/test_tier_suspicion.py
@@ -9,16 +9,16 @@
 from emberring.admission import Admission, AdmissionSettings, Admitted, CallInfo, CallOutcome, pacing
 from emberring.admission.server import ServerView
 from emberring.admission.suspicion import WELL_AFTER_S, SuspicionBook, trouble_of
-from emberring.distribution.facts import ServerFact, ServerState
+from emberring.distribution.records import ServerRecord, ServerState
 from emberring.gateway.suspicions import SuspicionReport
+from emberring.registry.faults import Fault
 from emberring.registry.known_load import NO_LOAD
-from emberring.registry.trouble import Trouble
 
 PAUSE_MS = 5.0
 
 
 def view(name: str = "s") -> ServerView:
-    return ServerView(ServerFact(name, "llm", f"{name}:1", "z", 12, ServerState.READY, 1), 0.0)
+    return ServerView(ServerRecord(name, "llm", f"{name}:1", "z", 12, ServerState.READY, 1), 0.0)
 
 
 def failed(outcome: CallOutcome, times: int) -> ServerView:
@@ -46,31 +46,31 @@
     ("server", "trouble"),
     [
         (view(), None),
-        (failed(CallOutcome.CONNECT_FAILED, 1), Trouble.UNREACHABLE),
-        (failed(CallOutcome.SILENT, 1), Trouble.SILENT),
+        (failed(CallOutcome.CONNECT_FAILED, 1), Fault.UNREACHABLE),
+        (failed(CallOutcome.SILENT, 1), Fault.SILENT),
         (failed(CallOutcome.BROKEN, 1), None),  # one answer broken off may be an accident
-        (failed(CallOutcome.BROKEN, 2), Trouble.BREAKING_OFF),
+        (failed(CallOutcome.BROKEN, 2), Fault.BREAKING_OFF),
         (failing_some(1, 9), None),
-        (failing_some(3, 9), Trouble.FAILING),
+        (failing_some(3, 9), Fault.FAILING),
         (late(2.0), None),
-        (late(6.0), Trouble.SLOW),
+        (late(6.0), Fault.SLOW),
     ],
 )
-def test_what_speaks_against_a_server(server: ServerView, trouble: Trouble | None) -> None:
+def test_what_speaks_against_a_server(server: ServerView, trouble: Fault | None) -> None:
     assert trouble_of(0.0, server, PAUSE_MS) is trouble
 
 
 def test_a_change_of_state_is_told_once_and_its_end_after_a_while_without_a_sign() -> None:
     book, server = SuspicionBook(), failed(CallOutcome.SILENT, 2)
     begun = book.look(1.0, [server], PAUSE_MS)
-    assert [(change.server, change.trouble) for change in begun] == [(server, Trouble.SILENT)]
+    assert [(change.server, change.trouble) for change in begun] == [(server, Fault.SILENT)]
     assert book.look(2.0, [server], PAUSE_MS) == []
-    assert book.troubles == {"s": Trouble.SILENT}
+    assert book.troubles == {"s": Fault.SILENT}
     server.failures = 0  # it has answered
     assert book.look(2.1, [server], PAUSE_MS) == []
     server.failures, server.failed_by = 5, CallOutcome.CONNECT_FAILED  # it flaps: still the same trouble
     assert book.look(3.0, [server], PAUSE_MS) == []
-    assert book.troubles == {"s": Trouble.UNREACHABLE}
+    assert book.troubles == {"s": Fault.UNREACHABLE}
     server.failures = 0
     assert book.look(3.0 + WELL_AFTER_S - 0.1, [server], PAUSE_MS) == []
     ended = book.look(3.0 + WELL_AFTER_S, [server], PAUSE_MS)
--- a/tests/emberring/admission/test_tier_table.py
+++ b/tests/emberring/admission/test_tier_table.py
@@ -14,7 +14,7 @@
     assert table.cursor == table.last
 
 
-def test_live_rows_bend_only_once_lots_have_nothing() -> None:
+def test_live_rows_bend_only_once_jobs_have_nothing() -> None:
     table = CursorTable()
     for _ in range(table.last):
         if table.batch_share() > 0.0:
--- a/tests/emberring/cli/test_tier_check_disk.py
+++ b/tests/emberring/cli/test_tier_check_disk.py
@@ -20,9 +20,9 @@
 from emberring.jobs.replica_log import Promised, Written, encode_entry
 from emberring.journal.journal import Journal
 from emberring.journal.layout import SEGMENT_HEADER_BYTES
-from emberring.journal.survey import survey_journal
+from emberring.journal.scan import scan_journal
 from emberring.register.acceptor import Acceptor
-from emberring.register.model import Ballot, Member, Proposal, ReplicaSet, State
+from emberring.register.model import Member, Proposal, ProposalNumber, ReplicaSet, State
 from emberring.store.disk import JOURNAL_FOLDER
 from emberring.store.identity import create_identity
 
@@ -43,7 +43,7 @@
 
 def files(folder: Path) -> list[Path]:
     """The files of the segments in use, oldest first."""
-    return [folder / segment.file for segment in survey_journal(folder).segments]
+    return [folder / segment.file for segment in scan_journal(folder).segments]
 
 
 def flip(path: Path, offset: int) -> None:
@@ -63,7 +63,7 @@
 
 
 def test_a_whole_journal(journal):
-    survey = survey_journal(journal)
+    survey = scan_journal(journal)
     assert [record.payload for record in survey.records] == PAYLOADS
     assert len(survey.segments) > 2
     assert [segment.number for segment in survey.segments] == list(range(len(survey.segments)))
@@ -72,9 +72,9 @@
 
 def test_a_torn_tail_is_in_order(journal):
     last = files(journal)[-1]
-    end = survey_journal(journal).segments[-1].end
+    end = scan_journal(journal).segments[-1].end
     flip(last, end - 1)
-    survey = survey_journal(journal)
+    survey = scan_journal(journal)
     assert survey.damages == ()
     assert [record.payload for record in survey.records] == PAYLOADS[:-1]
 
@@ -110,7 +110,7 @@
 def test_damage_is_named_and_the_rest_is_read(damage: Callable[[Path], None], said, journal):
     damage(journal)
     before = {path.name: path.read_bytes() for path in journal.iterdir()}
-    survey = survey_journal(journal)
+    survey = scan_journal(journal)
     assert any(said in line for line in survey.damages)
     assert PAYLOADS[-1] in [record.payload for record in survey.records]
     assert len(survey.records) < len(PAYLOADS)
@@ -172,7 +172,7 @@
     member = Member("me", "10.0.0.1:7721")
     state = State(ReplicaSet(0, (member,)), ControlState(version=4).encode())
     records = [acceptor.snapshot()]
-    acceptor.install(Proposal(Ballot(3, "p"), state))
+    acceptor.install(Proposal(ProposalNumber(3, "p"), state))
     records.append(acceptor.snapshot())
     write_journal(directory / "register", records)
     for place in (directory, directory / "register"):
--- a/tests/emberring/configuration/test_tier_orders.py
+++ b/tests/emberring/configuration/test_tier_change_requests.py
@@ -11,7 +11,14 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from emberring.configuration.orders import Order, OrderKind, Refused, Taken, judge, read_order
+from emberring.configuration.change_requests import (
+    ChangeRequest,
+    ChangeRequestKind,
+    Refused,
+    Taken,
+    judge,
+    read_change_request,
+)
 from emberring.configuration.state import MOST_TAKEN, ControlState
 from emberring.errors import (
     BadRequestError,
@@ -33,16 +40,18 @@
     }
 
 
-def whole(version: int, *routes: dict[str, Any], base: int = 0) -> Order:
+def whole(version: int, *routes: dict[str, Any], base: int = 0) -> ChangeRequest:
     document = {"Version": version, "Routes": list(routes), "Services": [{"Name": "s"}]}
-    return read_order(OrderKind.WHOLE, str(base), json.dumps(document).encode())
+    return read_change_request(ChangeRequestKind.WHOLE, str(base), json.dumps(document).encode())
 
 
-def patch(version: int, base: int, **parts: Any) -> Order:
-    return read_order(OrderKind.PATCH, str(base), json.dumps({"Version": version, **parts}).encode())
+def patch(version: int, base: int, **parts: Any) -> ChangeRequest:
+    return read_change_request(
+        ChangeRequestKind.PATCH, str(base), json.dumps({"Version": version, **parts}).encode()
+    )
 
 
-def taken(state: ControlState, order: Order) -> ControlState:
+def taken(state: ControlState, order: ChangeRequest) -> ControlState:
     outcome = judge(state, order)
     assert isinstance(outcome, Taken), outcome
     return outcome.state
@@ -53,7 +62,7 @@
 
 def test_the_first_order_is_taken_and_stands_as_it_was_sent() -> None:
     body = b'{ "Version": 5, "Routes": [], "Services": [], "x": 1100000.0 }'
-    state = taken(ControlState(), read_order(OrderKind.WHOLE, "0", body))
+    state = taken(ControlState(), read_change_request(ChangeRequestKind.WHOLE, "0", body))
     assert state.version == 5
     assert state.document == body
 
@@ -80,7 +89,7 @@
 
 
 @pytest.mark.parametrize(("order", "error"), REFUSED, ids=range(len(REFUSED)))
-def test_an_order_that_does_not_fit_is_refused(order: Order, error: type[Exception]) -> None:
+def test_an_order_that_does_not_fit_is_refused(order: ChangeRequest, error: type[Exception]) -> None:
     outcome = judge(FIRST, order)
     assert isinstance(outcome, Refused)
     assert isinstance(outcome.error, error)
@@ -117,19 +126,23 @@
 @pytest.mark.parametrize("if_match", [None, "", "x", "-1", "1.5", "²", "9" * 30])
 def test_an_order_without_a_readable_base_is_refused(if_match: str | None) -> None:
     with pytest.raises(BadRequestError):
-        read_order(OrderKind.WHOLE, if_match, b'{"Version":1}')
+        read_change_request(ChangeRequestKind.WHOLE, if_match, b'{"Version":1}')
 
 
 def test_a_base_may_stand_in_quotes() -> None:
-    assert read_order(OrderKind.WHOLE, ' "12" ', b'{"Version":13}').base == 12
+    assert read_change_request(ChangeRequestKind.WHOLE, ' "12" ', b'{"Version":13}').base == 12
 
 
 def test_the_same_change_is_the_same_in_another_spelling_and_another_on_another_base() -> None:
-    one = read_order(OrderKind.WHOLE, "0", b'{"Version":1,"Routes":[]}')
-    two = read_order(OrderKind.WHOLE, "0", b'{ "Routes" : [], "Version": 1 }')
+    one = read_change_request(ChangeRequestKind.WHOLE, "0", b'{"Version":1,"Routes":[]}')
+    two = read_change_request(ChangeRequestKind.WHOLE, "0", b'{ "Routes" : [], "Version": 1 }')
     assert one.digest == two.digest
-    assert read_order(OrderKind.WHOLE, "1", b'{"Version":1,"Routes":[]}').digest != one.digest
-    assert read_order(OrderKind.PATCH, "0", b'{"Version":1,"Routes":[]}').digest != one.digest
+    assert (
+        read_change_request(ChangeRequestKind.WHOLE, "1", b'{"Version":1,"Routes":[]}').digest != one.digest
+    )
+    assert (
+        read_change_request(ChangeRequestKind.PATCH, "0", b'{"Version":1,"Routes":[]}').digest != one.digest
+    )
 
 
 def test_a_change_is_known_hundreds_of_changes_later_and_after_a_restart() -> None:
@@ -181,15 +194,15 @@
     def __init__(self) -> None:
         super().__init__()
         self.state = ControlState()
-        self.accepted: list[Order] = []
-        self.sent: list[Order] = []
-        self.refused: list[Order] = []
+        self.accepted: list[ChangeRequest] = []
+        self.sent: list[ChangeRequest] = []
+        self.refused: list[ChangeRequest] = []
 
     @initialize()
     def begin(self) -> None:
         self.send(whole(1, route("one")))
 
-    def send(self, order: Order) -> None:
+    def send(self, order: ChangeRequest) -> None:
         outcome = judge(self.state, order)
         self.sent.append(order)
         if order in self.accepted:
--- a/tests/emberring/control/test_tier_board_simulation.py
+++ b/tests/emberring/control/test_tier_cluster_state_simulation.py
@@ -11,10 +11,10 @@
 import attrs
 import pytest
 
-from emberring.control.board import Board
-from emberring.distribution.facts import NodeFact, NodeRole, ServerFact, ServerState
+from emberring.control.cluster_state import ClusterState
 from emberring.distribution.messages import Delta, Pull, Update
 from emberring.distribution.peers import Peer
+from emberring.distribution.records import NodeRecord, NodeRole, ServerRecord, ServerState
 from emberring.distribution.view import FollowerView
 from emberring.registry.heartbeats import Heartbeat
 
@@ -36,13 +36,15 @@
 
     def beat(self) -> Heartbeat:
         self.sequence += 1
-        return Heartbeat(ServerFact(self.name, "engine", self.address, "zone", 48, self.state, self.sequence))
+        return Heartbeat(
+            ServerRecord(self.name, "engine", self.address, "zone", 48, self.state, self.sequence)
+        )
 
 
 @attrs.define
 class AControl:
     address: str
-    board: Board
+    board: ClusterState
     up: bool = True
     frozen: bool = False
 
@@ -53,7 +55,7 @@
 
 @attrs.define
 class AFollower:
-    fact: NodeFact
+    fact: NodeRecord
     view: FollowerView
     cut_until_s: float = 0.0
     next_s: float = 0.0
@@ -70,19 +72,19 @@
         self.seeds = ["c0", "c1", "c2"]
         self.controls = [AControl(address, self._new_board(address)) for address in self.seeds]
         self.followers = [
-            AFollower(NodeFact(name, role, name, "zone", name, "1"), FollowerView(0.0))
+            AFollower(NodeRecord(name, role, name, "zone", name, "1"), FollowerView(0.0))
             for name, role in (("e0", NodeRole.GATEWAY), ("e1", NodeRole.GATEWAY), ("s0", NodeRole.STORE))
         ]
         self.servers = [AServer(f"i{number}", f"10.0.0.{number}:80") for number in range(4)]
         self.core_trouble_s = -CONTACT_S
         self.is_calm = False
 
-    def _new_board(self, address: str) -> Board:
+    def _new_board(self, address: str) -> ClusterState:
         self.starts += 1
-        me = NodeFact(
+        me = NodeRecord(
             f"core-{address}", NodeRole.CONTROL, address, "zone", address, f"{address}.{self.starts}"
         )
-        board = Board(self.now_s, me, self.seeds, BEAT_S)
+        board = ClusterState(self.now_s, me, self.seeds, BEAT_S)
         board.quorum_age_s = lambda: 0.0 if self._has_majority(address) else 5.0
         return board
 
--- a/tests/emberring/control/test_tier_control_hard.py
+++ b/tests/emberring/control/test_tier_control_hard.py
@@ -18,8 +18,8 @@
 )
 
 from emberring.configuration.state import ControlState
-from emberring.distribution.facts import NodeRole, ServerState
 from emberring.distribution.messages import PlacementMoved
+from emberring.distribution.records import NodeRole, ServerState
 from emberring.placement.model import Placement
 from emberring.transport.messages import Ok
 from emberring.transport.network import Network
--- a/tests/emberring/control/test_tier_control_node.py
+++ b/tests/emberring/control/test_tier_control_node.py
@@ -13,7 +13,7 @@
     on_cluster,
 )
 
-from emberring.distribution.facts import NodeRole, ServerState
+from emberring.distribution.records import NodeRole, ServerState
 
 
 def test_a_configuration_reaches_a_follower_and_is_read_back() -> None:
--- a/tests/emberring/control/test_tier_control_register.py
+++ b/tests/emberring/control/test_tier_control_register.py
@@ -13,7 +13,7 @@
 
 from emberring.control.http_server import HttpServer
 from emberring.control.node import ControlNode
-from emberring.control.remembered import RememberedNodes
+from emberring.control.peer_cache import PeerCache
 from emberring.register.service import RegisterService
 from emberring.settings import FaultTolerance, Listen, Settings
 from emberring.transport.network import Network
@@ -21,7 +21,7 @@
 FIRST_HOST = 21  # addresses 127.0.0.21 and on
 
 
-class Running:
+class JobExecution:
     """A control node that is up."""
 
     def __init__(
@@ -42,7 +42,7 @@
 
     def __init__(self, directory: Path) -> None:
         self.directory = directory
-        self.running: dict[int, Running] = {}
+        self.running: dict[int, JobExecution] = {}
         self.port = free_ports(20)[0]
 
     def settings(self, number: int, bootstrap: bool, seeds: tuple[int, ...]) -> Settings:
@@ -74,13 +74,13 @@
         settings, network = self.settings(number, bootstrap, seeds), Network()
         register = RegisterService(settings, network, self.disk(number) / "register")
         await register.start()
-        remembered = RememberedNodes(self.disk(number) / "control-nodes")
+        remembered = PeerCache(self.disk(number) / "control-nodes")
         node = ControlNode(settings, network, register, remembered=remembered)
         await network.listen(f"{self.ip(number)}:{self.port + 1}")
         node.start()
         server = HttpServer(node.app, settings.listen.control_plane)
         await server.start()
-        self.running[number] = Running(network, register, node, server)
+        self.running[number] = JobExecution(network, register, node, server)
 
     async def kill(self, *numbers: int, wipe: bool = False) -> None:
         await asyncio.gather(*(self.running.pop(number).kill() for number in numbers))
--- a/tests/emberring/control/test_tier_remembered.py
+++ b/tests/emberring/control/test_tier_peer_cache.py
@@ -8,15 +8,15 @@
 import pytest
 from tier_control_fixture import AFollower, Cluster, eventually, now
 
-from emberring.control.remembered import MOST, RememberedNodes
+from emberring.control.peer_cache import MOST, PeerCache
 
 
 def test_addresses_are_kept_the_newest_first(tmp_path: Path) -> None:
-    nodes = RememberedNodes(tmp_path / "data" / "nodes")
+    nodes = PeerCache(tmp_path / "data" / "nodes")
     assert nodes.load() == []
     asyncio.run(nodes.save(["10.0.0.1:70", "10.0.0.2:70"]))
     asyncio.run(nodes.save(["10.0.0.3:70"]))
-    again = RememberedNodes(tmp_path / "data" / "nodes")
+    again = PeerCache(tmp_path / "data" / "nodes")
     assert again.load() == ["10.0.0.3:70", "10.0.0.1:70", "10.0.0.2:70"]
     asyncio.run(again.save([f"10.0.1.{number}:70" for number in range(40)]))
     assert len(again.load()) == MOST
@@ -28,12 +28,12 @@
 @pytest.mark.parametrize(("content", "wanted"), TORN)
 def test_a_torn_file_gives_what_can_be_read(tmp_path: Path, content: bytes, wanted: list[str]) -> None:
     (tmp_path / "nodes").write_bytes(content)
-    assert RememberedNodes(tmp_path / "nodes").load() == wanted
+    assert PeerCache(tmp_path / "nodes").load() == wanted
 
 
 def test_a_disk_that_refuses_does_no_harm(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
-    nodes = RememberedNodes(tmp_path / "file" / "nodes")
+    nodes = PeerCache(tmp_path / "file" / "nodes")
     asyncio.run(nodes.save(["10.0.0.1:70"]))
     assert nodes.load() == []
 
--- a/tests/emberring/control/test_tier_holders.py
+++ b/tests/emberring/control/test_tier_replication_policy.py
@@ -4,16 +4,17 @@
 
 import pytest
 
-from emberring.control.holders import HolderRule, most_lost
-from emberring.distribution.facts import NodeFact, NodeRole
+from emberring.control.replication_policy import ReplicationPolicy, max_simultaneous_failures
+from emberring.distribution.records import NodeRecord, NodeRole
 from emberring.settings import FaultTolerance
 
 REGIONS = {"a1": "a", "a2": "a", "b1": "b"}
 
 
-def at(*zones: str) -> list[NodeFact]:
+def at(*zones: str) -> list[NodeRecord]:
     return [
-        NodeFact(f"core-{zone}-{number}", NodeRole.CONTROL, "x:1", zone) for number, zone in enumerate(zones)
+        NodeRecord(f"core-{zone}-{number}", NodeRole.CONTROL, "x:1", zone)
+        for number, zone in enumerate(zones)
     ]
 
 
@@ -39,9 +40,9 @@
 def test_a_fact_outlives_what_may_be_lost_at_once(
     tolerance: FaultTolerance, others: int, holders: list[str], met: list[str], enough: bool
 ) -> None:
-    rule = HolderRule(others, tolerance, REGIONS)
+    rule = ReplicationPolicy(others, tolerance, REGIONS)
     assert rule.satisfied(at("a1")[0], at(*holders), at(*met)) is enough
 
 
 def test_the_replicas_that_may_be_lost() -> None:
-    assert [most_lost(tolerance) for tolerance in (ONE, TWO, ZONE, REGION)] == [1, 2, 1, 1]
+    assert [max_simultaneous_failures(tolerance) for tolerance in (ONE, TWO, ZONE, REGION)] == [1, 2, 1, 1]
--- a/tests/emberring/control/test_tier_suspicion_ledger.py
+++ b/tests/emberring/control/test_tier_suspicion_table.py
@@ -5,15 +5,15 @@
 import orjson
 import pytest
 
-from emberring.control import suspicion_ledger
-from emberring.control.board import Board
+from emberring.control import suspicion_table
+from emberring.control.cluster_state import ClusterState
 from emberring.control.status_page import StatusPage
-from emberring.control.suspicion_ledger import WELL_AFTER_S, SuspicionLedger
+from emberring.control.suspicion_table import WELL_AFTER_S, SuspicionTable
 from emberring.distribution.contacts import LOAD_FRESH_S, Contacts, Report
-from emberring.distribution.facts import NodeFact, NodeRole, ServerFact, ServerState
-from emberring.registry.trouble import summed_suspects
+from emberring.distribution.records import NodeRecord, NodeRole, ServerRecord, ServerState
+from emberring.registry.faults import sum_suspicions
 
-SERVER = ServerFact("i-1", "llm", "10.0.0.9:80", "z", 12, ServerState.READY, 1)
+SERVER = ServerRecord("i-1", "llm", "10.0.0.9:80", "z", 12, ServerState.READY, 1)
 
 
 class Lines:
@@ -28,14 +28,14 @@
     def info(self, text: str, *args: object) -> None: ...
 
 
-def gateway(number: int) -> NodeFact:
-    return NodeFact(f"edge-{number}", NodeRole.GATEWAY, f"10.0.1.{number}:70", "z", "", f"e{number}")
+def gateway(number: int) -> NodeRecord:
+    return NodeRecord(f"edge-{number}", NodeRole.GATEWAY, f"10.0.1.{number}:70", "z", "", f"e{number}")
 
 
-def board(number: int) -> Board:
+def board(number: int) -> ClusterState:
     seeds = [f"10.0.0.{other}:70" for other in range(2)]
-    me = NodeFact(f"core-{number}", NodeRole.CONTROL, seeds[number], "z", f"d{number}", f"c{number}")
-    return Board(0.0, me, seeds, 1.2)
+    me = NodeRecord(f"core-{number}", NodeRole.CONTROL, seeds[number], "z", f"d{number}", f"c{number}")
+    return ClusterState(0.0, me, seeds, 1.2)
 
 
 @pytest.mark.parametrize(
@@ -49,7 +49,7 @@
     ],
 )
 def test_who_must_agree(troubles: dict[str, int], gateways: int, failing: bool) -> None:
-    ledger = SuspicionLedger(lambda: {SERVER.id: SERVER})
+    ledger = SuspicionTable(lambda: {SERVER.id: SERVER})
     ledger.look(1.0, {SERVER.id: troubles} if troubles else {}, gateways)
     assert (SERVER.id in ledger.failing) is failing
 
@@ -68,8 +68,8 @@
     told: list[dict[str, int]], warned: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     lines = Lines()
-    monkeypatch.setattr(suspicion_ledger, "logger", lines)
-    ledger = SuspicionLedger(lambda: {SERVER.id: SERVER})
+    monkeypatch.setattr(suspicion_table, "logger", lines)
+    ledger = SuspicionTable(lambda: {SERVER.id: SERVER})
     for turn, troubles in enumerate(told * 3):
         ledger.look(1.0 + 0.1 * turn, {SERVER.id: troubles}, 5)
     assert ledger.failing[SERVER.id].warned is warned
@@ -78,7 +78,7 @@
 
 
 def test_it_lasts_until_nobody_has_said_so_for_a_while() -> None:
-    ledger = SuspicionLedger(dict)
+    ledger = SuspicionTable(dict)
     ledger.look(1.0, {"i-1": {"silent": 2}}, 5)
     ledger.look(3.0, {"i-1": {"failing": 3}}, 5)
     ledger.look(3.0 + WELL_AFTER_S - 0.1, {}, 5)
@@ -101,7 +101,7 @@
 
 def test_sums_over_control_nodes() -> None:
     parts = [{"a": {"silent": 1}}, {"a": {"silent": 2, "slow": 1}, "b": {"slow": 1}}]
-    assert summed_suspects(parts) == {"a": {"silent": 3, "slow": 1}, "b": {"slow": 1}}
+    assert sum_suspicions(parts) == {"a": {"silent": 3, "slow": 1}, "b": {"slow": 1}}
 
 
 def test_control_nodes_add_up_what_their_gateways_say_and_show_it() -> None:
--- a/tests/emberring/control/test_tier_feed.py
+++ b/tests/emberring/control/test_tier_update_stream.py
@@ -6,19 +6,19 @@
 
 import pytest
 
-from emberring.control.board import Board
-from emberring.control.feed import Feed
+from emberring.control.cluster_state import ClusterState
+from emberring.control.update_stream import UpdateStream
 from emberring.distribution.contacts import Report
-from emberring.distribution.facts import NodeFact, NodeRole, ServerFact, ServerState
-from emberring.distribution.load import Word
+from emberring.distribution.load_report import LoadReportDetail
 from emberring.distribution.messages import Pull, Update
+from emberring.distribution.records import NodeRecord, NodeRole, ServerRecord, ServerState
 from emberring.transport.network import Caller
 
 CALLER = Caller("10.0.1.1:5")
 
 
-def gateway(number: int, role: NodeRole = NodeRole.GATEWAY) -> NodeFact:
-    return NodeFact(f"node-{number}", role, f"10.0.1.{number}:70", "z", "", f"n{number}")
+def gateway(number: int, role: NodeRole = NodeRole.GATEWAY) -> NodeRecord:
+    return NodeRecord(f"node-{number}", role, f"10.0.1.{number}:70", "z", "", f"n{number}")
 
 
 def answer_to(pull: Pull) -> Update:
@@ -26,15 +26,17 @@
 
     async def play() -> Update:
         now_s = asyncio.get_running_loop().time()
-        me = NodeFact("core-0", NodeRole.CONTROL, "10.0.0.1:70", "z", "d0", "c0")
-        board = Board(now_s - 20.0, me, [me.address], 1.2)
-        servers = [ServerFact(name, "llm", f"{name}:1", "z", 12, ServerState.READY, 1) for name in ("a", "b")]
+        me = NodeRecord("core-0", NodeRole.CONTROL, "10.0.0.1:70", "z", "d0", "c0")
+        board = ClusterState(now_s - 20.0, me, [me.address], 1.2)
+        servers = [
+            ServerRecord(name, "llm", f"{name}:1", "z", 12, ServerState.READY, 1) for name in ("a", "b")
+        ]
         board.state_servers(now_s - 20.0, servers)
         for step in range(100):  # as long as it takes until that is usual
             then_s = now_s - 20.0 + 0.2 * step
             board.node_called(then_s, gateway(1), Report({"a": 3, "b": 2}))
             board.load.usual(then_s, ())
-        return await Feed(board).on_pull(pull, CALLER)
+        return await UpdateStream(board).on_pull(pull, CALLER)
 
     return asyncio.run(play())
 
@@ -42,20 +44,25 @@
 @pytest.mark.parametrize(
     ("word", "load", "calls", "usual"),
     [
-        (Word.TOTALS, {"a": 1}, {}, {}),
-        (Word.EVERY_SERVER, {"a": 1}, {"a": 4, "b": 2}, {}),
-        (Word.SERVERS_IN_USE, {"a": 1}, {"a": 4}, {"a": 3.0}),
-        (Word.SERVERS_IN_USE, {"a": 1, "b": 0, "idle": 0}, {"a": 4, "b": 2, "idle": 0}, {"b": 2.0}),
-        (Word.SERVERS_IN_USE, {}, {}, {}),
+        (LoadReportDetail.TOTALS, {"a": 1}, {}, {}),
+        (LoadReportDetail.EVERY_SERVER, {"a": 1}, {"a": 4, "b": 2}, {}),
+        (LoadReportDetail.SERVERS_IN_USE, {"a": 1}, {"a": 4}, {"a": 3.0}),
+        (
+            LoadReportDetail.SERVERS_IN_USE,
+            {"a": 1, "b": 0, "idle": 0},
+            {"a": 4, "b": 2, "idle": 0},
+            {"b": 2.0},
+        ),
+        (LoadReportDetail.SERVERS_IN_USE, {}, {}, {}),
     ],
 )
 def test_what_is_told(
-    word: Word, load: dict[str, int], calls: dict[str, int], usual: dict[str, float]
+    word: LoadReportDetail, load: dict[str, int], calls: dict[str, int], usual: dict[str, float]
 ) -> None:
     update = answer_to(Pull(gateway(2), {}, load=load, tells_load=True, word=word))
     assert update.server_load == calls
     assert {name: update.usual_load[name] for name in usual} == pytest.approx(usual, abs=0.2)
-    assert set(update.usual_load) == (set(load) if word is Word.SERVERS_IN_USE else set())
+    assert set(update.usual_load) == (set(load) if word is LoadReportDetail.SERVERS_IN_USE else set())
     assert update.service_load == {"llm": 5 + load.get("a", 0)}
 
 
--- a/tests/emberring/control/tier_control_fixture.py
+++ b/tests/emberring/control/tier_control_fixture.py
@@ -12,9 +12,9 @@
 
 from emberring.control.http_server import HttpServer
 from emberring.control.node import ControlNode
-from emberring.distribution.facts import NodeFact, NodeRole
 from emberring.distribution.follower import Follower
-from emberring.errors import InDoubtError, NoQuorumError
+from emberring.distribution.records import NodeRecord, NodeRole
+from emberring.errors import NoQuorumError, UnknownOutcomeError
 from emberring.settings import Listen, Settings
 from emberring.transport.network import Network
 
@@ -48,7 +48,7 @@
         self.identity = identity
         self.shared = shared
         self.callbacks: list[Callable[[bytes], None]] = []
-        self.peers: list[NodeFact] = []
+        self.peers: list[NodeRecord] = []
         self.doubts: list[
             bool
         ] = []  # for coming changes: whether the change takes place although nobody is told
@@ -75,7 +75,7 @@
         if self.doubts:
             if self.doubts.pop(0) and wanted is not None:
                 self.shared.choose(wanted)
-            raise InDoubtError("no word of the outcome")
+            raise UnknownOutcomeError("no word of the outcome")
         if wanted is not None:
             self.shared.choose(wanted)
         return self.shared.value
@@ -97,7 +97,7 @@
         members = self.shared.members or {replica.identity for replica in self.shared.replicas}
         return 2 * len(members & identities) > len(members)
 
-    def note_peers(self, facts: Sequence[NodeFact]) -> None:
+    def note_peers(self, facts: Sequence[NodeRecord]) -> None:
         self.peers = list(facts)
 
 
@@ -239,7 +239,7 @@
     def __init__(self, seeds: list[str], name: str = "edge-1", role: NodeRole = NodeRole.GATEWAY) -> None:
         self.network = Network()
         identity = f"identity-of-{name}" if role is NodeRole.STORE else ""
-        me = NodeFact(name, role, f"{name}:1", "zone-0", identity, f"{name}-a")
+        me = NodeRecord(name, role, f"{name}:1", "zone-0", identity, f"{name}-a")
         self.follower = Follower(self.network, me, seeds)
 
     async def __aenter__(self) -> Follower:
--- a/tests/emberring/distribution/test_tier_calls_in_flight.py
+++ b/tests/emberring/distribution/test_tier_calls_in_flight.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from emberring.control.board import Board
-from emberring.control.load_ledger import NEGLIGIBLE, LoadLedger
-from emberring.control.signal import Signal
+from emberring.control.change_notifier import ChangeNotifier
+from emberring.control.cluster_state import ClusterState
+from emberring.control.load_aggregator import NEGLIGIBLE, LoadAggregator
 from emberring.distribution.contacts import LOAD_FRESH_S, Contacts, Report
-from emberring.distribution.facts import NodeFact, NodeRole, ServerFact, ServerState
 from emberring.distribution.follower import Follower
-from emberring.distribution.load import FREQUENT_PAIRS, Word, WordSchedule
+from emberring.distribution.load_report import FREQUENT_PAIRS, LoadReportDetail, LoadReportSchedule
 from emberring.distribution.messages import Delta, Exchange, Pull, ServerEntry, Update
+from emberring.distribution.records import NodeRecord, NodeRole, ServerRecord, ServerState
 from emberring.distribution.view import FollowerView
 from emberring.registry.known_load import GATEWAYS_BY_WORD, USUAL_S, KnownLoad
 from emberring.simulation.common.virtual_time import run_virtually
@@ -22,12 +22,12 @@
 from emberring.transport.network import Caller
 
 
-def gateway(number: int) -> NodeFact:
-    return NodeFact(f"edge-{number}", NodeRole.GATEWAY, f"edge-{number}:1", "z", "", str(number))
+def gateway(number: int) -> NodeRecord:
+    return NodeRecord(f"edge-{number}", NodeRole.GATEWAY, f"edge-{number}:1", "z", "", str(number))
 
 
-def server(name: str, service: str) -> ServerFact:
-    return ServerFact(name, service, f"{name}:1", "z", 12, ServerState.READY, 1)
+def server(name: str, service: str) -> ServerRecord:
+    return ServerRecord(name, service, f"{name}:1", "z", 12, ServerState.READY, 1)
 
 
 class Sources:
@@ -37,7 +37,7 @@
         self.loads = list(loads)
         self.asked = 0
         servers = {name: server(name, service) for name, service in (("a", "x"), ("b", "x"), ("c", "y"))}
-        self.ledger = LoadLedger(self._told, lambda now_s: 0.25, lambda: servers)
+        self.ledger = LoadAggregator(self._told, lambda now_s: 0.25, lambda: servers)
 
     def _told(self, now_s: float) -> list[Mapping[str, int]]:
         self.asked += 1
@@ -84,7 +84,7 @@
 
 def test_an_empty_load_counts_only_from_who_tells_loads() -> None:
     contacts = Contacts()
-    fact = NodeFact("edge-1", NodeRole.GATEWAY, "10.0.0.2:70", "zone")
+    fact = NodeRecord("edge-1", NodeRole.GATEWAY, "10.0.0.2:70", "zone")
     contacts.note(0.0, fact, Report({"i": 1}))
     contacts.note(0.1, fact)
     assert contacts.load(0.2) == {"i": 1}
@@ -105,16 +105,16 @@
 def test_each_servers_calls_are_asked_for_less_often_by_many(
     gateways: int, servers: int, every_s: float
 ) -> None:
-    schedule = WordSchedule()
-    asked = Word.EVERY_SERVER if every_s == 0.0 else Word.SERVERS_IN_USE
+    schedule = LoadReportSchedule()
+    asked = LoadReportDetail.EVERY_SERVER if every_s == 0.0 else LoadReportDetail.SERVERS_IN_USE
     assert schedule.next(10.0, gateways, servers, reporting=True) is asked
     schedule.answered(10.0, asked)
-    schedule.answered(10.1, Word.TOTALS)  # which is no word of a server
+    schedule.answered(10.1, LoadReportDetail.TOTALS)  # which is no word of a server
     assert schedule.next(10.0 + every_s + 0.001, gateways, servers, reporting=True) is asked
     early = schedule.next(10.0 + every_s - 0.01, gateways, servers, reporting=True)
-    assert early is (Word.EVERY_SERVER if every_s == 0.0 else Word.TOTALS)
+    assert early is (LoadReportDetail.EVERY_SERVER if every_s == 0.0 else LoadReportDetail.TOTALS)
     other = schedule.next(20.0, gateways, servers, reporting=False)
-    assert other is (Word.EVERY_SERVER if every_s == 0.0 else Word.TOTALS)
+    assert other is (LoadReportDetail.EVERY_SERVER if every_s == 0.0 else LoadReportDetail.TOTALS)
 
 
 def update(calls: dict[str, int], totals: dict[str, int], quorum_age_ms: float = 10.0) -> Update:
@@ -125,17 +125,17 @@
 
 def test_word_of_each_server_stays_where_only_the_totals_were_asked_for() -> None:
     view = FollowerView(0.0)
-    view.take(0.1, update({"i": 3}, {"x": 3}), word=Word.EVERY_SERVER)
-    view.take(0.2, update({}, {"x": 5}), word=Word.TOTALS)
+    view.take(0.1, update({"i": 3}, {"x": 3}), word=LoadReportDetail.EVERY_SERVER)
+    view.take(0.2, update({}, {"x": 5}), word=LoadReportDetail.TOTALS)
     assert view.load == KnownLoad({"i": 3}, None, {"x": 5}, pytest.approx(0.05))  # true when it was told
-    view.take(0.3, update({}, {}), word=Word.EVERY_SERVER)
+    view.take(0.3, update({}, {}), word=LoadReportDetail.EVERY_SERVER)
     assert view.load == KnownLoad({}, None, {}, pytest.approx(0.25))
 
 
 def test_a_control_node_that_is_cut_off_knows_no_load_and_is_not_taken_for_none() -> None:
     view = FollowerView(0.0)
     view.take(0.1, update({"i": 3}, {"x": 3}))
-    for word in Word:
+    for word in LoadReportDetail:
         view.take(0.2, update({}, {}, quorum_age_ms=5000.0), word)
         assert view.load == KnownLoad({"i": 3}, None, {"x": 3}, pytest.approx(0.05))
 
@@ -153,12 +153,12 @@
             ServerEntry("c", number, server(f"s{number}", "x")) for number in range(1, servers + 1)
         ]
         self.pulls: list[Pull] = []
-        self._news = Signal()
+        self._news = ChangeNotifier()
 
     async def _on_pull(self, pull: Pull, caller: Caller) -> Update:
         self.pulls.append(pull)
         await self._news.wait(pull.wait_ms / 1000)
-        calls = {} if pull.word is Word.TOTALS else {"i": 1}
+        calls = {} if pull.word is LoadReportDetail.TOTALS else {"i": 1}
         known = pull.vector.get("c", 0)
         entries = tuple(entry for entry in self.entries if entry.number > known)
         delta = Delta({"c": len(self.entries)}, entries)
@@ -179,7 +179,7 @@
         return {"i": 1}
 
     async def play() -> None:
-        me = NodeFact("edge-1", NodeRole.GATEWAY, "edge-1:1", "z", "", "1")
+        me = NodeRecord("edge-1", NodeRole.GATEWAY, "edge-1:1", "z", "", "1")
         network = HollowNetwork(hub, me.address)
         follower = Follower(network, me, ["core-0:1", "core-1:1"])
         follower.report = report
@@ -195,7 +195,7 @@
 
 def test_few_gateways_get_word_with_every_answer() -> None:
     telling, reports = asked_for(3, 20)
-    assert all(pull.word is Word.EVERY_SERVER for pull in telling.pulls)
+    assert all(pull.word is LoadReportDetail.EVERY_SERVER for pull in telling.pulls)
     assert all(pull.load == {"i": 1} for pull in telling.pulls if pull.tells_load)
     assert all(reports)
 
@@ -203,9 +203,9 @@
 def test_many_gateways_get_word_of_each_server_seldom_and_of_what_is_usual() -> None:
     telling, reports = asked_for(400, 100)
     later = telling.pulls[5:]
-    wanted = [pull for pull in later if pull.word is not Word.TOTALS]
+    wanted = [pull for pull in later if pull.word is not LoadReportDetail.TOTALS]
     assert 7 <= len(wanted) <= 11  # one in 3 s
-    assert all(pull.word is Word.SERVERS_IN_USE and pull.tells_load for pull in wanted)
+    assert all(pull.word is LoadReportDetail.SERVERS_IN_USE and pull.tells_load for pull in wanted)
     assert sum(pull.tells_load for pull in later) > 80  # this node's calls are told as often as ever
     assert sum(reports) < 15
 
@@ -217,7 +217,7 @@
         settled = telling.pulls[3:]
         assert {pull.wait_ms for pull in settled if pull.tells_load} == {wait_ms}
     telling, _ = asked_for(400, 40)
-    settled = [pull for pull in telling.pulls[5:] if pull.word is not Word.EVERY_SERVER]
+    settled = [pull for pull in telling.pulls[5:] if pull.word is not LoadReportDetail.EVERY_SERVER]
     assert {pull.wait_ms for pull in settled} == {300}
 
 
@@ -228,7 +228,7 @@
     enough = asyncio.Event()
 
     async def play() -> None:
-        me = NodeFact("edge-1", NodeRole.GATEWAY, "edge-1:1", "z", "", "1")
+        me = NodeRecord("edge-1", NodeRole.GATEWAY, "edge-1:1", "z", "", "1")
         follower = Follower(HollowNetwork(hub, me.address), me, ["core-0:1", "core-1:1"])
         follower.report = lambda word_follows: {"i": 1}
 
@@ -264,10 +264,10 @@
 
 
 def test_a_control_node_weighs_the_age_of_others_word_by_the_calls_it_tells_of() -> None:
-    me = NodeFact("core-0", NodeRole.CONTROL, "c0", "z", "", "x0")
-    board = Board(0.0, me, ["c0", "c1"], 1.2)
+    me = NodeRecord("core-0", NodeRole.CONTROL, "c0", "z", "", "x0")
+    board = ClusterState(0.0, me, ["c0", "c1"], 1.2)
     assert board.load_age_s(1.0) == 0.0
     board.node_called(1.0, gateway(1), Report({"a": 1}))
-    other = NodeFact("core-1", NodeRole.CONTROL, "c1", "z", "", "x1")
+    other = NodeRecord("core-1", NodeRole.CONTROL, "c1", "z", "", "x1")
     board.take_exchange(1.1, Exchange(other, "x0", Delta(), {}, {}, {"a": 3}, load_age_ms=200.0))
     assert board.load_age_s(1.2) == pytest.approx((1 * 0.2 + 3 * 0.3) / 4)
--- a/tests/emberring/distribution/test_tier_follower_view.py
+++ b/tests/emberring/distribution/test_tier_follower_view.py
@@ -11,10 +11,10 @@
 
 from emberring.configuration.reading import pack
 from emberring.distribution.contacts import Contacts, Report, summed
-from emberring.distribution.facts import NodeFact, NodeRole, ServerFact, ServerState
-from emberring.distribution.facts_store import FactStore
 from emberring.distribution.messages import Delta, Update
+from emberring.distribution.records import NodeRecord, NodeRole, ServerRecord, ServerState
 from emberring.distribution.sources import NEAR_AGAIN_S, SourceChoice
+from emberring.distribution.status_table import StatusTable
 from emberring.distribution.view import ORPHAN_S, PATIENCE_S, FollowerView
 from emberring.placement.model import Placement
 
@@ -25,15 +25,15 @@
     return pack(json.dumps({"Version": version, "Routes": [], "Services": []}).encode())
 
 
-def server(name: str, state: ServerState = READY, sequence: int = 1) -> ServerFact:
-    return ServerFact(name, "engine", "10.0.0.9:80", "zone", 48, state, sequence)
+def server(name: str, state: ServerState = READY, sequence: int = 1) -> ServerRecord:
+    return ServerRecord(name, "engine", "10.0.0.9:80", "zone", 48, state, sequence)
 
 
 class AControl:
     """A control node's answers."""
 
     def __init__(self, origin: str = "a") -> None:
-        self.store = FactStore(origin)
+        self.store = StatusTable(origin)
 
     def tell(self, view: FollowerView, now_s: float, **parts: Any) -> bool:
         base = Update(
@@ -159,8 +159,8 @@
 
 def test_nodes_are_those_in_contact_with_a_control_node_that_lives() -> None:
     view, first, second = FollowerView(0.0), AControl("a"), AControl("b")
-    store = NodeFact("store-1", NodeRole.STORE, "10.0.0.1:70", "zone", "id", "x")
-    edge = NodeFact("edge-1", NodeRole.GATEWAY, "10.0.0.2:70", "zone", "", "y")
+    store = NodeRecord("store-1", NodeRole.STORE, "10.0.0.1:70", "zone", "id", "x")
+    edge = NodeRecord("edge-1", NodeRole.GATEWAY, "10.0.0.2:70", "zone", "", "y")
     first.store.state_node(store, present=True)
     first.store.state_node(edge, present=True)
     first.tell(view, 0.1)
@@ -201,7 +201,7 @@
 
 def test_contacts_end_with_silence() -> None:
     contacts = Contacts()
-    fact = NodeFact("edge-1", NodeRole.GATEWAY, "10.0.0.2:70", "zone")
+    fact = NodeRecord("edge-1", NodeRole.GATEWAY, "10.0.0.2:70", "zone")
     assert contacts.note(0.0, fact, Report({"i": 1}))
     assert not contacts.note(0.5, fact)
     assert contacts.load(1.0) == {"i": 1}
@@ -352,7 +352,7 @@
             numbers[number] += rng.random() < 0.7
             state = rng.choice(list(ServerState))
             control.store.state_server(
-                ServerFact(f"i-{number}", "llm", f"h{number}:1", "z", 8, state, numbers[number])
+                ServerRecord(f"i-{number}", "llm", f"h{number}:1", "z", 8, state, numbers[number])
             )
         live = tuple(one.store.origin for one in controls if rng.random() < 0.7)
         before = dict(view.servers)
--- a/tests/emberring/distribution/test_tier_peers.py
+++ b/tests/emberring/distribution/test_tier_peers.py
@@ -5,7 +5,6 @@
 import attrs
 import pytest
 
-from emberring.distribution.facts import NodeFact, NodeRole
 from emberring.distribution.messages import Delta, Exchange
 from emberring.distribution.peers import (
     EXCHANGE_EVERY_S,
@@ -15,13 +14,14 @@
     RETRY_S,
     PeerTable,
 )
+from emberring.distribution.records import NodeRecord, NodeRole
 
 
-def control(number: int, incarnation: str = "x") -> NodeFact:
-    return NodeFact(f"core-{number}", NodeRole.CONTROL, f"c{number}", "zone", "", f"{incarnation}{number}")
+def control(number: int, incarnation: str = "x") -> NodeRecord:
+    return NodeRecord(f"core-{number}", NodeRole.CONTROL, f"c{number}", "zone", "", f"{incarnation}{number}")
 
 
-def said(fact: NodeFact, vector: dict[str, int] | None = None) -> Exchange:
+def said(fact: NodeRecord, vector: dict[str, int] | None = None) -> Exchange:
     return Exchange(fact, "x0", Delta(), vector or {}, {}, {"i": 2})
 
 
--- a/tests/emberring/distribution/test_tier_facts_store.py
+++ b/tests/emberring/distribution/test_tier_status_table.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from emberring.distribution.facts import NodeFact, NodeRole, ServerFact, ServerState
-from emberring.distribution.facts_store import FactStore
 from emberring.distribution.messages import Delta, NodeEntry, Pull, ServerEntry, Update
+from emberring.distribution.records import NodeRecord, NodeRole, ServerRecord, ServerState
+from emberring.distribution.status_table import StatusTable
 from emberring.registry.merge import merged
 from emberring.transport.messages import Envelope, decode, encode
 
@@ -17,20 +17,20 @@
 STATES = [ServerState.READY, ServerState.DRAINING, ServerState.GONE, ServerState.LOST]
 
 
-def server(name: str, state: ServerState = ServerState.READY, sequence: int = 1) -> ServerFact:
-    return ServerFact(name, "engine", "10.0.0.9:80", "zone", 48, state, sequence)
+def server(name: str, state: ServerState = ServerState.READY, sequence: int = 1) -> ServerRecord:
+    return ServerRecord(name, "engine", "10.0.0.9:80", "zone", 48, state, sequence)
 
 
-def node(name: str, incarnation: str = "x", role: NodeRole = NodeRole.STORE) -> NodeFact:
-    return NodeFact(name, role, "10.0.0.1:70", "zone", "identity", incarnation)
+def node(name: str, incarnation: str = "x", role: NodeRole = NodeRole.STORE) -> NodeRecord:
+    return NodeRecord(name, role, "10.0.0.1:70", "zone", "identity", incarnation)
 
 
-def give(sender: FactStore, receiver: FactStore) -> None:
+def give(sender: StatusTable, receiver: StatusTable) -> None:
     receiver.take(sender.newer_than(receiver.vector))
 
 
 def test_a_statement_reaches_a_third_node_through_a_second() -> None:
-    first, second, third = (FactStore(origin) for origin in ORIGINS)
+    first, second, third = (StatusTable(origin) for origin in ORIGINS)
     first.state_server(server("i-1"))
     first.state_node(node("store-1"), present=True)
     give(first, second)
@@ -42,7 +42,7 @@
 
 
 def test_only_what_is_newer_travels_and_of_one_key_only_the_newest() -> None:
-    first, second = FactStore("a"), FactStore("b")
+    first, second = StatusTable("a"), StatusTable("b")
     for sequence in range(1, 5):
         first.state_server(server("i-1", sequence=sequence))
     first.state_server(server("i-2"))
@@ -55,7 +55,7 @@
 
 
 def test_gateways_are_left_out_for_those_who_do_not_need_them() -> None:
-    store = FactStore("a")
+    store = StatusTable("a")
     store.state_node(node("edge-1", role=NodeRole.GATEWAY), present=True)
     store.state_node(node("store-1"), present=True)
     delta = store.newer_than({}, gateways=False)
@@ -64,19 +64,19 @@
 
 
 def test_an_end_and_a_later_word_of_another_origin_are_both_kept_until_joined() -> None:
-    first, second, third = (FactStore(origin) for origin in ORIGINS)
+    first, second, third = (StatusTable(origin) for origin in ORIGINS)
     first.state_server(server("i-1", ServerState.DRAINING, 10))
     second.state_server(server("i-1", ServerState.READY, 11))
     give(first, third)
     give(second, third)
-    fresh = FactStore("d")
+    fresh = StatusTable("d")
     give(third, fresh)
     assert fresh.servers()["i-1"].state is ServerState.DRAINING
     assert fresh.servers()["i-1"].sequence == 11
 
 
 def test_of_two_incarnations_the_one_told_last_counts() -> None:
-    store = FactStore("c")
+    store = StatusTable("c")
     store.take(Delta({"a": 1}, (), (NodeEntry("a", 1, node("store-1", "old"), True),)))
     store.take(Delta({"b": 1}, (), (NodeEntry("b", 1, node("store-1", "new"), True),)))
     assert store.live_nodes(["a", "b"], [NodeRole.STORE])["store-1"].incarnation == "new"
@@ -84,7 +84,7 @@
 
 
 def test_an_ended_origin_leaves_nothing_of_nodes() -> None:
-    store = FactStore("c")
+    store = StatusTable("c")
     store.take(Delta({"a": 2}, (), (NodeEntry("a", 1, node("store-1"), True),)))
     store.forget_origin("a")
     assert store.vector == {}
@@ -96,7 +96,7 @@
 
 
 def test_messages_survive_the_wire() -> None:
-    store = FactStore("a")
+    store = StatusTable("a")
     store.state_server(server("i-1", ServerState.DRAINING))
     store.state_node(node("store-1"), present=False)
     update = Update("a", 12.5, store.newer_than({}), ("a",), 3, 7, b"\x00packed\xff", None, {"i-1": 4})
@@ -111,9 +111,9 @@
     def __init__(self) -> None:
         super().__init__()
         self.starts = 0
-        self.stores = {origin: FactStore(origin) for origin in ORIGINS}
-        self.truth: dict[str, ServerFact] = {}
-        self.seen: dict[str, dict[str, ServerFact]] = {origin: {} for origin in ORIGINS}
+        self.stores = {origin: StatusTable(origin) for origin in ORIGINS}
+        self.truth: dict[str, ServerRecord] = {}
+        self.seen: dict[str, dict[str, ServerRecord]] = {origin: {} for origin in ORIGINS}
         self.flying: list[tuple[str, str, Delta]] = []
 
     @rule(
@@ -153,7 +153,7 @@
             store.servers() == self.stores[at].servers() for store in others
         ):  # what it stated is elsewhere
             self.starts += 1
-            self.stores[at] = FactStore(f"{at}{self.starts}")
+            self.stores[at] = StatusTable(f"{at}{self.starts}")
             self.seen[at] = {}
 
     @invariant()
@@ -171,7 +171,7 @@
                         give(self.stores[sender], self.stores[receiver])
         for store in self.stores.values():
             assert dict(store.servers()) == self.truth
-        fresh = FactStore("fresh")
+        fresh = StatusTable("fresh")
         give(self.stores["a"], fresh)
         assert dict(fresh.servers()) == self.truth
 
@@ -181,7 +181,7 @@
 
 
 def test_statements_of_ended_origins_do_not_pile_up() -> None:
-    store = FactStore("a")
+    store = StatusTable("a")
     for sequence in range(200):
         origin = f"origin-{sequence}"
         entry = ServerEntry(origin, 1, attrs.evolve(server("i-1"), sequence=sequence))
@@ -192,7 +192,7 @@
 
 
 def test_the_word_of_an_origin_that_lives_is_kept_beside_a_newer_one() -> None:
-    store = FactStore("a")
+    store = StatusTable("a")
     store.take(Delta({"b": 1}, (ServerEntry("b", 1, server("i-1", sequence=1)),)))
     store.take(Delta({"c": 1}, (ServerEntry("c", 1, server("i-1", sequence=5)),)))
     assert {entry.origin for entry in store.server_entries("i-1")} == {"b", "c"}
--- a/tests/emberring/emulator/test_tier_standin_server.py
+++ b/tests/emberring/emulator/test_tier_standin_server.py
@@ -9,7 +9,7 @@
 
 from emberring.emulator.engine import EngineSpec
 from emberring.emulator.http_calls import CALL_ERRORS, call_once
-from emberring.emulator.judge import judge_stream
+from emberring.emulator.invariant_checker import judge_stream
 from emberring.emulator.live_client import StreamCall, StreamEnd, try_once
 from emberring.emulator.model_server import ModelServer, ServerSpec
 from emberring.emulator.observations import Observations
--- a/tests/emberring/gateway/gateway_world.py
+++ b/tests/emberring/gateway/gateway_world.py
@@ -11,12 +11,12 @@
 
 from emberring.admission.types import Admitted, CallInfo, CallOutcome, Decision, NoServer
 from emberring.configuration.model import ClientLimits, Configuration, Route, RouteType, Service, Share
-from emberring.distribution.facts import ServerFact, ServerState
+from emberring.distribution.records import ServerRecord, ServerState
 from emberring.gateway import pool
 from emberring.gateway.app import Application
 from emberring.gateway.clients import ClientPort
 from emberring.gateway.execution import Executor
-from emberring.gateway.lots_api import LotsApi, NoLots
+from emberring.gateway.jobs_api import JobsApi, NoJobs
 from emberring.gateway.pool import ServerPool
 from emberring.gateway.servers import ServerBook
 
@@ -28,7 +28,7 @@
 @attrs.define
 class FakeDirectory:
     configuration: Configuration | None
-    servers: dict[str, ServerFact] = attrs.field(factory=dict)
+    servers: dict[str, ServerRecord] = attrs.field(factory=dict)
     gateway_count: int = 1
 
 
@@ -324,13 +324,13 @@
         self.book = ServerBook(self.directory)
         self.pool.set_shares(self.book.connection_share)
         self.executor = Executor(self.admission, self.pool, self.book)
-        self.lots: Any = NoLots()
+        self.jobs: Any = NoJobs()
         self.servers: list[ScriptedServer] = []
         self.clients: list[Client] = []
         self.port: ClientPort
 
     async def start(self) -> None:
-        self.port = ClientPort(Application(self.directory, self.executor, LotsApi(self.lots)), self.limits)
+        self.port = ClientPort(Application(self.directory, self.executor, JobsApi(self.jobs)), self.limits)
         await self.port.listen("127.0.0.1:0")
 
     def limits(self) -> ClientLimits:
@@ -345,7 +345,7 @@
         return server
 
     def know(self, server_id: str, address: str, state: ServerState = ServerState.READY) -> None:
-        self.directory.servers[server_id] = ServerFact(server_id, "s", address, "z", 8, state, 1)
+        self.directory.servers[server_id] = ServerRecord(server_id, "s", address, "z", 8, state, 1)
 
     async def client(self) -> Client:
         client = await Client.connect(self.port.port)
--- a/tests/emberring/gateway/test_tier_connect_patience.py
+++ b/tests/emberring/gateway/test_tier_connect_timeout.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from emberring.gateway.connect_patience import ENOUGH, LEAST_S, MOST_S, TIMES_USUAL, ConnectPatience
+from emberring.gateway.connect_timeout import ENOUGH, LEAST_S, MOST_S, TIMES_USUAL, ConnectTimeoutEstimator
 
 
 @pytest.fixture
@@ -12,8 +12,8 @@
     """Here the program's own bounds are looked at: nothing is changed."""
 
 
-def learned(seconds: float, count: int = 50) -> ConnectPatience:
-    patience = ConnectPatience()
+def learned(seconds: float, count: int = 50) -> ConnectTimeoutEstimator:
+    patience = ConnectTimeoutEstimator()
     for _ in range(count):
         patience.came_up(seconds)
     return patience
--- a/tests/emberring/gateway/test_tier_gateway_clients.py
+++ b/tests/emberring/gateway/test_tier_gateway_clients.py
@@ -22,8 +22,8 @@
 )
 
 from emberring.configuration.model import ClientLimits
-from emberring.gateway.departure import Departure, Stage
-from emberring.gateway.departure import Seen as Open
+from emberring.gateway.graceful_shutdown import GracefulShutdown, Stage
+from emberring.gateway.graceful_shutdown import Seen as Open
 
 TIGHT = ClientLimits(
     max_header_bytes=400, max_body_bytes=1000, header_timeout_ms=150.0, idle_timeout_ms=200.0
@@ -244,7 +244,7 @@
     ],
 )
 def test_departure_first_step(now_s: float, seen: Open, stage: Stage) -> None:
-    assert Departure(0.0, 8.0).step(now_s, seen) is stage
+    assert GracefulShutdown(0.0, 8.0).step(now_s, seen) is stage
 
 
 @pytest.mark.parametrize(
@@ -258,6 +258,6 @@
     ],
 )
 def test_departure_after_listening(now_s: float, seen: Open, stage: Stage) -> None:
-    departure = Departure(0.0, 8.0)
+    departure = GracefulShutdown(0.0, 8.0)
     assert departure.step(2.4, Open(0.0, 2, 1)) is Stage.STOP_LISTENING
     assert departure.step(now_s, seen) is stage
--- a/tests/emberring/gateway/test_tier_gateway_failures.py
+++ b/tests/emberring/gateway/test_tier_gateway_failures.py
@@ -25,7 +25,7 @@
 
 from emberring.admission.types import Refused
 from emberring.configuration.model import RouteType
-from emberring.distribution.facts import ServerState
+from emberring.distribution.records import ServerState
 from emberring.gateway import attempt, execution, pool
 from emberring.gateway.reply import Patience
 
--- a/tests/emberring/gateway/test_tier_gateway_items.py
+++ b/tests/emberring/gateway/test_tier_gateway_items.py
@@ -25,13 +25,13 @@
 from emberring.configuration.model import Route, RouteType
 from emberring.errors import (
     EmberringError,
-    InDoubtError,
     NotFoundError,
     NotReadyError,
     PeerTimeoutError,
     QuotaExceededError,
+    UnknownOutcomeError,
 )
-from emberring.gateway import execution, lots_api
+from emberring.gateway import execution, jobs_api
 from emberring.gateway.reply import Patience
 from emberring.jobs.items import ItemCall, ItemEvent, OutcomeKind
 
@@ -243,7 +243,7 @@
 # -------------------------------------------------------------------------- the batch interface
 
 
-class FakeLots:
+class FakeJobs:
     """Does what a test says, and remembers what it was asked."""
 
     def __init__(self, error: EmberringError | None = None, hang: bool = False) -> None:
@@ -257,25 +257,25 @@
         if self.error is not None:
             raise self.error
 
-    async def submit(self, host: str, route: Route, lot: str, body: bytes) -> None:
-        await self._do("submit", host, route.name, lot, body)
+    async def submit(self, host: str, route: Route, job: str, body: bytes) -> None:
+        await self._do("submit", host, route.name, job, body)
 
-    async def read(self, host: str, lot: str, start_after: int, wait_ms: float) -> bytes:
-        await self._do("read", host, lot, start_after, wait_ms)
+    async def read(self, host: str, job: str, start_after: int, wait_ms: float) -> bytes:
+        await self._do("read", host, job, start_after, wait_ms)
         return b'{"Total":0}'
 
-    async def item(self, host: str, lot: str, item: str) -> bytes:
-        await self._do("item", host, lot, item)
+    async def item(self, host: str, job: str, item: str) -> bytes:
+        await self._do("item", host, job, item)
         return b"\x00bytes"
 
-    async def end(self, host: str, lot: str) -> None:
-        await self._do("end", host, lot)
+    async def end(self, host: str, job: str) -> None:
+        await self._do("end", host, job)
 
 
-def with_lots(lots: FakeLots) -> Callable[[], World]:
+def with_jobs(jobs: FakeJobs) -> Callable[[], World]:
     def make() -> World:
         world = World((route("/lots/", RouteType.BATCH, timeout_ms=300.0), route("/", RouteType.IDEMPOTENT)))
-        world.lots = lots
+        world.jobs = jobs
         return world
 
     return make
@@ -300,16 +300,16 @@
 def test_calls_of_the_batch_interface(
     data: bytes, status: int, body: bytes, asked: tuple[object, ...]
 ) -> None:
-    lots = FakeLots()
+    jobs = FakeJobs()
 
     async def story(world: World) -> None:
         client = await world.client()
         await client.send(data)
         answer = await client.receive()
         assert (answer.status, answer.body) == (status, body)
-        assert lots.asked == [asked]
+        assert jobs.asked == [asked]
 
-    play(story, with_lots(lots))
+    play(story, with_jobs(jobs))
 
 
 @pytest.mark.parametrize(
@@ -317,15 +317,15 @@
     [
         (SUBMIT, QuotaExceededError(), 429, True),
         (SUBMIT, NotReadyError(), 503, True),
-        (SUBMIT, InDoubtError(), 504, False),
+        (SUBMIT, UnknownOutcomeError(), 504, False),
         (SUBMIT, PeerTimeoutError(), 504, False),
         (READ, NotFoundError(), 404, False),
-        (READ, InDoubtError(), 503, True),
+        (READ, UnknownOutcomeError(), 503, True),
         (READ, PeerTimeoutError(), 503, True),
         (ITEM, NotFoundError(), 404, False),
         (ITEM, NotReadyError(), 503, True),
         (END, NotFoundError(), 404, False),
-        (END, InDoubtError(), 504, False),
+        (END, UnknownOutcomeError(), 504, False),
         (END, NotReadyError(), 503, True),
     ],
 )
@@ -339,21 +339,21 @@
         assert answer.status == status
         assert ("retry-after" in answer.headers) == again
 
-    play(story, with_lots(FakeLots(error)))
+    play(story, with_jobs(FakeJobs(error)))
 
 
 @pytest.mark.parametrize(("data", "status"), [(SUBMIT, 504), (READ, 503), (ITEM, 503), (END, 504)])
 def test_stores_that_never_answer(data: bytes, status: int, monkeypatch: pytest.MonkeyPatch) -> None:
     for name in ("READ_SLACK_S", "END_LIMIT_S"):
-        monkeypatch.setattr(lots_api, name, 0.1)
-    monkeypatch.setattr(lots_api, "MAX_WAIT_MS", 50.0)
+        monkeypatch.setattr(jobs_api, name, 0.1)
+    monkeypatch.setattr(jobs_api, "MAX_WAIT_MS", 50.0)
 
     async def story(world: World) -> None:
         client = await world.client()
         await client.send(data)
         assert (await client.receive()).status == status
 
-    play(story, with_lots(FakeLots(hang=True)))
+    play(story, with_jobs(FakeJobs(hang=True)))
 
 
 @pytest.mark.parametrize(
@@ -365,15 +365,15 @@
     ],
 )
 def test_calls_that_can_not_be_read(data: bytes) -> None:
-    lots = FakeLots()
+    jobs = FakeJobs()
 
     async def story(world: World) -> None:
         client = await world.client()
         await client.send(data)
         assert (await client.receive()).status == 400
-        assert not lots.asked
+        assert not jobs.asked
 
-    play(story, with_lots(lots))
+    play(story, with_jobs(jobs))
 
 
 def test_a_whole_answer_of_a_server_without_events_completes_nothing() -> None:
--- a/tests/emberring/gateway/test_tier_gateway_pure.py
+++ b/tests/emberring/gateway/test_tier_gateway_pure.py
@@ -12,7 +12,7 @@
 
 from emberring.admission.types import PrefixPart
 from emberring.configuration.model import ClientLimits, Configuration, RouteType, Service, Share
-from emberring.distribution.facts import ServerFact, ServerState
+from emberring.distribution.records import ServerRecord, ServerState
 from emberring.errors import NotReadyError, OverloadedError, QuotaExceededError
 from emberring.gateway.answers import Verdict, answer_to, judge
 from emberring.gateway.calls import choose_service, read_milliseconds, read_parts, read_token_count
@@ -206,7 +206,7 @@
     for number, (service, state) in enumerate(
         [("s", ServerState.READY), ("s", ServerState.DRAINING), ("t", ServerState.READY)]
     ):
-        found.servers[f"i-{number}"] = ServerFact(f"i-{number}", service, "a:1", "z", 4, state, 1)
+        found.servers[f"i-{number}"] = ServerRecord(f"i-{number}", service, "a:1", "z", 4, state, 1)
     return found
 
 
--- a/tests/emberring/gateway/test_tier_gateway_role.py
+++ b/tests/emberring/gateway/test_tier_gateway_role.py
@@ -15,9 +15,9 @@
 from gateway_world import HOST, Client, ScriptedServer, Seen, Side, events, request, until
 
 from emberring.configuration.reading import pack
-from emberring.distribution.facts import ServerFact, ServerState
 from emberring.distribution.messages import Delta, Pull, ServerEntry, Update
-from emberring.gateway import departure
+from emberring.distribution.records import ServerRecord, ServerState
+from emberring.gateway import graceful_shutdown
 from emberring.gateway.role import Gateway
 from emberring.settings import Bounds, Listen, Settings
 from emberring.transport.network import Caller, Network
@@ -48,7 +48,7 @@
         self.network = Network()
         self.network.handle(Pull, self._pull)
         self.version = 0
-        self.facts: list[ServerFact] = []
+        self.facts: list[ServerRecord] = []
         self.pulls: list[Pull] = []
 
     async def _pull(self, pull: Pull, caller: Caller) -> Update:
@@ -122,7 +122,7 @@
         control.version = 3
         await until(lambda: gateway.follower.configuration is not None)
         assert (await ask(probe, PROBE)).status == 503
-        control.facts.append(ServerFact("i-1", "s", server.address, "z", 4, ServerState.READY, 1))
+        control.facts.append(ServerRecord("i-1", "s", server.address, "z", 4, ServerState.READY, 1))
         await until(lambda: "i-1" in gateway.follower.servers)
         assert (await ask(probe, PROBE)).status == 200
         assert (await ask(front, request())).body == events(1, 2)
@@ -131,7 +131,7 @@
         assert b"emberring_gateway_admission_cursor 0\n" in metrics.body
         assert b"emberring_gateway_admission_lot_share 0.85\n" in metrics.body
         assert (await ask(probe, b"GET /x HTTP/1.1\r\nHost: n\r\n\r\n")).status == 404
-        control.facts.append(ServerFact("i-1", "s", server.address, "z", 4, ServerState.DRAINING, 2))
+        control.facts.append(ServerRecord("i-1", "s", server.address, "z", 4, ServerState.DRAINING, 2))
         await until(lambda: gateway.book.sendable("i-1") is None)
         assert (await ask(front, request())).status == 503
         assert len(server.seen) == 1
@@ -147,7 +147,7 @@
 
 
 def test_a_gateway_that_leaves_answers_what_is_open(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(departure, "UNNOTICED_S", 0.1)
+    monkeypatch.setattr(graceful_shutdown, "UNNOTICED_S", 0.1)
 
     async def story(settings: Settings, control: FakeControl, server: ScriptedServer) -> None:
         told = asyncio.Event()
@@ -158,7 +158,7 @@
 
         server.scripts = [wait_and_stream]
         control.version = 1
-        control.facts.append(ServerFact("i-1", "s", server.address, "z", 4, ServerState.READY, 1))
+        control.facts.append(ServerRecord("i-1", "s", server.address, "z", 4, ServerState.READY, 1))
         gateway = Gateway(settings)
         await gateway.start()
         await until(lambda: gateway.readiness.ready(0.0))
@@ -180,7 +180,7 @@
 def test_the_process_lives_through_sighup_and_ends_at_sigterm(tmp_path: Path) -> None:
     async def story(settings: Settings, control: FakeControl, server: ScriptedServer) -> None:
         control.version = 1
-        control.facts.append(ServerFact("i-1", "s", server.address, "z", 4, ServerState.READY, 1))
+        control.facts.append(ServerRecord("i-1", "s", server.address, "z", 4, ServerState.READY, 1))
         path = tmp_path / "local.toml"
         path.write_text(
             f'NodeName = "g1"\nIp = "127.0.0.1"\nZone = "z"\nPortRange = {list(settings.port_range)}\n'
--- a/tests/emberring/jobs/test_tier_lots_client.py
+++ b/tests/emberring/jobs/test_tier_job_client.py
@@ -9,12 +9,11 @@
 import pytest
 
 from emberring.configuration.model import Configuration, Route, RouteType, Share
-from emberring.distribution.facts import NodeFact, NodeRole
+from emberring.distribution.records import NodeRecord, NodeRole
 from emberring.errors import (
     BadRequestError,
     DiskFailedError,
     EmberringError,
-    InDoubtError,
     NotFoundError,
     NotOwnerError,
     NotReadyError,
@@ -22,9 +21,10 @@
     PeerTimeoutError,
     PeerUnavailableError,
     QuotaExceededError,
+    UnknownOutcomeError,
 )
-from emberring.jobs.calls import LotPage, SubmitLot
-from emberring.jobs.client import LotClient
+from emberring.jobs.calls import JobPage, SubmitJob
+from emberring.jobs.client import JobClient
 from emberring.jobs.results import ResultState, encode_result
 from emberring.placement.model import SHARDS, Group, Placement, StoreMember
 from emberring.transport.messages import Ok
@@ -34,7 +34,7 @@
 NAMES = ("a", "b", "c")
 
 
-class Knowledge:
+class TierKnowledge:
     """Three stores that hold every shard."""
 
     configuration: Configuration | None = Configuration(7, (ROUTE,), ())
@@ -43,7 +43,7 @@
         {name: StoreMember(name, name, f"{name}:1") for name in NAMES},
         tuple(Group(shard, 1, NAMES) for shard in range(SHARDS)),
     )
-    nodes: ClassVar = {name: NodeFact(name, NodeRole.STORE, f"{name}:1", "", name) for name in NAMES}
+    nodes: ClassVar = {name: NodeRecord(name, NodeRole.STORE, f"{name}:1", "", name) for name in NAMES}
 
     def subscribe(self, callback: Callable[[], None]) -> None:
         """Nothing changes."""
@@ -70,7 +70,7 @@
 
 def submit(*script: Any) -> Wire:
     wire = Wire(*script)
-    client = LotClient(wire, Knowledge())  # type: ignore[arg-type]
+    client = JobClient(wire, TierKnowledge())  # type: ignore[arg-type]
     asyncio.run(client.submit(HOST, ROUTE, "lot", b"{}"))
     return wire
 
@@ -78,13 +78,13 @@
 def test_a_submission_carries_what_the_route_says() -> None:
     wire = submit(Ok())
     ((_, message),) = wire.asked
-    assert isinstance(message, SubmitLot)
+    assert isinstance(message, SubmitJob)
     assert (message.terms.version, message.terms.max_queued_tokens, message.terms.path) == (7, 9, "/batch/")
 
 
 def test_the_owner_is_found_and_remembered() -> None:
     wire = Wire("owner is c")
-    client = LotClient(wire, Knowledge())  # type: ignore[arg-type]
+    client = JobClient(wire, TierKnowledge())  # type: ignore[arg-type]
 
     async def play() -> None:
         await client.submit(HOST, ROUTE, "one", b"{}")
@@ -102,13 +102,13 @@
         ((PeerUnavailableError(), QuotaExceededError()), QuotaExceededError),
         ((NotOwnerError(), QuotaExceededError()), QuotaExceededError),
         ((OverloadedError(),), OverloadedError),
-        ((PeerTimeoutError(), OverloadedError()), InDoubtError),
+        ((PeerTimeoutError(), OverloadedError()), UnknownOutcomeError),
         ((NotOwnerError(),), NotReadyError),
         ((PeerUnavailableError(),), NotReadyError),
-        ((PeerTimeoutError(), QuotaExceededError()), InDoubtError),
-        ((InDoubtError(), QuotaExceededError()), InDoubtError),
-        ((DiskFailedError(), NotOwnerError()), InDoubtError),
-        ((PeerTimeoutError(),), InDoubtError),
+        ((PeerTimeoutError(), QuotaExceededError()), UnknownOutcomeError),
+        ((UnknownOutcomeError(), QuotaExceededError()), UnknownOutcomeError),
+        ((DiskFailedError(), NotOwnerError()), UnknownOutcomeError),
+        ((PeerTimeoutError(),), UnknownOutcomeError),
         ((PeerTimeoutError(), BadRequestError()), BadRequestError),
     ],
 )
@@ -127,12 +127,12 @@
 
 
 def read(*script: Any) -> bytes:
-    client = LotClient(Wire(*script), Knowledge())  # type: ignore[arg-type]
+    client = JobClient(Wire(*script), TierKnowledge())  # type: ignore[arg-type]
     return asyncio.run(client.read(HOST, "lot", 0, 0))
 
 
 def test_reads_ask_on_until_it_is_certain() -> None:
-    page = LotPage(3, 2, encode_result(0, "i", ResultState.DEAD_LETTER, ""))
+    page = JobPage(3, 2, encode_result(0, "i", ResultState.DEAD_LETTER, ""))
     found = b'{"Total":3,"NextPageToken":3,"Results":[{"Id":"i","State":"dead_letter","Message":""}]}'
     assert read(NotReadyError(), PeerTimeoutError(), NotOwnerError("a:1"), page) == found
     with pytest.raises(NotFoundError):
@@ -143,18 +143,18 @@
 
 @pytest.mark.parametrize(
     ("script", "kind"),
-    [((NotFoundError(),), NotFoundError), ((PeerTimeoutError(), NotOwnerError()), InDoubtError)],
+    [((NotFoundError(),), NotFoundError), ((PeerTimeoutError(), NotOwnerError()), UnknownOutcomeError)],
 )
 def test_ends(script: tuple[Any, ...], kind: type[EmberringError]) -> None:
-    client = LotClient(Wire(*script), Knowledge())  # type: ignore[arg-type]
+    client = JobClient(Wire(*script), TierKnowledge())  # type: ignore[arg-type]
     with pytest.raises(EmberringError) as caught:
         asyncio.run(client.end(HOST, "lot"))
     assert type(caught.value) is kind
 
 
 def test_without_a_known_store_nothing_was_done() -> None:
-    knowledge = Knowledge()
+    knowledge = TierKnowledge()
     knowledge.placement = None
-    client = LotClient(Wire(Ok()), knowledge)  # type: ignore[arg-type]
+    client = JobClient(Wire(Ok()), knowledge)  # type: ignore[arg-type]
     with pytest.raises(NotReadyError):
         asyncio.run(client.submit(HOST, ROUTE, "lot", b"{}"))
--- a/tests/emberring/jobs/test_tier_lots_book.py
+++ b/tests/emberring/jobs/test_tier_job_manager.py
@@ -12,38 +12,38 @@
 from emberring.errors import (
     BadRequestError,
     EmberringError,
-    InDoubtError,
     NotFoundError,
     NotReadyError,
     QuotaExceededError,
+    UnknownOutcomeError,
 )
-from emberring.jobs.book import LISTED_SLACK_S, LotBook
 from emberring.jobs.calls import (
     Assignment,
-    EndLot,
+    EndJob,
     EventData,
     FinishRun,
     ItemBody,
-    LotPage,
-    LotTerms,
+    JobPage,
+    JobTerms,
     ReadItem,
-    ReadLot,
+    ReadJob,
     ReportRuns,
     RunFinished,
     RunProgress,
-    SubmitLot,
+    SubmitJob,
 )
+from emberring.jobs.execution import ANNOUNCE_S, RETENTION_SLACK_S, RUN_LEASE_S
 from emberring.jobs.items import OutcomeKind
+from emberring.jobs.job_manager import LISTED_SLACK_S, JobManager
+from emberring.jobs.job_table import Answer, BookAction, Forget, Propose, Refuse
 from emberring.jobs.owned import OwnedRecords
 from emberring.jobs.packing import pack_events, squeeze, unpack_events
 from emberring.jobs.records import DEFINITION, END, FORGOTTEN
 from emberring.jobs.results import page_json
-from emberring.jobs.running import ANNOUNCE_S, RETENTION_SLACK_S, RUN_LEASE_S
-from emberring.jobs.shelf import Answer, BookAction, Forget, Propose, Refuse
 from emberring.transport.messages import Ok
 
 HOST = "lots.example"
-TERMS = LotTerms("r", "/batch/", 5, 8000.0, 40.0, 2, 100)
+TERMS = JobTerms("r", "/batch/", 5, 8000.0, 40.0, 2, 100)
 STATUS_S = 120.0
 
 
@@ -79,10 +79,10 @@
     proposed: list[Propose] = attrs.field(factory=list)
     forgotten: list[str] = attrs.field(factory=list)
     calls: int = 0
-    book: LotBook = attrs.field(init=False)
+    book: JobManager = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self.book = LotBook(0, self.records, STATUS_S, 1)
+        self.book = JobManager(0, self.records, STATUS_S, 1)
 
     def act(self, actions: list[BookAction]) -> None:
         for action in actions:
@@ -111,20 +111,20 @@
         self.calls += 1
         return self.calls
 
-    def submit(self, lot: str, content: bytes, terms: LotTerms = TERMS) -> Any:
+    def submit(self, job: str, content: bytes, terms: JobTerms = TERMS) -> Any:
         call = self.number()
-        self.act(self.book.submit(self.now_s, call, SubmitLot(HOST, lot, terms, squeeze(content))))
+        self.act(self.book.submit(self.now_s, call, SubmitJob(HOST, job, terms, squeeze(content))))
         return self.answers.get(call)
 
-    def read(self, lot: str, start: int = 0, wait_ms: int = 0) -> Any:
+    def read(self, job: str, start: int = 0, wait_ms: int = 0) -> Any:
         call = self.number()
-        self.act(self.book.read(self.now_s, call, ReadLot(HOST, lot, start, wait_ms)))
+        self.act(self.book.read(self.now_s, call, ReadJob(HOST, job, start, wait_ms)))
         found = self.answers.get(call)
-        return orjson.loads(page_json(found)) if isinstance(found, LotPage) else found
+        return orjson.loads(page_json(found)) if isinstance(found, JobPage) else found
 
-    def end(self, lot: str) -> Any:
+    def end(self, job: str) -> Any:
         call = self.number()
-        self.act(self.book.end(call, EndLot(HOST, lot)))
+        self.act(self.book.end(call, EndJob(HOST, job)))
         return self.answers.get(call)
 
     def take(self, room: int = 100, gateway: str = "g") -> list[Assignment]:
@@ -165,12 +165,12 @@
 
     def takeover(self) -> Desk:
         """Another owner with what lasts here."""
-        for key, lot in list(self.records.lots.items()):
-            for slot, owned in list(lot.slots.items()):
+        for key, job in list(self.records.jobs.items()):
+            for slot, owned in list(job.slots.items()):
                 if not owned.chosen:
                     self.records.erase(key, slot)
         other = Desk(self.records, self.now_s, calls=1000)
-        other.act(other.book.adopt(self.now_s, self.records.lots))
+        other.act(other.book.adopt(self.now_s, self.records.jobs))
         return other
 
 
@@ -181,7 +181,7 @@
 # Taking.
 
 
-def test_a_lot_is_accepted_once_it_lasts_and_only_once() -> None:
+def test_a_job_is_accepted_once_it_lasts_and_only_once() -> None:
     desk = Desk(at_once=False)
     assert desk.submit("l", body(2)) is None
     assert desk.submit("l", body(2)) is None
@@ -209,17 +209,17 @@
         body(201),
     ],
 )
-def test_what_is_no_lot_is_refused_and_leaves_nothing(content: bytes) -> None:
+def test_what_is_no_job_is_refused_and_leaves_nothing(content: bytes) -> None:
     desk = Desk()
     assert isinstance(desk.submit("l", content), BadRequestError)
-    assert desk.records.lots == {}
+    assert desk.records.jobs == {}
 
 
-def test_a_lot_that_does_not_fit_leaves_nothing_and_fits_later() -> None:
+def test_a_job_that_does_not_fit_leaves_nothing_and_fits_later() -> None:
     desk = Desk()
     assert desk.submit("one", body(6)) == Ok()
     assert isinstance(desk.submit("two", body(5)), QuotaExceededError)
-    assert "lots.example/two" not in desk.records.lots
+    assert "lots.example/two" not in desk.records.jobs
     assert isinstance(desk.read("two"), NotFoundError)
     assert desk.submit("three", body(4)) == Ok()
     item = desk.take(1)[0]
@@ -325,7 +325,7 @@
     assert [len(desk.read("l", start)["Results"]) for start in (0, 1, 2)] == [1, 2, 1]
 
 
-def test_bodies_are_given_until_the_lot_is_ended() -> None:
+def test_bodies_are_given_until_the_job_is_ended() -> None:
     desk = Desk()
     desk.submit("l", body(1))
     for name, found in (("i0", ItemBody(b"\xab\xcd")), ("other", None)):
@@ -476,7 +476,7 @@
     assert desk.read("l", 0, 1000)["Results"] == []
 
 
-def test_an_ended_lot_stays_ended_at_another_owner() -> None:
+def test_an_ended_job_stays_ended_at_another_owner() -> None:
     desk = Desk()
     desk.submit("l", body(2))
     desk.finish(desk.take(1)[0], found=events("x"))
@@ -522,7 +522,7 @@
     first, second = desk.take()
     desk.report(first, 0, events("a"))
     desk.finish(second, OutcomeKind.FAILED_500)
-    desk.act(desk.book.adopt(desk.now_s, desk.records.lots))
+    desk.act(desk.book.adopt(desk.now_s, desk.records.jobs))
     assert desk.report(first, 1, (EventData(1, "b"),)) == (True, 2)
     desk.pass_time(ANNOUNCE_S + 0.01)
     (again,) = desk.take()
@@ -540,11 +540,11 @@
     desk.finish(item, found=events("x"))
     desk.end("l")
     desk.act(desk.book.lose())
-    assert isinstance(desk.answers[2], InDoubtError)
+    assert isinstance(desk.answers[2], UnknownOutcomeError)
     assert isinstance(desk.answers[3], NotReadyError)
     assert desk.answers[4] == RunFinished(False)
-    assert isinstance(desk.answers[5], InDoubtError)
-    assert desk.book.lots == {}
+    assert isinstance(desk.answers[5], UnknownOutcomeError)
+    assert desk.book.jobs == {}
     assert all(not isinstance(answer, EmberringError) or answer.detail for answer in desk.answers.values())
 
 
@@ -557,7 +557,7 @@
         (False, STATUS_S + LISTED_SLACK_S + 1, True),
     ],
 )
-def test_lots_are_forgotten_after_their_time(ended: bool, age_s: float, forgotten: bool) -> None:
+def test_jobs_are_forgotten_after_their_time(ended: bool, age_s: float, forgotten: bool) -> None:
     desk = Desk()
     desk.submit("l", body(1), attrs.evolve(TERMS, retention_s=1000.0))
     desk.finish(desk.take(1)[0], found=events("x"))
@@ -571,17 +571,17 @@
         assert isinstance(desk.read("l"), NotFoundError)
 
 
-def test_a_lot_with_an_open_item_is_not_forgotten() -> None:
+def test_a_job_with_an_open_item_is_not_forgotten() -> None:
     desk = Desk()
     desk.submit("l", body(1), attrs.evolve(TERMS, retention_s=100_000.0))
     desk.pass_time(10 * STATUS_S)
     assert desk.forgotten == []
 
 
-def test_slots_without_a_definition_are_no_lot() -> None:
+def test_slots_without_a_definition_are_no_job() -> None:
     desk = Desk()
     desk.records.put("lots.example/l", END, b"", 0.0)
     desk.records.put("lots.example/m", DEFINITION, b"", 0.0)
     desk.records.put("lots.example/m", FORGOTTEN, b"", 0.0)
-    desk.act(desk.book.adopt(0.0, desk.records.lots))
-    assert desk.book.lots == {}
+    desk.act(desk.book.adopt(0.0, desk.records.jobs))
+    assert desk.book.jobs == {}
--- a/tests/emberring/jobs/test_tier_lots_records.py
+++ b/tests/emberring/jobs/test_tier_job_records.py
@@ -8,7 +8,7 @@
 
 from emberring.errors import CorruptRecordError
 from emberring.jobs.records import (
-    LotState,
+    JobState,
     Record,
     SlotState,
     Term,
@@ -37,8 +37,8 @@
     Record, KEYS, st.integers(-3, 2**31 - 1), st.integers(0, 2**32 - 1), st.binary(max_size=200)
 )
 SLOTS = st.builds(SlotState, TERMS, st.integers(0, 2**32 - 1), st.integers(0, 2**32 - 1))
-LOTS = st.builds(
-    LotState, st.integers(0, 2**32 - 1), st.dictionaries(st.integers(-3, 200), SLOTS, max_size=5)
+JOBS = st.builds(
+    JobState, st.integers(0, 2**32 - 1), st.dictionaries(st.integers(-3, 200), SLOTS, max_size=5)
 )
 SOME = st.lists(RECORDS, max_size=5).map(tuple)
 ENTRIES = st.one_of(
@@ -56,9 +56,9 @@
     assert unpack_records(pack_records(records)) == records
 
 
-@given(st.dictionaries(KEYS, LOTS, max_size=6))
-def test_inventories(lots: dict[str, LotState]) -> None:
-    assert unpack_inventory(pack_inventory(lots)) == lots
+@given(st.dictionaries(KEYS, JOBS, max_size=6))
+def test_inventories(jobs: dict[str, JobState]) -> None:
+    assert unpack_inventory(pack_inventory(jobs)) == jobs
 
 
 @given(st.integers(0, 255), st.floats(-1e12, 1e12), ENTRIES)
@@ -74,7 +74,7 @@
     payload = encode_entry(1, 2.0, Written(Term(1, 2, "me"), (record,)))
     with pytest.raises(CorruptRecordError):
         decode_entry(payload[:-cut])
-    inventory = pack_inventory({"k": LotState(1, {0: SlotState(Term(1, 1, "a"), 7, 8)})})
+    inventory = pack_inventory({"k": JobState(1, {0: SlotState(Term(1, 1, "a"), 7, 8)})})
     with pytest.raises(CorruptRecordError):
         unpack_inventory(inventory[:-1])
 
--- a/tests/emberring/jobs/test_tier_lots_merge.py
+++ b/tests/emberring/jobs/test_tier_merge.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from emberring.jobs.adoption import Adoption
 from emberring.jobs.lease import LEASE_S, OwnerLease, has_quorum
 from emberring.jobs.merge import merge, misplaced
+from emberring.jobs.owner_recovery import OwnerRecovery
 from emberring.jobs.records import (
     DEFINITION,
     FORGOTTEN,
-    LotState,
+    JobState,
     Record,
     SlotState,
     Term,
@@ -31,8 +31,8 @@
     return SlotState(term, checksum(value), len(value))
 
 
-def lot(slots: dict[int, SlotState], age_ms: int = 0) -> dict[str, LotState]:
-    return {"k": LotState(age_ms, slots)}
+def job(slots: dict[int, SlotState], age_ms: int = 0) -> dict[str, JobState]:
+    return {"k": JobState(age_ms, slots)}
 
 
 @pytest.mark.parametrize(
@@ -56,8 +56,8 @@
 def test_the_highest_term_wins_and_a_quorum_at_one_term_is_chosen() -> None:
     merged = merge(
         {
-            "a": lot({0: state(ONE), 1: state(ONE), 2: state(ONE, b"old")}, 500),
-            "b": lot({0: state(ONE), 1: state(TWO), 2: state(THREE, b"new")}, 700),
+            "a": job({0: state(ONE), 1: state(ONE), 2: state(ONE, b"old")}, 500),
+            "b": job({0: state(ONE), 1: state(TWO), 2: state(THREE, b"new")}, 700),
         },
         GROUP,
     )["k"]
@@ -72,17 +72,17 @@
 
 
 def test_while_members_join_both_sets_must_hold_a_chosen_record() -> None:
-    inventories = {"a": lot({0: state(ONE), 1: state(ONE)}), "b": lot({0: state(ONE), 1: state(ONE)})}
+    inventories = {"a": job({0: state(ONE), 1: state(ONE)}), "b": job({0: state(ONE), 1: state(ONE)})}
     assert not merge(inventories, JOINT)["k"].slots[0].chosen
-    inventories["c"] = lot({0: state(ONE)})
+    inventories["c"] = job({0: state(ONE)})
     merged = merge(inventories, JOINT)["k"]
     assert merged.slots[0].chosen
     assert not merged.slots[1].chosen
 
 
-def test_a_lot_that_is_marked_anywhere_is_forgotten() -> None:
+def test_a_job_that_is_marked_anywhere_is_forgotten() -> None:
     merged = merge(
-        {"a": lot({DEFINITION: state(ONE), 0: state(ONE)}), "b": lot({FORGOTTEN: state(TWO, b"")})}, GROUP
+        {"a": job({DEFINITION: state(ONE), 0: state(ONE)}), "b": job({FORGOTTEN: state(TWO, b"")})}, GROUP
     )
     assert set(merged["k"].slots) == {FORGOTTEN}
 
@@ -116,10 +116,10 @@
     mine = holding((ONE, 0, result(0)))
     inventories = {
         "a": mine.state(0.0),
-        "b": lot({0: state(ONE, result(0)), 1: state(ONE, result(1))}),
-        "c": lot({1: state(ONE, result(1))}),
+        "b": job({0: state(ONE, result(0)), 1: state(ONE, result(1))}),
+        "c": job({1: state(ONE, result(1))}),
     }
-    adoption = Adoption(0.0, inventories, GROUP, "a", mine)
+    adoption = OwnerRecovery(0.0, inventories, GROUP, "a", mine)
     ((asked, packed),) = adoption.wanted()
     assert asked == "b"
     assert [record.slot for record in unpack_records(packed)] == [1]
@@ -130,7 +130,7 @@
     assert not adoption.done
     adoption.fetched("c", [Record("k", 1, 0, result(1))])
     assert adoption.done
-    slots = adoption.lots()["k"].slots
+    slots = adoption.jobs()["k"].slots
     assert [slots[0].value, slots[1].value] == [result(0), result(1)]
     assert slots[0].chosen
     assert slots[1].chosen
@@ -138,7 +138,9 @@
 
 def test_without_a_source_the_adoption_is_stuck() -> None:
     mine = holding((ONE, 0, result(0)))
-    adoption = Adoption(0.0, {"a": mine.state(0.0), "b": lot({1: state(ONE, result(1))})}, GROUP, "a", mine)
+    adoption = OwnerRecovery(
+        0.0, {"a": mine.state(0.0), "b": job({1: state(ONE, result(1))})}, GROUP, "a", mine
+    )
     list(adoption.wanted())
     adoption.fetched("b", [Record("k", 1, 0, b"something else")])
     assert adoption.stuck
@@ -146,8 +148,8 @@
 
 def test_the_lower_terms_position_of_an_item_is_left_out() -> None:
     mine = holding((ONE, 3, result(7)), (TWO, 1, result(7)), (TWO, 0, result(2)))
-    adoption = Adoption(0.0, {"a": mine.state(0.0), "b": {}}, GROUP, "a", mine)
-    assert set(adoption.lots()["k"].slots) == {0, 1}
+    adoption = OwnerRecovery(0.0, {"a": mine.state(0.0), "b": {}}, GROUP, "a", mine)
+    assert set(adoption.jobs()["k"].slots) == {0, 1}
 
 
 def test_a_lease_counts_from_the_sending_to_a_quorum_of_both_sets() -> None:
--- a/tests/emberring/jobs/test_tier_lots_packing.py
+++ b/tests/emberring/jobs/test_tier_packing.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from emberring.errors import CorruptRecordError
-from emberring.jobs.calls import EventData, LotPage
+from emberring.jobs.calls import EventData, JobPage
 from emberring.jobs.packing import expand, pack_events, squeeze, unpack_events
 from emberring.jobs.results import ResultState, build_page, encode_result, item_index, page_json
 
@@ -43,7 +43,7 @@
     with pytest.raises(CorruptRecordError):
         expand(data)
     with pytest.raises(CorruptRecordError):
-        page_json(LotPage(1, 0, b"\0" * 10 + data))
+        page_json(JobPage(1, 0, b"\0" * 10 + data))
     with pytest.raises(CorruptRecordError):
         unpack_events(data or b"y")
 
--- a/tests/emberring/jobs/test_tier_lots_replica.py
+++ b/tests/emberring/jobs/test_tier_replica.py
@@ -5,13 +5,13 @@
 import pytest
 
 from emberring.jobs.messages import (
-    AskInventory,
     Claim,
     ClaimReply,
     DropSlots,
     Fetch,
     Fetched,
     Inventory,
+    InventoryRequest,
     Lease,
     Release,
     WriteReply,
@@ -64,7 +64,7 @@
     assert replica.oldest_wait_s(0.6) == pytest.approx(0.6)
     assert replica.persisted(1.0, persist.token, 3) == [Reply(7, WriteReply(True, OLD))]
     assert replica.value("k", 0) == b"v"
-    assert replica.lots["k"].accepted_s == pytest.approx(0.75)
+    assert replica.jobs["k"].accepted_s == pytest.approx(0.75)
     assert replica.oldest_wait_s(5.0) == 0.0
 
 
@@ -84,7 +84,7 @@
     assert replica.handle(0.0, 1, write(OLD, Record("k", 1, 0, b"late"))) == refused
     assert replica.handle(0.0, 1, drop(OLD, ("k", 0))) == refused
     assert replica.handle(0.0, 1, Claim(0, "me", NEW)) == [Reply(1, ClaimReply(False, NEW))]
-    assert replica.handle(0.0, 1, AskInventory(0, "me", OLD)) == [Reply(1, Inventory(None, NEW))]
+    assert replica.handle(0.0, 1, InventoryRequest(0, "me", OLD)) == [Reply(1, Inventory(None, NEW))]
     answer, actions = replica.touch(0.0, Lease(0, OLD))
     assert not answer.granted
     assert answer.promised == NEW
@@ -186,16 +186,16 @@
     assert replica.value("k", 1) == b"good"
 
 
-def test_a_marked_lot_is_erased_whole_and_the_mark_last() -> None:
+def test_a_marked_job_is_erased_whole_and_the_mark_last() -> None:
     replica = Replica(0)
     empty = replica.digest
     put(replica, OLD, "k", DEFINITION, b"d")
     put(replica, OLD, "k", FORGOTTEN, b"")
     settle(replica, replica.handle(0.0, 1, drop(OLD, ("k", DEFINITION))))
-    assert set(replica.lots["k"].slots) == {FORGOTTEN}
+    assert set(replica.jobs["k"].slots) == {FORGOTTEN}
     assert replica.bytes == 0
     settle(replica, replica.handle(0.0, 1, drop(OLD, ("k", FORGOTTEN))))
-    assert replica.lots == {}
+    assert replica.jobs == {}
     assert replica.digest == empty
 
 
@@ -208,7 +208,7 @@
     assert isinstance(reply, Reply)
     assert isinstance(reply.body, Fetched)
     assert unpack_records(reply.body.records) == [Record("k", 1, 2000, b"one")]
-    (reply,) = replica.handle(2.0, 1, AskInventory(0, "me", NEW))
+    (reply,) = replica.handle(2.0, 1, InventoryRequest(0, "me", NEW))
     assert isinstance(reply, Reply)
     held = unpack_inventory(reply.body.inventory)["k"]
     assert {slot: state.term for slot, state in held.slots.items()} == {0: OLD, 1: NEW}
@@ -233,7 +233,7 @@
     assert replica.leave(0.0) == []
     assert [entry for entry in replica.kept_in(0.0, 0) if isinstance(entry, Copied)] == []
     settle(replica, actions)
-    assert replica.lots == {}
+    assert replica.jobs == {}
     assert claimed(replica, OLD, 0.0) == ClaimReply(False, NEW)
 
 
@@ -276,5 +276,5 @@
     kept = replica.kept_in(0.0, 1)
     assert kept == [Promised(NEW), Copied(OLD, (Record("k", 1, 0, b"one"),))]
     replica.relocated(kept[1], 5)
-    assert replica.lots["k"].slots[1].segment == 5
+    assert replica.jobs["k"].slots[1].segment == 5
     assert replica.kept_in(0.0, 1) == [Promised(NEW)]
--- a/tests/emberring/jobs/test_tier_lots_owner.py
+++ b/tests/emberring/jobs/test_tier_shard_owner.py
@@ -6,7 +6,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
-from tier_lots_trio import Trio
+from tier_jobs_trio import Trio
 
 from emberring.jobs.lease import LEASE_S
 from emberring.jobs.messages import Claim
@@ -34,8 +34,8 @@
 def held(trio: Trio, name: str) -> dict[tuple[str, int], bytes]:
     return {
         (key, slot): found.value
-        for key, lot in trio.nodes[name].replica.lots.items()
-        for slot, found in lot.slots.items()
+        for key, job in trio.nodes[name].replica.jobs.items()
+        for slot, found in job.slots.items()
     }
 
 
@@ -250,13 +250,13 @@
     trio.deliver_all()
     other = next(name for name in "abc" if name != owner)
     replica = trio.nodes[other].replica
-    del replica.lots["k"]
+    del replica.jobs["k"]
     replica.digest = 12345
     trio.pass_time(4.0)
     assert held(trio, other) == {("k", 0): value(1)}
 
 
-def test_a_forgotten_lot_leaves_no_trace_and_does_not_come_back() -> None:
+def test_a_forgotten_job_leaves_no_trace_and_does_not_come_back() -> None:
     trio = settled()
     owner = trio.the_owner()
     away = next(name for name in "abc" if name != owner)
@@ -348,8 +348,8 @@
             self.number += 1
             # As the book does: an item has one position, a position one result.
             key = f"k{self.number % 2}"
-            lot = owner.records.lots.get(key)
-            values = {found: owned.value for found, owned in lot.slots.items()} if lot else {}
+            job = owner.records.jobs.get(key)
+            values = {found: owned.value for found, owned in job.slots.items()} if job else {}
             if slot not in values and item not in {item_index(found) for found in values.values()}:
                 self.trio.propose(name, key, slot, value(item, str(self.number)))
 
--- a/tests/emberring/jobs/tier_lots_trio.py
+++ b/tests/emberring/jobs/tier_jobs_trio.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from emberring.jobs.messages import Touch
+from emberring.jobs.messages import RenewLeases
 from emberring.jobs.owner import BecameOwner, Chosen, LostOwnership, Moved, OwnerAction, Send, ShardOwner
 from emberring.jobs.replica import REFUSE_S, Action, Fail, Persist, Replica, Reply
 from emberring.jobs.replica_log import Entry
@@ -87,8 +87,8 @@
             elif isinstance(action, BecameOwner):
                 node.truth = {
                     (key, slot): owned.value
-                    for key, lot in action.lots.items()
-                    for slot, owned in lot.slots.items()
+                    for key, job in action.jobs.items()
+                    for slot, owned in job.slots.items()
                 }
                 for ref, value in self.chosen.items():
                     assert node.truth.get(ref) == value, f"{node.name} does not know {ref}"
@@ -154,7 +154,7 @@
         for target in list(self.nodes.values()):
             leases = node.owner.leases(target.name)
             if leases and target.name not in self.cut:
-                message = Touch(name, target.name, tuple(leases))
+                message = RenewLeases(name, target.name, tuple(leases))
                 answer, actions = target.replica.touch(self.now_s, message.leases[0])
                 self.settle(target, actions)
                 self.act(node, node.owner.touched(self.now_s, target.name, self.now_s, answer))
