--- a/tests/emberring/membership/test_tier_view.py
+++ b/tests/emberring/membership/test_tier_view.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from emberring.distribution.facts import NodeFact, NodeRole
+from emberring.distribution.records import NodeRecord, NodeRole
 from emberring.membership.view import (
     CONTROL_VIEW_SIZE,
     FORGET_AGE_S,
@@ -17,8 +17,8 @@
 )
 
 
-def node(number: int, role: NodeRole = NodeRole.GATEWAY) -> NodeFact:
-    return NodeFact(f"{role.value}-{number}", role, f"10.0.{number // 250}.{number % 250}:77", "a")
+def node(number: int, role: NodeRole = NodeRole.GATEWAY) -> NodeRecord:
+    return NodeRecord(f"{role.value}-{number}", role, f"10.0.{number // 250}.{number % 250}:77", "a")
 
 
 def system(gateways: int, controls: int) -> dict[str, PartialView]:
@@ -94,7 +94,7 @@
 
 def test_the_younger_word_for_a_node_wins() -> None:
     view = PartialView(node(1), 1)
-    moved = NodeFact("gateway-2", NodeRole.GATEWAY, "10.9.9.9:77", "a")
+    moved = NodeRecord("gateway-2", NodeRole.GATEWAY, "10.9.9.9:77", "a")
     view.on_shuffle(10.0, "x", (Descriptor(moved, 1.0),))
     view.on_shuffle(10.0, "x", (Descriptor(node(2), 5.0),))
     assert [item.address for item in view.nodes()] == ["10.9.9.9:77"]
--- a/tests/emberring/placement/test_tier_placement.py
+++ b/tests/emberring/placement/test_tier_placement.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from emberring.distribution.facts import NodeFact, NodeRole
+from emberring.distribution.records import NodeRecord, NodeRole
 from emberring.errors import ConflictError, NotFoundError
 from emberring.placement.model import SHARDS, Group, Placement, finish_move, in_order, shard_of
 from emberring.placement.planning import (
@@ -21,17 +21,17 @@
 from emberring.placement.retirement import begin_retire, retire_state
 
 
-def store(name: str, identity: str = "", zone: str = "", address: str = "") -> NodeFact:
-    return NodeFact(
+def store(name: str, identity: str = "", zone: str = "", address: str = "") -> NodeRecord:
+    return NodeRecord(
         name, NodeRole.STORE, address or f"{name}:1", zone or f"zone-{name}", identity or f"id-{name}"
     )
 
 
-def stores(*names: str) -> list[NodeFact]:
+def stores(*names: str) -> list[NodeRecord]:
     return [store(name) for name in names]
 
 
-def first_table(live: list[NodeFact], memory: PlanMemory | None = None) -> Placement:
+def first_table(live: list[NodeRecord], memory: PlanMemory | None = None) -> Placement:
     memory = memory or PlanMemory()
     assert plan(None, live, 0.0, 1, memory) is None
     placement = plan(None, live, SETTLE_S, 1, memory)
--- a/tests/emberring/register/test_tier_register_acceptor.py
+++ b/tests/emberring/register/test_tier_register_acceptor.py
@@ -7,15 +7,23 @@
 from emberring.errors import CorruptRecordError
 from emberring.register.acceptor import Acceptor
 from emberring.register.messages import Accept, Accepted, Held, Prepare, Promise, Query, Refuse, Stranger
-from emberring.register.model import GENESIS, Ballot, Member, Proposal, ReplicaSet, State, founding_proposal
+from emberring.register.model import (
+    GENESIS,
+    Member,
+    Proposal,
+    ProposalNumber,
+    ReplicaSet,
+    State,
+    founding_proposal,
+)
 
 ME = "founder:a:1"
 FOUNDING = founding_proposal(("a:1", "b:1", "c:1"))
 REPLICAS = FOUNDING.state.replicas
 
 
-def ballot(counter: int, proposer: str = "p") -> Ballot:
-    return Ballot(counter, proposer)
+def ballot(counter: int, proposer: str = "p") -> ProposalNumber:
+    return ProposalNumber(counter, proposer)
 
 
 def state(payload: bytes | None) -> State:
@@ -68,7 +76,7 @@
         (ballot(5, "p"), ballot(5, "q"), True),
     ],
 )
-def test_older_ballots_are_refused(promised: Ballot, asked: Ballot, taken: bool) -> None:
+def test_older_ballots_are_refused(promised: ProposalNumber, asked: ProposalNumber, taken: bool) -> None:
     for call in (Prepare(ME, asked), Accept(ME, asked, state(b"v"))):
         acceptor = founder()
         acceptor.prepare(Prepare(ME, promised))
--- a/tests/emberring/register/test_tier_register_changes.py
+++ b/tests/emberring/register/test_tier_register_changes.py
@@ -8,9 +8,9 @@
 from emberring.register.changes import Candidate, View, next_set
 from emberring.register.contacts import Contacts
 from emberring.register.events import Peer
-from emberring.register.keeper import SetKeeper, SetStep
 from emberring.register.messages import Pong
-from emberring.register.model import Ballot, Member, Proposal, ReplicaSet, State
+from emberring.register.model import Member, Proposal, ProposalNumber, ReplicaSet, State
+from emberring.register.replica_set_manager import ReconfigurationStep, ReplicaSetManager
 
 A, B, C, D, E = (Member(name, f"{name}:1") for name in "abcde")
 OLD = ReplicaSet(0, (A, B, C))
@@ -68,9 +68,9 @@
 # Who acts, and when.
 
 
-def keeper(me: Member = A, seeds: tuple[str, ...] = ()) -> tuple[SetKeeper, Contacts]:
+def keeper(me: Member = A, seeds: tuple[str, ...] = ()) -> tuple[ReplicaSetManager, Contacts]:
     contacts = Contacts(me, 0.0, seeds)
-    return SetKeeper(me, 3, contacts), contacts
+    return ReplicaSetManager(me, 3, contacts), contacts
 
 
 def hear(contacts: Contacts, now_s: float, replicas: ReplicaSet, answers: dict[str, Pong | None]) -> None:
@@ -80,17 +80,20 @@
         contacts.answered(address, answers.get(address))
 
 
-def pong(identity: str, learned: Ballot | None = None) -> Pong:
+def pong(identity: str, learned: ProposalNumber | None = None) -> Pong:
     return Pong(identity, learned)
 
 
 def learned(replicas: ReplicaSet) -> Proposal:
-    return Proposal(Ballot(7, "p"), State(replicas, b"v"))
+    return Proposal(ProposalNumber(7, "p"), State(replicas, b"v"))
 
 
 def play(
-    setup: tuple[SetKeeper, Contacts], replicas: ReplicaSet, answers: dict[str, Pong | None], until_s: float
-) -> tuple[float, SetStep] | None:
+    setup: tuple[ReplicaSetManager, Contacts],
+    replicas: ReplicaSet,
+    answers: dict[str, Pong | None],
+    until_s: float,
+) -> tuple[float, ReconfigurationStep] | None:
     """When the first step is wanted, looking every 50 ms."""
     found, contacts = setup
     now_s = 0.0
@@ -172,11 +175,11 @@
 
 def test_a_joint_set_waits_for_the_new_one_to_hold_the_value_or_for_its_time() -> None:
     joint = ReplicaSet(1, OLD.members, (A, B, D))
-    holds = play(keeper(), joint, {**ALL, "d:1": pong("d", Ballot(7, "p"))}, 5.0)
+    holds = play(keeper(), joint, {**ALL, "d:1": pong("d", ProposalNumber(7, "p"))}, 5.0)
     assert holds is not None
     assert holds[0] < 0.2
     assert holds[1].following == ReplicaSet(2, (A, B, D))
-    late = play(keeper(), joint, {**ALL, "d:1": pong("d", Ballot(6, "p"))}, 5.0)
+    late = play(keeper(), joint, {**ALL, "d:1": pong("d", ProposalNumber(6, "p"))}, 5.0)
     assert late is not None
     assert 1.0 < late[0] < 1.3
 
--- a/tests/emberring/register/test_tier_register_crossings.py
+++ b/tests/emberring/register/test_tier_register_crossings.py
@@ -11,20 +11,20 @@
 from emberring.register.events import (
     Action,
     Call,
-    ChangeAsked,
+    ChangeRequested,
     Event,
-    ReadAsked,
+    ReadRequested,
     Received,
     Replied,
     Resolve,
     Tick,
 )
 from emberring.register.messages import Accept, Held, Prepare, Query
-from emberring.register.model import Ballot, Member, State, founding_identity, founding_proposal
+from emberring.register.model import Member, ProposalNumber, State, founding_identity, founding_proposal
 from emberring.register.node import RegisterNode
 
 ADDRESSES = ("core-a", "core-b", "core-c")
-OTHER = Ballot(50, "another proposer")
+OTHER = ProposalNumber(50, "another proposer")
 NEWER = b"the newer value"
 PATIENCE_S = 5.0
 
@@ -109,7 +109,7 @@
 def begun_before_the_change() -> tuple[Crossing, object]:
     """A ballot is under way; the second replica's promise, given before the other change, has not come yet."""
     crossing = Crossing()
-    crossing.handle(ChangeAsked(1, leave_it, crossing.now_s + PATIENCE_S))
+    crossing.handle(ChangeRequested(1, leave_it, crossing.now_s + PATIENCE_S))
     late = crossing.calls_of(Prepare, "core-b")
     assert len(late) == 1
     promise = crossing.judge("core-b", late[0])
@@ -120,7 +120,7 @@
 
 def test_an_order_is_not_refused_on_promises_older_than_itself() -> None:
     crossing, late_promise = begun_before_the_change()
-    crossing.handle(ChangeAsked(2, wants_newer, crossing.now_s + PATIENCE_S))
+    crossing.handle(ChangeRequested(2, wants_newer, crossing.now_s + PATIENCE_S))
     crossing.handle(late_promise)  # type: ignore[arg-type]
     assert 1 in crossing.resolved  # asked before the other change: either value would do
     assert 2 not in crossing.resolved
@@ -133,7 +133,7 @@
 
 def test_a_read_is_not_answered_from_promises_older_than_itself() -> None:
     crossing, late_promise = begun_before_the_change()
-    crossing.handle(ReadAsked(2, crossing.now_s + PATIENCE_S))
+    crossing.handle(ReadRequested(2, crossing.now_s + PATIENCE_S))
     queries = [call for address in ADDRESSES for call in crossing.calls_of(Query, address)]
     assert len(queries) == 3
     for call in queries:  # the replicas' words do not show what is chosen: the read waits for a ballot
@@ -147,8 +147,8 @@
 @pytest.mark.parametrize("patience_s", [0.05])
 def test_a_job_that_waits_for_promises_still_ends_in_time(patience_s: float) -> None:
     crossing = Crossing()
-    crossing.handle(ChangeAsked(1, leave_it, crossing.now_s + patience_s))
-    crossing.handle(ChangeAsked(2, leave_it, crossing.now_s + patience_s))
+    crossing.handle(ChangeRequested(1, leave_it, crossing.now_s + patience_s))
+    crossing.handle(ChangeRequested(2, leave_it, crossing.now_s + patience_s))
     assert crossing.node.next_wake_s(crossing.now_s) <= crossing.now_s + patience_s
     crossing.now_s += patience_s
     crossing.handle(Tick())
--- a/tests/emberring/register/test_tier_register_proposer.py
+++ b/tests/emberring/register/test_tier_register_proposer.py
@@ -5,19 +5,19 @@
 import pytest
 
 from emberring.register.messages import Accept, Accepted, Held, Prepare, Promise, Query, Refuse, Stranger
-from emberring.register.model import GENESIS, Ballot, Member, Proposal, ReplicaSet, State
-from emberring.register.proposer import Phase, QueryRound, Round, Send
+from emberring.register.model import GENESIS, Member, Proposal, ProposalNumber, ReplicaSet, State
+from emberring.register.proposer import Phase, ProposalAttempt, QuorumRead, Send
 
 A, B, C, D, E = (Member(name, f"{name}:1") for name in "abcde")
 OLD = ReplicaSet(0, (A, B, C))
 JOINT = ReplicaSet(1, (A, B, C), (A, B, D))
 NEW = ReplicaSet(2, (A, B, D))
 FIRST = Proposal(GENESIS, State(OLD))
-MINE = Ballot(5, "me")
+MINE = ProposalNumber(5, "me")
 
 
 def proposal(counter: int, replicas: ReplicaSet, payload: bytes | None) -> Proposal:
-    return Proposal(Ballot(counter, "other"), State(replicas, payload))
+    return Proposal(ProposalNumber(counter, "other"), State(replicas, payload))
 
 
 def promise(member: Member, accepted: Proposal | None) -> Promise:
@@ -26,23 +26,23 @@
     return Promise(member.identity, MINE, accepted.ballot, accepted.state)
 
 
-def put(payload: bytes) -> Round:
-    return Round(MINE, FIRST, lambda found, chosen: State(found.state.replicas, payload))
+def put(payload: bytes) -> ProposalAttempt:
+    return ProposalAttempt(MINE, FIRST, lambda found, chosen: State(found.state.replicas, payload))
 
 
-def keep() -> Round:
-    return Round(MINE, FIRST, lambda found, chosen: found.state)
+def keep() -> ProposalAttempt:
+    return ProposalAttempt(MINE, FIRST, lambda found, chosen: found.state)
 
 
-def to(replicas: ReplicaSet) -> Round:
-    return Round(MINE, FIRST, lambda found, chosen: State(replicas, found.state.payload))
+def to(replicas: ReplicaSet) -> ProposalAttempt:
+    return ProposalAttempt(MINE, FIRST, lambda found, chosen: State(replicas, found.state.payload))
 
 
 def targets(sends: list[Send], kind: type) -> list[str]:
     return [send.member.identity for send in sends if isinstance(send.message, kind)]
 
 
-def accepted_by(ballot: Round, *members: Member) -> None:
+def accepted_by(ballot: ProposalAttempt, *members: Member) -> None:
     for member in members:
         ballot.on_reply(member, Accepted(member.identity, MINE))
 
@@ -65,7 +65,9 @@
 def test_the_newest_proposal_found_is_the_basis() -> None:
     older, newer = proposal(2, OLD, b"older"), proposal(3, OLD, b"newer")
     seen: list[tuple[Proposal, bool]] = []
-    ballot = Round(MINE, FIRST, lambda found, chosen: seen.append((found, chosen)) or State(OLD, b"v"))
+    ballot = ProposalAttempt(
+        MINE, FIRST, lambda found, chosen: seen.append((found, chosen)) or State(OLD, b"v")
+    )
     ballot.start(OLD.everyone)
     ballot.on_reply(A, promise(A, older))
     ballot.on_reply(B, promise(B, newer))
@@ -94,7 +96,9 @@
 
 def test_a_state_left_out_is_the_one_known() -> None:
     known = proposal(3, OLD, b"known")
-    ballot = Round(MINE, known, lambda found, chosen: State(OLD, (found.state.payload or b"") + b"!"))
+    ballot = ProposalAttempt(
+        MINE, known, lambda found, chosen: State(OLD, (found.state.payload or b"") + b"!")
+    )
     sends = ballot.start(OLD.everyone)
     assert {send.message.known for send in sends if isinstance(send.message, Prepare)} == {known.ballot}
     ballot.on_reply(A, Promise("a", MINE, known.ballot))
@@ -166,7 +170,7 @@
         ballot.on_reply(A, promise(A, FIRST))
 
 
-@pytest.mark.parametrize("reply", [None, Refuse("x", Ballot(9, "q")), Stranger("x"), "nonsense"])
+@pytest.mark.parametrize("reply", [None, Refuse("x", ProposalNumber(9, "q")), Stranger("x"), "nonsense"])
 def test_a_ballot_fails_once_no_quorum_is_left(reply: object) -> None:
     ballot = put(b"v")
     ballot.start(OLD.everyone)
@@ -183,17 +187,17 @@
     ballot.on_reply(A, promise(A, FIRST))
     ballot.on_reply(B, promise(B, FIRST))
     accepted_by(ballot, A)
-    ballot.on_reply(B, Refuse("b", Ballot(9, "q")))
+    ballot.on_reply(B, Refuse("b", ProposalNumber(9, "q")))
     ballot.on_reply(C, None)
     assert ballot.phase is Phase.FAILED
-    assert ballot.refused_by == Ballot(9, "q")
+    assert ballot.refused_by == ProposalNumber(9, "q")
     assert ballot.sent_accept
 
 
 def test_replies_of_other_ballots_and_replicas_count_nothing() -> None:
     ballot = put(b"v")
     ballot.start(OLD.everyone)
-    ballot.on_reply(A, Promise("a", Ballot(4, "me"), GENESIS, FIRST.state))
+    ballot.on_reply(A, Promise("a", ProposalNumber(4, "me"), GENESIS, FIRST.state))
     ballot.on_reply(B, Promise("c", MINE, GENESIS, FIRST.state))
     assert ballot.phase is Phase.FAILED
 
@@ -223,7 +227,7 @@
 def test_a_query_shows_what_a_quorum_holds(
     answers: list[tuple[Member, Proposal | None]], chosen: Proposal | None, finished: bool
 ) -> None:
-    query = QueryRound(FIRST)
+    query = QuorumRead(FIRST)
     assert targets(query.start(OLD.everyone), Query) == ["a", "b", "c"]
     for member, found in answers:
         query.on_reply(member, held(member, found))
@@ -232,7 +236,7 @@
 
 
 def test_a_query_without_answers_ends_with_nothing() -> None:
-    query = QueryRound(FIRST)
+    query = QuorumRead(FIRST)
     query.start(OLD.everyone)
     for member in (A, B, C):
         query.on_reply(member, None)
--- a/tests/emberring/register/test_tier_register_quorums.py
+++ b/tests/emberring/register/test_tier_register_quorums.py
@@ -11,8 +11,8 @@
 
 from emberring.register.acceptor import Acceptor, Verdict
 from emberring.register.messages import Accept, Prepare, Query
-from emberring.register.model import Ballot, Member, Proposal, ReplicaSet, State, founding_proposal
-from emberring.register.proposer import Phase, Round, Send
+from emberring.register.model import Member, Proposal, ProposalNumber, ReplicaSet, State, founding_proposal
+from emberring.register.proposer import Phase, ProposalAttempt, Send
 
 ADDRESSES = ("a", "b", "c")
 SPARES = ("d", "e")
@@ -22,7 +22,7 @@
 class Flight:
     """A message under way: a call to a replica, or its reply."""
 
-    ballot: Round
+    ballot: ProposalAttempt
     send: Send
     reply: object | None = None
 
@@ -41,10 +41,10 @@
         }
         self.durable = {identity: [acceptor.snapshot()] for identity, acceptor in self.acceptors.items()}
         self.flights: list[Flight] = []
-        self.rounds: list[Round] = []
+        self.rounds: list[ProposalAttempt] = []
         self.counter = 0
         self.known = founding
-        self.chosen: dict[Ballot, Proposal] = {founding.ballot: founding}
+        self.chosen: dict[ProposalNumber, Proposal] = {founding.ballot: founding}
 
     @rule(
         swap=st.sampled_from([None, ("a", "d"), ("b", "e"), ("c", "d"), ("d", "a"), ("e", "c")]),
@@ -59,7 +59,7 @@
             replicas = self.step(found.state.replicas, swap, chosen)
             return State(replicas, (found.state.payload or b"") + b"%d " % number)
 
-        ballot = Round(Ballot(number, f"p{number}"), known, decide)
+        ballot = ProposalAttempt(ProposalNumber(number, f"p{number}"), known, decide)
         self.rounds.append(ballot)
         self.launch(ballot, ballot.start(known.state.replicas.everyone))
 
@@ -74,7 +74,7 @@
         joining = tuple(into if member == out else member for member in replicas.members)
         return ReplicaSet(replicas.epoch + 1, replicas.members, joining)
 
-    def launch(self, ballot: Round, sends: list[Send]) -> None:
+    def launch(self, ballot: ProposalAttempt, sends: list[Send]) -> None:
         self.flights += [Flight(ballot, send) for send in sends]
 
     @precondition(lambda self: self.flights)
@@ -113,7 +113,7 @@
             self.durable[send.member.identity].append(verdict.record)
         return verdict.reply
 
-    def take_outcome(self, ballot: Round) -> None:
+    def take_outcome(self, ballot: ProposalAttempt) -> None:
         if ballot.phase is Phase.CHOSEN and ballot.outcome is not None:
             found = self.chosen.setdefault(ballot.outcome.ballot, ballot.outcome)
             assert found == ballot.outcome
--- a/tests/emberring/register/test_tier_register_service.py
+++ b/tests/emberring/register/test_tier_register_service.py
@@ -12,14 +12,14 @@
 from register_deployment import Deployment, adding
 
 from emberring.errors import (
-    InDoubtError,
     NoQuorumError,
     NotReadyError,
     PeerTimeoutError,
+    UnknownOutcomeError,
     VersionConflictError,
 )
 from emberring.register.messages import Accept, Accepted, Prepare
-from emberring.register.model import Ballot
+from emberring.register.model import ProposalNumber
 from emberring.transport.network import Network
 
 PATIENCE_S = 5.0
@@ -124,7 +124,7 @@
         return b"2"
 
     async def work(deployment: Deployment) -> None:
-        with pytest.raises(InDoubtError, match="another is current"):
+        with pytest.raises(UnknownOutcomeError, match="another is current"):
             await change_overtaken(deployment, refusing)
         assert await deployment[2].read(PATIENCE_S) == b"2"
 
@@ -295,7 +295,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.finish: Callable[[], Awaitable[bytes]] | None = None
-        self._accepted: Counter[Ballot] = Counter()
+        self._accepted: Counter[ProposalNumber] = Counter()
         self._finished = asyncio.Event()
 
     async def call(self, address: str, body: Any, reply: type[T], timeout_s: float) -> T:
@@ -311,7 +311,7 @@
         await self._finished.wait()
         raise PeerTimeoutError("the reply is lost")
 
-    def _over(self, ballot: Ballot) -> bool:
+    def _over(self, ballot: ProposalNumber) -> bool:
         """Whether replies to this ballot arrive: nothing is to be finished any more, and it was not what was."""
         return self.finish is None and self._accepted[ballot] < QUORUM
 
@@ -328,7 +328,7 @@
         await deployment.start(0, 1, 2)
         await deployment[0].change(adding(b"1"), PATIENCE_S)
         deaf(deployment, 0, Accept)
-        with pytest.raises(InDoubtError):
+        with pytest.raises(UnknownOutcomeError):
             await deployment[0].change(adding(b"2"), 0.3)
         assert await deployment[1].read(PATIENCE_S) == b"1 2"
         assert await deployment[1].change(adding(b"2"), PATIENCE_S) == b"1 2"
@@ -355,7 +355,7 @@
         deployment.network_class = DeafNetwork
         await deployment.start(0, 1, 2)
         deaf(deployment, 0, Accept)
-        with pytest.raises(InDoubtError):
+        with pytest.raises(UnknownOutcomeError):
             await deployment[0].change(adding(b"1"), 0.3)
         await deployment.stop(0)
         for number in (1, 2):
--- a/tests/emberring/register/test_tier_register_simulator.py
+++ b/tests/emberring/register/test_tier_register_simulator.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from emberring.register.keeper import PATIENCE
+from emberring.register.replica_set_manager import RECONFIGURATION_TIMEOUTS
 from emberring.simulation.control_plane.mutations import Mistake, seeded
 from emberring.simulation.register.history import History, add_number, parse_value
 from emberring.simulation.register.simulator import (
@@ -116,7 +116,7 @@
 
 
 def test_eight_orders_at_once_are_all_taken_in_a_moment() -> None:
-    world = World(1, Bugs(), PATIENCE)
+    world = World(1, Bugs(), RECONFIGURATION_TIMEOUTS)
     world.weather = Weather(slowest_s=0.0028)
     for name in FOUNDERS:
         machine = Machine(world, name, FOUNDERS, bootstrap=True)
@@ -136,7 +136,7 @@
 def a_burst(seed: int) -> list[str]:
     """Reads, changes and repeats of changes at all nodes, 100 a second, over a network in which a few messages are
     slow, so that one ballot overtakes another; what was wrong."""
-    world = World(seed, Bugs(), PATIENCE)
+    world = World(seed, Bugs(), RECONFIGURATION_TIMEOUTS)
     world.weather = Weather(slowest_s=0.2, slow_share=0.15)
     for name in FOUNDERS:
         world.machines[name] = Machine(world, name, FOUNDERS, bootstrap=True)
--- a/tests/emberring/registry/test_tier_registry.py
+++ b/tests/emberring/registry/test_tier_registry.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from emberring.distribution.facts import ServerFact, ServerState
+from emberring.distribution.records import ServerRecord, ServerState
 from emberring.errors import BadRequestError
 from emberring.registry.heartbeats import Heartbeat, read_heartbeat
 from emberring.registry.merge import dominates, merged
@@ -20,8 +20,8 @@
 BEAT_S = 1.2
 
 
-def fact(state: ServerState = READY, sequence: int = 1, **changes: Any) -> ServerFact:
-    base = ServerFact("i-1", "engine", "10.0.0.9:8080", "zone", 48, state, sequence)
+def fact(state: ServerState = READY, sequence: int = 1, **changes: Any) -> ServerRecord:
+    base = ServerRecord("i-1", "engine", "10.0.0.9:8080", "zone", 48, state, sequence)
     return attrs.evolve(base, **changes)
 
 
@@ -31,7 +31,9 @@
 
 
 @given(facts, facts, facts)
-def test_the_join_does_not_depend_on_order_or_repeats(a: ServerFact, b: ServerFact, c: ServerFact) -> None:
+def test_the_join_does_not_depend_on_order_or_repeats(
+    a: ServerRecord, b: ServerRecord, c: ServerRecord
+) -> None:
     assert merged(a, a) == a
     assert merged(a, b) == merged(b, a)
     assert merged(merged(a, b), c) == merged(a, merged(b, c))
@@ -39,8 +41,8 @@
 
 
 @given(st.lists(facts, min_size=1, max_size=6))
-def test_dropping_what_another_statement_says_loses_nothing(statements: list[ServerFact]) -> None:
-    kept: list[ServerFact] = []
+def test_dropping_what_another_statement_says_loses_nothing(statements: list[ServerRecord]) -> None:
+    kept: list[ServerRecord] = []
     whole = statements[0]
     for statement in statements:
         whole = merged(whole, statement)
@@ -66,7 +68,7 @@
 
 @pytest.mark.parametrize(("first", "second", "state", "sequence"), JOINS)
 def test_what_two_statements_say_together(
-    first: ServerFact, second: ServerFact, state: ServerState, sequence: int
+    first: ServerRecord, second: ServerRecord, state: ServerState, sequence: int
 ) -> None:
     joined = merged(first, second)
     assert (joined.state, joined.sequence) == (state, sequence)
@@ -90,7 +92,7 @@
 
 def test_a_heartbeat_is_read() -> None:
     beat = read_heartbeat("i-7", json.dumps(BEAT).encode())
-    assert beat.fact == ServerFact("i-7", "huvo11a", "10.128.0.9:8080", "erl-a", 48, READY, 4, 120.0, "v1")
+    assert beat.fact == ServerRecord("i-7", "huvo11a", "10.128.0.9:8080", "erl-a", 48, READY, 4, 120.0, "v1")
     assert not beat.draining
     assert read_heartbeat("i-7", json.dumps({**BEAT, "State": "draining"}).encode()).draining
 
@@ -121,23 +123,23 @@
 
     def __init__(self) -> None:
         self.registry = ServerRegistry(0.0, BEAT_S)
-        self.known: dict[str, ServerFact] = {}
+        self.known: dict[str, ServerRecord] = {}
         self.live = True
 
-    def take(self, stated: list[ServerFact]) -> list[ServerFact]:
+    def take(self, stated: list[ServerRecord]) -> list[ServerRecord]:
         for one in stated:
             before = self.known.get(one.id)
             self.known[one.id] = merged(before, one) if before is not None else one
         return stated
 
-    def beat(self, now_s: float, beat: ServerFact, listed: bool = True) -> list[ServerFact]:
+    def beat(self, now_s: float, beat: ServerRecord, listed: bool = True) -> list[ServerRecord]:
         statement = self.known.get(beat.id) if listed else None
         return self.take(self.registry.on_heartbeat(now_s, Heartbeat(beat), self.known, statement))
 
-    def tick(self, now_s: float, trusted: bool = True) -> list[ServerFact]:
+    def tick(self, now_s: float, trusted: bool = True) -> list[ServerRecord]:
         return self.take(self.registry.on_tick(now_s, self.known, lambda _: self.live, trusted))
 
-    def pass_time(self, begin_s: float, end_s: float, trusted: bool = True) -> list[ServerFact]:
+    def pass_time(self, begin_s: float, end_s: float, trusted: bool = True) -> list[ServerRecord]:
         stated = []
         steps = int((end_s - begin_s) / 0.1)
         for step in range(steps + 1):
--- a/tests/emberring/store/test_tier_store_disk.py
+++ b/tests/emberring/store/test_tier_store_disk.py
@@ -35,9 +35,9 @@
     [(100.0, 100.5), (100.0, 2.0), (100.0, 2_000_000.0), (-1.8e9, 5.0)],
     ids=["same boot", "clock back to zero", "clock far ahead", "clock began below zero"],
 )
-def test_a_restart_makes_no_lot_older_than_its_record_says(written_s: float, restored_s: float) -> None:
+def test_a_restart_makes_no_job_older_than_its_record_says(written_s: float, restored_s: float) -> None:
     replica = restore([journal_record(written_s, 700)], restored_s)[3]
-    assert replica.lots["lot"].accepted_s == pytest.approx(restored_s - 0.7)
+    assert replica.jobs["lot"].accepted_s == pytest.approx(restored_s - 0.7)
 
 
 def test_within_a_life_of_the_process_time_passes_and_over_a_start_it_does_not() -> None:
@@ -48,9 +48,9 @@
         later_record(5_000_002.0),
     ]
     replica = restore(records, 50.0)[3]
-    assert replica.lots["lot"].accepted_s == pytest.approx(45.0)
+    assert replica.jobs["lot"].accepted_s == pytest.approx(45.0)
 
 
-def test_the_youngest_record_tells_a_lots_age() -> None:
+def test_the_youngest_record_tells_a_jobs_age() -> None:
     replica = restore([journal_record(100.0, 0), journal_record(104.0, 4000)], 50.0)[3]
-    assert replica.lots["lot"].accepted_s == pytest.approx(46.0)
+    assert replica.jobs["lot"].accepted_s == pytest.approx(46.0)
--- a/tests/emberring/store/test_tier_store_path.py
+++ b/tests/emberring/store/test_tier_store_path.py
@@ -7,20 +7,20 @@
 
 import orjson
 import pytest
-from tier_store_cluster import HOST, ROUTE, Cluster, FakeExecutor, lot_body, read_all, run, text_of
+from tier_store_cluster import HOST, ROUTE, Cluster, FakeExecutor, job_body, read_all, run, text_of
 
 from emberring.errors import NotFoundError, QuotaExceededError
 from emberring.jobs.items import OutcomeKind
 from emberring.placement.model import shard_of
 
 
-def test_a_lot_is_taken_run_and_read(tmp_path: Path) -> None:
+def test_a_job_is_taken_run_and_read(tmp_path: Path) -> None:
     async def play() -> None:
         cluster = await Cluster.begin(tmp_path)
         executor = FakeExecutor()
         gateway = cluster.gateway(executor)
         await gateway.runner.start()
-        await gateway.client.submit(HOST, ROUTE, "lot1", lot_body("lot1", 5))
+        await gateway.client.submit(HOST, ROUTE, "lot1", job_body("lot1", 5))
         results = await read_all(gateway.client, "lot1")
         assert {result["Id"] for result in results} == {f"lot1-{n}" for n in range(5)}
         assert all(result["State"] == "completed" for result in results)
@@ -37,16 +37,16 @@
     run(play())
 
 
-def test_a_taken_lot_stands_on_two_disks(tmp_path: Path) -> None:
+def test_a_taken_job_stands_on_two_disks(tmp_path: Path) -> None:
     async def play() -> None:
         cluster = await Cluster.begin(tmp_path)
         gateway = cluster.gateway()
-        await gateway.client.submit(HOST, ROUTE, "lot1", lot_body("lot1", 2))
+        await gateway.client.submit(HOST, ROUTE, "lot1", job_body("lot1", 2))
         shard = shard_of(HOST)
         holders = [
             name
             for name, store in cluster.stores.items()
-            if f"{HOST}/lot1" in store.host.replicas[shard].lots
+            if f"{HOST}/lot1" in store.host.replicas[shard].jobs
         ]
         assert len(holders) >= 2
         await gateway.end()
@@ -55,21 +55,21 @@
     run(play())
 
 
-def test_the_same_lot_again_and_one_that_does_not_fit(tmp_path: Path) -> None:
+def test_the_same_job_again_and_one_that_does_not_fit(tmp_path: Path) -> None:
     async def play() -> None:
         cluster = await Cluster.begin(tmp_path)
         gateway = cluster.gateway()
         client = gateway.client
         await asyncio.gather(
-            *(client.submit(HOST, ROUTE, "lot1", lot_body("lot1", 5, 15_000)) for _ in range(3))
+            *(client.submit(HOST, ROUTE, "lot1", job_body("lot1", 5, 15_000)) for _ in range(3))
         )
         with pytest.raises(QuotaExceededError):
-            await client.submit(HOST, ROUTE, "lot2", lot_body("lot2", 5, 15_000))
+            await client.submit(HOST, ROUTE, "lot2", job_body("lot2", 5, 15_000))
         with pytest.raises(NotFoundError):
             await client.read(HOST, "lot2", 0, 0)
         await client.end(HOST, "lot1")
         await client.end(HOST, "lot1")
-        await client.submit(HOST, ROUTE, "lot2", lot_body("lot2", 5, 15_000))
+        await client.submit(HOST, ROUTE, "lot2", job_body("lot2", 5, 15_000))
         await gateway.end()
         await cluster.end()
 
@@ -87,7 +87,7 @@
             "lot1-2": [failed, OutcomeKind.BROKEN, OutcomeKind.NOT_RUN],
         }
         gateway = cluster.gateway(executor)
-        await gateway.client.submit(HOST, ROUTE, "lot1", lot_body("lot1", 3))
+        await gateway.client.submit(HOST, ROUTE, "lot1", job_body("lot1", 3))
         body = await gateway.client.item(HOST, "lot1", "lot1-1")
         assert body == bytes.fromhex("abcdef1234567890")
         with pytest.raises(NotFoundError):
@@ -113,7 +113,7 @@
         executor = FakeExecutor(events=4, pause_s=0.05)
         gateway = cluster.gateway(executor)
         await gateway.runner.start()
-        await gateway.client.submit(HOST, ROUTE, "lot1", lot_body("lot1", 40))
+        await gateway.client.submit(HOST, ROUTE, "lot1", job_body("lot1", 40))
         first = orjson.loads(await gateway.client.read(HOST, "lot1", 0, 1000))["Results"]
         owner = cluster.owner_of(shard_of(HOST))
         assert owner is not None
@@ -134,7 +134,7 @@
     async def play() -> None:
         cluster = await Cluster.begin(tmp_path)
         gateway = cluster.gateway()
-        await gateway.client.submit(HOST, ROUTE, "lot1", lot_body("lot1", 3))
+        await gateway.client.submit(HOST, ROUTE, "lot1", job_body("lot1", 3))
         for name in list(cluster.stores):
             await cluster.kill(name)
         for name in ("s1", "s2", "s3"):
--- a/tests/emberring/store/test_tier_store_troubles.py
+++ b/tests/emberring/store/test_tier_store_troubles.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 import pytest
-from tier_store_cluster import HOST, ROUTE, Cluster, FakeExecutor, lot_body, read_all, run, text_of
+from tier_store_cluster import HOST, ROUTE, Cluster, FakeExecutor, job_body, read_all, run, text_of
 
-from emberring.errors import InDoubtError, NotFoundError, NotReadyError, OverloadedError
+from emberring.errors import NotFoundError, NotReadyError, OverloadedError, UnknownOutcomeError
 from emberring.placement.model import shard_of
 from emberring.placement.retirement import begin_retire, retire_state
 
@@ -26,8 +26,8 @@
         await asyncio.sleep(0.02)
 
 
-def holds(cluster: Cluster, name: str, lot: str) -> bool:
-    return f"{HOST}/{lot}" in cluster.stores[name].host.replicas[SHARD].lots
+def holds(cluster: Cluster, name: str, job: str) -> bool:
+    return f"{HOST}/{job}" in cluster.stores[name].host.replicas[SHARD].jobs
 
 
 def test_a_store_whose_disk_is_lost_gets_everything_again(tmp_path: Path) -> None:
@@ -36,7 +36,7 @@
         gateway = cluster.gateway(FakeExecutor())
         await gateway.runner.start()
         for number in range(8):
-            await gateway.client.submit(HOST, ROUTE, f"lot{number}", lot_body(f"lot{number}", 5))
+            await gateway.client.submit(HOST, ROUTE, f"lot{number}", job_body(f"lot{number}", 5))
         results = {f"lot{number}": await read_all(gateway.client, f"lot{number}") for number in range(8)}
         await cluster.kill("s2")
         shutil.rmtree(tmp_path / "s2")
@@ -48,8 +48,8 @@
         assert all(holds(cluster, "s2", f"lot{number}") for number in range(8))
         # Now the newcomer and one other suffice.
         await cluster.kill("s1")
-        for lot, found in results.items():
-            assert await read_all(gateway.client, lot, 8.0) == found
+        for job, found in results.items():
+            assert await read_all(gateway.client, job, 8.0) == found
         await gateway.end()
         await cluster.end()
 
@@ -62,7 +62,7 @@
         world = cluster.world
         gateway = cluster.gateway(FakeExecutor())
         await gateway.runner.start()
-        await gateway.client.submit(HOST, ROUTE, "lot1", lot_body("lot1", 6))
+        await gateway.client.submit(HOST, ROUTE, "lot1", job_body("lot1", 6))
         results = await read_all(gateway.client, "lot1")
         owner = cluster.owner_of(SHARD)
         assert owner is not None
@@ -88,7 +88,7 @@
     async def play() -> None:
         cluster = await Cluster.begin(tmp_path)
         gateway = cluster.gateway(FakeExecutor())
-        await gateway.client.submit(HOST, ROUTE, "lot1", lot_body("lot1", 2))
+        await gateway.client.submit(HOST, ROUTE, "lot1", job_body("lot1", 2))
         owner = cluster.owner_of(SHARD)
         assert owner is not None
         store = cluster.stores[owner]
@@ -118,37 +118,37 @@
         return asyncio.get_running_loop().create_future()
 
 
-def test_an_owner_whose_disk_stalls_hands_over_and_lots_are_taken_meanwhile(tmp_path: Path) -> None:
+def test_an_owner_whose_disk_stalls_hands_over_and_jobs_are_taken_meanwhile(tmp_path: Path) -> None:
     async def play() -> None:
         cluster = await Cluster.begin(tmp_path)
         gateway = cluster.gateway(FakeExecutor())
-        await gateway.client.submit(HOST, ROUTE, "lot1", lot_body("lot1", 2))
+        await gateway.client.submit(HOST, ROUTE, "lot1", job_body("lot1", 2))
         owner = cluster.owner_of(SHARD)
         assert owner is not None
         store = cluster.stores[owner]
         store.host._journal = StalledJournal()  # type: ignore[assignment]
-        await gateway.client.submit(HOST, ROUTE, "lot2", lot_body("lot2", 2))
+        await gateway.client.submit(HOST, ROUTE, "lot2", job_body("lot2", 2))
         await until(lambda: cluster.owner_of(SHARD) not in (None, owner))
-        await gateway.client.submit(HOST, ROUTE, "lot3", lot_body("lot3", 2))
+        await gateway.client.submit(HOST, ROUTE, "lot3", job_body("lot3", 2))
         await gateway.runner.start()
-        for lot in ("lot1", "lot2", "lot3"):
-            assert len(await read_all(gateway.client, lot)) == 2
+        for job in ("lot1", "lot2", "lot3"):
+            assert len(await read_all(gateway.client, job)) == 2
         await gateway.end()
         await cluster.end()
 
     run(play())
 
 
-def test_a_full_store_takes_no_lot_and_promises_that(tmp_path: Path) -> None:
+def test_a_full_store_takes_no_job_and_promises_that(tmp_path: Path) -> None:
     async def play() -> None:
         cluster = await Cluster.begin(tmp_path)
         gateway = cluster.gateway(FakeExecutor())
-        await gateway.client.submit(HOST, ROUTE, "lot1", lot_body("lot1", 2))
+        await gateway.client.submit(HOST, ROUTE, "lot1", job_body("lot1", 2))
         await until(lambda: all(holds(cluster, name, "lot1") for name in cluster.stores))
         for store in cluster.stores.values():
             store.host._most_bytes = 10
         with pytest.raises(OverloadedError):
-            await gateway.client.submit(HOST, ROUTE, "lot2", lot_body("lot2", 2))
+            await gateway.client.submit(HOST, ROUTE, "lot2", job_body("lot2", 2))
         with pytest.raises(NotFoundError):
             await gateway.client.read(HOST, "lot2", 0, 0)
         await gateway.runner.start()
@@ -163,13 +163,13 @@
     async def play() -> None:
         cluster = await Cluster.begin(tmp_path)
         gateway = cluster.gateway(FakeExecutor())
-        await gateway.client.submit(HOST, ROUTE, "lot1", lot_body("lot1", 2))
+        await gateway.client.submit(HOST, ROUTE, "lot1", job_body("lot1", 2))
         owner = cluster.owner_of(SHARD)
         assert owner is not None
         for name in [name for name in cluster.stores if name != owner]:
             await cluster.kill(name)
-        with pytest.raises((InDoubtError, NotReadyError)):
-            await gateway.client.submit(HOST, ROUTE, "lot2", lot_body("lot2", 2))
+        with pytest.raises((UnknownOutcomeError, NotReadyError)):
+            await gateway.client.submit(HOST, ROUTE, "lot2", job_body("lot2", 2))
         with pytest.raises(NotReadyError):
             await gateway.client.read(HOST, "lot2", 0, 0)
         await gateway.end()
@@ -184,12 +184,12 @@
         slow = FakeExecutor(events=30, pause_s=0.1)
         first = cluster.gateway(slow, "g1")
         await first.runner.start()
-        await first.client.submit(HOST, ROUTE, "lot1", lot_body("lot1", 3))
+        await first.client.submit(HOST, ROUTE, "lot1", job_body("lot1", 3))
         await until(lambda: len(slow.runs) == 3)
         owner = cluster.owner_of(SHARD)
         assert owner is not None
-        lot = cluster.stores[owner].shards.books[SHARD].lots[f"{HOST}/lot1"]
-        await until(lambda: all(len(item.events) >= 4 for item in lot.items))
+        job = cluster.stores[owner].shards.books[SHARD].jobs[f"{HOST}/lot1"]
+        await until(lambda: all(len(item.events) >= 4 for item in job.items))
         await first.end()
         quick = FakeExecutor(events=30)
         second = cluster.gateway(quick, "g2")
@@ -205,13 +205,13 @@
     run(play())
 
 
-def test_an_ended_lot_stops_what_runs(tmp_path: Path) -> None:
+def test_an_ended_job_stops_what_runs(tmp_path: Path) -> None:
     async def play() -> None:
         cluster = await Cluster.begin(tmp_path)
         executor = FakeExecutor(events=200, pause_s=0.1)
         gateway = cluster.gateway(executor)
         await gateway.runner.start()
-        await gateway.client.submit(HOST, ROUTE, "lot1", lot_body("lot1", 5))
+        await gateway.client.submit(HOST, ROUTE, "lot1", job_body("lot1", 5))
         await until(lambda: executor.active == 5)
         await gateway.client.end(HOST, "lot1")
         await until(lambda: executor.active == 0, 1.5)
--- a/tests/emberring/store/tier_store_cluster.py
+++ b/tests/emberring/store/tier_store_cluster.py
@@ -13,13 +13,13 @@
 from free_ports import free_port
 
 from emberring.configuration.model import Configuration, Route, RouteType, Service, Share
-from emberring.distribution.facts import NodeFact, NodeRole
 from emberring.distribution.messages import PlacementMoved
+from emberring.distribution.records import NodeRecord, NodeRole
 from emberring.errors import NotReadyError
-from emberring.jobs.client import LotClient
+from emberring.jobs.client import JobClient
 from emberring.jobs.directory import OwnerDirectory
 from emberring.jobs.items import ItemCall, ItemEvent, ItemOutcome, OutcomeKind
-from emberring.jobs.runner import UnitRunner
+from emberring.jobs.runner import ItemRunner
 from emberring.placement.model import Placement, finish_move
 from emberring.placement.planning import PlanMemory, plan
 from emberring.settings import Limits, Settings
@@ -71,17 +71,17 @@
     """What control nodes would tell; `plan` is run on demand."""
 
     def __init__(self) -> None:
-        self.facts: dict[str, NodeFact] = {}
+        self.facts: dict[str, NodeRecord] = {}
         self.placement: Placement | None = None
         self.configuration: Configuration | None = CONFIGURATION
         self.memory = PlanMemory()
         self.followers: list[FakeFollower] = []
         self.control = Network()
-        self.control_fact: NodeFact | None = None
+        self.control_fact: NodeRecord | None = None
 
     async def start(self) -> None:
         address = f"127.0.0.1:{free_port()}"
-        self.control_fact = NodeFact("control-1", NodeRole.CONTROL, address, "z")
+        self.control_fact = NodeRecord("control-1", NodeRole.CONTROL, address, "z")
         self.control.handle(PlacementMoved, self._moved)
         await self.control.listen(address)
 
@@ -91,7 +91,7 @@
         self.tell()
         return Ok()
 
-    def live(self) -> list[NodeFact]:
+    def live(self) -> list[NodeRecord]:
         controls = [self.control_fact] if self.control_fact else []
         return [*self.facts.values(), *controls]
 
@@ -107,7 +107,7 @@
 
 
 class FakeFollower:
-    def __init__(self, world: World, me: NodeFact) -> None:
+    def __init__(self, world: World, me: NodeRecord) -> None:
         self.world = world
         self.me = me
         self.callbacks: list[Callable[[], None]] = []
@@ -123,7 +123,7 @@
         return self.world.placement
 
     @property
-    def nodes(self) -> dict[str, NodeFact]:
+    def nodes(self) -> dict[str, NodeRecord]:
         return {fact.name: fact for fact in self.world.live()}
 
     def subscribe(self, callback: Callable[[], None]) -> None:
@@ -181,10 +181,10 @@
     return "\n".join(f"{item} says {number}" for number in range(events))
 
 
-def lot_body(lot: str, items: int, tokens: int = 10) -> bytes:
+def job_body(job: str, items: int, tokens: int = 10) -> bytes:
     listed = [
         {
-            "Id": f"{lot}-{number}",
+            "Id": f"{job}-{number}",
             "Path": f"/batch/{number}",
             "Headers": {"Model": "m"},
             "Body": "q83vEjRWeJA=",
@@ -247,12 +247,12 @@
         self.world.facts.pop(name, None)
 
     def gateway(self, executor: FakeExecutor | None = None, name: str = "g1") -> Gateway:
-        me = NodeFact(name, NodeRole.GATEWAY, "", "z")
+        me = NodeRecord(name, NodeRole.GATEWAY, "", "z")
         follower = FakeFollower(self.world, me)
         network = Network()
         directory = OwnerDirectory(follower)
-        client = LotClient(network, follower, directory)
-        runner = UnitRunner(network, follower, executor or FakeExecutor(), name, directory)
+        client = JobClient(network, follower, directory)
+        runner = ItemRunner(network, follower, executor or FakeExecutor(), name, directory)
         return Gateway(network, client, runner)
 
     def owner_of(self, shard: int) -> str | None:
@@ -271,22 +271,22 @@
 @attrs.frozen
 class Gateway:
     network: Network
-    client: LotClient
-    runner: UnitRunner
+    client: JobClient
+    runner: ItemRunner
 
     async def end(self) -> None:
         await self.runner.stop()
         await self.network.close()
 
 
-async def read_all(client: LotClient, lot: str, limit_s: float = 5.0) -> list[dict[str, str]]:
+async def read_all(client: JobClient, job: str, limit_s: float = 5.0) -> list[dict[str, str]]:
     """All results of a lot, page after page."""
     loop = asyncio.get_running_loop()
     until_s = loop.time() + limit_s
     found: list[dict[str, str]] = []
     while loop.time() < until_s:
         try:
-            page = orjson.loads(await client.read(HOST, lot, len(found), 500))
+            page = orjson.loads(await client.read(HOST, job, len(found), 500))
         except NotReadyError:
             continue
         found += page["Results"]
--- a/tests/emberring/test_tier_errors.py
+++ b/tests/emberring/test_tier_errors.py
@@ -68,7 +68,7 @@
         ("peer_unavailable", errors.PeerUnavailableError),
         ("peer_timeout", errors.PeerTimeoutError),
         ("quota_exceeded", errors.QuotaExceededError),
-        ("in_doubt", errors.InDoubtError),
+        ("in_doubt", errors.UnknownOutcomeError),
         ("nonsense", InternalError),
         ("", InternalError),
     ],
--- a/tests/emberring/test_tier_structure.py
+++ b/tests/emberring/test_tier_structure.py
@@ -31,7 +31,7 @@
     frozenset({"__init__"}),
 )
 # Modules of types alone, which packages below theirs may import too.
-TYPES = frozenset({"distribution.facts"})
+TYPES = frozenset({"distribution.records"})
 SETTINGS_ROW = frozenset({"settings", "errors", "logs"})
 # Files that are longer than the most, each with its reason.
 LONG: dict[str, str] = {}
--- a/tests/emberring/test_tier_whole.py
+++ b/tests/emberring/test_tier_whole.py
@@ -7,18 +7,18 @@
 
 from emberring.emulator.configurations import EXPLAIN_PREFIX, SERVICE, added_route, trial_configuration
 from emberring.emulator.engine import EngineSpec
-from emberring.emulator.judge import judge_lot, judge_stream
+from emberring.emulator.invariant_checker import judge_job, judge_stream
+from emberring.emulator.job_client import JobClient, make_job
 from emberring.emulator.live_client import LiveClient, StreamCall, StreamEnd
 from emberring.emulator.local_tier import LocalTier
-from emberring.emulator.lot_client import LotClient, make_lot
 from emberring.emulator.observations import Observations
 from emberring.emulator.operator import Operator
 from emberring.emulator.server_fleet import ServerFleet
-from emberring.emulator.store_survey import busiest_store
+from emberring.emulator.store_scan import busiest_store
 
 START_S = 40.0  # several processes start at once, perhaps on a busy machine
 ORDER_S = 20.0
-LOT_S = 40.0
+JOB_S = 40.0
 STRIDE = 8
 
 
@@ -31,7 +31,7 @@
         self.operator = Operator(self.tier.controls())
         self.fleet = ServerFleet(SERVICE, EngineSpec(stride=STRIDE), self.tier.controls, self.seen)
         self.live = LiveClient(self.tier.frontends, seed=1, retries=3)
-        self.lots = LotClient(self.tier.frontends, seed=1)
+        self.jobs = JobClient(self.tier.frontends, seed=1)
         self.asked = 0
 
     async def start(self) -> None:
@@ -68,15 +68,15 @@
     await world.start()
     assert await world.streams(10) == [StreamEnd.SERVED] * 10
     # A lot is taken; the store that owns it is killed while it runs.
-    lot = await world.lots.submit(make_lot(60, seed=3), ORDER_S)
-    assert lot.accepted, lot.statuses
+    job = await world.jobs.submit(make_job(60, seed=3), ORDER_S)
+    assert job.accepted, job.statuses
     owner = await busiest_store(world.tier)
     assert owner is not None
     world.tier.nodes[owner].kill()
-    await world.lots.follow(lot, LOT_S)
-    assert lot.complete, (len(lot.results), world.logs())
-    assert judge_lot(lot, world.seen, STRIDE) == []
-    assert {result.state for result in lot.results} == {"completed"}
+    await world.jobs.follow(job, JOB_S)
+    assert job.complete, (len(job.results), world.logs())
+    assert judge_job(job, world.seen, STRIDE) == []
+    assert {result.state for result in job.results} == {"completed"}
     await world.restart(owner)
     # A gateway is killed: the other one serves.
     world.tier.nodes["gateway-1"].kill()
@@ -91,11 +91,11 @@
     assert found is not None
     assert found["Version"] == 2
     # What was said of the lot before stands.
-    before = list(lot.results)
-    assert await world.lots.read(lot, 0)
-    assert lot.results == before
-    assert lot.changed == []
-    assert await world.lots.end(lot.lot, ORDER_S)
+    before = list(job.results)
+    assert await world.jobs.read(job, 0)
+    assert job.results == before
+    assert job.changed == []
+    assert await world.jobs.end(job.job, ORDER_S)
     codes = await world.tier.stop()
     assert set(codes.values()) == {0}, (codes, world.logs())
 
--- a/tests/emberring/transport/test_tier_cancellation.py
+++ b/tests/emberring/transport/test_tier_cancellation.py
@@ -8,19 +8,19 @@
 
 import pytest
 
-from emberring.control.signal import Signal
+from emberring.control.change_notifier import ChangeNotifier
 
 PACKAGE = Path(__file__).parents[3] / "emberring"
 
 
-async def _wait_for_ever(signal: Signal, turns: list[int]) -> None:
+async def _wait_for_ever(signal: ChangeNotifier, turns: list[int]) -> None:
     while True:
         await signal.wait(5.0)
         turns.append(1)
 
 
 async def _cancelled_as_it_is_given() -> list[int]:
-    signal, turns = Signal(), list[int]()
+    signal, turns = ChangeNotifier(), list[int]()
     task = asyncio.get_running_loop().create_task(_wait_for_ever(signal, turns))
     await asyncio.sleep(0)
     signal.give()
--- a/tests/golden/record_disk.py
+++ b/tests/golden/record_disk.py
@@ -17,19 +17,19 @@
 import attrs
 import orjson
 
-from emberring.configuration.orders import OrderKind, judge, read_order
+from emberring.configuration.change_requests import ChangeRequestKind, judge, read_change_request
 from emberring.configuration.reading import build, pack
 from emberring.configuration.state import ControlState
-from emberring.jobs.calls import EventData, LotTerms
+from emberring.jobs.calls import EventData, JobTerms
 from emberring.jobs.definition import encode_definition, parse_items
 from emberring.jobs.packing import pack_events, squeeze
 from emberring.jobs.records import (
-    LotState,
+    JobState,
     Record,
     SlotState,
     Term,
     checksum,
-    lot_key,
+    job_key,
     pack_inventory,
     pack_records,
     pack_term,
@@ -43,9 +43,9 @@
 from emberring.register.acceptor import Acceptor
 from emberring.register.messages import Accept, Prepare
 from emberring.register.model import (
-    Ballot,
     Member,
     Proposal,
+    ProposalNumber,
     ReplicaSet,
     State,
     founding_identity,
@@ -97,20 +97,20 @@
     acceptor = Acceptor("replica:aa")
     found = [acceptor.snapshot()]
     steps: list[Any] = [
-        Prepare("replica:aa", Ballot(3, "replica:bb/01")),
-        Accept("replica:aa", Ballot(3, "replica:bb/01"), State(SET)),
-        Prepare("replica:aa", Ballot(9, "replica:aa/02")),
-        Accept("replica:aa", Ballot(9, "replica:aa/02"), State(SET, b"")),
+        Prepare("replica:aa", ProposalNumber(3, "replica:bb/01")),
+        Accept("replica:aa", ProposalNumber(3, "replica:bb/01"), State(SET)),
+        Prepare("replica:aa", ProposalNumber(9, "replica:aa/02")),
+        Accept("replica:aa", ProposalNumber(9, "replica:aa/02"), State(SET, b"")),
     ]
     for step in steps:
         verdict = acceptor.prepare(step) if isinstance(step, Prepare) else acceptor.accept(step)
         assert verdict.record is not None
         found.append(verdict.record)
     value = control_states()[-1].encode()
-    installed = acceptor.install(Proposal(Ballot(11, "replica:cc/03"), State(SET, value)))
+    installed = acceptor.install(Proposal(ProposalNumber(11, "replica:cc/03"), State(SET, value)))
     assert installed is not None
     found.append(installed)
-    promised = acceptor.prepare(Prepare("replica:aa", Ballot(12, "replica:bb/04"))).record
+    promised = acceptor.prepare(Prepare("replica:aa", ProposalNumber(12, "replica:bb/04"))).record
     assert promised is not None
     return [*found, promised, acceptor.snapshot()]
 
@@ -223,14 +223,14 @@
     """The values in the register, the document and what it means, and an order's digest."""
     states = [{"value": text(state.encode()), "state": plain(state)} for state in control_states()]
     body = orjson.dumps({**DOCUMENT, "Version": 43}, option=orjson.OPT_INDENT_2)
-    order = read_order(OrderKind.WHOLE, '"42"', body)
+    order = read_change_request(ChangeRequestKind.WHOLE, '"42"', body)
     taken = judge(control_states()[-1], order)
     orders = {
         "whole": {"base": '"42"', "body": body.decode(), "digest": order.digest.hex()},
         "patch": {
             "base": "42",
             "body": '{"Version": 43}',
-            "digest": read_order(OrderKind.PATCH, "42", b'{"Version": 43}').digest.hex(),
+            "digest": read_change_request(ChangeRequestKind.PATCH, "42", b'{"Version": 43}').digest.hex(),
         },
     }
     write_json(
@@ -248,7 +248,7 @@
 # Lots on stores.
 
 TERMS = [Term(4, 17, "0011223344556677"), Term(5, 2**63, "8899aabbccddeeff")]
-LOT_TERMS = LotTerms("batch", "/lots", 42, 60000.5, 3600.25, 3, 100000)
+JOB_TERMS = JobTerms("batch", "/lots", 42, 60000.5, 3600.25, 3, 100000)
 SUBMITTED = {
     "Requests": [
         {
@@ -264,10 +264,10 @@
 EVENTS = (EventData(3, "first é\nsecond line"), EventData(8, "last"))
 
 
-def lot_records() -> list[Record]:
+def job_records() -> list[Record]:
     """A lot's slots: the definition, two results, the end and the mark that it is forgotten."""
-    key = lot_key("Batch.Example", "lot-é")
-    definition = encode_definition(LOT_TERMS, squeeze(orjson.dumps(SUBMITTED)))
+    key = job_key("Batch.Example", "lot-é")
+    definition = encode_definition(JOB_TERMS, squeeze(orjson.dumps(SUBMITTED)))
     return [
         Record(key, -1, 0, definition),
         Record(key, 0, 1200, encode_result(1, "b", ResultState.COMPLETED, "done é")),
@@ -279,8 +279,8 @@
 
 def entries() -> list[tuple[int, float, Any]]:
     """Each kind of entry, by the number that stands on disk."""
-    records = tuple(lot_records())
-    other = Record(lot_key("other", "x"), 0, 5, b"copied value")
+    records = tuple(job_records())
+    other = Record(job_key("other", "x"), 0, 5, b"copied value")
     return [
         (3, 100.5, Written(TERMS[0], records[:3])),
         (3, 101.25, Promised(TERMS[1])),
@@ -291,19 +291,19 @@
     ]
 
 
-def record_lots() -> None:
+def record_jobs() -> None:
     """Entries, values and inventories with what they mean, and the figures that nodes must agree on."""
     state = {
-        record.key: LotState(
+        record.key: JobState(
             99,
             {
                 found.slot: SlotState(TERMS[found.slot % 2], checksum(found.value), len(found.value))
-                for found in lot_records()
+                for found in job_records()
             },
         )
-        for record in lot_records()[:1]
+        for record in job_records()[:1]
     }
-    state["other/x"] = LotState(2**32 - 1, {0: SlotState(TERMS[1], 7, 8)})
+    state["other/x"] = JobState(2**32 - 1, {0: SlotState(TERMS[1], 7, 8)})
     squeezed = squeeze(orjson.dumps(SUBMITTED))
     results = [[1, "b", "completed", "done é"], [0, "a", "dead_letter", "failed"]]
     write_json(
@@ -313,11 +313,11 @@
                 {"entry": text(encode_entry(*entry)), "logged": plain(list(entry))} for entry in entries()
             ],
             "terms": [{"packed": text(pack_term(term)), "term": plain(term)} for term in TERMS],
-            "records": {"packed": text(pack_records(lot_records())), "records": plain(lot_records())},
+            "records": {"packed": text(pack_records(job_records())), "records": plain(job_records())},
             "inventory": {"packed": text(pack_inventory(state)), "state": plain(state)},
             "definition": {
-                "value": text(encode_definition(LOT_TERMS, squeezed)),
-                "terms": plain(LOT_TERMS),
+                "value": text(encode_definition(JOB_TERMS, squeezed)),
+                "terms": plain(JOB_TERMS),
                 "squeezed": text(squeezed),
                 "submitted": SUBMITTED,
                 "items": plain(parse_items(squeezed)),
@@ -395,7 +395,7 @@
     released one whose file is used again, and one whose last record is torn, before and after the next start."""
     register = register_records()
     filler = [
-        Acceptor("replica:aa").prepare(Prepare("replica:aa", Ballot(n, "p" * 40))).record
+        Acceptor("replica:aa").prepare(Prepare("replica:aa", ProposalNumber(n, "p" * 40))).record
         for n in range(1, 60)
     ]
     early = [record for record in filler if record is not None]
@@ -433,7 +433,7 @@
     disk = open_disk(folder, 0.0, 1000.0)
     asyncio.run(disk.journal.close())
     held = {
-        shard: [replica.promised, replica.lots, replica.digest, replica.bytes, replica.owner]
+        shard: [replica.promised, replica.jobs, replica.digest, replica.bytes, replica.owner]
         for shard, replica in disk.replicas.items()
     }
     return plain([disk.identity, held])
@@ -486,7 +486,7 @@
     """Write all files that are not there."""
     record_register()
     record_control()
-    record_lots()
+    record_jobs()
     record_journals()
     record_small_files()
     record_store_state()
--- a/tests/golden/record_golden.py
+++ b/tests/golden/record_golden.py
@@ -23,7 +23,7 @@
 import emberring
 from emberring.errors import ErrorKind
 from emberring.jobs.items import OutcomeKind
-from emberring.registry.trouble import Trouble
+from emberring.registry.faults import Fault
 from emberring.transport.messages import _CLASS_OF, Envelope, encode
 
 DATA = Path(__file__).parent / "data"
@@ -131,7 +131,7 @@
 
 def record_enums() -> None:
     """Write the values of enums that travel as plain texts, in order, unless they are recorded."""
-    enums = {"failure": ErrorKind, "run_end": OutcomeKind, "trouble": Trouble}
+    enums = {"failure": ErrorKind, "run_end": OutcomeKind, "trouble": Fault}
     if not ENUMS.exists():
         values = {label: [member.value for member in enum] for label, enum in enums.items()}
         ENUMS.write_bytes(orjson.dumps(values, option=orjson.OPT_INDENT_2) + b"\n")
--- a/tests/golden/test_golden_commands.py
+++ b/tests/golden/test_golden_commands.py
@@ -24,13 +24,13 @@
 from emberring.cli.app import main as tier_main
 from emberring.cli.trial_command import document as trial_document
 from emberring.configuration.state import ControlState
-from emberring.distribution.facts import NodeRole
-from emberring.emulator.judge import Breach
+from emberring.distribution.records import NodeRole
+from emberring.emulator.invariant_checker import Breach
 from emberring.emulator.traffic import Tally
-from emberring.emulator.trial import TrialReport, Trouble
+from emberring.emulator.trial import Fault, TrialReport
 from emberring.journal.folder import DiskFile
 from emberring.register.acceptor import Acceptor
-from emberring.register.model import Ballot, Member, Proposal, ReplicaSet, State
+from emberring.register.model import Member, Proposal, ProposalNumber, ReplicaSet, State
 from loadbalancer.cli import main as node_main
 
 GOOD = ROOT / "tests" / "sidecar" / "good"
@@ -262,7 +262,7 @@
     async def fill() -> None:
         cluster = await stores.Cluster.begin(tmp_path)
         gateway = cluster.gateway()
-        await gateway.client.submit(stores.HOST, stores.ROUTE, "lot1", stores.lot_body("lot1", 2))
+        await gateway.client.submit(stores.HOST, stores.ROUTE, "lot1", stores.job_body("lot1", 2))
         await gateway.runner.start()
         await stores.read_all(gateway.client, "lot1")
         await gateway.end()
@@ -276,7 +276,7 @@
     run.found["store"] = max((shape(page) for page in pages), key=lambda page: len(str(page)))
     acceptor = Acceptor("me")
     state = State(ReplicaSet(0, (Member("me", "10.0.0.1:7721"),)), ControlState(version=4).encode())
-    acceptor.install(Proposal(Ballot(3, "p"), state))
+    acceptor.install(Proposal(ProposalNumber(3, "p"), state))
     write_journal(tmp_path / "core" / "register", [acceptor.snapshot()])
     run("check", "register", str(tmp_path / "core"))
     told = json.loads(run("check", "register", str(tmp_path / "core"), "--json"))
@@ -341,7 +341,7 @@
     async def scenario() -> None:
         cluster = await stores.Cluster.begin(tmp_path)
         gateway = cluster.gateway()
-        await gateway.client.submit(stores.HOST, stores.ROUTE, "lot1", stores.lot_body("lot1", 2))
+        await gateway.client.submit(stores.HOST, stores.ROUTE, "lot1", stores.job_body("lot1", 2))
         nodes = [
             {"Name": fact.name, "Role": "store", "Address": fact.address, "Zone": fact.zone, "Leaving": False}
             for fact in cluster.world.facts.values()
@@ -372,11 +372,11 @@
 def test_the_report_of_a_trial_has_the_recorded_form() -> None:
     trial = TrialReport(
         started_s=1.234,
-        troubles=(Trouble("killed", "core-1", 2.5), Trouble("killed", "store-1", None)),
+        troubles=(Fault("killed", "core-1", 2.5), Fault("killed", "store-1", None)),
         tallies={
             "explain": Tally(asked=3, served=2, tries=4, ends=Counter({"refused": 1}), waits_s=[0.25, 0.5])
         },
-        lots=(),
+        jobs=(),
         breaches=(Breach("rule", "id-1", "what was seen"),),
         exit_codes={"core-1": 0, "store-1": None},
         logs={},
--- a/tests/golden/test_golden_disk.py
+++ b/tests/golden/test_golden_disk.py
@@ -19,13 +19,13 @@
 import record_disk as recorder
 from record_disk import lay_out_journal, lay_out_store, open_store, plain, read_json, restored, run_steps
 
-from emberring.configuration import orders, reading
+from emberring.configuration import change_requests, reading
 from emberring.configuration.state import ControlState as ControlValue
-from emberring.control import remembered
+from emberring.control import peer_cache
 from emberring.errors import CorruptRecordError as Corrupt
 from emberring.jobs import definition, packing, records, replica, replica_log, results
 from emberring.journal.journal import Journal
-from emberring.journal.survey import survey_journal
+from emberring.journal.scan import scan_journal
 from emberring.placement import model as placement
 from emberring.register import acceptor as register_records
 from emberring.register import service as register_service
@@ -44,7 +44,7 @@
 
 REGISTER = read_json("register.json")
 CONTROL = read_json("control.json")
-LOTS = read_json("lots.json")
+JOBS = read_json("lots.json")
 SMALL = read_json("small_files.json")
 FORMS_OF_RECORDS = [*(step["record"] for step in REGISTER["life"]), REGISTER["founder"]]
 
@@ -218,8 +218,8 @@
 @pytest.mark.parametrize("method", ["whole", "patch"])
 def test_an_order_has_the_digest_that_is_remembered(method: str) -> None:
     stated = CONTROL["orders"][method]
-    kind = orders.OrderKind({"whole": "PUT", "patch": "PATCH"}[method])
-    order = orders.read_order(kind, stated["base"], stated["body"].encode())
+    kind = change_requests.ChangeRequestKind({"whole": "PUT", "patch": "PATCH"}[method])
+    order = change_requests.read_change_request(kind, stated["base"], stated["body"].encode())
     assert order.digest.hex() == stated["digest"]
     assert bytes.fromhex(stated["digest"]) not in ControlValue.decode(None).taken
     after = ControlValue.decode(unpacked(CONTROL["state_after_whole"]))
@@ -233,7 +233,7 @@
 
 def test_each_entry_of_a_replicas_log() -> None:
     numbers = set()
-    for stated in LOTS["entries"]:
+    for stated in JOBS["entries"]:
         data = unpacked(stated["entry"])
         logged = replica_log.decode_entry(data)
         assert plain(logged) == stated["logged"]
@@ -245,7 +245,7 @@
 
 
 def test_terms_records_and_inventories() -> None:
-    for stated in LOTS["terms"]:
+    for stated in JOBS["terms"]:
         data = unpacked(stated["packed"])
         term, end = records.unpack_term(b"before" + data + b"behind", 6)
         assert (plain(term), end) == (stated["term"], 6 + len(data))
@@ -254,15 +254,15 @@
         ("records", records.unpack_records, records.pack_records),
         ("inventory", records.unpack_inventory, records.pack_inventory),
     ):
-        data = unpacked(LOTS[key]["packed"])
-        (wanted,) = [value for name, value in LOTS[key].items() if name != "packed"]
+        data = unpacked(JOBS[key]["packed"])
+        (wanted,) = [value for name, value in JOBS[key].items() if name != "packed"]
         found = unpack(data)
         assert plain(found) == wanted
         assert pack(found) == data
 
 
-def test_the_slots_of_a_lot_have_their_numbers() -> None:
-    stored = LOTS["records"]["records"]
+def test_the_slots_of_a_job_have_their_numbers() -> None:
+    stored = JOBS["records"]["records"]
     assert [stored[number][1] for number in (0, 3, 4)] == [
         records.DEFINITION,
         records.END,
@@ -270,14 +270,14 @@
     ]
     assert (
         {entry[0] for entry in stored}
-        == {records.lot_key("Batch.Example", "lot-é")}
+        == {records.job_key("Batch.Example", "lot-é")}
         == {"batch.example/lot-é"}
     )
     assert records.checksum(b"value") == 0x1D775834
 
 
-def test_a_lots_definition() -> None:
-    stated = LOTS["definition"]
+def test_a_jobs_definition() -> None:
+    stated = JOBS["definition"]
     value, squeezed = unpacked(stated["value"]), unpacked(stated["squeezed"])
     terms = definition.decode_terms(value)
     assert plain(terms) == stated["terms"]
@@ -300,33 +300,33 @@
 
 
 def test_results() -> None:
-    values = [unpacked(stated["value"]) for stated in LOTS["results"]]
-    for value, stated in zip(values, LOTS["results"], strict=True):
+    values = [unpacked(stated["value"]) for stated in JOBS["results"]]
+    for value, stated in zip(values, JOBS["results"], strict=True):
         index, item, state, message = stated["result"]
         assert results.item_index(value) == index
         assert results.encode_result(index, item, results.ResultState(state), message) == value
-    assert {stated["result"][2] for stated in LOTS["results"]} == {
+    assert {stated["result"][2] for stated in JOBS["results"]} == {
         state.value for state in results.ResultState
     }
     page = json.loads(results.page_json(results.build_page(9, 4, values)))
     listed = [
-        dict(zip(("Id", "State", "Message"), stated["result"][1:], strict=True)) for stated in LOTS["results"]
+        dict(zip(("Id", "State", "Message"), stated["result"][1:], strict=True)) for stated in JOBS["results"]
     ]
     assert page == {"Total": 9, "NextPageToken": 6, "Results": listed}
 
 
 def test_events() -> None:
-    packed = unpacked(LOTS["events"]["packed"])
+    packed = unpacked(JOBS["events"]["packed"])
     found = packing.unpack_events(packed)
-    assert plain(found) == LOTS["events"]["events"]
+    assert plain(found) == JOBS["events"]["events"]
     assert packing.pack_events(found) == packed
 
 
 def test_figures_that_nodes_must_agree_on() -> None:
-    assert {host: placement.shard_of(host) for host in LOTS["shards"]} == LOTS["shards"]
-    for shard, name, wanted in LOTS["scores"]:
+    assert {host: placement.shard_of(host) for host in JOBS["shards"]} == JOBS["shards"]
+    for shard, name, wanted in JOBS["scores"]:
         assert placement.score(shard, name) == wanted
-    for key, slot, check, wanted in LOTS["slot_digests"]:
+    for key, slot, check, wanted in JOBS["slot_digests"]:
         assert replica.slot_digest(key, slot, check) == wanted
 
 
@@ -347,8 +347,8 @@
 def test_the_control_nodes_that_one_has_met(tmp_path: Path) -> None:
     content = SMALL["known_nodes"]["text"]
     (tmp_path / "known").write_text(content)
-    assert remembered.RememberedNodes(tmp_path / "known").load() == content.split()
-    asyncio.run(remembered.RememberedNodes(tmp_path / "fresh").save(content.split()))
+    assert peer_cache.PeerCache(tmp_path / "known").load() == content.split()
+    asyncio.run(peer_cache.PeerCache(tmp_path / "fresh").save(content.split()))
     assert (tmp_path / "fresh").read_bytes() == content.encode()
 
 
@@ -360,7 +360,7 @@
     stated = read_json(f"journal-{name}.json")
     wanted = [unpacked(record) for record in stated["records"]]
     lay_out_journal(name, tmp_path / "golden")
-    survey = survey_journal(tmp_path / "golden")
+    survey = scan_journal(tmp_path / "golden")
     assert [record.payload for record in survey.records] == wanted
     assert survey.damages == ()
     journal, found = Journal.open(tmp_path / "golden", recorder.SEGMENT_BYTES, recorder.RING_BYTES)
--- a/tests/golden/test_golden_http.py
+++ b/tests/golden/test_golden_http.py
@@ -24,20 +24,20 @@
 from tier_control_fixture import AFollower, Cluster, a_document, a_heartbeat, eventually, now, on_cluster
 
 from emberring.admission.types import Refused
-from emberring.distribution.facts import NodeRole, ServerFact, ServerState
-from emberring.gateway import connect_patience, pool
+from emberring.distribution.records import NodeRole, ServerRecord, ServerState
+from emberring.gateway import connect_timeout, pool
 from emberring.gateway.role import Gateway
 from emberring.journal.folder import DiskFile
 
 PATIENCE_S = 20.0
-LOT_ROUTES = (stores.ROUTE, *ROUTES)
+JOB_ROUTES = (stores.ROUTE, *ROUTES)
 
 
 @pytest.fixture(autouse=True)
 def unhurried(monkeypatch: pytest.MonkeyPatch) -> None:
     """A busy machine and its disk are not what these tests are about."""
     monkeypatch.setattr(pool, "CONNECT_TIMEOUT_S", PATIENCE_S)
-    monkeypatch.setattr(connect_patience, "LEAST_S", PATIENCE_S)
+    monkeypatch.setattr(connect_timeout, "LEAST_S", PATIENCE_S)
     monkeypatch.setattr(DiskFile, "sync", lambda self: None)
 
 
@@ -130,19 +130,19 @@
     async def scenario() -> None:
         cluster = await stores.Cluster.begin(tmp_path)
         gateway = cluster.gateway(Executor())
-        world = World(LOT_ROUTES)
-        world.lots = gateway.client
+        world = World(JOB_ROUTES)
+        world.jobs = gateway.client
         await world.start()
 
         async def ask(path: str, **more: Any) -> Received:
             client = await world.client()
             return await client.ask(path, Host=stores.HOST, **more)
 
-        async def submit(lot: str, document: Any) -> dict[str, Any]:
-            return seen(await ask("/batch/", request_id=lot, body=json.dumps(document).encode()))
+        async def submit(job: str, document: Any) -> dict[str, Any]:
+            return seen(await ask("/batch/", request_id=job, body=json.dumps(document).encode()))
 
         try:
-            listed = json.loads(stores.lot_body("lot1", 2))
+            listed = json.loads(stores.job_body("lot1", 2))
             found["submitted"] = await submit("lot1", listed)
             found["submitted again"] = await submit("lot1", listed)
             item = await ask("/v1/items/lot1?Id=lot1-0", method="GET", body=b"")
@@ -170,7 +170,7 @@
             found["ended"] = seen(await ask("/v1/lots/lot1", method="DELETE", body=b""))
             found["ended again"] = seen(await ask("/v1/lots/lot1", method="DELETE", body=b""))
             found["page of an ended lot"] = seen(await ask("/v1/lots/lot1", method="GET", body=b""))
-            found["too large a lot"] = await submit("lot2", json.loads(stores.lot_body("lot2", 2, 60_000)))
+            found["too large a lot"] = await submit("lot2", json.loads(stores.job_body("lot2", 2, 60_000)))
             found["no list"] = await submit("lot3", {"requests": []})
             found["not JSON"] = seen(await ask("/batch/", request_id="lot3", body=b"{"))
             for key in listed["Requests"][0]:
@@ -210,7 +210,7 @@
         found["unknown path"] = seen(await probe("/x"))
         found["no configuration"] = seen(await ask(gateway.clients.port, request()))
         control.version = 3
-        control.facts.append(ServerFact("i-1", "s", server.address, "z", 4, ServerState.READY, 1))
+        control.facts.append(ServerRecord("i-1", "s", server.address, "z", 4, ServerState.READY, 1))
         await until(lambda: "i-1" in gateway.follower.servers)
         found["ready"] = seen(await probe("/v1/readyz"))
         assert (await ask(gateway.clients.port, request())).status == 200
--- a/tests/golden/test_golden_messages.py
+++ b/tests/golden/test_golden_messages.py
@@ -27,7 +27,7 @@
 import emberring as package
 from emberring.errors import ErrorKind as FailureKinds
 from emberring.jobs.items import OutcomeKind as RunEnds
-from emberring.registry.trouble import Trouble as Troubles
+from emberring.registry.faults import Fault as Troubles
 from emberring.transport import messages as wire
 
 DATA = Path(__file__).parent / "data"
--- a/tests/golden/test_golden_settings.py
+++ b/tests/golden/test_golden_settings.py
@@ -25,8 +25,8 @@
 )
 
 from emberring import settings as tier
+from emberring.configuration.change_requests import ChangeRequestKind, judge, read_change_request
 from emberring.configuration.checks import mistakes_in
-from emberring.configuration.orders import OrderKind, judge, read_order
 from emberring.configuration.reading import build, pack, read, read_checked, unpack, unpack_configuration
 from emberring.configuration.state import ControlState
 from emberring.errors import InvalidConfigurationError, SettingsError
@@ -277,13 +277,13 @@
     assert unpack(pack(body)) == body
     assert flat(unpack_configuration(pack(body))) == configuration_values(configuration_document())
     assert read_checked(body) == configuration_document()
-    taken = judge(ControlState(), read_order(OrderKind.WHOLE, '"0"', body)).state
+    taken = judge(ControlState(), read_change_request(ChangeRequestKind.WHOLE, '"0"', body)).state
     assert ControlState.decode(taken.encode()).document == body
     check_golden(
         "settings/configuration.canonical.json",
         {
             "canonical": read(body).canonical.decode(),
-            "digest": read_order(OrderKind.WHOLE, "0", body).digest.hex(),
+            "digest": read_change_request(ChangeRequestKind.WHOLE, "0", body).digest.hex(),
         },
     )
 
@@ -319,10 +319,14 @@
     "kind", ["upsert", "remove", "limits", "mistakes", "not_objects", "old_version", "no_version"]
 )
 def test_a_change_of_named_items_writes_the_recorded_document(kind):
-    before = judge(ControlState(), read_order(OrderKind.WHOLE, "0", configuration_bytes())).state
+    before = judge(
+        ControlState(), read_change_request(ChangeRequestKind.WHOLE, "0", configuration_bytes())
+    ).state
 
     def change() -> str:
-        fate = judge(before, read_order(OrderKind.PATCH, "7", json.dumps(patch_of(kind)).encode()))
+        fate = judge(
+            before, read_change_request(ChangeRequestKind.PATCH, "7", json.dumps(patch_of(kind)).encode())
+        )
         if hasattr(fate, "error"):
             raise fate.error
         return fate.state.document.decode()
@@ -331,12 +335,14 @@
 
 
 def test_each_key_of_a_change_has_an_effect():
-    before = judge(ControlState(), read_order(OrderKind.WHOLE, "0", configuration_bytes())).state
+    before = judge(
+        ControlState(), read_change_request(ChangeRequestKind.WHOLE, "0", configuration_bytes())
+    ).state
     for kind in ("upsert", "remove", "limits"):
         change = patch_of(kind)
         documents = []
         for place in [None, *((key,) for key in change if key != "Version")]:
             sent = change if place is None else without(change, place, f"{place[0]}New")
-            fate = judge(before, read_order(OrderKind.PATCH, "7", json.dumps(sent).encode()))
+            fate = judge(before, read_change_request(ChangeRequestKind.PATCH, "7", json.dumps(sent).encode()))
             documents.append(fate.state.document)
         assert len(set(documents)) == len(documents), kind
--- a/tests/versions/test_two_versions.py
+++ b/tests/versions/test_two_versions.py
@@ -14,7 +14,7 @@
 
 WHOLE_S = 300.0
 STREAMS_PER_S = 8.0
-LOT_EVERY_S = 1.0
+JOB_EVERY_S = 1.0
 SERVED_SHARE = 0.9  # of the streams while nodes are replaced; those refused ran nowhere, which is checked too
 
 
@@ -42,18 +42,18 @@
     """Everything that a tier does for its users, once."""
     await world.start()
     await world.ask_streams(3)
-    before = await world.submit_lot(40, seed=3, gateway=0)
-    await world.finish_lot(before)
-    await world.read_lot_again(before)
+    before = await world.submit_job(40, seed=3, gateway=0)
+    await world.finish_job(before)
+    await world.read_job_again(before)
     await world.drain_server()
     await world.add_route()
-    after = await world.submit_lot(20, seed=4, gateway=1)
-    await world.finish_lot(after)
-    await world.read_lot_again(after)
-    await world.read_lot_again(before)
+    after = await world.submit_job(20, seed=4, gateway=1)
+    await world.finish_job(after)
+    await world.read_job_again(after)
+    await world.read_job_again(before)
     await world.ask_streams(3)
     world.check_drains()
-    await world.end_lot(before)
+    await world.end_job(before)
     await world.stop()
 
 
@@ -74,22 +74,22 @@
 async def replace_all(world: World, program: Path) -> None:
     """Replace node after node by this program under traffic; nothing that was acknowledged is lost."""
     await world.start()
-    finished = await world.submit_lot(40, seed=3)
-    await world.finish_lot(finished)
+    finished = await world.submit_job(40, seed=3)
+    await world.finish_job(finished)
     await world.drain_server()
     await world.add_route()
-    open_lot = await world.submit_lot(200, seed=5, gateway=1)
-    world.start_traffic(STREAMS_PER_S, LOT_EVERY_S)
+    open_job = await world.submit_job(200, seed=5, gateway=1)
+    world.start_traffic(STREAMS_PER_S, JOB_EVERY_S)
     for role in ROLES:
         for node in world.tier.of_role(role):
             await world.tier.replace(node.place.name, program)
             await world.settle()
     traffic = await world.stop_traffic()
     assert {node.program for node in world.tier.versioned()} == {program}
-    await world.finish_lot(open_lot)
+    await world.finish_job(open_job)
     check_traffic(world, traffic)
-    for lot in (finished, open_lot, *traffic.lots):
-        await world.read_lot_again(lot)
+    for job in (finished, open_job, *traffic.jobs):
+        await world.read_job_again(job)
     world.check_drains()
     # What was acknowledged before stands, and the replaced tier takes orders.
     await world.settle()
@@ -104,10 +104,10 @@
 def check_traffic(world: World, traffic: Traffic) -> None:
     """Every batch job was accepted and every result is listed once; streams were served, or ran nowhere."""
     assert world.own_breaches(traffic) == [], world.logs()
-    assert traffic.lots
-    for lot in traffic.lots:
-        assert lot.accepted, (lot.statuses, world.logs())
-        world.check_lot(lot)
+    assert traffic.jobs
+    for job in traffic.jobs:
+        assert job.accepted, (job.statuses, world.logs())
+        world.check_job(job)
     for name, tally in traffic.tallies.items():
         assert tally.asked, name
         assert tally.served >= SERVED_SHARE * tally.asked, (name, tally, world.logs())
@@ -120,15 +120,15 @@
 async def replace_whole(world: World, program: Path) -> None:
     """Stop the whole tier and start this program on its data: no node can teach another what it could not read."""
     await world.start()
-    finished = await world.submit_lot(40, seed=3)
-    await world.finish_lot(finished)
+    finished = await world.submit_job(40, seed=3)
+    await world.finish_job(finished)
     await world.drain_server()
     await world.add_route()
-    open_lot = await world.submit_lot(200, seed=5, gateway=1)
+    open_job = await world.submit_job(200, seed=5, gateway=1)
     await world.tier.replace_whole(program)
     await world.settle()
-    await world.finish_lot(open_lot)
-    await world.read_lot_again(finished)
+    await world.finish_job(open_job)
+    await world.read_job_again(finished)
     await world.ask_added_route()
     await world.replace_configuration()
     world.check_drains()
--- a/tests/versions/versioned_tier.py
+++ b/tests/versions/versioned_tier.py
@@ -31,16 +31,16 @@
 from emberring.emulator.engine import EngineSpec
 from emberring.emulator.heartbeats import Heartbeats
 from emberring.emulator.http_calls import CALL_ERRORS, call_once
-from emberring.emulator.judge import judge_lot, judge_stream
+from emberring.emulator.invariant_checker import judge_job, judge_stream
+from emberring.emulator.job_client import JobClient, JobHistory, make_job
 from emberring.emulator.live_client import LiveClient, StreamCall, StreamEnd
 from emberring.emulator.local_node import CONTROL_PLANE, FRONTEND, READINESS, LocalNode, settings_text
 from emberring.emulator.local_tier import LocalTier, TierSize
-from emberring.emulator.lot_client import LotClient, LotHistory, make_lot
 from emberring.emulator.model_server import ModelServer
 from emberring.emulator.observations import Observations
 from emberring.emulator.operator import Operator
 from emberring.emulator.server_fleet import ServerFleet
-from emberring.emulator.store_survey import survey_stores
+from emberring.emulator.store_scan import survey_stores
 from emberring.emulator.traffic import Traffic, TrafficPlan
 from emberring.emulator.waiting import LOOK_EVERY_S
 from emberring.errors import EmberringError
@@ -325,40 +325,40 @@
         assert [result.end for result in results][-1:] == [StreamEnd.SERVED], (address, results, self.logs())
         return {run.server_id for result in results for run in self.seen.runs.get(result.request_id, [])}
 
-    async def submit_lot(self, items: int, seed: int, gateway: int = 0) -> LotHistory:
+    async def submit_job(self, items: int, seed: int, gateway: int = 0) -> JobHistory:
         """Submit a batch job at one gateway; it is accepted."""
         address = self.gateway_addresses()[gateway]
-        lot = make_lot(items, seed)
-        self._own_ids.update(item.id for item in lot.items)
-        history = await LotClient(lambda: [address], seed).submit(lot, ORDER_S)
+        job = make_job(items, seed)
+        self._own_ids.update(item.id for item in job.items)
+        history = await JobClient(lambda: [address], seed).submit(job, ORDER_S)
         assert history.accepted, (history.statuses, self.logs())
         return history
 
-    async def finish_lot(self, history: LotHistory) -> None:
+    async def finish_job(self, history: JobHistory) -> None:
         """Follow a batch job at all gateways until each item is listed."""
-        await LotClient(self.tier.frontends, seed=1).follow(history, JOBS_S)
-        self.check_lot(history)
+        await JobClient(self.tier.frontends, seed=1).follow(history, JOBS_S)
+        self.check_job(history)
 
-    def check_lot(self, history: LotHistory) -> None:
+    def check_job(self, history: JobHistory) -> None:
         """Every item of the batch job is listed once, as completed, with its own text."""
-        known = (len(history.results), len(history.lot.items))
+        known = (len(history.results), len(history.job.items))
         assert history.complete, (known, self.logs())
-        assert judge_lot(history, self.seen, STRIDE) == []
+        assert judge_job(history, self.seen, STRIDE) == []
         ids = [result.item_id for result in history.results]
-        assert sorted(ids) == sorted(item.id for item in history.lot.items)
+        assert sorted(ids) == sorted(item.id for item in history.job.items)
         assert {result.state for result in history.results} == {"completed"}
 
-    async def read_lot_again(self, history: LotHistory) -> None:
+    async def read_job_again(self, history: JobHistory) -> None:
         """Each gateway lists the same results in the same order as before."""
         for address in self.gateway_addresses():
-            again = LotHistory(history.lot)
-            await LotClient(lambda address=address: [address], seed=1).follow(again, JOBS_S)
+            again = JobHistory(history.job)
+            await JobClient(lambda address=address: [address], seed=1).follow(again, JOBS_S)
             assert again.results == history.results, (address, self.logs())
-            self.check_lot(again)
+            self.check_job(again)
 
-    async def end_lot(self, history: LotHistory) -> None:
+    async def end_job(self, history: JobHistory) -> None:
         """End a batch job; it is acknowledged."""
-        assert await LotClient(self.tier.frontends, seed=1).end(history.lot, ORDER_S), self.logs()
+        assert await JobClient(self.tier.frontends, seed=1).end(history.job, ORDER_S), self.logs()
 
     async def drain_server(self) -> str:
         """A server drains; from the return on, no gateway sends it anything."""
@@ -419,9 +419,9 @@
 
     # Traffic beside
 
-    def start_traffic(self, streams_per_s: float, lot_every_s: float) -> None:
+    def start_traffic(self, streams_per_s: float, job_every_s: float) -> None:
         """Begin to ask for streams and to submit batch jobs, on all routes."""
-        plan = TrafficPlan(streams_per_s, lot_every_s, lot_patience_s=JOBS_S, stride=STRIDE)
+        plan = TrafficPlan(streams_per_s, job_every_s, job_patience_s=JOBS_S, stride=STRIDE)
         self.traffic = Traffic(self.tier.frontends, self.seen, plan)
         self.traffic.added_route = True
         self.traffic.start()
