--- /dev/null
+++ b/emberring/register/outgoing_calls.py
@@ -0,0 +1,33 @@
+"""The calls to other nodes that are in flight, and the function that takes the reply of each."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from emberring.register.action_queue import ActionQueue
+from emberring.register.events import Call
+from emberring.register.messages import Request
+
+ReplyHandler = Callable[[float, object | None], None]
+"""Takes the time (steady clock, seconds) and the reply; None where none came before the time-out."""
+
+
+class OutgoingCalls:
+    """Numbers the calls of a `RegisterNode` and hands each reply to whoever sent the call."""
+
+    def __init__(self, actions: ActionQueue) -> None:
+        self._actions = actions
+        self._handlers: dict[int, ReplyHandler] = {}
+        self._last_number = 0
+
+    def send(self, address: str, message: Request, timeout_s: float, on_reply: ReplyHandler) -> None:
+        """Call the node at an internal address; `on_reply` is called once, at the latest after `timeout_s`."""
+        self._last_number += 1
+        self._handlers[self._last_number] = on_reply
+        self._actions.add(Call(self._last_number, address, message, timeout_s))
+
+    def on_replied(self, now_s: float, call: int, reply: object | None) -> None:
+        """Pass a reply on. A call that is not in flight, such as one replied to twice, is ignored."""
+        handler = self._handlers.pop(call, None)
+        if handler is not None:
+            handler(now_s, reply)
--- a/emberring/register/pending_operations.py
+++ b/emberring/register/pending_operations.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from collections import deque
+
 import attrs
 
 from emberring.errors import EmberringError, InternalError, NoQuorumError, UnknownOutcomeError
@@ -80,3 +82,11 @@
     if job.in_doubt:
         return Resolve(job.number, error=UnknownOutcomeError(IN_DOUBT))
     return Resolve(job.number, error=NoQuorumError("too few replicas answered in time"))
+
+
+def expire_queue(queue: deque[PendingOperation], now_s: float) -> list[Resolve]:
+    """Take out of a queue the operations whose deadline has passed; what to tell their callers."""
+    late = [operation for operation in queue if operation.deadline_s <= now_s]
+    for operation in late:
+        queue.remove(operation)
+    return [give_up(operation) for operation in late]
--- /dev/null
+++ b/emberring/register/proposal_loop.py
@@ -0,0 +1,194 @@
+"""This node's attempts at committing a proposal: one at a time, with a backoff after a failed one."""
+
+from __future__ import annotations
+
+import random
+from collections import deque
+from collections.abc import Iterable
+from functools import partial
+
+from emberring.register.action_queue import ActionQueue
+from emberring.register.catch_up import CatchUp
+from emberring.register.contacts import Contacts
+from emberring.register.events import NotifyLearned
+from emberring.register.messages import Chosen
+from emberring.register.model import Member, Proposal, ProposalNumber, State
+from emberring.register.outgoing_calls import OutgoingCalls
+from emberring.register.pending_operations import Batch, PendingOperation, expire_queue
+from emberring.register.proposer import Phase, ProposalAttempt, Send
+from emberring.register.replica_set_manager import ReconfigurationStep
+
+CALL_TIMEOUT_S = 0.8
+"""How long a replica has to answer a prepare or an accept, in seconds."""
+
+ATTEMPT_TIMEOUT_S = 0.9
+"""How long one attempt may take in all, in seconds; longer than `CALL_TIMEOUT_S`."""
+
+BACKOFF_FIRST_S = 0.01
+"""The longest wait after the first failed attempt, in seconds; it doubles with each further failure."""
+
+BACKOFF_MAX_S = 0.2
+"""The longest wait after any number of failed attempts, in seconds."""
+
+MAX_COUNTED_FAILURES = 10
+"""Failures in a row beyond this count no more: the backoff has long reached `BACKOFF_MAX_S`."""
+
+
+class ProposalLoop:
+    """Runs proposal attempts for the operations that wait, for a reconfiguration, or to confirm what is accepted.
+
+    Args:
+        me: this replica.
+        proposer: the name under which it proposes; unique to this start of the process.
+        catch_up: what is known to be committed.
+        contacts: where the other nodes are.
+        calls, actions: where calls and other actions go.
+        rng: draws the backoff.
+    """
+
+    def __init__(
+        self,
+        me: Member,
+        proposer: str,
+        catch_up: CatchUp,
+        contacts: Contacts,
+        calls: OutgoingCalls,
+        actions: ActionQueue,
+        rng: random.Random,
+    ) -> None:
+        self._me = me
+        self._proposer = proposer
+        self._catch_up = catch_up
+        self._contacts = contacts
+        self._calls = calls
+        self._actions = actions
+        self._rng = rng
+        self._counter = 0
+        self._queued: deque[PendingOperation] = deque()
+        self._in_attempt: deque[PendingOperation] = deque()  # requested before the attempt in flight began
+        self._attempt: ProposalAttempt | None = None
+        self._began_s = 0.0
+        self._batch: Batch | None = None
+        self._reconfiguration: ReconfigurationStep | None = None
+        self._failures = 0
+        self._retry_at_s = float("-inf")
+
+    @property
+    def running(self) -> bool:
+        """Whether an attempt is in flight."""
+        return self._attempt is not None
+
+    @property
+    def next_wake_s(self) -> float:
+        """When an attempt may begin or a waiting operation expires, whichever is first; infinite where neither."""
+        wake_s = min((found.deadline_s for found in (*self._queued, *self._in_attempt)), default=float("inf"))
+        if self._queued or self._catch_up.confirmation_needed:
+            wake_s = min(wake_s, self._retry_at_s)
+        return wake_s
+
+    def enqueue(self, operation: PendingOperation) -> None:
+        """Add an operation, which takes part in an attempt that begins after now."""
+        self._queued.append(operation)
+
+    def requeue(self, operations: Iterable[PendingOperation]) -> None:
+        """Add operations that a quorum read could not serve."""
+        self._queued.extend(operations)
+
+    def set_reconfiguration(self, step: ReconfigurationStep | None) -> None:
+        """Set the step of the replica set that the next attempts should make; None: none."""
+        self._reconfiguration = step
+
+    def observe(self, number: ProposalNumber | None) -> None:
+        """Take note of a proposal number in use: the next attempt takes a higher one."""
+        if number is not None:
+            self._counter = max(self._counter, number.counter)
+
+    def expire_waiting(self, now_s: float) -> None:
+        """Resolve the operations whose deadline passed before an attempt decided."""
+        self._actions.extend(expire_queue(self._queued, now_s))
+        self._actions.extend(expire_queue(self._in_attempt, now_s))
+
+    def expire_proposed(self, now_s: float) -> None:
+        """Resolve the operations of the attempt that has decided whose deadline has passed."""
+        if self._batch is not None:
+            self._actions.extend(self._batch.expire(now_s))
+
+    def advance(self, now_s: float) -> None:
+        """End an attempt that took too long, and begin one where it is wanted and the backoff is over."""
+        if self._attempt is not None and now_s - self._began_s > ATTEMPT_TIMEOUT_S:
+            self._fail(now_s, self._attempt)
+        if self._attempt is not None or now_s < self._retry_at_s:
+            return
+        known = self._catch_up.known
+        wanted = self._queued or self._catch_up.confirmation_needed or self._reconfiguration
+        if known is not None and wanted:
+            self._begin(now_s, known)
+
+    def _begin(self, now_s: float, known: Proposal) -> None:
+        self.observe(self._catch_up.promised)
+        self.observe(known.ballot)
+        self._counter += 1
+        number = ProposalNumber(self._counter, self._proposer)
+        attempt = ProposalAttempt(number, known, self._decide)
+        self._attempt, self._began_s = attempt, now_s
+        # An operation that comes while promises are on their way waits for the next attempt. What those promises show
+        # may be older than a change that was acknowledged elsewhere before the operation was requested.
+        self._in_attempt, self._queued = self._queued, deque()
+        self._send(attempt, attempt.start(known.state.replicas.everyone))
+
+    def _decide(self, found: Proposal, committed: bool) -> State:
+        """What this attempt proposes on top of the proposal that it found."""
+        self._batch = Batch(tuple(self._in_attempt), found.state.payload)
+        self._in_attempt.clear()
+        replicas = found.state.replicas
+        step = self._reconfiguration
+        if step is not None and step.previous == replicas and (committed or not replicas.joining):
+            replicas = step.following
+        state = State(replicas, self._batch.payload)
+        if not (committed and state == found.state):
+            self._batch.doubt()
+        return state
+
+    def _send(self, attempt: ProposalAttempt, sends: list[Send]) -> None:
+        for send in sends:
+            address = self._contacts.address(send.member)
+            on_reply = partial(self._on_reply, attempt, send.member)
+            self._calls.send(address, send.message, CALL_TIMEOUT_S, on_reply)
+
+    def _on_reply(self, attempt: ProposalAttempt, member: Member, now_s: float, reply: object | None) -> None:
+        if attempt is not self._attempt:
+            return
+        self._send(attempt, attempt.on_reply(member, reply))
+        if attempt.phase is Phase.FAILED:
+            self._fail(now_s, attempt)
+        elif attempt.outcome is not None:
+            self._succeed(now_s, attempt, attempt.outcome)
+
+    def _fail(self, now_s: float, attempt: ProposalAttempt) -> None:
+        """Put the operations back in front of the queue, and wait before the next attempt."""
+        self.observe(attempt.refused_by)
+        self._attempt = None
+        operations = self._batch.jobs if self._batch is not None else tuple(self._in_attempt)
+        self._batch = None
+        self._in_attempt.clear()
+        self._queued.extendleft(reversed(operations))
+        longest_s = min(BACKOFF_MAX_S, BACKOFF_FIRST_S * 2**self._failures)
+        self._failures = min(self._failures + 1, MAX_COUNTED_FAILURES)
+        self._retry_at_s = now_s + longest_s * self._rng.random()
+
+    def _succeed(self, now_s: float, attempt: ProposalAttempt, committed: Proposal) -> None:
+        self._attempt, self._failures, self._reconfiguration = None, 0, None
+        self._catch_up.confirmation_needed = False
+        self._catch_up.learn(now_s, committed)
+        if self._batch is not None:
+            self._actions.extend(self._batch.resolve())
+            self._batch = None
+        if attempt.sent_accept:
+            self._announce(committed)
+
+    def _announce(self, committed: Proposal) -> None:
+        """Notify all replicas and all other control nodes that this proposal is committed."""
+        addresses = {self._contacts.address(member) for member in committed.state.replicas.everyone}
+        addresses |= {peer.member.address for peer in self._contacts.peers}
+        for address in sorted(addresses - {self._me.address}):
+            self._actions.add(NotifyLearned(address, Chosen(committed.ballot, self._me.address)))
--- a/emberring/register/replica_set_manager.py
+++ b/emberring/register/replica_set_manager.py
@@ -41,9 +41,9 @@
         me: Member,
         wanted: int,
         contacts: Contacts,
-        patience: ReconfigurationTimeouts = RECONFIGURATION_TIMEOUTS,
+        timeouts: ReconfigurationTimeouts = RECONFIGURATION_TIMEOUTS,
     ) -> None:
-        self.patience = patience
+        self.timeouts = timeouts
         self._me = me
         self._wanted = wanted
         self._contacts = contacts
@@ -60,7 +60,7 @@
         if self._wanted_since is None:
             self._wanted_since = now_s
         current = learned.state.replicas
-        if now_s - self._wanted_since < self._rank(now_s, current) * self.patience.rank_delay_s:
+        if now_s - self._wanted_since < self._rank(now_s, current) * self.timeouts.rank_delay_s:
             return None
         return ReconfigurationStep(current, following)
 
@@ -79,7 +79,7 @@
         current = learned.state.replicas
         if self._joint_epoch != current.epoch:
             self._joint_epoch, self._joint_since = current.epoch, now_s
-        if now_s - self._joint_since > self.patience.joiner_wait_s:
+        if now_s - self._joint_since > self.timeouts.joiner_wait_s:
             return True
         for member in current.joining:
             if member in current.members or member.identity == self._me.identity:
@@ -116,11 +116,11 @@
                 if contacts.heard_s(now_s, other) < IN_TOUCH_S:
                     candidates.setdefault(other.identity, Candidate(other))
             namesake = contacts.namesake(member)
-            if namesake in candidates and silent[member.identity] > self.patience.name_silent_s:
+            if namesake in candidates and silent[member.identity] > self.timeouts.name_silent_s:
                 replaced[member.identity] = namesake
         return View(
             silent_s=silent,
-            dead=frozenset(name for name, age_s in silent.items() if age_s > self.patience.dead_after_s),
+            dead=frozenset(name for name, age_s in silent.items() if age_s > self.timeouts.dead_after_s),
             displaced=displaced,
             leaving=frozenset(peer.member.identity for peer in contacts.peers if peer.leaving),
             replaced=replaced,
--- a/emberring/simulation/control_plane/mutations.py
+++ b/emberring/simulation/control_plane/mutations.py
@@ -18,8 +18,9 @@
 from emberring.distribution.view import FollowerView
 from emberring.errors import VersionConflictError
 from emberring.register.acceptor import Acceptor
+from emberring.register.catch_up import CatchUp
 from emberring.register.model import Proposal, ReplicaSet, State
-from emberring.register.node import RegisterNode
+from emberring.register.proposal_loop import ProposalLoop
 from emberring.simulation.control_plane.control_machine import ControlMachine, HostedRegister
 
 
@@ -47,13 +48,13 @@
     return self._machine._last_learned
 
 
-_decide = RegisterNode._decide
+_decide = ProposalLoop._decide
 
 
-def _decide_with_late_jobs(self: RegisterNode, found: Proposal, chosen: bool) -> State:
-    self._round_jobs.extend(self._jobs)
-    self._jobs.clear()
-    return _decide(self, found, chosen)
+def _decide_with_late_jobs(self: ProposalLoop, found: Proposal, committed: bool) -> State:
+    self._in_attempt.extend(self._queued)
+    self._queued.clear()
+    return _decide(self, found, committed)
 
 
 def _held_alone(self: HeartbeatHandler, now_s: float, server_id: str) -> bool:
@@ -122,7 +123,7 @@
         ring.release(ring.oldest)
 
 
-def _never_hears(self: RegisterNode, *_: object) -> None:
+def _never_hears(self: CatchUp, *_: object) -> None:
     return
 
 
@@ -136,7 +137,7 @@
 
 _PATCHES: dict[Mistake, tuple[tuple[Any, str, Callable[..., Any]], ...]] = {
     Mistake.READS_FROM_MEMORY: ((HostedRegister, "read", _read_from_memory),),
-    Mistake.LATE_JOBS: ((RegisterNode, "_decide", _decide_with_late_jobs),),
+    Mistake.LATE_JOBS: ((ProposalLoop, "_decide", _decide_with_late_jobs),),
     Mistake.LONE_DRAINS: ((HeartbeatHandler, "_held", _held_alone),),
     Mistake.KEEPS_WEAK_SOURCES: ((SourceChoice, "answered", _answered_whatever_its_quorum),),
     Mistake.TAKES_OLDER_CONFIGURATION: ((FollowerView, "take", _take_older),),
@@ -145,7 +146,7 @@
     Mistake.REFUSES_BY_MEMORY: ((operator_requests.OperatorRequests, "configure", _configure_by_memory),),
     Mistake.OLD_SET_ALONE: ((ReplicaSet, "has_quorum", _quorum_of_members),),
     Mistake.REWRITES_WITHOUT_SNAPSHOT: ((ControlMachine, "_reclaim", _reclaim_without_snapshot),),
-    Mistake.NEVER_FETCHES: ((RegisterNode, "_hear_of", _never_hears),),
+    Mistake.NEVER_FETCHES: ((CatchUp, "on_announced", _never_hears),),
     Mistake.FORGETS_PROMISES: ((Acceptor, "restore", _restore_without_promise),),
 }
 
--- a/emberring/simulation/register/simulator.py
+++ b/emberring/simulation/register/simulator.py
@@ -193,7 +193,7 @@
             machine.thaw_at_s = min(machine.thaw_at_s, world.now_s)
             machine.start()
             if machine.node is not None:
-                machine.node.keeper.patience = RECONFIGURATION_TIMEOUTS
+                machine.node.replica_set_manager.timeouts = RECONFIGURATION_TIMEOUTS
 
     def _read_last(self) -> None:
         """Every node must have the same value now, and every replica of the set must be there."""
