--- a/emberring/control/cluster_state.py
+++ b/emberring/control/cluster_state.py
@@ -147,16 +147,20 @@
 
     def _answer_other_incarnations(self, now_s: float, names: Iterable[str]) -> None:
         """Where another control node has a newer incarnation of a node, this one's contact is with a dead one."""
+        live = self.live_origins(now_s)
         for name in names:
             mine = self.contacts.fact_of(name)
-            if mine is not None and self._elsewhere_as_another(mine):
+            if mine is not None and self._elsewhere_as_another(live, mine):
                 self.contacts.drop(name)
                 self._state_node(now_s, mine, present=False)
 
-    def _elsewhere_as_another(self, mine: NodeRecord) -> bool:
+    def _elsewhere_as_another(self, live: set[str], mine: NodeRecord) -> bool:
+        """Whether a live control node is in contact with another incarnation; what one that has ended last said is
+        of its own time and contradicts nothing that came after it."""
         return any(
             entry.present
             and entry.origin != self.me.incarnation
+            and entry.origin in live
             and entry.fact.name == mine.name
             and entry.fact.incarnation != mine.incarnation
             for entry in self.store.node_entries()
