--- a/emberring/control/cluster_state.py
+++ b/emberring/control/cluster_state.py
@@ -26,7 +26,7 @@
 
 LONGEST_GAP_S = 1.0  # between ticks; after a longer one this node was frozen
 GRACE_S = 1.0  # after that, before others' silence counts
-FORGET_ORIGIN_S = 60.0  # statements about nodes by an origin that has ended are dropped after so long
+FORGET_WRITER_S = 60.0  # statements about nodes by an origin that has ended are dropped after so long
 HEARD_SPAN_S = 5.0  # heartbeats of so long ago are told to a control node that could not be told before
 
 
@@ -50,10 +50,10 @@
         self._last_tick_s = now_s
         self._settled_since_s = now_s
         self._grace_until_s = now_s
-        self._seen_origins: dict[str, float] = {}
+        self._writers_seen_s: dict[str, float] = {}
         self._counted: Mapping[str, NodeRecord] = {}
         self._gateways = 1
-        self.store.state_node(me, present=True)
+        self.store.write_node(me, present=True)
 
     # -- waking
 
@@ -96,14 +96,14 @@
 
     # -- liveness
 
-    def live_origins(self, now_s: float) -> set[str]:
+    def live_writers(self, now_s: float) -> set[str]:
         """Incarnations of the control nodes that live, this one too."""
-        return {self.me.incarnation, *(peer.origin for peer in self.peers.live(now_s))}
+        return {self.me.incarnation, *(peer.incarnation for peer in self.peers.live(now_s))}
 
     def live_nodes(self, now_s: float) -> list[NodeRecord]:
         """All nodes that live, as far as this control node knows."""
         roles = (NodeRole.GATEWAY, NodeRole.STORE, NodeRole.CONTROL)
-        return list(self.store.live_nodes(self.live_origins(now_s), roles).values())
+        return list(self.store.live_nodes(self.live_writers(now_s), roles).values())
 
     def settled_s(self, now_s: float) -> float:
         """For how long (s) this node has run, without a pause, in contact with a quorum and with another control node:
@@ -112,10 +112,10 @@
 
     def gateways(self, now_s: float) -> int:
         """How many gateways live; at least 1."""
-        live = self.store.live_nodes(self.live_origins(now_s), (NodeRole.GATEWAY,))
+        live = self.store.live_nodes(self.live_writers(now_s), (NodeRole.GATEWAY,))
         if live is not self._counted:
             self._counted = live
-            self._gateways = max(1, sum(1 for fact in live.values() if not fact.leaving))
+            self._gateways = max(1, sum(1 for record in live.values() if not record.leaving))
         return self._gateways
 
     def _told_loads(self, now_s: float) -> list[Mapping[str, int]]:
@@ -131,38 +131,40 @@
 
     # -- nodes
 
-    def node_called(self, now_s: float, fact: NodeRecord, report: Report | None = None) -> None:
+    def node_called(self, now_s: float, record: NodeRecord, report: Report | None = None) -> None:
         """A gateway or store pulled; `report` is what it told, if it did."""
-        if self.contacts.note(now_s, fact, report):
-            self._state_node(now_s, fact, present=True)
+        if self.contacts.note(now_s, record, report):
+            self._write_node(now_s, record, present=True)
 
-    def _state_node(self, now_s: float, fact: NodeRecord, present: bool) -> None:
+    def _write_node(self, now_s: float, record: NodeRecord, present: bool) -> None:
         word = "present" if present else "absent"
-        logger.info("event=node_%s name=%s role=%s zone=%s", word, fact.name, fact.role.value, fact.zone)
-        self.store.state_node(fact, present)
+        logger.info(
+            "event=node_%s name=%s role=%s zone=%s", word, record.name, record.role.value, record.zone
+        )
+        self.store.write_node(record, present)
         # Gateways are only counted, and their number is told with other news.
-        if fact.role is not NodeRole.GATEWAY:
+        if record.role is not NodeRole.GATEWAY:
             self.hurry(now_s)
             self.changed()
 
-    def _answer_other_incarnations(self, now_s: float, names: Iterable[str]) -> None:
+    def _drop_replaced_contacts(self, now_s: float, names: Iterable[str]) -> None:
         """Where another control node has a newer incarnation of a node, this one's contact is with a dead one."""
-        live = self.live_origins(now_s)
+        live = self.live_writers(now_s)
         for name in names:
-            mine = self.contacts.fact_of(name)
-            if mine is not None and self._elsewhere_as_another(live, mine):
+            mine = self.contacts.record_of(name)
+            if mine is not None and self._other_incarnation_elsewhere(live, mine):
                 self.contacts.drop(name)
-                self._state_node(now_s, mine, present=False)
+                self._write_node(now_s, mine, present=False)
 
-    def _elsewhere_as_another(self, live: set[str], mine: NodeRecord) -> bool:
+    def _other_incarnation_elsewhere(self, live: set[str], mine: NodeRecord) -> bool:
         """Whether a live control node is in contact with another incarnation; what one that has ended last said is
         of its own time and contradicts nothing that came after it."""
         return any(
             entry.present
-            and entry.origin != self.me.incarnation
-            and entry.origin in live
-            and entry.fact.name == mine.name
-            and entry.fact.incarnation != mine.incarnation
+            and entry.writer_incarnation != self.me.incarnation
+            and entry.writer_incarnation in live
+            and entry.record.name == mine.name
+            and entry.record.incarnation != mine.incarnation
             for entry in self.store.node_entries()
         )
 
@@ -170,34 +172,36 @@
 
     def on_heartbeat(self, now_s: float, beat: Heartbeat) -> None:
         """A server's heartbeat came here."""
-        listed = self._listed(self.live_origins(now_s), beat.fact.id)
-        self.state_servers(now_s, self.registry.on_heartbeat(now_s, beat, self.store.servers(), listed))
+        listed = self._listed(self.live_writers(now_s), beat.record.id)
+        self.write_servers(now_s, self.registry.on_heartbeat(now_s, beat, self.store.servers(), listed))
 
     def on_goodbye(self, now_s: float, server_id: str) -> None:
         """A server said that it ends."""
-        self.state_servers(now_s, self.registry.on_goodbye(server_id, self.store.servers()))
+        self.write_servers(now_s, self.registry.on_goodbye(server_id, self.store.servers()))
 
     def _listed(self, live: set[str], server_id: str) -> ServerRecord | None:
         """What the control nodes that live state about this server together."""
-        facts = [entry.fact for entry in self.store.server_entries(server_id) if entry.origin in live]
-        return functools.reduce(merged, facts) if facts else None
+        records = [
+            entry.record for entry in self.store.server_entries(server_id) if entry.writer_incarnation in live
+        ]
+        return functools.reduce(merged, records) if records else None
 
-    def state_servers(self, now_s: float, facts: list[ServerRecord]) -> None:
+    def write_servers(self, now_s: float, records: list[ServerRecord]) -> None:
         """State these facts in this node's own name, and have them told at once."""
-        for fact in facts:
-            self.store.state_server(fact)
-        if facts:
+        for record in records:
+            self.store.write_server(record)
+        if records:
             self.hurry(now_s)
             self.changed()
 
-    def holders_of_end(self, now_s: float, server_id: str) -> list[NodeRecord]:
+    def peers_knowing_end(self, now_s: float, server_id: str) -> list[NodeRecord]:
         """The other control nodes that live and know that this server drains or is gone."""
-        entries = [entry for entry in self.store.server_entries(server_id) if level(entry.fact.state) > 0]
+        entries = [entry for entry in self.store.server_entries(server_id) if level(entry.record.state) > 0]
         return [
-            peer.fact
+            peer.record
             for peer in self.peers.live(now_s)
-            if peer.fact is not None
-            and any(peer.vector.get(entry.origin, 0) >= entry.number for entry in entries)
+            if peer.record is not None
+            and any(peer.vector.get(entry.writer_incarnation, 0) >= entry.number for entry in entries)
         ]
 
     # -- other control nodes
@@ -205,11 +209,11 @@
     def exchange_for(self, now_s: float, peer: Peer) -> Exchange:
         """What to tell this control node now."""
         return Exchange(
-            me=self.me,
-            to=peer.origin,
-            delta=self.store.newer_than(peer.vector) if peer.origin else Delta(),
+            sender=self.me,
+            receiver_incarnation=peer.incarnation,
+            delta=self.store.newer_than(peer.vector) if peer.incarnation else Delta(),
             vector=dict(self.store.vector),
-            heard=self.registry.heard_since(max(peer.answered_s, now_s - HEARD_SPAN_S)),
+            last_seen_sequences=self.registry.heard_since(max(peer.answered_s, now_s - HEARD_SPAN_S)),
             load=self.contacts.load(now_s),
             load_age_ms=self.contacts.load_age_s(now_s) * 1000.0,
             suspects=self.contacts.suspects(now_s),
@@ -217,11 +221,11 @@
 
     def on_exchange(self, now_s: float, said: Exchange) -> Exchanged:
         """Another control node told this; the answer has what it lacks."""
-        if said.to != self.me.incarnation:
-            said = attrs.evolve(said, to="", delta=Delta())
+        if said.receiver_incarnation != self.me.incarnation:
+            said = attrs.evolve(said, receiver_incarnation="", delta=Delta())
         self.take_exchange(now_s, said)
         return Exchanged(
-            me=self.me,
+            sender=self.me,
             delta=self.store.newer_than(said.vector),
             vector=dict(self.store.vector),
         )
@@ -230,25 +234,25 @@
         """Take in what another control node said."""
         if self.peers.take(now_s, said) is None:
             return
-        mine = self.store.entry_of(said.me.name, self.me.incarnation)
-        if mine is None or not mine.present or mine.fact != said.me:
-            self._state_node(now_s, said.me, present=True)
+        mine = self.store.entry_of(said.sender.name, self.me.incarnation)
+        if mine is None or not mine.present or mine.record != said.sender:
+            self._write_node(now_s, said.sender, present=True)
         if isinstance(said, Exchange):
-            self.registry.note_heard(now_s, said.heard)
-        learnt = self.store.take(said.delta)
-        if learnt:
-            self._learnt(now_s, learnt.servers, learnt.nodes)
+            self.registry.note_heard(now_s, said.last_seen_sequences)
+        changes = self.store.take(said.delta)
+        if changes:
+            self._on_table_changes(now_s, changes.servers, changes.nodes)
 
-    def _learnt(self, now_s: float, servers: frozenset[str], nodes: frozenset[str]) -> None:
+    def _on_table_changes(self, now_s: float, servers: frozenset[str], nodes: frozenset[str]) -> None:
         known = self.store.servers()
         for server in servers:
             if server in known:
-                self.state_servers(now_s, self.registry.on_learnt(now_s, known[server]))
-        self._answer_other_incarnations(now_s, nodes)
+                self.write_servers(now_s, self.registry.on_record_changed(now_s, known[server]))
+        self._drop_replaced_contacts(now_s, nodes)
         controls = [
-            e.fact for e in self.store.node_entries() if e.fact.role is NodeRole.CONTROL and e.present
+            e.record for e in self.store.node_entries() if e.record.role is NodeRole.CONTROL and e.present
         ]
-        self.peers.note(now_s, [fact.address for fact in controls])
+        self.peers.note(now_s, [record.address for record in controls])
         self.changed()
 
     # -- time
@@ -261,19 +265,19 @@
             self.contacts.renew(now_s)
             self._grace_until_s = now_s + GRACE_S
         elif now_s >= self._grace_until_s:
-            for fact in self.contacts.expired(now_s):
-                self._state_node(now_s, fact, present=False)
+            for record in self.contacts.expired(now_s):
+                self._write_node(now_s, record, present=False)
             self._expire_peers(now_s)
         alone = self.peers.others_exist() and not self.peers.live(now_s)
         trusted = not frozen and not alone and self.quorum_age_s() < LONGEST_GAP_S
         if not trusted:
             self._settled_since_s = now_s
         known = self.store.servers()
-        live = self.live_origins(now_s)
+        live = self.live_writers(now_s)
         silent = self.registry.on_tick(
             now_s, known, lambda server: self._listed(live, server) is not None, trusted
         )
-        self.state_servers(now_s, silent)
+        self.write_servers(now_s, silent)
         for server in self.registry.forgettable(now_s, known):
             self.store.forget_server(server)
         self._look_at_suspects(now_s)
@@ -284,19 +288,19 @@
         self.suspicions.look(now_s, told, self.gateways(now_s))
 
     def _expire_peers(self, now_s: float) -> None:
-        live = {peer.origin for peer in self.peers.live(now_s)}
+        live = {peer.incarnation for peer in self.peers.live(now_s)}
         for entry in list(self.store.node_entries()):
-            mine = entry.origin == self.me.incarnation and entry.present
-            other = entry.fact.role is NodeRole.CONTROL and entry.fact.incarnation != self.me.incarnation
-            if mine and other and entry.fact.incarnation not in live:
-                self._state_node(now_s, entry.fact, present=False)
+            mine = entry.writer_incarnation == self.me.incarnation and entry.present
+            other = entry.record.role is NodeRole.CONTROL and entry.record.incarnation != self.me.incarnation
+            if mine and other and entry.record.incarnation not in live:
+                self._write_node(now_s, entry.record, present=False)
 
     def _forget(self, now_s: float) -> None:
-        for origin in self.live_origins(now_s):
-            self._seen_origins[origin] = now_s
-        for origin in list(self.store.vector):
-            seen_s = self._seen_origins.setdefault(origin, now_s)
-            if now_s - seen_s > FORGET_ORIGIN_S:
-                self.store.forget_origin(origin)
-                del self._seen_origins[origin]
+        for writer in self.live_writers(now_s):
+            self._writers_seen_s[writer] = now_s
+        for writer in list(self.store.vector):
+            seen_s = self._writers_seen_s.setdefault(writer, now_s)
+            if now_s - seen_s > FORGET_WRITER_S:
+                self.store.forget_writer(writer)
+                del self._writers_seen_s[writer]
         self.peers.forget(now_s)
--- a/emberring/control/heartbeat_handler.py
+++ b/emberring/control/heartbeat_handler.py
@@ -50,7 +50,7 @@
 
     def _held(self, now_s: float, server_id: str) -> bool:
         me = self._board.me
-        holders = self._board.holders_of_end(now_s, server_id)
+        holders = self._board.peers_knowing_end(now_s, server_id)
         if not self._rule.satisfied(me, holders, self._board.peers.met()):
             return False
-        return self._is_quorum(frozenset(fact.identity for fact in (me, *holders)))
+        return self._is_quorum(frozenset(record.identity for record in (me, *holders)))
--- a/emberring/control/load_aggregator.py
+++ b/emberring/control/load_aggregator.py
@@ -84,7 +84,7 @@
         servers = self._servers()
         totals: Counter[str] = Counter()
         for server_id, count in self._calls.items():
-            fact = servers.get(server_id)
-            if fact is not None:
-                totals[fact.service] += count
+            record = servers.get(server_id)
+            if record is not None:
+                totals[record.service] += count
         return dict(totals)
--- a/emberring/control/node.py
+++ b/emberring/control/node.py
@@ -106,8 +106,10 @@
         told: list[NodeRecord] = []
         while True:
             now_s = asyncio.get_running_loop().time()
-            live = [fact for fact in self.board.live_nodes(now_s) if fact.role is NodeRole.CONTROL]
-            others = sorted((fact for fact in live if fact.name != self.board.me.name), key=lambda f: f.name)
+            live = [record for record in self.board.live_nodes(now_s) if record.role is NodeRole.CONTROL]
+            others = sorted(
+                (record for record in live if record.name != self.board.me.name), key=lambda f: f.name
+            )
             if others != told:
                 told = others
                 self._register.note_peers(others)
@@ -117,7 +119,7 @@
     def _remember(self, others: list[NodeRecord]) -> None:
         """Keep the others' addresses in the background: the disk may stall."""
         if self._remembered is not None and (self._saving is None or self._saving.done()):
-            saving = self._remembered.save([fact.address for fact in others])
+            saving = self._remembered.save([record.address for record in others])
             self._saving = asyncio.get_running_loop().create_task(saving)
 
     def leave(self) -> None:
@@ -125,7 +127,7 @@
         now_s = asyncio.get_running_loop().time()
         self.board.me = attrs.evolve(self.board.me, leaving=True)
         self.board.peers.me = self.board.me
-        self.board.store.state_node(self.board.me, present=True)
+        self.board.store.write_node(self.board.me, present=True)
         self.board.hurry(now_s)
         self.board.changed()
 
--- a/emberring/control/operator_requests.py
+++ b/emberring/control/operator_requests.py
@@ -81,7 +81,7 @@
 
         def wanted(state: ControlState) -> ControlState | None:
             refusal.clear()
-            live = [fact for fact in self._board.live_nodes(loop.time()) if fact.role is NodeRole.STORE]
+            live = [record for record in self._board.live_nodes(loop.time()) if record.role is NodeRole.STORE]
             try:
                 placement = begin_retire(state.placement, name, live, self._tolerance)
             except (NotFoundError, ConflictError) as error:
--- a/emberring/control/placement_loop.py
+++ b/emberring/control/placement_loop.py
@@ -65,5 +65,5 @@
     def _in_charge(self, now_s: float) -> bool:
         """Whether this node plans now: no live control node has a lower name."""
         live = self._board.live_nodes(now_s)
-        names = [fact.name for fact in live if fact.role is NodeRole.CONTROL and not fact.leaving]
+        names = [record.name for record in live if record.role is NodeRole.CONTROL and not record.leaving]
         return not names or self._board.me.name <= min(names)
--- a/emberring/control/register_port.py
+++ b/emberring/control/register_port.py
@@ -38,5 +38,5 @@
     def is_quorum(self, identities: frozenset[str]) -> bool:
         """Whether these replicas are a quorum of the replica set in force, as far as this node knows."""
 
-    def note_peers(self, facts: Sequence[NodeRecord]) -> None:
+    def note_peers(self, records: Sequence[NodeRecord]) -> None:
         """The other control nodes that live."""
--- a/emberring/control/replication_policy.py
+++ b/emberring/control/replication_policy.py
@@ -25,16 +25,16 @@
         exist = [me, *met]
         if len(have) - 1 < min(self.others, self._machines()):
             return False
-        zones = {fact.zone for fact in have}
-        if len(zones) < min(self.tolerance.zones + 1, len({fact.zone for fact in exist})):
+        zones = {record.zone for record in have}
+        if len(zones) < min(self.tolerance.zones + 1, len({record.zone for record in exist})):
             return False
         return len(self._regions(have)) >= min(self.tolerance.regions + 1, len(self._regions(exist)))
 
     def _machines(self) -> int:
         return max(1, self.tolerance.machines)
 
-    def _regions(self, facts: Iterable[NodeRecord]) -> set[str]:
-        return {self.regions.get(fact.zone, fact.zone) for fact in facts}
+    def _regions(self, records: Iterable[NodeRecord]) -> set[str]:
+        return {self.regions.get(record.zone, record.zone) for record in records}
 
 
 def replication_policy(settings: Settings, others: int) -> ReplicationPolicy:
--- a/emberring/control/status_page.py
+++ b/emberring/control/status_page.py
@@ -29,37 +29,41 @@
             "MajorityAgeS": round(age_s, 3) if age_s < float("inf") else None,
             "ConfigurationVersion": board.state.version,
             "Gateways": board.gateways(now_s),
-            "Nodes": [_node(fact) for fact in sorted(board.live_nodes(now_s), key=lambda fact: fact.name)],
+            "Nodes": [
+                _node(record) for record in sorted(board.live_nodes(now_s), key=lambda record: record.name)
+            ],
             "Servers": [
-                _server(now_s, fact, load.get(fact.id, 0), board.suspicions.failing.get(fact.id))
-                for fact in sorted(board.store.servers().values(), key=lambda fact: (fact.service, fact.id))
+                _server(now_s, record, load.get(record.id, 0), board.suspicions.failing.get(record.id))
+                for record in sorted(
+                    board.store.servers().values(), key=lambda record: (record.service, record.id)
+                )
             ],
             "Placement": _placement(board.state.placement),
         }
         return orjson.dumps(shown)
 
 
-def _node(fact: NodeRecord) -> dict[str, Any]:
+def _node(record: NodeRecord) -> dict[str, Any]:
     return {
-        "Name": fact.name,
-        "Role": fact.role.value,
-        "Address": fact.address,
-        "Zone": fact.zone,
-        "Identity": fact.identity,
-        "Leaving": fact.leaving,
+        "Name": record.name,
+        "Role": record.role.value,
+        "Address": record.address,
+        "Zone": record.zone,
+        "Identity": record.identity,
+        "Leaving": record.leaving,
     }
 
 
-def _server(now_s: float, fact: ServerRecord, load: int, failing: FailingServer | None) -> dict[str, Any]:
+def _server(now_s: float, record: ServerRecord, load: int, failing: FailingServer | None) -> dict[str, Any]:
     return {
-        "Id": fact.id,
-        "Service": fact.service,
-        "Address": fact.address,
-        "Zone": fact.zone,
-        "State": fact.state.value,
-        "Capacity": fact.capacity,
+        "Id": record.id,
+        "Service": record.service,
+        "Address": record.address,
+        "Zone": record.zone,
+        "State": record.state.value,
+        "Capacity": record.capacity,
         "InFlight": load,
-        "Version": fact.version,
+        "Version": record.version,
         "Troubles": dict(failing.troubles) if failing is not None else {},
         "FailingForS": round(now_s - failing.since_s, 1) if failing is not None else None,
     }
--- a/emberring/control/suspicion_table.py
+++ b/emberring/control/suspicion_table.py
@@ -61,8 +61,8 @@
             logger.warning("event=server_failing %s", self._described(server_id, troubles))
 
     def _described(self, server_id: str, troubles: Mapping[str, int]) -> str:
-        fact = self._servers().get(server_id)
-        service, address, zone = (fact.service, fact.address, fact.zone) if fact else ("", "", "")
+        record = self._servers().get(server_id)
+        service, address, zone = (record.service, record.address, record.zone) if record else ("", "", "")
         counts = ",".join(f"{name}:{count}" for name, count in sorted(troubles.items()))
         return f"server={server_id} service={service} address={address} zone={zone} troubles={counts}"
 
--- a/emberring/control/update_stream.py
+++ b/emberring/control/update_stream.py
@@ -27,7 +27,7 @@
     async def on_pull(self, pull: Pull, caller: Caller) -> Update:
         """The answer to a pull."""
         loop = asyncio.get_running_loop()
-        self._board.node_called(loop.time(), pull.me, _report_of(pull))
+        self._board.node_called(loop.time(), pull.sender, _report_of(pull))
         give_up_at = loop.time() + min(LONGEST_WAIT_S, pull.wait_ms / 1000)
         while True:
             left_s = give_up_at - loop.time()
@@ -50,20 +50,20 @@
         state = board.state
         placement = state.placement
         newer_placement = placement is not None and placement.epoch > pull.placement_epoch
-        routing = pull.me.role is NodeRole.GATEWAY
+        routing = pull.sender.role is NodeRole.GATEWAY
         return Update(
-            origin=board.me.incarnation,
+            writer_incarnation=board.me.incarnation,
             quorum_age_ms=min(NEVER_MS, board.quorum_age_s() * 1000),
             delta=board.store.newer_than(pull.vector, gateways=False),
-            live_origins=tuple(board.live_origins(now_s)),
+            live_writers=tuple(board.live_writers(now_s)),
             gateways=board.gateways(now_s),
             configuration_version=state.version,
             configuration=state.packed if state.version > pull.configuration_version else None,
             placement=placement if newer_placement else None,
             server_load=self._server_load(now_s, pull),
-            controls=board.peers.addresses(),
-            usual_load=board.load.usual(now_s, pull.load)
-            if pull.word is LoadReportDetail.SERVERS_IN_USE
+            control_addresses=board.peers.addresses(),
+            smoothed_load=board.load.usual(now_s, pull.load)
+            if pull.load_detail is LoadReportDetail.SERVERS_IN_USE
             else {},
             service_load=board.load.totals(now_s) if routing else {},
             load_age_ms=round(board.load.age_s(now_s) * 1000.0) if routing else 0.0,
@@ -71,10 +71,10 @@
 
     def _server_load(self, now_s: float, pull: Pull) -> dict[str, int]:
         """The calls in flight at each server, as far as they are asked for."""
-        if pull.me.role is not NodeRole.GATEWAY or pull.word is LoadReportDetail.TOTALS:
+        if pull.sender.role is not NodeRole.GATEWAY or pull.load_detail is LoadReportDetail.TOTALS:
             return {}
         calls = self._board.load.calls(now_s)
-        if pull.word is LoadReportDetail.SERVERS_IN_USE:
+        if pull.load_detail is LoadReportDetail.SERVERS_IN_USE:
             return {server_id: calls.get(server_id, 0) for server_id in pull.load}
         return calls
 
@@ -82,4 +82,4 @@
 def _report_of(pull: Pull) -> Report | None:
     """What the asker told of its calls; None where it told another control node. Calls without the word that they are
     told come from a node of an older version."""
-    return Report(pull.load, pull.suspects) if pull.tells_load or pull.load else None
+    return Report(pull.load, pull.suspects) if pull.reports_load or pull.load else None
--- a/emberring/distribution/contacts.py
+++ b/emberring/distribution/contacts.py
@@ -16,7 +16,7 @@
 
 @attrs.define
 class _Contact:
-    fact: NodeRecord
+    record: NodeRecord
     at_s: float
 
 
@@ -41,24 +41,24 @@
         self._contacts: dict[str, _Contact] = {}
         self._told: dict[str, _Told] = {}
 
-    def note(self, now_s: float, fact: NodeRecord, report: Report | None = None) -> bool:
+    def note(self, now_s: float, record: NodeRecord, report: Report | None = None) -> bool:
         """A node called, and may have told something; whether this says anything new about the node."""
         if report is not None:
-            self._told[fact.name] = _Told(report, now_s)
-        contact = self._contacts.get(fact.name)
+            self._told[record.name] = _Told(report, now_s)
+        contact = self._contacts.get(record.name)
         if contact is None:
-            self._contacts[fact.name] = _Contact(fact, now_s)
+            self._contacts[record.name] = _Contact(record, now_s)
             return True
-        changed = contact.fact != fact
-        contact.fact, contact.at_s = fact, now_s
+        changed = contact.record != record
+        contact.record, contact.at_s = record, now_s
         return changed
 
     def expired(self, now_s: float) -> list[NodeRecord]:
         """Nodes whose contact has just ended."""
-        gone = [contact.fact for contact in self._contacts.values() if now_s - contact.at_s > ABSENT_S]
-        for fact in gone:
-            del self._contacts[fact.name]
-            self._told.pop(fact.name, None)
+        gone = [contact.record for contact in self._contacts.values() if now_s - contact.at_s > ABSENT_S]
+        for record in gone:
+            del self._contacts[record.name]
+            self._told.pop(record.name, None)
         return gone
 
     def renew(self, now_s: float) -> None:
@@ -69,12 +69,12 @@
     def drop(self, name: str) -> NodeRecord | None:
         """Forget a contact that another control node has under a newer incarnation."""
         contact = self._contacts.pop(name, None)
-        return contact.fact if contact is not None else None
+        return contact.record if contact is not None else None
 
-    def fact_of(self, name: str) -> NodeRecord | None:
+    def record_of(self, name: str) -> NodeRecord | None:
         """What a node in contact said of itself."""
         contact = self._contacts.get(name)
-        return contact.fact if contact is not None else None
+        return contact.record if contact is not None else None
 
     def load(self, now_s: float) -> dict[str, int]:
         """Calls in flight by server id, over the nodes that told this control node."""
--- a/emberring/distribution/follower.py
+++ b/emberring/distribution/follower.py
@@ -142,20 +142,20 @@
             logger.debug("event=pull_failed address=%s error=%s", address, error.detail)
             return
         self._sources.answered(loop.time(), address, update.quorum_age_ms / 1000)
-        self._sources.note(update.controls)
-        self._word.answered(asked_s, pull.word)
-        if view.take(loop.time(), update, pull.word):
+        self._sources.note(update.control_addresses)
+        self._word.answered(asked_s, pull.load_detail)
+        if view.take(loop.time(), update, pull.load_detail):
             self._sources.prefer(self._controls_near(view))
             _tell(self._callbacks)
-        if pull.word is not LoadReportDetail.TOTALS:
+        if pull.load_detail is not LoadReportDetail.TOTALS:
             _tell(self._load_callbacks)
 
     def _controls_near(self, view: FollowerView) -> list[str]:
         """Addresses of the live control nodes of this node's own zone."""
         return [
-            fact.address
-            for fact in view.nodes.values()
-            if fact.role is NodeRole.CONTROL and fact.zone == self.me.zone
+            record.address
+            for record in view.nodes.values()
+            if record.role is NodeRole.CONTROL and record.zone == self.me.zone
         ]
 
     def _wait_s(self, word: LoadReportDetail, servers: int, slot: int) -> float:
@@ -179,14 +179,14 @@
         report = self.report
         told = report(word is not LoadReportDetail.TOTALS) if report is not None and slot == 0 else None
         return Pull(
-            me=self.me,
+            sender=self.me,
             vector=dict(view.store.vector),
             configuration_version=view.configuration_version,
             placement_epoch=view.placement_epoch,
             wait_ms=int(wait_s * 1000),
             load=told or {},
-            tells_load=told is not None,
-            word=word,
+            reports_load=told is not None,
+            load_detail=word,
             suspects=self.suspects() if self.suspects is not None and told is not None else {},
         )
 
--- a/emberring/distribution/messages.py
+++ b/emberring/distribution/messages.py
@@ -1,7 +1,8 @@
-"""Messages of distribution: what control nodes tell one another, and what all other nodes pull from them.
+"""Messages of distribution: what control nodes exchange, and what gateways and stores pull from them.
 
-An origin is one incarnation of a control node. It numbers what it states from 1 on; a version vector holds, for
-each origin, the number up to which everything is known. Of one key only the newest statement of an origin travels.
+A writer is one incarnation of a control node. It numbers its entries from 1 on; a version vector holds, for each
+writer, the number up to which every entry is known. Of the entries of one writer about the same node or server only
+the newest travels.
 """
 
 from __future__ import annotations
@@ -11,33 +12,37 @@
 from emberring.distribution.load_report import LoadReportDetail
 from emberring.distribution.records import NodeRecord, ServerRecord
 from emberring.placement.model import Placement
-from emberring.transport.messages import message
+from emberring.transport.messages import message, wire_record
 
-UNTOLD_AGE_MS = 300.0  # of word whose age is not told, by a node of an older version
+UNREPORTED_LOAD_AGE_MS = (
+    300.0  # assumed age of a load report by a node of an older version, which reports no age
+)
 
 
+@wire_record({"writer_incarnation": "origin", "record": "fact"})
 @attrs.frozen
 class ServerEntry:
-    """What an origin stated about a model server, under this number."""
+    """What a writer recorded about a model server, under this number."""
 
-    origin: str
+    writer_incarnation: str
     number: int
-    fact: ServerRecord
+    record: ServerRecord
 
 
+@wire_record({"writer_incarnation": "origin", "record": "fact"})
 @attrs.frozen
 class NodeEntry:
-    """Whether a node is in contact with an origin, under this number."""
+    """Whether a node is in contact with a writer, under this number."""
 
-    origin: str
+    writer_incarnation: str
     number: int
-    fact: NodeRecord
+    record: NodeRecord
     present: bool
 
 
 @attrs.frozen
 class Delta:
-    """All that is newer than the asker's vector; whoever takes it in knows everything up to `vector`."""
+    """All entries that are newer than the requester's vector; who applies it knows every entry up to `vector`."""
 
     vector: dict[str, int] = attrs.field(factory=dict)
     servers: tuple[ServerEntry, ...] = ()
@@ -45,79 +50,96 @@
 
     @property
     def empty(self) -> bool:
-        """Whether it states nothing."""
+        """Whether it has no entries."""
         return not self.servers and not self.nodes
 
 
-@message("distribution.pull")
+@message("distribution.pull", wire_keys={"sender": "me", "reports_load": "tells_load", "load_detail": "word"})
 @attrs.frozen
 class Pull:
-    """A gateway or store asks a control node for what it lacks. The answer is held back up to `wait_ms` until
-    there is something. `load` is the asker's calls in flight by server id; only one control node is told
-    (`tells_load`), and told with it which servers the asker holds to be in trouble (`suspects`, by server id).
-    `word` says what to tell of all gateways' calls; the servers in use are those in `load`, with none of the asker's
-    calls maybe."""
+    """Request of a gateway or store to a control node for the updates that it lacks.
 
-    me: NodeRecord
+    The reply is held back up to `wait_ms` until there is an update. `load` is the sender's calls in flight by server
+    id; only one control node receives it (`reports_load`), and with it which servers the sender suspects (`suspects`:
+    the value of a `Fault` by server id). `load_detail` is the detail requested of the load of all gateways; the servers
+    in use are those in `load`, also those where the sender has no calls at the moment."""
+
+    sender: NodeRecord
     vector: dict[str, int]
     configuration_version: int = 0
     placement_epoch: int = 0
     wait_ms: int = 0
     load: dict[str, int] = attrs.field(factory=dict)
-    tells_load: bool = False
-    word: LoadReportDetail = LoadReportDetail.EVERY_SERVER
+    reports_load: bool = False
+    load_detail: LoadReportDetail = LoadReportDetail.EVERY_SERVER
     suspects: dict[str, str] = attrs.field(factory=dict)
 
 
-@message("distribution.update")
+@message(
+    "distribution.update",
+    wire_keys={
+        "writer_incarnation": "origin",
+        "live_writers": "live_origins",
+        "control_addresses": "controls",
+        "smoothed_load": "usual_load",
+    },
+)
 @attrs.frozen
 class Update:
-    """The answer to a pull. `quorum_age_ms` is how long ago this control node was in contact with a majority;
-    `configuration` is the compressed document of `configuration_version` if that is newer than the asker's.
-    `controls` are the addresses of all control nodes that this one has heard of, also of those it can't reach.
-    Calls in flight over all gateways: `service_load` by service, and as far as they were asked for by server
-    `server_load` and, smoothed, `usual_load`. What has none is left out, unless it was asked for by name.
-    `load_age_ms` is how long ago, in the mean, the gateways told this."""
-
-    origin: str
+    """Reply to a pull.
+
+    `writer_incarnation` is the incarnation of the control node that replies, `live_writers` are those of all control
+    nodes that it takes for live. `quorum_age_ms` is how long ago it was in contact with a majority; `configuration` is
+    the compressed document of `configuration_version` if that is newer than the requester's. `control_addresses` has
+    all control nodes that this one has heard of, also those it can't reach. Calls in flight over all gateways:
+    `service_load` by service, and as far as requested by server `server_load` and, smoothed, `smoothed_load`; entries
+    of 0 are left out, unless they were requested by name. `load_age_ms` is how long ago, in the mean, the gateways
+    reported them."""
+
+    writer_incarnation: str
     quorum_age_ms: float
     delta: Delta
-    live_origins: tuple[str, ...] = ()
+    live_writers: tuple[str, ...] = ()
     gateways: int = 1
     configuration_version: int = 0
     configuration: bytes | None = None
     placement: Placement | None = None
     server_load: dict[str, int] = attrs.field(factory=dict)
-    controls: tuple[str, ...] = ()
-    usual_load: dict[str, float] = attrs.field(factory=dict)
+    control_addresses: tuple[str, ...] = ()
+    smoothed_load: dict[str, float] = attrs.field(factory=dict)
     service_load: dict[str, int] = attrs.field(factory=dict)
-    load_age_ms: float = UNTOLD_AGE_MS
+    load_age_ms: float = UNREPORTED_LOAD_AGE_MS
 
 
-@message("distribution.exchange")
+@message(
+    "distribution.exchange",
+    wire_keys={"sender": "me", "receiver_incarnation": "to", "last_seen_sequences": "heard"},
+)
 @attrs.frozen
 class Exchange:
-    """A control node tells another what that one lacks, and says what it has itself. `heard` has the newest
-    sequence by server id of heartbeats taken here lately, `load` the calls in flight that nodes told this one
-    (`load_age_ms` ago in the mean), `suspects` how many of them hold a server to have which trouble.
-    `to` is the origin for which `delta` was made; any other takes nothing from it."""
+    """A control node sends another the entries that it lacks, and its own vector.
+
+    `receiver_incarnation` is the incarnation for which `delta` was made; any other applies nothing of it.
+    `last_seen_sequences` has, by server id, the newest sequence of the heartbeats received here lately; `load` the
+    calls in flight that nodes reported to the sender (`load_age_ms` ago in the mean); `suspects` how many of them
+    suspect a server of which fault (by server id and value of a `Fault`)."""
 
-    me: NodeRecord
-    to: str
+    sender: NodeRecord
+    receiver_incarnation: str
     delta: Delta
     vector: dict[str, int]
-    heard: dict[str, int] = attrs.field(factory=dict)
+    last_seen_sequences: dict[str, int] = attrs.field(factory=dict)
     load: dict[str, int] = attrs.field(factory=dict)
     suspects: dict[str, dict[str, int]] = attrs.field(factory=dict)
-    load_age_ms: float = UNTOLD_AGE_MS
+    load_age_ms: float = UNREPORTED_LOAD_AGE_MS
 
 
-@message("distribution.exchanged")
+@message("distribution.exchanged", wire_keys={"sender": "me"})
 @attrs.frozen
 class Exchanged:
-    """The answer to an exchange: what the asker lacked. `vector` counts what the exchange brought."""
+    """Reply to an exchange: the entries that the requester lacked. `vector` includes what the exchange brought."""
 
-    me: NodeRecord
+    sender: NodeRecord
     delta: Delta
     vector: dict[str, int]
 
@@ -125,7 +147,7 @@
 @message("placement.moved")
 @attrs.frozen
 class PlacementMoved:
-    """An owner of a shard says that all records stand on the group that joins at this epoch."""
+    """The owner of a shard reports that the group that joins at this epoch holds all of its records."""
 
     shard: int
     epoch: int
--- a/emberring/distribution/peers.py
+++ b/emberring/distribution/peers.py
@@ -25,7 +25,7 @@
     address: str
     seed: bool
     known_since_s: float
-    fact: NodeRecord | None = None
+    record: NodeRecord | None = None
     vector: dict[str, int] = attrs.field(factory=dict)
     load: dict[str, int] = attrs.field(factory=dict)
     load_s: float = -1e9
@@ -39,9 +39,9 @@
     again: bool = False
 
     @property
-    def origin(self) -> str:
+    def incarnation(self) -> str:
         """The incarnation last heard; empty before the first word."""
-        return self.fact.incarnation if self.fact is not None else ""
+        return self.record.incarnation if self.record is not None else ""
 
 
 class PeerTable:
@@ -62,20 +62,20 @@
 
     def take(self, now_s: float, said: Exchange | Exchanged) -> Peer | None:
         """A control node said this; None if it is this very node."""
-        if said.me.incarnation == self.me.incarnation:
+        if said.sender.incarnation == self.me.incarnation:
             return None
-        self.note(now_s, [said.me.address])
-        peer = self._peers.get(said.me.address)
+        self.note(now_s, [said.sender.address])
+        peer = self._peers.get(said.sender.address)
         if peer is None:
             return None
-        if peer.origin != said.me.incarnation:
+        if peer.incarnation != said.sender.incarnation:
             peer.vector = {}
-        peer.fact, peer.heard_s = said.me, now_s
+        peer.record, peer.heard_s = said.sender, now_s
         if isinstance(said, Exchange):
             peer.load, peer.suspects, peer.load_s = said.load, said.suspects, now_s
             peer.load_age_s = said.load_age_ms / 1000.0
-        for origin, number in said.vector.items():
-            peer.vector[origin] = max(number, peer.vector.get(origin, 0))
+        for writer, number in said.vector.items():
+            peer.vector[writer] = max(number, peer.vector.get(writer, 0))
         return peer
 
     def live(self, now_s: float) -> list[Peer]:
@@ -88,7 +88,7 @@
 
     def met(self) -> list[NodeRecord]:
         """The other control nodes that were heard at any time."""
-        return [peer.fact for peer in self._peers.values() if peer.fact is not None]
+        return [peer.record for peer in self._peers.values() if peer.record is not None]
 
     def others_exist(self) -> bool:
         """Whether there is any other control node as far as is known."""
--- a/emberring/distribution/status_table.py
+++ b/emberring/distribution/status_table.py
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen
-class Learnt:
+class TableChanges:
     """What taking in a delta changed: ids of servers and names of nodes."""
 
     servers: frozenset[str] = frozenset()
@@ -28,8 +28,8 @@
 class StatusTable:
     """Statements by origin and number. Those of an ended origin are dropped where another says as much."""
 
-    def __init__(self, origin: str = "") -> None:
-        self.origin = origin
+    def __init__(self, writer: str = "") -> None:
+        self.writer_incarnation = writer
         self.vector: dict[str, int] = {}
         self._servers: dict[str, dict[str, ServerEntry]] = {}
         self._merged: dict[str, ServerRecord] = {}
@@ -42,22 +42,22 @@
     # -- statements of this node
 
     def _next_number(self) -> int:
-        number = self.vector.get(self.origin, 0) + 1
-        self.vector[self.origin] = number
+        number = self.vector.get(self.writer_incarnation, 0) + 1
+        self.vector[self.writer_incarnation] = number
         return number
 
-    def state_server(self, fact: ServerRecord) -> ServerEntry:
+    def write_server(self, record: ServerRecord) -> ServerEntry:
         """State this about a server in this node's own name, joined with what is known: a statement replaces the
         older ones of its origin, and must say all that they did."""
-        known = self._merged.get(fact.id)
-        whole = merged(known, fact) if known is not None else fact
-        entry = ServerEntry(self.origin, self._next_number(), whole)
+        known = self._merged.get(record.id)
+        whole = merged(known, record) if known is not None else record
+        entry = ServerEntry(self.writer_incarnation, self._next_number(), whole)
         self._take_server(entry)
         return entry
 
-    def state_node(self, fact: NodeRecord, present: bool) -> NodeEntry:
+    def write_node(self, record: NodeRecord, present: bool) -> NodeEntry:
         """State in this node's own name whether a node is in contact with it."""
-        entry = NodeEntry(self.origin, self._next_number(), fact, present)
+        entry = NodeEntry(self.writer_incarnation, self._next_number(), record, present)
         self._take_node(entry)
         return entry
 
@@ -73,12 +73,12 @@
 
     def node_entries(self) -> Iterable[NodeEntry]:
         """Every origin's newest statement about every node."""
-        for by_origin in self._nodes.values():
-            yield from by_origin.values()
+        for by_writer in self._nodes.values():
+            yield from by_writer.values()
 
-    def entry_of(self, name: str, origin: str) -> NodeEntry | None:
+    def entry_of(self, name: str, writer: str) -> NodeEntry | None:
         """What this origin stated last about a node."""
-        return self._nodes.get(name, {}).get(origin)
+        return self._nodes.get(name, {}).get(writer)
 
     def live_nodes(self, live: Collection[str], roles: Collection[NodeRole]) -> Mapping[str, NodeRecord]:
         """Nodes of these roles in contact with an origin that lives; of two incarnations the one told last."""
@@ -93,92 +93,92 @@
     def _find_live(self, live: Collection[str], roles: Collection[NodeRole]) -> dict[str, NodeRecord]:
         found: dict[str, NodeEntry] = {}
         for entry in self.node_entries():
-            if not entry.present or entry.origin not in live or entry.fact.role not in roles:
+            if not entry.present or entry.writer_incarnation not in live or entry.record.role not in roles:
                 continue
-            other = found.get(entry.fact.name)
+            other = found.get(entry.record.name)
             if other is None or self.order_of(entry) > self.order_of(other):
-                found[entry.fact.name] = entry
-        return {name: entry.fact for name, entry in found.items()}
+                found[entry.record.name] = entry
+        return {name: entry.record for name, entry in found.items()}
 
     def order_of(self, entry: NodeEntry) -> int:
         """When a statement about a node arrived here, as a number that rises."""
-        return self._arrivals.get((entry.fact.name, entry.origin), 0)
+        return self._arrivals.get((entry.record.name, entry.writer_incarnation), 0)
 
     # -- exchange
 
     def newer_than(self, vector: Mapping[str, int], gateways: bool = True) -> Delta:
         """What a node with this vector lacks; without gateways' entries where it does not need them."""
-        if all(vector.get(origin, 0) >= number for origin, number in self.vector.items()):
+        if all(vector.get(writer, 0) >= number for writer, number in self.vector.items()):
             return Delta(vector=dict(self.vector))
         servers: list[ServerEntry] = []
         nodes: list[NodeEntry] = []
-        for origin, numbered in self._numbered.items():
-            for number in numbered.irange(minimum=vector.get(origin, 0) + 1):
+        for writer, numbered in self._numbered.items():
+            for number in numbered.irange(minimum=vector.get(writer, 0) + 1):
                 entry = numbered[number]
                 if isinstance(entry, ServerEntry):
                     servers.append(entry)
-                elif gateways or entry.fact.role is not NodeRole.GATEWAY:
+                elif gateways or entry.record.role is not NodeRole.GATEWAY:
                     nodes.append(entry)
         return Delta(dict(self.vector), tuple(servers), tuple(nodes))
 
     def has_newer_than(self, vector: Mapping[str, int]) -> bool:
         """Whether there is anything for a node with this vector that does not need gateways' entries."""
-        for origin, numbered in self._numbered.items():
-            known = vector.get(origin, 0)
-            if self.vector.get(origin, 0) <= known:
+        for writer, numbered in self._numbered.items():
+            known = vector.get(writer, 0)
+            if self.vector.get(writer, 0) <= known:
                 continue
             for number in numbered.irange(minimum=known + 1):
                 entry = numbered[number]
-                if isinstance(entry, ServerEntry) or entry.fact.role is not NodeRole.GATEWAY:
+                if isinstance(entry, ServerEntry) or entry.record.role is not NodeRole.GATEWAY:
                     return True
         return False
 
     def _keep(self, entry: ServerEntry | NodeEntry, before: ServerEntry | NodeEntry | None) -> None:
-        numbered = self._numbered.setdefault(entry.origin, SortedDict())
+        numbered = self._numbered.setdefault(entry.writer_incarnation, SortedDict())
         if before is not None:
             numbered.pop(before.number, None)
         numbered[entry.number] = entry
 
     def _drop(self, entry: ServerEntry | NodeEntry) -> None:
-        numbered = self._numbered.get(entry.origin)
+        numbered = self._numbered.get(entry.writer_incarnation)
         if numbered is not None:
             numbered.pop(entry.number, None)
             if not numbered:
-                del self._numbered[entry.origin]
+                del self._numbered[entry.writer_incarnation]
 
-    def take(self, delta: Delta) -> Learnt:
+    def take(self, delta: Delta) -> TableChanges:
         """Take in what another node sent; its vector holds from now on here as well."""
         servers = {
-            entry.fact.id for entry in delta.servers if self._is_new(entry) and self._take_server(entry)
+            entry.record.id for entry in delta.servers if self._is_new(entry) and self._take_server(entry)
         }
-        nodes = {entry.fact.name for entry in delta.nodes if self._is_new(entry) and self._take_node(entry)}
-        for origin, number in delta.vector.items():
-            if number > self.vector.get(origin, 0):
-                self.vector[origin] = number
-        return Learnt(frozenset(servers), frozenset(nodes))
+        nodes = {entry.record.name for entry in delta.nodes if self._is_new(entry) and self._take_node(entry)}
+        for writer, number in delta.vector.items():
+            if number > self.vector.get(writer, 0):
+                self.vector[writer] = number
+        return TableChanges(frozenset(servers), frozenset(nodes))
 
     def _is_new(self, entry: ServerEntry | NodeEntry) -> bool:
-        return entry.number > self.vector.get(entry.origin, 0)
+        return entry.number > self.vector.get(entry.writer_incarnation, 0)
 
     def _take_server(self, entry: ServerEntry) -> bool:
         """Keep an origin's newest statement; whether what is known of the server changed."""
-        by_origin = self._servers.setdefault(entry.fact.id, {})
-        self._keep(entry, by_origin.get(entry.origin))
-        by_origin[entry.origin] = entry
-        before = self._merged.get(entry.fact.id)
-        after = merged(before, entry.fact) if before is not None else entry.fact
-        self._merged[entry.fact.id] = after
+        by_writer = self._servers.setdefault(entry.record.id, {})
+        self._keep(entry, by_writer.get(entry.writer_incarnation))
+        by_writer[entry.writer_incarnation] = entry
+        before = self._merged.get(entry.record.id)
+        after = merged(before, entry.record) if before is not None else entry.record
+        self._merged[entry.record.id] = after
         return after != before
 
     def _take_node(self, entry: NodeEntry) -> bool:
-        by_origin = self._nodes.setdefault(entry.fact.name, {})
-        before = by_origin.get(entry.origin)
+        by_writer = self._nodes.setdefault(entry.record.name, {})
+        before = by_writer.get(entry.writer_incarnation)
         self._keep(entry, before)
-        by_origin[entry.origin] = entry
+        by_writer[entry.writer_incarnation] = entry
         self._live_nodes.clear()
         self._arrived += 1
-        self._arrivals[(entry.fact.name, entry.origin)] = self._arrived
-        return before is None or (before.fact, before.present) != (entry.fact, entry.present)
+        self._arrivals[(entry.record.name, entry.writer_incarnation)] = self._arrived
+        return before is None or (before.record, before.present) != (entry.record, entry.present)
 
     # -- forgetting
 
@@ -188,29 +188,31 @@
             self._drop(entry)
         self._merged.pop(server_id, None)
 
-    def forget_origin(self, origin: str) -> None:
+    def forget_writer(self, writer: str) -> None:
         """Drop an ended origin's statements about nodes, and those about servers that others say as well; its place
         in the vector too if nothing of it is kept."""
         self._live_nodes.clear()
         for name in list(self._nodes):
-            entry = self._nodes[name].pop(origin, None)
+            entry = self._nodes[name].pop(writer, None)
             if entry is not None:
                 self._drop(entry)
-                self._arrivals.pop((name, origin), None)
+                self._arrivals.pop((name, writer), None)
             if not self._nodes[name]:
                 del self._nodes[name]
-        if not self._needed(origin):
-            self.vector.pop(origin, None)
+        if not self._needed(writer):
+            self.vector.pop(writer, None)
 
-    def _needed(self, origin: str) -> bool:
+    def _needed(self, writer: str) -> bool:
         """Drop an ended origin's statements about servers that others say as well; whether any is left."""
         left = False
-        for by_origin in self._servers.values():
-            entry = by_origin.get(origin)
+        for by_writer in self._servers.values():
+            entry = by_writer.get(writer)
             if entry is None:
                 continue
-            if any(other is not entry and dominates(other.fact, entry.fact) for other in by_origin.values()):
-                del by_origin[origin]
+            if any(
+                other is not entry and dominates(other.record, entry.record) for other in by_writer.values()
+            ):
+                del by_writer[writer]
                 self._drop(entry)
             else:
                 left = True
--- a/emberring/distribution/view.py
+++ b/emberring/distribution/view.py
@@ -22,7 +22,7 @@
 PATIENCE_S = (
     3.0  # without any configuration, one from a control node without a majority is taken after so long
 )
-FORGET_ORIGIN_S = 60.0  # statements about nodes by an origin that has ended are dropped after so long
+FORGET_WRITER_S = 60.0  # statements about nodes by an origin that has ended are dropped after so long
 TOLD_S = 2.0  # what a control node told holds for so long after its last answer
 MAX_STEP_S = 1.0  # time that passes between two answers counts up to this: nothing ages while nobody answers
 
@@ -46,7 +46,7 @@
         self._started_s = now_s
         self._last_answer_s = now_s
         self._alive_s = 0.0
-        self._origins_seen: dict[str, float] = {}
+        self._writers_seen_s: dict[str, float] = {}
         self._answers: dict[str, tuple[float, tuple[str, ...]]] = {}
         self._listing: frozenset[str] = frozenset()  # the control nodes whose word for a server's life counts
 
@@ -60,16 +60,16 @@
     ) -> bool:
         """Take in an answer; whether anything but the load changed. `word` as the pull said."""
         self._pass_time(now_s)
-        self._answers[update.origin] = (self._alive_s, update.live_origins)
-        for origin in (update.origin, *update.live_origins):
-            self._origins_seen[origin] = self._alive_s
+        self._answers[update.writer_incarnation] = (self._alive_s, update.live_writers)
+        for writer in (update.writer_incarnation, *update.live_writers):
+            self._writers_seen_s[writer] = self._alive_s
         self.store.take(update.delta)
         self._take_load(now_s, update, word)
         changed = self._take_configuration(now_s, update)
         changed |= self._take_placement(update)
         changed |= self._take_gateways(update)
         self._forget()
-        changed |= self._show_servers(entry.fact.id for entry in update.delta.servers)
+        changed |= self._show_servers(entry.record.id for entry in update.delta.servers)
         return self._show_nodes() or changed
 
     def _take_load(self, now_s: float, update: Update, word: LoadReportDetail) -> None:
@@ -79,7 +79,7 @@
         if word is LoadReportDetail.TOTALS:
             self.load = attrs.evolve(self.load, totals=update.service_load)
         else:
-            usual = update.usual_load if word is LoadReportDetail.SERVERS_IN_USE else None
+            usual = update.smoothed_load if word is LoadReportDetail.SERVERS_IN_USE else None
             true_s = now_s - update.load_age_ms / 1000.0
             self.load = KnownLoad(update.server_load, usual, update.service_load, true_s)
 
@@ -105,26 +105,26 @@
 
     def _take_gateways(self, update: Update) -> bool:
         """The most that a control node told lately: a share that is too small costs less than one too large."""
-        self._gateways_told[update.origin] = (self._alive_s, update.gateways)
+        self._gateways_told[update.writer_incarnation] = (self._alive_s, update.gateways)
         recent = [count for at_s, count in self._gateways_told.values() if self._alive_s - at_s < TOLD_S]
         before, self.gateways = self.gateways, max(1, *recent)
         return before != self.gateways
 
-    def _live(self, origin: str, within_s: float) -> bool:
-        return self._origins_seen.get(origin, -within_s) > self._alive_s - within_s
+    def _live(self, writer: str, within_s: float) -> bool:
+        return self._writers_seen_s.get(writer, -within_s) > self._alive_s - within_s
 
     def _forget(self) -> None:
-        for origin in list(self.store.vector):
-            seen_s = self._origins_seen.setdefault(origin, self._alive_s)
-            if self._alive_s - seen_s > FORGET_ORIGIN_S:
-                del self._origins_seen[origin]
-                self._answers.pop(origin, None)
-                self._gateways_told.pop(origin, None)
-                self.store.forget_origin(origin)
+        for writer in list(self.store.vector):
+            seen_s = self._writers_seen_s.setdefault(writer, self._alive_s)
+            if self._alive_s - seen_s > FORGET_WRITER_S:
+                del self._writers_seen_s[writer]
+                self._answers.pop(writer, None)
+                self._gateways_told.pop(writer, None)
+                self.store.forget_writer(writer)
 
     def _show_servers(self, told: Iterable[str]) -> bool:
         """Look again at the servers that were told of; at all where other control nodes live than before."""
-        listing = frozenset(origin for origin in self._origins_seen if self._live(origin, ORPHAN_S))
+        listing = frozenset(writer for writer in self._writers_seen_s if self._live(writer, ORPHAN_S))
         if listing != self._listing:
             self._listing, told = listing, list(self.store.servers())
         changed: dict[str, ServerRecord | None] = {}
@@ -134,30 +134,32 @@
                 changed[server_id] = shown
         if changed:
             merged_view: dict[str, ServerRecord | None] = {**self.servers, **changed}
-            self.servers = {name: fact for name, fact in merged_view.items() if fact is not None}
+            self.servers = {name: record for name, record in merged_view.items() if record is not None}
         return bool(changed)
 
     def _shown(self, server_id: str) -> ServerRecord | None:
         """The server as it may be used; None where it may not."""
         known = self.store.servers().get(server_id)
-        fact = self._listed(server_id)
-        if known is None or fact is None or fact.state not in _SHOWN or known.state not in _SHOWN:
+        record = self._listed(server_id)
+        if known is None or record is None or record.state not in _SHOWN or known.state not in _SHOWN:
             return None
-        return attrs.evolve(fact, state=known.state)
+        return attrs.evolve(record, state=known.state)
 
     def _listed(self, server_id: str) -> ServerRecord | None:
         """What origins that live, or did a short while ago, say of a server together. An ended origin's word for
         a server's life must not outlast it; its word for a drain does."""
         listed = [
-            entry.fact for entry in self.store.server_entries(server_id) if self._live(entry.origin, ORPHAN_S)
+            entry.record
+            for entry in self.store.server_entries(server_id)
+            if self._live(entry.writer_incarnation, ORPHAN_S)
         ]
         return functools.reduce(merged, listed) if listed else None
 
     def _show_nodes(self) -> bool:
         """Nodes that a live control node has contact with; of two incarnations the one told last."""
-        live = {origin for origin, (_, origins) in self._answers.items() if self._live(origin, TOLD_S)}
-        for origin in list(live):
-            live.update(self._answers[origin][1])
+        live = {writer for writer, (_, writers) in self._answers.items() if self._live(writer, TOLD_S)}
+        for writer in list(live):
+            live.update(self._answers[writer][1])
         nodes = dict(self.store.live_nodes(live, _SHOWN_ROLES))
         changed = nodes != self.nodes
         self.nodes = nodes
--- a/emberring/registry/heartbeats.py
+++ b/emberring/registry/heartbeats.py
@@ -15,21 +15,21 @@
 
 @attrs.frozen
 class Heartbeat:
-    """What a server says of itself; `fact.sequence` rises with each call of the server."""
+    """What a server says of itself; `record.sequence` rises with each call of the server."""
 
-    fact: ServerRecord
+    record: ServerRecord
 
     @property
     def draining(self) -> bool:
         """Whether the server is about to end."""
-        return self.fact.state is ServerState.DRAINING
+        return self.record.state is ServerState.DRAINING
 
 
 def read_heartbeat(server_id: str, body: bytes) -> Heartbeat:
     """The heartbeat in a call; `BadRequestError` where it is none. Fields that are not known are skipped."""
     try:
         table = orjson.loads(body)
-        fact = ServerRecord(
+        record = ServerRecord(
             id=server_id,
             service=_text(table, "Service"),
             address=_text(table, "Address"),
@@ -42,7 +42,7 @@
         )
     except (ValueError, TypeError, AttributeError, KeyError) as error:
         raise BadRequestError(f"not a heartbeat: {error}") from error
-    return Heartbeat(fact)
+    return Heartbeat(record)
 
 
 def _text(table: dict[str, Any], key: str) -> str:
--- a/emberring/registry/merge.py
+++ b/emberring/registry/merge.py
@@ -32,5 +32,5 @@
     return joined.state is first.state and joined.sequence == first.sequence
 
 
-def _rank(fact: ServerRecord) -> tuple[int, bool, int]:
-    return (fact.sequence, fact.state is ServerState.LOST, level(fact.state))
+def _rank(record: ServerRecord) -> tuple[int, bool, int]:
+    return (record.sequence, record.state is ServerState.LOST, level(record.state))
--- a/emberring/registry/servers.py
+++ b/emberring/registry/servers.py
@@ -63,25 +63,25 @@
     ) -> list[ServerRecord]:
         """What to state after a heartbeat. `known` is the join of all statements; `listed` that of the control
         nodes that live about this server, which is what other nodes go by."""
-        fact = beat.fact
-        self._note(now_s, fact.id, fact.sequence)
-        before = known.get(fact.id)
+        record = beat.record
+        self._note(now_s, record.id, record.sequence)
+        before = known.get(record.id)
         if before is None:
-            return [fact, *self._ended_at(now_s, fact, known)]
-        if fact.sequence < before.sequence and not beat.draining:
+            return [record, *self._ended_at(now_s, record, known)]
+        if record.sequence < before.sequence and not beat.draining:
             return []
-        after = merged(before, fact)
+        after = merged(before, record)
         if before.state is ServerState.GONE or (listed is not None and _alike(listed, after)):
             return []
         return [after]
 
     def _ended_at(
-        self, now_s: float, fact: ServerRecord, known: Mapping[str, ServerRecord]
+        self, now_s: float, record: ServerRecord, known: Mapping[str, ServerRecord]
     ) -> list[ServerRecord]:
         """Older servers at the address of a new one: they have ended."""
         ended = []
         for other in known.values():
-            if other.address != fact.address or other.id == fact.id or other.state is ServerState.GONE:
+            if other.address != record.address or other.id == record.id or other.state is ServerState.GONE:
                 continue
             heard = self._heard.get(other.id)
             if heard is not None and now_s - heard.at_s > REUSE_QUIET_S:
@@ -97,14 +97,14 @@
             return []
         return [attrs.evolve(before, state=ServerState.GONE)]
 
-    def on_learnt(self, now_s: float, fact: ServerRecord) -> list[ServerRecord]:
+    def on_record_changed(self, now_s: float, record: ServerRecord) -> list[ServerRecord]:
         """What to state after others stated something: that a server lives which they took for lost."""
-        heard = self._heard.get(fact.id)
-        if fact.state is not ServerState.LOST or heard is None or heard.sequence <= fact.sequence:
+        heard = self._heard.get(record.id)
+        if record.state is not ServerState.LOST or heard is None or heard.sequence <= record.sequence:
             return []
         if now_s - heard.at_s > self.silence_s:
             return []
-        return [attrs.evolve(fact, state=ServerState.READY, sequence=heard.sequence)]
+        return [attrs.evolve(record, state=ServerState.READY, sequence=heard.sequence)]
 
     def on_tick(
         self,
@@ -120,21 +120,25 @@
             for heard in self._heard.values():
                 heard.at_s = now_s
             return []
-        return [lost for fact in known.values() if (lost := self._silent(now_s, fact, listed)) is not None]
-
-    def _silent(self, now_s: float, fact: ServerRecord, listed: Callable[[str], bool]) -> ServerRecord | None:
-        if fact.state not in (ServerState.READY, ServerState.DRAINING):
+        return [
+            lost for record in known.values() if (lost := self._silent(now_s, record, listed)) is not None
+        ]
+
+    def _silent(
+        self, now_s: float, record: ServerRecord, listed: Callable[[str], bool]
+    ) -> ServerRecord | None:
+        if record.state not in (ServerState.READY, ServerState.DRAINING):
             return None
-        heard = self._heard.setdefault(fact.id, _Heard(fact.sequence, now_s))
-        patience_s = self.silence_s if listed(fact.id) else self.silence_s + ORPHAN_SLACK_S
+        heard = self._heard.setdefault(record.id, _Heard(record.sequence, now_s))
+        patience_s = self.silence_s if listed(record.id) else self.silence_s + ORPHAN_SLACK_S
         if now_s - heard.at_s <= patience_s:
             return None
-        state = ServerState.GONE if fact.state is ServerState.DRAINING else ServerState.LOST
-        return attrs.evolve(fact, state=state, sequence=max(fact.sequence, heard.sequence))
+        state = ServerState.GONE if record.state is ServerState.DRAINING else ServerState.LOST
+        return attrs.evolve(record, state=state, sequence=max(record.sequence, heard.sequence))
 
     def forgettable(self, now_s: float, known: Mapping[str, ServerRecord]) -> list[str]:
         """Servers gone or lost for long, of which nothing needs to be kept."""
-        out = {fact.id for fact in known.values() if fact.state in (ServerState.GONE, ServerState.LOST)}
+        out = {record.id for record in known.values() if record.state in (ServerState.GONE, ServerState.LOST)}
         for server in list(self._gone_since):
             if server not in out:
                 del self._gone_since[server]
@@ -152,5 +156,5 @@
     return _told(first) == _told(second)
 
 
-def _told(fact: ServerRecord) -> ServerRecord:
-    return attrs.evolve(fact, sequence=0, cold_ms=1.0 if fact.cold_ms > 0 else 0.0)
+def _told(record: ServerRecord) -> ServerRecord:
+    return attrs.evolve(record, sequence=0, cold_ms=1.0 if record.cold_ms > 0 else 0.0)
--- a/emberring/simulation/control_plane/control_machine.py
+++ b/emberring/simulation/control_plane/control_machine.py
@@ -151,11 +151,12 @@
         self._handle(self.life, event(number, now_s + timeout_s))
         return await future
 
-    def peers_noted(self, facts: Sequence[NodeRecord]) -> None:
+    def peers_noted(self, records: Sequence[NodeRecord]) -> None:
         """The control node names the others that live."""
         self.world.sync()
         peers = tuple(
-            Peer(fact.name, Member(fact.identity, fact.address), fact.zone, fact.leaving) for fact in facts
+            Peer(record.name, Member(record.identity, record.address), record.zone, record.leaving)
+            for record in records
         )
         self._handle(self.life, PeersChanged(peers))
 
@@ -250,6 +251,6 @@
         node = self._machine.node
         return node is not None and node.is_quorum(identities)
 
-    def note_peers(self, facts: Sequence[NodeRecord]) -> None:
+    def note_peers(self, records: Sequence[NodeRecord]) -> None:
         """The other control nodes that live."""
-        self._machine.peers_noted(facts)
+        self._machine.peers_noted(records)
--- a/emberring/simulation/control_plane/deployment.py
+++ b/emberring/simulation/control_plane/deployment.py
@@ -184,8 +184,8 @@
     @staticmethod
     def uses(gateway: FollowerMachine, server: ModelServer) -> bool:
         """Whether a gateway would send requests to this server."""
-        fact = gateway.follower.servers.get(server.name) if gateway.follower is not None else None
-        return fact is not None and fact.state is ServerState.READY
+        record = gateway.follower.servers.get(server.name) if gateway.follower is not None else None
+        return record is not None and record.state is ServerState.READY
 
     async def stop(self) -> None:
         """End everything."""
--- a/emberring/simulation/control_plane/follower_process.py
+++ b/emberring/simulation/control_plane/follower_process.py
@@ -188,11 +188,11 @@
         follower, network = owner.follower, owner.network
         if follower is None or network is None:
             return
-        for fact in list(follower.nodes.values()):
-            if fact.role is not NodeRole.CONTROL:
+        for record in list(follower.nodes.values()):
+            if record.role is not NodeRole.CONTROL:
                 continue
             try:
-                await network.call(fact.address, moved, Ok, MOVE_TIMEOUT_S)
+                await network.call(record.address, moved, Ok, MOVE_TIMEOUT_S)
                 return
             except EmberringError:
                 continue
--- a/emberring/simulation/scale/control_plane.py
+++ b/emberring/simulation/scale/control_plane.py
@@ -254,8 +254,8 @@
 
 def knows_the_drain(gateway: HollowGateway) -> bool:
     """Whether it sends nothing new to the first server."""
-    fact = gateway.follower.servers.get(f"i-{0:08x}")
-    return fact is None or fact.state is not ServerState.READY
+    record = gateway.follower.servers.get(f"i-{0:08x}")
+    return record is None or record.state is not ServerState.READY
 
 
 def measure(size: Size, seconds: float = 3.0) -> ScaleFigures:
--- a/tests/emberring/control/test_tier_cluster_state_simulation.py
+++ b/tests/emberring/control/test_tier_cluster_state_simulation.py
@@ -55,7 +55,7 @@
 
 @attrs.define
 class AFollower:
-    fact: NodeRecord
+    record: NodeRecord
     view: FollowerView
     cut_until_s: float = 0.0
     next_s: float = 0.0
@@ -148,7 +148,7 @@
             control.board.on_heartbeat(self.now_s, server.beat())
             if server.state is ServerState.DRAINING and server.drained_s is None:
                 self.exchange()
-                if control.board.holders_of_end(self.now_s, server.name) and self._stable():
+                if control.board.peers_knowing_end(self.now_s, server.name) and self._stable():
                     server.drained_s = self.now_s
                     if not self.is_calm and self.random.random() < 0.3:
                         self.kill(control)
@@ -164,13 +164,13 @@
 
     def _answer(self, control: AControl, follower: AFollower) -> Update:
         view, board = follower.view, control.board
-        pull = Pull(follower.fact, dict(view.store.vector))
-        board.node_called(self.now_s, pull.me)
+        pull = Pull(follower.record, dict(view.store.vector))
+        board.node_called(self.now_s, pull.sender)
         return Update(
-            origin=board.me.incarnation,
+            writer_incarnation=board.me.incarnation,
             quorum_age_ms=board.quorum_age_s() * 1000,
             delta=board.store.newer_than(pull.vector, gateways=False),
-            live_origins=tuple(board.live_origins(self.now_s)),
+            live_writers=tuple(board.live_writers(self.now_s)),
             gateways=board.gateways(self.now_s),
         )
 
@@ -238,9 +238,9 @@
             for follower in self.followers:
                 if self.now_s - follower.cut_until_s < CONTACT_S:
                     continue
-                fact = follower.view.servers.get(server.name)
-                what = (self.now_s, server, follower.fact.name)
-                assert fact is None or fact.state is not ServerState.READY, what
+                record = follower.view.servers.get(server.name)
+                what = (self.now_s, server, follower.record.name)
+                assert record is None or record.state is not ServerState.READY, what
 
     def _stable(self) -> bool:
         """Whether most of the core has been up and connected, and left alone, for a while."""
@@ -251,12 +251,12 @@
     def check_truth(self) -> None:
         wanted = {server.name: server.state for server in self.servers if server.alive}
         for follower in self.followers:
-            shown = {name: fact.state for name, fact in follower.view.servers.items()}
-            assert shown == wanted, (follower.fact.name, shown, wanted)
+            shown = {name: record.state for name, record in follower.view.servers.items()}
+            assert shown == wanted, (follower.record.name, shown, wanted)
             assert set(follower.view.nodes) == {"core-c0", "core-c1", "core-c2", "s0"}
             assert follower.view.gateways == 2
         for control in self.controls:
-            live = {fact.name for fact in control.board.live_nodes(self.now_s)}
+            live = {record.name for record in control.board.live_nodes(self.now_s)}
             assert live == {"core-c0", "core-c1", "core-c2", "s0", "e0", "e1"}
 
 
--- a/tests/emberring/control/test_tier_control_hard.py
+++ b/tests/emberring/control/test_tier_control_hard.py
@@ -169,7 +169,7 @@
         assert (await cluster.http(0, "PUT", "/v1/instances/i-2", a_heartbeat(1))).status == 200
         assert (await cluster.http(0, "DELETE", "/v1/instances/i-2")).status == 503
         await cluster.start(1)
-        await eventually(lambda: len(cluster.node(0).board.live_origins(now())) == 2)
+        await eventually(lambda: len(cluster.node(0).board.live_writers(now())) == 2)
         assert (await cluster.http(0, "PUT", "/v1/instances/i-1", a_heartbeat(2, "draining"))).status == 200
         assert (await cluster.http(0, "DELETE", "/v1/instances/i-2")).status == 200
         known = cluster.node(1).board.store.servers()
@@ -189,7 +189,7 @@
         assert cluster.node(3).board.store.servers()["i-1"].state is ServerState.DRAINING
         assert (await cluster.http(3, "DELETE", "/v1/instances/i-1")).status == 503
         await cluster.start(1)
-        await eventually(lambda: len(cluster.node(0).board.live_origins(now())) == 3)
+        await eventually(lambda: len(cluster.node(0).board.live_writers(now())) == 3)
         assert (await cluster.http(0, "PUT", "/v1/instances/i-1", a_heartbeat(2, "draining"))).status == 200
 
     on_cluster(scenario, count=4)
--- a/tests/emberring/control/test_tier_control_register.py
+++ b/tests/emberring/control/test_tier_control_register.py
@@ -192,7 +192,7 @@
 
     def names(core: Core, number: int) -> set[str]:
         board = core.running[number].node.board
-        return {fact.name for fact in board.live_nodes(now())}
+        return {record.name for record in board.live_nodes(now())}
 
     on_core(tmp_path, scenario)
 
--- a/tests/emberring/control/test_tier_replaced_nodes.py
+++ b/tests/emberring/control/test_tier_replaced_nodes.py
@@ -70,6 +70,6 @@
     exchange(0.3, first, second)
     second.node_called(0.4, node(NodeRole.STORE, start=2))
     exchange(0.5, first, second)
-    assert first.contacts.fact_of("node-1") is None
+    assert first.contacts.record_of("node-1") is None
     known = [record.incarnation for record in first.live_nodes(0.5) if record.name == "node-1"]
     assert known == ["n2"]
--- a/tests/emberring/control/test_tier_suspicion_table.py
+++ b/tests/emberring/control/test_tier_suspicion_table.py
@@ -106,7 +106,7 @@
 
 def test_control_nodes_add_up_what_their_gateways_say_and_show_it() -> None:
     first, second = board(0), board(1)
-    first.state_servers(0.0, [SERVER])
+    first.write_servers(0.0, [SERVER])
     first.node_called(0.1, gateway(1), Report({}, {SERVER.id: "silent"}))
     second.node_called(0.1, gateway(2), Report({}, {SERVER.id: "failing"}))
     for one in (first, second):
--- a/tests/emberring/control/test_tier_update_stream.py
+++ b/tests/emberring/control/test_tier_update_stream.py
@@ -31,7 +31,7 @@
         servers = [
             ServerRecord(name, "llm", f"{name}:1", "z", 12, ServerState.READY, 1) for name in ("a", "b")
         ]
-        board.state_servers(now_s - 20.0, servers)
+        board.write_servers(now_s - 20.0, servers)
         for step in range(100):  # as long as it takes until that is usual
             then_s = now_s - 20.0 + 0.2 * step
             board.node_called(then_s, gateway(1), Report({"a": 3, "b": 2}))
@@ -59,23 +59,23 @@
 def test_what_is_told(
     word: LoadReportDetail, load: dict[str, int], calls: dict[str, int], usual: dict[str, float]
 ) -> None:
-    update = answer_to(Pull(gateway(2), {}, load=load, tells_load=True, word=word))
+    update = answer_to(Pull(gateway(2), {}, load=load, reports_load=True, load_detail=word))
     assert update.server_load == calls
-    assert {name: update.usual_load[name] for name in usual} == pytest.approx(usual, abs=0.2)
-    assert set(update.usual_load) == (set(load) if word is LoadReportDetail.SERVERS_IN_USE else set())
+    assert {name: update.smoothed_load[name] for name in usual} == pytest.approx(usual, abs=0.2)
+    assert set(update.smoothed_load) == (set(load) if word is LoadReportDetail.SERVERS_IN_USE else set())
     assert update.service_load == {"llm": 5 + load.get("a", 0)}
 
 
 def test_stores_are_told_none() -> None:
     update = answer_to(Pull(gateway(2, NodeRole.STORE), {}))
-    assert (update.server_load, update.usual_load, update.service_load) == ({}, {}, {})
+    assert (update.server_load, update.smoothed_load, update.service_load) == ({}, {}, {})
 
 
 @pytest.mark.parametrize(
     ("pull", "calls"),
     [
-        (Pull(gateway(1), {}, load={"a": 1}, tells_load=True), {"a": 1}),
-        (Pull(gateway(1), {}, load={}, tells_load=True), {}),  # it has none now
+        (Pull(gateway(1), {}, load={"a": 1}, reports_load=True), {"a": 1}),
+        (Pull(gateway(1), {}, load={}, reports_load=True), {}),  # it has none now
         (Pull(gateway(1), {}), {"a": 3, "b": 2}),  # it told another control node
         (Pull(gateway(1), {}, load={"a": 1}), {"a": 1}),  # of a version that does not say that it tells
     ],
--- a/tests/emberring/control/tier_control_fixture.py
+++ b/tests/emberring/control/tier_control_fixture.py
@@ -97,8 +97,8 @@
         members = self.shared.members or {replica.identity for replica in self.shared.replicas}
         return 2 * len(members & identities) > len(members)
 
-    def note_peers(self, facts: Sequence[NodeRecord]) -> None:
-        self.peers = list(facts)
+    def note_peers(self, records: Sequence[NodeRecord]) -> None:
+        self.peers = list(records)
 
 
 class Cluster:
@@ -216,7 +216,7 @@
         await cluster.start()
         try:
             await eventually(
-                lambda: all(len(node.board.live_origins(now())) == count for node in alive(cluster))
+                lambda: all(len(node.board.live_writers(now())) == count for node in alive(cluster))
             )
             await scenario(cluster)
         finally:
--- a/tests/emberring/distribution/test_tier_calls_in_flight.py
+++ b/tests/emberring/distribution/test_tier_calls_in_flight.py
@@ -84,11 +84,11 @@
 
 def test_an_empty_load_counts_only_from_who_tells_loads() -> None:
     contacts = Contacts()
-    fact = NodeRecord("edge-1", NodeRole.GATEWAY, "10.0.0.2:70", "zone")
-    contacts.note(0.0, fact, Report({"i": 1}))
-    contacts.note(0.1, fact)
+    record = NodeRecord("edge-1", NodeRole.GATEWAY, "10.0.0.2:70", "zone")
+    contacts.note(0.0, record, Report({"i": 1}))
+    contacts.note(0.1, record)
     assert contacts.load(0.2) == {"i": 1}
-    contacts.note(0.3, fact, Report({}))
+    contacts.note(0.3, record, Report({}))
     assert contacts.load(0.4) == {}
 
 
@@ -158,7 +158,7 @@
     async def _on_pull(self, pull: Pull, caller: Caller) -> Update:
         self.pulls.append(pull)
         await self._news.wait(pull.wait_ms / 1000)
-        calls = {} if pull.word is LoadReportDetail.TOTALS else {"i": 1}
+        calls = {} if pull.load_detail is LoadReportDetail.TOTALS else {"i": 1}
         known = pull.vector.get("c", 0)
         entries = tuple(entry for entry in self.entries if entry.number > known)
         delta = Delta({"c": len(self.entries)}, entries)
@@ -189,24 +189,24 @@
         await follower.stop()
 
     run_virtually(play())
-    telling = max(controls, key=lambda control: sum(pull.tells_load for pull in control.pulls))
+    telling = max(controls, key=lambda control: sum(pull.reports_load for pull in control.pulls))
     return telling, reports
 
 
 def test_few_gateways_get_word_with_every_answer() -> None:
     telling, reports = asked_for(3, 20)
-    assert all(pull.word is LoadReportDetail.EVERY_SERVER for pull in telling.pulls)
-    assert all(pull.load == {"i": 1} for pull in telling.pulls if pull.tells_load)
+    assert all(pull.load_detail is LoadReportDetail.EVERY_SERVER for pull in telling.pulls)
+    assert all(pull.load == {"i": 1} for pull in telling.pulls if pull.reports_load)
     assert all(reports)
 
 
 def test_many_gateways_get_word_of_each_server_seldom_and_of_what_is_usual() -> None:
     telling, reports = asked_for(400, 100)
     later = telling.pulls[5:]
-    wanted = [pull for pull in later if pull.word is not LoadReportDetail.TOTALS]
+    wanted = [pull for pull in later if pull.load_detail is not LoadReportDetail.TOTALS]
     assert 7 <= len(wanted) <= 11  # one in 3 s
-    assert all(pull.word is LoadReportDetail.SERVERS_IN_USE and pull.tells_load for pull in wanted)
-    assert sum(pull.tells_load for pull in later) > 80  # this node's calls are told as often as ever
+    assert all(pull.load_detail is LoadReportDetail.SERVERS_IN_USE and pull.reports_load for pull in wanted)
+    assert sum(pull.reports_load for pull in later) > 80  # this node's calls are told as often as ever
     assert sum(reports) < 15
 
 
@@ -215,9 +215,9 @@
     for servers, wait_ms in ((100, 100), (200, 200), (1000, 300)):
         telling, _ = asked_for(10, 20, servers)
         settled = telling.pulls[3:]
-        assert {pull.wait_ms for pull in settled if pull.tells_load} == {wait_ms}
+        assert {pull.wait_ms for pull in settled if pull.reports_load} == {wait_ms}
     telling, _ = asked_for(400, 40)
-    settled = [pull for pull in telling.pulls[5:] if pull.word is not LoadReportDetail.EVERY_SERVER]
+    settled = [pull for pull in telling.pulls[5:] if pull.load_detail is not LoadReportDetail.EVERY_SERVER]
     assert {pull.wait_ms for pull in settled} == {300}
 
 
--- a/tests/emberring/distribution/test_tier_follower_view.py
+++ b/tests/emberring/distribution/test_tier_follower_view.py
@@ -32,15 +32,15 @@
 class AControl:
     """A control node's answers."""
 
-    def __init__(self, origin: str = "a") -> None:
-        self.store = StatusTable(origin)
+    def __init__(self, writer: str = "a") -> None:
+        self.store = StatusTable(writer)
 
     def tell(self, view: FollowerView, now_s: float, **parts: Any) -> bool:
         base = Update(
-            origin=self.store.origin,
+            writer_incarnation=self.store.writer_incarnation,
             quorum_age_ms=50.0,
             delta=self.store.newer_than(view.store.vector),
-            live_origins=(self.store.origin,),
+            live_writers=(self.store.writer_incarnation,),
         )
         return view.take(now_s, attrs.evolve(base, **parts))
 
@@ -100,22 +100,22 @@
 def test_servers_that_serve_or_drain_are_shown() -> None:
     view, control = FollowerView(0.0), AControl()
     for name, state in (("r", READY), ("d", DRAINING), ("g", GONE), ("l", LOST)):
-        control.store.state_server(server(name, state))
+        control.store.write_server(server(name, state))
     assert control.tell(view, 0.1)
     assert set(view.servers) == {"r", "d"}
     assert not control.tell(view, 0.2)
-    control.store.state_server(server("r", LOST, 2))
+    control.store.write_server(server("r", LOST, 2))
     assert control.tell(view, 0.3)
     assert set(view.servers) == {"d"}
-    control.store.state_server(server("r", READY, 3))
+    control.store.write_server(server("r", READY, 3))
     assert control.tell(view, 0.4)
     assert set(view.servers) == {"r", "d"}
 
 
 def test_a_drain_told_by_one_holds_against_another_that_has_not_heard_of_it() -> None:
     view, first, second = FollowerView(0.0), AControl("a"), AControl("b")
-    first.store.state_server(server("i", DRAINING, 5))
-    second.store.state_server(server("i", READY, 6))
+    first.store.write_server(server("i", DRAINING, 5))
+    second.store.write_server(server("i", READY, 6))
     first.tell(view, 0.1)
     second.tell(view, 0.2)
     assert view.servers["i"].state is DRAINING
@@ -123,12 +123,12 @@
 
 def test_servers_outlast_all_control_nodes_and_go_when_new_ones_do_not_list_them() -> None:
     view, old, new = FollowerView(0.0), AControl("old"), AControl("new")
-    old.store.state_server(server("stays"))
-    old.store.state_server(server("ended"))
+    old.store.write_server(server("stays"))
+    old.store.write_server(server("ended"))
     old.tell(view, 0.1)
     new.tell(view, 500.0)  # nobody answered for long: that says nothing about servers
     assert set(view.servers) == {"stays", "ended"}
-    new.store.state_server(server("stays", READY, 40))
+    new.store.write_server(server("stays", READY, 40))
     at_s = 500.0
     while at_s < 500.0 + ORPHAN_S - 1.5:
         at_s += 0.5
@@ -144,11 +144,11 @@
     """It heard the last heartbeats and told nobody else; others go on with what they heard."""
     view, ended, lives = FollowerView(0.0), AControl("ended"), AControl("lives")
     for name in ("lives", "dies"):
-        lives.store.state_server(server(name, READY, 1))
-        ended.store.state_server(server(name, READY, 5))
+        lives.store.write_server(server(name, READY, 1))
+        ended.store.write_server(server(name, READY, 5))
     ended.tell(view, 0.1)
     lives.tell(view, 0.2)
-    lives.store.state_server(server("dies", LOST, 3))
+    lives.store.write_server(server("dies", LOST, 3))
     at_s = 0.2
     while at_s < ORPHAN_S + 2.0:
         at_s += 0.5
@@ -161,12 +161,12 @@
     view, first, second = FollowerView(0.0), AControl("a"), AControl("b")
     store = NodeRecord("store-1", NodeRole.STORE, "10.0.0.1:70", "zone", "id", "x")
     edge = NodeRecord("edge-1", NodeRole.GATEWAY, "10.0.0.2:70", "zone", "", "y")
-    first.store.state_node(store, present=True)
-    first.store.state_node(edge, present=True)
+    first.store.write_node(store, present=True)
+    first.store.write_node(edge, present=True)
     first.tell(view, 0.1)
     assert set(view.nodes) == {"store-1"}
-    first.store.state_node(store, present=False)
-    second.store.state_node(store, present=True)
+    first.store.write_node(store, present=False)
+    second.store.write_node(store, present=True)
     first.tell(view, 0.2)
     assert view.nodes == {}
     second.tell(view, 0.3)
@@ -201,15 +201,15 @@
 
 def test_contacts_end_with_silence() -> None:
     contacts = Contacts()
-    fact = NodeRecord("edge-1", NodeRole.GATEWAY, "10.0.0.2:70", "zone")
-    assert contacts.note(0.0, fact, Report({"i": 1}))
-    assert not contacts.note(0.5, fact)
+    record = NodeRecord("edge-1", NodeRole.GATEWAY, "10.0.0.2:70", "zone")
+    assert contacts.note(0.0, record, Report({"i": 1}))
+    assert not contacts.note(0.5, record)
     assert contacts.load(1.0) == {"i": 1}
     assert contacts.load(1.5) == {}
-    assert contacts.note(0.6, attrs.evolve(fact, leaving=True))
+    assert contacts.note(0.6, attrs.evolve(record, leaving=True))
     assert contacts.expired(1.9) == []
     assert [one.name for one in contacts.expired(2.1)] == ["edge-1"]
-    assert contacts.note(2.2, fact)
+    assert contacts.note(2.2, record)
 
 
 def test_loads_are_added_up() -> None:
@@ -351,12 +351,12 @@
             number = rng.randrange(5)
             numbers[number] += rng.random() < 0.7
             state = rng.choice(list(ServerState))
-            control.store.state_server(
+            control.store.write_server(
                 ServerRecord(f"i-{number}", "llm", f"h{number}:1", "z", 8, state, numbers[number])
             )
-        live = tuple(one.store.origin for one in controls if rng.random() < 0.7)
+        live = tuple(one.store.writer_incarnation for one in controls if rng.random() < 0.7)
         before = dict(view.servers)
-        changed = control.tell(view, now_s, live_origins=(control.store.origin, *live))
-        whole = {name: fact for name in view.store.servers() if (fact := view._shown(name)) is not None}
+        changed = control.tell(view, now_s, live_writers=(control.store.writer_incarnation, *live))
+        whole = {name: record for name in view.store.servers() if (record := view._shown(name)) is not None}
         assert view.servers == whole
         assert changed or view.servers == before
--- a/tests/emberring/distribution/test_tier_peers.py
+++ b/tests/emberring/distribution/test_tier_peers.py
@@ -21,8 +21,8 @@
     return NodeRecord(f"core-{number}", NodeRole.CONTROL, f"c{number}", "zone", "", f"{incarnation}{number}")
 
 
-def said(fact: NodeRecord, vector: dict[str, int] | None = None) -> Exchange:
-    return Exchange(fact, "x0", Delta(), vector or {}, {}, {"i": 2})
+def said(record: NodeRecord, vector: dict[str, int] | None = None) -> Exchange:
+    return Exchange(record, "x0", Delta(), vector or {}, {}, {"i": 2})
 
 
 def table() -> PeerTable:
@@ -85,7 +85,7 @@
 def test_a_node_lives_while_it_is_heard() -> None:
     peers = table()
     peers.take(1.0, said(control(1), {"x1": 4}))
-    assert [peer.origin for peer in peers.live(1.0 + LIVE_S / 2)] == ["x1"]
+    assert [peer.incarnation for peer in peers.live(1.0 + LIVE_S / 2)] == ["x1"]
     assert list(peers.loads(1.5)) == [{"i": 2}]
     assert peers.live(1.1 + LIVE_S) == []
 
--- a/tests/emberring/distribution/test_tier_status_table.py
+++ b/tests/emberring/distribution/test_tier_status_table.py
@@ -13,7 +13,7 @@
 from emberring.registry.merge import merged
 from emberring.transport.messages import Envelope, decode, encode
 
-ORIGINS = ("a", "b", "c")
+WRITERS = ("a", "b", "c")
 STATES = [ServerState.READY, ServerState.DRAINING, ServerState.GONE, ServerState.LOST]
 
 
@@ -30,9 +30,9 @@
 
 
 def test_a_statement_reaches_a_third_node_through_a_second() -> None:
-    first, second, third = (StatusTable(origin) for origin in ORIGINS)
-    first.state_server(server("i-1"))
-    first.state_node(node("store-1"), present=True)
+    first, second, third = (StatusTable(writer) for writer in WRITERS)
+    first.write_server(server("i-1"))
+    first.write_node(node("store-1"), present=True)
     give(first, second)
     give(second, third)
     assert third.servers() == first.servers()
@@ -44,10 +44,10 @@
 def test_only_what_is_newer_travels_and_of_one_key_only_the_newest() -> None:
     first, second = StatusTable("a"), StatusTable("b")
     for sequence in range(1, 5):
-        first.state_server(server("i-1", sequence=sequence))
-    first.state_server(server("i-2"))
+        first.write_server(server("i-1", sequence=sequence))
+    first.write_server(server("i-2"))
     delta = first.newer_than({"a": 2})
-    assert sorted((entry.fact.id, entry.number) for entry in delta.servers) == [("i-1", 4), ("i-2", 5)]
+    assert sorted((entry.record.id, entry.number) for entry in delta.servers) == [("i-1", 4), ("i-2", 5)]
     give(first, second)
     assert first.newer_than(second.vector).empty
     assert second.take(delta) == second.take(delta)
@@ -56,17 +56,17 @@
 
 def test_gateways_are_left_out_for_those_who_do_not_need_them() -> None:
     store = StatusTable("a")
-    store.state_node(node("edge-1", role=NodeRole.GATEWAY), present=True)
-    store.state_node(node("store-1"), present=True)
+    store.write_node(node("edge-1", role=NodeRole.GATEWAY), present=True)
+    store.write_node(node("store-1"), present=True)
     delta = store.newer_than({}, gateways=False)
-    assert [entry.fact.name for entry in delta.nodes] == ["store-1"]
+    assert [entry.record.name for entry in delta.nodes] == ["store-1"]
     assert delta.vector == {"a": 2}
 
 
 def test_an_end_and_a_later_word_of_another_origin_are_both_kept_until_joined() -> None:
-    first, second, third = (StatusTable(origin) for origin in ORIGINS)
-    first.state_server(server("i-1", ServerState.DRAINING, 10))
-    second.state_server(server("i-1", ServerState.READY, 11))
+    first, second, third = (StatusTable(writer) for writer in WRITERS)
+    first.write_server(server("i-1", ServerState.DRAINING, 10))
+    second.write_server(server("i-1", ServerState.READY, 11))
     give(first, third)
     give(second, third)
     fresh = StatusTable("d")
@@ -86,19 +86,19 @@
 def test_an_ended_origin_leaves_nothing_of_nodes() -> None:
     store = StatusTable("c")
     store.take(Delta({"a": 2}, (), (NodeEntry("a", 1, node("store-1"), True),)))
-    store.forget_origin("a")
+    store.forget_writer("a")
     assert store.vector == {}
     assert list(store.node_entries()) == []
     store.take(Delta({"b": 1}, (ServerEntry("b", 1, server("i-1")),)))
-    store.forget_origin("b")  # its statement about a server still counts
+    store.forget_writer("b")  # its statement about a server still counts
     assert store.vector == {"b": 1}
     assert "i-1" in store.servers()
 
 
 def test_messages_survive_the_wire() -> None:
     store = StatusTable("a")
-    store.state_server(server("i-1", ServerState.DRAINING))
-    store.state_node(node("store-1"), present=False)
+    store.write_server(server("i-1", ServerState.DRAINING))
+    store.write_node(node("store-1"), present=False)
     update = Update("a", 12.5, store.newer_than({}), ("a",), 3, 7, b"\x00packed\xff", None, {"i-1": 4})
     pull = Pull(node("edge-1"), {"a": 3}, 7, 1, 500, {"i-1": 4})
     for message in (update, pull):
@@ -111,27 +111,29 @@
     def __init__(self) -> None:
         super().__init__()
         self.starts = 0
-        self.stores = {origin: StatusTable(origin) for origin in ORIGINS}
+        self.stores = {writer: StatusTable(writer) for writer in WRITERS}
         self.truth: dict[str, ServerRecord] = {}
-        self.seen: dict[str, dict[str, ServerRecord]] = {origin: {} for origin in ORIGINS}
+        self.seen: dict[str, dict[str, ServerRecord]] = {writer: {} for writer in WRITERS}
         self.flying: list[tuple[str, str, Delta]] = []
 
     @rule(
-        at=st.sampled_from(ORIGINS),
+        at=st.sampled_from(WRITERS),
         name=st.sampled_from(["i-1", "i-2"]),
         state=st.sampled_from(STATES),
         sequence=st.integers(0, 5),
     )
     def state(self, at: str, name: str, state: ServerState, sequence: int) -> None:
-        fact = server(name, state, sequence)
-        self.stores[at].state_server(fact)
-        self.truth[name] = merged(self.truth[name], fact) if name in self.truth else fact
+        record = server(name, state, sequence)
+        self.stores[at].write_server(record)
+        self.truth[name] = merged(self.truth[name], record) if name in self.truth else record
 
-    @rule(sender=st.sampled_from(ORIGINS), receiver=st.sampled_from(ORIGINS))
+    @rule(sender=st.sampled_from(WRITERS), receiver=st.sampled_from(WRITERS))
     def send(self, sender: str, receiver: str) -> None:
         receiving = self.stores[receiver]
         if sender != receiver:
-            self.flying.append((receiver, receiving.origin, self.stores[sender].newer_than(receiving.vector)))
+            self.flying.append(
+                (receiver, receiving.writer_incarnation, self.stores[sender].newer_than(receiving.vector))
+            )
 
     @rule(pick=st.integers(0, 100), keep=st.booleans())
     def arrive(self, pick: int, keep: bool) -> None:
@@ -142,11 +144,11 @@
         if not keep:
             del self.flying[position]
         if (
-            self.stores[receiver].origin == incarnation
+            self.stores[receiver].writer_incarnation == incarnation
         ):  # as `Exchange.to` and the connection of a pull see to
             self.stores[receiver].take(delta)
 
-    @rule(at=st.sampled_from(ORIGINS))
+    @rule(at=st.sampled_from(WRITERS))
     def restart(self, at: str) -> None:
         others = [store for key, store in self.stores.items() if key != at]
         if all(
@@ -165,8 +167,8 @@
 
     def teardown(self) -> None:
         for _ in range(2):
-            for sender in ORIGINS:
-                for receiver in ORIGINS:
+            for sender in WRITERS:
+                for receiver in WRITERS:
                     if sender != receiver:
                         give(self.stores[sender], self.stores[receiver])
         for store in self.stores.values():
@@ -183,10 +185,10 @@
 def test_statements_of_ended_origins_do_not_pile_up() -> None:
     store = StatusTable("a")
     for sequence in range(200):
-        origin = f"origin-{sequence}"
-        entry = ServerEntry(origin, 1, attrs.evolve(server("i-1"), sequence=sequence))
-        store.take(Delta({origin: 1}, (entry,)))
-        store.forget_origin(f"origin-{sequence - 1}")
+        writer = f"origin-{sequence}"
+        entry = ServerEntry(writer, 1, attrs.evolve(server("i-1"), sequence=sequence))
+        store.take(Delta({writer: 1}, (entry,)))
+        store.forget_writer(f"origin-{sequence - 1}")
     assert len(list(store.server_entries("i-1"))) == 1
     assert list(store.vector) == ["origin-199"]
 
@@ -195,8 +197,8 @@
     store = StatusTable("a")
     store.take(Delta({"b": 1}, (ServerEntry("b", 1, server("i-1", sequence=1)),)))
     store.take(Delta({"c": 1}, (ServerEntry("c", 1, server("i-1", sequence=5)),)))
-    assert {entry.origin for entry in store.server_entries("i-1")} == {"b", "c"}
-    store.forget_origin("c")  # nobody else says what it said
-    assert {entry.origin for entry in store.server_entries("i-1")} == {"b", "c"}
-    store.forget_origin("b")
-    assert {entry.origin for entry in store.server_entries("i-1")} == {"c"}
+    assert {entry.writer_incarnation for entry in store.server_entries("i-1")} == {"b", "c"}
+    store.forget_writer("c")  # nobody else says what it said
+    assert {entry.writer_incarnation for entry in store.server_entries("i-1")} == {"b", "c"}
+    store.forget_writer("b")
+    assert {entry.writer_incarnation for entry in store.server_entries("i-1")} == {"c"}
--- a/tests/emberring/gateway/test_tier_gateway_role.py
+++ b/tests/emberring/gateway/test_tier_gateway_role.py
@@ -141,7 +141,7 @@
         assert (await ask(front, request())).headers["connection"] == "close"
         await leaving
         await gateway.stop()
-        assert any(pull.me.leaving for pull in control.pulls)
+        assert any(pull.sender.leaving for pull in control.pulls)
 
     asyncio.run(with_control(story, 1.0))
 
--- a/tests/emberring/registry/test_tier_registry.py
+++ b/tests/emberring/registry/test_tier_registry.py
@@ -20,17 +20,17 @@
 BEAT_S = 1.2
 
 
-def fact(state: ServerState = READY, sequence: int = 1, **changes: Any) -> ServerRecord:
+def record(state: ServerState = READY, sequence: int = 1, **changes: Any) -> ServerRecord:
     base = ServerRecord("i-1", "engine", "10.0.0.9:8080", "zone", 48, state, sequence)
     return attrs.evolve(base, **changes)
 
 
 # -- the join
 
-facts = st.builds(fact, st.sampled_from(list(ServerState)), st.integers(0, 4))
+records = st.builds(record, st.sampled_from(list(ServerState)), st.integers(0, 4))
 
 
-@given(facts, facts, facts)
+@given(records, records, records)
 def test_the_join_does_not_depend_on_order_or_repeats(
     a: ServerRecord, b: ServerRecord, c: ServerRecord
 ) -> None:
@@ -40,7 +40,7 @@
     assert merged(merged(a, b), b) == merged(a, b)
 
 
-@given(st.lists(facts, min_size=1, max_size=6))
+@given(st.lists(records, min_size=1, max_size=6))
 def test_dropping_what_another_statement_says_loses_nothing(statements: list[ServerRecord]) -> None:
     kept: list[ServerRecord] = []
     whole = statements[0]
@@ -55,14 +55,14 @@
 
 
 JOINS = [
-    (fact(READY, 5), fact(READY, 6), READY, 6),
-    (fact(DRAINING, 5), fact(READY, 9), DRAINING, 9),  # a late or wrong word revives nothing
-    (fact(GONE, 0), fact(READY, 9), GONE, 9),
-    (fact(GONE, 5), fact(DRAINING, 9), GONE, 9),
-    (fact(LOST, 5), fact(READY, 5), LOST, 5),
-    (fact(LOST, 5), fact(READY, 6), READY, 6),
-    (fact(LOST, 5), fact(DRAINING, 4), DRAINING, 5),
-    (fact(LOST, 5), fact(READY, 4), LOST, 5),
+    (record(READY, 5), record(READY, 6), READY, 6),
+    (record(DRAINING, 5), record(READY, 9), DRAINING, 9),  # a late or wrong word revives nothing
+    (record(GONE, 0), record(READY, 9), GONE, 9),
+    (record(GONE, 5), record(DRAINING, 9), GONE, 9),
+    (record(LOST, 5), record(READY, 5), LOST, 5),
+    (record(LOST, 5), record(READY, 6), READY, 6),
+    (record(LOST, 5), record(DRAINING, 4), DRAINING, 5),
+    (record(LOST, 5), record(READY, 4), LOST, 5),
 ]
 
 
@@ -92,7 +92,9 @@
 
 def test_a_heartbeat_is_read() -> None:
     beat = read_heartbeat("i-7", json.dumps(BEAT).encode())
-    assert beat.fact == ServerRecord("i-7", "huvo11a", "10.128.0.9:8080", "erl-a", 48, READY, 4, 120.0, "v1")
+    assert beat.record == ServerRecord(
+        "i-7", "huvo11a", "10.128.0.9:8080", "erl-a", 48, READY, 4, 120.0, "v1"
+    )
     assert not beat.draining
     assert read_heartbeat("i-7", json.dumps({**BEAT, "State": "draining"}).encode()).draining
 
@@ -149,47 +151,47 @@
 
 def test_only_what_is_new_is_stated() -> None:
     node = ANode()
-    assert node.beat(0.0, fact(READY, 1)) == [fact(READY, 1)]
-    assert node.beat(1.2, fact(READY, 2)) == []
-    assert node.beat(2.4, fact(READY, 3, capacity=20)) == [fact(READY, 3, capacity=20)]
-    assert node.beat(2.5, fact(READY, 3, capacity=20), listed=False) == [fact(READY, 3, capacity=20)]
+    assert node.beat(0.0, record(READY, 1)) == [record(READY, 1)]
+    assert node.beat(1.2, record(READY, 2)) == []
+    assert node.beat(2.4, record(READY, 3, capacity=20)) == [record(READY, 3, capacity=20)]
+    assert node.beat(2.5, record(READY, 3, capacity=20), listed=False) == [record(READY, 3, capacity=20)]
 
 
 def test_the_end_of_a_cold_start_is_stated_once() -> None:
     node = ANode()
-    assert node.beat(0.0, fact(READY, 1, cold_ms=3000.0)) != []
-    assert node.beat(1.2, fact(READY, 2, cold_ms=1800.0)) == []
-    assert node.beat(2.4, fact(READY, 3, cold_ms=0.0)) != []
-    assert node.beat(3.6, fact(READY, 4, cold_ms=0.0)) == []
+    assert node.beat(0.0, record(READY, 1, cold_ms=3000.0)) != []
+    assert node.beat(1.2, record(READY, 2, cold_ms=1800.0)) == []
+    assert node.beat(2.4, record(READY, 3, cold_ms=0.0)) != []
+    assert node.beat(3.6, record(READY, 4, cold_ms=0.0)) == []
 
 
 def test_what_control_nodes_that_live_state_is_set_right() -> None:
     """An ended control node heard more than the others, who took the server for lost."""
     node = ANode()
-    node.take([fact(READY, 13), fact(LOST, 6)])
-    beat = Heartbeat(fact(READY, 41))
-    assert node.registry.on_heartbeat(0.0, beat, node.known, fact(LOST, 6)) == [fact(READY, 41)]
-    assert node.registry.on_heartbeat(0.0, beat, node.known, fact(READY, 6)) == []
+    node.take([record(READY, 13), record(LOST, 6)])
+    beat = Heartbeat(record(READY, 41))
+    assert node.registry.on_heartbeat(0.0, beat, node.known, record(LOST, 6)) == [record(READY, 41)]
+    assert node.registry.on_heartbeat(0.0, beat, node.known, record(READY, 6)) == []
 
 
 def test_a_drain_sticks_and_a_late_heartbeat_revives_nothing() -> None:
     node = ANode()
-    node.beat(0.0, fact(READY, 5))
-    assert node.beat(1.0, fact(DRAINING, 6)) == [fact(DRAINING, 6)]
-    assert node.beat(1.1, fact(READY, 5)) == []
-    assert node.beat(1.2, fact(READY, 7)) == []
+    node.beat(0.0, record(READY, 5))
+    assert node.beat(1.0, record(DRAINING, 6)) == [record(DRAINING, 6)]
+    assert node.beat(1.1, record(READY, 5)) == []
+    assert node.beat(1.2, record(READY, 7)) == []
     assert node.known["i-1"].state is DRAINING
     assert node.take(node.registry.on_goodbye("i-1", node.known))[0].state is GONE
-    assert node.beat(1.3, fact(READY, 8)) == []
-    assert node.beat(1.3, fact(DRAINING, 9)) == []
+    assert node.beat(1.3, record(READY, 8)) == []
+    assert node.beat(1.3, record(DRAINING, 9)) == []
     assert node.registry.on_goodbye("i-1", node.known) == []
     assert node.known["i-1"].state is GONE
 
 
 def test_a_drain_that_overtook_a_heartbeat_counts() -> None:
     node = ANode()
-    node.beat(0.0, fact(READY, 7))
-    assert node.beat(0.1, fact(DRAINING, 6)) != []
+    node.beat(0.0, record(READY, 7))
+    assert node.beat(0.1, record(DRAINING, 6)) != []
     assert node.known["i-1"].state is DRAINING
 
 
@@ -197,29 +199,29 @@
     node = ANode()
     stated = node.take(node.registry.on_goodbye("i-9", node.known))
     assert [(one.id, one.state) for one in stated] == [("i-9", GONE)]
-    assert node.beat(0.1, fact(READY, 3, id="i-9")) == []
+    assert node.beat(0.1, record(READY, 3, id="i-9")) == []
 
 
 def test_silence_is_stated_after_four_missed_heartbeats_and_ends_with_the_next_one() -> None:
     node = ANode()
-    node.beat(0.0, fact(READY, 1))
-    node.beat(1.2, fact(READY, 2))
+    node.beat(0.0, record(READY, 1))
+    node.beat(1.2, record(READY, 2))
     assert node.pass_time(1.2, 6.5) == []
     stated = node.pass_time(6.6, 8.0)
     assert [(one.state, one.sequence) for one in stated] == [(LOST, 2)]
-    assert node.beat(8.1, fact(READY, 2)) == []
-    assert [one.state for one in node.beat(8.2, fact(READY, 3))] == [READY]
+    assert node.beat(8.1, record(READY, 2)) == []
+    assert [one.state for one in node.beat(8.2, record(READY, 3))] == [READY]
 
 
 def test_a_draining_server_that_falls_silent_is_gone() -> None:
     node = ANode()
-    node.beat(0.0, fact(DRAINING, 1))
+    node.beat(0.0, record(DRAINING, 1))
     assert [one.state for one in node.pass_time(0.0, 7.0)] == [GONE]
 
 
 def test_a_node_that_was_frozen_or_cut_off_gives_everybody_time() -> None:
     node = ANode()
-    node.beat(0.0, fact(READY, 1))
+    node.beat(0.0, record(READY, 1))
     node.pass_time(0.0, 3.0)
     assert node.pass_time(20.0, 25.0) == []  # no tick for 17 s: it was frozen
     assert node.pass_time(25.1, 40.0, trusted=False) == []
@@ -229,7 +231,7 @@
 
 def test_servers_of_a_control_node_that_cannot_be_asked_get_more_time() -> None:
     node = ANode()
-    node.beat(0.0, fact(READY, 1))
+    node.beat(0.0, record(READY, 1))
     node.live = False
     assert node.pass_time(0.0, 11.0) == []
     assert [one.state for one in node.pass_time(11.1, 13.0)] == [LOST]
@@ -237,7 +239,7 @@
 
 def test_heartbeats_taken_elsewhere_count() -> None:
     node = ANode()
-    node.beat(0.0, fact(READY, 1))
+    node.beat(0.0, record(READY, 1))
     for step in range(1, 20):
         node.registry.note_heard(step * 1.2, {"i-1": step + 1})
         assert node.pass_time(step * 1.2, step * 1.2 + 1.1) == []
@@ -246,14 +248,14 @@
 
 def test_others_who_take_a_living_server_for_lost_are_told() -> None:
     node = ANode()
-    node.beat(0.0, fact(READY, 1))
-    node.beat(1.2, fact(READY, 2))
-    node.take([fact(LOST, 1)])
-    stated = node.registry.on_learnt(1.3, node.known["i-1"])
+    node.beat(0.0, record(READY, 1))
+    node.beat(1.2, record(READY, 2))
+    node.take([record(LOST, 1)])
+    stated = node.registry.on_record_changed(1.3, node.known["i-1"])
     assert [(one.state, one.sequence) for one in stated] == [(READY, 2)]
-    assert node.registry.on_learnt(1.3, fact(LOST, 2)) == []
-    assert node.registry.on_learnt(9.0, fact(LOST, 1)) == []
-    assert node.registry.on_learnt(1.3, fact(DRAINING, 1)) == []
+    assert node.registry.on_record_changed(1.3, record(LOST, 2)) == []
+    assert node.registry.on_record_changed(9.0, record(LOST, 1)) == []
+    assert node.registry.on_record_changed(1.3, record(DRAINING, 1)) == []
 
 
 REUSE = [
@@ -265,15 +267,15 @@
 @pytest.mark.parametrize(("after_s", "ended"), REUSE)
 def test_an_address_used_again_ends_the_older_server(after_s: float, ended: bool) -> None:
     node = ANode()
-    node.beat(0.0, fact(READY, 9))
-    node.beat(after_s, fact(READY, 1, id="i-2"))
+    node.beat(0.0, record(READY, 9))
+    node.beat(after_s, record(READY, 1, id="i-2"))
     assert (node.known["i-1"].state is GONE) is ended
     assert node.known["i-2"].state is READY
 
 
 def test_what_is_gone_for_long_is_forgotten() -> None:
     node = ANode()
-    node.beat(0.0, fact(READY, 1))
+    node.beat(0.0, record(READY, 1))
     node.take(node.registry.on_goodbye("i-1", node.known))
     assert node.registry.forgettable(1.0, node.known) == []
     assert node.registry.forgettable(FORGET_S, node.known) == []
