--- a/emberring/control/app.py
+++ b/emberring/control/app.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of a control node: the operator's orders and the servers' heartbeats, as an ASGI program."""
+"""The HTTP interface of a control node: operators' requests and servers' heartbeats, as an ASGI application."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from emberring.errors import BadRequestError, EmberringError, NotFoundError
 from emberring.logs import get_logger
 
-LARGEST_BODY_BYTES = 32 * 1024 * 1024
+MAX_BODY_BYTES = 32 * 1024 * 1024
 
 logger = get_logger("control")
 
@@ -26,8 +26,8 @@
 
 
 @attrs.frozen
-class Call:
-    """A request that was read whole."""
+class Request:
+    """A request with its complete body."""
 
     method: str
     path: str
@@ -36,21 +36,28 @@
 
 
 @attrs.frozen
-class Reply:
-    """An answer; the body is JSON."""
+class Response:
+    """A response; the body is JSON."""
 
     status: int
     body: bytes = b"{}"
 
 
 class ControlApp:
-    """Hands each call to the part that answers it."""
-
-    def __init__(self, orders: OperatorRequests, desk: HeartbeatHandler, page: StatusPage) -> None:
-        self._orders = orders
-        self._desk = desk
-        self._page = page
-        self._table: tuple[tuple[str, re.Pattern[str], Callable[[Call, str], Awaitable[Reply]]], ...] = (
+    """Routes each request to its handler."""
+
+    def __init__(
+        self,
+        operator_requests: OperatorRequests,
+        heartbeat_handler: HeartbeatHandler,
+        status_page: StatusPage,
+    ) -> None:
+        self._operator_requests = operator_requests
+        self._heartbeat_handler = heartbeat_handler
+        self._status_page = status_page
+        self._routes: tuple[
+            tuple[str, re.Pattern[str], Callable[[Request, str], Awaitable[Response]]], ...
+        ] = (
             ("PUT", re.compile(r"/v1/instances/(.+)"), self._heartbeat),
             ("DELETE", re.compile(r"/v1/instances/(.+)"), self._goodbye),
             ("PUT", re.compile(r"/v1/(config)"), self._configure),
@@ -67,73 +74,75 @@
         if scope["type"] != "http":
             return
         try:
-            reply = await self._answer(await _read(scope, receive))
+            response = await self._answer(await _read_request(scope, receive))
         except EmberringError as error:
-            reply = _failed(error)
+            response = _error_response(error)
         except Exception:
             logger.exception("event=call_failed path=%s", scope.get("path"))
-            reply = Reply(500)
+            response = Response(500)
         headers = [
             (b"content-type", b"application/json"),
-            (b"content-length", str(len(reply.body)).encode()),
+            (b"content-length", str(len(response.body)).encode()),
         ]
-        await send({"type": "http.response.start", "status": reply.status, "headers": headers})
-        await send({"type": "http.response.body", "body": reply.body})
-
-    async def _answer(self, call: Call) -> Reply:
-        for method, pattern, handler in self._table:
-            found = pattern.fullmatch(call.path)
-            if found is not None and method == call.method:
-                return await handler(call, found.group(1))
-        raise NotFoundError(f"nothing at {call.method} {call.path}")
-
-    async def _heartbeat(self, call: Call, server_id: str) -> Reply:
-        await self._desk.heartbeat(server_id, call.body)
-        return Reply(200)
-
-    async def _goodbye(self, call: Call, server_id: str) -> Reply:
-        await self._desk.goodbye(server_id)
-        return Reply(200)
-
-    async def _configure(self, call: Call, _: str) -> Reply:
-        version = await self._orders.configure(ChangeRequestKind(call.method), call.if_match, call.body)
-        return Reply(200, orjson.dumps({"Version": version}))
+        await send({"type": "http.response.start", "status": response.status, "headers": headers})
+        await send({"type": "http.response.body", "body": response.body})
+
+    async def _answer(self, request: Request) -> Response:
+        for method, pattern, handler in self._routes:
+            match = pattern.fullmatch(request.path)
+            if match is not None and method == request.method:
+                return await handler(request, match.group(1))
+        raise NotFoundError(f"nothing at {request.method} {request.path}")
+
+    async def _heartbeat(self, request: Request, server_id: str) -> Response:
+        await self._heartbeat_handler.heartbeat(server_id, request.body)
+        return Response(200)
+
+    async def _goodbye(self, request: Request, server_id: str) -> Response:
+        await self._heartbeat_handler.goodbye(server_id)
+        return Response(200)
+
+    async def _configure(self, request: Request, _: str) -> Response:
+        version = await self._operator_requests.configure(
+            ChangeRequestKind(request.method), request.if_match, request.body
+        )
+        return Response(200, orjson.dumps({"Version": version}))
 
-    async def _configuration(self, call: Call, _: str) -> Reply:
-        return Reply(200, await self._orders.current())
+    async def _configuration(self, request: Request, _: str) -> Response:
+        return Response(200, await self._operator_requests.current())
 
-    async def _retire(self, call: Call, name: str) -> Reply:
-        return Reply(200, orjson.dumps({"State": await self._orders.retire(name)}))
+    async def _retire(self, request: Request, name: str) -> Response:
+        return Response(200, orjson.dumps({"State": await self._operator_requests.retire(name)}))
 
-    async def _retirement(self, call: Call, name: str) -> Reply:
-        return Reply(200, orjson.dumps({"State": await self._orders.retirement(name)}))
+    async def _retirement(self, request: Request, name: str) -> Response:
+        return Response(200, orjson.dumps({"State": await self._operator_requests.retirement(name)}))
 
-    async def _ready(self, call: Call, _: str) -> Reply:
-        return Reply(200)
+    async def _ready(self, request: Request, _: str) -> Response:
+        return Response(200)
 
-    async def _status(self, call: Call, _: str) -> Reply:
-        return Reply(200, self._page.render(asyncio.get_running_loop().time()))
+    async def _status(self, request: Request, _: str) -> Response:
+        return Response(200, self._status_page.render(asyncio.get_running_loop().time()))
 
 
-def _failed(error: EmberringError) -> Reply:
-    return Reply(error.answer.status, orjson.dumps({"Error": error.kind.value, "Detail": error.detail}))
+def _error_response(error: EmberringError) -> Response:
+    return Response(error.answer.status, orjson.dumps({"Error": error.kind.value, "Detail": error.detail}))
 
 
-async def _read(scope: Any, receive: Receive) -> Call:
-    parts: list[bytes] = []
+async def _read_request(scope: Any, receive: Receive) -> Request:
+    chunks: list[bytes] = []
     size = 0
     while True:
         event = await receive()
         if event["type"] == "http.disconnect":
             raise BadRequestError("the caller left before its request was whole")
-        part = event.get("body", b"")
-        size += len(part)
-        if size > LARGEST_BODY_BYTES:
-            raise BadRequestError(f"the body is longer than {LARGEST_BODY_BYTES} bytes")
-        parts.append(part)
+        chunk = event.get("body", b"")
+        size += len(chunk)
+        if size > MAX_BODY_BYTES:
+            raise BadRequestError(f"the body is longer than {MAX_BODY_BYTES} bytes")
+        chunks.append(chunk)
         if not event.get("more_body"):
             break
-    return Call(scope["method"], scope["path"], _header(scope["headers"], b"if-match"), b"".join(parts))
+    return Request(scope["method"], scope["path"], _header(scope["headers"], b"if-match"), b"".join(chunks))
 
 
 def _header(headers: Iterable[tuple[bytes, bytes]], name: bytes) -> str | None:
--- a/emberring/control/cluster_state.py
+++ b/emberring/control/cluster_state.py
@@ -11,7 +11,7 @@
 from emberring.control.change_notifier import ChangeNotifier
 from emberring.control.load_aggregator import LoadAggregator
 from emberring.control.suspicion_table import SuspicionTable
-from emberring.distribution.contacts import Contacts, Report
+from emberring.distribution.contacts import Contacts, LoadReport
 from emberring.distribution.messages import Delta, Exchange, Exchanged
 from emberring.distribution.peers import Peer, PeerTable
 from emberring.distribution.records import NodeRecord, NodeRole, ServerRecord
@@ -27,7 +27,7 @@
 LONGEST_GAP_S = 1.0  # between ticks; after a longer one this node was frozen
 GRACE_S = 1.0  # after that, before others' silence counts
 FORGET_WRITER_S = 60.0  # statements about nodes by an origin that has ended are dropped after so long
-HEARD_SPAN_S = 5.0  # heartbeats of so long ago are told to a control node that could not be told before
+LAST_SEEN_SPAN_S = 5.0  # heartbeats of so long ago are told to a control node that could not be told before
 
 
 class ClusterState:
@@ -37,62 +37,62 @@
     def __init__(self, now_s: float, me: NodeRecord, seeds: Iterable[str], heartbeat_s: float) -> None:
         self.me = me
         self.state = ControlState()
-        self.store = StatusTable(me.incarnation)
+        self.status_table = StatusTable(me.incarnation)
         self.peers = PeerTable(me, seeds)
         self.contacts = Contacts()
         self.registry = ServerRegistry(now_s, heartbeat_s)
-        self.load = LoadAggregator(self._told_loads, self.load_age_s, self.store.servers)
-        self.suspicions = SuspicionTable(self.store.servers)
+        self.load = LoadAggregator(self._reported_loads, self.load_age_s, self.status_table.servers)
+        self.suspicions = SuspicionTable(self.status_table.servers)
         self.quorum_age_s: Callable[[], float] = lambda: 0.0
-        self._news = ChangeNotifier()
-        self._exchanges = ChangeNotifier()
-        self._hurry = ChangeNotifier()
+        self._changes = ChangeNotifier()
+        self._ended_exchanges = ChangeNotifier()
+        self._expedited = ChangeNotifier()
         self._last_tick_s = now_s
-        self._settled_since_s = now_s
+        self._stable_since_s = now_s
         self._grace_until_s = now_s
         self._writers_seen_s: dict[str, float] = {}
-        self._counted: Mapping[str, NodeRecord] = {}
+        self._counted_nodes: Mapping[str, NodeRecord] = {}
         self._gateways = 1
-        self.store.write_node(me, present=True)
+        self.status_table.write_node(me, present=True)
 
     # -- waking
 
-    def changed(self) -> None:
+    def notify_changed(self) -> None:
         """Wake all who wait for something new."""
-        self._news.give()
+        self._changes.notify_all()
 
-    async def wait(self, timeout_s: float) -> None:
+    async def wait_for_change(self, timeout_s: float) -> None:
         """Wait until something changes, or the time is over."""
-        await self._news.wait(timeout_s)
+        await self._changes.wait(timeout_s)
 
     @property
     def waiters(self) -> int:
         """How many wait for something new."""
-        return self._news.waiters
+        return self._changes.waiters
 
-    def exchanged(self) -> None:
+    def notify_exchange_ended(self) -> None:
         """An exchange with another control node ended."""
-        self._exchanges.give()
+        self._ended_exchanges.notify_all()
 
     async def wait_for_exchange(self, timeout_s: float) -> None:
         """Wait until an exchange ends, or the time is over."""
-        await self._exchanges.wait(timeout_s)
+        await self._ended_exchanges.wait(timeout_s)
 
-    def hurry(self, now_s: float) -> None:
+    def expedite_exchanges(self, now_s: float) -> None:
         """Have the other control nodes told at once."""
-        self.peers.hurry(now_s)
-        self._hurry.give()
+        self.peers.expedite(now_s)
+        self._expedited.notify_all()
 
-    async def wait_hurry(self, timeout_s: float) -> None:
+    async def wait_for_expedite(self, timeout_s: float) -> None:
         """Wait until the others are to be told at once, or the time is over."""
-        await self._hurry.wait(timeout_s)
+        await self._expedited.wait(timeout_s)
 
     # -- the register's value
 
-    def take_state(self, state: ControlState) -> None:
+    def apply_state(self, state: ControlState) -> None:
         """A chosen value of the register."""
         self.state = state
-        self.changed()
+        self.notify_changed()
 
     # -- liveness
 
@@ -103,22 +103,22 @@
     def live_nodes(self, now_s: float) -> list[NodeRecord]:
         """All nodes that live, as far as this control node knows."""
         roles = (NodeRole.GATEWAY, NodeRole.STORE, NodeRole.CONTROL)
-        return list(self.store.live_nodes(self.live_writers(now_s), roles).values())
+        return list(self.status_table.live_nodes(self.live_writers(now_s), roles).values())
 
-    def settled_s(self, now_s: float) -> float:
+    def stable_for_s(self, now_s: float) -> float:
         """For how long (s) this node has run, without a pause, in contact with a quorum and with another control node:
         what it does not know of after some time of that is not there."""
-        return now_s - self._settled_since_s
+        return now_s - self._stable_since_s
 
     def gateways(self, now_s: float) -> int:
         """How many gateways live; at least 1."""
-        live = self.store.live_nodes(self.live_writers(now_s), (NodeRole.GATEWAY,))
-        if live is not self._counted:
-            self._counted = live
+        live = self.status_table.live_nodes(self.live_writers(now_s), (NodeRole.GATEWAY,))
+        if live is not self._counted_nodes:
+            self._counted_nodes = live
             self._gateways = max(1, sum(1 for record in live.values() if not record.leaving))
         return self._gateways
 
-    def _told_loads(self, now_s: float) -> list[Mapping[str, int]]:
+    def _reported_loads(self, now_s: float) -> list[Mapping[str, int]]:
         """Calls in flight by server id, as this node and the other control nodes were told."""
         return [self.contacts.load(now_s), *self.peers.loads(now_s)]
 
@@ -131,9 +131,9 @@
 
     # -- nodes
 
-    def node_called(self, now_s: float, record: NodeRecord, report: Report | None = None) -> None:
+    def on_node_contact(self, now_s: float, record: NodeRecord, report: LoadReport | None = None) -> None:
         """A gateway or store pulled; `report` is what it told, if it did."""
-        if self.contacts.note(now_s, record, report):
+        if self.contacts.on_contact(now_s, record, report):
             self._write_node(now_s, record, present=True)
 
     def _write_node(self, now_s: float, record: NodeRecord, present: bool) -> None:
@@ -141,11 +141,11 @@
         logger.info(
             "event=node_%s name=%s role=%s zone=%s", word, record.name, record.role.value, record.zone
         )
-        self.store.write_node(record, present)
+        self.status_table.write_node(record, present)
         # Gateways are only counted, and their number is told with other news.
         if record.role is not NodeRole.GATEWAY:
-            self.hurry(now_s)
-            self.changed()
+            self.expedite_exchanges(now_s)
+            self.notify_changed()
 
     def _drop_replaced_contacts(self, now_s: float, names: Iterable[str]) -> None:
         """Where another control node has a newer incarnation of a node, this one's contact is with a dead one."""
@@ -157,7 +157,7 @@
                 self._write_node(now_s, mine, present=False)
 
     def _other_incarnation_elsewhere(self, live: set[str], mine: NodeRecord) -> bool:
-        """Whether a live control node is in contact with another incarnation; what one that has ended last said is
+        """Whether a live control node is in contact with another incarnation; what one that has ended last exchange is
         of its own time and contradicts nothing that came after it."""
         return any(
             entry.present
@@ -165,38 +165,44 @@
             and entry.writer_incarnation in live
             and entry.record.name == mine.name
             and entry.record.incarnation != mine.incarnation
-            for entry in self.store.node_entries()
+            for entry in self.status_table.node_entries()
         )
 
     # -- servers
 
-    def on_heartbeat(self, now_s: float, beat: Heartbeat) -> None:
+    def on_heartbeat(self, now_s: float, heartbeat: Heartbeat) -> None:
         """A server's heartbeat came here."""
-        listed = self._listed(self.live_writers(now_s), beat.record.id)
-        self.write_servers(now_s, self.registry.on_heartbeat(now_s, beat, self.store.servers(), listed))
+        listed = self._live_record(self.live_writers(now_s), heartbeat.record.id)
+        self.write_servers(
+            now_s, self.registry.on_heartbeat(now_s, heartbeat, self.status_table.servers(), listed)
+        )
 
     def on_goodbye(self, now_s: float, server_id: str) -> None:
-        """A server said that it ends."""
-        self.write_servers(now_s, self.registry.on_goodbye(server_id, self.store.servers()))
+        """A server exchange that it ends."""
+        self.write_servers(now_s, self.registry.on_goodbye(server_id, self.status_table.servers()))
 
-    def _listed(self, live: set[str], server_id: str) -> ServerRecord | None:
+    def _live_record(self, live: set[str], server_id: str) -> ServerRecord | None:
         """What the control nodes that live state about this server together."""
         records = [
-            entry.record for entry in self.store.server_entries(server_id) if entry.writer_incarnation in live
+            entry.record
+            for entry in self.status_table.server_entries(server_id)
+            if entry.writer_incarnation in live
         ]
         return functools.reduce(merged, records) if records else None
 
     def write_servers(self, now_s: float, records: list[ServerRecord]) -> None:
         """State these facts in this node's own name, and have them told at once."""
         for record in records:
-            self.store.write_server(record)
+            self.status_table.write_server(record)
         if records:
-            self.hurry(now_s)
-            self.changed()
+            self.expedite_exchanges(now_s)
+            self.notify_changed()
 
     def peers_knowing_end(self, now_s: float, server_id: str) -> list[NodeRecord]:
         """The other control nodes that live and know that this server drains or is gone."""
-        entries = [entry for entry in self.store.server_entries(server_id) if level(entry.record.state) > 0]
+        entries = [
+            entry for entry in self.status_table.server_entries(server_id) if level(entry.record.state) > 0
+        ]
         return [
             peer.record
             for peer in self.peers.live(now_s)
@@ -211,49 +217,51 @@
         return Exchange(
             sender=self.me,
             receiver_incarnation=peer.incarnation,
-            delta=self.store.newer_than(peer.vector) if peer.incarnation else Delta(),
-            vector=dict(self.store.vector),
-            last_seen_sequences=self.registry.heard_since(max(peer.answered_s, now_s - HEARD_SPAN_S)),
+            delta=self.status_table.newer_than(peer.vector) if peer.incarnation else Delta(),
+            vector=dict(self.status_table.vector),
+            last_seen_sequences=self.registry.sequences_since(max(peer.answered_s, now_s - LAST_SEEN_SPAN_S)),
             load=self.contacts.load(now_s),
             load_age_ms=self.contacts.load_age_s(now_s) * 1000.0,
             suspects=self.contacts.suspects(now_s),
         )
 
-    def on_exchange(self, now_s: float, said: Exchange) -> Exchanged:
+    def on_exchange(self, now_s: float, exchange: Exchange) -> Exchanged:
         """Another control node told this; the answer has what it lacks."""
-        if said.receiver_incarnation != self.me.incarnation:
-            said = attrs.evolve(said, receiver_incarnation="", delta=Delta())
-        self.take_exchange(now_s, said)
+        if exchange.receiver_incarnation != self.me.incarnation:
+            exchange = attrs.evolve(exchange, receiver_incarnation="", delta=Delta())
+        self.apply_exchange(now_s, exchange)
         return Exchanged(
             sender=self.me,
-            delta=self.store.newer_than(said.vector),
-            vector=dict(self.store.vector),
+            delta=self.status_table.newer_than(exchange.vector),
+            vector=dict(self.status_table.vector),
         )
 
-    def take_exchange(self, now_s: float, said: Exchange | Exchanged) -> None:
-        """Take in what another control node said."""
-        if self.peers.take(now_s, said) is None:
+    def apply_exchange(self, now_s: float, exchange: Exchange | Exchanged) -> None:
+        """Take in what another control node exchange."""
+        if self.peers.on_exchange(now_s, exchange) is None:
             return
-        mine = self.store.entry_of(said.sender.name, self.me.incarnation)
-        if mine is None or not mine.present or mine.record != said.sender:
-            self._write_node(now_s, said.sender, present=True)
-        if isinstance(said, Exchange):
-            self.registry.note_heard(now_s, said.last_seen_sequences)
-        changes = self.store.take(said.delta)
+        mine = self.status_table.entry_of(exchange.sender.name, self.me.incarnation)
+        if mine is None or not mine.present or mine.record != exchange.sender:
+            self._write_node(now_s, exchange.sender, present=True)
+        if isinstance(exchange, Exchange):
+            self.registry.on_sequences(now_s, exchange.last_seen_sequences)
+        changes = self.status_table.apply(exchange.delta)
         if changes:
             self._on_table_changes(now_s, changes.servers, changes.nodes)
 
     def _on_table_changes(self, now_s: float, servers: frozenset[str], nodes: frozenset[str]) -> None:
-        known = self.store.servers()
+        known = self.status_table.servers()
         for server in servers:
             if server in known:
                 self.write_servers(now_s, self.registry.on_record_changed(now_s, known[server]))
         self._drop_replaced_contacts(now_s, nodes)
         controls = [
-            e.record for e in self.store.node_entries() if e.record.role is NodeRole.CONTROL and e.present
+            e.record
+            for e in self.status_table.node_entries()
+            if e.record.role is NodeRole.CONTROL and e.present
         ]
-        self.peers.note(now_s, [record.address for record in controls])
-        self.changed()
+        self.peers.add(now_s, [record.address for record in controls])
+        self.notify_changed()
 
     # -- time
 
@@ -262,7 +270,7 @@
         gap_s, self._last_tick_s = now_s - self._last_tick_s, now_s
         frozen = gap_s > LONGEST_GAP_S
         if frozen:
-            self.contacts.renew(now_s)
+            self.contacts.restart_timeouts(now_s)
             self._grace_until_s = now_s + GRACE_S
         elif now_s >= self._grace_until_s:
             for record in self.contacts.expired(now_s):
@@ -271,25 +279,25 @@
         alone = self.peers.others_exist() and not self.peers.live(now_s)
         trusted = not frozen and not alone and self.quorum_age_s() < LONGEST_GAP_S
         if not trusted:
-            self._settled_since_s = now_s
-        known = self.store.servers()
+            self._stable_since_s = now_s
+        known = self.status_table.servers()
         live = self.live_writers(now_s)
         silent = self.registry.on_tick(
-            now_s, known, lambda server: self._listed(live, server) is not None, trusted
+            now_s, known, lambda server: self._live_record(live, server) is not None, trusted
         )
         self.write_servers(now_s, silent)
-        for server in self.registry.forgettable(now_s, known):
-            self.store.forget_server(server)
-        self._look_at_suspects(now_s)
+        for server in self.registry.expired(now_s, known):
+            self.status_table.forget_server(server)
+        self._check_suspicions(now_s)
         self._forget(now_s)
 
-    def _look_at_suspects(self, now_s: float) -> None:
+    def _check_suspicions(self, now_s: float) -> None:
         told = sum_suspicions([self.contacts.suspects(now_s), *self.peers.suspects(now_s)])
-        self.suspicions.look(now_s, told, self.gateways(now_s))
+        self.suspicions.check(now_s, told, self.gateways(now_s))
 
     def _expire_peers(self, now_s: float) -> None:
         live = {peer.incarnation for peer in self.peers.live(now_s)}
-        for entry in list(self.store.node_entries()):
+        for entry in list(self.status_table.node_entries()):
             mine = entry.writer_incarnation == self.me.incarnation and entry.present
             other = entry.record.role is NodeRole.CONTROL and entry.record.incarnation != self.me.incarnation
             if mine and other and entry.record.incarnation not in live:
@@ -298,9 +306,9 @@
     def _forget(self, now_s: float) -> None:
         for writer in self.live_writers(now_s):
             self._writers_seen_s[writer] = now_s
-        for writer in list(self.store.vector):
+        for writer in list(self.status_table.vector):
             seen_s = self._writers_seen_s.setdefault(writer, now_s)
             if now_s - seen_s > FORGET_WRITER_S:
-                self.store.forget_writer(writer)
+                self.status_table.forget_writer(writer)
                 del self._writers_seen_s[writer]
         self.peers.forget(now_s)
--- a/emberring/control/exchanger.py
+++ b/emberring/control/exchanger.py
@@ -20,16 +20,16 @@
 class Exchanger:
     """Runs the exchanges that are due, each in a task of its own, so that a silent node holds up no other."""
 
-    def __init__(self, network: Network, board: ClusterState) -> None:
+    def __init__(self, network: Network, cluster_state: ClusterState) -> None:
         self._network = network
-        self._board = board
+        self._cluster_state = cluster_state
         self._tasks: set[asyncio.Task[None]] = set()
         network.handle(Exchange, self._on_exchange)
 
-    async def _on_exchange(self, said: Exchange, caller: Caller) -> Exchanged:
-        answer = self._board.on_exchange(asyncio.get_running_loop().time(), said)
-        self._board.exchanged()
-        return answer
+    async def _on_exchange(self, exchange: Exchange, caller: Caller) -> Exchanged:
+        reply = self._cluster_state.on_exchange(asyncio.get_running_loop().time(), exchange)
+        self._cluster_state.notify_exchange_ended()
+        return reply
 
     async def run(self) -> None:
         """Exchange and tick until cancelled."""
@@ -38,13 +38,13 @@
         while True:
             if loop.time() >= next_tick_s:
                 next_tick_s = loop.time() + TICK_S
-                self._board.tick(loop.time())
-            for peer in self._board.peers.due(loop.time()):
-                self._begin(peer)
-            await self._board.wait_hurry(max(0.0, next_tick_s - loop.time()))
+                self._cluster_state.tick(loop.time())
+            for peer in self._cluster_state.peers.due(loop.time()):
+                self._start_exchange(peer)
+            await self._cluster_state.wait_for_expedite(max(0.0, next_tick_s - loop.time()))
 
-    def _begin(self, peer: Peer) -> None:
-        self._board.peers.began(asyncio.get_running_loop().time(), peer)
+    def _start_exchange(self, peer: Peer) -> None:
+        self._cluster_state.peers.exchange_began(asyncio.get_running_loop().time(), peer)
         task = asyncio.get_running_loop().create_task(self._exchange(peer))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -53,15 +53,15 @@
         loop = asyncio.get_running_loop()
         answered = False
         try:
-            said = self._board.exchange_for(loop.time(), peer)
-            answer = await self._network.call(peer.address, said, Exchanged, EXCHANGE_TIMEOUT_S)
-            self._board.take_exchange(loop.time(), answer)
+            exchange = self._cluster_state.exchange_for(loop.time(), peer)
+            reply = await self._network.call(peer.address, exchange, Exchanged, EXCHANGE_TIMEOUT_S)
+            self._cluster_state.apply_exchange(loop.time(), reply)
             answered = True
         except EmberringError as error:
             logger.debug("event=exchange_failed address=%s error=%s", peer.address, error.detail)
         finally:
-            self._board.peers.ended(loop.time(), peer, answered)
-            self._board.exchanged()
+            self._cluster_state.peers.exchange_ended(loop.time(), peer, answered)
+            self._cluster_state.notify_exchange_ended()
 
     async def stop(self) -> None:
         """End the exchanges under way."""
--- a/emberring/control/heartbeat_handler.py
+++ b/emberring/control/heartbeat_handler.py
@@ -1,6 +1,9 @@
-"""Model servers' heartbeats and goodbyes. A drain is acknowledged when enough other control nodes know of it: as many
-as outlive what may be lost at once, and a quorum of the register's replicas. Nodes that pull leave a control node that
-has no quorum in contact, so a drain that only a minority knew could reach none of them while a cut lasts."""
+"""Heartbeats and goodbyes of model servers.
+
+A drain is acknowledged when it is replicated on enough control nodes: on as many as survive the losses to be tolerated,
+and on a quorum of the register's replicas. Followers leave a control node that has no quorum in contact, so a drain
+that only a minority knew could reach none of them while a partition lasts.
+"""
 
 from __future__ import annotations
 
@@ -12,45 +15,49 @@
 from emberring.errors import NotReadyError
 from emberring.registry.heartbeats import read_heartbeat
 
-CONFIRM_TIMEOUT_S = 0.8
+REPLICATION_TIMEOUT_S = 0.8  # of a drain or goodbye, until it is acknowledged or refused
 
 
 class HeartbeatHandler:
-    """Takes heartbeats. `rule` says which other control nodes must know of a drain, `is_quorum` whether the register's
-    replicas among those who know it are a quorum."""
+    """Handles heartbeats and goodbyes. `policy` says on which control nodes a drain must be replicated, `is_quorum`
+    whether the replicas of the register with these identities are a quorum."""
 
     def __init__(
-        self, board: ClusterState, rule: ReplicationPolicy, is_quorum: Callable[[frozenset[str]], bool]
+        self,
+        cluster_state: ClusterState,
+        policy: ReplicationPolicy,
+        is_quorum: Callable[[frozenset[str]], bool],
     ) -> None:
-        self._board = board
-        self._rule = rule
+        self._cluster_state = cluster_state
+        self._policy = policy
         self._is_quorum = is_quorum
 
     async def heartbeat(self, server_id: str, body: bytes) -> None:
-        """A server says how it is; `NotReadyError` where its drain could not be told to others in time."""
-        beat = read_heartbeat(server_id, body)
-        self._board.on_heartbeat(asyncio.get_running_loop().time(), beat)
-        if beat.draining:
-            await self._confirm(server_id)
+        """Handle a heartbeat. Raises `BadRequestError` for a malformed one, and `NotReadyError` where a drain was not
+        replicated within `REPLICATION_TIMEOUT_S`."""
+        heartbeat = read_heartbeat(server_id, body)
+        self._cluster_state.on_heartbeat(asyncio.get_running_loop().time(), heartbeat)
+        if heartbeat.draining:
+            await self._wait_until_replicated(server_id)
 
     async def goodbye(self, server_id: str) -> None:
-        """A server says that it ends; `NotReadyError` where that could not be told to others in time."""
-        self._board.on_goodbye(asyncio.get_running_loop().time(), server_id)
-        await self._confirm(server_id)
+        """Handle a server's goodbye. Raises `NotReadyError` where it was not replicated in time."""
+        self._cluster_state.on_goodbye(asyncio.get_running_loop().time(), server_id)
+        await self._wait_until_replicated(server_id)
 
-    async def _confirm(self, server_id: str) -> None:
+    async def _wait_until_replicated(self, server_id: str) -> None:
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + CONFIRM_TIMEOUT_S
-        while not self._held(loop.time(), server_id):
-            left_s = give_up_at - loop.time()
-            if left_s <= 0:
+        deadline_s = loop.time() + REPLICATION_TIMEOUT_S
+        while not self._is_replicated(loop.time(), server_id):
+            remaining_s = deadline_s - loop.time()
+            if remaining_s <= 0:
                 raise NotReadyError(f"no other control node knows yet that {server_id} ends")
-            self._board.hurry(loop.time())
-            await self._board.wait_for_exchange(left_s)
+            self._cluster_state.expedite_exchanges(loop.time())
+            await self._cluster_state.wait_for_exchange(remaining_s)
 
-    def _held(self, now_s: float, server_id: str) -> bool:
-        me = self._board.me
-        holders = self._board.peers_knowing_end(now_s, server_id)
-        if not self._rule.satisfied(me, holders, self._board.peers.met()):
+    def _is_replicated(self, now_s: float, server_id: str) -> bool:
+        own_record = self._cluster_state.me
+        peers = self._cluster_state.peers_knowing_end(now_s, server_id)
+        if not self._policy.is_satisfied(own_record, peers, self._cluster_state.peers.seen_records()):
             return False
-        return self._is_quorum(frozenset(record.identity for record in (me, *holders)))
+        return self._is_quorum(frozenset(record.identity for record in (own_record, *peers)))
--- a/emberring/control/load_aggregator.py
+++ b/emberring/control/load_aggregator.py
@@ -10,24 +10,28 @@
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping
 
-from emberring.distribution.contacts import summed
+from emberring.distribution.contacts import sum_by_server
 from emberring.distribution.records import ServerRecord
 from emberring.registry.known_load import USUAL_S
 
-KEPT_S = 0.02  # the least time for which sums hold,
-KEPT_EACH_S = 25e-6  # and more for each server with calls, so that summing takes a few hundredths of a core
-NEGLIGIBLE = 0.05  # smoothed calls that are as good as none
+CACHE_S = 0.02  # the least time for which sums hold,
+CACHE_PER_SERVER_S = (
+    25e-6  # and more for each server with calls, so that summing takes a few hundredths of a core
+)
+NEGLIGIBLE_CALLS = 0.05  # smoothed calls that are as good as none
 
-Loads = Callable[[float], Iterable[Mapping[str, int]]]
+LoadSource = Callable[[float], Iterable[Mapping[str, int]]]
 """At a time, what the sources have told: calls in flight by server id."""
-Age = Callable[[float], float]
+LoadAgeSource = Callable[[float], float]
 """At a time, how long ago (seconds) the sources told that in the mean."""
 
 
 class LoadAggregator:
     """Sums over what `loads` gives, which is as old as `age` says; `servers` are the known servers by id."""
 
-    def __init__(self, loads: Loads, age: Age, servers: Callable[[], Mapping[str, ServerRecord]]) -> None:
+    def __init__(
+        self, loads: LoadSource, age: LoadAgeSource, servers: Callable[[], Mapping[str, ServerRecord]]
+    ) -> None:
         self._loads = loads
         self._age = age
         self._servers = servers
@@ -35,7 +39,7 @@
         self._age_s = 0.0  # of the sums when they were made
         self._smoothed_s = -math.inf
         self._calls: dict[str, int] = {}
-        self._usual: dict[str, float] = {}
+        self._smoothed: dict[str, float] = {}
         self._totals: dict[str, int] = {}
 
     def calls(self, now_s: float) -> dict[str, int]:
@@ -43,10 +47,10 @@
         self._refresh(now_s)
         return self._calls
 
-    def usual(self, now_s: float, wanted: Iterable[str]) -> dict[str, float]:
+    def smoothed(self, now_s: float, wanted: Iterable[str]) -> dict[str, float]:
         """The same, smoothed, to tenths, for these servers."""
         self._smooth(now_s)
-        return {server_id: round(self._usual.get(server_id, 0.0), 1) for server_id in wanted}
+        return {server_id: round(self._smoothed.get(server_id, 0.0), 1) for server_id in wanted}
 
     def totals(self, now_s: float) -> dict[str, int]:
         """Calls in flight by service."""
@@ -60,11 +64,11 @@
 
     def _refresh(self, now_s: float) -> None:
         age_s = now_s - self._at_s
-        if age_s < max(KEPT_S, KEPT_EACH_S * len(self._calls)):
+        if age_s < max(CACHE_S, CACHE_PER_SERVER_S * len(self._calls)):
             return
         self._at_s = now_s
         self._age_s = self._age(now_s)
-        calls = summed(self._loads(now_s))
+        calls = sum_by_server(self._loads(now_s))
         self._calls = {server_id: count for server_id, count in calls.items() if count}
         self._totals = self._by_service()
 
@@ -75,10 +79,12 @@
             return
         kept = math.exp((self._smoothed_s - self._at_s) / USUAL_S)
         self._smoothed_s = self._at_s
-        smoothed = {server_id: kept * usual for server_id, usual in self._usual.items()}
+        smoothed = {server_id: kept * usual for server_id, usual in self._smoothed.items()}
         for server_id, count in self._calls.items():
             smoothed[server_id] = smoothed.get(server_id, 0.0) + (1.0 - kept) * count
-        self._usual = {server_id: usual for server_id, usual in smoothed.items() if usual >= NEGLIGIBLE}
+        self._smoothed = {
+            server_id: usual for server_id, usual in smoothed.items() if usual >= NEGLIGIBLE_CALLS
+        }
 
     def _by_service(self) -> dict[str, int]:
         servers = self._servers()
--- a/emberring/control/node.py
+++ b/emberring/control/node.py
@@ -30,7 +30,7 @@
 from emberring.transport.messages import Ok
 from emberring.transport.network import Caller, Network
 
-NOTE_PEERS_EVERY_S = 0.2
+PEER_REPORT_INTERVAL_S = 0.2
 
 logger = get_logger("control")
 
@@ -42,7 +42,7 @@
 
 class ControlNode:
     """All parts of a control node but its HTTP listener. `seeds` are internal addresses of control nodes, the
-    settings' if left out; `remembered` keeps those met before; `incarnation` names this start, anew if left out."""
+    settings' if left out; `peer_cache` keeps those met before; `incarnation` names this start, anew if left out."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         network: Network,
         register: Register,
         seeds: Sequence[str] | None = None,
-        remembered: PeerCache | None = None,
+        peer_cache: PeerCache | None = None,
         incarnation: str = "",
     ) -> None:
         loop = asyncio.get_running_loop()
@@ -65,71 +65,75 @@
         tolerance = max_simultaneous_failures(settings.fault_tolerance)
         known = settings.internal_seeds() if seeds is None else tuple(seeds)
         others = len(set(known) - {me.address})
-        self.board = ClusterState(loop.time(), me, known, settings.heartbeat_ms / 1000)
-        self.board.quorum_age_s = register.majority_age_s
-        self._remembered = remembered
-        self._saving: asyncio.Task[None] | None = None
-        if remembered is not None:
-            self.board.peers.note(loop.time(), remembered.load())
+        self.cluster_state = ClusterState(loop.time(), me, known, settings.heartbeat_ms / 1000)
+        self.cluster_state.quorum_age_s = register.majority_age_s
+        self._peer_cache = peer_cache
+        self._save_task: asyncio.Task[None] | None = None
+        if peer_cache is not None:
+            self.cluster_state.peers.add(loop.time(), peer_cache.load())
         self._register = register
-        self._exchanger = Exchanger(network, self.board)
-        self._feed = UpdateStream(self.board)
-        self._orders = OperatorRequests(register, self.board, tolerance)
-        self._placement = PlacementLoop(register, self.board, tolerance)
-        desk = HeartbeatHandler(self.board, replication_policy(settings, others), register.is_quorum)
-        self.app = ControlApp(self._orders, desk, StatusPage(self.board))
+        self._exchanger = Exchanger(network, self.cluster_state)
+        self._update_stream = UpdateStream(self.cluster_state)
+        self._operator_requests = OperatorRequests(register, self.cluster_state, tolerance)
+        self._placement = PlacementLoop(register, self.cluster_state, tolerance)
+        heartbeat_handler = HeartbeatHandler(
+            self.cluster_state, replication_policy(settings, others), register.is_quorum
+        )
+        self.app = ControlApp(self._operator_requests, heartbeat_handler, StatusPage(self.cluster_state))
         self._tasks: list[asyncio.Task[None]] = []
-        network.handle(Pull, self._feed.on_pull)
-        network.handle(PlacementMoved, self._on_moved)
-        register.subscribe(self._on_chosen)
+        network.handle(Pull, self._update_stream.on_pull)
+        network.handle(PlacementMoved, self._on_placement_moved)
+        register.subscribe(self._on_committed)
 
-    def _on_chosen(self, value: bytes) -> None:
+    def _on_committed(self, value: bytes) -> None:
         try:
-            self.board.take_state(ControlState.decode(value))
+            self.cluster_state.apply_state(ControlState.decode(value))
         except EmberringError:
             logger.exception("event=unreadable_state bytes=%d", len(value))
 
-    async def _on_moved(self, moved: PlacementMoved, caller: Caller) -> Ok:
-        await self._orders.moved(moved.shard, moved.epoch)
+    async def _on_placement_moved(self, moved: PlacementMoved, caller: Caller) -> Ok:
+        await self._operator_requests.on_placement_moved(moved.shard, moved.epoch)
         return Ok()
 
     def start(self) -> None:
         """Begin to exchange, plan and tell the register who lives."""
         self._spawn(self._exchanger.run)
         self._spawn(self._placement.run)
-        self._spawn(self._note_peers)
+        self._spawn(self._report_live_peers)
 
     def _spawn(self, run: Callable[[], Coroutine[Any, Any, None]]) -> None:
         self._tasks.append(asyncio.get_running_loop().create_task(run()))
 
-    async def _note_peers(self) -> None:
+    async def _report_live_peers(self) -> None:
         told: list[NodeRecord] = []
         while True:
             now_s = asyncio.get_running_loop().time()
-            live = [record for record in self.board.live_nodes(now_s) if record.role is NodeRole.CONTROL]
+            live = [
+                record for record in self.cluster_state.live_nodes(now_s) if record.role is NodeRole.CONTROL
+            ]
             others = sorted(
-                (record for record in live if record.name != self.board.me.name), key=lambda f: f.name
+                (record for record in live if record.name != self.cluster_state.me.name), key=lambda f: f.name
             )
             if others != told:
                 told = others
                 self._register.note_peers(others)
-                self._remember(others)
-            await asyncio.sleep(NOTE_PEERS_EVERY_S)
+                self._cache_peers(others)
+            await asyncio.sleep(PEER_REPORT_INTERVAL_S)
 
-    def _remember(self, others: list[NodeRecord]) -> None:
+    def _cache_peers(self, others: list[NodeRecord]) -> None:
         """Keep the others' addresses in the background: the disk may stall."""
-        if self._remembered is not None and (self._saving is None or self._saving.done()):
-            saving = self._remembered.save([record.address for record in others])
-            self._saving = asyncio.get_running_loop().create_task(saving)
+        if self._peer_cache is not None and (self._save_task is None or self._save_task.done()):
+            saving = self._peer_cache.save([record.address for record in others])
+            self._save_task = asyncio.get_running_loop().create_task(saving)
 
-    def leave(self) -> None:
+    def announce_shutdown(self) -> None:
         """Say that this node is about to end."""
         now_s = asyncio.get_running_loop().time()
-        self.board.me = attrs.evolve(self.board.me, leaving=True)
-        self.board.peers.me = self.board.me
-        self.board.store.write_node(self.board.me, present=True)
-        self.board.hurry(now_s)
-        self.board.changed()
+        self.cluster_state.me = attrs.evolve(self.cluster_state.me, leaving=True)
+        self.cluster_state.peers.me = self.cluster_state.me
+        self.cluster_state.status_table.write_node(self.cluster_state.me, present=True)
+        self.cluster_state.expedite_exchanges(now_s)
+        self.cluster_state.notify_changed()
 
     async def stop(self) -> None:
         """End the work in the background."""
--- a/emberring/control/operator_requests.py
+++ b/emberring/control/operator_requests.py
@@ -25,12 +25,12 @@
 from emberring.placement.model import finish_move
 from emberring.placement.retirement import begin_retire, retire_state
 
-ORDER_TIMEOUT_S = 0.8
-CUT_OFF_TIMEOUT_S = 0.25  # while no majority is in contact: the operator had better ask another node soon
-CUT_OFF_S = 1.2
+REQUEST_TIMEOUT_S = 0.8
+NO_MAJORITY_TIMEOUT_S = 0.25  # while no majority is in contact: the operator had better ask another node soon
+MAJORITY_LOST_AFTER_S = 1.2
 LARGE_BODY_BYTES = 256 * 1024
 LARGE_TIMEOUT_S = 1.6  # the operator waits longer for large bodies
-SETTLED_S = 3.0  # a node started, cut off or frozen less long ago may not know all stores
+STABLE_S = 3.0  # a node started, cut off or frozen less long ago may not know all stores
 
 logger = get_logger("control")
 
@@ -38,31 +38,33 @@
 class OperatorRequests:
     """Carries out orders on the register."""
 
-    def __init__(self, register: Register, board: ClusterState, tolerance: int) -> None:
+    def __init__(self, register: Register, cluster_state: ClusterState, tolerance: int) -> None:
         self._register = register
-        self._board = board
+        self._cluster_state = cluster_state
         self._tolerance = tolerance
 
     def _timeout_s(self, body_bytes: int = 0) -> float:
-        if self._register.majority_age_s() > CUT_OFF_S:
-            return CUT_OFF_TIMEOUT_S
-        return LARGE_TIMEOUT_S if body_bytes > LARGE_BODY_BYTES else ORDER_TIMEOUT_S
+        if self._register.majority_age_s() > MAJORITY_LOST_AFTER_S:
+            return NO_MAJORITY_TIMEOUT_S
+        return LARGE_TIMEOUT_S if body_bytes > LARGE_BODY_BYTES else REQUEST_TIMEOUT_S
 
     async def configure(self, kind: ChangeRequestKind, if_match: str | None, body: bytes) -> int:
         """Take a configuration or a patch; the version that it made current, now or before."""
-        order = read_change_request(kind, if_match, body)
-        state = await self._swap(lambda state: _wanted(state, order), self._timeout_s(len(body)))
-        outcome = judge(state, order)  # on a value that a quorum holds: a refusal is certain
+        request = read_change_request(kind, if_match, body)
+        state = await self._compare_and_swap(
+            lambda state: _accepted_state(state, request), self._timeout_s(len(body))
+        )
+        outcome = judge(state, request)  # on a value that a quorum holds: a refusal is certain
         if isinstance(outcome, Refused):
             raise outcome.error
-        logger.info("event=configuration_taken version=%d current=%d", order.version, state.version)
-        return order.version
+        logger.info("event=configuration_taken version=%d current=%d", request.version, state.version)
+        return request.version
 
-    async def _swap(
-        self, wanted: Callable[[ControlState], ControlState | None], timeout_s: float
+    async def _compare_and_swap(
+        self, next_state: Callable[[ControlState], ControlState | None], timeout_s: float
     ) -> ControlState:
         def decide(value: bytes | None) -> bytes | None:
-            state = wanted(ControlState.decode(value))
+            state = next_state(ControlState.decode(value))
             return state.encode() if state is not None else None
 
         return ControlState.decode(await self._register.change(decide, timeout_s))
@@ -79,9 +81,13 @@
         loop = asyncio.get_running_loop()
         refusal: list[NotFoundError | ConflictError] = []
 
-        def wanted(state: ControlState) -> ControlState | None:
+        def next_state(state: ControlState) -> ControlState | None:
             refusal.clear()
-            live = [record for record in self._board.live_nodes(loop.time()) if record.role is NodeRole.STORE]
+            live = [
+                record
+                for record in self._cluster_state.live_nodes(loop.time())
+                if record.role is NodeRole.STORE
+            ]
             try:
                 placement = begin_retire(state.placement, name, live, self._tolerance)
             except (NotFoundError, ConflictError) as error:
@@ -89,15 +95,15 @@
                 return None
             return None if placement == state.placement else attrs.evolve(state, placement=placement)
 
-        state = await self._swap(wanted, self._timeout_s())
+        state = await self._compare_and_swap(next_state, self._timeout_s())
         if refusal:
-            self._must_be_certain(state)
+            self._require_stable_view(state)
             raise refusal[0]
         return retire_state(state.placement, name)
 
-    def _must_be_certain(self, state: ControlState) -> None:
+    def _require_stable_view(self, state: ControlState) -> None:
         """A node that has just started, or was cut off or frozen until now, doesn't know all stores."""
-        settled = self._board.settled_s(asyncio.get_running_loop().time()) > SETTLED_S
+        settled = self._cluster_state.stable_for_s(asyncio.get_running_loop().time()) > STABLE_S
         if state.placement is None or not settled:
             raise NotReadyError("the stores are not all known yet")
 
@@ -106,20 +112,20 @@
         state = ControlState.decode(await self._register.read(self._timeout_s()))
         return retire_state(state.placement, name)
 
-    async def moved(self, shard: int, epoch: int) -> None:
+    async def on_placement_moved(self, shard: int, epoch: int) -> None:
         """An owner says that a shard's records stand on its joining group."""
 
-        def wanted(state: ControlState) -> ControlState | None:
+        def next_state(state: ControlState) -> ControlState | None:
             if state.placement is None:
                 return None
             placement = finish_move(state.placement, shard, epoch)
             return None if placement == state.placement else attrs.evolve(state, placement=placement)
 
-        await self._swap(wanted, self._timeout_s())
+        await self._compare_and_swap(next_state, self._timeout_s())
 
 
-def _wanted(state: ControlState, order: ChangeRequest) -> ControlState | None:
-    outcome = judge(state, order)
+def _accepted_state(state: ControlState, request: ChangeRequest) -> ControlState | None:
+    outcome = judge(state, request)
     if isinstance(outcome, Taken) and not outcome.again:
         return outcome.state
     return None
--- a/emberring/control/placement_loop.py
+++ b/emberring/control/placement_loop.py
@@ -15,9 +15,11 @@
 from emberring.logs import get_logger
 from emberring.placement.planning import PlanMemory, plan
 
-PLAN_EVERY_S = 0.3
+PLAN_INTERVAL_S = 0.3
 CHANGE_TIMEOUT_S = 1.0
-CUT_OFF_S = 1.0  # without a majority for longer, or not run for longer, this node knows nothing of absences
+MAJORITY_LOST_AFTER_S = (
+    1.0  # without a majority for longer, or not run for longer, this node knows nothing of absences
+)
 
 logger = get_logger("control")
 
@@ -25,9 +27,9 @@
 class PlacementLoop:
     """Compares the placement with the stores that live, and changes it where they differ."""
 
-    def __init__(self, register: Register, board: ClusterState, tolerance: int) -> None:
+    def __init__(self, register: Register, cluster_state: ClusterState, tolerance: int) -> None:
         self._register = register
-        self._board = board
+        self._cluster_state = cluster_state
         self._tolerance = tolerance
         self._memory = PlanMemory()
         self._last_s = asyncio.get_running_loop().time()
@@ -35,7 +37,7 @@
     async def run(self) -> None:
         """Plan until cancelled."""
         while True:
-            await asyncio.sleep(PLAN_EVERY_S)
+            await asyncio.sleep(PLAN_INTERVAL_S)
             try:
                 await self._plan_once()
             except EmberringError as error:
@@ -44,13 +46,16 @@
     async def _plan_once(self) -> None:
         now_s = asyncio.get_running_loop().time()
         gap_s, self._last_s = now_s - self._last_s, now_s
-        if gap_s > CUT_OFF_S + PLAN_EVERY_S or self._register.majority_age_s() > CUT_OFF_S:
+        if (
+            gap_s > MAJORITY_LOST_AFTER_S + PLAN_INTERVAL_S
+            or self._register.majority_age_s() > MAJORITY_LOST_AFTER_S
+        ):
             self._memory = PlanMemory()
             return
-        live = self._board.live_nodes(now_s)
-        before = self._board.state.placement
+        live = self._cluster_state.live_nodes(now_s)
+        before = self._cluster_state.state.placement
         wanted = plan(before, live, now_s, self._tolerance, self._memory)
-        if wanted is None or wanted == before or not self._in_charge(now_s):
+        if wanted is None or wanted == before or not self._is_planner(now_s):
             return
 
         def decide(value: bytes | None) -> bytes | None:
@@ -62,8 +67,8 @@
         await self._register.change(decide, CHANGE_TIMEOUT_S)
         logger.info("event=placement_changed epoch=%d stores=%d", wanted.epoch, len(wanted.stores))
 
-    def _in_charge(self, now_s: float) -> bool:
+    def _is_planner(self, now_s: float) -> bool:
         """Whether this node plans now: no live control node has a lower name."""
-        live = self._board.live_nodes(now_s)
+        live = self._cluster_state.live_nodes(now_s)
         names = [record.name for record in live if record.role is NodeRole.CONTROL and not record.leaving]
-        return not names or self._board.me.name <= min(names)
+        return not names or self._cluster_state.me.name <= min(names)
--- a/emberring/control/replication_policy.py
+++ b/emberring/control/replication_policy.py
@@ -19,7 +19,7 @@
     tolerance: FaultTolerance
     regions: Mapping[str, str]
 
-    def satisfied(self, me: NodeRecord, holders: Iterable[NodeRecord], met: Iterable[NodeRecord]) -> bool:
+    def is_satisfied(self, me: NodeRecord, holders: Iterable[NodeRecord], met: Iterable[NodeRecord]) -> bool:
         """Whether these others are enough. No more zones are asked for than those of the nodes met so far."""
         have = [me, *holders]
         exist = [me, *met]
--- a/emberring/control/role.py
+++ b/emberring/control/role.py
@@ -14,7 +14,7 @@
 from emberring.settings import CONTROL_PORT_OFFSET, Settings
 from emberring.transport.network import Network
 
-LEAVE_S = 0.3  # between the word that this node ends and its end
+SHUTDOWN_NOTICE_S = 0.3  # between the word that this node ends and its end
 
 logger = get_logger("control")
 
@@ -29,16 +29,16 @@
     network = Network()
     register = RegisterService(settings, network, Path(settings.data_dir) / "register")
     await register.start()
-    remembered = PeerCache(Path(settings.data_dir) / "control-nodes")
-    node = ControlNode(settings, network, register, remembered=remembered)
+    peer_cache = PeerCache(Path(settings.data_dir) / "control-nodes")
+    node = ControlNode(settings, network, register, peer_cache=peer_cache)
     await network.listen(settings.internal_address(CONTROL_PORT_OFFSET))
     node.start()
     http = HttpServer(node.app, settings.listen.control_plane)
     await http.start()
     logger.info("event=control_started identity=%s", register.identity)
     await ended.wait()
-    node.leave()
-    await asyncio.sleep(LEAVE_S)
+    node.announce_shutdown()
+    await asyncio.sleep(SHUTDOWN_NOTICE_S)
     await http.stop()
     await node.stop()
     await register.stop()
--- a/emberring/control/status_page.py
+++ b/emberring/control/status_page.py
@@ -15,30 +15,34 @@
 class StatusPage:
     """Answers `GET /v1/status`; reading it changes nothing and asks no other node."""
 
-    def __init__(self, board: ClusterState) -> None:
-        self._board = board
+    def __init__(self, cluster_state: ClusterState) -> None:
+        self._cluster_state = cluster_state
 
     def render(self, now_s: float) -> bytes:
         """The page in JSON. `MajorityAgeS` is how long ago a majority of the register was in contact; null
         where it never was."""
-        board = self._board
-        age_s = board.quorum_age_s()
-        load = board.load.calls(now_s)
+        cluster_state = self._cluster_state
+        age_s = cluster_state.quorum_age_s()
+        load = cluster_state.load.calls(now_s)
         shown = {
-            "Node": board.me.name,
+            "Node": cluster_state.me.name,
             "MajorityAgeS": round(age_s, 3) if age_s < float("inf") else None,
-            "ConfigurationVersion": board.state.version,
-            "Gateways": board.gateways(now_s),
+            "ConfigurationVersion": cluster_state.state.version,
+            "Gateways": cluster_state.gateways(now_s),
             "Nodes": [
-                _node(record) for record in sorted(board.live_nodes(now_s), key=lambda record: record.name)
+                _node(record)
+                for record in sorted(cluster_state.live_nodes(now_s), key=lambda record: record.name)
             ],
             "Servers": [
-                _server(now_s, record, load.get(record.id, 0), board.suspicions.failing.get(record.id))
+                _server(
+                    now_s, record, load.get(record.id, 0), cluster_state.suspicions.failing.get(record.id)
+                )
                 for record in sorted(
-                    board.store.servers().values(), key=lambda record: (record.service, record.id)
+                    cluster_state.status_table.servers().values(),
+                    key=lambda record: (record.service, record.id),
                 )
             ],
-            "Placement": _placement(board.state.placement),
+            "Placement": _placement(cluster_state.state.placement),
         }
         return orjson.dumps(shown)
 
@@ -64,7 +68,7 @@
         "Capacity": record.capacity,
         "InFlight": load,
         "Version": record.version,
-        "Troubles": dict(failing.troubles) if failing is not None else {},
+        "Troubles": dict(failing.faults) if failing is not None else {},
         "FailingForS": round(now_s - failing.since_s, 1) if failing is not None else None,
     }
 
--- a/emberring/control/update_stream.py
+++ b/emberring/control/update_stream.py
@@ -5,81 +5,83 @@
 import asyncio
 
 from emberring.control.cluster_state import ClusterState
-from emberring.distribution.contacts import Report
+from emberring.distribution.contacts import LoadReport
 from emberring.distribution.load_report import LoadReportDetail
 from emberring.distribution.messages import Pull, Update
 from emberring.distribution.records import NodeRole
 from emberring.transport.network import Caller
 
-LONGEST_WAIT_S = 2.0
-NEVER_MS = 1e9  # stands for "no majority since the start"
-BUNDLE_S = 0.004  # changes that come together are told together
-BUNDLE_EACH_S = 0.0005  # with many followers, more of them
-LONGEST_BUNDLE_S = 0.1
+MAX_WAIT_S = 2.0
+NO_MAJORITY_AGE_MS = 1e9  # stands for "no majority since the start"
+BATCH_DELAY_S = 0.004  # changes that come together are told together
+BATCH_DELAY_PER_WAITER_S = 0.0005  # with many followers, more of them
+MAX_BATCH_DELAY_S = 0.1
 
 
 class UpdateStream:
     """Tells followers what they lack."""
 
-    def __init__(self, board: ClusterState) -> None:
-        self._board = board
+    def __init__(self, cluster_state: ClusterState) -> None:
+        self._cluster_state = cluster_state
 
     async def on_pull(self, pull: Pull, caller: Caller) -> Update:
         """The answer to a pull."""
         loop = asyncio.get_running_loop()
-        self._board.node_called(loop.time(), pull.sender, _report_of(pull))
-        give_up_at = loop.time() + min(LONGEST_WAIT_S, pull.wait_ms / 1000)
+        self._cluster_state.on_node_contact(loop.time(), pull.sender, _load_report_of(pull))
+        give_up_at = loop.time() + min(MAX_WAIT_S, pull.wait_ms / 1000)
         while True:
             left_s = give_up_at - loop.time()
-            if left_s <= 0 or self._has_news(pull):
+            if left_s <= 0 or self._has_updates(pull):
                 return self._update(loop.time(), pull)
-            await self._board.wait(left_s)
-            await asyncio.sleep(min(LONGEST_BUNDLE_S, BUNDLE_S + BUNDLE_EACH_S * self._board.waiters))
+            await self._cluster_state.wait_for_change(left_s)
+            await asyncio.sleep(
+                min(MAX_BATCH_DELAY_S, BATCH_DELAY_S + BATCH_DELAY_PER_WAITER_S * self._cluster_state.waiters)
+            )
 
-    def _has_news(self, pull: Pull) -> bool:
+    def _has_updates(self, pull: Pull) -> bool:
         """Whether the asker lacks something that it should have at once."""
-        state = self._board.state
+        state = self._cluster_state.state
         return (
             state.version > pull.configuration_version
             or (state.placement is not None and state.placement.epoch > pull.placement_epoch)
-            or self._board.store.has_newer_than(pull.vector)
+            or self._cluster_state.status_table.has_newer_than(pull.vector)
         )
 
     def _update(self, now_s: float, pull: Pull) -> Update:
-        board = self._board
-        state = board.state
+        cluster_state = self._cluster_state
+        state = cluster_state.state
         placement = state.placement
         newer_placement = placement is not None and placement.epoch > pull.placement_epoch
         routing = pull.sender.role is NodeRole.GATEWAY
         return Update(
-            writer_incarnation=board.me.incarnation,
-            quorum_age_ms=min(NEVER_MS, board.quorum_age_s() * 1000),
-            delta=board.store.newer_than(pull.vector, gateways=False),
-            live_writers=tuple(board.live_writers(now_s)),
-            gateways=board.gateways(now_s),
+            writer_incarnation=cluster_state.me.incarnation,
+            quorum_age_ms=min(NO_MAJORITY_AGE_MS, cluster_state.quorum_age_s() * 1000),
+            delta=cluster_state.status_table.newer_than(pull.vector, gateways=False),
+            live_writers=tuple(cluster_state.live_writers(now_s)),
+            gateways=cluster_state.gateways(now_s),
             configuration_version=state.version,
             configuration=state.packed if state.version > pull.configuration_version else None,
             placement=placement if newer_placement else None,
             server_load=self._server_load(now_s, pull),
-            control_addresses=board.peers.addresses(),
-            smoothed_load=board.load.usual(now_s, pull.load)
+            control_addresses=cluster_state.peers.addresses(),
+            smoothed_load=cluster_state.load.smoothed(now_s, pull.load)
             if pull.load_detail is LoadReportDetail.SERVERS_IN_USE
             else {},
-            service_load=board.load.totals(now_s) if routing else {},
-            load_age_ms=round(board.load.age_s(now_s) * 1000.0) if routing else 0.0,
+            service_load=cluster_state.load.totals(now_s) if routing else {},
+            load_age_ms=round(cluster_state.load.age_s(now_s) * 1000.0) if routing else 0.0,
         )
 
     def _server_load(self, now_s: float, pull: Pull) -> dict[str, int]:
         """The calls in flight at each server, as far as they are asked for."""
         if pull.sender.role is not NodeRole.GATEWAY or pull.load_detail is LoadReportDetail.TOTALS:
             return {}
-        calls = self._board.load.calls(now_s)
+        calls = self._cluster_state.load.calls(now_s)
         if pull.load_detail is LoadReportDetail.SERVERS_IN_USE:
             return {server_id: calls.get(server_id, 0) for server_id in pull.load}
         return calls
 
 
-def _report_of(pull: Pull) -> Report | None:
+def _load_report_of(pull: Pull) -> LoadReport | None:
     """What the asker told of its calls; None where it told another control node. Calls without the word that they are
     told come from a node of an older version."""
-    return Report(pull.load, pull.suspects) if pull.reports_load or pull.load else None
+    return LoadReport(pull.load, pull.suspects) if pull.reports_load or pull.load else None
--- a/emberring/distribution/contacts.py
+++ b/emberring/distribution/contacts.py
@@ -10,7 +10,7 @@
 from emberring.distribution.records import NodeRecord
 from emberring.registry.faults import sum_suspicions
 
-ABSENT_S = 1.4  # a node that did not pull for so long is no longer in contact
+CONTACT_TIMEOUT_S = 1.4  # a node that did not pull for so long is no longer in contact
 LOAD_FRESH_S = 1.2
 
 
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class Report:
+class LoadReport:
     """What a node told of model servers: its calls in flight, and which trouble it finds with which, by server id."""
 
     calls: Mapping[str, int]
@@ -29,8 +29,8 @@
 
 
 @attrs.frozen
-class _Told:
-    report: Report
+class _ReceivedReport:
+    report: LoadReport
     at_s: float
 
 
@@ -39,12 +39,12 @@
 
     def __init__(self) -> None:
         self._contacts: dict[str, _Contact] = {}
-        self._told: dict[str, _Told] = {}
+        self._told: dict[str, _ReceivedReport] = {}
 
-    def note(self, now_s: float, record: NodeRecord, report: Report | None = None) -> bool:
+    def on_contact(self, now_s: float, record: NodeRecord, report: LoadReport | None = None) -> bool:
         """A node called, and may have told something; whether this says anything new about the node."""
         if report is not None:
-            self._told[record.name] = _Told(report, now_s)
+            self._told[record.name] = _ReceivedReport(report, now_s)
         contact = self._contacts.get(record.name)
         if contact is None:
             self._contacts[record.name] = _Contact(record, now_s)
@@ -55,13 +55,15 @@
 
     def expired(self, now_s: float) -> list[NodeRecord]:
         """Nodes whose contact has just ended."""
-        gone = [contact.record for contact in self._contacts.values() if now_s - contact.at_s > ABSENT_S]
+        gone = [
+            contact.record for contact in self._contacts.values() if now_s - contact.at_s > CONTACT_TIMEOUT_S
+        ]
         for record in gone:
             del self._contacts[record.name]
             self._told.pop(record.name, None)
         return gone
 
-    def renew(self, now_s: float) -> None:
+    def restart_timeouts(self, now_s: float) -> None:
         """This node was frozen: nobody's silence counts."""
         for contact in self._contacts.values():
             contact.at_s = now_s
@@ -78,7 +80,7 @@
 
     def load(self, now_s: float) -> dict[str, int]:
         """Calls in flight by server id, over the nodes that told this control node."""
-        return summed(report.calls for report in self._fresh(now_s))
+        return sum_by_server(report.calls for report in self._fresh(now_s))
 
     def load_age_s(self, now_s: float) -> float:
         """How long ago, in the mean, the nodes told the calls that `load` sums; 0 if none did."""
@@ -92,11 +94,11 @@
             for report in self._fresh(now_s)
         )
 
-    def _fresh(self, now_s: float) -> list[Report]:
+    def _fresh(self, now_s: float) -> list[LoadReport]:
         return [told.report for told in self._told.values() if now_s - told.at_s < LOAD_FRESH_S]
 
 
-def summed(loads: Iterable[Mapping[str, int]]) -> dict[str, int]:
+def sum_by_server(loads: Iterable[Mapping[str, int]]) -> dict[str, int]:
     """The sum by server id."""
     total: Counter[str] = Counter()
     for load in loads:
--- a/emberring/distribution/follower.py
+++ b/emberring/distribution/follower.py
@@ -11,7 +11,7 @@
 from emberring.distribution.load_report import LoadReportDetail, LoadReportSchedule
 from emberring.distribution.messages import Pull, Update
 from emberring.distribution.records import NodeRecord, NodeRole, ServerRecord
-from emberring.distribution.sources import SourceChoice
+from emberring.distribution.sources import SourceSelector
 from emberring.distribution.view import FollowerView
 from emberring.errors import EmberringError
 from emberring.logs import get_logger
@@ -22,10 +22,10 @@
 PULLERS = 2
 WAIT_S = 0.5  # how long a control node may hold an answer back
 REPORT_WAIT_S = 0.3  # the same while this node reports calls in flight,
-WORD_WAIT_S = 0.1  # and, at the least, where the answer to that report brings the calls at every server:
-WORD_WAIT_EACH_S = 0.001  # for each of them, so that what is told in a second is bounded
+DETAIL_WAIT_S = 0.1  # and, at the least, where the answer to that report brings the calls at every server:
+DETAIL_WAIT_PER_SERVER_S = 0.001  # for each of them, so that what is told in a second is bounded
 REPLY_SLACK_S = 0.5  # beyond that wait, an answer that has not come is not waited for
-SHORTEST_PULL_S = 0.02  # many changes in a row are taken in bundles of this length
+MIN_PULL_INTERVAL_S = 0.02  # many changes in a row are taken in bundles of this length
 
 logger = get_logger("distribution")
 
@@ -47,17 +47,17 @@
         self.suspects: Callable[[], dict[str, str]] | None = None
         self._network = network
         self._view: FollowerView | None = None
-        self._sources = SourceChoice(seeds, random.Random(f"{me.name}/{me.incarnation}"))
+        self._sources = SourceSelector(seeds, random.Random(f"{me.name}/{me.incarnation}"))
         self._callbacks: list[Callable[[], None]] = []
         self._load_callbacks: list[Callable[[], None]] = []
         self._tasks: list[asyncio.Task[None]] = []
-        self._word = LoadReportSchedule()
+        self._load_report_schedule = LoadReportSchedule()
 
     async def start(self) -> None:
         """Begin to pull; returns at once."""
         loop = asyncio.get_running_loop()
-        self._view = FollowerView(loop.time())
-        self._tasks = [loop.create_task(self._pull_on(slot)) for slot in range(PULLERS)]
+        self._view = view = FollowerView(loop.time())
+        self._tasks = [loop.create_task(self._pull_repeatedly(slot, view)) for slot in range(PULLERS)]
 
     async def stop(self) -> None:
         """Stop pulling; what is known stays."""
@@ -113,9 +113,9 @@
 
     def note_controls(self, addresses: Iterable[str]) -> None:
         """Other control nodes (internal addresses) that this node has heard of by other ways."""
-        self._sources.note(addresses)
+        self._sources.add(addresses)
 
-    async def _pull_on(self, slot: int) -> None:
+    async def _pull_repeatedly(self, slot: int, view: FollowerView) -> None:
         loop = asyncio.get_running_loop()
         while True:
             address = self._sources.pick(loop.time(), slot)
@@ -123,18 +123,16 @@
                 await asyncio.sleep(self._sources.pause_s(loop.time()))
                 continue
             began_s = loop.time()
-            await self._pull_once(slot, address)
-            if loop.time() - began_s < SHORTEST_PULL_S:
-                await asyncio.sleep(SHORTEST_PULL_S)
+            await self._pull_once(slot, address, view)
+            if loop.time() - began_s < MIN_PULL_INTERVAL_S:
+                await asyncio.sleep(MIN_PULL_INTERVAL_S)
 
-    async def _pull_once(self, slot: int, address: str) -> None:
+    async def _pull_once(self, slot: int, address: str, view: FollowerView) -> None:
         loop = asyncio.get_running_loop()
-        view = self._view
-        assert view is not None
-        asked_s = loop.time()
-        word = self._word_for(asked_s, view, slot)
-        wait_s = self._wait_s(word, len(view.servers), slot)
-        pull = self._question(view, slot, word, wait_s if self._sources.settled(address) else 0.0)
+        requested_s = loop.time()
+        load_detail = self._load_detail(requested_s, view, slot)
+        wait_s = self._wait_s(load_detail, len(view.servers), slot)
+        pull = self._pull_request(view, slot, load_detail, wait_s if self._sources.settled(address) else 0.0)
         try:
             update = await self._network.call(address, pull, Update, wait_s + REPLY_SLACK_S)
         except EmberringError as error:
@@ -142,15 +140,15 @@
             logger.debug("event=pull_failed address=%s error=%s", address, error.detail)
             return
         self._sources.answered(loop.time(), address, update.quorum_age_ms / 1000)
-        self._sources.note(update.control_addresses)
-        self._word.answered(asked_s, pull.load_detail)
-        if view.take(loop.time(), update, pull.load_detail):
-            self._sources.prefer(self._controls_near(view))
-            _tell(self._callbacks)
+        self._sources.add(update.control_addresses)
+        self._load_report_schedule.answered(requested_s, pull.load_detail)
+        if view.apply_update(loop.time(), update, pull.load_detail):
+            self._sources.set_same_zone(self._controls_of_this_zone(view))
+            _call_all(self._callbacks)
         if pull.load_detail is not LoadReportDetail.TOTALS:
-            _tell(self._load_callbacks)
+            _call_all(self._load_callbacks)
 
-    def _controls_near(self, view: FollowerView) -> list[str]:
+    def _controls_of_this_zone(self, view: FollowerView) -> list[str]:
         """Addresses of the live control nodes of this node's own zone."""
         return [
             record.address
@@ -158,40 +156,44 @@
             if record.role is NodeRole.CONTROL and record.zone == self.me.zone
         ]
 
-    def _wait_s(self, word: LoadReportDetail, servers: int, slot: int) -> float:
+    def _wait_s(self, load_detail: LoadReportDetail, servers: int, slot: int) -> float:
         """How long the answer to a pull may be held back. Word of every server is worth little once it is old: a call
         holds its place for about a second."""
         if self.report is None:
             return WAIT_S
-        if word is not LoadReportDetail.EVERY_SERVER or slot != 0:
+        if load_detail is not LoadReportDetail.EVERY_SERVER or slot != 0:
             return REPORT_WAIT_S
-        return min(REPORT_WAIT_S, max(WORD_WAIT_S, WORD_WAIT_EACH_S * servers))
+        return min(REPORT_WAIT_S, max(DETAIL_WAIT_S, DETAIL_WAIT_PER_SERVER_S * servers))
 
-    def _word_for(self, now_s: float, view: FollowerView, slot: int) -> LoadReportDetail:
+    def _load_detail(self, now_s: float, view: FollowerView, slot: int) -> LoadReportDetail:
         """What to ask for of calls in flight."""
         if self.report is None:
             return LoadReportDetail.TOTALS
-        return self._word.next(now_s, view.gateways, len(view.servers), reporting=slot == 0)
+        return self._load_report_schedule.next(now_s, view.gateways, len(view.servers), reporting=slot == 0)
 
-    def _question(self, view: FollowerView, slot: int, word: LoadReportDetail, wait_s: float) -> Pull:
+    def _pull_request(
+        self, view: FollowerView, slot: int, load_detail: LoadReportDetail, wait_s: float
+    ) -> Pull:
         """What to ask a control node. The first of the two is told this node's calls, and asked for all others'
         where these are asked for seldom; an answer of the other would be counted against another report."""
         report = self.report
-        told = report(word is not LoadReportDetail.TOTALS) if report is not None and slot == 0 else None
+        told = (
+            report(load_detail is not LoadReportDetail.TOTALS) if report is not None and slot == 0 else None
+        )
         return Pull(
             sender=self.me,
-            vector=dict(view.store.vector),
+            vector=dict(view.status_table.vector),
             configuration_version=view.configuration_version,
             placement_epoch=view.placement_epoch,
             wait_ms=int(wait_s * 1000),
             load=told or {},
             reports_load=told is not None,
-            load_detail=word,
+            load_detail=load_detail,
             suspects=self.suspects() if self.suspects is not None and told is not None else {},
         )
 
 
-def _tell(callbacks: Iterable[Callable[[], None]]) -> None:
+def _call_all(callbacks: Iterable[Callable[[], None]]) -> None:
     for callback in callbacks:
         try:
             callback()
--- a/emberring/distribution/load_report.py
+++ b/emberring/distribution/load_report.py
@@ -6,8 +6,10 @@
 
 from emberring.registry.known_load import GATEWAYS_BY_WORD, USUAL_S
 
-WORD_EVERY_S = USUAL_S  # for each server, where it is seldom; older word is no word
-FREQUENT_PAIRS = 12_000  # gateways times servers up to which control can tell of all servers at each answer
+DETAIL_INTERVAL_S = USUAL_S  # for each server, where it is seldom; older load_detail is no word
+MAX_PAIRS_FOR_EVERY_SERVER = (
+    12_000  # gateways times servers up to which control can tell of all servers at each answer
+)
 
 
 class LoadReportDetail(Enum):
@@ -28,16 +30,16 @@
     """
 
     def __init__(self) -> None:
-        self._asked_s = -WORD_EVERY_S
+        self._asked_s = -DETAIL_INTERVAL_S
 
     def next(self, now_s: float, gateways: int, servers: int, reporting: bool) -> LoadReportDetail:
         """What to ask for now. What is told of the servers in use holds this node's calls as they were `reporting`."""
-        if gateways <= GATEWAYS_BY_WORD or gateways * servers <= FREQUENT_PAIRS:
+        if gateways <= GATEWAYS_BY_WORD or gateways * servers <= MAX_PAIRS_FOR_EVERY_SERVER:
             return LoadReportDetail.EVERY_SERVER
-        due = now_s - self._asked_s >= WORD_EVERY_S
+        due = now_s - self._asked_s >= DETAIL_INTERVAL_S
         return LoadReportDetail.SERVERS_IN_USE if due and reporting else LoadReportDetail.TOTALS
 
-    def answered(self, asked_s: float, word: LoadReportDetail) -> None:
+    def answered(self, asked_s: float, load_detail: LoadReportDetail) -> None:
         """This came that was asked for then."""
-        if word is not LoadReportDetail.TOTALS:
+        if load_detail is not LoadReportDetail.TOTALS:
             self._asked_s = asked_s
--- a/emberring/distribution/peers.py
+++ b/emberring/distribution/peers.py
@@ -9,9 +9,9 @@
 from emberring.distribution.messages import Exchange, Exchanged
 from emberring.distribution.records import NodeRecord
 
-EXCHANGE_EVERY_S = 0.3  # among many control nodes; among few as often as these allow:
-EXCHANGE_EACH_S = 0.025  # for each other control node, and
-EXCHANGE_LEAST_S = 0.1
+MAX_EXCHANGE_INTERVAL_S = 0.3  # among many control nodes; among few as often as these allow:
+EXCHANGE_INTERVAL_PER_PEER_S = 0.025  # for each other control node, and
+MIN_EXCHANGE_INTERVAL_S = 0.1
 RETRY_S = 0.8  # an address that does not answer is tried again after so long
 LIVE_S = 1.3  # a control node that was not heard for so long counts as absent
 FORGET_S = 60.0  # an address that is no seed is forgotten after so long without a word
@@ -23,20 +23,20 @@
     """Another control node, by its address."""
 
     address: str
-    seed: bool
+    is_seed: bool
     known_since_s: float
     record: NodeRecord | None = None
     vector: dict[str, int] = attrs.field(factory=dict)
     load: dict[str, int] = attrs.field(factory=dict)
-    load_s: float = -1e9
+    load_reported_s: float = -1e9
     load_age_s: float = 0.0  # how old that load was when it was told
     suspects: dict[str, dict[str, int]] = attrs.field(factory=dict)
-    heard_s: float = -1e9
+    last_seen_s: float = -1e9
     answered_s: float = -1e9
-    began_s: float = -1e9
-    next_s: float = 0.0
-    busy: bool = False
-    again: bool = False
+    exchange_began_s: float = -1e9
+    next_exchange_s: float = 0.0
+    in_flight: bool = False
+    repeat: bool = False
 
     @property
     def incarnation(self) -> str:
@@ -54,39 +54,39 @@
             if address != me.address:
                 self._peers[address] = Peer(address, True, 0.0)
 
-    def note(self, now_s: float, addresses: Iterable[str]) -> None:
+    def add(self, now_s: float, addresses: Iterable[str]) -> None:
         """Control nodes that may exist."""
         for address in addresses:
             if address != self.me.address and address not in self._peers:
-                self._peers[address] = Peer(address, False, now_s, next_s=now_s)
+                self._peers[address] = Peer(address, False, now_s, next_exchange_s=now_s)
 
-    def take(self, now_s: float, said: Exchange | Exchanged) -> Peer | None:
-        """A control node said this; None if it is this very node."""
-        if said.sender.incarnation == self.me.incarnation:
+    def on_exchange(self, now_s: float, exchange: Exchange | Exchanged) -> Peer | None:
+        """A control node exchange this; None if it is this very node."""
+        if exchange.sender.incarnation == self.me.incarnation:
             return None
-        self.note(now_s, [said.sender.address])
-        peer = self._peers.get(said.sender.address)
+        self.add(now_s, [exchange.sender.address])
+        peer = self._peers.get(exchange.sender.address)
         if peer is None:
             return None
-        if peer.incarnation != said.sender.incarnation:
+        if peer.incarnation != exchange.sender.incarnation:
             peer.vector = {}
-        peer.record, peer.heard_s = said.sender, now_s
-        if isinstance(said, Exchange):
-            peer.load, peer.suspects, peer.load_s = said.load, said.suspects, now_s
-            peer.load_age_s = said.load_age_ms / 1000.0
-        for writer, number in said.vector.items():
+        peer.record, peer.last_seen_s = exchange.sender, now_s
+        if isinstance(exchange, Exchange):
+            peer.load, peer.suspects, peer.load_reported_s = exchange.load, exchange.suspects, now_s
+            peer.load_age_s = exchange.load_age_ms / 1000.0
+        for writer, number in exchange.vector.items():
             peer.vector[writer] = max(number, peer.vector.get(writer, 0))
         return peer
 
     def live(self, now_s: float) -> list[Peer]:
         """Those heard lately."""
-        return [peer for peer in self._peers.values() if now_s - peer.heard_s < LIVE_S]
+        return [peer for peer in self._peers.values() if now_s - peer.last_seen_s < LIVE_S]
 
     def addresses(self) -> tuple[str, ...]:
         """All control nodes heard of, this one too."""
         return (self.me.address, *self._peers)
 
-    def met(self) -> list[NodeRecord]:
+    def seen_records(self) -> list[NodeRecord]:
         """The other control nodes that were heard at any time."""
         return [peer.record for peer in self._peers.values() if peer.record is not None]
 
@@ -96,52 +96,55 @@
 
     def due(self, now_s: float) -> list[Peer]:
         """Those to exchange with now."""
-        return [peer for peer in self._peers.values() if not peer.busy and peer.next_s <= now_s]
+        return [peer for peer in self._peers.values() if not peer.in_flight and peer.next_exchange_s <= now_s]
 
-    def hurry(self, now_s: float) -> None:
+    def expedite(self, now_s: float) -> None:
         """Something changed that all live ones should have at once."""
         for peer in self.live(now_s):
-            peer.next_s = now_s
-            peer.again = peer.busy
+            peer.next_exchange_s = now_s
+            peer.repeat = peer.in_flight
 
-    def began(self, now_s: float, peer: Peer) -> None:
+    def exchange_began(self, now_s: float, peer: Peer) -> None:
         """An exchange with this one is under way."""
-        peer.busy, peer.again, peer.began_s = True, False, now_s
+        peer.in_flight, peer.repeat, peer.exchange_began_s = True, False, now_s
 
-    def ended(self, now_s: float, peer: Peer, answered: bool) -> None:
+    def exchange_ended(self, now_s: float, peer: Peer, answered: bool) -> None:
         """The exchange ended."""
-        peer.busy = False
+        peer.in_flight = False
         if answered:
-            peer.answered_s = peer.began_s
-        if peer.again and answered:
-            peer.next_s = now_s
+            peer.answered_s = peer.exchange_began_s
+        if peer.repeat and answered:
+            peer.next_exchange_s = now_s
         else:
-            peer.next_s = now_s + (self._every_s() if answered else RETRY_S)
+            peer.next_exchange_s = now_s + (self._interval_s() if answered else RETRY_S)
 
-    def _every_s(self) -> float:
+    def _interval_s(self) -> float:
         """The pause between exchanges with one control node: word of calls in flight is the fresher the shorter it is,
         and the exchanges of a node stay as many."""
-        return min(EXCHANGE_EVERY_S, max(EXCHANGE_LEAST_S, EXCHANGE_EACH_S * len(self._peers)))
+        return min(
+            MAX_EXCHANGE_INTERVAL_S,
+            max(MIN_EXCHANGE_INTERVAL_S, EXCHANGE_INTERVAL_PER_PEER_S * len(self._peers)),
+        )
 
     def loads(self, now_s: float) -> Iterable[Mapping[str, int]]:
         """The loads that the live ones told."""
-        return [peer.load for peer in self._peers.values() if now_s - peer.load_s < LOAD_FRESH_S]
+        return [peer.load for peer in self._peers.values() if now_s - peer.load_reported_s < LOAD_FRESH_S]
 
     def load_ages(self, now_s: float) -> Iterable[tuple[int, float]]:
         """For each of those that told loads: how many calls, and how old that word is now (seconds)."""
         return [
-            (sum(peer.load.values()), now_s - peer.load_s + peer.load_age_s)
+            (sum(peer.load.values()), now_s - peer.load_reported_s + peer.load_age_s)
             for peer in self._peers.values()
-            if now_s - peer.load_s < LOAD_FRESH_S
+            if now_s - peer.load_reported_s < LOAD_FRESH_S
         ]
 
     def suspects(self, now_s: float) -> Iterable[Mapping[str, Mapping[str, int]]]:
         """Which servers the live ones were told to be in trouble."""
-        return [peer.suspects for peer in self._peers.values() if now_s - peer.load_s < LOAD_FRESH_S]
+        return [peer.suspects for peer in self._peers.values() if now_s - peer.load_reported_s < LOAD_FRESH_S]
 
     def forget(self, now_s: float) -> None:
         """Drop addresses that stayed silent."""
         for address, peer in list(self._peers.items()):
-            silent_s = now_s - max(peer.heard_s, peer.known_since_s)
-            if not peer.seed and not peer.busy and silent_s > FORGET_S:
+            silent_s = now_s - max(peer.last_seen_s, peer.known_since_s)
+            if not peer.is_seed and not peer.in_flight and silent_s > FORGET_S:
                 del self._peers[address]
--- a/emberring/distribution/sources.py
+++ b/emberring/distribution/sources.py
@@ -13,11 +13,11 @@
 
 QUORUM_FRESH_S = 1.0  # a control node without a majority for longer is left for another
 CONTACT_S = 1.2  # an answer of a node with a majority within this time counts as contact
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 1.5
-WEAK_PAUSE_S = 0.5  # a node without a majority is asked again after so long, if there is none better
-NEAR_AGAIN_S = 5.0  # a near one that failed is tried again after so long, though others answer
-NEAR_SLOT = 0  # the puller that prefers near ones
+FIRST_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 1.5
+NO_QUORUM_RETRY_S = 0.5  # a node without a majority is asked again after so long, if there is none better
+SAME_ZONE_RETRY_S = 5.0  # a near one that failed is tried again after so long, though others answer
+SAME_ZONE_SLOT = 0  # the puller that prefers near ones
 FORGET_FAILURES = 20  # a node that is no seed and failed so often in a row is forgotten
 
 
@@ -27,37 +27,37 @@
     seed: bool
     failures: int = 0
     not_before_s: float = 0.0
-    weak: bool = False
+    without_quorum: bool = False
     answers: int = 0
     answered_s: float = -1e9
     failed_s: float = -1e9  # when it last failed, or answered without a majority
 
     def returnable(self, now_s: float) -> bool:
         """Whether it is worth leaving another one for this one."""
-        sound = self.failures == 0 and not self.weak
-        return (sound or now_s - self.failed_s >= NEAR_AGAIN_S) and self.not_before_s <= now_s
+        sound = self.failures == 0 and not self.without_quorum
+        return (sound or now_s - self.failed_s >= SAME_ZONE_RETRY_S) and self.not_before_s <= now_s
 
 
-class SourceChoice:
+class SourceSelector:
     """Chooses a control node for each puller, so that two pullers have two different ones."""
 
-    def __init__(self, seeds: Sequence[str], chance: random.Random) -> None:
-        self._chance = chance
+    def __init__(self, seeds: Sequence[str], rng: random.Random) -> None:
+        self._random = rng
         self._sources: dict[str, _Source] = {}
         self._current: dict[int, str] = {}
-        self._near: frozenset[str] = frozenset()
+        self._same_zone: frozenset[str] = frozenset()
         for address in seeds:
             self._sources[address] = _Source(address, seed=True)
 
-    def note(self, addresses: Iterable[str]) -> None:
+    def add(self, addresses: Iterable[str]) -> None:
         """Control nodes that may exist."""
         for address in addresses:
             if address not in self._sources:
                 self._sources[address] = _Source(address, seed=False)
 
-    def prefer(self, addresses: Iterable[str]) -> None:
+    def set_same_zone(self, addresses: Iterable[str]) -> None:
         """Control nodes of this node's own zone."""
-        self._near = frozenset(addresses)
+        self._same_zone = frozenset(addresses)
 
     def settled(self, address: str) -> bool:
         """Whether this node answered already, so that its answers may be held back until something changes."""
@@ -67,7 +67,8 @@
     def in_contact(self, now_s: float) -> bool:
         """Whether a node with a majority answered lately."""
         return any(
-            not source.weak and now_s - source.answered_s < CONTACT_S for source in self._sources.values()
+            not source.without_quorum and now_s - source.answered_s < CONTACT_S
+            for source in self._sources.values()
         )
 
     def answered(self, now_s: float, address: str, quorum_age_s: float) -> None:
@@ -78,11 +79,11 @@
         source.failures = 0
         source.answers += 1
         source.answered_s = now_s
-        source.weak = quorum_age_s > QUORUM_FRESH_S
-        source.not_before_s = now_s + WEAK_PAUSE_S if source.weak else now_s
-        if source.weak:
+        source.without_quorum = quorum_age_s > QUORUM_FRESH_S
+        source.not_before_s = now_s + NO_QUORUM_RETRY_S if source.without_quorum else now_s
+        if source.without_quorum:
             source.failed_s = now_s
-            self._leave(address)
+            self._release(address)
 
     def failed(self, now_s: float, address: str) -> None:
         """This node did not answer."""
@@ -91,13 +92,13 @@
             return
         source.failures += 1
         source.failed_s = now_s
-        pause_s = min(LONGEST_PAUSE_S, FIRST_PAUSE_S * 2 ** min(source.failures - 1, 8))
-        source.not_before_s = now_s + pause_s * self._chance.uniform(0.5, 1.0)
-        self._leave(address)
+        pause_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2 ** min(source.failures - 1, 8))
+        source.not_before_s = now_s + pause_s * self._random.uniform(0.5, 1.0)
+        self._release(address)
         if not source.seed and source.failures >= FORGET_FAILURES:
             del self._sources[address]
 
-    def _leave(self, address: str) -> None:
+    def _release(self, address: str) -> None:
         for slot in [slot for slot, current in self._current.items() if current == address]:
             del self._current[slot]
 
@@ -105,7 +106,7 @@
         """The node to pull from now; None if none may be asked yet."""
         current = self._current.get(slot)
         if current is not None and current in self._sources:
-            nearer = self._nearer(now_s, slot, current)
+            nearer = self._same_zone_instead(now_s, slot, current)
             self._current[slot] = nearer
             return nearer
         taken = {address for other, address in self._current.items() if other != slot}
@@ -117,26 +118,26 @@
         if not free:
             return None
         best = min(self._rank(slot, source) for source in free)
-        chosen = self._chance.choice([source for source in free if self._rank(slot, source) == best]).address
+        chosen = self._random.choice([source for source in free if self._rank(slot, source) == best]).address
         self._current[slot] = chosen
         return chosen
 
     def _rank(self, slot: int, source: _Source) -> tuple[bool, int, bool]:
-        far = slot == NEAR_SLOT and source.address not in self._near
-        return source.weak, min(source.failures, 3), far
+        far = slot == SAME_ZONE_SLOT and source.address not in self._same_zone
+        return source.without_quorum, min(source.failures, 3), far
 
-    def _nearer(self, now_s: float, slot: int, current: str) -> str:
+    def _same_zone_instead(self, now_s: float, slot: int, current: str) -> str:
         """The node that is asked now, or one of this zone that can be asked instead."""
-        if slot != NEAR_SLOT or current in self._near:
+        if slot != SAME_ZONE_SLOT or current in self._same_zone:
             return current
         near = [
             source.address
             for source in self._sources.values()
-            if source.address in self._near and source.returnable(now_s)
+            if source.address in self._same_zone and source.returnable(now_s)
         ]
         if not near:
             return current
-        chosen = self._chance.choice(near)
+        chosen = self._random.choice(near)
         for other, address in self._current.items():
             if address == chosen:  # the other puller goes on with the one that is left
                 self._current[other] = current
@@ -148,4 +149,4 @@
         waits = [
             source.not_before_s - now_s for source in self._sources.values() if source.address not in taken
         ]
-        return min(LONGEST_PAUSE_S, max(0.02, min(waits, default=0.2)))
+        return min(MAX_BACKOFF_S, max(0.02, min(waits, default=0.2)))
--- a/emberring/distribution/status_table.py
+++ b/emberring/distribution/status_table.py
@@ -11,7 +11,7 @@
 from emberring.distribution.records import NodeRecord, NodeRole, ServerRecord
 from emberring.registry.merge import dominates, merged
 
-MOST_CACHED = 8  # answers about who lives, each for a set of origins
+MAX_CACHED_LIVE_SETS = 8  # answers about who lives, each for a set of origins
 
 
 @attrs.frozen
@@ -35,8 +35,8 @@
         self._merged: dict[str, ServerRecord] = {}
         self._nodes: dict[str, dict[str, NodeEntry]] = {}
         self._arrivals: dict[tuple[str, str], int] = {}
-        self._arrived = 0
-        self._numbered: dict[str, SortedDict] = {}  # by origin: the kept statements by their numbers
+        self._arrival_count = 0
+        self._entries_by_number: dict[str, SortedDict] = {}  # by origin: the kept statements by their numbers
         self._live_nodes: dict[tuple[frozenset[str], tuple[NodeRole, ...]], dict[str, NodeRecord]] = {}
 
     # -- statements of this node
@@ -52,13 +52,13 @@
         known = self._merged.get(record.id)
         whole = merged(known, record) if known is not None else record
         entry = ServerEntry(self.writer_incarnation, self._next_number(), whole)
-        self._take_server(entry)
+        self._apply_server_entry(entry)
         return entry
 
     def write_node(self, record: NodeRecord, present: bool) -> NodeEntry:
         """State in this node's own name whether a node is in contact with it."""
         entry = NodeEntry(self.writer_incarnation, self._next_number(), record, present)
-        self._take_node(entry)
+        self._apply_node_entry(entry)
         return entry
 
     # -- what is held
@@ -85,7 +85,7 @@
         key = (frozenset(live), tuple(roles))
         known = self._live_nodes.get(key)
         if known is None:
-            if len(self._live_nodes) >= MOST_CACHED:
+            if len(self._live_nodes) >= MAX_CACHED_LIVE_SETS:
                 self._live_nodes.clear()
             known = self._live_nodes[key] = self._find_live(live, roles)
         return known
@@ -96,11 +96,11 @@
             if not entry.present or entry.writer_incarnation not in live or entry.record.role not in roles:
                 continue
             other = found.get(entry.record.name)
-            if other is None or self.order_of(entry) > self.order_of(other):
+            if other is None or self.arrival_order(entry) > self.arrival_order(other):
                 found[entry.record.name] = entry
         return {name: entry.record for name, entry in found.items()}
 
-    def order_of(self, entry: NodeEntry) -> int:
+    def arrival_order(self, entry: NodeEntry) -> int:
         """When a statement about a node arrived here, as a number that rises."""
         return self._arrivals.get((entry.record.name, entry.writer_incarnation), 0)
 
@@ -112,7 +112,7 @@
             return Delta(vector=dict(self.vector))
         servers: list[ServerEntry] = []
         nodes: list[NodeEntry] = []
-        for writer, numbered in self._numbered.items():
+        for writer, numbered in self._entries_by_number.items():
             for number in numbered.irange(minimum=vector.get(writer, 0) + 1):
                 entry = numbered[number]
                 if isinstance(entry, ServerEntry):
@@ -123,7 +123,7 @@
 
     def has_newer_than(self, vector: Mapping[str, int]) -> bool:
         """Whether there is anything for a node with this vector that does not need gateways' entries."""
-        for writer, numbered in self._numbered.items():
+        for writer, numbered in self._entries_by_number.items():
             known = vector.get(writer, 0)
             if self.vector.get(writer, 0) <= known:
                 continue
@@ -133,25 +133,31 @@
                     return True
         return False
 
-    def _keep(self, entry: ServerEntry | NodeEntry, before: ServerEntry | NodeEntry | None) -> None:
-        numbered = self._numbered.setdefault(entry.writer_incarnation, SortedDict())
+    def _index(self, entry: ServerEntry | NodeEntry, before: ServerEntry | NodeEntry | None) -> None:
+        numbered = self._entries_by_number.setdefault(entry.writer_incarnation, SortedDict())
         if before is not None:
             numbered.pop(before.number, None)
         numbered[entry.number] = entry
 
-    def _drop(self, entry: ServerEntry | NodeEntry) -> None:
-        numbered = self._numbered.get(entry.writer_incarnation)
+    def _unindex(self, entry: ServerEntry | NodeEntry) -> None:
+        numbered = self._entries_by_number.get(entry.writer_incarnation)
         if numbered is not None:
             numbered.pop(entry.number, None)
             if not numbered:
-                del self._numbered[entry.writer_incarnation]
+                del self._entries_by_number[entry.writer_incarnation]
 
-    def take(self, delta: Delta) -> TableChanges:
+    def apply(self, delta: Delta) -> TableChanges:
         """Take in what another node sent; its vector holds from now on here as well."""
         servers = {
-            entry.record.id for entry in delta.servers if self._is_new(entry) and self._take_server(entry)
+            entry.record.id
+            for entry in delta.servers
+            if self._is_new(entry) and self._apply_server_entry(entry)
+        }
+        nodes = {
+            entry.record.name
+            for entry in delta.nodes
+            if self._is_new(entry) and self._apply_node_entry(entry)
         }
-        nodes = {entry.record.name for entry in delta.nodes if self._is_new(entry) and self._take_node(entry)}
         for writer, number in delta.vector.items():
             if number > self.vector.get(writer, 0):
                 self.vector[writer] = number
@@ -160,24 +166,24 @@
     def _is_new(self, entry: ServerEntry | NodeEntry) -> bool:
         return entry.number > self.vector.get(entry.writer_incarnation, 0)
 
-    def _take_server(self, entry: ServerEntry) -> bool:
+    def _apply_server_entry(self, entry: ServerEntry) -> bool:
         """Keep an origin's newest statement; whether what is known of the server changed."""
         by_writer = self._servers.setdefault(entry.record.id, {})
-        self._keep(entry, by_writer.get(entry.writer_incarnation))
+        self._index(entry, by_writer.get(entry.writer_incarnation))
         by_writer[entry.writer_incarnation] = entry
         before = self._merged.get(entry.record.id)
         after = merged(before, entry.record) if before is not None else entry.record
         self._merged[entry.record.id] = after
         return after != before
 
-    def _take_node(self, entry: NodeEntry) -> bool:
+    def _apply_node_entry(self, entry: NodeEntry) -> bool:
         by_writer = self._nodes.setdefault(entry.record.name, {})
         before = by_writer.get(entry.writer_incarnation)
-        self._keep(entry, before)
+        self._index(entry, before)
         by_writer[entry.writer_incarnation] = entry
         self._live_nodes.clear()
-        self._arrived += 1
-        self._arrivals[(entry.record.name, entry.writer_incarnation)] = self._arrived
+        self._arrival_count += 1
+        self._arrivals[(entry.record.name, entry.writer_incarnation)] = self._arrival_count
         return before is None or (before.record, before.present) != (entry.record, entry.present)
 
     # -- forgetting
@@ -185,7 +191,7 @@
     def forget_server(self, server_id: str) -> None:
         """Drop all that is known of a server."""
         for entry in self._servers.pop(server_id, {}).values():
-            self._drop(entry)
+            self._unindex(entry)
         self._merged.pop(server_id, None)
 
     def forget_writer(self, writer: str) -> None:
@@ -195,14 +201,14 @@
         for name in list(self._nodes):
             entry = self._nodes[name].pop(writer, None)
             if entry is not None:
-                self._drop(entry)
+                self._unindex(entry)
                 self._arrivals.pop((name, writer), None)
             if not self._nodes[name]:
                 del self._nodes[name]
-        if not self._needed(writer):
+        if not self._prune_server_entries(writer):
             self.vector.pop(writer, None)
 
-    def _needed(self, writer: str) -> bool:
+    def _prune_server_entries(self, writer: str) -> bool:
         """Drop an ended origin's statements about servers that others say as well; whether any is left."""
         left = False
         for by_writer in self._servers.values():
@@ -213,7 +219,7 @@
                 other is not entry and dominates(other.record, entry.record) for other in by_writer.values()
             ):
                 del by_writer[writer]
-                self._drop(entry)
+                self._unindex(entry)
             else:
                 left = True
         return left
--- a/emberring/distribution/view.py
+++ b/emberring/distribution/view.py
@@ -19,117 +19,127 @@
 
 ORPHAN_S = 10.0  # a server that no live control node lists for so long is dropped
 QUORUM_FRESH_S = 1.0  # a control node that had no majority for longer may hold an old configuration
-PATIENCE_S = (
+FIRST_CONFIGURATION_TIMEOUT_S = (
     3.0  # without any configuration, one from a control node without a majority is taken after so long
 )
 FORGET_WRITER_S = 60.0  # statements about nodes by an origin that has ended are dropped after so long
-TOLD_S = 2.0  # what a control node told holds for so long after its last answer
+ANSWER_VALID_S = 2.0  # what a control node told holds for so long after its last answer
 MAX_STEP_S = 1.0  # time that passes between two answers counts up to this: nothing ages while nobody answers
 
-_SHOWN = (ServerState.READY, ServerState.DRAINING)
-_SHOWN_ROLES = (NodeRole.STORE, NodeRole.CONTROL)
+_USABLE_STATES = (ServerState.READY, ServerState.DRAINING)
+_LISTED_ROLES = (NodeRole.STORE, NodeRole.CONTROL)
 
 
 class FollowerView:
     """The configuration, servers and nodes as the last answers told them."""
 
     def __init__(self, now_s: float) -> None:
-        self.store = StatusTable()
+        self.status_table = StatusTable()
         self.configuration: Configuration | None = None
         self.placement: Placement | None = None
         self.servers: dict[str, ServerRecord] = {}
         self.nodes: dict[str, NodeRecord] = {}
         self.gateways = 1
-        self._gateways_told: dict[str, tuple[float, int]] = {}
+        self._gateway_counts: dict[str, tuple[float, int]] = {}
         self.load: KnownLoad = NO_LOAD
         self.configuration_version = 0
         self._started_s = now_s
         self._last_answer_s = now_s
-        self._alive_s = 0.0
+        self._contact_clock_s = 0.0
         self._writers_seen_s: dict[str, float] = {}
         self._answers: dict[str, tuple[float, tuple[str, ...]]] = {}
-        self._listing: frozenset[str] = frozenset()  # the control nodes whose word for a server's life counts
+        self._listing_writers: frozenset[str] = (
+            frozenset()
+        )  # the control nodes whose word for a server's life counts
 
     @property
     def placement_epoch(self) -> int:
         """The epoch of the placement known; 0 without one."""
         return self.placement.epoch if self.placement is not None else 0
 
-    def take(
-        self, now_s: float, update: Update, word: LoadReportDetail = LoadReportDetail.EVERY_SERVER
+    def apply_update(
+        self, now_s: float, update: Update, load_detail: LoadReportDetail = LoadReportDetail.EVERY_SERVER
     ) -> bool:
-        """Take in an answer; whether anything but the load changed. `word` as the pull said."""
-        self._pass_time(now_s)
-        self._answers[update.writer_incarnation] = (self._alive_s, update.live_writers)
+        """Take in an answer; whether anything but the load changed. `load_detail` as the pull said."""
+        self._advance_contact_clock(now_s)
+        self._answers[update.writer_incarnation] = (self._contact_clock_s, update.live_writers)
         for writer in (update.writer_incarnation, *update.live_writers):
-            self._writers_seen_s[writer] = self._alive_s
-        self.store.take(update.delta)
-        self._take_load(now_s, update, word)
-        changed = self._take_configuration(now_s, update)
-        changed |= self._take_placement(update)
-        changed |= self._take_gateways(update)
+            self._writers_seen_s[writer] = self._contact_clock_s
+        self.status_table.apply(update.delta)
+        self._apply_load(now_s, update, load_detail)
+        changed = self._apply_configuration(now_s, update)
+        changed |= self._apply_placement(update)
+        changed |= self._apply_gateways(update)
         self._forget()
-        changed |= self._show_servers(entry.record.id for entry in update.delta.servers)
-        return self._show_nodes() or changed
+        changed |= self._refresh_servers(entry.record.id for entry in update.delta.servers)
+        return self._refresh_nodes() or changed
 
-    def _take_load(self, now_s: float, update: Update, word: LoadReportDetail) -> None:
+    def _apply_load(self, now_s: float, update: Update, load_detail: LoadReportDetail) -> None:
         """A control node that has just started, or is cut off, knows no load; that is not taken for none."""
         if not (update.server_load or update.service_load) and update.quorum_age_ms >= QUORUM_FRESH_S * 1000:
             return
-        if word is LoadReportDetail.TOTALS:
+        if load_detail is LoadReportDetail.TOTALS:
             self.load = attrs.evolve(self.load, totals=update.service_load)
         else:
-            usual = update.smoothed_load if word is LoadReportDetail.SERVERS_IN_USE else None
+            usual = update.smoothed_load if load_detail is LoadReportDetail.SERVERS_IN_USE else None
             true_s = now_s - update.load_age_ms / 1000.0
             self.load = KnownLoad(update.server_load, usual, update.service_load, true_s)
 
-    def _pass_time(self, now_s: float) -> None:
-        self._alive_s += min(MAX_STEP_S, max(0.0, now_s - self._last_answer_s))
+    def _advance_contact_clock(self, now_s: float) -> None:
+        self._contact_clock_s += min(MAX_STEP_S, max(0.0, now_s - self._last_answer_s))
         self._last_answer_s = now_s
 
-    def _take_configuration(self, now_s: float, update: Update) -> bool:
+    def _apply_configuration(self, now_s: float, update: Update) -> bool:
         if update.configuration is None or update.configuration_version <= self.configuration_version:
             return False
         fresh = update.quorum_age_ms <= QUORUM_FRESH_S * 1000
-        if self.configuration is None and not fresh and now_s - self._started_s < PATIENCE_S:
+        if (
+            self.configuration is None
+            and not fresh
+            and now_s - self._started_s < FIRST_CONFIGURATION_TIMEOUT_S
+        ):
             return False
         self.configuration = unpack_configuration(update.configuration)
         self.configuration_version = update.configuration_version
         return True
 
-    def _take_placement(self, update: Update) -> bool:
+    def _apply_placement(self, update: Update) -> bool:
         if update.placement is None or update.placement.epoch <= self.placement_epoch:
             return False
         self.placement = update.placement
         return True
 
-    def _take_gateways(self, update: Update) -> bool:
+    def _apply_gateways(self, update: Update) -> bool:
         """The most that a control node told lately: a share that is too small costs less than one too large."""
-        self._gateways_told[update.writer_incarnation] = (self._alive_s, update.gateways)
-        recent = [count for at_s, count in self._gateways_told.values() if self._alive_s - at_s < TOLD_S]
+        self._gateway_counts[update.writer_incarnation] = (self._contact_clock_s, update.gateways)
+        recent = [
+            count
+            for at_s, count in self._gateway_counts.values()
+            if self._contact_clock_s - at_s < ANSWER_VALID_S
+        ]
         before, self.gateways = self.gateways, max(1, *recent)
         return before != self.gateways
 
     def _live(self, writer: str, within_s: float) -> bool:
-        return self._writers_seen_s.get(writer, -within_s) > self._alive_s - within_s
+        return self._writers_seen_s.get(writer, -within_s) > self._contact_clock_s - within_s
 
     def _forget(self) -> None:
-        for writer in list(self.store.vector):
-            seen_s = self._writers_seen_s.setdefault(writer, self._alive_s)
-            if self._alive_s - seen_s > FORGET_WRITER_S:
+        for writer in list(self.status_table.vector):
+            seen_s = self._writers_seen_s.setdefault(writer, self._contact_clock_s)
+            if self._contact_clock_s - seen_s > FORGET_WRITER_S:
                 del self._writers_seen_s[writer]
                 self._answers.pop(writer, None)
-                self._gateways_told.pop(writer, None)
-                self.store.forget_writer(writer)
+                self._gateway_counts.pop(writer, None)
+                self.status_table.forget_writer(writer)
 
-    def _show_servers(self, told: Iterable[str]) -> bool:
+    def _refresh_servers(self, told: Iterable[str]) -> bool:
         """Look again at the servers that were told of; at all where other control nodes live than before."""
         listing = frozenset(writer for writer in self._writers_seen_s if self._live(writer, ORPHAN_S))
-        if listing != self._listing:
-            self._listing, told = listing, list(self.store.servers())
+        if listing != self._listing_writers:
+            self._listing_writers, told = listing, list(self.status_table.servers())
         changed: dict[str, ServerRecord | None] = {}
         for server_id in told:
-            shown = self._shown(server_id)
+            shown = self._usable_server(server_id)
             if shown != self.servers.get(server_id):
                 changed[server_id] = shown
         if changed:
@@ -137,30 +147,37 @@
             self.servers = {name: record for name, record in merged_view.items() if record is not None}
         return bool(changed)
 
-    def _shown(self, server_id: str) -> ServerRecord | None:
+    def _usable_server(self, server_id: str) -> ServerRecord | None:
         """The server as it may be used; None where it may not."""
-        known = self.store.servers().get(server_id)
-        record = self._listed(server_id)
-        if known is None or record is None or record.state not in _SHOWN or known.state not in _SHOWN:
+        known = self.status_table.servers().get(server_id)
+        record = self._live_record(server_id)
+        if (
+            known is None
+            or record is None
+            or record.state not in _USABLE_STATES
+            or known.state not in _USABLE_STATES
+        ):
             return None
         return attrs.evolve(record, state=known.state)
 
-    def _listed(self, server_id: str) -> ServerRecord | None:
+    def _live_record(self, server_id: str) -> ServerRecord | None:
         """What origins that live, or did a short while ago, say of a server together. An ended origin's word for
         a server's life must not outlast it; its word for a drain does."""
         listed = [
             entry.record
-            for entry in self.store.server_entries(server_id)
+            for entry in self.status_table.server_entries(server_id)
             if self._live(entry.writer_incarnation, ORPHAN_S)
         ]
         return functools.reduce(merged, listed) if listed else None
 
-    def _show_nodes(self) -> bool:
+    def _refresh_nodes(self) -> bool:
         """Nodes that a live control node has contact with; of two incarnations the one told last."""
-        live = {writer for writer, (_, writers) in self._answers.items() if self._live(writer, TOLD_S)}
+        live = {
+            writer for writer, (_, writers) in self._answers.items() if self._live(writer, ANSWER_VALID_S)
+        }
         for writer in list(live):
             live.update(self._answers[writer][1])
-        nodes = dict(self.store.live_nodes(live, _SHOWN_ROLES))
+        nodes = dict(self.status_table.live_nodes(live, _LISTED_ROLES))
         changed = nodes != self.nodes
         self.nodes = nodes
         return changed
--- a/emberring/membership/view.py
+++ b/emberring/membership/view.py
@@ -93,8 +93,8 @@
         for name in gone:
             del self._entries[name]
 
-    def _sample(self, now_s: float, but: str) -> tuple[Descriptor, ...]:
-        others = [entry for name, entry in self._entries.items() if name != but]
+    def _sample(self, now_s: float, excluded: str) -> tuple[Descriptor, ...]:
+        others = [entry for name, entry in self._entries.items() if name != excluded]
         picked = self._random.sample(others, min(SHUFFLE_LENGTH - 1, len(others)))
         descriptors = [Descriptor(entry.node, max(0.0, now_s - entry.born_s)) for entry in picked]
         return (Descriptor(self.me, 0.0), *descriptors)
--- a/emberring/registry/faults.py
+++ b/emberring/registry/faults.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Mapping
 from enum import Enum
 
-Suspects = Mapping[str, Mapping[str, int]]
+FaultCounts = Mapping[str, Mapping[str, int]]
 """By server id and a trouble's value: how many gateways find it. Values and not members, as nodes of another version
 may name troubles that this one does not know."""
 
@@ -22,7 +22,7 @@
     SLOW = "slow"
 
 
-def sum_suspicions(parts: Iterable[Suspects]) -> dict[str, dict[str, int]]:
+def sum_suspicions(parts: Iterable[FaultCounts]) -> dict[str, dict[str, int]]:
     """The sum by server and trouble."""
     total: dict[str, Counter[str]] = {}
     for part in parts:
--- a/emberring/simulation/admission/simulator.py
+++ b/emberring/simulation/admission/simulator.py
@@ -17,7 +17,7 @@
 
 from emberring.admission import Admitted, AttemptBudget, CallInfo, CallOutcome, PrefixPart, Refused
 from emberring.configuration.model import Service
-from emberring.distribution.contacts import summed
+from emberring.distribution.contacts import sum_by_server
 from emberring.distribution.records import ServerRecord, ServerState
 from emberring.registry.known_load import KnownLoad
 from emberring.simulation.admission.baselines import Policy
@@ -143,7 +143,7 @@
     def _word(self) -> KnownLoad:
         """The sums of all gateways' calls as they were a while ago."""
         if not self._sums or self.now_ms - self._sums[-1][0] >= SUMS_MS:
-            self._sums.append((self.now_ms, summed(self._reported.values())))
+            self._sums.append((self.now_ms, sum_by_server(self._reported.values())))
         while len(self._sums) > 1 and self._sums[1][0] <= self.now_ms - WORD_LATE_MS:
             self._sums.popleft()
         made_ms, sums = self._sums[0]
--- a/emberring/simulation/control_plane/clients.py
+++ b/emberring/simulation/control_plane/clients.py
@@ -15,8 +15,8 @@
 from emberring.simulation.control_plane.world import ControlWorld
 
 SILENCE_S = 1.0
-FIRST_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 0.6
+FIRST_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 0.6
 GIVE_UP_S = 40.0
 DRAIN_MS = 2000.0
 LINGER_S = 3.0  # a server that drains serves on for so long after it was acknowledged
@@ -115,7 +115,7 @@
         """Send an order until its answer is clear; its last status, 0 where it was given up."""
         body = order_body(kind, order.number, order.version)
         self._world.seen.order_sent(order)
-        pause_s = FIRST_PAUSE_S
+        pause_s = FIRST_BACKOFF_S
         waiting = [first] if first is not None else []
         while self._world.sync() < order.sent_s + GIVE_UP_S:
             waiting = waiting or self._platform.shuffled()
@@ -124,7 +124,7 @@
             if status:
                 return status
             await asyncio.sleep(pause_s)
-            pause_s = min(LONGEST_PAUSE_S, 2 * pause_s)
+            pause_s = min(MAX_BACKOFF_S, 2 * pause_s)
         return 0
 
     async def _send_once(
@@ -214,7 +214,7 @@
                 self._on_left(self)
                 await asyncio.sleep(LINGER_S)
                 break
-            await asyncio.sleep(FIRST_PAUSE_S)
+            await asyncio.sleep(FIRST_BACKOFF_S)
         if self.state == "draining":
             self.state = "gone"
             await self._tell()
@@ -238,7 +238,7 @@
         if self.state == "gone":
             return await self._platform.call(machine, "DELETE", path)
         self._sequence += 1
-        beat = {
+        heartbeat = {
             "Service": SERVICE,
             "Address": f"{self.name}:8080",
             "Zone": "zone-0",
@@ -246,4 +246,4 @@
             "State": self.state,
             "Sequence": self._sequence,
         }
-        return await self._platform.call(machine, "PUT", path, json.dumps(beat).encode())
+        return await self._platform.call(machine, "PUT", path, json.dumps(heartbeat).encode())
--- a/emberring/simulation/control_plane/control_machine.py
+++ b/emberring/simulation/control_plane/control_machine.py
@@ -113,7 +113,7 @@
     def leave(self) -> None:
         """SIGTERM: say that this node is about to end."""
         if self.process is not None and self.control is not None:
-            self.process.call(self.control.leave)
+            self.process.call(self.control.announce_shutdown)
 
     def freeze(self, until_s: float) -> None:
         """Stand still until then."""
--- a/emberring/simulation/control_plane/fault_schedule.py
+++ b/emberring/simulation/control_plane/fault_schedule.py
@@ -14,7 +14,7 @@
 from emberring.simulation.register.world import Weather
 
 CATCH_UP_S = 4.9  # after it has come back, a machine that lost its disk still counts as lost for so long
-LEAVE_S = 0.3
+SHUTDOWN_NOTICE_S = 0.3
 SLOW_SYNC_S = 0.2
 
 
@@ -144,10 +144,10 @@
         if not self._may_lose():
             return
         old = self._core(step)
-        self._lost(step.lasts_s + LEAVE_S)
+        self._lost(step.lasts_s + SHUTDOWN_NOTICE_S)
         self._up(self._deployment.add_core())
         self._later(step.lasts_s, old.leave)
-        self._later(step.lasts_s + LEAVE_S, self._remove, old)
+        self._later(step.lasts_s + SHUTDOWN_NOTICE_S, self._remove, old)
 
     def _remove(self, machine: ControlMachine) -> None:
         self._disturb()
--- a/emberring/simulation/control_plane/mutations.py
+++ b/emberring/simulation/control_plane/mutations.py
@@ -14,7 +14,7 @@
 from emberring.configuration.state import ControlState
 from emberring.control import operator_requests
 from emberring.control.heartbeat_handler import HeartbeatHandler
-from emberring.distribution.sources import SourceChoice
+from emberring.distribution.sources import SourceSelector
 from emberring.distribution.view import FollowerView
 from emberring.errors import VersionConflictError
 from emberring.register.acceptor import Acceptor
@@ -56,26 +56,26 @@
     return _decide(self, found, chosen)
 
 
-def _held_alone(self: HeartbeatHandler, now_s: float, server_id: str) -> bool:
+def _always_replicated(self: HeartbeatHandler, now_s: float, server_id: str) -> bool:
     return True
 
 
-_answered = SourceChoice.answered
+_answered = SourceSelector.answered
 
 
 def _answered_whatever_its_quorum(
-    self: SourceChoice, now_s: float, address: str, quorum_age_s: float
+    self: SourceSelector, now_s: float, address: str, quorum_age_s: float
 ) -> None:
     _answered(self, now_s, address, 0.0)
 
 
-_take = FollowerView.take
+_apply_update = FollowerView.apply_update
 
 
-def _take_older(self: FollowerView, now_s: float, update: Any, *rest: Any) -> bool:
+def _apply_older(self: FollowerView, now_s: float, update: Any, *rest: Any) -> bool:
     if update.configuration_version < self.configuration_version:
         self.configuration_version = 0  # so that what it is told next counts as newer
-    return _take(self, now_s, update, *rest)
+    return _apply_update(self, now_s, update, *rest)
 
 
 _with_configuration = ControlState.with_configuration
@@ -103,7 +103,7 @@
     self: Any, kind: change_requests.ChangeRequestKind, if_match: str | None, body: bytes
 ) -> int:
     order = change_requests.read_change_request(kind, if_match, body)
-    outcome = _judge(self._board.state, order)
+    outcome = _judge(self._cluster_state.state, order)
     if isinstance(outcome, change_requests.Refused) and isinstance(outcome.error, VersionConflictError):
         raise outcome.error
     return await _configure(self, kind, if_match, body)
@@ -137,9 +137,9 @@
 _PATCHES: dict[Mistake, tuple[tuple[Any, str, Callable[..., Any]], ...]] = {
     Mistake.READS_FROM_MEMORY: ((HostedRegister, "read", _read_from_memory),),
     Mistake.LATE_JOBS: ((RegisterNode, "_decide", _decide_with_late_jobs),),
-    Mistake.LONE_DRAINS: ((HeartbeatHandler, "_held", _held_alone),),
-    Mistake.KEEPS_WEAK_SOURCES: ((SourceChoice, "answered", _answered_whatever_its_quorum),),
-    Mistake.TAKES_OLDER_CONFIGURATION: ((FollowerView, "take", _take_older),),
+    Mistake.LONE_DRAINS: ((HeartbeatHandler, "_is_replicated", _always_replicated),),
+    Mistake.KEEPS_WEAK_SOURCES: ((SourceSelector, "answered", _answered_whatever_its_quorum),),
+    Mistake.TAKES_OLDER_CONFIGURATION: ((FollowerView, "apply_update", _apply_older),),
     Mistake.FORGETS_DIGESTS: ((ControlState, "with_configuration", _with_last_digest_alone),),
     Mistake.NO_COMPARISON: ((operator_requests, "judge", _judge_without_comparison),),
     Mistake.REFUSES_BY_MEMORY: ((operator_requests.OperatorRequests, "configure", _configure_by_memory),),
--- a/emberring/simulation/control_plane/schedule.py
+++ b/emberring/simulation/control_plane/schedule.py
@@ -122,41 +122,41 @@
 def make_schedule(seed: int) -> Schedule:
     """The schedule of a seed. One in four is about long cuts, one about losses, one about orders in a row at all nodes
     over slow ways, one has anything."""
-    chance = random.Random(f"control {seed}")
+    rng = random.Random(f"control {seed}")
     theme = seed % 4
     span_s = CUT_SPAN_S if theme == 0 else SPAN_S
     steps: list[Step] = []
     if theme == 0:
-        steps += _cuts(chance)
+        steps += _cuts(rng)
     elif theme == 1:
-        steps += _some(chance, LOSSES, span_s, 5)
+        steps += _some(rng, LOSSES, span_s, 5)
     elif theme == 2:
-        steps += [Step(chance.random(), Kind.MANY, number) for number in range(3)]
-        steps += _some(chance, CROWDS, span_s, 4)
+        steps += [Step(rng.random(), Kind.MANY, number) for number in range(3)]
+        steps += _some(rng, CROWDS, span_s, 4)
     else:
-        steps += _some(chance, TROUBLES, span_s, MOST_TROUBLES)
-    steps += _some(chance, CLIENTS, span_s, 26)
+        steps += _some(rng, TROUBLES, span_s, MOST_TROUBLES)
+    steps += _some(rng, CLIENTS, span_s, 26)
     return Schedule(
         seed,
         tuple(sorted(steps, key=lambda step: step.at_s)),
         span_s,
-        spares=chance.choice((0, 0, 1, 2)),
-        slowest_s=chance.choice((0.03, 0.12) if theme == 2 else (0.003, 0.003, 0.03, 0.12)),
-        slow_share=chance.choice((1.0, 0.1) if theme == 2 else (1.0,)),
-        sync_s=chance.choice((0.001, 0.004, 0.03)),
+        spares=rng.choice((0, 0, 1, 2)),
+        slowest_s=rng.choice((0.03, 0.12) if theme == 2 else (0.003, 0.003, 0.03, 0.12)),
+        slow_share=rng.choice((1.0, 0.1) if theme == 2 else (1.0,)),
+        sync_s=rng.choice((0.001, 0.004, 0.03)),
     )
 
 
-def _cuts(chance: random.Random) -> list[Step]:
+def _cuts(rng: random.Random) -> list[Step]:
     """Cuts of 15 to 25 s, with orders and reads at either side, beside at most three other troubles."""
-    at_s = chance.random() * 2
-    steps = [Step(at_s, chance.choice(CUTS), chance.randrange(6), 15 + chance.random() * 10)]
-    return steps + _some(chance, TROUBLES, CUT_SPAN_S, 3)
+    at_s = rng.random() * 2
+    steps = [Step(at_s, rng.choice(CUTS), rng.randrange(6), 15 + rng.random() * 10)]
+    return steps + _some(rng, TROUBLES, CUT_SPAN_S, 3)
 
 
-def _some(chance: random.Random, kinds: tuple[Kind, ...], span_s: float, most: int) -> list[Step]:
+def _some(rng: random.Random, kinds: tuple[Kind, ...], span_s: float, most: int) -> list[Step]:
     steps = []
-    for _ in range(chance.randint(1, most)):
-        lasts_s = 0.05 + chance.random() ** 2 * 5
-        steps.append(Step(chance.random() * span_s, chance.choice(kinds), chance.randrange(12), lasts_s))
+    for _ in range(rng.randint(1, most)):
+        lasts_s = 0.05 + rng.random() ** 2 * 5
+        steps.append(Step(rng.random() * span_s, rng.choice(kinds), rng.randrange(12), lasts_s))
     return steps
--- a/emberring/simulation/scale/control_plane.py
+++ b/emberring/simulation/scale/control_plane.py
@@ -83,14 +83,14 @@
         address = seeds[number]
         me = NodeRecord(f"core-{number}", NodeRole.CONTROL, address, f"zone-{number}", address, f"{number}.1")
         self.network = HollowNetwork(hub, address)
-        self.board = ClusterState(0.0, me, seeds, HEARTBEAT_S)
+        self.cluster_state = ClusterState(0.0, me, seeds, HEARTBEAT_S)
         rule = ReplicationPolicy(len(seeds) - 1, FaultTolerance(1, 0, 0), {})
         replicas = frozenset(seeds)  # a control node's identity is its address here
-        self.desk = HeartbeatHandler(
-            self.board, rule, lambda found: 2 * len(found & replicas) > len(replicas)
+        self.heartbeat_handler = HeartbeatHandler(
+            self.cluster_state, rule, lambda found: 2 * len(found & replicas) > len(replicas)
         )
-        self._exchanger = Exchanger(self.network, self.board)
-        self.network.handle(Pull, UpdateStream(self.board).on_pull)
+        self._exchanger = Exchanger(self.network, self.cluster_state)
+        self.network.handle(Pull, UpdateStream(self.cluster_state).on_pull)
 
     def start(self) -> None:
         """Begin to exchange."""
@@ -162,7 +162,7 @@
                 "Sequence": self._sequence,
             }
         )
-        await control.desk.heartbeat(f"i-{number:08x}", body)
+        await control.heartbeat_handler.heartbeat(f"i-{number:08x}", body)
 
     def configure(self, version: int, controls: Sequence[HollowControl] | None = None) -> None:
         """A configuration is chosen: the registers of these control nodes, of all if left out, say so."""
@@ -174,7 +174,7 @@
         document = {"Version": version, "Routes": routes, "Services": [{"Name": SERVICE}], "Limits": {}}
         state = ControlState(version=version, packed=pack(orjson.dumps(document)))
         for control in self.controls if controls is None else controls:
-            control.board.take_state(state)
+            control.cluster_state.apply_state(state)
 
 
 async def started(size: Size) -> World:
--- a/emberring/simulation/scale/partition.py
+++ b/emberring/simulation/scale/partition.py
@@ -76,17 +76,17 @@
         began_s = loop.time()
         for network in self._parted_networks():
             network.side = PARTED
-        self.parted_control.board.quorum_age_s = lambda: loop.time() - began_s
+        self.parted_control.cluster_state.quorum_age_s = lambda: loop.time() - began_s
 
     def end(self) -> None:
         for network in self._parted_networks():
             network.side = ""
-        self.parted_control.board.quorum_age_s = lambda: 0.0
+        self.parted_control.cluster_state.quorum_age_s = lambda: 0.0
 
 
 def _counts(controls: Sequence[HollowControl], gateways: int) -> Callable[[], bool]:
     loop = asyncio.get_running_loop()
-    return lambda: all(one.board.gateways(loop.time()) == gateways for one in controls)
+    return lambda: all(one.cluster_state.gateways(loop.time()) == gateways for one in controls)
 
 
 def _know(gateways: Sequence[HollowGateway], servers: int) -> Callable[[], bool]:
--- a/tests/emberring/control/test_tier_cluster_state_simulation.py
+++ b/tests/emberring/control/test_tier_cluster_state_simulation.py
@@ -44,7 +44,7 @@
 @attrs.define
 class AControl:
     address: str
-    board: ClusterState
+    cluster_state: ClusterState
     up: bool = True
     frozen: bool = False
 
@@ -70,7 +70,7 @@
         self.starts = 0
         self.cuts: set[frozenset[str]] = set()
         self.seeds = ["c0", "c1", "c2"]
-        self.controls = [AControl(address, self._new_board(address)) for address in self.seeds]
+        self.controls = [AControl(address, self._new_cluster_state(address)) for address in self.seeds]
         self.followers = [
             AFollower(NodeRecord(name, role, name, "zone", name, "1"), FollowerView(0.0))
             for name, role in (("e0", NodeRole.GATEWAY), ("e1", NodeRole.GATEWAY), ("s0", NodeRole.STORE))
@@ -79,14 +79,14 @@
         self.core_trouble_s = -CONTACT_S
         self.is_calm = False
 
-    def _new_board(self, address: str) -> ClusterState:
+    def _new_cluster_state(self, address: str) -> ClusterState:
         self.starts += 1
         me = NodeRecord(
             f"core-{address}", NodeRole.CONTROL, address, "zone", address, f"{address}.{self.starts}"
         )
-        board = ClusterState(self.now_s, me, self.seeds, BEAT_S)
-        board.quorum_age_s = lambda: 0.0 if self._has_majority(address) else 5.0
-        return board
+        cluster_state = ClusterState(self.now_s, me, self.seeds, BEAT_S)
+        cluster_state.quorum_age_s = lambda: 0.0 if self._has_majority(address) else 5.0
+        return cluster_state
 
     def _has_majority(self, address: str) -> bool:
         return (
@@ -102,7 +102,7 @@
         self.now_s += STEP_S
         for control in self.controls:
             if control.answers:
-                control.board.tick(self.now_s)
+                control.cluster_state.tick(self.now_s)
         self.exchange()
         self.beat()
         for follower in self.followers:
@@ -115,24 +115,24 @@
         for control in self.controls:
             if not control.answers:
                 continue
-            for peer in control.board.peers.due(self.now_s):
-                control.board.peers.began(self.now_s, peer)
+            for peer in control.cluster_state.peers.due(self.now_s):
+                control.cluster_state.peers.exchange_began(self.now_s, peer)
                 answered = self._exchange_with(control, peer)
-                control.board.peers.ended(self.now_s, peer, answered)
+                control.cluster_state.peers.exchange_ended(self.now_s, peer, answered)
 
     def _exchange_with(self, control: AControl, peer: Peer) -> bool:
         address = peer.address
         other = next((one for one in self.controls if one.address == address), None)
         if other is None or not other.answers or not self._linked(control.address, address):
             return False
-        said = control.board.exchange_for(self.now_s, peer)
+        said = control.cluster_state.exchange_for(self.now_s, peer)
         fate = self.random.random()
         if fate < 0.03:
             return False
-        answer = other.board.on_exchange(self.now_s, said)
+        answer = other.cluster_state.on_exchange(self.now_s, said)
         if fate < 0.06:
             return False
-        control.board.take_exchange(self.now_s, answer)
+        control.cluster_state.apply_exchange(self.now_s, answer)
         return True
 
     def beat(self) -> None:
@@ -145,10 +145,10 @@
                 server.next_beat_s = self.now_s + 0.2
                 continue
             control = self.random.choice(ready)
-            control.board.on_heartbeat(self.now_s, server.beat())
+            control.cluster_state.on_heartbeat(self.now_s, server.beat())
             if server.state is ServerState.DRAINING and server.drained_s is None:
                 self.exchange()
-                if control.board.peers_knowing_end(self.now_s, server.name) and self._stable():
+                if control.cluster_state.peers_knowing_end(self.now_s, server.name) and self._stable():
                     server.drained_s = self.now_s
                     if not self.is_calm and self.random.random() < 0.3:
                         self.kill(control)
@@ -160,18 +160,18 @@
         asked = [control for control in self.controls if control.answers]
         self.random.shuffle(asked)
         for control in asked[:2]:
-            follower.view.take(self.now_s, self._answer(control, follower))
+            follower.view.apply_update(self.now_s, self._answer(control, follower))
 
     def _answer(self, control: AControl, follower: AFollower) -> Update:
-        view, board = follower.view, control.board
-        pull = Pull(follower.record, dict(view.store.vector))
-        board.node_called(self.now_s, pull.sender)
+        view, cluster_state = follower.view, control.cluster_state
+        pull = Pull(follower.record, dict(view.status_table.vector))
+        cluster_state.on_node_contact(self.now_s, pull.sender)
         return Update(
-            writer_incarnation=board.me.incarnation,
-            quorum_age_ms=board.quorum_age_s() * 1000,
-            delta=board.store.newer_than(pull.vector, gateways=False),
-            live_writers=tuple(board.live_writers(self.now_s)),
-            gateways=board.gateways(self.now_s),
+            writer_incarnation=cluster_state.me.incarnation,
+            quorum_age_ms=cluster_state.quorum_age_s() * 1000,
+            delta=cluster_state.status_table.newer_than(pull.vector, gateways=False),
+            live_writers=tuple(cluster_state.live_writers(self.now_s)),
+            gateways=cluster_state.gateways(self.now_s),
         )
 
     # -- troubles
@@ -183,7 +183,7 @@
     def restart(self, control: AControl) -> None:
         if not control.up:
             control.up, control.frozen = True, False
-            control.board = self._new_board(control.address)
+            control.cluster_state = self._new_cluster_state(control.address)
 
     def trouble(self) -> None:
         control = self.random.choice(self.controls)
@@ -256,7 +256,7 @@
             assert set(follower.view.nodes) == {"core-c0", "core-c1", "core-c2", "s0"}
             assert follower.view.gateways == 2
         for control in self.controls:
-            live = {record.name for record in control.board.live_nodes(self.now_s)}
+            live = {record.name for record in control.cluster_state.live_nodes(self.now_s)}
             assert live == {"core-c0", "core-c1", "core-c2", "s0", "e0", "e1"}
 
 
@@ -289,12 +289,12 @@
     for _ in range(20):
         world.step()
     first, second = world.controls[0], world.controls[1]
-    peer = next(peer for peer in first.board.peers.live(world.now_s) if peer.address == "c1")
-    said = first.board.exchange_for(world.now_s, peer)
+    peer = next(peer for peer in first.cluster_state.peers.live(world.now_s) if peer.address == "c1")
+    said = first.cluster_state.exchange_for(world.now_s, peer)
     world.kill(second)
     world.restart(second)
-    second.board.on_exchange(
+    second.cluster_state.on_exchange(
         world.now_s, attrs.evolve(said, delta=attrs.evolve(said.delta, vector={"c0.1": 99}))
     )
-    assert "c0.1" not in second.board.store.vector
-    assert second.board.on_exchange(world.now_s, said).delta != Delta()
+    assert "c0.1" not in second.cluster_state.status_table.vector
+    assert second.cluster_state.on_exchange(world.now_s, said).delta != Delta()
--- a/tests/emberring/control/test_tier_control_hard.py
+++ b/tests/emberring/control/test_tier_control_hard.py
@@ -24,7 +24,7 @@
 from emberring.transport.messages import Ok
 from emberring.transport.network import Network
 
-PATIENCE_S = 1.0  # an operator's, for a small order
+FIRST_CONFIGURATION_TIMEOUT_S = 1.0  # an operator's, for a small order
 
 
 async def put(cluster: Cluster, index: int, version: int, base: int, **changes: object) -> int:
@@ -136,7 +136,7 @@
         assert await put(cluster, 0, 5, 2) >= 500
         assert await put(cluster, 0, 5, 1) >= 500  # it can't know which version is current
         assert (await cluster.http(0, "GET", "/v1/config")).status >= 500
-        assert now() - began < PATIENCE_S
+        assert now() - began < FIRST_CONFIGURATION_TIMEOUT_S
         assert await put(cluster, 1, 5, 2) == 200
 
     on_cluster(scenario)
@@ -165,14 +165,14 @@
         began = now()
         answer = await cluster.http(0, "PUT", "/v1/instances/i-1", a_heartbeat(1, "draining"))
         assert answer.status == 503
-        assert now() - began < PATIENCE_S
+        assert now() - began < FIRST_CONFIGURATION_TIMEOUT_S
         assert (await cluster.http(0, "PUT", "/v1/instances/i-2", a_heartbeat(1))).status == 200
         assert (await cluster.http(0, "DELETE", "/v1/instances/i-2")).status == 503
         await cluster.start(1)
-        await eventually(lambda: len(cluster.node(0).board.live_writers(now())) == 2)
+        await eventually(lambda: len(cluster.node(0).cluster_state.live_writers(now())) == 2)
         assert (await cluster.http(0, "PUT", "/v1/instances/i-1", a_heartbeat(2, "draining"))).status == 200
         assert (await cluster.http(0, "DELETE", "/v1/instances/i-2")).status == 200
-        known = cluster.node(1).board.store.servers()
+        known = cluster.node(1).cluster_state.status_table.servers()
         assert (known["i-1"].state, known["i-2"].state) == (ServerState.DRAINING, ServerState.GONE)
 
     on_cluster(scenario)
@@ -186,10 +186,10 @@
         await cluster.stop(1, 2)
         drain = await cluster.http(0, "PUT", "/v1/instances/i-1", a_heartbeat(1, "draining"))
         assert drain.status == 503  # the fourth node knows it, but is no replica
-        assert cluster.node(3).board.store.servers()["i-1"].state is ServerState.DRAINING
+        assert cluster.node(3).cluster_state.status_table.servers()["i-1"].state is ServerState.DRAINING
         assert (await cluster.http(3, "DELETE", "/v1/instances/i-1")).status == 503
         await cluster.start(1)
-        await eventually(lambda: len(cluster.node(0).board.live_writers(now())) == 3)
+        await eventually(lambda: len(cluster.node(0).cluster_state.live_writers(now())) == 3)
         assert (await cluster.http(0, "PUT", "/v1/instances/i-1", a_heartbeat(2, "draining"))).status == 200
 
     on_cluster(scenario, count=4)
@@ -205,7 +205,7 @@
             await eventually(lambda: first.placement is not None)
             assert await settled(cluster, "store-9") == 404
             cluster.shared.up.discard("identity-0")
-            await eventually(lambda: cluster.node(0).board.settled_s(now()) < 0.5)
+            await eventually(lambda: cluster.node(0).cluster_state.stable_for_s(now()) < 0.5)
             cluster.shared.up.add("identity-0")
             for name in (
                 "store-9",
@@ -232,7 +232,7 @@
             assert now() - acknowledged < 1.5
             late = await cluster.http(1, "PUT", "/v1/instances/i-1", a_heartbeat(1))
             assert late.status == 200
-            assert cluster.node(1).board.store.servers()["i-1"].state is ServerState.DRAINING
+            assert cluster.node(1).cluster_state.status_table.servers()["i-1"].state is ServerState.DRAINING
 
     on_cluster(scenario)
 
@@ -312,11 +312,11 @@
             await eventually(lambda: first.placement is not None)
             assert first.placement is not None
             assert len(first.placement.stores) == 3
-            await eventually(lambda: len(cluster.node(0).board.live_nodes(now())) == 6)
+            await eventually(lambda: len(cluster.node(0).cluster_state.live_nodes(now())) == 6)
             assert await settled(cluster, "store-9") == 404
             assert await settled(cluster, "store-1") == 409
             async with AFollower(cluster.seeds, "store-4", NodeRole.STORE):
-                await eventually(lambda: len(cluster.node(1).board.live_nodes(now())) == 7)
+                await eventually(lambda: len(cluster.node(1).cluster_state.live_nodes(now())) == 7)
                 answer = await cluster.http(1, "POST", "/v1/retire/store-1", {"DurationS": 10})
                 assert (answer.status, answer.json) == (200, {"State": "active"})
                 again = await cluster.http(2, "POST", "/v1/retire/store-1", {"DurationS": 10})
@@ -354,7 +354,7 @@
         for method, path, status in ODD:
             assert (await cluster.http(0, method, path)).status == status, (method, path)
         assert (await cluster.http(0, "PUT", "/v1/instances/a%2Fb", a_heartbeat(1))).status == 200
-        assert "a/b" in cluster.node(0).board.store.servers()
+        assert "a/b" in cluster.node(0).cluster_state.status_table.servers()
 
     on_cluster(scenario)
 
@@ -363,7 +363,7 @@
     async def scenario(cluster: Cluster) -> None:
         async with AFollower(cluster.seeds) as follower:
             await eventually(lambda: len(follower.nodes) == 3)
-            cluster.node(0).leave()
+            cluster.node(0).announce_shutdown()
             await eventually(lambda: follower.nodes["core-0"].leaving)
             await cluster.stop(0)
             await eventually(lambda: "core-0" not in follower.nodes)
--- a/tests/emberring/control/test_tier_control_node.py
+++ b/tests/emberring/control/test_tier_control_node.py
@@ -44,7 +44,7 @@
             await eventually(lambda: "i-1" in follower.servers, 0.5)
             drain = await cluster.http(1, "PUT", "/v1/instances/i-1", a_heartbeat(2, "draining"))
             assert drain.status == 200
-            holders = [node.board.store.servers()["i-1"].state for node in alive(cluster)]
+            holders = [node.cluster_state.status_table.servers()["i-1"].state for node in alive(cluster)]
             assert holders.count(ServerState.DRAINING) >= 2
             await eventually(lambda: follower.servers["i-1"].state is ServerState.DRAINING, 0.5)
             late = await cluster.http(2, "PUT", "/v1/instances/i-1", a_heartbeat(1))
--- a/tests/emberring/control/test_tier_control_register.py
+++ b/tests/emberring/control/test_tier_control_register.py
@@ -74,8 +74,8 @@
         settings, network = self.settings(number, bootstrap, seeds), Network()
         register = RegisterService(settings, network, self.disk(number) / "register")
         await register.start()
-        remembered = PeerCache(self.disk(number) / "control-nodes")
-        node = ControlNode(settings, network, register, remembered=remembered)
+        peer_cache = PeerCache(self.disk(number) / "control-nodes")
+        node = ControlNode(settings, network, register, peer_cache=peer_cache)
         await network.listen(f"{self.ip(number)}:{self.port + 1}")
         node.start()
         server = HttpServer(node.app, settings.listen.control_plane)
@@ -184,15 +184,15 @@
         await core.kill(0, wipe=True)
         await core.start(3)
         assert await core.put_until_clear(5, 1) == 200
-        await eventually(lambda: core.running[3].node.board.state.version == 5, 10.0)
+        await eventually(lambda: core.running[3].node.cluster_state.state.version == 5, 10.0)
         await eventually(lambda: {"core-1", "core-2", "core-3"} == names(core, 1), 10.0)
         await core.joined(3)
         await core.kill(1)  # the newcomer and one of the old ones are a majority now
         assert await core.put_until_clear(9, 5) == 200
 
     def names(core: Core, number: int) -> set[str]:
-        board = core.running[number].node.board
-        return {record.name for record in board.live_nodes(now())}
+        cluster_state = core.running[number].node.cluster_state
+        return {record.name for record in cluster_state.live_nodes(now())}
 
     on_core(tmp_path, scenario)
 
--- a/tests/emberring/control/test_tier_peer_cache.py
+++ b/tests/emberring/control/test_tier_peer_cache.py
@@ -45,7 +45,7 @@
         cluster.shared.up = {"identity-1", "identity-2"}
         await cluster.start(1, 2)
         await cluster.start(0, seeds=[cluster.seeds[0]])
-        cluster.node(0).board.peers.note(now(), cluster.seeds[1:])
+        cluster.node(0).cluster_state.peers.add(now(), cluster.seeds[1:])
         async with AFollower(cluster.seeds[:1]) as follower:
             await eventually(lambda: follower.in_contact)
 
--- a/tests/emberring/control/test_tier_replaced_nodes.py
+++ b/tests/emberring/control/test_tier_replaced_nodes.py
@@ -28,19 +28,19 @@
     for _ in range(2):
         for asker, asked in ((first, second), (second, first)):
             peer = next(peer for peer in asker.peers.due(now_s) if peer.address == asked.me.address)
-            asker.take_exchange(now_s, asked.on_exchange(now_s, asker.exchange_for(now_s, peer)))
+            asker.apply_exchange(now_s, asked.on_exchange(now_s, asker.exchange_for(now_s, peer)))
 
 
 def replace_control_node_then(role: NodeRole) -> tuple[ClusterState, ClusterState]:
     """The control nodes that live after one of them, and after that a node of this role, were replaced."""
     first, second = control(0, start=1), control(1, start=1)
     for each in (first, second):
-        each.node_called(0.1, node(role, start=1))
+        each.on_node_contact(0.1, node(role, start=1))
     exchange(0.2, first, second)
     replacement = control(0, start=2)  # learns from the second what its own ended incarnation stated
     exchange(0.5, replacement, second)
     for each in (replacement, second):
-        each.node_called(2.0, node(role, start=2))
+        each.on_node_contact(2.0, node(role, start=2))
     return replacement, second
 
 
@@ -52,7 +52,7 @@
         for each in (replacement, second):
             known = [record.incarnation for record in each.live_nodes(now_s) if record.name == "node-1"]
             assert known == ["n2"], (step, each.me.name)
-            each.node_called(now_s, node(role, start=2))
+            each.on_node_contact(now_s, node(role, start=2))
 
 
 def test_an_ended_control_node_does_not_contradict_a_store_s_new_incarnation() -> None:
@@ -66,9 +66,9 @@
 def test_a_live_control_node_s_newer_incarnation_still_replaces_an_older_one() -> None:
     first, second = control(0, start=1), control(1, start=1)
     exchange(0.1, first, second)
-    first.node_called(0.2, node(NodeRole.STORE, start=1))
+    first.on_node_contact(0.2, node(NodeRole.STORE, start=1))
     exchange(0.3, first, second)
-    second.node_called(0.4, node(NodeRole.STORE, start=2))
+    second.on_node_contact(0.4, node(NodeRole.STORE, start=2))
     exchange(0.5, first, second)
     assert first.contacts.record_of("node-1") is None
     known = [record.incarnation for record in first.live_nodes(0.5) if record.name == "node-1"]
--- a/tests/emberring/control/test_tier_replication_policy.py
+++ b/tests/emberring/control/test_tier_replication_policy.py
@@ -40,8 +40,8 @@
 def test_a_fact_outlives_what_may_be_lost_at_once(
     tolerance: FaultTolerance, others: int, holders: list[str], met: list[str], enough: bool
 ) -> None:
-    rule = ReplicationPolicy(others, tolerance, REGIONS)
-    assert rule.satisfied(at("a1")[0], at(*holders), at(*met)) is enough
+    policy = ReplicationPolicy(others, tolerance, REGIONS)
+    assert policy.is_satisfied(at("a1")[0], at(*holders), at(*met)) is enough
 
 
 def test_the_replicas_that_may_be_lost() -> None:
--- a/tests/emberring/control/test_tier_suspicion_table.py
+++ b/tests/emberring/control/test_tier_suspicion_table.py
@@ -8,8 +8,8 @@
 from emberring.control import suspicion_table
 from emberring.control.cluster_state import ClusterState
 from emberring.control.status_page import StatusPage
-from emberring.control.suspicion_table import WELL_AFTER_S, SuspicionTable
-from emberring.distribution.contacts import LOAD_FRESH_S, Contacts, Report
+from emberring.control.suspicion_table import RECOVERED_AFTER_S, SuspicionTable
+from emberring.distribution.contacts import LOAD_FRESH_S, Contacts, LoadReport
 from emberring.distribution.records import NodeRecord, NodeRole, ServerRecord, ServerState
 from emberring.registry.faults import sum_suspicions
 
@@ -32,14 +32,14 @@
     return NodeRecord(f"edge-{number}", NodeRole.GATEWAY, f"10.0.1.{number}:70", "z", "", f"e{number}")
 
 
-def board(number: int) -> ClusterState:
+def cluster_state(number: int) -> ClusterState:
     seeds = [f"10.0.0.{other}:70" for other in range(2)]
     me = NodeRecord(f"core-{number}", NodeRole.CONTROL, seeds[number], "z", f"d{number}", f"c{number}")
     return ClusterState(0.0, me, seeds, 1.2)
 
 
 @pytest.mark.parametrize(
-    ("troubles", "gateways", "failing"),
+    ("faults", "gateways", "failing"),
     [
         ({}, 5, False),
         ({"silent": 1}, 5, False),  # one gateway may be mistaken
@@ -48,10 +48,10 @@
         ({"silent": 1}, 1, True),  # there is no other
     ],
 )
-def test_who_must_agree(troubles: dict[str, int], gateways: int, failing: bool) -> None:
-    ledger = SuspicionTable(lambda: {SERVER.id: SERVER})
-    ledger.look(1.0, {SERVER.id: troubles} if troubles else {}, gateways)
-    assert (SERVER.id in ledger.failing) is failing
+def test_who_must_agree(faults: dict[str, int], gateways: int, failing: bool) -> None:
+    table = SuspicionTable(lambda: {SERVER.id: SERVER})
+    table.check(1.0, {SERVER.id: faults} if faults else {}, gateways)
+    assert (SERVER.id in table.failing) is failing
 
 
 @pytest.mark.parametrize(
@@ -69,32 +69,32 @@
 ) -> None:
     lines = Lines()
     monkeypatch.setattr(suspicion_table, "logger", lines)
-    ledger = SuspicionTable(lambda: {SERVER.id: SERVER})
-    for turn, troubles in enumerate(told * 3):
-        ledger.look(1.0 + 0.1 * turn, {SERVER.id: troubles}, 5)
-    assert ledger.failing[SERVER.id].warned is warned
+    table = SuspicionTable(lambda: {SERVER.id: SERVER})
+    for turn, faults in enumerate(told * 3):
+        table.check(1.0 + 0.1 * turn, {SERVER.id: faults}, 5)
+    assert table.failing[SERVER.id].warned is warned
     assert len(lines.warnings) == int(warned)
     assert all(SERVER.address in line for line in lines.warnings)
 
 
 def test_it_lasts_until_nobody_has_said_so_for_a_while() -> None:
-    ledger = SuspicionTable(dict)
-    ledger.look(1.0, {"i-1": {"silent": 2}}, 5)
-    ledger.look(3.0, {"i-1": {"failing": 3}}, 5)
-    ledger.look(3.0 + WELL_AFTER_S - 0.1, {}, 5)
-    held = ledger.failing["i-1"]
-    assert (held.since_s, held.troubles) == (1.0, {"failing": 3})
-    ledger.look(3.0 + WELL_AFTER_S, {}, 5)
-    assert ledger.failing == {}
+    table = SuspicionTable(dict)
+    table.check(1.0, {"i-1": {"silent": 2}}, 5)
+    table.check(3.0, {"i-1": {"failing": 3}}, 5)
+    table.check(3.0 + RECOVERED_AFTER_S - 0.1, {}, 5)
+    held = table.failing["i-1"]
+    assert (held.since_s, held.faults) == (1.0, {"failing": 3})
+    table.check(3.0 + RECOVERED_AFTER_S, {}, 5)
+    assert table.failing == {}
 
 
 def test_gateways_word_is_counted_by_trouble_and_grows_old() -> None:
     contacts = Contacts()
-    contacts.note(0.0, gateway(1), Report({}, {"i-1": "silent"}))
-    contacts.note(0.0, gateway(2), Report({}, {"i-1": "silent", "i-2": "slow"}))
-    contacts.note(0.1, gateway(2))  # a pull that tells nothing takes nothing back
+    contacts.on_contact(0.0, gateway(1), LoadReport({}, {"i-1": "silent"}))
+    contacts.on_contact(0.0, gateway(2), LoadReport({}, {"i-1": "silent", "i-2": "slow"}))
+    contacts.on_contact(0.1, gateway(2))  # a pull that tells nothing takes nothing back
     assert contacts.suspects(0.2) == {"i-1": {"silent": 2}, "i-2": {"slow": 1}}
-    contacts.note(0.3, gateway(2), Report({}))
+    contacts.on_contact(0.3, gateway(2), LoadReport({}))
     assert contacts.suspects(0.4) == {"i-1": {"silent": 1}}
     assert contacts.suspects(LOAD_FRESH_S + 0.1) == {}
 
@@ -105,19 +105,19 @@
 
 
 def test_control_nodes_add_up_what_their_gateways_say_and_show_it() -> None:
-    first, second = board(0), board(1)
+    first, second = cluster_state(0), cluster_state(1)
     first.write_servers(0.0, [SERVER])
-    first.node_called(0.1, gateway(1), Report({}, {SERVER.id: "silent"}))
-    second.node_called(0.1, gateway(2), Report({}, {SERVER.id: "failing"}))
+    first.on_node_contact(0.1, gateway(1), LoadReport({}, {SERVER.id: "silent"}))
+    second.on_node_contact(0.1, gateway(2), LoadReport({}, {SERVER.id: "failing"}))
     for one in (first, second):
         one.tick(0.2)
-        assert one.suspicions.failing[SERVER.id].troubles.keys() < {"silent", "failing"}  # the one it heard
+        assert one.suspicions.failing[SERVER.id].faults.keys() < {"silent", "failing"}  # the one it heard
     for asker, asked in ((first, second), (second, first), (first, second)):
         peer = next(iter(asker.peers.due(1.0)))
-        asker.take_exchange(0.3, asked.on_exchange(0.3, asker.exchange_for(0.3, peer)))
+        asker.apply_exchange(0.3, asked.on_exchange(0.3, asker.exchange_for(0.3, peer)))
     for one in (first, second):
         one.tick(0.4)
-        assert one.suspicions.failing[SERVER.id].troubles == {"silent": 1, "failing": 1}
+        assert one.suspicions.failing[SERVER.id].faults == {"silent": 1, "failing": 1}
     shown = orjson.loads(StatusPage(first).render(1.4))["Servers"][0]
     assert shown["Troubles"] == {"silent": 1, "failing": 1}
     assert shown["FailingForS"] >= 1.0
--- a/tests/emberring/control/test_tier_update_stream.py
+++ b/tests/emberring/control/test_tier_update_stream.py
@@ -8,7 +8,7 @@
 
 from emberring.control.cluster_state import ClusterState
 from emberring.control.update_stream import UpdateStream
-from emberring.distribution.contacts import Report
+from emberring.distribution.contacts import LoadReport
 from emberring.distribution.load_report import LoadReportDetail
 from emberring.distribution.messages import Pull, Update
 from emberring.distribution.records import NodeRecord, NodeRole, ServerRecord, ServerState
@@ -27,22 +27,22 @@
     async def play() -> Update:
         now_s = asyncio.get_running_loop().time()
         me = NodeRecord("core-0", NodeRole.CONTROL, "10.0.0.1:70", "z", "d0", "c0")
-        board = ClusterState(now_s - 20.0, me, [me.address], 1.2)
+        cluster_state = ClusterState(now_s - 20.0, me, [me.address], 1.2)
         servers = [
             ServerRecord(name, "llm", f"{name}:1", "z", 12, ServerState.READY, 1) for name in ("a", "b")
         ]
-        board.write_servers(now_s - 20.0, servers)
+        cluster_state.write_servers(now_s - 20.0, servers)
         for step in range(100):  # as long as it takes until that is usual
             then_s = now_s - 20.0 + 0.2 * step
-            board.node_called(then_s, gateway(1), Report({"a": 3, "b": 2}))
-            board.load.usual(then_s, ())
-        return await UpdateStream(board).on_pull(pull, CALLER)
+            cluster_state.on_node_contact(then_s, gateway(1), LoadReport({"a": 3, "b": 2}))
+            cluster_state.load.smoothed(then_s, ())
+        return await UpdateStream(cluster_state).on_pull(pull, CALLER)
 
     return asyncio.run(play())
 
 
 @pytest.mark.parametrize(
-    ("word", "load", "calls", "usual"),
+    ("load_detail", "load", "calls", "usual"),
     [
         (LoadReportDetail.TOTALS, {"a": 1}, {}, {}),
         (LoadReportDetail.EVERY_SERVER, {"a": 1}, {"a": 4, "b": 2}, {}),
@@ -57,12 +57,14 @@
     ],
 )
 def test_what_is_told(
-    word: LoadReportDetail, load: dict[str, int], calls: dict[str, int], usual: dict[str, float]
+    load_detail: LoadReportDetail, load: dict[str, int], calls: dict[str, int], usual: dict[str, float]
 ) -> None:
-    update = answer_to(Pull(gateway(2), {}, load=load, reports_load=True, load_detail=word))
+    update = answer_to(Pull(gateway(2), {}, load=load, reports_load=True, load_detail=load_detail))
     assert update.server_load == calls
     assert {name: update.smoothed_load[name] for name in usual} == pytest.approx(usual, abs=0.2)
-    assert set(update.smoothed_load) == (set(load) if word is LoadReportDetail.SERVERS_IN_USE else set())
+    assert set(update.smoothed_load) == (
+        set(load) if load_detail is LoadReportDetail.SERVERS_IN_USE else set()
+    )
     assert update.service_load == {"llm": 5 + load.get("a", 0)}
 
 
--- a/tests/emberring/control/tier_control_fixture.py
+++ b/tests/emberring/control/tier_control_fixture.py
@@ -216,7 +216,7 @@
         await cluster.start()
         try:
             await eventually(
-                lambda: all(len(node.board.live_writers(now())) == count for node in alive(cluster))
+                lambda: all(len(node.cluster_state.live_writers(now())) == count for node in alive(cluster))
             )
             await scenario(cluster)
         finally:
--- a/tests/emberring/distribution/test_tier_calls_in_flight.py
+++ b/tests/emberring/distribution/test_tier_calls_in_flight.py
@@ -9,10 +9,14 @@
 
 from emberring.control.change_notifier import ChangeNotifier
 from emberring.control.cluster_state import ClusterState
-from emberring.control.load_aggregator import NEGLIGIBLE, LoadAggregator
-from emberring.distribution.contacts import LOAD_FRESH_S, Contacts, Report
+from emberring.control.load_aggregator import NEGLIGIBLE_CALLS, LoadAggregator
+from emberring.distribution.contacts import LOAD_FRESH_S, Contacts, LoadReport
 from emberring.distribution.follower import Follower
-from emberring.distribution.load_report import FREQUENT_PAIRS, LoadReportDetail, LoadReportSchedule
+from emberring.distribution.load_report import (
+    MAX_PAIRS_FOR_EVERY_SERVER,
+    LoadReportDetail,
+    LoadReportSchedule,
+)
 from emberring.distribution.messages import Delta, Exchange, Pull, ServerEntry, Update
 from emberring.distribution.records import NodeRecord, NodeRole, ServerRecord, ServerState
 from emberring.distribution.view import FollowerView
@@ -37,7 +41,7 @@
         self.loads = list(loads)
         self.asked = 0
         servers = {name: server(name, service) for name, service in (("a", "x"), ("b", "x"), ("c", "y"))}
-        self.ledger = LoadAggregator(self._told, lambda now_s: 0.25, lambda: servers)
+        self.aggregator = LoadAggregator(self._told, lambda now_s: 0.25, lambda: servers)
 
     def _told(self, now_s: float) -> list[Mapping[str, int]]:
         self.asked += 1
@@ -46,49 +50,49 @@
 
 def test_sums_by_server_and_service_leave_out_what_has_none() -> None:
     sources = Sources({"a": 2, "b": 0}, {"a": 1, "c": 4, "unknown": 7})
-    assert sources.ledger.calls(1.0) == {"a": 3, "c": 4, "unknown": 7}
-    assert sources.ledger.totals(1.0) == {"x": 3, "y": 4}
+    assert sources.aggregator.calls(1.0) == {"a": 3, "c": 4, "unknown": 7}
+    assert sources.aggregator.totals(1.0) == {"x": 3, "y": 4}
 
 
 def test_all_who_ask_within_a_short_time_get_the_same_sums() -> None:
     sources = Sources({"a": 2})
     for _ in range(5):
-        sources.ledger.calls(1.0)
-        sources.ledger.totals(1.01)
-        sources.ledger.usual(1.01, ["a"])
+        sources.aggregator.calls(1.0)
+        sources.aggregator.totals(1.01)
+        sources.aggregator.smoothed(1.01, ["a"])
     assert sources.asked == 1
     sources.loads = [{"a": 5}]
-    assert sources.ledger.calls(1.03) == {"a": 5}
+    assert sources.aggregator.calls(1.03) == {"a": 5}
 
 
 def test_sums_over_many_servers_are_made_less_often() -> None:
     sources = Sources({f"s{number}": 1 for number in range(12_000)})
-    sources.ledger.calls(1.0)
-    sources.ledger.calls(1.25)
+    sources.aggregator.calls(1.0)
+    sources.aggregator.calls(1.25)
     assert sources.asked == 1
-    sources.ledger.calls(1.35)
+    sources.aggregator.calls(1.35)
     assert sources.asked == 2
 
 
 def test_usual_calls_follow_over_seconds_and_end() -> None:
     sources = Sources({"a": 8})
     for step in range(200):
-        sources.ledger.usual(step * 0.1, ())
-    assert sources.ledger.usual(20.0, ["a", "b"]) == {"a": pytest.approx(8.0, abs=0.1), "b": 0.0}
+        sources.aggregator.smoothed(step * 0.1, ())
+    assert sources.aggregator.smoothed(20.0, ["a", "b"]) == {"a": pytest.approx(8.0, abs=0.1), "b": 0.0}
     sources.loads = [{}]
-    assert sources.ledger.usual(20.0 + USUAL_S, ["a"])["a"] == pytest.approx(8.0 / 2.718, abs=0.1)
-    assert sources.ledger.usual(21.0 + 8 * USUAL_S, ["a"]) == {"a": 0.0}
-    assert sources.ledger.usual(21.0 + 8 * USUAL_S, ()) == {}
-    assert NEGLIGIBLE < 0.1
+    assert sources.aggregator.smoothed(20.0 + USUAL_S, ["a"])["a"] == pytest.approx(8.0 / 2.718, abs=0.1)
+    assert sources.aggregator.smoothed(21.0 + 8 * USUAL_S, ["a"]) == {"a": 0.0}
+    assert sources.aggregator.smoothed(21.0 + 8 * USUAL_S, ()) == {}
+    assert NEGLIGIBLE_CALLS < 0.1
 
 
 def test_an_empty_load_counts_only_from_who_tells_loads() -> None:
     contacts = Contacts()
     record = NodeRecord("edge-1", NodeRole.GATEWAY, "10.0.0.2:70", "zone")
-    contacts.note(0.0, record, Report({"i": 1}))
-    contacts.note(0.1, record)
+    contacts.on_contact(0.0, record, LoadReport({"i": 1}))
+    contacts.on_contact(0.1, record)
     assert contacts.load(0.2) == {"i": 1}
-    contacts.note(0.3, record, Report({}))
+    contacts.on_contact(0.3, record, LoadReport({}))
     assert contacts.load(0.4) == {}
 
 
@@ -97,8 +101,8 @@
     [
         (1, 5, 0.0),
         (GATEWAYS_BY_WORD, 12_000, 0.0),  # so few go by word of single servers
-        (100, FREQUENT_PAIRS // 100, 0.0),
-        (100, FREQUENT_PAIRS // 100 + 1, 3.0),
+        (100, MAX_PAIRS_FOR_EVERY_SERVER // 100, 0.0),
+        (100, MAX_PAIRS_FOR_EVERY_SERVER // 100 + 1, 3.0),
         (410, 12_000, 3.0),
     ],
 )
@@ -125,18 +129,18 @@
 
 def test_word_of_each_server_stays_where_only_the_totals_were_asked_for() -> None:
     view = FollowerView(0.0)
-    view.take(0.1, update({"i": 3}, {"x": 3}), word=LoadReportDetail.EVERY_SERVER)
-    view.take(0.2, update({}, {"x": 5}), word=LoadReportDetail.TOTALS)
+    view.apply_update(0.1, update({"i": 3}, {"x": 3}), load_detail=LoadReportDetail.EVERY_SERVER)
+    view.apply_update(0.2, update({}, {"x": 5}), load_detail=LoadReportDetail.TOTALS)
     assert view.load == KnownLoad({"i": 3}, None, {"x": 5}, pytest.approx(0.05))  # true when it was told
-    view.take(0.3, update({}, {}), word=LoadReportDetail.EVERY_SERVER)
+    view.apply_update(0.3, update({}, {}), load_detail=LoadReportDetail.EVERY_SERVER)
     assert view.load == KnownLoad({}, None, {}, pytest.approx(0.25))
 
 
 def test_a_control_node_that_is_cut_off_knows_no_load_and_is_not_taken_for_none() -> None:
     view = FollowerView(0.0)
-    view.take(0.1, update({"i": 3}, {"x": 3}))
+    view.apply_update(0.1, update({"i": 3}, {"x": 3}))
     for word in LoadReportDetail:
-        view.take(0.2, update({}, {}, quorum_age_ms=5000.0), word)
+        view.apply_update(0.2, update({}, {}, quorum_age_ms=5000.0), word)
         assert view.load == KnownLoad({"i": 3}, None, {"x": 3}, pytest.approx(0.05))
 
 
@@ -249,25 +253,25 @@
 
 def test_the_age_of_sums_goes_on_while_they_are_kept() -> None:
     sources = Sources({"a": 2})
-    assert sources.ledger.age_s(1.0) == pytest.approx(0.25)
-    assert sources.ledger.age_s(1.01) == pytest.approx(0.26)
-    assert sources.ledger.age_s(1.5) == pytest.approx(0.25)  # made anew
+    assert sources.aggregator.age_s(1.0) == pytest.approx(0.25)
+    assert sources.aggregator.age_s(1.01) == pytest.approx(0.26)
+    assert sources.aggregator.age_s(1.5) == pytest.approx(0.25)  # made anew
 
 
 def test_the_age_of_word_counts_from_the_gateways_reports() -> None:
     contacts = Contacts()
     assert contacts.load_age_s(1.0) == 0.0
-    contacts.note(1.0, gateway(1), Report({"a": 2}))
-    contacts.note(1.2, gateway(2), Report({"a": 3}))
+    contacts.on_contact(1.0, gateway(1), LoadReport({"a": 2}))
+    contacts.on_contact(1.2, gateway(2), LoadReport({"a": 3}))
     assert contacts.load_age_s(1.3) == pytest.approx(0.2)
     assert contacts.load_age_s(1.0 + LOAD_FRESH_S + 0.1) == pytest.approx(LOAD_FRESH_S - 0.1)
 
 
 def test_a_control_node_weighs_the_age_of_others_word_by_the_calls_it_tells_of() -> None:
     me = NodeRecord("core-0", NodeRole.CONTROL, "c0", "z", "", "x0")
-    board = ClusterState(0.0, me, ["c0", "c1"], 1.2)
-    assert board.load_age_s(1.0) == 0.0
-    board.node_called(1.0, gateway(1), Report({"a": 1}))
+    cluster_state = ClusterState(0.0, me, ["c0", "c1"], 1.2)
+    assert cluster_state.load_age_s(1.0) == 0.0
+    cluster_state.on_node_contact(1.0, gateway(1), LoadReport({"a": 1}))
     other = NodeRecord("core-1", NodeRole.CONTROL, "c1", "z", "", "x1")
-    board.take_exchange(1.1, Exchange(other, "x0", Delta(), {}, {}, {"a": 3}, load_age_ms=200.0))
-    assert board.load_age_s(1.2) == pytest.approx((1 * 0.2 + 3 * 0.3) / 4)
+    cluster_state.apply_exchange(1.1, Exchange(other, "x0", Delta(), {}, {}, {"a": 3}, load_age_ms=200.0))
+    assert cluster_state.load_age_s(1.2) == pytest.approx((1 * 0.2 + 3 * 0.3) / 4)
--- a/tests/emberring/distribution/test_tier_follower_view.py
+++ b/tests/emberring/distribution/test_tier_follower_view.py
@@ -10,12 +10,12 @@
 import pytest
 
 from emberring.configuration.reading import pack
-from emberring.distribution.contacts import Contacts, Report, summed
+from emberring.distribution.contacts import Contacts, LoadReport, sum_by_server
 from emberring.distribution.messages import Delta, Update
 from emberring.distribution.records import NodeRecord, NodeRole, ServerRecord, ServerState
-from emberring.distribution.sources import NEAR_AGAIN_S, SourceChoice
+from emberring.distribution.sources import SAME_ZONE_RETRY_S, SourceSelector
 from emberring.distribution.status_table import StatusTable
-from emberring.distribution.view import ORPHAN_S, PATIENCE_S, FollowerView
+from emberring.distribution.view import FIRST_CONFIGURATION_TIMEOUT_S, ORPHAN_S, FollowerView
 from emberring.placement.model import Placement
 
 READY, DRAINING, GONE, LOST = ServerState.READY, ServerState.DRAINING, ServerState.GONE, ServerState.LOST
@@ -33,16 +33,16 @@
     """A control node's answers."""
 
     def __init__(self, writer: str = "a") -> None:
-        self.store = StatusTable(writer)
+        self.status_table = StatusTable(writer)
 
     def tell(self, view: FollowerView, now_s: float, **parts: Any) -> bool:
         base = Update(
-            writer_incarnation=self.store.writer_incarnation,
+            writer_incarnation=self.status_table.writer_incarnation,
             quorum_age_ms=50.0,
-            delta=self.store.newer_than(view.store.vector),
-            live_writers=(self.store.writer_incarnation,),
+            delta=self.status_table.newer_than(view.status_table.vector),
+            live_writers=(self.status_table.writer_incarnation,),
         )
-        return view.take(now_s, attrs.evolve(base, **parts))
+        return view.apply_update(now_s, attrs.evolve(base, **parts))
 
 
 def test_nothing_is_known_at_first() -> None:
@@ -71,7 +71,7 @@
     (50.0, 0.1, True),  # from a control node with a majority
     (5000.0, 0.1, False),  # from one that has been cut off: it may be old
     (1e9, 0.1, False),
-    (5000.0, PATIENCE_S + 0.1, True),  # there is no other
+    (5000.0, FIRST_CONFIGURATION_TIMEOUT_S + 0.1, True),  # there is no other
 ]
 
 
@@ -100,22 +100,22 @@
 def test_servers_that_serve_or_drain_are_shown() -> None:
     view, control = FollowerView(0.0), AControl()
     for name, state in (("r", READY), ("d", DRAINING), ("g", GONE), ("l", LOST)):
-        control.store.write_server(server(name, state))
+        control.status_table.write_server(server(name, state))
     assert control.tell(view, 0.1)
     assert set(view.servers) == {"r", "d"}
     assert not control.tell(view, 0.2)
-    control.store.write_server(server("r", LOST, 2))
+    control.status_table.write_server(server("r", LOST, 2))
     assert control.tell(view, 0.3)
     assert set(view.servers) == {"d"}
-    control.store.write_server(server("r", READY, 3))
+    control.status_table.write_server(server("r", READY, 3))
     assert control.tell(view, 0.4)
     assert set(view.servers) == {"r", "d"}
 
 
 def test_a_drain_told_by_one_holds_against_another_that_has_not_heard_of_it() -> None:
     view, first, second = FollowerView(0.0), AControl("a"), AControl("b")
-    first.store.write_server(server("i", DRAINING, 5))
-    second.store.write_server(server("i", READY, 6))
+    first.status_table.write_server(server("i", DRAINING, 5))
+    second.status_table.write_server(server("i", READY, 6))
     first.tell(view, 0.1)
     second.tell(view, 0.2)
     assert view.servers["i"].state is DRAINING
@@ -123,12 +123,12 @@
 
 def test_servers_outlast_all_control_nodes_and_go_when_new_ones_do_not_list_them() -> None:
     view, old, new = FollowerView(0.0), AControl("old"), AControl("new")
-    old.store.write_server(server("stays"))
-    old.store.write_server(server("ended"))
+    old.status_table.write_server(server("stays"))
+    old.status_table.write_server(server("ended"))
     old.tell(view, 0.1)
     new.tell(view, 500.0)  # nobody answered for long: that says nothing about servers
     assert set(view.servers) == {"stays", "ended"}
-    new.store.write_server(server("stays", READY, 40))
+    new.status_table.write_server(server("stays", READY, 40))
     at_s = 500.0
     while at_s < 500.0 + ORPHAN_S - 1.5:
         at_s += 0.5
@@ -144,11 +144,11 @@
     """It heard the last heartbeats and told nobody else; others go on with what they heard."""
     view, ended, lives = FollowerView(0.0), AControl("ended"), AControl("lives")
     for name in ("lives", "dies"):
-        lives.store.write_server(server(name, READY, 1))
-        ended.store.write_server(server(name, READY, 5))
+        lives.status_table.write_server(server(name, READY, 1))
+        ended.status_table.write_server(server(name, READY, 5))
     ended.tell(view, 0.1)
     lives.tell(view, 0.2)
-    lives.store.write_server(server("dies", LOST, 3))
+    lives.status_table.write_server(server("dies", LOST, 3))
     at_s = 0.2
     while at_s < ORPHAN_S + 2.0:
         at_s += 0.5
@@ -161,12 +161,12 @@
     view, first, second = FollowerView(0.0), AControl("a"), AControl("b")
     store = NodeRecord("store-1", NodeRole.STORE, "10.0.0.1:70", "zone", "id", "x")
     edge = NodeRecord("edge-1", NodeRole.GATEWAY, "10.0.0.2:70", "zone", "", "y")
-    first.store.write_node(store, present=True)
-    first.store.write_node(edge, present=True)
+    first.status_table.write_node(store, present=True)
+    first.status_table.write_node(edge, present=True)
     first.tell(view, 0.1)
     assert set(view.nodes) == {"store-1"}
-    first.store.write_node(store, present=False)
-    second.store.write_node(store, present=True)
+    first.status_table.write_node(store, present=False)
+    second.status_table.write_node(store, present=True)
     first.tell(view, 0.2)
     assert view.nodes == {}
     second.tell(view, 0.3)
@@ -202,25 +202,25 @@
 def test_contacts_end_with_silence() -> None:
     contacts = Contacts()
     record = NodeRecord("edge-1", NodeRole.GATEWAY, "10.0.0.2:70", "zone")
-    assert contacts.note(0.0, record, Report({"i": 1}))
-    assert not contacts.note(0.5, record)
+    assert contacts.on_contact(0.0, record, LoadReport({"i": 1}))
+    assert not contacts.on_contact(0.5, record)
     assert contacts.load(1.0) == {"i": 1}
     assert contacts.load(1.5) == {}
-    assert contacts.note(0.6, attrs.evolve(record, leaving=True))
+    assert contacts.on_contact(0.6, attrs.evolve(record, leaving=True))
     assert contacts.expired(1.9) == []
     assert [one.name for one in contacts.expired(2.1)] == ["edge-1"]
-    assert contacts.note(2.2, record)
+    assert contacts.on_contact(2.2, record)
 
 
 def test_loads_are_added_up() -> None:
-    assert summed([{"i": 1, "j": 2}, {}, {"i": 4}]) == {"i": 5, "j": 2}
+    assert sum_by_server([{"i": 1, "j": 2}, {}, {"i": 4}]) == {"i": 5, "j": 2}
 
 
 # -- sources
 
 
-def choice(count: int = 3) -> SourceChoice:
-    return SourceChoice([f"c{number}" for number in range(count)], random.Random(1))
+def choice(count: int = 3) -> SourceSelector:
+    return SourceSelector([f"c{number}" for number in range(count)], random.Random(1))
 
 
 def test_two_pullers_have_two_different_sources() -> None:
@@ -254,10 +254,10 @@
 
 def test_a_source_without_a_majority_is_left_for_another() -> None:
     sources = choice(3)
-    weak = sources.pick(0.0, 0)
-    assert weak is not None
-    sources.answered(0.0, weak, 5.0)
-    assert sources.pick(0.0, 0) not in (None, weak)
+    without_quorum = sources.pick(0.0, 0)
+    assert without_quorum is not None
+    sources.answered(0.0, without_quorum, 5.0)
+    assert sources.pick(0.0, 0) not in (None, without_quorum)
     assert not sources.in_contact(0.0)
 
 
@@ -285,10 +285,10 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_the_first_puller_goes_to_a_node_of_its_zone_once_it_is_known(seed: int) -> None:
-    sources = SourceChoice(["c0", "c1", "c2"], random.Random(seed))
+    sources = SourceSelector(["c0", "c1", "c2"], random.Random(seed))
     sources.pick(0.0, 0)
     sources.pick(0.0, 1)
-    sources.prefer(["c2"])
+    sources.set_same_zone(["c2"])
     assert sources.pick(0.1, 0) == "c2"
     assert sources.pick(0.1, 1) in ("c0", "c1")
     assert sources.pick(0.2, 0) == "c2"
@@ -296,33 +296,33 @@
 
 def test_a_near_node_that_fails_is_left_and_returned_to() -> None:
     sources = choice(3)
-    sources.prefer(["c2"])
+    sources.set_same_zone(["c2"])
     assert sources.pick(0.0, 0) == "c2"
     sources.failed(0.0, "c2")
-    for now_s in (0.1, 1.0, NEAR_AGAIN_S - 0.1):
+    for now_s in (0.1, 1.0, SAME_ZONE_RETRY_S - 0.1):
         other = sources.pick(now_s, 0)
         assert other in ("c0", "c1")
         sources.answered(now_s, other, 0.0)
-    assert sources.pick(NEAR_AGAIN_S + 0.1, 0) == "c2"  # every way out has a way back
-    sources.answered(NEAR_AGAIN_S + 0.2, "c2", 0.0)
-    assert sources.pick(NEAR_AGAIN_S + 0.3, 0) == "c2"
+    assert sources.pick(SAME_ZONE_RETRY_S + 0.1, 0) == "c2"  # every way out has a way back
+    sources.answered(SAME_ZONE_RETRY_S + 0.2, "c2", 0.0)
+    assert sources.pick(SAME_ZONE_RETRY_S + 0.3, 0) == "c2"
 
 
 def test_a_near_node_without_a_majority_is_left_and_looked_at_again() -> None:
     sources = choice(3)
-    sources.prefer(["c2"])
+    sources.set_same_zone(["c2"])
     assert sources.pick(0.0, 0) == "c2"
     sources.answered(0.0, "c2", 5.0)
-    for now_s in (0.1, 3.0, NEAR_AGAIN_S - 0.1):
+    for now_s in (0.1, 3.0, SAME_ZONE_RETRY_S - 0.1):
         assert sources.pick(now_s, 0) in ("c0", "c1")
-    assert sources.pick(NEAR_AGAIN_S + 0.1, 0) == "c2"
-    sources.answered(NEAR_AGAIN_S + 0.1, "c2", 5.0)  # still without
-    assert sources.pick(NEAR_AGAIN_S + 0.2, 0) in ("c0", "c1")
+    assert sources.pick(SAME_ZONE_RETRY_S + 0.1, 0) == "c2"
+    sources.answered(SAME_ZONE_RETRY_S + 0.1, "c2", 5.0)  # still without
+    assert sources.pick(SAME_ZONE_RETRY_S + 0.2, 0) in ("c0", "c1")
 
 
 def test_nodes_heard_of_are_asked_and_forgotten_when_they_stay_silent() -> None:
     sources = choice(1)
-    sources.note(["new"])
+    sources.add(["new"])
     assert {sources.pick(0.0, 0), sources.pick(0.0, 1)} == {"c0", "new"}
     for _ in range(40):
         sources.failed(1.0, "new")
@@ -335,7 +335,7 @@
 
 def test_delta_of_another_origin_needs_no_order() -> None:
     view = FollowerView(0.0)
-    assert view.take(0.1, Update("a", 1.0, Delta(), ("a",))) is False
+    assert view.apply_update(0.1, Update("a", 1.0, Delta(), ("a",))) is False
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -351,12 +351,16 @@
             number = rng.randrange(5)
             numbers[number] += rng.random() < 0.7
             state = rng.choice(list(ServerState))
-            control.store.write_server(
+            control.status_table.write_server(
                 ServerRecord(f"i-{number}", "llm", f"h{number}:1", "z", 8, state, numbers[number])
             )
-        live = tuple(one.store.writer_incarnation for one in controls if rng.random() < 0.7)
+        live = tuple(one.status_table.writer_incarnation for one in controls if rng.random() < 0.7)
         before = dict(view.servers)
-        changed = control.tell(view, now_s, live_writers=(control.store.writer_incarnation, *live))
-        whole = {name: record for name in view.store.servers() if (record := view._shown(name)) is not None}
+        changed = control.tell(view, now_s, live_writers=(control.status_table.writer_incarnation, *live))
+        whole = {
+            name: record
+            for name in view.status_table.servers()
+            if (record := view._usable_server(name)) is not None
+        }
         assert view.servers == whole
         assert changed or view.servers == before
--- a/tests/emberring/distribution/test_tier_peers.py
+++ b/tests/emberring/distribution/test_tier_peers.py
@@ -7,10 +7,10 @@
 
 from emberring.distribution.messages import Delta, Exchange
 from emberring.distribution.peers import (
-    EXCHANGE_EVERY_S,
-    EXCHANGE_LEAST_S,
     FORGET_S,
     LIVE_S,
+    MAX_EXCHANGE_INTERVAL_S,
+    MIN_EXCHANGE_INTERVAL_S,
     RETRY_S,
     PeerTable,
 )
@@ -40,29 +40,29 @@
     peers = table()
     first, second = peers.due(0.0)
     for peer in (first, second):
-        peers.began(0.0, peer)
+        peers.exchange_began(0.0, peer)
     assert peers.due(0.0) == []
-    peers.ended(0.0, first, answered=True)
-    peers.ended(0.0, second, answered=False)
-    assert peers.due(EXCHANGE_EVERY_S) == [first]
+    peers.exchange_ended(0.0, first, answered=True)
+    peers.exchange_ended(0.0, second, answered=False)
+    assert peers.due(MAX_EXCHANGE_INTERVAL_S) == [first]
     assert peers.due(RETRY_S) == [first, second]
 
 
 @pytest.mark.parametrize(
     ("others", "every_s"),
-    [(1, EXCHANGE_LEAST_S), (4, 0.1), (8, 0.2), (26, EXCHANGE_EVERY_S)],
+    [(1, MIN_EXCHANGE_INTERVAL_S), (4, 0.1), (8, 0.2), (26, MAX_EXCHANGE_INTERVAL_S)],
 )
 def test_few_control_nodes_exchange_more_often(others: int, every_s: float) -> None:
     peers = PeerTable(control(0), [f"c{number}" for number in range(1, others + 1)])
     first = peers.due(0.0)[0]
-    peers.began(0.0, first)
-    peers.ended(0.0, first, answered=True)
-    assert first.next_s == pytest.approx(every_s)
+    peers.exchange_began(0.0, first)
+    peers.exchange_ended(0.0, first, answered=True)
+    assert first.next_exchange_s == pytest.approx(every_s)
 
 
 def test_word_of_calls_is_as_old_as_the_other_node_said_and_ages() -> None:
     peers = table()
-    peers.take(1.0, attrs.evolve(said(control(1)), load_age_ms=150.0))
+    peers.on_exchange(1.0, attrs.evolve(said(control(1)), load_age_ms=150.0))
     assert list(peers.load_ages(1.1)) == [(2, pytest.approx(0.25))]
     assert list(peers.load_ages(10.0)) == []
 
@@ -70,21 +70,21 @@
 def test_news_hurry_the_live_ones_also_while_an_exchange_is_under_way() -> None:
     peers = table()
     first, second = peers.due(0.0)
-    peers.take(0.0, said(control(1)))
-    peers.ended(0.0, first, answered=True)
-    peers.ended(0.0, second, answered=False)
-    peers.hurry(0.01)
+    peers.on_exchange(0.0, said(control(1)))
+    peers.exchange_ended(0.0, first, answered=True)
+    peers.exchange_ended(0.0, second, answered=False)
+    peers.expedite(0.01)
     assert peers.due(0.01) == [first]
-    peers.began(0.01, first)
-    peers.hurry(0.02)
+    peers.exchange_began(0.01, first)
+    peers.expedite(0.02)
     assert peers.due(0.02) == []
-    peers.ended(0.03, first, answered=True)
+    peers.exchange_ended(0.03, first, answered=True)
     assert peers.due(0.03) == [first]
 
 
 def test_a_node_lives_while_it_is_heard() -> None:
     peers = table()
-    peers.take(1.0, said(control(1), {"x1": 4}))
+    peers.on_exchange(1.0, said(control(1), {"x1": 4}))
     assert [peer.incarnation for peer in peers.live(1.0 + LIVE_S / 2)] == ["x1"]
     assert list(peers.loads(1.5)) == [{"i": 2}]
     assert peers.live(1.1 + LIVE_S) == []
@@ -92,30 +92,30 @@
 
 def test_a_new_incarnation_has_forgotten_everything() -> None:
     peers = table()
-    peers.take(1.0, said(control(1), {"x1": 4, "x2": 9}))
-    peer = peers.take(2.0, said(control(1, "y"), {"x2": 3}))
+    peers.on_exchange(1.0, said(control(1), {"x1": 4, "x2": 9}))
+    peer = peers.on_exchange(2.0, said(control(1, "y"), {"x2": 3}))
     assert peer is not None
     assert peer.vector == {"x2": 3}
 
 
 def test_answers_out_of_order_do_not_lower_what_a_node_has() -> None:
     peers = table()
-    peers.take(1.0, said(control(1), {"x1": 4}))
-    peer = peers.take(1.1, said(control(1), {"x1": 3}))
+    peers.on_exchange(1.0, said(control(1), {"x1": 4}))
+    peer = peers.on_exchange(1.1, said(control(1), {"x1": 3}))
     assert peer is not None
     assert peer.vector == {"x1": 4}
 
 
 def test_this_node_is_no_peer_of_its_own() -> None:
     peers = table()
-    assert peers.take(0.0, said(control(0))) is None
-    peers.note(0.0, ["c0"])
+    assert peers.on_exchange(0.0, said(control(0))) is None
+    peers.add(0.0, ["c0"])
     assert len(peers.due(0.0)) == 2
 
 
 def test_nodes_that_call_are_known_and_forgotten_when_silent() -> None:
     peers = table()
-    peers.take(1.0, said(control(3)))
+    peers.on_exchange(1.0, said(control(3)))
     assert len(peers.due(10.0)) == 3
     peers.forget(1.0 + FORGET_S + 1)
     assert len(peers.due(100.0)) == 2
--- a/tests/emberring/distribution/test_tier_status_table.py
+++ b/tests/emberring/distribution/test_tier_status_table.py
@@ -26,7 +26,7 @@
 
 
 def give(sender: StatusTable, receiver: StatusTable) -> None:
-    receiver.take(sender.newer_than(receiver.vector))
+    receiver.apply(sender.newer_than(receiver.vector))
 
 
 def test_a_statement_reaches_a_third_node_through_a_second() -> None:
@@ -50,8 +50,8 @@
     assert sorted((entry.record.id, entry.number) for entry in delta.servers) == [("i-1", 4), ("i-2", 5)]
     give(first, second)
     assert first.newer_than(second.vector).empty
-    assert second.take(delta) == second.take(delta)
-    assert not second.take(delta)
+    assert second.apply(delta) == second.apply(delta)
+    assert not second.apply(delta)
 
 
 def test_gateways_are_left_out_for_those_who_do_not_need_them() -> None:
@@ -77,19 +77,19 @@
 
 def test_of_two_incarnations_the_one_told_last_counts() -> None:
     store = StatusTable("c")
-    store.take(Delta({"a": 1}, (), (NodeEntry("a", 1, node("store-1", "old"), True),)))
-    store.take(Delta({"b": 1}, (), (NodeEntry("b", 1, node("store-1", "new"), True),)))
+    store.apply(Delta({"a": 1}, (), (NodeEntry("a", 1, node("store-1", "old"), True),)))
+    store.apply(Delta({"b": 1}, (), (NodeEntry("b", 1, node("store-1", "new"), True),)))
     assert store.live_nodes(["a", "b"], [NodeRole.STORE])["store-1"].incarnation == "new"
     assert store.live_nodes(["a"], [NodeRole.STORE])["store-1"].incarnation == "old"
 
 
 def test_an_ended_origin_leaves_nothing_of_nodes() -> None:
     store = StatusTable("c")
-    store.take(Delta({"a": 2}, (), (NodeEntry("a", 1, node("store-1"), True),)))
+    store.apply(Delta({"a": 2}, (), (NodeEntry("a", 1, node("store-1"), True),)))
     store.forget_writer("a")
     assert store.vector == {}
     assert list(store.node_entries()) == []
-    store.take(Delta({"b": 1}, (ServerEntry("b", 1, server("i-1")),)))
+    store.apply(Delta({"b": 1}, (ServerEntry("b", 1, server("i-1")),)))
     store.forget_writer("b")  # its statement about a server still counts
     assert store.vector == {"b": 1}
     assert "i-1" in store.servers()
@@ -146,7 +146,7 @@
         if (
             self.stores[receiver].writer_incarnation == incarnation
         ):  # as `Exchange.to` and the connection of a pull see to
-            self.stores[receiver].take(delta)
+            self.stores[receiver].apply(delta)
 
     @rule(at=st.sampled_from(WRITERS))
     def restart(self, at: str) -> None:
@@ -187,7 +187,7 @@
     for sequence in range(200):
         writer = f"origin-{sequence}"
         entry = ServerEntry(writer, 1, attrs.evolve(server("i-1"), sequence=sequence))
-        store.take(Delta({writer: 1}, (entry,)))
+        store.apply(Delta({writer: 1}, (entry,)))
         store.forget_writer(f"origin-{sequence - 1}")
     assert len(list(store.server_entries("i-1"))) == 1
     assert list(store.vector) == ["origin-199"]
@@ -195,8 +195,8 @@
 
 def test_the_word_of_an_origin_that_lives_is_kept_beside_a_newer_one() -> None:
     store = StatusTable("a")
-    store.take(Delta({"b": 1}, (ServerEntry("b", 1, server("i-1", sequence=1)),)))
-    store.take(Delta({"c": 1}, (ServerEntry("c", 1, server("i-1", sequence=5)),)))
+    store.apply(Delta({"b": 1}, (ServerEntry("b", 1, server("i-1", sequence=1)),)))
+    store.apply(Delta({"c": 1}, (ServerEntry("c", 1, server("i-1", sequence=5)),)))
     assert {entry.writer_incarnation for entry in store.server_entries("i-1")} == {"b", "c"}
     store.forget_writer("c")  # nobody else says what it said
     assert {entry.writer_incarnation for entry in store.server_entries("i-1")} == {"b", "c"}
--- a/tests/emberring/registry/test_tier_registry.py
+++ b/tests/emberring/registry/test_tier_registry.py
@@ -241,9 +241,9 @@
     node = ANode()
     node.beat(0.0, record(READY, 1))
     for step in range(1, 20):
-        node.registry.note_heard(step * 1.2, {"i-1": step + 1})
+        node.registry.on_sequences(step * 1.2, {"i-1": step + 1})
         assert node.pass_time(step * 1.2, step * 1.2 + 1.1) == []
-    assert node.registry.heard_since(19 * 1.2) == {"i-1": 20}
+    assert node.registry.sequences_since(19 * 1.2) == {"i-1": 20}
 
 
 def test_others_who_take_a_living_server_for_lost_are_told() -> None:
@@ -277,7 +277,7 @@
     node = ANode()
     node.beat(0.0, record(READY, 1))
     node.take(node.registry.on_goodbye("i-1", node.known))
-    assert node.registry.forgettable(1.0, node.known) == []
-    assert node.registry.forgettable(FORGET_S, node.known) == []
-    assert node.registry.forgettable(FORGET_S + 1.1, node.known) == ["i-1"]
-    assert node.registry.heard_since(0.0) == {}
+    assert node.registry.expired(1.0, node.known) == []
+    assert node.registry.expired(FORGET_S, node.known) == []
+    assert node.registry.expired(FORGET_S + 1.1, node.known) == ["i-1"]
+    assert node.registry.sequences_since(0.0) == {}
--- a/tests/emberring/simulation/test_tier_control_scale.py
+++ b/tests/emberring/simulation/test_tier_control_scale.py
@@ -9,7 +9,7 @@
 from typer.testing import CliRunner
 
 from emberring.cli.simulation_commands import app
-from emberring.distribution.follower import REPORT_WAIT_S, WORD_WAIT_S
+from emberring.distribution.follower import REPORT_WAIT_S, DETAIL_WAIT_S
 from emberring.errors import PeerTimeoutError, PeerUnavailableError
 from emberring.simulation.common.task_owner import own_tasks
 from emberring.simulation.common.virtual_time import run_virtually
@@ -67,7 +67,7 @@
 
 
 # What a gateway's two pullers ask in a second, at the most: where word of all servers is small, and where it is large.
-FREQUENT_CALLS = 1.0 / WORD_WAIT_S + 1.0 / REPORT_WAIT_S
+FREQUENT_CALLS = 1.0 / DETAIL_WAIT_S + 1.0 / REPORT_WAIT_S
 SELDOM_CALLS = 2.0 / REPORT_WAIT_S
 
 
--- a/tests/emberring/transport/test_tier_cancellation.py
+++ b/tests/emberring/transport/test_tier_cancellation.py
@@ -23,7 +23,7 @@
     signal, turns = ChangeNotifier(), list[int]()
     task = asyncio.get_running_loop().create_task(_wait_for_ever(signal, turns))
     await asyncio.sleep(0)
-    signal.give()
+    signal.notify_all()
     task.cancel()
     _, pending = await asyncio.wait({task}, timeout=2.0)
     for left in pending:
--- a/tests/golden/test_golden_commands.py
+++ b/tests/golden/test_golden_commands.py
@@ -323,10 +323,10 @@
 
     async def scenario(cluster: Cluster) -> None:
         async with AFollower(cluster.seeds, "edge-1", NodeRole.GATEWAY) as gateway:
-            board = cluster.node(0).board
+            cluster_state = cluster.node(0).cluster_state
             beat = await cluster.http(0, "PUT", "/v1/instances/i-1", a_heartbeat(1))
             assert beat.status == 200
-            await eventually(lambda: "i-1" in gateway.servers and len(board.live_nodes(now())) == 4)
+            await eventually(lambda: "i-1" in gateway.servers and len(cluster_state.live_nodes(now())) == 4)
             await asyncio.to_thread(tools, f"127.0.0.1:{cluster.outer[0]}")
 
     on_cluster(scenario)
--- a/tests/golden/test_golden_http.py
+++ b/tests/golden/test_golden_http.py
@@ -351,9 +351,13 @@
             AFollower(cluster.seeds, "store-3", NodeRole.STORE),
             AFollower(cluster.seeds, "store-4", NodeRole.STORE),
         ):
-            board = cluster.node(1).board
-            await eventually(lambda: first.placement is not None and len(board.live_nodes(now())) == 8)
-            await eventually(lambda: board.state.placement is not None and len(first.placement.stores) == 4)
+            cluster_state = cluster.node(1).cluster_state
+            await eventually(
+                lambda: first.placement is not None and len(cluster_state.live_nodes(now())) == 8
+            )
+            await eventually(
+                lambda: cluster_state.state.placement is not None and len(first.placement.stores) == 4
+            )
             assert (await ask("heartbeat", "PUT", "/v1/instances/i-1", a_heartbeat(1))).status == 200
             await eventually(lambda: "i-1" in gateway.servers)
             gateway.report = lambda word_follows: {"i-1": 3}
