--- a/emberring/cli/disk_reports.py
+++ b/emberring/cli/disk_reports.py
@@ -10,7 +10,7 @@
 
 from emberring.configuration.state import ControlState
 from emberring.errors import BadRequestError, CorruptRecordError
-from emberring.jobs.records import DEFINITION, END, FORGOTTEN
+from emberring.jobs.records import DEFINITION, END, TOMBSTONE
 from emberring.jobs.replica import Replica
 from emberring.jobs.replica_log import decode_entry
 from emberring.journal.layout import Record
@@ -94,7 +94,7 @@
         "WithDefinition": slots.count(DEFINITION),
         "Results": sum(slot >= 0 for slot in slots),
         "Ended": slots.count(END),
-        "Forgotten": slots.count(FORGOTTEN),
+        "Forgotten": slots.count(TOMBSTONE),
     }
 
 
--- a/emberring/jobs/__init__.py
+++ b/emberring/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""The life of lots and items: shards, owners, quota, repair. No sockets."""
+"""The life of batch jobs and items: shards, owners, quota, repair. No sockets."""
--- a/emberring/jobs/batch_job.py
+++ b/emberring/jobs/batch_job.py
@@ -1,4 +1,4 @@
-"""One lot in its owner's memory: its items, who runs them, what is listed."""
+"""One batch job in its owner's memory: its items, who runs them, what is listed."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class ItemStatus(IntEnum):
-    """Where an item stands. `PLACED`: its result has a position and is on its way to the disks."""
+    """Where an item stands. `RESULT_PENDING`: its result has a position and is on its way to the disks."""
 
     WAITING = 0
     RUNNING = 1
-    PLACED = 2
+    RESULT_PENDING = 2
     LISTED = 3
 
 
@@ -26,7 +26,7 @@
     ticket: int
     gateway: str
     expires_s: float
-    began_s: float
+    started_s: float
 
 
 @attrs.define(eq=False)
@@ -44,12 +44,12 @@
     @property
     def done(self) -> bool:
         """Whether it has a result."""
-        return self.status >= ItemStatus.PLACED
+        return self.status >= ItemStatus.RESULT_PENDING
 
 
 @attrs.define(eq=False)
 class BatchJob:
-    """A lot. Positions that are shown are the chosen ones from 0 on without a gap."""
+    """A batch job. Positions that are shown are the committed ones from 0 on without a gap."""
 
     key: str
     terms: JobTerms
@@ -57,20 +57,20 @@
     items: list[Item]
     accepted: bool = False
     ended: bool = False  # its client asked for the end; nothing of it may run
-    end_lasts: bool = False
-    forgetting: bool = False
+    end_committed: bool = False
+    forget_proposed: bool = False
     positions: dict[int, int] = attrs.field(factory=dict)  # the item at each position
-    chosen: set[int] = attrs.field(factory=set)  # chosen positions from `shown` on
-    shown: int = 0
+    committed: set[int] = attrs.field(factory=set)  # committed positions from `visible` on
+    visible: int = 0
 
     @property
     def host(self) -> str:
-        """The host under which it was handed in."""
+        """The host under which it was submitted."""
         return self.key.partition("/")[0]
 
     @property
     def due_s(self) -> float:
-        """When all its results are due (seconds of the steady clock)."""
+        """When all its results are due (seconds of the monotonic clock)."""
         return self.accepted_s + self.terms.completion_ms / 1000
 
     @property
@@ -79,21 +79,21 @@
         return sum(item.tokens for item in self.items)
 
     @property
-    def all_shown(self) -> bool:
+    def all_visible(self) -> bool:
         """Whether every item is listed."""
-        return self.shown == len(self.items)
+        return self.visible == len(self.items)
 
     def free_position(self) -> int:
         """The first position without a result."""
-        position = self.shown
+        position = self.visible
         while position in self.positions:
             position += 1
         return position
 
-    def choose(self, position: int) -> None:
+    def mark_committed(self, position: int) -> None:
         """A position's result lasts."""
-        self.chosen.add(position)
+        self.committed.add(position)
         self.items[self.positions[position]].status = ItemStatus.LISTED
-        while self.shown in self.chosen:
-            self.chosen.discard(self.shown)
-            self.shown += 1
+        while self.visible in self.committed:
+            self.committed.discard(self.visible)
+            self.visible += 1
--- a/emberring/jobs/calls.py
+++ b/emberring/jobs/calls.py
@@ -9,7 +9,8 @@
 
 @attrs.frozen
 class JobTerms:
-    """What a lot's route said when the lot was handed in. `version` is the configuration's; times as named."""
+    """What a batch job's route said when the batch job was submitted. `version` is the configuration's; times
+    as named."""
 
     route: str
     path: str
@@ -23,7 +24,7 @@
 @message("lots.submit", wire_keys={"job": "lot"})
 @attrs.frozen
 class SubmitJob:
-    """A lot is handed in: `body` as the client sent it, squeezed."""
+    """A batch job is submitted: `body` as the client sent it, compressed."""
 
     host: str
     job: str
@@ -45,7 +46,7 @@
 @message("lots.page")
 @attrs.frozen
 class JobPage:
-    """Results from position `start` on, of a lot of `total` items: their values one behind the other."""
+    """Results from position `start` on, of a batch job of `total` items: their values one behind the other."""
 
     total: int
     start: int
@@ -73,7 +74,7 @@
 @message("lots.end", wire_keys={"job": "lot"})
 @attrs.frozen
 class EndJob:
-    """The client ends a lot."""
+    """The client ends a batch job."""
 
     host: str
     job: str
@@ -87,14 +88,14 @@
     data: str
 
 
-@message("lots.lease")
+@message("lots.lease", wire_keys={"capacity": "room"})
 @attrs.frozen
 class LeaseItems:
-    """A gateway in this zone asks for up to `room` items of any shard that the store owns; held back up to
+    """A gateway in this zone asks for up to `capacity` items of any shard that the store owns; held back up to
     `wait_ms`."""
 
     gateway: str
-    room: int
+    capacity: int
     wait_ms: int
     zone: str = ""
 
@@ -122,7 +123,7 @@
 
 @message("lots.leased")
 @attrs.frozen
-class LeasedItems:
+class LeaseItemsReply:
     """The items to run."""
 
     items: tuple[Assignment, ...] = ()
@@ -149,21 +150,22 @@
     runs: tuple[RunProgress, ...]
 
 
+@wire_record({"lease_renewed": "go_on", "events_received": "have"})
 @attrs.frozen
-class RunAnswer:
-    """`go_on`: the lease is renewed. `have`: how many events of this run the owner holds."""
+class RunRenewal:
+    """`lease_renewed`: the lease is renewed. `events_received`: how many events of this run the owner holds."""
 
     ticket: int
-    go_on: bool
-    have: int
+    lease_renewed: bool
+    events_received: int
 
 
 @message("lots.reported")
 @attrs.frozen
-class ReportAnswer:
+class ReportRunsReply:
     """An answer for each run."""
 
-    runs: tuple[RunAnswer, ...]
+    runs: tuple[RunRenewal, ...]
 
 
 @message("lots.finish")
@@ -183,9 +185,9 @@
     events: bytes = b""
 
 
-@message("lots.finished")
+@message("lots.finished", wire_keys={"acknowledged": "taken"})
 @attrs.frozen
-class RunFinished:
-    """`taken`: nothing more is to be said of this run. Otherwise all its events are wanted again, from 0 on."""
+class FinishRunReply:
+    """`acknowledged`: nothing more is to be said of this run. Otherwise all its events are wanted again, from 0 on."""
 
-    taken: bool
+    acknowledged: bool
--- a/emberring/jobs/definition.py
+++ b/emberring/jobs/definition.py
@@ -1,4 +1,4 @@
-"""A lot as its client handed it in: checked on arrival, kept as bytes, read again when its items run."""
+"""A batch job as its client submitted it: checked on arrival, kept as bytes, read again when its items run."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from emberring.errors import BadRequestError, CorruptRecordError
 from emberring.jobs.calls import JobTerms
-from emberring.jobs.packing import expand
+from emberring.jobs.packing import decompress
 
 MAX_ITEMS = 200
 _END_OF_TERMS = b"\n"
@@ -32,10 +32,10 @@
         return base64.b64decode(self.body)
 
 
-def parse_items(squeezed: bytes) -> list[ItemSpec]:
-    """The items of a submitted lot; `BadRequestError` says what is wrong with it."""
+def parse_items(compressed: bytes) -> list[ItemSpec]:
+    """The items of a submitted batch job; `BadRequestError` says what is wrong with it."""
     try:
-        document = orjson.loads(expand(squeezed))
+        document = orjson.loads(decompress(compressed))
     except (orjson.JSONDecodeError, CorruptRecordError) as error:
         raise BadRequestError(f"not JSON: {error}") from error
     listed = document.get("Requests") if isinstance(document, dict) else None
@@ -82,9 +82,9 @@
     )
 
 
-def encode_definition(terms: JobTerms, squeezed: bytes) -> bytes:
-    """The value of a lot's definition: its terms on one line, then the body, squeezed."""
-    return orjson.dumps(attrs.asdict(terms)) + _END_OF_TERMS + squeezed
+def encode_definition(terms: JobTerms, compressed: bytes) -> bytes:
+    """The value of a batch job's definition: its terms on one line, then the body, compressed."""
+    return orjson.dumps(attrs.asdict(terms)) + _END_OF_TERMS + compressed
 
 
 def decode_terms(value: bytes) -> JobTerms:
@@ -98,7 +98,7 @@
 def decode_items(value: bytes) -> list[ItemSpec]:
     """The items in a definition's value, which were checked when it was taken."""
     try:
-        document = orjson.loads(expand(memoryview(value)[value.index(_END_OF_TERMS) + 1 :]))
+        document = orjson.loads(decompress(memoryview(value)[value.index(_END_OF_TERMS) + 1 :]))
         return [_spec(entry) for entry in document["Requests"]]
     except (ValueError, TypeError, KeyError) as error:
         raise CorruptRecordError(f"definition: {error}") from error
--- a/emberring/jobs/execution.py
+++ b/emberring/jobs/execution.py
@@ -9,30 +9,30 @@
     Assignment,
     EventData,
     FinishRun,
-    ReportAnswer,
+    FinishRunReply,
     ReportRuns,
-    RunAnswer,
-    RunFinished,
+    ReportRunsReply,
     RunProgress,
+    RunRenewal,
 )
 from emberring.jobs.items import OutcomeKind
-from emberring.jobs.job_table import Answer, JobTable
+from emberring.jobs.job_table import AnswerCall, JobTable
 from emberring.jobs.packing import pack_events, unpack_events
 from emberring.jobs.results import ResultState
 
 RUN_LEASE_S = 2.0  # the owner's side of a gateway's lease of 1.5 s, which counts from the gateway's sending
-ANNOUNCE_S = 0.7  # a new owner waits so long for gateways that run items already
-RETENTION_SLACK_S = 0.3
+TAKEOVER_GRACE_S = 0.7  # a new owner waits so long for gateways that run items already
+RETENTION_GRACE_S = 0.3
 TICKET_BITS = 52
 
 
 class JobExecution:
     """Runs of one shard's items."""
 
-    def __init__(self, shelf: JobTable, seed: int) -> None:
-        self._shelf = shelf
+    def __init__(self, table: JobTable, seed: int) -> None:
+        self._table = table
         self._random = random.Random(seed)
-        self._held: list[tuple[float, str, int]] = []  # until when, the lot's key, the item's index
+        self._held: list[tuple[float, str, int]] = []  # until when, the batch job's key, the item's index
         self._finishers: dict[tuple[str, int], list[int]] = {}
         self._running: dict[tuple[str, int], None] = {}
 
@@ -41,7 +41,7 @@
     @property
     def waiting(self) -> int:
         """How many items wait, at most."""
-        return len(self._shelf.schedule)
+        return len(self._table.schedule)
 
     @property
     def idle(self) -> bool:
@@ -49,27 +49,27 @@
         return not (self._running or self._held)
 
     def adopt(self, now_s: float, job: BatchJob, index: int, known: Item | None) -> None:
-        """An item without a result is adopted. A run known here goes on; otherwise wait for word of one."""
+        """An item without a result is recovered. A run known here goes on; otherwise wait for word of one."""
         item = job.items[index]
         if known is not None:
             item.events, item.failures = known.events, known.failures
         if known is not None and known.run is not None:
             self._begin(now_s, job, index, known.run.ticket, known.run.gateway)
         else:
-            self._held.append((now_s + ANNOUNCE_S, job.key, index))
+            self._held.append((now_s + TAKEOVER_GRACE_S, job.key, index))
 
-    def take(self, now_s: float, gateway: str, room: int, shard: int) -> list[Assignment]:
-        """Up to `room` items for a gateway, each under a new ticket."""
+    def take(self, now_s: float, gateway: str, capacity: int, shard: int) -> list[Assignment]:
+        """Up to `capacity` items for a gateway, each under a new ticket."""
         taken: list[Assignment] = []
-        while len(taken) < room and (entry := self._shelf.schedule.pop(now_s)) is not None:
-            job = self._shelf.jobs.get(entry.key)
+        while len(taken) < capacity and (entry := self._table.schedule.pop(now_s)) is not None:
+            job = self._table.jobs.get(entry.key)
             if job is None or job.ended or job.items[entry.index].status is not ItemStatus.WAITING:
                 continue
             taken.append(self._assign(now_s, gateway, shard, job, entry.index))
         return taken
 
     def _assign(self, now_s: float, gateway: str, shard: int, job: BatchJob, index: int) -> Assignment:
-        item, spec = job.items[index], self._shelf.specs(job)[index]
+        item, spec = job.items[index], self._table.specs(job)[index]
         ticket = self._random.getrandbits(TICKET_BITS)
         self._begin(now_s, job, index, ticket, gateway)
         return Assignment(
@@ -98,37 +98,37 @@
         item = job.items[index]
         item.status, item.run = ItemStatus.WAITING, None
         self._running.pop((job.key, index), None)
-        self._shelf.queue(job, index)
+        self._table.queue(job, index)
 
     # What gateways tell.
 
-    def report(self, now_s: float, message: ReportRuns) -> ReportAnswer:
+    def report(self, now_s: float, message: ReportRuns) -> ReportRunsReply:
         """Runs go on: their leases are renewed, their events kept. A run that is not an item's newest must stop."""
         answers = [self._report(now_s, message.gateway, run) for run in message.runs]
-        return ReportAnswer(tuple(answers))
+        return ReportRunsReply(tuple(answers))
 
-    def _report(self, now_s: float, gateway: str, run: RunProgress) -> RunAnswer:
-        job = self._shelf.jobs.get(run.key)
+    def _report(self, now_s: float, gateway: str, run: RunProgress) -> RunRenewal:
+        job = self._table.jobs.get(run.key)
         if job is None or job.ended or run.index >= len(job.items):
-            return RunAnswer(run.ticket, False, 0)
+            return RunRenewal(run.ticket, False, 0)
         item = job.items[run.index]
         if item.status is ItemStatus.WAITING:  # known to its gateway alone: it goes on under its ticket
             self._begin(now_s, job, run.index, run.ticket, gateway)
             item.events = ()
         if item.run is None or item.run.ticket != run.ticket:
-            return RunAnswer(run.ticket, False, 0)
+            return RunRenewal(run.ticket, False, 0)
         item.run.expires_s = now_s + RUN_LEASE_S
         if run.start <= len(item.events):
             item.events = item.events[: run.start] + unpack_events(run.events)
-        return RunAnswer(run.ticket, True, len(item.events))
+        return RunRenewal(run.ticket, True, len(item.events))
 
     def finish(self, now_s: float, call: int, message: FinishRun) -> None:
         """A run has ended. Its gateway is answered once nothing can be lost any more."""
-        job = self._shelf.jobs.get(message.key)
+        job = self._table.jobs.get(message.key)
         item = job.items[message.index] if job and message.index < len(job.items) else None
         if job is None or item is None or (job.ended and not item.done) or item.status is ItemStatus.LISTED:
-            self._shelf.out.append(Answer(call, RunFinished(True)))
-        elif item.status is ItemStatus.PLACED:
+            self._table.out.append(AnswerCall(call, FinishRunReply(True)))
+        elif item.status is ItemStatus.RESULT_PENDING:
             self._finishers.setdefault((job.key, message.index), []).append(call)
         else:
             self._finish(now_s, call, message, job, item)
@@ -139,21 +139,21 @@
         events = self._events_of(message, item, current)
         if kind is OutcomeKind.COMPLETED:
             if events is None or len(events) != message.total:
-                self._shelf.out.append(Answer(call, RunFinished(False)))
+                self._table.out.append(AnswerCall(call, FinishRunReply(False)))
                 return
             self._finishers.setdefault((job.key, message.index), []).append(call)
             if item.run is not None and current:
-                self._shelf.schedule.note_run(now_s - item.run.began_s)
+                self._table.schedule.record_run(now_s - item.run.started_s)
             self._place(job, message.index, ResultState.COMPLETED, "\n".join(event.data for event in events))
             return
         if kind is OutcomeKind.IMPOSSIBLE_422:
             self._finishers.setdefault((job.key, message.index), []).append(call)
             self._place(job, message.index, ResultState.DEAD_LETTER, "")
             return
-        self._shelf.out.append(Answer(call, RunFinished(True)))
+        self._table.out.append(AnswerCall(call, FinishRunReply(True)))
         if kind is OutcomeKind.FAILED_500:
             item.failures |= {message.ticket}
-            if len(item.failures) >= self._shelf.max_attempts(job):
+            if len(item.failures) >= self._table.max_attempts(job):
                 self._place(job, message.index, ResultState.DEAD_LETTER, "")
                 return
         if current or item.status is ItemStatus.WAITING:
@@ -172,19 +172,19 @@
 
     def _place(self, job: BatchJob, index: int, state: ResultState, text: str) -> None:
         self._running.pop((job.key, index), None)
-        self._shelf.place(job, index, state, text)
+        self._table.place(job, index, state, text)
 
     def listed(self, job: BatchJob, index: int) -> None:
         """An item's result lasts."""
         for call in self._finishers.pop((job.key, index), ()):
-            self._shelf.out.append(Answer(call, RunFinished(True)))
+            self._table.out.append(AnswerCall(call, FinishRunReply(True)))
 
     # Time.
 
     def tick(self, now_s: float) -> None:
         """Runs whose gateway fell silent are given out again, and so are items that nobody announced."""
         for key, index in list(self._running):
-            job = self._shelf.jobs.get(key)
+            job = self._table.jobs.get(key)
             run = job.items[index].run if job else None
             if job is None or run is None:
                 self._running.pop((key, index), None)
@@ -192,14 +192,14 @@
                 self._requeue(job, index)
         while self._held and self._held[0][0] <= now_s:
             _, key, index = self._held.pop(0)
-            job = self._shelf.jobs.get(key)
+            job = self._table.jobs.get(key)
             if job is not None and job.items[index].status is ItemStatus.WAITING:
-                self._shelf.queue(job, index)
+                self._table.queue(job, index)
 
-    def give_up(self, now_s: float, job: BatchJob) -> None:
-        """Items of a lot past its retention, or without a route, become dead letters."""
-        too_old = now_s - job.accepted_s > self._shelf.retention_s(job) + RETENTION_SLACK_S
-        if job.ended or not job.accepted or not (too_old or self._shelf.route_gone(job)):
+    def expire_items(self, now_s: float, job: BatchJob) -> None:
+        """Items of a batch job past its retention, or without a route, become dead letters."""
+        too_old = now_s - job.accepted_s > self._table.retention_s(job) + RETENTION_GRACE_S
+        if job.ended or not job.accepted or not (too_old or self._table.route_gone(job)):
             return
         for index, item in enumerate(job.items):
             if not item.done:
@@ -208,7 +208,7 @@
     def lost(self) -> None:
         """Another store owns the shard; gateways tell it what they have."""
         for calls in self._finishers.values():
-            self._shelf.out.extend(Answer(call, RunFinished(False)) for call in calls)
+            self._table.out.extend(AnswerCall(call, FinishRunReply(False)) for call in calls)
         self._finishers.clear()
         self._running.clear()
         self._held.clear()
--- a/emberring/jobs/items.py
+++ b/emberring/jobs/items.py
@@ -1,4 +1,4 @@
-"""What one item of a lot is to the program that runs it: the call, its events, how the run ended."""
+"""What one item of a batch job is to the program that runs it: the call, its events, how the run ended."""
 
 from __future__ import annotations
 
--- a/emberring/jobs/job_table.py
+++ b/emberring/jobs/job_table.py
@@ -1,4 +1,5 @@
-"""The lots of one shard in its owner's memory, shared by the parts of the book; and what the book asks for."""
+"""The batch jobs of one shard in its owner's memory, shared by the parts of the job manager; and what the job
+manager asks for."""
 
 from __future__ import annotations
 
@@ -16,11 +17,11 @@
 from emberring.jobs.results import ResultState, encode_result
 from emberring.jobs.schedule import Entry, Schedule
 
-SPECS_KEPT = 16
+MAX_CACHED_SPECS = 16
 
 
 @attrs.frozen
-class Propose:
+class ProposeValue:
     """Write this value into a slot."""
 
     key: str
@@ -30,7 +31,7 @@
 
 
 @attrs.frozen
-class Answer:
+class AnswerCall:
     """Answer the call with this number."""
 
     call: int
@@ -38,7 +39,7 @@
 
 
 @attrs.frozen
-class Refuse:
+class RejectCall:
     """Refuse the call with this number."""
 
     call: int
@@ -46,17 +47,17 @@
 
 
 @attrs.frozen
-class Forget:
-    """The lot's room may be used again."""
+class ForgetJob:
+    """The batch job's room may be used again."""
 
     key: str
 
 
-BookAction = Propose | Answer | Refuse | Forget
+JobManagerAction = ProposeValue | AnswerCall | RejectCall | ForgetJob
 
 
 class JobTable:
-    """All lots, the order in which items run, the tokens that wait, and the actions given so far."""
+    """All batch jobs, the order in which items run, the tokens that wait, and the actions given so far."""
 
     def __init__(self, records: OwnedRecords) -> None:
         self.records = records
@@ -65,7 +66,7 @@
         self.configuration: Configuration | None = None
         self._route_names: frozenset[str] = frozenset()
         self.waiting_tokens: dict[str, int] = {}
-        self.out: list[BookAction] = []
+        self.out: list[JobManagerAction] = []
         self._specs: OrderedDict[str, list[ItemSpec]] = OrderedDict()
 
     def configure(self, configuration: Configuration) -> None:
@@ -81,14 +82,14 @@
         self._specs.clear()
 
     def route_of(self, job: BatchJob) -> Route | None:
-        """The lot's route as now configured; None if it is not known here."""
+        """The batch job's route as now configured; None if it is not known here."""
         if self.configuration is None:
             return None
         route = self.configuration.route_for(job.host, job.terms.path)
         return route if route is not None and route.type is RouteType.BATCH else None
 
     def route_gone(self, job: BatchJob) -> bool:
-        """Whether a configuration not older than the lot's certainly has no such route."""
+        """Whether a configuration not older than the batch job's certainly has no such route."""
         if self.configuration is None or self.configuration.version < job.terms.version:
             return False
         return job.terms.route not in self._route_names and self.route_of(job) is None
@@ -99,7 +100,7 @@
         return max(1, job.terms.max_attempts, route.max_attempts if route else 0)
 
     def retention_s(self, job: BatchJob) -> float:
-        """When its items may be given up, seconds after it was accepted."""
+        """When its items may be expired, seconds after it was accepted."""
         route = self.route_of(job)
         return max(job.terms.retention_s, route.retention_s if route else 0.0)
 
@@ -110,7 +111,7 @@
             owned = self.records.find(job.key, DEFINITION)
             assert owned is not None
             specs = self._specs[job.key] = decode_items(owned.value)
-            while len(self._specs) > SPECS_KEPT:
+            while len(self._specs) > MAX_CACHED_SPECS:
                 self._specs.popitem(last=False)
         return specs
 
@@ -129,15 +130,15 @@
 
     def queue(self, job: BatchJob, index: int) -> None:
         """The item waits for a server."""
-        given_up_s = job.accepted_s + self.retention_s(job)
-        self.schedule.add(Entry(job.due_s, given_up_s, job.key, index))
+        expires_s = job.accepted_s + self.retention_s(job)
+        self.schedule.add(Entry(job.due_s, expires_s, job.key, index))
 
     def place(self, job: BatchJob, index: int, state: ResultState, message: str) -> None:
         """Give the item the next position, for good once it lasts."""
         item = job.items[index]
         position = job.free_position()
         job.positions[position] = index
-        item.status, item.run, item.events = ItemStatus.PLACED, None, ()
+        item.status, item.run, item.events = ItemStatus.RESULT_PENDING, None, ()
         self.release(job, item)
         value = encode_result(index, item.id, state, message)
-        self.out.append(Propose(job.key, position, value, job.accepted_s))
+        self.out.append(ProposeValue(job.key, position, value, job.accepted_s))
--- a/emberring/jobs/lease.py
+++ b/emberring/jobs/lease.py
@@ -6,7 +6,9 @@
 
 from emberring.placement.model import Group, quorum
 
-LEASE_S = 0.6  # after the sending of a touch that a quorum granted; replicas refuse others for longer
+OWNER_LEASE_S = (
+    0.6  # after the sending of a lease renewal that a quorum granted; replicas refuse others for longer
+)
 
 
 def has_quorum(group: Group, identities: set[str]) -> bool:
@@ -34,7 +36,7 @@
 
     def until_s(self, group: Group) -> float:
         """Until when reads may be answered."""
-        return LEASE_S + min(
+        return OWNER_LEASE_S + min(
             self._quorum_time(members) for members in (group.members, group.joining) if members
         )
 
--- a/emberring/jobs/merge.py
+++ b/emberring/jobs/merge.py
@@ -7,7 +7,7 @@
 import attrs
 
 from emberring.jobs.lease import has_quorum
-from emberring.jobs.records import FORGOTTEN, JobState, SlotState, Term
+from emberring.jobs.records import TOMBSTONE, JobState, SlotState, Term
 from emberring.placement.model import Group
 
 
@@ -17,12 +17,12 @@
 
     state: SlotState
     holders: tuple[str, ...]
-    chosen: bool
+    committed: bool
 
 
 @attrs.frozen
 class MergedJob:
-    """A lot's slots, and its greatest known age."""
+    """A batch job's slots, and its greatest known age."""
 
     age_ms: int
     slots: dict[int, MergedSlot]
@@ -32,7 +32,7 @@
 
 
 def merge(inventories: Inventories, group: Group) -> dict[str, MergedJob]:
-    """The records that an owner of this group adopts, given what a quorum of replicas holds."""
+    """The records that an owner of this group recovers, given what a quorum of replicas holds."""
     keys = {key for inventory in inventories.values() for key in inventory}
     quorums: dict[tuple[str, ...], bool] = {}
     return {key: _merge_job(key, inventories, group, quorums) for key in keys}
@@ -50,8 +50,8 @@
                 best[slot] = (state, [identity])
             elif state.term == known[0].term:
                 known[1].append(identity)
-    if FORGOTTEN in best:
-        best = {FORGOTTEN: best[FORGOTTEN]}
+    if TOMBSTONE in best:
+        best = {TOMBSTONE: best[TOMBSTONE]}
     slots: dict[int, MergedSlot] = {}
     for slot, (state, names) in best.items():
         holders = tuple(names)
@@ -61,10 +61,10 @@
     return MergedJob(max(job.age_ms for _, job in held), slots)
 
 
-def misplaced(results: Mapping[int, tuple[Term, int]]) -> set[int]:
+def duplicate_positions(results: Mapping[int, tuple[Term, int]]) -> set[int]:
     """Positions to be left out: of those that name one item, all but the one of the highest term.
 
-    `results` has the term and the item by position. A chosen result is never left out: every owner of a later
+    `results` has the term and the item by position. A committed result is never left out: every owner of a later
     term knows it, so that another position of its item can only be of a lower term.
     """
     best: dict[int, int] = {}
--- a/emberring/jobs/messages.py
+++ b/emberring/jobs/messages.py
@@ -12,7 +12,7 @@
 
 @message("lots.claim")
 @attrs.frozen
-class Claim:
+class ClaimOwnership:
     """A store asks to own a shard under this term."""
 
     shard: int
@@ -20,15 +20,15 @@
     term: Term
 
 
-@message("lots.claimed")
+@message("lots.claimed", wire_keys={"lease_active": "held"})
 @attrs.frozen
-class ClaimReply:
+class ClaimOwnershipReply:
     """`granted`: no lower term is taken from now on, and `inventory` is all that the replica holds. Otherwise
-    `promised` is the highest term seen, and `held` tells that another owner's lease may still run."""
+    `promised` is the highest term seen, and `lease_active` tells that another owner's lease may still run."""
 
     granted: bool
     promised: Term = NO_TERM
-    held: bool = False
+    lease_active: bool = False
     inventory: bytes = b""
 
 
@@ -46,7 +46,7 @@
 @message("lots.drop")
 @attrs.frozen
 class DropSlots:
-    """Slots that the owner knows to be without a chosen value, or of lots that all replicas forget: the packed
+    """Slots that the owner knows to be without a committed value, or of batch jobs that all replicas forget: the packed
     records have empty values. A replica erases them."""
 
     shard: int
@@ -57,7 +57,7 @@
 
 @message("lots.written")
 @attrs.frozen
-class WriteReply:
+class WriteSlotsReply:
     """`written`: all of it lasts on this replica's disk. Otherwise `promised` is the term that forbids it."""
 
     written: bool
@@ -65,7 +65,7 @@
 
 
 @attrs.frozen
-class Lease:
+class ShardLease:
     """A shard and the term under which the sender owns it."""
 
     shard: int
@@ -79,11 +79,11 @@
 
     sender: str
     target: str
-    leases: tuple[Lease, ...]
+    leases: tuple[ShardLease, ...]
 
 
 @attrs.frozen
-class LeaseAnswer:
+class LeaseRenewal:
     """Whether the lease stands, the highest term seen, and the digest of what the replica holds."""
 
     shard: int
@@ -95,14 +95,14 @@
 @message("lots.touched")
 @attrs.frozen
 class RenewLeasesReply:
-    """The answers to a touch, one for each lease."""
+    """The answers to a lease renewal, one for each lease."""
 
-    answers: tuple[LeaseAnswer, ...]
+    answers: tuple[LeaseRenewal, ...]
 
 
 @message("lots.release")
 @attrs.frozen
-class Release:
+class ReleaseOwnership:
     """The owner of this term gives the shard up: another may claim it at once."""
 
     shard: int
@@ -122,7 +122,7 @@
 
 @message("lots.held")
 @attrs.frozen
-class Inventory:
+class InventoryReply:
     """What the replica holds, packed; None where a higher term forbids the question."""
 
     inventory: bytes | None
@@ -131,7 +131,7 @@
 
 @message("lots.fetch")
 @attrs.frozen
-class Fetch:
+class FetchRecords:
     """The owner asks for the values of slots (packed records with empty values)."""
 
     shard: int
@@ -141,7 +141,7 @@
 
 @message("lots.fetched")
 @attrs.frozen
-class Fetched:
+class FetchRecordsReply:
     """The records asked for, as far as the replica holds them, packed."""
 
     records: bytes
--- a/emberring/jobs/owned.py
+++ b/emberring/jobs/owned.py
@@ -10,39 +10,39 @@
 
 @attrs.define(eq=False)
 class OwnedSlot:
-    """A value, and whether a quorum has it. `acks` are the replicas that confirmed it while it is not chosen."""
+    """A value, and whether a quorum has it. `acks` are the replicas that confirmed it while it is not committed."""
 
     value: bytes
     checksum: int
-    chosen: bool = False
+    committed: bool = False
     acks: set[str] | None = None
 
 
 @attrs.define(eq=False)
 class OwnedJob:
-    """The slots of a lot, and when it was accepted (seconds of the steady clock, at the latest)."""
+    """The slots of a batch job, and when it was accepted (seconds of the monotonic clock, at the latest)."""
 
     accepted_s: float
     slots: dict[int, OwnedSlot] = attrs.field(factory=dict)
 
 
 class OwnedRecords:
-    """All lots of a shard."""
+    """All batch jobs of a shard."""
 
     def __init__(self) -> None:
         self.jobs: dict[str, OwnedJob] = {}
-        self.unchosen = 0
+        self.uncommitted = 0
         self.digest = 0
 
     def replace(self, jobs: dict[str, OwnedJob]) -> None:
         """Begin anew with these."""
         self.jobs = jobs
-        self.unchosen = 0
+        self.uncommitted = 0
         self.digest = 0
         for key, job in jobs.items():
             for slot, owned in job.slots.items():
                 self.digest ^= slot_digest(key, slot, owned.checksum)
-                self.unchosen += not owned.chosen
+                self.uncommitted += not owned.committed
 
     def find(self, key: str, slot: int) -> OwnedSlot | None:
         """The slot, or None."""
@@ -50,7 +50,7 @@
         return job.slots.get(slot) if job else None
 
     def put(self, key: str, slot: int, value: bytes, accepted_s: float) -> None:
-        """A new value, not chosen yet."""
+        """A new value, not committed yet."""
         job = self.jobs.get(key)
         if job is None:
             job = self.jobs[key] = OwnedJob(accepted_s)
@@ -58,21 +58,21 @@
         owned = OwnedSlot(value, checksum(value), acks=set())
         self.jobs.setdefault(key, job).slots[slot] = owned
         self.digest ^= slot_digest(key, slot, owned.checksum)
-        self.unchosen += 1
+        self.uncommitted += 1
 
     def erase(self, key: str, slot: int) -> None:
-        """Forget a slot; a lot without slots is gone."""
+        """Forget a slot; a batch job without slots is gone."""
         job = self.jobs.get(key)
         owned = job.slots.pop(slot, None) if job else None
         if job is None or owned is None:
             return
         self.digest ^= slot_digest(key, slot, owned.checksum)
-        self.unchosen -= not owned.chosen
+        self.uncommitted -= not owned.committed
         if not job.slots:
             del self.jobs[key]
 
-    def choose(self, owned: OwnedSlot) -> None:
+    def mark_committed(self, owned: OwnedSlot) -> None:
         """A quorum has it."""
-        owned.chosen = True
+        owned.committed = True
         owned.acks = None
-        self.unchosen -= 1
+        self.uncommitted -= 1
--- a/emberring/jobs/owner_recovery.py
+++ b/emberring/jobs/owner_recovery.py
@@ -1,18 +1,18 @@
-"""How a new owner gathers the values of the records that it adopts: its own replica's, the rest fetched."""
+"""How a new owner gathers the values of the records that it recovers: its own replica's, the rest fetched."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
-from emberring.jobs.merge import Inventories, MergedSlot, merge, misplaced
+from emberring.jobs.merge import Inventories, MergedSlot, duplicate_positions, merge
 from emberring.jobs.owned import OwnedJob, OwnedSlot
-from emberring.jobs.peer import Ref
+from emberring.jobs.peer import SlotRef
 from emberring.jobs.records import Record, Term, checksum, pack_records
 from emberring.jobs.replica import Replica
 from emberring.jobs.results import item_index
 from emberring.placement.model import Group
 
-FETCH_BYTES = 256 * 1024
+MAX_FETCH_BYTES = 256 * 1024
 
 
 class OwnerRecovery:
@@ -22,9 +22,9 @@
         self, now_s: float, inventories: Inventories, group: Group, me: str, replica: Replica
     ) -> None:
         self._merged = merge(inventories, group)
-        self._values: dict[Ref, bytes] = {}
-        self._missing: dict[Ref, list[str]] = {}
-        self._asked: dict[str, dict[Ref, None]] = {}
+        self._values: dict[SlotRef, bytes] = {}
+        self._missing: dict[SlotRef, list[str]] = {}
+        self._asked: dict[str, dict[SlotRef, None]] = {}
         self._now_s = now_s
         for key, job in self._merged.items():
             held = replica.jobs.get(key)
@@ -52,7 +52,7 @@
         for (key, slot), sources in self._missing.items():
             source = sources[0] if sources else ""
             size = sizes.get(source, 0)
-            if not source or source in self._asked or size > FETCH_BYTES:
+            if not source or source in self._asked or size > MAX_FETCH_BYTES:
                 continue
             sizes[source] = size + self._slot(key, slot).state.length + len(key)
             batches.setdefault(source, []).append(Record(key, slot, 0, b""))
@@ -79,7 +79,7 @@
         self._asked.pop(identity, None)
         self._give_up(identity, dict.fromkeys(self._missing))
 
-    def _give_up(self, identity: str, refs: dict[Ref, None]) -> None:
+    def _give_up(self, identity: str, refs: dict[SlotRef, None]) -> None:
         for ref in refs:
             sources = self._missing.get(ref)
             if sources and identity in sources:
@@ -94,12 +94,12 @@
                 for slot, found in merged.slots.items()
                 if slot >= 0
             }
-            out = misplaced(positions)
+            out = duplicate_positions(positions)
             job = OwnedJob(self._now_s - merged.age_ms / 1000)
             for slot, found in merged.slots.items():
                 if slot not in out:
                     value = self._values[(key, slot)]
-                    acks = None if found.chosen else set[str]()
-                    job.slots[slot] = OwnedSlot(value, found.state.checksum, found.chosen, acks)
+                    acks = None if found.committed else set[str]()
+                    job.slots[slot] = OwnedSlot(value, found.state.checksum, found.committed, acks)
             result[key] = job
         return result
--- a/emberring/jobs/packing.py
+++ b/emberring/jobs/packing.py
@@ -1,6 +1,6 @@
 """Bodies, results and events in few bytes, on the links between nodes and on disk.
 
-What lots hold is mostly random text, in which whole strings hardly come again: only the letters are coded
+What batch jobs hold is mostly random text, in which whole strings hardly come again: only the letters are coded
 (Huffman), which takes a third of the time of a search for strings and makes about as little of it.
 """
 
@@ -16,20 +16,20 @@
 
 LEVEL = 1
 MEMORY_LEVEL = 8
-MOST_BYTES = 64 * 1024 * 1024  # that anything may expand to
+MAX_DECOMPRESSED_BYTES = 64 * 1024 * 1024  # that anything may expand to
 
 
-def squeeze(data: bytes) -> bytes:
+def compress(data: bytes) -> bytes:
     """The data in fewer bytes."""
     packer = zlib.compressobj(LEVEL, zlib.DEFLATED, zlib.MAX_WBITS, MEMORY_LEVEL, zlib.Z_HUFFMAN_ONLY)
     return packer.compress(data) + packer.flush()
 
 
-def expand(data: bytes | memoryview) -> bytes:
-    """What was squeezed; `CorruptRecordError` where the bytes are nothing that was."""
+def decompress(data: bytes | memoryview) -> bytes:
+    """What was compressed; `CorruptRecordError` where the bytes are nothing that was."""
     unpacker = zlib.decompressobj()
     try:
-        found = unpacker.decompress(data, MOST_BYTES)
+        found = unpacker.decompress(data, MAX_DECOMPRESSED_BYTES)
     except zlib.error as error:
         raise CorruptRecordError(f"squeezed bytes: {error}") from error
     if not unpacker.eof:
@@ -41,7 +41,7 @@
     """Events for the wire; nothing where there are none."""
     if not events:
         return b""
-    return squeeze(orjson.dumps([(event.id, event.data) for event in events]))
+    return compress(orjson.dumps([(event.id, event.data) for event in events]))
 
 
 def unpack_events(packed: bytes) -> tuple[EventData, ...]:
@@ -49,6 +49,6 @@
     if not packed:
         return ()
     try:
-        return tuple(EventData(number, data) for number, data in orjson.loads(expand(packed)))
+        return tuple(EventData(number, data) for number, data in orjson.loads(decompress(packed)))
     except (ValueError, TypeError) as error:
         raise CorruptRecordError(f"events: {error}") from error
--- a/emberring/jobs/peer.py
+++ b/emberring/jobs/peer.py
@@ -6,27 +6,27 @@
 
 import attrs
 
-Ref = tuple[str, int]  # the key of a lot and a slot
+SlotRef = tuple[str, int]  # the key of a batch job and a slot
 
 MAX_IN_FLIGHT = 3
-FIRST_BACKOFF_S = 0.1
-LAST_BACKOFF_S = 1.6
-FETCH_AGAIN_S = 0.6
+MIN_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 1.6
+INVENTORY_INTERVAL_S = 0.6
 
 
 @attrs.define(eq=False)
-class Peer:
+class ReplicaProgress:
     """A replica as its owner sees it. `known`: what it holds was compared with what it should hold."""
 
     identity: str
     known: bool = False
-    fresh: dict[Ref, None] = attrs.field(factory=dict)  # written a moment ago; these go first
-    backlog: dict[Ref, None] = attrs.field(factory=dict)
-    extra: dict[Ref, None] = attrs.field(factory=dict)  # to be erased there
-    in_flight: dict[int, tuple[Ref, ...]] = attrs.field(factory=dict)
+    fresh: dict[SlotRef, None] = attrs.field(factory=dict)  # written a moment ago; these go first
+    backlog: dict[SlotRef, None] = attrs.field(factory=dict)
+    extra: dict[SlotRef, None] = attrs.field(factory=dict)  # to be erased there
+    in_flight: dict[int, tuple[SlotRef, ...]] = attrs.field(factory=dict)
     catching_up: set[int] = attrs.field(factory=set)  # of those in flight, the ones out of the backlog
     retry_at_s: float = -math.inf
-    backoff_s: float = FIRST_BACKOFF_S
+    backoff_s: float = MIN_BACKOFF_S
     inventory_asked_s: float = -math.inf
 
     @property
@@ -41,20 +41,20 @@
 
     def may_send(self, now_s: float) -> bool:
         """Whether another message may go there now."""
-        limit = MAX_IN_FLIGHT if self.backoff_s == FIRST_BACKOFF_S else 1
+        limit = MAX_IN_FLIGHT if self.backoff_s == MIN_BACKOFF_S else 1
         return len(self.in_flight) < limit and now_s >= self.retry_at_s
 
-    def answered(self, ticket: int) -> tuple[Ref, ...]:
+    def answered(self, ticket: int) -> tuple[SlotRef, ...]:
         """A message was carried out; what it held."""
-        self.backoff_s = FIRST_BACKOFF_S
+        self.backoff_s = MIN_BACKOFF_S
         self.retry_at_s = -math.inf
         self.catching_up.discard(ticket)
         return self.in_flight.pop(ticket, ())
 
-    def failed(self, now_s: float, ticket: int) -> tuple[Ref, ...]:
-        """A message had no answer: send it again after a pause that grows."""
+    def failed(self, now_s: float, ticket: int) -> tuple[SlotRef, ...]:
+        """A message had no answer: send it again after an exponential backoff."""
         self.catching_up.discard(ticket)
         refs = self.in_flight.pop(ticket, ())
         self.retry_at_s = now_s + self.backoff_s
-        self.backoff_s = min(2 * self.backoff_s, LAST_BACKOFF_S)
+        self.backoff_s = min(2 * self.backoff_s, MAX_BACKOFF_S)
         return refs
--- a/emberring/jobs/queries.py
+++ b/emberring/jobs/queries.py
@@ -1,4 +1,4 @@
-"""How lots are read: pages of results that last, waits for the next one, bodies of items."""
+"""How batch jobs are read: pages of results that last, waits for the next one, bodies of items."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from emberring.errors import NotFoundError, NotReadyError
 from emberring.jobs.batch_job import BatchJob
 from emberring.jobs.calls import ItemBody, ReadItem, ReadJob
-from emberring.jobs.job_table import Answer, JobTable, Refuse
+from emberring.jobs.job_table import AnswerCall, JobTable, RejectCall
 from emberring.jobs.records import job_key
 from emberring.jobs.results import build_page
 
@@ -22,10 +22,10 @@
 
 
 class JobQueries:
-    """Reads of one shard's lots."""
+    """Reads of one shard's batch jobs."""
 
-    def __init__(self, shelf: JobTable) -> None:
-        self._shelf = shelf
+    def __init__(self, table: JobTable) -> None:
+        self._table = table
         self._readers: dict[str, list[_Reader]] = {}
 
     @property
@@ -39,47 +39,47 @@
         if job is None:
             return
         start = max(0, message.start_after)
-        if start < job.shown or job.all_shown or job.ended or message.wait_ms <= 0:
+        if start < job.visible or job.all_visible or job.ended or message.wait_ms <= 0:
             self._answer(job, call, start)
         else:
             reader = _Reader(call, start, now_s + message.wait_ms / 1000)
             self._readers.setdefault(job.key, []).append(reader)
 
     def item(self, call: int, message: ReadItem) -> None:
-        """An item's body as it was handed in."""
+        """An item's body as it was submitted."""
         job = self._find(call, message.host, message.job)
         if job is None:
             return
-        found = next((spec for spec in self._shelf.specs(job) if spec.id == message.item), None)
-        if found is None or job.end_lasts:
-            self._shelf.out.append(Refuse(call, NotFoundError(f"no item {message.item}")))
+        found = next((spec for spec in self._table.specs(job) if spec.id == message.item), None)
+        if found is None or job.end_committed:
+            self._table.out.append(RejectCall(call, NotFoundError(f"no item {message.item}")))
         else:
-            self._shelf.out.append(Answer(call, ItemBody(found.decoded_body())))
+            self._table.out.append(AnswerCall(call, ItemBody(found.decoded_body())))
 
     def _find(self, call: int, host: str, job_id: str) -> BatchJob | None:
-        """The lot; where it is certain that there is none, the call is refused so."""
-        job = self._shelf.jobs.get(job_key(host, job_id))
+        """The batch job; where it is certain that there is none, the call is refused so."""
+        job = self._table.jobs.get(job_key(host, job_id))
         if job is None:
-            self._shelf.out.append(Refuse(call, NotFoundError(f"no lot {job_id}")))
+            self._table.out.append(RejectCall(call, NotFoundError(f"no lot {job_id}")))
         elif not job.accepted:
-            self._shelf.out.append(Refuse(call, NotReadyError(f"lot {job_id} is being taken")))
+            self._table.out.append(RejectCall(call, NotReadyError(f"lot {job_id} is being taken")))
             return None
         return job
 
     def _answer(self, job: BatchJob, call: int, start: int) -> None:
         values = (
             owned.value
-            for position in range(start, job.shown)
-            if (owned := self._shelf.records.find(job.key, position)) is not None
+            for position in range(start, job.visible)
+            if (owned := self._table.records.find(job.key, position)) is not None
         )
-        self._shelf.out.append(Answer(call, build_page(len(job.items), start, values)))
+        self._table.out.append(AnswerCall(call, build_page(len(job.items), start, values)))
 
     def more(self, job: BatchJob) -> None:
-        """More results are shown, or the lot has ended."""
+        """More results are shown, or the batch job has ended."""
         readers = self._readers.pop(job.key, [])
         left = []
         for reader in readers:
-            if reader.start_after < job.shown or job.all_shown or job.ended:
+            if reader.start_after < job.visible or job.all_visible or job.ended:
                 self._answer(job, reader.call, reader.start_after)
             else:
                 left.append(reader)
@@ -89,7 +89,7 @@
     def tick(self, now_s: float) -> None:
         """Reads that have waited long enough get what there is."""
         for key in list(self._readers):
-            job = self._shelf.jobs.get(key)
+            job = self._table.jobs.get(key)
             left = []
             for reader in self._readers.pop(key):
                 if now_s < reader.until_s and job is not None:
@@ -97,7 +97,7 @@
                 elif job is not None:
                     self._answer(job, reader.call, reader.start_after)
                 else:
-                    self._shelf.out.append(Refuse(reader.call, NotReadyError("the lot is not held here")))
+                    self._table.out.append(RejectCall(reader.call, NotReadyError("the lot is not held here")))
             if left:
                 self._readers[key] = left
 
@@ -105,5 +105,5 @@
         """Another store owns the shard."""
         for readers in self._readers.values():
             for reader in readers:
-                self._shelf.out.append(Refuse(reader.call, NotReadyError("the owner changed")))
+                self._table.out.append(RejectCall(reader.call, NotReadyError("the owner changed")))
         self._readers.clear()
--- a/emberring/jobs/records.py
+++ b/emberring/jobs/records.py
@@ -1,6 +1,6 @@
-"""Terms, slots and records of lots, and their binary form on disk and between stores.
+"""Terms, slots and records of batch jobs, and their binary form on disk and between stores.
 
-A lot is a set of slots: its definition, its results by position, its end, and the mark that it is forgotten. Each
+A batch job is a set of slots: its definition, its results by position, its end, and the mark that it is forgotten. Each
 slot holds one value, written under the term of the owner that wrote it.
 """
 
@@ -16,7 +16,7 @@
 
 DEFINITION = -1
 END = -2
-FORGOTTEN = -3
+TOMBSTONE = -3
 
 MAX_AGE_MS = 0xFFFFFFFF
 _TERM = struct.Struct("<QQB")  # epoch, counter, length of the owner's identity
@@ -54,7 +54,7 @@
 
 @attrs.frozen
 class Record:
-    """A value for a slot. `age_ms` tells how long ago the lot was accepted, as far as the sender knows."""
+    """A value for a slot. `age_ms` tells how long ago the batch job was accepted, as far as the sender knows."""
 
     key: str
     slot: int
@@ -73,14 +73,14 @@
 
 @attrs.frozen
 class JobState:
-    """What a replica holds of a lot."""
+    """What a replica holds of a batch job."""
 
     age_ms: int
     slots: dict[int, SlotState]
 
 
 def job_key(host: str, job_id: str) -> str:
-    """The key of a lot: one id under two hosts is two lots."""
+    """The key of a batch job: one id under two hosts is two batch jobs."""
     return f"{host.lower()}/{job_id}"
 
 
@@ -133,7 +133,7 @@
 
 
 def pack_inventory(jobs: dict[str, JobState]) -> bytes:
-    """What a replica holds, compactly: the terms that occur, then each lot with its slots."""
+    """What a replica holds, compactly: the terms that occur, then each batch job with its slots."""
     terms: dict[Term, int] = {}
     body: list[bytes] = []
     for key, job in jobs.items():
--- a/emberring/jobs/replica_log.py
+++ b/emberring/jobs/replica_log.py
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class Copied:
-    """Records of an older segment appended anew. They may stand behind an erasure that came after them."""
+    """Records of an older segment appended again. They may stand behind an erasure that came after them."""
 
     term: Term
     records: tuple[Record, ...]
@@ -60,7 +60,7 @@
 
 @attrs.frozen
 class Logged:
-    """An entry as found in the journal: its shard and the steady clock's time at which it was written."""
+    """An entry as found in the journal: its shard and the monotonic clock's time at which it was written."""
 
     shard: int
     clock_s: float
--- a/emberring/jobs/replication.py
+++ b/emberring/jobs/replication.py
@@ -7,13 +7,13 @@
 from emberring.jobs.lease import has_quorum
 from emberring.jobs.messages import DropSlots, WriteSlots
 from emberring.jobs.owned import OwnedRecords
-from emberring.jobs.peer import FETCH_AGAIN_S, Peer, Ref
-from emberring.jobs.records import FORGOTTEN, NO_TERM, JobState, Record, Term, pack_records
+from emberring.jobs.peer import INVENTORY_INTERVAL_S, ReplicaProgress, SlotRef
+from emberring.jobs.records import NO_TERM, TOMBSTONE, JobState, Record, Term, pack_records
 from emberring.jobs.replica import age_ms
 from emberring.placement.model import Group, quorum
 
-MESSAGE_BYTES = 256 * 1024
-MISMATCH_S = 1.0  # for so long an idle replica may differ before it is compared again
+MAX_MESSAGE_BYTES = 256 * 1024
+DIGEST_MISMATCH_TIMEOUT_S = 1.0  # for so long an idle replica may differ before it is compared again
 
 
 class Replication:
@@ -24,23 +24,23 @@
         self._group: Group | None = None
         self._term = NO_TERM
         self._mismatch_since: dict[str, float] = {}
-        self.peers: dict[str, Peer] = {}
+        self.peers: dict[str, ReplicaProgress] = {}
 
     def begin(self, group: Group, term: Term) -> None:
-        """A term begins: all that is not chosen goes to every replica."""
+        """A term begins: all that is not committed goes to every replica."""
         self._group, self._term = group, term
         self._mismatch_since.clear()
-        self.peers = {identity: Peer(identity) for identity in group.everyone}
+        self.peers = {identity: ReplicaProgress(identity) for identity in group.everyone}
         for key, job in self._records.jobs.items():
             for slot, owned in job.slots.items():
-                if not owned.chosen:
+                if not owned.committed:
                     self.write((key, slot))
 
     def clear(self) -> None:
         """The term is over."""
         self.peers = {}
 
-    def write(self, ref: Ref) -> None:
+    def write(self, ref: SlotRef) -> None:
         """A value was written: every replica gets it."""
         for peer in self.peers.values():
             peer.extra.pop(ref, None)
@@ -54,7 +54,7 @@
             return
         peer.known = True
         self._mismatch_since.pop(identity, None)
-        under_way = {ref for refs in peer.in_flight.values() for ref in refs}
+        in_flight_refs = {ref for refs in peer.in_flight.values() for ref in refs}
         for key, job in self._records.jobs.items():
             theirs = inventory[key].slots if key in inventory else {}
             for slot, owned in job.slots.items():
@@ -62,7 +62,7 @@
                 held = theirs.get(slot)
                 if held is not None and held.checksum == owned.checksum:
                     continue
-                if ref not in peer.fresh and ref not in under_way:
+                if ref not in peer.fresh and ref not in in_flight_refs:
                     peer.backlog[ref] = None
         for key, theirs_job in inventory.items():
             mine = self._records.jobs.get(key)
@@ -71,21 +71,21 @@
                     peer.extra[(key, slot)] = None
 
     def wants_inventory(self, now_s: float, identity: str, sent_s: float, digest: int) -> bool:
-        """Whether a replica that granted a touch should be asked what it holds."""
+        """Whether a replica that granted a lease renewal should be asked what it holds."""
         peer = self.peers.get(identity)
-        if peer is None or now_s - peer.inventory_asked_s < FETCH_AGAIN_S:
+        if peer is None or now_s - peer.inventory_asked_s < INVENTORY_INTERVAL_S:
             return False
         if peer.known and not self._differs(now_s, peer, sent_s, digest):
             return False
         peer.inventory_asked_s = now_s
         return True
 
-    def _differs(self, now_s: float, peer: Peer, sent_s: float, digest: int) -> bool:
+    def _differs(self, now_s: float, peer: ReplicaProgress, sent_s: float, digest: int) -> bool:
         idle = not (peer.fresh or peer.backlog or peer.extra or peer.in_flight)
         if not idle or digest == self._records.digest:
             self._mismatch_since.pop(peer.identity, None)
             return False
-        return now_s - self._mismatch_since.setdefault(peer.identity, now_s) > MISMATCH_S
+        return now_s - self._mismatch_since.setdefault(peer.identity, now_s) > DIGEST_MISMATCH_TIMEOUT_S
 
     def next_message(self, now_s: float, identity: str, ticket: int) -> WriteSlots | DropSlots | None:
         """The next message for a replica, under this ticket; None if there is nothing or no room."""
@@ -113,10 +113,10 @@
         assert self._group is not None
         return self._group.shard
 
-    def _take(self, queue: dict[Ref, None]) -> tuple[Ref, ...]:
-        refs: list[Ref] = []
+    def _take(self, queue: dict[SlotRef, None]) -> tuple[SlotRef, ...]:
+        refs: list[SlotRef] = []
         size = 0
-        while queue and size < MESSAGE_BYTES:
+        while queue and size < MAX_MESSAGE_BYTES:
             ref = next(iter(queue))
             del queue[ref]
             owned = self._records.find(*ref)
@@ -125,31 +125,31 @@
                 size += len(owned.value) + len(ref[0])
         return tuple(refs)
 
-    def _record(self, now_s: float, ref: Ref) -> Record:
+    def _record(self, now_s: float, ref: SlotRef) -> Record:
         key, slot = ref
         job = self._records.jobs[key]
         return Record(key, slot, age_ms(now_s, job.accepted_s), job.slots[slot].value)
 
-    def under_way(self, identity: str, ticket: int) -> tuple[Ref, ...]:
+    def in_flight_refs(self, identity: str, ticket: int) -> tuple[SlotRef, ...]:
         """What a message that is on its way to a replica holds."""
         peer = self.peers.get(identity)
         return peer.in_flight.get(ticket, ()) if peer is not None else ()
 
-    def answered(self, identity: str, ticket: int) -> list[Ref]:
-        """A replica has carried out a message; what is chosen by that."""
+    def answered(self, identity: str, ticket: int) -> list[SlotRef]:
+        """A replica has carried out a message; what is committed by that."""
         peer = self.peers.get(identity)
         if peer is None or self._group is None:
             return []
-        chosen: list[Ref] = []
+        committed: list[SlotRef] = []
         for ref in peer.answered(ticket):
             owned = self._records.find(*ref)
             if owned is None or owned.acks is None:
                 continue
             owned.acks.add(identity)
             if has_quorum(self._group, owned.acks):
-                self._records.choose(owned)
-                chosen.append(ref)
-        return chosen
+                self._records.mark_committed(owned)
+                committed.append(ref)
+        return committed
 
     def failed(self, now_s: float, identity: str, ticket: int) -> None:
         """A message had no answer."""
@@ -162,30 +162,30 @@
             else:
                 peer.extra.setdefault(ref, None)
 
-    def shed(self, key: str) -> None:
-        """A lot's mark that it is forgotten is chosen: its other slots go, here and at every replica."""
+    def drop_tombstoned(self, key: str) -> None:
+        """A batch job's mark that it is forgotten is committed: its other slots go, here and at every replica."""
         job = self._records.jobs.get(key)
-        for slot in [slot for slot in job.slots if slot != FORGOTTEN] if job else ():
+        for slot in [slot for slot in job.slots if slot != TOMBSTONE] if job else ():
             self._records.erase(key, slot)
             self._erase_everywhere((key, slot))
 
-    def sweep(self) -> None:
+    def sweep_tombstones(self) -> None:
         """Once every replica holds the marks and has shed the rest, the marks go too."""
         if not all(peer.clean for peer in self.peers.values()):
             return
-        marked = [key for key, job in self._records.jobs.items() if set(job.slots) == {FORGOTTEN}]
+        marked = [key for key, job in self._records.jobs.items() if set(job.slots) == {TOMBSTONE}]
         for key in marked:
-            if self._records.jobs[key].slots[FORGOTTEN].chosen:
-                self._records.erase(key, FORGOTTEN)
-                self._erase_everywhere((key, FORGOTTEN))
+            if self._records.jobs[key].slots[TOMBSTONE].committed:
+                self._records.erase(key, TOMBSTONE)
+                self._erase_everywhere((key, TOMBSTONE))
 
-    def _erase_everywhere(self, ref: Ref) -> None:
+    def _erase_everywhere(self, ref: SlotRef) -> None:
         for peer in self.peers.values():
             peer.fresh.pop(ref, None)
             peer.backlog.pop(ref, None)
             peer.extra[ref] = None
 
-    def moved(self) -> bool:
+    def migration_complete(self) -> bool:
         """Whether all who join hold everything, and a quorum of the next members too."""
         if self._group is None or not self._group.joining:
             return False
--- a/emberring/jobs/results.py
+++ b/emberring/jobs/results.py
@@ -10,9 +10,9 @@
 
 from emberring.errors import CorruptRecordError
 from emberring.jobs.calls import JobPage
-from emberring.jobs.packing import expand, squeeze
+from emberring.jobs.packing import compress, decompress
 
-_HEAD = struct.Struct("<HII")  # the item's index, bytes of the JSON object, bytes of it squeezed
+_HEAD = struct.Struct("<HII")  # the item's index, bytes of the JSON object, bytes of it compressed
 MAX_PAGE_BYTES = 1_000_000  # with some room below the 1 MB of the interface
 
 
@@ -24,10 +24,10 @@
 
 
 def encode_result(index: int, item_id: str, state: ResultState, message: str) -> bytes:
-    """The value of a result: a head, then the JSON object that is listed, squeezed."""
+    """The value of a result: a head, then the JSON object that is listed, compressed."""
     listed = orjson.dumps({"Id": item_id, "State": state.value, "Message": message})
-    squeezed = squeeze(listed)
-    return _HEAD.pack(index, len(listed), len(squeezed)) + squeezed
+    compressed = compress(listed)
+    return _HEAD.pack(index, len(listed), len(compressed)) + compressed
 
 
 def item_index(value: bytes) -> int:
@@ -55,7 +55,7 @@
         while offset < len(page.results):
             _, _, length = _HEAD.unpack_from(page.results, offset)
             offset += _HEAD.size
-            found.append(expand(page.results[offset : offset + length]))
+            found.append(decompress(page.results[offset : offset + length]))
             offset += length
     except struct.error as error:
         raise CorruptRecordError(f"page: {error}") from error
--- a/emberring/jobs/runner.py
+++ b/emberring/jobs/runner.py
@@ -1,4 +1,4 @@
-"""Runs items of lots at this gateway: asks the owners for some, reports how far they are, hands the ends in."""
+"""Runs items of batch jobs at this gateway: asks the owners for some, reports how far they are, hands the ends in."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
     Assignment,
     EventData,
     FinishRun,
-    LeasedItems,
+    FinishRunReply,
     LeaseItems,
-    ReportAnswer,
+    LeaseItemsReply,
     ReportRuns,
-    RunFinished,
+    ReportRunsReply,
     RunProgress,
 )
 from emberring.jobs.directory import OwnerDirectory, TierKnowledge
@@ -26,18 +26,18 @@
 from emberring.jobs.packing import pack_events, unpack_events
 from emberring.transport.network import Network
 
-LEASE_S = 1.5  # from the sending of a report that the owner granted
-FIRST_LEASE_S = 0.8  # from the arrival of an item, which may have been on its way for a while
-REPORT_S = 0.2
-REPORT_AGE_S = 0.1  # runs younger than this are not reported yet
+ITEM_LEASE_S = 1.5  # from the sending of a report that the owner granted
+INITIAL_LEASE_S = 0.8  # from the arrival of an item, which may have been on its way for a while
+REPORT_INTERVAL_S = 0.2
+MIN_REPORT_AGE_S = 0.1  # runs younger than this are not reported yet
 POLL_WAIT_MS = 800
-POLL_SLACK_S = 0.6
-CALL_S = 0.8
-MOST_AT_ONCE = 32
-NO_ROOM_S = 0.03
+POLL_MARGIN_S = 0.6
+CALL_TIMEOUT_S = 0.8
+MAX_LEASE_BATCH = 32
+NO_CAPACITY_WAIT_S = 0.03
 NOT_RUN_PAUSE_S = 0.05
-DELIVER_S = 20.0  # for so long a result is offered to owners
-DELIVER_PAUSE_S = 0.1
+DELIVERY_TIMEOUT_S = 20.0  # for so long a result is offered to owners
+DELIVERY_RETRY_PAUSE_S = 0.1
 
 
 @attrs.define(eq=False)
@@ -45,7 +45,7 @@
     """An item that this gateway runs, or whose end it has not handed in yet."""
 
     assignment: Assignment
-    began_s: float
+    started_s: float
     allowed_until_s: float
     events: list[EventData]
     acked: int = 0  # how many of the events the owner holds
@@ -77,7 +77,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._ended = asyncio.Event()
         self._pause_until_s = 0.0
-        self._leaving = False
+        self._shutting_down = False
 
     @property
     def running(self) -> int:
@@ -91,7 +91,7 @@
 
     async def leave(self, limit_s: float) -> None:
         """Take no more items, and wait for those that run; the rest is given back after the limit (seconds)."""
-        self._leaving = True
+        self._shutting_down = True
         for poller in self._pollers.values():
             poller.cancel()
         until_s = _now_s() + limit_s
@@ -100,12 +100,12 @@
         for run in self._runs.values():
             if run.task is not None and not run.ended:
                 run.task.cancel()
-        while self._runs and _now_s() < until_s + CALL_S:
+        while self._runs and _now_s() < until_s + CALL_TIMEOUT_S:
             await asyncio.sleep(0.05)
 
     async def stop(self) -> None:
         """End at once."""
-        self._leaving = True
+        self._shutting_down = True
         for task in (*self._tasks, *self._pollers.values()):
             task.cancel()
 
@@ -113,36 +113,36 @@
 
     async def _poll_all(self) -> None:
         """One poll for each live store."""
-        while not self._leaving:
+        while not self._shutting_down:
             wanted = set(self._directory.stores())
             for address in wanted - set(self._pollers):
                 self._pollers[address] = asyncio.get_running_loop().create_task(self._poll_on(address))
             for address in set(self._pollers) - wanted:
                 self._pollers.pop(address).cancel()
-            await asyncio.sleep(REPORT_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
 
     async def _poll_on(self, address: str) -> None:
-        while not self._leaving:
-            room = min(MOST_AT_ONCE, self._executor.batch_room())
-            if room <= 0 or _now_s() < self._pause_until_s:
-                await self._wait_for_room()
+        while not self._shutting_down:
+            capacity = min(MAX_LEASE_BATCH, self._executor.batch_room())
+            if capacity <= 0 or _now_s() < self._pause_until_s:
+                await self._wait_for_capacity()
                 continue
-            message = LeaseItems(self._gateway, room, POLL_WAIT_MS, self._zone)
-            timeout_s = POLL_WAIT_MS / 1000 + POLL_SLACK_S
+            message = LeaseItems(self._gateway, capacity, POLL_WAIT_MS, self._zone)
+            timeout_s = POLL_WAIT_MS / 1000 + POLL_MARGIN_S
             try:
-                leased = await self._network.call(address, message, LeasedItems, timeout_s)
+                leased = await self._network.call(address, message, LeaseItemsReply, timeout_s)
             except EmberringError:
-                await asyncio.sleep(REPORT_S)
+                await asyncio.sleep(REPORT_INTERVAL_S)
                 continue
             for assignment in leased.items:
                 self._directory.confirm(assignment.shard, address)
                 self._begin(assignment)
             await asyncio.sleep(0)  # those that were begun take their places before the next question
 
-    async def _wait_for_room(self) -> None:
+    async def _wait_for_capacity(self) -> None:
         self._ended.clear()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(NO_ROOM_S):
+            async with asyncio.timeout(NO_CAPACITY_WAIT_S):
                 await self._ended.wait()
 
     # Running.
@@ -150,7 +150,7 @@
     def _begin(self, assignment: Assignment) -> None:
         now_s = _now_s()
         events = list(unpack_events(assignment.events))
-        run = _Run(assignment, now_s, now_s + FIRST_LEASE_S, events, len(events))
+        run = _Run(assignment, now_s, now_s + INITIAL_LEASE_S, events, len(events))
         self._runs[assignment.ticket] = run
         run.task = self._spawn(self._run(run))
 
@@ -158,7 +158,7 @@
         try:
             kind = await self._execute(run)
         except asyncio.CancelledError:
-            if run.stopped or not self._leaving:
+            if run.stopped or not self._shutting_down:
                 self._runs.pop(run.assignment.ticket, None)
                 raise
             kind = OutcomeKind.BROKEN
@@ -186,7 +186,7 @@
             resume_after=run.events[-1].id if run.events else None,
             tokens=item.tokens,
             route=route,
-            due_s=run.began_s + item.due_ms / 1000,
+            due_s=run.started_s + item.due_ms / 1000,
             still_allowed=lambda: not run.stopped and _now_s() < run.allowed_until_s,
         )
 
@@ -198,7 +198,7 @@
     async def _deliver(self, run: _Run, kind: OutcomeKind) -> None:
         """Hand the end of a run in, until an owner has it for good."""
         item = run.assignment
-        until_s = _now_s() + DELIVER_S
+        until_s = _now_s() + DELIVERY_TIMEOUT_S
         start = run.acked
         while _now_s() < until_s and not run.stopped:
             address = self._directory.address(item.shard)
@@ -215,24 +215,24 @@
             )
             try:
                 if address is not None:
-                    reply = await self._network.call(address, message, RunFinished, CALL_S)
-                    if reply.taken:
+                    reply = await self._network.call(address, message, FinishRunReply, CALL_TIMEOUT_S)
+                    if reply.acknowledged:
                         return
                 start = 0
             except EmberringError as error:
                 start = 0
                 self._note(item.shard, address or "", error)
-            await asyncio.sleep(DELIVER_PAUSE_S)
+            await asyncio.sleep(DELIVERY_RETRY_PAUSE_S)
 
     # Reporting.
 
     async def _report_on(self) -> None:
         while True:
-            await asyncio.sleep(REPORT_S)
+            await asyncio.sleep(REPORT_INTERVAL_S)
             by_shard: dict[int, list[_Run]] = {}
-            old_s = _now_s() - REPORT_AGE_S
+            old_s = _now_s() - MIN_REPORT_AGE_S
             for run in self._runs.values():
-                if run.began_s <= old_s:
+                if run.started_s <= old_s:
                     by_shard.setdefault(run.assignment.shard, []).append(run)
             for shard, runs in by_shard.items():
                 self._spawn(self._report(shard, runs))
@@ -254,7 +254,7 @@
         sent_s = _now_s()
         try:
             message = ReportRuns(self._gateway, shard, told)
-            answer = await self._network.call(address, message, ReportAnswer, CALL_S)
+            answer = await self._network.call(address, message, ReportRunsReply, CALL_TIMEOUT_S)
         except EmberringError as error:
             self._note(shard, address, error)
             return
@@ -263,9 +263,9 @@
             run = self._runs.get(reply.ticket)
             if run is None:
                 continue
-            if reply.go_on:
-                run.allowed_until_s = max(run.allowed_until_s, sent_s + LEASE_S)
-                run.acked = min(reply.have, len(run.events))
+            if reply.lease_renewed:
+                run.allowed_until_s = max(run.allowed_until_s, sent_s + ITEM_LEASE_S)
+                run.acked = min(reply.events_received, len(run.events))
             elif not run.ended:
                 run.stopped = True
                 if run.task is not None:
--- a/emberring/jobs/status.py
+++ b/emberring/jobs/status.py
@@ -10,7 +10,7 @@
 @message("store.ask_status", wire_keys={"jobs": "lots"})
 @attrs.frozen
 class StoreStatusRequest:
-    """A tool asks a store what it holds. `jobs`: also list lots of the shards that it owns."""
+    """A tool asks a store what it holds. `jobs`: also list batch jobs of the shards that it owns."""
 
     jobs: bool = False
 
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class JobStatus:
-    """A lot: how many of its items are listed, and how long ago it was accepted (seconds)."""
+    """A batch job: how many of its items are listed, and how long ago it was accepted (seconds)."""
 
     shard: int
     host: str
--- a/emberring/journal/ring.py
+++ b/emberring/journal/ring.py
@@ -179,7 +179,7 @@
         if not self._broken:
             return
         try:
-            # Guard: a new segment wherever there is room. If a header that failed to sync lasts all the same, it says
+            # A new segment wherever there is room. If a header that failed to sync lasts all the same, it says
             # where the newest segment ends, which must not grow on; and for that header there was room.
             if self._has_room_to_heal:
                 self._roll(self._segment_bytes)
@@ -266,7 +266,7 @@
         if not self._free:
             self._free.append(self._create(size))
         slot = self._free[0]
-        # Guard: never cut shorter. Until the new header lasts, a start reads the file as it was.
+        # Never cut shorter. Until the new header lasts, a start reads the file as it was.
         if slot.size < size:
             slot.file.resize(size)
             slot.size = size
--- a/emberring/simulation/jobs/client.py
+++ b/emberring/simulation/jobs/client.py
@@ -1,4 +1,4 @@
-"""Simulated clients of lots: they hand in, try again, read on and back, and end some lots early."""
+"""Simulated clients of batch jobs: they hand in, try again, read on and back, and end some batch jobs early."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from emberring.errors import NotFoundError
 from emberring.jobs.calls import EndJob, JobPage, JobTerms, ReadJob, SubmitJob
-from emberring.jobs.packing import squeeze
+from emberring.jobs.packing import compress
 from emberring.jobs.results import page_json
 from emberring.simulation.jobs.gateway import GatewayMachine
 from emberring.simulation.jobs.history import History, ItemTruth, JobTruth, Try
@@ -36,7 +36,7 @@
         self.ending = False
 
     def hand_in(self) -> None:
-        """A new lot."""
+        """A new batch job."""
         rng = self.world.rng
         job_id = f"lot{len(self.history.jobs)}"
         items = {
@@ -49,7 +49,7 @@
             {"Id": name, "Path": "/batch/x", "Headers": {}, "Body": "", "Tokens": item.tokens}
             for name, item in items.items()
         ]
-        self._try(job, SubmitJob(HOST, job_id, TERMS, squeeze(orjson.dumps({"Requests": listed}))))
+        self._try(job, SubmitJob(HOST, job_id, TERMS, compress(orjson.dumps({"Requests": listed}))))
 
     def _gateway(self) -> GatewayMachine:
         running = [gateway for gateway in self.gateways if gateway.running] or self.gateways
@@ -71,7 +71,7 @@
                 self.world.after(0.1 + self.world.rng.random() * 0.5, self._try, job, message)
 
         self.world.after(3.5, done, Try.UNCLEAR)  # the gateway died or froze
-        gateway.when_awake(gateway.life, gateway.submit, message, done)
+        gateway.when_awake(gateway.incarnation, gateway.submit, message, done)
 
     def _follow(self, job: JobTruth) -> None:
         self.world.after(0.2, self._read_on, job)
@@ -79,9 +79,9 @@
             self.world.after(self.world.rng.random() * 2.0, self._end, job)
 
     def _read_on(self, job: JobTruth) -> None:
-        whole = len(job.shown) == len(job.items)
+        whole = len(job.visible) == len(job.items)
         back = self.world.rng.random() < 0.2
-        start = self.world.rng.randint(0, len(job.shown)) if back or whole else len(job.shown)
+        start = self.world.rng.randint(0, len(job.visible)) if back or whole else len(job.visible)
         self.read(job, start, 400)
         if not self.ending:
             self.world.after(0.3 + self.world.rng.random() * 0.5, self._read_on, job)
@@ -89,19 +89,19 @@
     def read(self, job: JobTruth, start: int, wait_ms: int) -> None:
         """Read a page; what was listed when the question left must be in the answer."""
         gateway, asked_s = self._gateway(), self.world.now_s
-        known = dict(job.shown)
+        known = dict(job.visible)
 
-        def done(body: Any, doubt: bool) -> None:
+        def done(body: Any, outcome_unknown: bool) -> None:
             if isinstance(body, NotFoundError):
                 self.history.not_found(self.world.now_s, job, asked_s)
             elif isinstance(body, JobPage) and (start in known or body.results):
                 self.history.read(self.world.now_s, job, start, page_json(body))
-                if len(job.shown) > len(known):
+                if len(job.visible) > len(known):
                     self.on_shown()
 
         message = ReadJob(HOST, job.id, start, wait_ms)
         limit_s = wait_ms / 1000 + 1.1
-        gateway.when_awake(gateway.life, gateway.ask, message, limit_s, wait_ms / 1000 + 0.8, done)
+        gateway.when_awake(gateway.incarnation, gateway.ask, message, limit_s, wait_ms / 1000 + 0.8, done)
 
     def _end(self, job: JobTruth) -> None:
         if job.end_asked_s is None:
@@ -109,7 +109,7 @@
         gateway = self._gateway()
         over = [False]
 
-        def done(body: Any, doubt: bool) -> None:
+        def done(body: Any, outcome_unknown: bool) -> None:
             if over[0]:
                 return
             over[0] = True
@@ -122,4 +122,4 @@
                 self.world.after(0.3, self._end, job)
 
         self.world.after(4.0, done, None, True)
-        gateway.when_awake(gateway.life, gateway.ask, EndJob(HOST, job.id), 2.8, 0.8, done)
+        gateway.when_awake(gateway.incarnation, gateway.ask, EndJob(HOST, job.id), 2.8, 0.8, done)
--- a/emberring/simulation/jobs/gateway.py
+++ b/emberring/simulation/jobs/gateway.py
@@ -18,10 +18,10 @@
     Assignment,
     EventData,
     FinishRun,
+    FinishRunReply,
     LeaseItems,
-    ReportAnswer,
     ReportRuns,
-    RunFinished,
+    ReportRunsReply,
     RunProgress,
 )
 from emberring.jobs.items import OutcomeKind
@@ -30,14 +30,14 @@
 from emberring.simulation.jobs.store import StoreMachine, is_error
 from emberring.simulation.jobs.world import World
 
-LEASE_S = 1.5
-FIRST_LEASE_S = 0.8
-REPORT_S = 0.2
+ITEM_LEASE_S = 1.5
+INITIAL_LEASE_S = 0.8
+REPORT_INTERVAL_S = 0.2
 POLL_S = 0.1
-CALL_S = 0.8
-ROOM = 12
-DELIVER_S = 12.0
-PAUSE_S = 0.05
+CALL_TIMEOUT_S = 0.8
+CAPACITY = 12
+DELIVERY_TIMEOUT_S = 12.0
+RETRY_PAUSE_S = 0.05
 
 Done = Callable[[Any], None]
 
@@ -66,38 +66,38 @@
         self.stores = stores
         self.running = True
         self.thaw_at_s = 0.0
-        self.life = 0
+        self.incarnation = 0
         self.guess = ""
         self.runs: dict[int, _Run] = {}
-        self._loop(self.life, POLL_S, self._poll)
-        self._loop(self.life, REPORT_S, self._report)
+        self._loop(self.incarnation, POLL_S, self._poll)
+        self._loop(self.incarnation, REPORT_INTERVAL_S, self._report)
 
     def kill(self, lasts_s: float) -> None:
         """It dies and comes back empty."""
         self.running = False
-        self.life += 1
+        self.incarnation += 1
         self.runs = {}
-        self.world.after(lasts_s, self._start, self.life)
+        self.world.after(lasts_s, self._start, self.incarnation)
 
-    def _start(self, life: int) -> None:
-        if life == self.life:
+    def _start(self, incarnation: int) -> None:
+        if incarnation == self.incarnation:
             self.running = True
-            self._loop(life, POLL_S, self._poll)
-            self._loop(life, REPORT_S, self._report)
+            self._loop(incarnation, POLL_S, self._poll)
+            self._loop(incarnation, REPORT_INTERVAL_S, self._report)
 
-    def _loop(self, life: int, every_s: float, work: Callable[[], None]) -> None:
-        if life != self.life or not self.running:
+    def _loop(self, incarnation: int, every_s: float, work: Callable[[], None]) -> None:
+        if incarnation != self.incarnation or not self.running:
             return
         if self.world.now_s >= self.thaw_at_s:
             work()
-        self.world.after(every_s, self._loop, life, every_s, work)
+        self.world.after(every_s, self._loop, incarnation, every_s, work)
 
-    def when_awake(self, life: int, work: Callable[..., None], *arguments: Any) -> None:
+    def when_awake(self, incarnation: int, work: Callable[..., None], *arguments: Any) -> None:
         """Do this in that life, once it is not frozen."""
-        if life != self.life or not self.running:
+        if incarnation != self.incarnation or not self.running:
             return
         if self.world.now_s < self.thaw_at_s:
-            self.world.at(self.thaw_at_s, self.when_awake, life, work, *arguments)
+            self.world.at(self.thaw_at_s, self.when_awake, incarnation, work, *arguments)
         else:
             work(*arguments)
 
@@ -108,7 +108,7 @@
         names = list(self.stores)
         if self.guess not in self.stores or self.world.rng.random() < 0.05:
             self.guess = self.world.rng.choice(names)
-        asked, life = self.guess, self.life
+        asked, incarnation = self.guess, self.incarnation
         open_call = [True]
 
         def finish(body: Any) -> None:
@@ -117,7 +117,7 @@
             open_call[0] = False
             if is_error(body) and not isinstance(body, NotFoundError | QuotaExceededError):
                 self.guess = self.world.rng.choice(names)
-            self.when_awake(life, done, body)
+            self.when_awake(incarnation, done, body)
 
         self.world.after(wait_s, finish, None)
         store = self.stores[asked]
@@ -129,7 +129,7 @@
     def ask(self, question: Any, limit_s: float, wait_s: float, done: Callable[[Any, bool], None]) -> None:
         """Ask until the owner answers or time is up: the answer (None for none), and whether it is in doubt."""
         until_s = self.world.now_s + limit_s
-        doubt = [False]
+        outcome_unknown = [False]
 
         def answered(body: Any) -> None:
             if isinstance(body, NotOwnerError | PeerUnavailableError | NotReadyError):
@@ -137,16 +137,16 @@
             elif body is None or (
                 is_error(body) and not isinstance(body, NotFoundError | QuotaExceededError)
             ):
-                doubt[0] = True
+                outcome_unknown[0] = True
                 again()
             else:
-                done(body, doubt[0])
+                done(body, outcome_unknown[0])
 
         def again() -> None:
-            if self.world.now_s + PAUSE_S >= until_s:
-                done(None, doubt[0])
+            if self.world.now_s + RETRY_PAUSE_S >= until_s:
+                done(None, outcome_unknown[0])
             else:
-                self.world.after(PAUSE_S, self.when_awake, self.life, attempt)
+                self.world.after(RETRY_PAUSE_S, self.when_awake, self.incarnation, attempt)
 
         def attempt() -> None:
             self.call(question, min(wait_s, max(0.01, until_s - self.world.now_s)), answered)
@@ -154,24 +154,24 @@
         attempt()
 
     def submit(self, question: Any, done: Callable[[Try], None]) -> None:
-        """A client hands a lot in."""
+        """A client submits a batch job."""
 
-        def answered(body: Any, doubt: bool) -> None:
+        def answered(body: Any, outcome_unknown: bool) -> None:
             if body is not None and not is_error(body):
                 done(Try.TAKEN)
-            elif doubt:
+            elif outcome_unknown:
                 done(Try.UNCLEAR)
             else:
                 done(Try.QUOTA if isinstance(body, QuotaExceededError) else Try.NOT_READY)
 
-        self.ask(question, 2.6, CALL_S, answered)
+        self.ask(question, 2.6, CALL_TIMEOUT_S, answered)
 
     # Items.
 
     def _poll(self) -> None:
-        room = ROOM - sum(1 for run in self.runs.values() if run.kind is None)
-        if room > 0:
-            self.call(LeaseItems(self.name, room, 0), CALL_S, self._leased)
+        capacity = CAPACITY - sum(1 for run in self.runs.values() if run.kind is None)
+        if capacity > 0:
+            self.call(LeaseItems(self.name, capacity, 0), CALL_TIMEOUT_S, self._leased)
 
     def _leased(self, body: Any) -> None:
         if is_error(body):
@@ -179,9 +179,9 @@
         for assignment in body.items:
             now_s = self.world.now_s
             events = list(unpack_events(assignment.events))
-            self.runs[assignment.ticket] = _Run(assignment, now_s + FIRST_LEASE_S, events, len(events))
+            self.runs[assignment.ticket] = _Run(assignment, now_s + INITIAL_LEASE_S, events, len(events))
             wait_s = self.world.rng.random() ** 3 * 1.2
-            self.world.after(wait_s, self.when_awake, self.life, self._begin, assignment.ticket)
+            self.world.after(wait_s, self.when_awake, self.incarnation, self._begin, assignment.ticket)
 
     def _begin(self, ticket: int) -> None:
         run = self.runs.get(ticket)
@@ -218,11 +218,13 @@
         else:
             run.events.append(EventData(event, f"{run.assignment.id}#{number}#{event}"))
             pause_s = 0.01 + self.world.rng.random() * 0.1
-            self.world.after(pause_s, self.when_awake, self.life, self._next, ticket, number, event + 1, item)
+            self.world.after(
+                pause_s, self.when_awake, self.incarnation, self._next, ticket, number, event + 1, item
+            )
 
     def _ended(self, run: _Run, kind: OutcomeKind) -> None:
         run.kind = kind
-        run.deliver_until_s = self.world.now_s + DELIVER_S
+        run.deliver_until_s = self.world.now_s + DELIVERY_TIMEOUT_S
         self._deliver(run, run.acked)
 
     def _deliver(self, run: _Run, start: int) -> None:
@@ -245,12 +247,12 @@
         )
 
         def done(body: Any) -> None:
-            if isinstance(body, RunFinished) and body.taken:
+            if isinstance(body, FinishRunReply) and body.acknowledged:
                 self.runs.pop(item.ticket, None)
             else:
-                self.world.after(0.1, self.when_awake, self.life, self._deliver, run, 0)
+                self.world.after(0.1, self.when_awake, self.incarnation, self._deliver, run, 0)
 
-        self.call(message, CALL_S, done)
+        self.call(message, CALL_TIMEOUT_S, done)
 
     def _report(self) -> None:
         told = tuple(
@@ -268,18 +270,18 @@
         sent_s = self.world.now_s
 
         def done(body: Any) -> None:
-            if isinstance(body, ReportAnswer):
+            if isinstance(body, ReportRunsReply):
                 for answer in body.runs:
-                    self._reported(answer.ticket, answer.go_on, answer.have, sent_s)
+                    self._reported(answer.ticket, answer.lease_renewed, answer.events_received, sent_s)
 
-        self.call(ReportRuns(self.name, self.shard, told), CALL_S, done)
+        self.call(ReportRuns(self.name, self.shard, told), CALL_TIMEOUT_S, done)
 
-    def _reported(self, ticket: int, go_on: bool, have: int, sent_s: float) -> None:
+    def _reported(self, ticket: int, lease_renewed: bool, have: int, sent_s: float) -> None:
         run = self.runs.get(ticket)
         if run is None:
             return
-        if go_on:
-            run.allowed_until_s = max(run.allowed_until_s, sent_s + LEASE_S)
+        if lease_renewed:
+            run.allowed_until_s = max(run.allowed_until_s, sent_s + ITEM_LEASE_S)
             run.acked = min(have, len(run.events))
         elif run.kind is None:
             run.stopped = True
--- a/emberring/simulation/jobs/history.py
+++ b/emberring/simulation/jobs/history.py
@@ -1,4 +1,4 @@
-"""What clients and model servers saw of simulated lots, judged by the rules of batch jobs."""
+"""What clients and model servers saw of simulated batch jobs, judged by the rules of batch jobs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Try(Enum):
-    """How one try of a client to hand in a lot ended."""
+    """How one try of a client to hand in a batch job ended."""
 
     TAKEN = "taken"
     QUOTA = "quota"
@@ -45,7 +45,7 @@
 
 @attrs.define(eq=False)
 class JobTruth:
-    """A lot as its client knows it."""
+    """A batch job as its client knows it."""
 
     id: str
     items: dict[str, ItemTruth]
@@ -54,11 +54,11 @@
     taken_s: float | None = None
     end_asked_s: float | None = None
     end_acked_s: float | None = None
-    shown: dict[int, tuple[str, str, str]] = attrs.field(factory=dict)
+    visible: dict[int, tuple[str, str, str]] = attrs.field(factory=dict)
 
 
 class History:
-    """Everything that happened, and the mistakes found in it."""
+    """Everything that happened, and the mutations found in it."""
 
     def __init__(self, max_tokens: int, max_attempts: int, retention_s: float) -> None:
         self.max_tokens = max_tokens
@@ -70,11 +70,11 @@
         self._owners: dict[str, JobTruth] = {}
 
     def wrong(self, now_s: float, text: str) -> None:
-        """A mistake."""
+        """A mutation."""
         self.mistakes.append(f"{now_s:.3f} s: {text}")
 
     def sent(self, now_s: float, job: JobTruth) -> None:
-        """A lot is handed in for the first time."""
+        """A batch job is submitted for the first time."""
         self.jobs[job.id] = job
         for item in job.items:
             self._owners[item] = job
@@ -91,7 +91,7 @@
     def _waiting(self, job: JobTruth) -> int:
         if job.taken_s is None or job.end_asked_s is not None:
             return 0
-        dead = {item for item, state, _ in job.shown.values() if state == "dead_letter"}
+        dead = {item for item, state, _ in job.visible.values() if state == "dead_letter"}
         return sum(
             item.tokens
             for name, item in job.items.items()
@@ -120,21 +120,21 @@
         results = page["Results"]
         if page["NextPageToken"] != start + len(results):
             self.wrong(now_s, f"MIXED NextPageToken of {job.id}")
-        if not results and start in job.shown:
+        if not results and start in job.visible:
             self.wrong(now_s, f"LOST nothing at {start} of {job.id}, which was read before")
         for offset, result in enumerate(results):
             found = (result["Id"], result["State"], result["Message"])
             self._shown(now_s, job, start + offset, found)
 
     def _shown(self, now_s: float, job: JobTruth, position: int, found: tuple[str, str, str]) -> None:
-        before = job.shown.get(position)
+        before = job.visible.get(position)
         if before is not None:
             if before != found:
                 self.wrong(now_s, f"TWICE {job.id} at {position}: {before} then {found}")
             return
-        if any(other[0] == found[0] for other in job.shown.values()):
+        if any(other[0] == found[0] for other in job.visible.values()):
             self.wrong(now_s, f"TWICE {found[0]} at two positions of {job.id}")
-        job.shown[position] = found
+        job.visible[position] = found
         item = job.items.get(found[0])
         if item is None:
             self.wrong(now_s, f"MIXED {found[0]} is not of {job.id}")
@@ -164,18 +164,18 @@
             self.wrong(now_s, f"MIXED the text of {name} ends after {last}")
 
     def not_found(self, now_s: float, job: JobTruth, asked_s: float) -> None:
-        """A read was told that there is no such lot."""
+        """A read was told that there is no such batch job."""
         if job.taken_s is not None and asked_s >= job.taken_s + SETTLE_S:
             self.wrong(now_s, f"LOST {job.id} is not found")
 
     # The end.
 
     def finish(self, now_s: float) -> list[str]:
-        """The last checks: refused lots never ran, taken ones are whole."""
+        """The last checks: refused batch jobs never ran, taken ones are whole."""
         for job in self.jobs.values():
             refused = job.tries and all(how in (Try.QUOTA, Try.NOT_READY) for how in job.tries)
             if refused and any(item.started for item in job.items.values()):
                 self.wrong(now_s, f"REFUSED {job.id} ran")
-            if job.taken_s is not None and job.end_asked_s is None and len(job.shown) != len(job.items):
-                self.wrong(now_s, f"LOST {job.id} has {len(job.shown)} of {len(job.items)} results")
+            if job.taken_s is not None and job.end_asked_s is None and len(job.visible) != len(job.items):
+                self.wrong(now_s, f"LOST {job.id} has {len(job.visible)} of {len(job.items)} results")
         return self.mistakes
--- a/emberring/simulation/jobs/mutations.py
+++ b/emberring/simulation/jobs/mutations.py
@@ -1,4 +1,4 @@
-"""Known mistakes to seed into the simulated stores, so that the checks can be shown to find them."""
+"""Known mutations to seed into the simulated stores, so that the checks can be shown to find them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import attrs
 
 from emberring.jobs import merge, owner, owner_recovery, replication
-from emberring.jobs.messages import Lease, LeaseAnswer, WriteSlots
+from emberring.jobs.messages import LeaseRenewal, ShardLease, WriteSlots
 from emberring.jobs.owner import ShardOwner
 from emberring.jobs.records import NO_TERM
 from emberring.jobs.replica import Action, Replica
@@ -18,7 +18,8 @@
 
 @attrs.frozen
 class Bugs:
-    """`tokenless`: replicas take writes and touches of any term. `shows_early`: results are shown before they last.
+    """`tokenless`: replicas take writes and lease renewals of any term. `shows_early`: results are shown
+    before they last.
     `unsynced`: replicas confirm before the disk has. `keeps_identity`: a lost disk's identity lives on.
     `doubles`: a new owner keeps one item at two positions. `single_quorum`: a change of the group needs the next
     members alone. `endless_lease`: an owner trusts its lease for ever."""
@@ -33,7 +34,7 @@
 
 
 class _TokenlessReplica(Replica):
-    """Whoever writes or touches is believed, whatever was promised."""
+    """Whoever writes or lease renewals is believed, whatever was promised."""
 
     def _on_write(self, now_s: float, call: int, message: WriteSlots) -> list[Action]:
         promised, self.promised = self.promised, NO_TERM
@@ -41,8 +42,8 @@
         self.promised = max(promised, self.promised)
         return actions
 
-    def touch(self, now_s: float, lease: Lease) -> tuple[LeaseAnswer, list[Action]]:
-        return LeaseAnswer(self.shard, True, lease.term, self.digest), []
+    def renew_lease(self, now_s: float, lease: ShardLease) -> tuple[LeaseRenewal, list[Action]]:
+        return LeaseRenewal(self.shard, True, lease.term, self.digest), []
 
 
 class _EndlessOwner(ShardOwner):
@@ -51,12 +52,12 @@
 
 
 def make_replica(bugs: Bugs, shard: int) -> Replica:
-    """A replica, with its mistake if it has one."""
+    """A replica, with its mutation if it has one."""
     return _TokenlessReplica(shard) if bugs.tokenless else Replica(shard)
 
 
 def make_owner(bugs: Bugs, me: str, replica: Replica, seed: int) -> ShardOwner:
-    """An owner, with its mistake if it has one."""
+    """An owner, with its mutation if it has one."""
     return _EndlessOwner(me, replica, seed) if bugs.endless_lease else ShardOwner(me, replica, seed)
 
 
@@ -67,10 +68,10 @@
 
 @contextlib.contextmanager
 def seeded(bugs: Bugs) -> Iterator[None]:
-    """The mistakes that sit in functions, for as long as this lasts."""
+    """The mutations that sit in functions, for as long as this lasts."""
     with contextlib.ExitStack() as stack:
         if bugs.doubles:
-            stack.enter_context(mock.patch.object(owner_recovery, "misplaced", return_value=set()))
+            stack.enter_context(mock.patch.object(owner_recovery, "duplicate_positions", return_value=set()))
         if bugs.single_quorum:
             for module in (merge, owner, replication):
                 stack.enter_context(mock.patch.object(module, "has_quorum", _quorum_of_the_next))
--- a/emberring/simulation/jobs/schedule.py
+++ b/emberring/simulation/jobs/schedule.py
@@ -1,4 +1,4 @@
-"""Schedules of troubles for the check of lots, each made from a seed, and what came of one."""
+"""Schedules of troubles for the check of batch jobs, each made from a seed, and what came of one."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 TROUBLE_S = 12.0
 MOST_TROUBLES = 7
-MOST_JOBS = 30
+MAX_LISTED_JOBS = 30
 
 
 class Kind(Enum):
@@ -79,6 +79,6 @@
         steps.append(
             Step(1.0 + rng.random() * TROUBLE_S, kind, rng.randrange(6), 0.1 + rng.random() ** 2 * 3.5)
         )
-    for _ in range(rng.randint(4, MOST_JOBS)):
+    for _ in range(rng.randint(4, MAX_LISTED_JOBS)):
         steps.append(Step(0.8 + rng.random() * TROUBLE_S, Kind.JOB))
     return Schedule(seed, rng.choice((3, 3, 4)), tuple(sorted(steps, key=lambda step: step.at_s)))
--- a/emberring/simulation/jobs/simulator.py
+++ b/emberring/simulation/jobs/simulator.py
@@ -1,4 +1,4 @@
-"""The check of lots: schedules of troubles from a seed, played in a simulated world, what was seen judged.
+"""The check of batch jobs: schedules of troubles from a seed, played in a simulated world, what was seen judged.
 
 `play_seed(seed)` plays one; `shorten` makes a failing schedule as short as it gets.
 """
@@ -76,7 +76,7 @@
             self.schedule,
             tuple(self.history.mistakes),
             sum(1 for job in jobs if job.taken_s is not None),
-            sum(len(job.shown) for job in jobs),
+            sum(len(job.visible) for job in jobs),
             len(self.history.runs),
             world.handled,
         )
@@ -103,11 +103,11 @@
 
     def _remove_emptied(self) -> None:
         """A store that is emptied goes at once, its disk with it."""
-        if self.retiring and self.retiring not in self.gone and self._emptied():
+        if self.retiring and self.retiring not in self.gone and self._cleared():
             self.stores[self.retiring].wipe()
             self.gone.add(self.retiring)
 
-    def _emptied(self) -> bool:
+    def _cleared(self) -> bool:
         try:
             return retire_state(self.placement, self.retiring) == "completed"
         except NotFoundError:
@@ -124,7 +124,7 @@
 
     def _tell(self, store: StoreMachine, placement: Placement) -> None:
         if store.name not in self.world.cut and store.running:
-            store.when_awake(store.life, store.learn, placement)
+            store.when_awake(store.incarnation, store.learn, placement)
 
     def _moved(self, name: str, shard: int, epoch: int) -> None:
         self.world.send(name, "control", self._finish_move, shard, epoch)
@@ -156,7 +156,7 @@
         self.clients.ending = True
         for job in self.history.jobs.values():
             if job.taken_s is not None:
-                for position in range(len(job.shown) + 1):
+                for position in range(len(job.visible) + 1):
                     self.clients.read(job, position, 0)
         self.world.run(self.world.now_s + LAST_READS_S)
 
@@ -175,7 +175,7 @@
                 digests[store.identity] = store.replica.digest
         if set(digests) != set(group.members) or len(set(digests.values())) != 1:
             self.history.wrong(now_s, f"replicas differ: {digests} of {group.members}")
-        if self.retiring and not self._emptied():
+        if self.retiring and not self._cleared():
             self.history.wrong(now_s, f"{self.retiring} is not emptied")
 
     # Troubles.
--- a/emberring/simulation/jobs/store.py
+++ b/emberring/simulation/jobs/store.py
@@ -1,4 +1,4 @@
-"""A simulated store: the real replica, owner and book of one shard on a disk that loses what was not synced."""
+"""A simulated store: the real replica, owner and job manager of one shard on a disk that loses what was not synced."""
 
 from __future__ import annotations
 
@@ -11,27 +11,35 @@
 from emberring.jobs.calls import (
     EndJob,
     FinishRun,
-    LeasedItems,
     LeaseItems,
+    LeaseItemsReply,
     ReadItem,
     ReadJob,
     ReportRuns,
     SubmitJob,
 )
 from emberring.jobs.job_manager import JobManager
-from emberring.jobs.job_table import Answer, BookAction, Propose, Refuse
+from emberring.jobs.job_table import AnswerCall, JobManagerAction, ProposeValue, RejectCall
 from emberring.jobs.messages import RenewLeases, RenewLeasesReply
-from emberring.jobs.owner import BecameOwner, Chosen, LostOwnership, Moved, OwnerAction, Send, ShardOwner
-from emberring.jobs.replica import REFUSE_S, Action, Fail, Persist, Replica, Reply
+from emberring.jobs.owner import (
+    MigrationCompleted,
+    OwnerAction,
+    OwnershipGained,
+    OwnershipLost,
+    SendToReplica,
+    ShardOwner,
+    SlotCommitted,
+)
+from emberring.jobs.replica import REPLICA_LEASE_S, Action, Fail, Persist, Replica, Reply
 from emberring.jobs.replica_log import decode_entry, encode_entry
 from emberring.placement.model import Placement
 from emberring.simulation.jobs.mutations import Bugs, make_owner, make_replica
 from emberring.simulation.jobs.world import World
 
-TICK_S = 0.05
-TOUCH_S = 0.2
-CALL_S = 0.8
-STALL_S = 0.5
+TICK_INTERVAL_S = 0.05
+LEASE_RENEWAL_INTERVAL_S = 0.2
+CALL_TIMEOUT_S = 0.8
+DISK_STALL_TIMEOUT_S = 0.5
 SYNC_S = 0.001
 
 Done = Callable[[Any], None]
@@ -62,16 +70,16 @@
         self.running = False
         self.thaw_at_s = 0.0
         self.leaving = False
-        self.life = 0
+        self.incarnation = 0
         self.placement: Placement | None = None
         self.machines: dict[str, StoreMachine] = {}
         self.on_moved: Callable[[str, int, int], None] = lambda name, shard, epoch: None
         self.on_shown: Callable[[str], None] = lambda key: None
         self.replica: Replica
         self.owner: ShardOwner
-        self.book: JobManager
+        self.job_manager: JobManager
         self._calls: dict[int, Done] = {}
-        self._book_calls: dict[int, Done] = {}
+        self._job_manager_calls: dict[int, Done] = {}
         self._number = 0
         self._syncing = False
 
@@ -92,21 +100,21 @@
                 self.world.after(0.25, self.start)
             return
         self.running, self.leaving = True, False
-        self.life += 1
-        self._calls, self._book_calls, self._syncing = {}, {}, False
+        self.incarnation += 1
+        self._calls, self._job_manager_calls, self._syncing = {}, {}, False
         now_s = self.world.now_s
         self.replica = make_replica(self.bugs, self.shard)
         logged = [decode_entry(payload) for payload in self.disk.entries]
         for entry in logged:
             since_s = max(0.0, now_s - entry.clock_s)
             self.replica.apply(now_s - since_s, entry.entry, 0)
-        self.replica.restored(now_s + REFUSE_S)
+        self.replica.restored(now_s + REPLICA_LEASE_S)
         seed = self.world.rng.getrandbits(32)
         self.owner = make_owner(self.bugs, self.identity, self.replica, seed)
-        self.book = JobManager(self.shard, self.owner.records, 30.0, seed)
+        self.job_manager = JobManager(self.shard, self.owner.records, 30.0, seed)
         self.learn(self.placement)
-        self._tick(self.life)
-        self._touch_all(self.life)
+        self._tick(self.incarnation)
+        self._renew_leases(self.incarnation)
 
     def kill(self) -> None:
         """The process dies; what it had written stays."""
@@ -129,54 +137,54 @@
         usual_s = self.disk.usual_sync_s
         self.disk = Disk(identity, sync_s=usual_s, usual_sync_s=usual_s)
 
-    def when_awake(self, life: int, work: Callable[..., None], *arguments: Any) -> None:
+    def when_awake(self, incarnation: int, work: Callable[..., None], *arguments: Any) -> None:
         """Do this in that life of the process, once it is not frozen."""
-        if not self.running or life != self.life:
+        if not self.running or incarnation != self.incarnation:
             return
         if self.world.now_s < self.thaw_at_s:
-            self.world.at(self.thaw_at_s, self.when_awake, life, work, *arguments)
+            self.world.at(self.thaw_at_s, self.when_awake, incarnation, work, *arguments)
             return
         work(*arguments)
 
     # Time.
 
-    def _tick(self, life: int) -> None:
-        if not self.running or life != self.life:
+    def _tick(self, incarnation: int) -> None:
+        if not self.running or incarnation != self.incarnation:
             return
         if self.world.now_s >= self.thaw_at_s:
             now_s = self.world.now_s
-            stalled = self.replica.oldest_wait_s(now_s) > STALL_S
+            stalled = self.replica.oldest_pending_s(now_s) > DISK_STALL_TIMEOUT_S
             fit = not (self.leaving or stalled or self.disk.refusing)
             live = {machine.identity for machine in self.machines.values() if self._seems_live(machine)}
             self.perform(self.owner.tick(now_s, fit, live))
             if self.owner.serving(now_s):
-                self.perform_book(self.book.tick(now_s))
-        self.world.after(TICK_S, self._tick, life)
+                self.perform_job_manager(self.job_manager.tick(now_s))
+        self.world.after(TICK_INTERVAL_S, self._tick, incarnation)
 
     def _seems_live(self, machine: StoreMachine) -> bool:
         return machine.running and self.world.reach(self.name, machine.name)
 
-    def _touch_all(self, life: int) -> None:
-        if not self.running or life != self.life:
+    def _renew_leases(self, incarnation: int) -> None:
+        if not self.running or incarnation != self.incarnation:
             return
         if self.world.now_s >= self.thaw_at_s and self.owner.group is not None:
             for identity in self.owner.group.everyone:
                 leases = self.owner.leases(identity)
                 if leases:
                     message = RenewLeases(self.identity, identity, tuple(leases))
-                    self._call(identity, message, self._touched(identity, self.world.now_s))
-        self.world.after(TOUCH_S, self._touch_all, life)
+                    self._call(identity, message, self._on_lease_renewal(identity, self.world.now_s))
+        self.world.after(LEASE_RENEWAL_INTERVAL_S, self._renew_leases, incarnation)
 
-    def _touched(self, identity: str, sent_s: float) -> Done:
+    def _on_lease_renewal(self, identity: str, sent_s: float) -> Done:
         def done(reply: Any) -> None:
             if isinstance(reply, RenewLeasesReply):
                 for answer in reply.answers:
-                    self.perform(self.owner.touched(self.world.now_s, identity, sent_s, answer))
+                    self.perform(self.owner.on_lease_renewal(self.world.now_s, identity, sent_s, answer))
 
         return done
 
     def learn(self, placement: Placement | None) -> None:
-        """A newer table reached this machine."""
+        """A newer placement reached this machine."""
         if placement is None:
             return
         if self.placement is None or placement.epoch >= self.placement.epoch:
@@ -190,22 +198,22 @@
 
     def _call(self, target: str, message: Any, done: Done) -> None:
         """Call the machine with this identity; `done` gets the reply, or None after a while."""
-        life = self.life
+        incarnation = self.incarnation
         open_call = [True]
 
         def finish(reply: Any) -> None:
             if open_call[0]:
                 open_call[0] = False
-                self.when_awake(life, done, reply)
+                self.when_awake(incarnation, done, reply)
 
-        self.world.after(CALL_S, finish, None)
+        self.world.after(CALL_TIMEOUT_S, finish, None)
         machine = next((found for found in self.machines.values() if found.identity == target), None)
         if machine is not None:
             self.world.send(self.name, machine.name, machine.receive, self.name, message, finish)
 
     def receive(self, origin: str, message: Any, finish: Done) -> None:
         """A call of another store came in."""
-        self.when_awake(self.life, self._receive, origin, message, finish)
+        self.when_awake(self.incarnation, self._receive, origin, message, finish)
 
     def _receive(self, origin: str, message: Any, finish: Done) -> None:
         def reply(body: Any) -> None:
@@ -214,7 +222,7 @@
         if message.target != self.identity:
             reply(None)
         elif isinstance(message, RenewLeases):
-            answer, actions = self.replica.touch(self.world.now_s, message.leases[0])
+            answer, actions = self.replica.renew_lease(self.world.now_s, message.leases[0])
             self._act(actions)
             reply(RenewLeasesReply((answer,)))
         else:
@@ -234,71 +242,73 @@
     def _persist(self, action: Persist) -> None:
         payload = encode_entry(self.shard, self.world.now_s, action.entry)
         if self.disk.refusing:
-            self.world.after(0.0, self.when_awake, self.life, self._refused, action.token)
+            self.world.after(0.0, self.when_awake, self.incarnation, self._refused, action.token)
             return
         self.disk.pending.append((payload, action.token))
         if self.bugs.unsynced:
             self._act(self.replica.persisted(self.world.now_s, action.token, 0))
         if not self._syncing:
             self._syncing = True
-            self.world.after(self.disk.sync_s, self._synced, self.life, len(self.disk.pending))
+            self.world.after(self.disk.sync_s, self._synced, self.incarnation, len(self.disk.pending))
 
     def _refused(self, token: int) -> None:
         self._act(self.replica.persist_failed(token))
 
-    def _synced(self, life: int, count: int) -> None:
+    def _synced(self, incarnation: int, count: int) -> None:
         """The disk goes on while the process is frozen; the process hears of it later."""
-        if not self.running or life != self.life:
+        if not self.running or incarnation != self.incarnation:
             return
         done, self.disk.pending = self.disk.pending[:count], self.disk.pending[count:]
         self.disk.entries += [payload for payload, _ in done]
         self._syncing = bool(self.disk.pending)
         if self.disk.pending:
-            self.world.after(self.disk.sync_s, self._synced, life, len(self.disk.pending))
+            self.world.after(self.disk.sync_s, self._synced, incarnation, len(self.disk.pending))
         if not self.bugs.unsynced:
             for _, token in done:
-                self.when_awake(life, self._lasting, token)
+                self.when_awake(incarnation, self._lasting, token)
 
     def _lasting(self, token: int) -> None:
         self._act(self.replica.persisted(self.world.now_s, token, 0))
 
-    # Owner and book.
+    # Owner and job manager.
 
     def perform(self, actions: list[OwnerAction]) -> None:
         """Carry out what the owner wants."""
         now_s = self.world.now_s
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, SendToReplica):
                 self._call(action.target, action.message, self._answered(action.ticket))
-            elif isinstance(action, Chosen):
-                self.perform_book(self.book.chosen(now_s, action.key, action.slot))
-            elif isinstance(action, BecameOwner):
-                self.perform_book(self.book.adopt(now_s, action.jobs))
-            elif isinstance(action, LostOwnership):
-                self.perform_book(self.book.lose())
-            elif isinstance(action, Moved):
+            elif isinstance(action, SlotCommitted):
+                self.perform_job_manager(self.job_manager.committed(now_s, action.key, action.slot))
+            elif isinstance(action, OwnershipGained):
+                self.perform_job_manager(self.job_manager.adopt(now_s, action.jobs))
+            elif isinstance(action, OwnershipLost):
+                self.perform_job_manager(self.job_manager.lose())
+            elif isinstance(action, MigrationCompleted):
                 self.on_moved(self.name, self.shard, action.epoch)
 
     def _answered(self, ticket: int) -> Done:
         def done(reply: Any) -> None:
             now_s = self.world.now_s
             if reply is None:
-                self.perform(self.owner.failed(now_s, ticket))
+                self.perform(self.owner.on_call_failed(now_s, ticket))
             else:
-                self.perform(self.owner.answered(now_s, ticket, reply))
+                self.perform(self.owner.on_reply(now_s, ticket, reply))
 
         return done
 
-    def perform_book(self, actions: list[BookAction]) -> None:
-        """Carry out what the book wants."""
+    def perform_job_manager(self, actions: list[JobManagerAction]) -> None:
+        """Carry out what the job manager wants."""
         for action in actions:
-            if isinstance(action, Answer):
+            if isinstance(action, AnswerCall):
                 self._resolve(action.call, action.body)
-            elif isinstance(action, Refuse):
+            elif isinstance(action, RejectCall):
                 self._resolve(action.call, action.error)
-            elif isinstance(action, Propose):
+            elif isinstance(action, ProposeValue):
                 if self.bugs.shows_early:
-                    self.perform_book(self.book.chosen(self.world.now_s, action.key, action.slot))
+                    self.perform_job_manager(
+                        self.job_manager.committed(self.world.now_s, action.key, action.slot)
+                    )
                 self.perform(
                     self.owner.propose(
                         self.world.now_s, action.key, action.slot, action.value, action.accepted_s
@@ -308,7 +318,7 @@
                 self.perform(self.owner.forget(self.world.now_s, action.key))
 
     def _resolve(self, call: int, body: Any) -> None:
-        done = self._book_calls.pop(call, None)
+        done = self._job_manager_calls.pop(call, None)
         if done is not None:
             done(body)
 
@@ -316,7 +326,7 @@
 
     def ask(self, origin: str, question: Any, finish: Done) -> None:
         """A gateway's call came in; `finish` gets the answer or an error."""
-        self.when_awake(self.life, self._ask, origin, question, finish)
+        self.when_awake(self.incarnation, self._ask, origin, question, finish)
 
     def _ask(self, origin: str, question: Any, finish: Done) -> None:
         now_s = self.world.now_s
@@ -327,25 +337,25 @@
         if not self.owner.serving(now_s):
             reply(NotOwnerError())
         elif isinstance(question, LeaseItems):
-            reply(LeasedItems(tuple(self.book.take(now_s, question.gateway, question.room))))
+            reply(LeaseItemsReply(tuple(self.job_manager.take(now_s, question.gateway, question.capacity))))
         elif isinstance(question, ReportRuns):
-            reply(self.book.report(now_s, question))
+            reply(self.job_manager.report(now_s, question))
         else:
             self._number += 1
-            self._book_calls[self._number] = self._checked(question, reply)
-            self.perform_book(self._put(now_s, self._number, question))
+            self._job_manager_calls[self._number] = self._checked(question, reply)
+            self.perform_job_manager(self._put(now_s, self._number, question))
 
-    def _put(self, now_s: float, call: int, question: Any) -> list[BookAction]:
+    def _put(self, now_s: float, call: int, question: Any) -> list[JobManagerAction]:
         if isinstance(question, SubmitJob):
-            return self.book.submit(now_s, call, question)
+            return self.job_manager.submit(now_s, call, question)
         if isinstance(question, ReadJob):
-            return self.book.read(now_s, call, question)
+            return self.job_manager.read(now_s, call, question)
         if isinstance(question, ReadItem):
-            return self.book.item(call, question)
+            return self.job_manager.item(call, question)
         if isinstance(question, EndJob):
-            return self.book.end(call, question)
+            return self.job_manager.end(call, question)
         assert isinstance(question, FinishRun)
-        return self.book.finish(now_s, call, question)
+        return self.job_manager.finish(now_s, call, question)
 
     def _checked(self, question: Any, reply: Done) -> Done:
         """After a wait, reads are answered by an owner only."""
--- a/emberring/store/__init__.py
+++ b/emberring/store/__init__.py
@@ -1,1 +1,1 @@
-"""The store's process: records of lots on disk, served to gateways and other stores."""
+"""The store's process: records of batch jobs on disk, served to gateways and other stores."""
--- a/emberring/store/disk.py
+++ b/emberring/store/disk.py
@@ -9,7 +9,7 @@
 import attrs
 
 from emberring.errors import CorruptRecordError, DiskFailedError
-from emberring.jobs.replica import REFUSE_S, Replica
+from emberring.jobs.replica import REPLICA_LEASE_S, Replica
 from emberring.jobs.replica_log import Logged, Started, decode_entry, encode_entry
 from emberring.journal.journal import Journal
 from emberring.journal.layout import Position
@@ -21,9 +21,9 @@
 JOURNAL_FOLDER = "journal"
 SEGMENT_BYTES = 4 * 1024 * 1024
 RECLAIM_ABOVE_BYTES = 96 * 1024 * 1024  # all of it is read at a start, so it must fit into memory
-MOST_BYTES = 192 * 1024 * 1024
-SHARE_OF_DISK = 0.6
-ROOM_SHARE = 0.5  # of the journal; the rest is for results of what was taken, and for reclaiming
+MAX_JOURNAL_BYTES = 192 * 1024 * 1024
+DISK_SHARE = 0.6
+VALUE_SHARE = 0.5  # of the journal; the rest is for results of what was taken, and for reclaiming
 
 logger = get_logger("store")
 
@@ -35,27 +35,27 @@
     identity: str
     journal: Journal
     replicas: dict[int, Replica]
-    room_bytes: int  # for values, so that the journal never fills up with what counts
+    capacity_bytes: int  # for values, so that the journal never fills up with what counts
 
 
 def open_disk(directory: Path, disk_mb: float, now_s: float) -> StoreDisk:
-    """Open the store's folder. A folder without a whole identity or with a damaged journal is begun anew, under
+    """Open the store's folder. A folder without a whole identity or with a damaged journal is reinitialized, under
     another identity. `DiskFailedError` where the disk refuses. Blocks on the disk."""
     try:
         directory.mkdir(parents=True, exist_ok=True)
         identity = read_identity(directory)
         if identity is None:
-            identity = _begin_anew(directory)
+            identity = _reinitialize(directory)
         try:
             return _open(directory, identity, disk_mb, now_s)
         except CorruptRecordError as error:
             logger.error("event=journal_damaged detail=%r", error.detail)
-            return _open(directory, _begin_anew(directory), disk_mb, now_s)
+            return _open(directory, _reinitialize(directory), disk_mb, now_s)
     except OSError as error:
         raise DiskFailedError(f"{type(error).__name__}: {error}") from error
 
 
-def _begin_anew(directory: Path) -> str:
+def _reinitialize(directory: Path) -> str:
     shutil.rmtree(directory / JOURNAL_FOLDER, ignore_errors=True)
     return create_identity(directory)
 
@@ -63,17 +63,17 @@
 def _open(directory: Path, identity: str, disk_mb: float, now_s: float) -> StoreDisk:
     folder = directory / JOURNAL_FOLDER
     folder.mkdir(exist_ok=True)
-    most = int(min(MOST_BYTES, disk_mb * 1024 * 1024 * SHARE_OF_DISK)) if disk_mb else MOST_BYTES
+    most = int(min(MAX_JOURNAL_BYTES, disk_mb * 1024 * 1024 * DISK_SHARE)) if disk_mb else MAX_JOURNAL_BYTES
     journal, records = Journal.open(folder, SEGMENT_BYTES, most, min(RECLAIM_ABOVE_BYTES, most // 2))
-    return StoreDisk(identity, journal, restore(records, now_s), int(most * ROOM_SHARE))
+    return StoreDisk(identity, journal, restore(records, now_s), int(most * VALUE_SHARE))
 
 
-def begin_life(journal: Journal, now_s: float) -> None:
+def record_process_start(journal: Journal, now_s: float) -> None:
     """Mark in the journal that the process starts; called on the event loop before anything else is appended."""
-    journal.append(encode_entry(0, now_s, Started())).add_done_callback(_note_begun)
+    journal.append(encode_entry(0, now_s, Started())).add_done_callback(_on_start_recorded)
 
 
-def _note_begun(done: asyncio.Future[Position]) -> None:
+def _on_start_recorded(done: asyncio.Future[Position]) -> None:
     if not done.cancelled() and done.exception() is not None:
         logger.warning("event=start_not_marked")
 
@@ -81,28 +81,28 @@
 def restore(records: list[JournalRecord], now_s: float) -> dict[int, Replica]:
     """The replicas after these entries.
 
-    Guard: the steady clock begins anew, at any value, when a machine does. What is certain of a lot's age is what
-    its record says and what passed since within lives of the process; never the difference over a start.
+    The monotonic clock begins anew, at any value, when a machine does. What is certain of a batch job's age is what
+    its record says and what passed since within incarnations of the process; never the difference over a start.
     """
     replicas = {shard: Replica(shard) for shard in range(SHARDS)}
     entries = [(record.position.segment, decode_entry(record.payload)) for record in records]
-    passed_s = _passed_since([logged for _, logged in entries])
-    for (segment, logged), since_s in zip(entries, passed_s, strict=True):
+    elapsed_s = _elapsed_since([logged for _, logged in entries])
+    for (segment, logged), since_s in zip(entries, elapsed_s, strict=True):
         if logged.shard in replicas:
             replicas[logged.shard].apply(now_s - since_s, logged.entry, segment)
     for replica in replicas.values():
-        replica.restored(now_s + REFUSE_S)
+        replica.restored(now_s + REPLICA_LEASE_S)
     return replicas
 
 
-def _passed_since(entries: list[Logged]) -> list[float]:
-    """For each entry, the seconds that passed since it was written, as far as lives of the process tell."""
+def _elapsed_since(entries: list[Logged]) -> list[float]:
+    """For each entry, the seconds that passed since it was written, as far as incarnations of the process tell."""
     found: list[float] = []
-    passed_s, later_s = 0.0, None
+    elapsed_s, later_s = 0.0, None
     for logged in reversed(entries):
         if later_s is not None:
-            passed_s += max(0.0, later_s - logged.clock_s)
+            elapsed_s += max(0.0, later_s - logged.clock_s)
         later_s = None if isinstance(logged.entry, Started) else logged.clock_s
-        found.append(passed_s)
+        found.append(elapsed_s)
     found.reverse()
     return found
--- a/emberring/store/dispatch.py
+++ b/emberring/store/dispatch.py
@@ -10,10 +10,10 @@
 
 import attrs
 
-from emberring.jobs.calls import Assignment, LeasedItems, LeaseItems
+from emberring.jobs.calls import Assignment, LeaseItems, LeaseItemsReply
 from emberring.store.shards import Shards
 
-FAR_AFTER_S = 0.25  # items wait for gateways of this zone for so long
+REMOTE_ZONE_DELAY_S = 0.25  # items wait for gateways of this zone for so long
 
 
 @attrs.define(eq=False)
@@ -21,9 +21,9 @@
     """A gateway's question that waits for items."""
 
     gateway: str
-    room: int
-    near: bool
-    future: asyncio.Future[LeasedItems]
+    capacity: int
+    same_zone: bool
+    future: asyncio.Future[LeaseItemsReply]
 
 
 class Dispatch:
@@ -34,69 +34,69 @@
         self._zone = zone
         self._waiting_since_s: float | None = None
         self._polls: list[_Poll] = []
-        self._planned = False
-        shards.items_wait = self.plan
+        self._assignment_scheduled = False
+        shards.on_items_waiting = self.schedule_assignment
 
-    async def lease(self, message: LeaseItems) -> LeasedItems:
+    async def lease(self, message: LeaseItems) -> LeaseItemsReply:
         """Items to run, at once if some wait, else within the wait allowed."""
         loop = asyncio.get_running_loop()
-        poll = _Poll(message.gateway, message.room, message.zone == self._zone, loop.create_future())
+        poll = _Poll(message.gateway, message.capacity, message.zone == self._zone, loop.create_future())
         self._polls.append(poll)
-        self.plan()
+        self.schedule_assignment()
         try:
             async with asyncio.timeout(message.wait_ms / 1000):
                 return await poll.future
         except TimeoutError:
-            # Guard: items that were given just as the time was over are not lost.
+            # Items that were given just as the time was over are not lost.
             given = poll.future.done() and not poll.future.cancelled()
-            return poll.future.result() if given else LeasedItems()
+            return poll.future.result() if given else LeaseItemsReply()
         finally:
             if poll in self._polls:
                 self._polls.remove(poll)
 
-    def plan(self) -> None:
+    def schedule_assignment(self) -> None:
         """Items or questions have come: look at them once what is being done now is done."""
-        if self._polls and not self._planned:
-            self._planned = True
-            asyncio.get_running_loop().call_soon(self._give_out)
+        if self._polls and not self._assignment_scheduled:
+            self._assignment_scheduled = True
+            asyncio.get_running_loop().call_soon(self._assign_waiting)
 
-    def _give_out(self) -> None:
-        self._planned = False
+    def _assign_waiting(self) -> None:
+        self._assignment_scheduled = False
         now_s = asyncio.get_running_loop().time()
         self._polls = [poll for poll in self._polls if not poll.future.done()]
-        self._share_out(now_s, [poll for poll in self._polls if poll.near])
-        if self._waiting_since_s is not None and now_s - self._waiting_since_s >= FAR_AFTER_S:
-            self._share_out(now_s, [poll for poll in self._polls if not poll.near])
+        self._assign_evenly(now_s, [poll for poll in self._polls if poll.same_zone])
+        if self._waiting_since_s is not None and now_s - self._waiting_since_s >= REMOTE_ZONE_DELAY_S:
+            self._assign_evenly(now_s, [poll for poll in self._polls if not poll.same_zone])
         if not self._waiting(now_s):
             self._waiting_since_s = None
         elif self._waiting_since_s is None:
             self._waiting_since_s = now_s
-            asyncio.get_running_loop().call_later(FAR_AFTER_S, self.plan)
+            asyncio.get_running_loop().call_later(REMOTE_ZONE_DELAY_S, self.schedule_assignment)
 
     def _waiting(self, now_s: float) -> int:
         """How many items of the shards that this store owns wait, at most."""
         return sum(
-            self._shards.books[shard].waiting
+            self._shards.job_managers[shard].waiting
             for shard, owner in self._shards.owners.items()
             if owner.serving(now_s)
         )
 
-    def _share_out(self, now_s: float, polls: list[_Poll]) -> None:
+    def _assign_evenly(self, now_s: float, polls: list[_Poll]) -> None:
         """Give these polls even shares of what waits."""
         for number, poll in enumerate(polls):
             waiting = self._waiting(now_s)
             if not waiting:
                 return
             share = -(-waiting // (len(polls) - number))
-            items = self._take(now_s, poll, min(share, poll.room))
+            items = self._take(now_s, poll, min(share, poll.capacity))
             if not items:
                 return
             self._polls.remove(poll)
-            poll.future.set_result(LeasedItems(tuple(items)))
+            poll.future.set_result(LeaseItemsReply(tuple(items)))
 
-    def _take(self, now_s: float, poll: _Poll, room: int) -> list[Assignment]:
+    def _take(self, now_s: float, poll: _Poll, capacity: int) -> list[Assignment]:
         items: list[Assignment] = []
         for shard, owner in self._shards.owners.items():
-            if len(items) < room and owner.serving(now_s):
-                items += self._shards.books[shard].take(now_s, poll.gateway, room - len(items))
+            if len(items) < capacity and owner.serving(now_s):
+                items += self._shards.job_managers[shard].take(now_s, poll.gateway, capacity - len(items))
         return items
--- a/emberring/store/gateway_calls.py
+++ b/emberring/store/gateway_calls.py
@@ -1,4 +1,4 @@
-"""Calls of gateways to this store as the owner of a lot's shard."""
+"""Calls of gateways to this store as the owner of a batch job's shard."""
 
 from __future__ import annotations
 
@@ -6,30 +6,34 @@
 from typing import Any
 
 from emberring.errors import NotReadyError, OverloadedError
-from emberring.jobs.calls import EndJob, FinishRun, ReadItem, ReadJob, ReportAnswer, ReportRuns, SubmitJob
+from emberring.jobs.calls import EndJob, FinishRun, ReadItem, ReadJob, ReportRuns, ReportRunsReply, SubmitJob
 from emberring.jobs.records import job_key
 from emberring.placement.model import shard_of
 from emberring.store.shards import Shards
 
 
 class GatewayCalls:
-    """The handlers of messages about lots."""
+    """The handlers of messages about batch jobs."""
 
     def __init__(self, shards: Shards) -> None:
         self._shards = shards
 
     async def submit(self, message: SubmitJob) -> Any:
-        """A lot is handed in. `OverloadedError` where the disk has no room for more."""
+        """A batch job is submitted. `OverloadedError` where the disk has no room for more."""
         shard = shard_of(message.host)
         known = job_key(message.host, message.job) in self._shards.serving(shard).jobs
-        if not known and self._shards.host.crowded:
+        if not known and self._shards.host.overloaded:
             raise OverloadedError("the store is full")
-        return await self._shards.ask(shard, lambda book, call: book.submit(_now_s(), call, message))
+        return await self._shards.ask(
+            shard, lambda job_manager, call: job_manager.submit(_now_s(), call, message)
+        )
 
     async def read(self, message: ReadJob) -> Any:
         """Results are read. After a wait, this store must still be the owner."""
         shard = shard_of(message.host)
-        page = await self._shards.ask(shard, lambda book, call: book.read(_now_s(), call, message))
+        page = await self._shards.ask(
+            shard, lambda job_manager, call: job_manager.read(_now_s(), call, message)
+        )
         if not self._shards.owners[shard].serving(_now_s()):
             raise NotReadyError("the owner may have changed")
         return page
@@ -37,19 +41,23 @@
     async def item(self, message: ReadItem) -> Any:
         """An item's body is read."""
         shard = shard_of(message.host)
-        return await self._shards.ask(shard, lambda book, call: book.item(call, message))
+        return await self._shards.ask(shard, lambda job_manager, call: job_manager.item(call, message))
 
     async def end(self, message: EndJob) -> Any:
-        """A lot is ended."""
-        return await self._shards.ask(shard_of(message.host), lambda book, call: book.end(call, message))
+        """A batch job is ended."""
+        return await self._shards.ask(
+            shard_of(message.host), lambda job_manager, call: job_manager.end(call, message)
+        )
 
-    async def report(self, message: ReportRuns) -> ReportAnswer:
+    async def report(self, message: ReportRuns) -> ReportRunsReply:
         """Runs go on."""
         return self._shards.serving(message.shard).report(_now_s(), message)
 
     async def finish(self, message: FinishRun) -> Any:
         """A run has ended."""
-        return await self._shards.ask(message.shard, lambda book, call: book.finish(_now_s(), call, message))
+        return await self._shards.ask(
+            message.shard, lambda job_manager, call: job_manager.finish(_now_s(), call, message)
+        )
 
 
 def _now_s() -> float:
--- a/emberring/store/peers.py
+++ b/emberring/store/peers.py
@@ -1,4 +1,5 @@
-"""Calls from this store's owners to the replicas, at home or at other stores, and the touches that keep leases."""
+"""Calls from this store's owners to the replicas, at home or at other stores, and the lease renewals that
+keep leases."""
 
 from __future__ import annotations
 
@@ -8,46 +9,46 @@
 
 from emberring.errors import EmberringError, PeerUnavailableError
 from emberring.jobs.messages import (
-    Claim,
-    ClaimReply,
+    ClaimOwnership,
+    ClaimOwnershipReply,
     DropSlots,
-    Fetch,
-    Fetched,
-    Inventory,
+    FetchRecords,
+    FetchRecordsReply,
+    InventoryReply,
     InventoryRequest,
-    Lease,
-    Release,
+    ReleaseOwnership,
     RenewLeases,
     RenewLeasesReply,
-    WriteReply,
+    ShardLease,
     WriteSlots,
+    WriteSlotsReply,
 )
 from emberring.store.replicas import ReplicaHost
 from emberring.transport.messages import Ok
 from emberring.transport.network import Network
 
-TOUCH_TIMEOUT_S = 0.5
-TOUCHES_AT_ONCE = 3
+LEASE_RENEWAL_TIMEOUT_S = 0.5
+MAX_LEASE_RENEWALS_IN_FLIGHT = 3
 
 REPLY_OF: dict[type[Any], type[Any]] = {
-    Claim: ClaimReply,
-    WriteSlots: WriteReply,
-    DropSlots: WriteReply,
-    InventoryRequest: Inventory,
-    Fetch: Fetched,
-    Release: Ok,
+    ClaimOwnership: ClaimOwnershipReply,
+    WriteSlots: WriteSlotsReply,
+    DropSlots: WriteSlotsReply,
+    InventoryRequest: InventoryReply,
+    FetchRecords: FetchRecordsReply,
+    ReleaseOwnership: Ok,
 }
 TIMEOUT_S: dict[type[Any], float] = {
-    Claim: 0.6,
+    ClaimOwnership: 0.6,
     WriteSlots: 1.0,
     DropSlots: 1.0,
     InventoryRequest: 1.5,
-    Fetch: 1.5,
-    Release: 0.5,
+    FetchRecords: 1.5,
+    ReleaseOwnership: 0.5,
 }
 
 Done = Callable[[Any], None]  # gets the reply, or None
-Touched = Callable[[str, float, RenewLeasesReply], None]
+RenewalCallback = Callable[[str, float, RenewLeasesReply], None]
 
 
 class Peers:
@@ -58,7 +59,7 @@
         self._network = network
         self._host = host
         self._tasks: set[asyncio.Task[None]] = set()
-        self._touching: dict[str, int] = {}
+        self._renewals_in_flight: dict[str, int] = {}
 
     def call(self, target: str, message: Any, done: Done) -> None:
         """Call a replica; `done` gets its reply, or None where there was none."""
@@ -79,23 +80,25 @@
             raise PeerUnavailableError(f"nobody knows where {target} is")
         return await self._network.call(address, message, reply, timeout_s)
 
-    def touch(self, target: str, leases: list[Lease], done: Touched) -> None:
+    def renew_lease(self, target: str, leases: list[ShardLease], done: RenewalCallback) -> None:
         """Keep these leases at a replica."""
         message = RenewLeases(self._host.identity, target, tuple(leases))
         sent_s = asyncio.get_running_loop().time()
         if target == self._host.identity:
-            done(target, sent_s, self._host.touch(message))
-        elif self._touching.get(target, 0) < TOUCHES_AT_ONCE:
-            self._touching[target] = self._touching.get(target, 0) + 1
-            self._spawn(self._touch(target, message, sent_s, done))
-
-    async def _touch(self, target: str, message: RenewLeases, sent_s: float, done: Touched) -> None:
+            done(target, sent_s, self._host.renew_lease(message))
+        elif self._renewals_in_flight.get(target, 0) < MAX_LEASE_RENEWALS_IN_FLIGHT:
+            self._renewals_in_flight[target] = self._renewals_in_flight.get(target, 0) + 1
+            self._spawn(self._renew_leases(target, message, sent_s, done))
+
+    async def _renew_leases(
+        self, target: str, message: RenewLeases, sent_s: float, done: RenewalCallback
+    ) -> None:
         try:
-            reply = await self._ask(target, message, RenewLeasesReply, TOUCH_TIMEOUT_S)
+            reply = await self._ask(target, message, RenewLeasesReply, LEASE_RENEWAL_TIMEOUT_S)
         except EmberringError:
             return
         finally:
-            self._touching[target] -= 1
+            self._renewals_in_flight[target] -= 1
         done(target, sent_s, reply)
 
     def _spawn(self, coroutine: Any) -> None:
--- a/emberring/store/replicas.py
+++ b/emberring/store/replicas.py
@@ -7,13 +7,13 @@
 from typing import Any
 
 from emberring.errors import DiskFailedError, EmberringError, FencedError
-from emberring.jobs.messages import LeaseAnswer, RenewLeases, RenewLeasesReply
+from emberring.jobs.messages import LeaseRenewal, RenewLeases, RenewLeasesReply
 from emberring.jobs.replica import Action, Fail, Persist, Replica, ReplicaMessage, Reply
 from emberring.jobs.replica_log import Copied, Entry, encode_entry, split_by_size
 from emberring.journal.journal import Journal
 from emberring.journal.layout import Position
 
-REWRITE_BYTES = 512 * 1024
+MAX_REWRITE_ENTRY_BYTES = 512 * 1024
 
 Done = Callable[[Any], None]
 
@@ -21,11 +21,9 @@
 class ReplicaHost:
     """Runs the replicas of all shards. Used from one event loop."""
 
-    def __init__(
-        self, identity: str, replicas: dict[int, Replica], journal: Journal, most_bytes: int
-    ) -> None:
+    def __init__(self, identity: str, replicas: dict[int, Replica], journal: Journal, max_bytes: int) -> None:
         self.identity = identity
-        self._most_bytes = most_bytes
+        self._max_bytes = max_bytes
         self.replicas = replicas
         self._journal = journal
         self._calls: dict[int, Done] = {}
@@ -57,15 +55,15 @@
         replica = self.replicas[message.shard]
         self._perform(replica, replica.handle(now_s, call, message))
 
-    def touch(self, message: RenewLeases) -> RenewLeasesReply:
+    def renew_lease(self, message: RenewLeases) -> RenewLeasesReply:
         """An owner keeps its leases."""
         if message.target != self.identity:
             raise FencedError(f"{message.target} is not the disk of this store")
         now_s = asyncio.get_running_loop().time()
-        answers: list[LeaseAnswer] = []
+        answers: list[LeaseRenewal] = []
         for lease in message.leases:
             replica = self.replicas[lease.shard]
-            answer, actions = replica.touch(now_s, lease)
+            answer, actions = replica.renew_lease(now_s, lease)
             answers.append(answer)
             self._perform(replica, actions)
         return RenewLeasesReply(tuple(answers))
@@ -78,12 +76,12 @@
     def stalled_s(self) -> float:
         """For how long the oldest entry has been waiting for the disk."""
         now_s = asyncio.get_running_loop().time()
-        return max(replica.oldest_wait_s(now_s) for replica in self.replicas.values())
+        return max(replica.oldest_pending_s(now_s) for replica in self.replicas.values())
 
     @property
-    def crowded(self) -> bool:
-        """Whether so much is held that no more lots should be taken."""
-        return sum(replica.bytes for replica in self.replicas.values()) > self._most_bytes
+    def overloaded(self) -> bool:
+        """Whether so much is held that no more batch jobs should be taken."""
+        return sum(replica.bytes for replica in self.replicas.values()) > self._max_bytes
 
     @property
     def failed(self) -> bool:
@@ -117,13 +115,13 @@
     async def _rewrite(self, segment: int) -> None:
         """Append anew what still counts of a segment of the journal."""
         for replica in self.replicas.values():
-            for entry in replica.kept_in(asyncio.get_running_loop().time(), segment):
+            for entry in replica.live_entries(asyncio.get_running_loop().time(), segment):
                 for part in _parts(entry):
                     position = await self._write(replica, part, reclaiming=True)
-                    replica.relocated(part, position.segment)
+                    replica.on_relocated(part, position.segment)
 
 
 def _parts(entry: Entry) -> list[Entry]:
     if not isinstance(entry, Copied):
         return [entry]
-    return [Copied(entry.term, records) for records in split_by_size(entry.records, REWRITE_BYTES)]
+    return [Copied(entry.term, records) for records in split_by_size(entry.records, MAX_REWRITE_ENTRY_BYTES)]
--- a/emberring/store/role.py
+++ b/emberring/store/role.py
@@ -20,31 +20,31 @@
 from emberring.jobs.calls import EndJob, FinishRun, LeaseItems, ReadItem, ReadJob, ReportRuns, SubmitJob
 from emberring.jobs.directory import TierKnowledge
 from emberring.jobs.messages import (
-    Claim,
+    ClaimOwnership,
     DropSlots,
-    Fetch,
+    FetchRecords,
     InventoryRequest,
-    Release,
+    ReleaseOwnership,
     RenewLeases,
     WriteSlots,
 )
 from emberring.jobs.status import StoreStatusRequest
 from emberring.logs import get_logger
 from emberring.settings import STORE_PORT_OFFSET, Settings
-from emberring.store.disk import begin_life, open_disk
+from emberring.store.disk import open_disk, record_process_start
 from emberring.store.dispatch import Dispatch
 from emberring.store.gateway_calls import GatewayCalls
 from emberring.store.peers import Peers
 from emberring.store.replicas import ReplicaHost
 from emberring.store.shards import Shards
-from emberring.store.status import StatusDesk
+from emberring.store.status import StoreStatusHandler
 from emberring.transport.messages import Ok
 from emberring.transport.network import Network
 
-TICK_S = 0.05
-TOUCH_S = 0.2
-STALL_S = 0.5  # a disk that has not answered for so long gives up what it owns
-HAND_OVER_S = 0.8  # between the word to end and the end
+TICK_INTERVAL_S = 0.05
+LEASE_RENEWAL_INTERVAL_S = 0.2
+DISK_STALL_TIMEOUT_S = 0.5  # a disk that has not answered for so long gives up what it owns
+OWNERSHIP_HANDOVER_S = 0.8  # between the word to end and the end
 MOVED_TIMEOUT_S = 1.0
 
 logger = get_logger("store")
@@ -83,22 +83,22 @@
         )
         self.follower = learn(self.network, me, settings.internal_seeds())
         self.journal = disk.journal
-        begin_life(disk.journal, loop.time())
-        self.host = ReplicaHost(disk.identity, disk.replicas, disk.journal, disk.room_bytes)
+        record_process_start(disk.journal, loop.time())
+        self.host = ReplicaHost(disk.identity, disk.replicas, disk.journal, disk.capacity_bytes)
         self.peers = Peers(self.network, self.host)
-        self.shards = Shards(self.host, self.peers, settings.bounds.status_s, self._tell_moved)
+        self.shards = Shards(self.host, self.peers, settings.bounds.status_s, self._report_migration)
         self._placement_epoch = 0
         self._configuration_version = 0
-        self._leaving = False
+        self._shutting_down = False
         self._tasks: set[asyncio.Task[None]] = set()
         self._register(Dispatch(self.shards, settings.zone))
 
     def _register(self, dispatch: Dispatch) -> None:
         calls = GatewayCalls(self.shards)
         network = self.network
-        for kind in (Claim, WriteSlots, DropSlots, InventoryRequest, Fetch, Release):
+        for kind in (ClaimOwnership, WriteSlots, DropSlots, InventoryRequest, FetchRecords, ReleaseOwnership):
             network.handle(kind, lambda message, _: self.host.answer(message))
-        network.handle(RenewLeases, self._on_touch)
+        network.handle(RenewLeases, self._on_renew_leases)
         network.handle(SubmitJob, lambda message, _: calls.submit(message))
         network.handle(ReadJob, lambda message, _: calls.read(message))
         network.handle(ReadItem, lambda message, _: calls.item(message))
@@ -106,10 +106,10 @@
         network.handle(ReportRuns, lambda message, _: calls.report(message))
         network.handle(FinishRun, lambda message, _: calls.finish(message))
         network.handle(LeaseItems, lambda message, _: dispatch.lease(message))
-        network.handle(StoreStatusRequest, StatusDesk(self.shards).answer)
+        network.handle(StoreStatusRequest, StoreStatusHandler(self.shards).answer)
 
-    async def _on_touch(self, message: RenewLeases, _: object) -> object:
-        return self.host.touch(message)
+    async def _on_renew_leases(self, message: RenewLeases, _: object) -> object:
+        return self.host.renew_lease(message)
 
     async def start(self) -> None:
         """Listen, learn, own."""
@@ -117,8 +117,8 @@
         await self.network.listen(self.address)
         await self.follower.start()
         logger.info("event=store_started identity=%s address=%s", self.host.identity, self.address)
-        self._spawn(self._repeat(TICK_S, self._tick))
-        self._spawn(self._repeat(TOUCH_S, self.shards.touch_all))
+        self._spawn(self._repeat(TICK_INTERVAL_S, self._tick))
+        self._spawn(self._repeat(LEASE_RENEWAL_INTERVAL_S, self.shards.renew_leases))
 
     async def _repeat(self, every_s: float, action: object) -> None:
         assert callable(action)
@@ -150,11 +150,13 @@
         ]
 
     def _tick(self) -> None:
-        fit = not self._leaving and not self.host.failed and self.host.stalled_s() < STALL_S
+        fit = (
+            not self._shutting_down and not self.host.failed and self.host.stalled_s() < DISK_STALL_TIMEOUT_S
+        )
         live = {fact.identity for fact in self._stores() if not fact.leaving}
         self.shards.tick(fit, live)
 
-    def _tell_moved(self, shard: int, epoch: int) -> None:
+    def _report_migration(self, shard: int, epoch: int) -> None:
         self._spawn(self._report_moved(PlacementMoved(shard, epoch)))
 
     async def _report_moved(self, message: PlacementMoved) -> None:
@@ -174,10 +176,10 @@
     async def leave(self) -> None:
         """Hand over what is owned, answer for a moment longer, end."""
         logger.info("event=store_leaving")
-        self._leaving = True
+        self._shutting_down = True
         self.follower.me = attrs.evolve(self.follower.me, leaving=True)
         self._tick()
-        await asyncio.sleep(HAND_OVER_S)
+        await asyncio.sleep(OWNERSHIP_HANDOVER_S)
         for task in list(self._tasks):
             task.cancel()
         await self.follower.stop()
--- a/emberring/store/status.py
+++ b/emberring/store/status.py
@@ -1,4 +1,4 @@
-"""What a store tells tools about its shards and lots; reading it changes nothing."""
+"""What a store tells tools about its shards and batch jobs; reading it changes nothing."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from emberring.store.shards import Shards
 from emberring.transport.network import Caller
 
-MOST_JOBS = 500  # that one answer lists
+MAX_LISTED_JOBS = 500  # that one answer lists
 
 
-class StatusDesk:
+class StoreStatusHandler:
     """Answers tools."""
 
     def __init__(self, shards: Shards) -> None:
@@ -27,7 +27,7 @@
         jobs = [
             _job_status(now_s, shard, job)
             for shard in (owned if asked.jobs else ())
-            for job in self._shards.books[shard].jobs.values()
+            for job in self._shards.job_managers[shard].jobs.values()
         ]
         return StoreStatus(
             identity=host.identity,
@@ -38,16 +38,18 @@
                 for shard, owner in self._shards.owners.items()
                 if owner.group is not None and host.identity in owner.group.everyone
             ),
-            jobs=tuple(jobs[:MOST_JOBS]),
+            jobs=tuple(jobs[:MAX_LISTED_JOBS]),
         )
 
     def _shard_status(self, shard: int, owned: bool) -> ShardStatus:
-        owner, book = self._shards.owners[shard], self._shards.books[shard]
+        owner, job_manager = self._shards.owners[shard], self._shards.job_managers[shard]
         epoch = owner.group.epoch if owner.group is not None else 0
         if not owned:
             return ShardStatus(shard, False, epoch, _text(owner.replica.promised))
-        tokens = sum(book.waiting_tokens.values())
-        return ShardStatus(shard, True, epoch, _text(owner.term), len(book.jobs), book.waiting, tokens)
+        tokens = sum(job_manager.waiting_tokens.values())
+        return ShardStatus(
+            shard, True, epoch, _text(owner.term), len(job_manager.jobs), job_manager.waiting, tokens
+        )
 
 
 def _text(term: Term) -> str:
@@ -56,4 +58,4 @@
 
 def _job_status(now_s: float, shard: int, job: BatchJob) -> JobStatus:
     host, _, name = job.key.partition("/")
-    return JobStatus(shard, host, name, len(job.items), job.shown, job.ended, now_s - job.accepted_s)
+    return JobStatus(shard, host, name, len(job.items), job.visible, job.ended, now_s - job.accepted_s)
--- a/tests/emberring/jobs/test_tier_job_client.py
+++ b/tests/emberring/jobs/test_tier_job_client.py
@@ -1,4 +1,4 @@
-"""The gateway's client of lots: finds the owner, and promises nothing that is not certain."""
+"""The gateway's client of batch jobs: finds the owner, and promises nothing that is not certain."""
 
 from __future__ import annotations
 
--- a/tests/emberring/jobs/test_tier_job_manager.py
+++ b/tests/emberring/jobs/test_tier_job_manager.py
@@ -1,4 +1,4 @@
-"""The book of a shard's lots: taking, quota, running, listing, ending, forgetting."""
+"""The job manager of a shard's batch jobs: taking, quota, running, listing, ending, forgetting."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
     EndJob,
     EventData,
     FinishRun,
+    FinishRunReply,
     ItemBody,
     JobPage,
     JobTerms,
     ReadItem,
     ReadJob,
     ReportRuns,
-    RunFinished,
     RunProgress,
     SubmitJob,
 )
-from emberring.jobs.execution import ANNOUNCE_S, RETENTION_SLACK_S, RUN_LEASE_S
+from emberring.jobs.execution import RETENTION_GRACE_S, RUN_LEASE_S, TAKEOVER_GRACE_S
 from emberring.jobs.items import OutcomeKind
-from emberring.jobs.job_manager import LISTED_SLACK_S, JobManager
-from emberring.jobs.job_table import Answer, BookAction, Forget, Propose, Refuse
+from emberring.jobs.job_manager import UNENDED_RETENTION_MARGIN_S, JobManager
+from emberring.jobs.job_table import AnswerCall, ForgetJob, JobManagerAction, ProposeValue, RejectCall
 from emberring.jobs.owned import OwnedRecords
-from emberring.jobs.packing import pack_events, squeeze, unpack_events
-from emberring.jobs.records import DEFINITION, END, FORGOTTEN
+from emberring.jobs.packing import compress, pack_events, unpack_events
+from emberring.jobs.records import DEFINITION, END, TOMBSTONE
 from emberring.jobs.results import page_json
 from emberring.transport.messages import Ok
 
@@ -70,27 +70,27 @@
 
 @attrs.define
 class Desk:
-    """A book whose proposals last when it is said so."""
+    """A job manager whose proposals last when it is said so."""
 
     records: OwnedRecords = attrs.field(factory=OwnedRecords)
     now_s: float = 0.0
     at_once: bool = True
     answers: dict[int, Any] = attrs.field(factory=dict)
-    proposed: list[Propose] = attrs.field(factory=list)
+    proposed: list[ProposeValue] = attrs.field(factory=list)
     forgotten: list[str] = attrs.field(factory=list)
     calls: int = 0
-    book: JobManager = attrs.field(init=False)
+    job_manager: JobManager = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self.book = JobManager(0, self.records, STATUS_S, 1)
+        self.job_manager = JobManager(0, self.records, STATUS_S, 1)
 
-    def act(self, actions: list[BookAction]) -> None:
+    def act(self, actions: list[JobManagerAction]) -> None:
         for action in actions:
-            if isinstance(action, Answer):
+            if isinstance(action, AnswerCall):
                 self.answers[action.call] = action.body
-            elif isinstance(action, Refuse):
+            elif isinstance(action, RejectCall):
                 self.answers[action.call] = action.error
-            elif isinstance(action, Forget):
+            elif isinstance(action, ForgetJob):
                 self.forgotten.append(action.key)
             else:
                 self.records.put(action.key, action.slot, action.value, action.accepted_s)
@@ -104,8 +104,8 @@
         for proposal in proposed:
             owned = self.records.find(proposal.key, proposal.slot)
             assert owned is not None
-            self.records.choose(owned)
-            self.act(self.book.chosen(self.now_s, proposal.key, proposal.slot))
+            self.records.mark_committed(owned)
+            self.act(self.job_manager.committed(self.now_s, proposal.key, proposal.slot))
 
     def number(self) -> int:
         self.calls += 1
@@ -113,22 +113,22 @@
 
     def submit(self, job: str, content: bytes, terms: JobTerms = TERMS) -> Any:
         call = self.number()
-        self.act(self.book.submit(self.now_s, call, SubmitJob(HOST, job, terms, squeeze(content))))
+        self.act(self.job_manager.submit(self.now_s, call, SubmitJob(HOST, job, terms, compress(content))))
         return self.answers.get(call)
 
     def read(self, job: str, start: int = 0, wait_ms: int = 0) -> Any:
         call = self.number()
-        self.act(self.book.read(self.now_s, call, ReadJob(HOST, job, start, wait_ms)))
+        self.act(self.job_manager.read(self.now_s, call, ReadJob(HOST, job, start, wait_ms)))
         found = self.answers.get(call)
         return orjson.loads(page_json(found)) if isinstance(found, JobPage) else found
 
     def end(self, job: str) -> Any:
         call = self.number()
-        self.act(self.book.end(call, EndJob(HOST, job)))
+        self.act(self.job_manager.end(call, EndJob(HOST, job)))
         return self.answers.get(call)
 
-    def take(self, room: int = 100, gateway: str = "g") -> list[Assignment]:
-        return self.book.take(self.now_s, gateway, room)
+    def take(self, capacity: int = 100, gateway: str = "g") -> list[Assignment]:
+        return self.job_manager.take(self.now_s, gateway, capacity)
 
     def finish(
         self,
@@ -149,28 +149,28 @@
             start + len(found),
             pack_events(found),
         )
-        self.act(self.book.finish(self.now_s, call, message))
+        self.act(self.job_manager.finish(self.now_s, call, message))
         return self.answers.get(call)
 
     def report(
         self, item: Assignment, start: int, found: tuple[EventData, ...], gateway: str = "g"
     ) -> tuple[bool, int]:
         run = RunProgress(item.key, item.index, item.ticket, start, pack_events(found))
-        (answer,) = self.book.report(self.now_s, ReportRuns(gateway, 0, (run,))).runs
-        return answer.go_on, answer.have
+        (answer,) = self.job_manager.report(self.now_s, ReportRuns(gateway, 0, (run,))).runs
+        return answer.lease_renewed, answer.events_received
 
     def pass_time(self, seconds: float) -> None:
         self.now_s += seconds
-        self.act(self.book.tick(self.now_s))
+        self.act(self.job_manager.tick(self.now_s))
 
     def takeover(self) -> Desk:
         """Another owner with what lasts here."""
         for key, job in list(self.records.jobs.items()):
             for slot, owned in list(job.slots.items()):
-                if not owned.chosen:
+                if not owned.committed:
                     self.records.erase(key, slot)
         other = Desk(self.records, self.now_s, calls=1000)
-        other.act(other.book.adopt(self.now_s, self.records.jobs))
+        other.act(other.job_manager.adopt(self.now_s, self.records.jobs))
         return other
 
 
@@ -225,7 +225,7 @@
     item = desk.take(1)[0]
     desk.finish(item, found=events("x"))
     assert desk.submit("two", body(1)) == Ok()
-    assert desk.book.waiting_tokens == {"r": 100}
+    assert desk.job_manager.waiting_tokens == {"r": 100}
 
 
 @pytest.mark.parametrize("how", [OutcomeKind.COMPLETED, OutcomeKind.IMPOSSIBLE_422])
@@ -235,7 +235,7 @@
     item = desk.take(1)[0]
     desk.at_once = False
     desk.finish(item, how)
-    assert desk.book.waiting_tokens == {"r": 90}
+    assert desk.job_manager.waiting_tokens == {"r": 90}
 
 
 def test_an_end_gives_back_all_that_waits() -> None:
@@ -249,11 +249,11 @@
     route = Route("r", HOST, "/batch/", RouteType.BATCH, 4000, (Share("s", 1),), max_queued_tokens=20)
     desk = Desk()
     assert desk.submit("free", body(100), attrs.evolve(TERMS, max_queued_tokens=0)) == Ok()
-    desk.book.configure(Configuration(4, (route,), ()))
+    desk.job_manager.configure(Configuration(4, (route,), ()))
     assert isinstance(desk.submit("one", body(1)), QuotaExceededError)  # 1,000 tokens wait, 100 may
     desk.end("free")
     assert desk.submit("two", body(5)) == Ok()  # the older configuration's 20 do not count
-    desk.book.configure(Configuration(5, (route,), ()))
+    desk.job_manager.configure(Configuration(5, (route,), ()))
     assert isinstance(desk.submit("three", body(1)), QuotaExceededError)
 
 
@@ -263,7 +263,7 @@
     for item in desk.take(4):
         desk.finish(item, found=events("x"))
     other = desk.takeover()
-    assert other.book.waiting_tokens == {"r": 60}
+    assert other.job_manager.waiting_tokens == {"r": 60}
     assert isinstance(other.submit("two", body(5)), QuotaExceededError)
     assert other.submit("three", body(4)) == Ok()
 
@@ -330,14 +330,14 @@
     desk.submit("l", body(1))
     for name, found in (("i0", ItemBody(b"\xab\xcd")), ("other", None)):
         call = desk.number()
-        desk.act(desk.book.item(call, ReadItem(HOST, "l", name)))
+        desk.act(desk.job_manager.item(call, ReadItem(HOST, "l", name)))
         if found is None:
             assert isinstance(desk.answers[call], NotFoundError)
         else:
             assert desk.answers[call] == found
     desk.end("l")
     call = desk.number()
-    desk.act(desk.book.item(call, ReadItem(HOST, "l", "i0")))
+    desk.act(desk.job_manager.item(call, ReadItem(HOST, "l", "i0")))
     assert isinstance(desk.answers[call], NotFoundError)
 
 
@@ -374,7 +374,7 @@
     (again,) = desk.take(gateway="h")
     assert unpack_events(again.events) == events("a", "b", "c")
     assert desk.report(item, 3, ()) == (False, 0)
-    assert desk.finish(again, found=(EventData(3, "d"),), start=3) == RunFinished(True)
+    assert desk.finish(again, found=(EventData(3, "d"),), start=3) == FinishRunReply(True)
     assert states(desk.read("l")) == [("i0", "completed", "a\nb\nc\nd")]
 
 
@@ -383,8 +383,8 @@
     desk.submit("l", body(1))
     (item,) = desk.take()
     assert desk.report(item, 2, (EventData(2, "c"),)) == (True, 0)
-    assert desk.finish(item, found=(EventData(2, "c"),), start=2) == RunFinished(False)
-    assert desk.finish(item, found=events("a", "b", "c")) == RunFinished(True)
+    assert desk.finish(item, found=(EventData(2, "c"),), start=2) == FinishRunReply(False)
+    assert desk.finish(item, found=events("a", "b", "c")) == FinishRunReply(True)
     assert states(desk.read("l")) == [("i0", "completed", "a\nb\nc")]
 
 
@@ -398,8 +398,8 @@
     assert unpack_events(again.events) == events("old0", "old1")
     other = attrs.evolve(item, ticket=item.ticket + 1)  # a run that nobody here knows, from its start
     assert desk.report(other, 0, events("new0")) == (False, 0)
-    assert desk.finish(other, found=(EventData(1, "new1"),), start=1) == RunFinished(False)
-    assert desk.finish(other, found=events("new0", "new1")) == RunFinished(True)
+    assert desk.finish(other, found=(EventData(1, "new1"),), start=1) == FinishRunReply(False)
+    assert desk.finish(other, found=events("new0", "new1")) == FinishRunReply(True)
     assert states(desk.read("l")) == [("i0", "completed", "new0\nnew1")]
 
 
@@ -413,8 +413,8 @@
     assert desk.finish(other, found=events("b")) is None
     assert len(desk.proposed) == 1
     desk.last()
-    assert desk.answers[2] == desk.answers[3] == RunFinished(True)
-    assert desk.finish(other, found=events("b")) == RunFinished(True)
+    assert desk.answers[2] == desk.answers[3] == FinishRunReply(True)
+    assert desk.finish(other, found=events("b")) == FinishRunReply(True)
     assert states(desk.read("l")) == [("i0", "completed", "a")]
 
 
@@ -422,8 +422,8 @@
     desk = Desk()
     desk.submit("l", body(1))
     (item,) = desk.take()
-    assert desk.finish(item, OutcomeKind.FAILED_500) == RunFinished(True)
-    assert desk.finish(item, OutcomeKind.FAILED_500) == RunFinished(True)
+    assert desk.finish(item, OutcomeKind.FAILED_500) == FinishRunReply(True)
+    assert desk.finish(item, OutcomeKind.FAILED_500) == FinishRunReply(True)
     assert desk.read("l")["Results"] == []
     (again,) = desk.take()
     desk.finish(again, OutcomeKind.NOT_RUN)
@@ -433,7 +433,7 @@
     assert desk.take() == []
 
 
-@pytest.mark.parametrize(("age_s", "dead"), [(39.9, False), (40.0 + RETENTION_SLACK_S + 0.6, True)])
+@pytest.mark.parametrize(("age_s", "dead"), [(39.9, False), (40.0 + RETENTION_GRACE_S + 0.6, True)])
 def test_past_the_retention_items_are_dead_letters(age_s: float, dead: bool) -> None:
     desk = Desk()
     desk.submit("l", body(2))
@@ -445,14 +445,14 @@
 def test_items_of_a_route_that_is_gone_are_dead_letters_but_not_by_an_older_configuration() -> None:
     desk = Desk()
     desk.submit("l", body(1))
-    desk.book.configure(Configuration(4, (), ()))
+    desk.job_manager.configure(Configuration(4, (), ()))
     desk.pass_time(1.0)
     assert desk.read("l")["Results"] == []
     renamed = Route("q", HOST, "/batch/", RouteType.BATCH, 4000, (Share("s", 1),))
-    desk.book.configure(Configuration(6, (renamed,), ()))
+    desk.job_manager.configure(Configuration(6, (renamed,), ()))
     desk.pass_time(1.0)
     assert desk.read("l")["Results"] == []
-    desk.book.configure(Configuration(7, (), ()))
+    desk.job_manager.configure(Configuration(7, (), ()))
     desk.pass_time(1.0)
     assert states(desk.read("l")) == [("i0", "dead_letter", "")]
 
@@ -472,7 +472,7 @@
     assert desk.answers[2] == Ok()
     assert desk.end("l") == Ok()
     assert isinstance(desk.end("unknown"), NotFoundError)
-    assert desk.finish(item, found=events("x")) == RunFinished(True)
+    assert desk.finish(item, found=events("x")) == FinishRunReply(True)
     assert desk.read("l", 0, 1000)["Results"] == []
 
 
@@ -482,10 +482,10 @@
     desk.finish(desk.take(1)[0], found=events("x"))
     desk.end("l")
     other = desk.takeover()
-    other.pass_time(ANNOUNCE_S + 0.1)
+    other.pass_time(TAKEOVER_GRACE_S + 0.1)
     assert other.take() == []
     assert len(other.read("l")["Results"]) == 1
-    assert other.book.waiting_tokens.get("r", 0) == 0
+    assert other.job_manager.waiting_tokens.get("r", 0) == 0
 
 
 def test_a_new_owner_waits_for_word_of_runs_and_lets_them_go_on() -> None:
@@ -497,9 +497,9 @@
     assert other.take() == []
     assert other.report(first, 1, (EventData(1, "b"),)) == (True, 0)
     assert other.report(first, 0, events("a", "b")) == (True, 2)
-    other.pass_time(ANNOUNCE_S + 0.01)
+    other.pass_time(TAKEOVER_GRACE_S + 0.01)
     assert [item.index for item in other.take()] == [1]
-    assert other.finish(first, found=(EventData(2, "c"),), start=2) == RunFinished(True)
+    assert other.finish(first, found=(EventData(2, "c"),), start=2) == FinishRunReply(True)
     assert states(other.read("l")) == [("i0", "completed", "a\nb\nc")]
 
 
@@ -510,8 +510,8 @@
     desk.at_once = False
     assert desk.finish(item, found=events("a")) is None  # the owner dies before it lasts
     other = desk.takeover()
-    assert other.finish(item, found=events("a")) == RunFinished(True)
-    other.pass_time(ANNOUNCE_S + 1.0)
+    assert other.finish(item, found=events("a")) == FinishRunReply(True)
+    other.pass_time(TAKEOVER_GRACE_S + 1.0)
     assert other.take() == []
     assert states(other.read("l")) == [("i0", "completed", "a")]
 
@@ -522,9 +522,9 @@
     first, second = desk.take()
     desk.report(first, 0, events("a"))
     desk.finish(second, OutcomeKind.FAILED_500)
-    desk.act(desk.book.adopt(desk.now_s, desk.records.jobs))
+    desk.act(desk.job_manager.adopt(desk.now_s, desk.records.jobs))
     assert desk.report(first, 1, (EventData(1, "b"),)) == (True, 2)
-    desk.pass_time(ANNOUNCE_S + 0.01)
+    desk.pass_time(TAKEOVER_GRACE_S + 0.01)
     (again,) = desk.take()
     desk.finish(again, OutcomeKind.FAILED_500)
     assert states(desk.read("l")) == [("i1", "dead_letter", "")]
@@ -539,12 +539,12 @@
     desk.read("l", 0, 1000)
     desk.finish(item, found=events("x"))
     desk.end("l")
-    desk.act(desk.book.lose())
+    desk.act(desk.job_manager.lose())
     assert isinstance(desk.answers[2], UnknownOutcomeError)
     assert isinstance(desk.answers[3], NotReadyError)
-    assert desk.answers[4] == RunFinished(False)
+    assert desk.answers[4] == FinishRunReply(False)
     assert isinstance(desk.answers[5], UnknownOutcomeError)
-    assert desk.book.jobs == {}
+    assert desk.job_manager.jobs == {}
     assert all(not isinstance(answer, EmberringError) or answer.detail for answer in desk.answers.values())
 
 
@@ -554,7 +554,7 @@
         (True, STATUS_S - 1, False),
         (True, STATUS_S + 6, True),
         (False, STATUS_S + 6, False),
-        (False, STATUS_S + LISTED_SLACK_S + 1, True),
+        (False, STATUS_S + UNENDED_RETENTION_MARGIN_S + 1, True),
     ],
 )
 def test_jobs_are_forgotten_after_their_time(ended: bool, age_s: float, forgotten: bool) -> None:
@@ -566,8 +566,8 @@
     desk.pass_time(age_s)
     assert bool(desk.forgotten) is forgotten
     if forgotten:
-        desk.records.put("lots.example/l", FORGOTTEN, b"", 0.0)
-        desk.act(desk.book.chosen(desk.now_s, "lots.example/l", FORGOTTEN))
+        desk.records.put("lots.example/l", TOMBSTONE, b"", 0.0)
+        desk.act(desk.job_manager.committed(desk.now_s, "lots.example/l", TOMBSTONE))
         assert isinstance(desk.read("l"), NotFoundError)
 
 
@@ -582,6 +582,6 @@
     desk = Desk()
     desk.records.put("lots.example/l", END, b"", 0.0)
     desk.records.put("lots.example/m", DEFINITION, b"", 0.0)
-    desk.records.put("lots.example/m", FORGOTTEN, b"", 0.0)
-    desk.act(desk.book.adopt(0.0, desk.records.jobs))
-    assert desk.book.jobs == {}
+    desk.records.put("lots.example/m", TOMBSTONE, b"", 0.0)
+    desk.act(desk.job_manager.adopt(0.0, desk.records.jobs))
+    assert desk.job_manager.jobs == {}
--- a/tests/emberring/jobs/test_tier_merge.py
+++ b/tests/emberring/jobs/test_tier_merge.py
@@ -1,15 +1,15 @@
-"""What a new owner adopts: the highest term of each slot, one position for each item."""
+"""What a new owner recovers: the highest term of each slot, one position for each item."""
 
 from __future__ import annotations
 
 import pytest
 
-from emberring.jobs.lease import LEASE_S, OwnerLease, has_quorum
-from emberring.jobs.merge import merge, misplaced
+from emberring.jobs.lease import OWNER_LEASE_S, OwnerLease, has_quorum
+from emberring.jobs.merge import duplicate_positions, merge
 from emberring.jobs.owner_recovery import OwnerRecovery
 from emberring.jobs.records import (
     DEFINITION,
-    FORGOTTEN,
+    TOMBSTONE,
     JobState,
     Record,
     SlotState,
@@ -62,8 +62,8 @@
         GROUP,
     )["k"]
     assert merged.age_ms == 700
-    assert merged.slots[0].chosen
-    assert (merged.slots[1].state.term, merged.slots[1].holders, merged.slots[1].chosen) == (
+    assert merged.slots[0].committed
+    assert (merged.slots[1].state.term, merged.slots[1].holders, merged.slots[1].committed) == (
         TWO,
         ("b",),
         False,
@@ -73,18 +73,18 @@
 
 def test_while_members_join_both_sets_must_hold_a_chosen_record() -> None:
     inventories = {"a": job({0: state(ONE), 1: state(ONE)}), "b": job({0: state(ONE), 1: state(ONE)})}
-    assert not merge(inventories, JOINT)["k"].slots[0].chosen
+    assert not merge(inventories, JOINT)["k"].slots[0].committed
     inventories["c"] = job({0: state(ONE)})
     merged = merge(inventories, JOINT)["k"]
-    assert merged.slots[0].chosen
-    assert not merged.slots[1].chosen
+    assert merged.slots[0].committed
+    assert not merged.slots[1].committed
 
 
 def test_a_job_that_is_marked_anywhere_is_forgotten() -> None:
     merged = merge(
-        {"a": job({DEFINITION: state(ONE), 0: state(ONE)}), "b": job({FORGOTTEN: state(TWO, b"")})}, GROUP
+        {"a": job({DEFINITION: state(ONE), 0: state(ONE)}), "b": job({TOMBSTONE: state(TWO, b"")})}, GROUP
     )
-    assert set(merged["k"].slots) == {FORGOTTEN}
+    assert set(merged["k"].slots) == {TOMBSTONE}
 
 
 @pytest.mark.parametrize(
@@ -98,7 +98,7 @@
     ],
 )
 def test_one_item_has_one_position(results: dict[int, tuple[Term, int]], out: set[int]) -> None:
-    assert misplaced(results) == out
+    assert duplicate_positions(results) == out
 
 
 def result(index: int) -> bytes:
@@ -132,8 +132,8 @@
     assert adoption.done
     slots = adoption.jobs()["k"].slots
     assert [slots[0].value, slots[1].value] == [result(0), result(1)]
-    assert slots[0].chosen
-    assert slots[1].chosen
+    assert slots[0].committed
+    assert slots[1].committed
 
 
 def test_without_a_source_the_adoption_is_stuck() -> None:
@@ -158,10 +158,10 @@
     lease.grant("a", 10.0)
     lease.grant("b", 11.0)
     lease.grant("b", 10.5)
-    assert lease.until_s(GROUP) == 10.0 + LEASE_S
+    assert lease.until_s(GROUP) == 10.0 + OWNER_LEASE_S
     assert lease.until_s(JOINT) < 0
     lease.grant("c", 9.0)
-    assert lease.until_s(GROUP) == 10.0 + LEASE_S
-    assert lease.until_s(JOINT) == 9.0 + LEASE_S
+    assert lease.until_s(GROUP) == 10.0 + OWNER_LEASE_S
+    assert lease.until_s(JOINT) == 9.0 + OWNER_LEASE_S
     lease.clear()
     assert lease.until_s(GROUP) < 0
--- a/tests/emberring/jobs/test_tier_packing.py
+++ b/tests/emberring/jobs/test_tier_packing.py
@@ -9,7 +9,7 @@
 
 from emberring.errors import CorruptRecordError
 from emberring.jobs.calls import EventData, JobPage
-from emberring.jobs.packing import expand, pack_events, squeeze, unpack_events
+from emberring.jobs.packing import compress, decompress, pack_events, unpack_events
 from emberring.jobs.results import ResultState, build_page, encode_result, item_index, page_json
 
 TEXT = st.text(st.characters(exclude_categories=("Cs",)), max_size=60)
@@ -18,7 +18,7 @@
 
 @given(st.binary(max_size=500))
 def test_bytes(data: bytes) -> None:
-    assert expand(squeeze(data)) == data
+    assert decompress(compress(data)) == data
 
 
 @given(EVENTS)
@@ -38,10 +38,10 @@
     ]
 
 
-@pytest.mark.parametrize("data", [b"", b"x", squeeze(b"some text")[:-3]])
+@pytest.mark.parametrize("data", [b"", b"x", compress(b"some text")[:-3]])
 def test_other_bytes_are_named(data: bytes) -> None:
     with pytest.raises(CorruptRecordError):
-        expand(data)
+        decompress(data)
     with pytest.raises(CorruptRecordError):
         page_json(JobPage(1, 0, b"\0" * 10 + data))
     with pytest.raises(CorruptRecordError):
@@ -50,9 +50,9 @@
 
 def test_events_that_are_none_are_named() -> None:
     with pytest.raises(CorruptRecordError):
-        unpack_events(squeeze(b"[1]"))
+        unpack_events(compress(b"[1]"))
 
 
 def test_text_takes_less_room() -> None:
     text = orjson.dumps([f"{number * 7919:x}" for number in range(500)])
-    assert len(squeeze(text)) < 0.75 * len(text)
+    assert len(compress(text)) < 0.75 * len(text)
--- a/tests/emberring/jobs/test_tier_replica.py
+++ b/tests/emberring/jobs/test_tier_replica.py
@@ -5,28 +5,28 @@
 import pytest
 
 from emberring.jobs.messages import (
-    Claim,
-    ClaimReply,
+    ClaimOwnership,
+    ClaimOwnershipReply,
     DropSlots,
-    Fetch,
-    Fetched,
-    Inventory,
+    FetchRecords,
+    FetchRecordsReply,
+    InventoryReply,
     InventoryRequest,
-    Lease,
-    Release,
-    WriteReply,
+    ReleaseOwnership,
+    ShardLease,
     WriteSlots,
+    WriteSlotsReply,
 )
 from emberring.jobs.records import (
     DEFINITION,
-    FORGOTTEN,
+    TOMBSTONE,
     Record,
     Term,
     pack_records,
     unpack_inventory,
     unpack_records,
 )
-from emberring.jobs.replica import CLAIM_HOLD_S, REFUSE_S, Action, Fail, Persist, Replica, Reply
+from emberring.jobs.replica import CLAIM_LEASE_S, REPLICA_LEASE_S, Action, Fail, Persist, Replica, Reply
 from emberring.jobs.replica_log import Copied, Dropped, Emptied, Entry, Promised, Written
 from emberring.transport.messages import Ok
 
@@ -61,11 +61,11 @@
     (persist,) = replica.handle(0.0, 7, write(OLD, Record("k", 0, 250, b"v")))
     assert isinstance(persist, Persist)
     assert replica.value("k", 0) is None
-    assert replica.oldest_wait_s(0.6) == pytest.approx(0.6)
-    assert replica.persisted(1.0, persist.token, 3) == [Reply(7, WriteReply(True, OLD))]
+    assert replica.oldest_pending_s(0.6) == pytest.approx(0.6)
+    assert replica.persisted(1.0, persist.token, 3) == [Reply(7, WriteSlotsReply(True, OLD))]
     assert replica.value("k", 0) == b"v"
     assert replica.jobs["k"].accepted_s == pytest.approx(0.75)
-    assert replica.oldest_wait_s(5.0) == 0.0
+    assert replica.oldest_pending_s(5.0) == 0.0
 
 
 def test_a_write_that_the_disk_refuses_is_not_shown_and_hides_nothing() -> None:
@@ -80,12 +80,12 @@
 def test_lower_terms_are_refused() -> None:
     replica = Replica(0)
     put(replica, NEW, "k", 0, b"v")
-    refused = [Reply(1, WriteReply(False, NEW))]
+    refused = [Reply(1, WriteSlotsReply(False, NEW))]
     assert replica.handle(0.0, 1, write(OLD, Record("k", 1, 0, b"late"))) == refused
     assert replica.handle(0.0, 1, drop(OLD, ("k", 0))) == refused
-    assert replica.handle(0.0, 1, Claim(0, "me", NEW)) == [Reply(1, ClaimReply(False, NEW))]
-    assert replica.handle(0.0, 1, InventoryRequest(0, "me", OLD)) == [Reply(1, Inventory(None, NEW))]
-    answer, actions = replica.touch(0.0, Lease(0, OLD))
+    assert replica.handle(0.0, 1, ClaimOwnership(0, "me", NEW)) == [Reply(1, ClaimOwnershipReply(False, NEW))]
+    assert replica.handle(0.0, 1, InventoryRequest(0, "me", OLD)) == [Reply(1, InventoryReply(None, NEW))]
+    answer, actions = replica.renew_lease(0.0, ShardLease(0, OLD))
     assert not answer.granted
     assert answer.promised == NEW
     assert not actions
@@ -94,9 +94,9 @@
 def test_a_promise_holds_from_the_moment_of_the_claim_and_is_told_once_it_lasts() -> None:
     replica = Replica(0)
     put(replica, OLD, "k", 0, b"v")
-    (persist,) = replica.handle(5.0, 2, Claim(0, "me", NEW))
+    (persist,) = replica.handle(5.0, 2, ClaimOwnership(0, "me", NEW))
     assert replica.handle(5.0, 1, write(OLD, Record("k", 1, 0, b"late"))) == [
-        Reply(1, WriteReply(False, NEW))
+        Reply(1, WriteSlotsReply(False, NEW))
     ]
     assert isinstance(persist, Persist)
     (reply,) = replica.persisted(5.0, persist.token, 0)
@@ -107,72 +107,72 @@
 
 def test_a_promise_that_was_overtaken_on_its_way_to_the_disk_is_not_granted() -> None:
     replica = Replica(0)
-    (first,) = replica.handle(0.0, 1, Claim(0, "me", NEW))
-    (second,) = replica.handle(CLAIM_HOLD_S, 2, Claim(0, "me", NEWEST))
+    (first,) = replica.handle(0.0, 1, ClaimOwnership(0, "me", NEW))
+    (second,) = replica.handle(CLAIM_LEASE_S, 2, ClaimOwnership(0, "me", NEWEST))
     assert isinstance(first, Persist)
     assert isinstance(second, Persist)
-    assert replica.persisted(1.0, first.token, 0) == [Reply(1, ClaimReply(False, NEWEST))]
+    assert replica.persisted(1.0, first.token, 0) == [Reply(1, ClaimOwnershipReply(False, NEWEST))]
     (granted,) = replica.persisted(1.0, second.token, 0)
     assert isinstance(granted, Reply)
     assert granted.body.granted
 
 
-def claimed(replica: Replica, term: Term, now_s: float) -> ClaimReply:
-    (reply,) = settle(replica, replica.handle(now_s, 1, Claim(0, "me", term)), now_s)
+def claimed(replica: Replica, term: Term, now_s: float) -> ClaimOwnershipReply:
+    (reply,) = settle(replica, replica.handle(now_s, 1, ClaimOwnership(0, "me", term)), now_s)
     assert isinstance(reply, Reply)
-    assert isinstance(reply.body, ClaimReply)
+    assert isinstance(reply.body, ClaimOwnershipReply)
     return reply.body
 
 
 def test_while_a_lease_may_run_no_other_owner_is_granted_a_claim() -> None:
     replica = Replica(0)
     assert claimed(replica, OLD, 0.0).granted
-    answer, _ = replica.touch(1.0, Lease(0, OLD))
+    answer, _ = replica.renew_lease(1.0, ShardLease(0, OLD))
     assert answer.granted
-    held = claimed(replica, NEW, 1.0 + REFUSE_S - 0.01)
-    assert held == ClaimReply(False, OLD, held=True)
+    held = claimed(replica, NEW, 1.0 + REPLICA_LEASE_S - 0.01)
+    assert held == ClaimOwnershipReply(False, OLD, lease_active=True)
     assert claimed(replica, Term(1, 5, "a"), 1.1).granted  # the same owner, under a higher term
-    assert claimed(replica, Term(1, 6, "b"), 1.0 + REFUSE_S + CLAIM_HOLD_S).granted
+    assert claimed(replica, Term(1, 6, "b"), 1.0 + REPLICA_LEASE_S + CLAIM_LEASE_S).granted
 
 
 def test_a_lease_under_a_new_term_counts_once_the_promise_lasts() -> None:
     replica = Replica(0)
-    answer, actions = replica.touch(0.0, Lease(0, OLD))
+    answer, actions = replica.renew_lease(0.0, ShardLease(0, OLD))
     assert not answer.granted
     assert answer.promised == OLD
     settle(replica, actions)
-    assert replica.touch(0.2, Lease(0, OLD))[0].granted
+    assert replica.renew_lease(0.2, ShardLease(0, OLD))[0].granted
 
 
 def test_others_are_refused_from_the_first_touch_on() -> None:
     replica = Replica(0)
-    answer, actions = replica.touch(0.0, Lease(0, OLD))
+    answer, actions = replica.renew_lease(0.0, ShardLease(0, OLD))
     assert not answer.granted
-    assert replica.holder(REFUSE_S - 0.01)
-    (refused,) = replica.handle(0.01, 1, Claim(0, "me", NEW))
-    assert refused == Reply(1, ClaimReply(False, OLD, held=True))
+    assert replica.lease_active(REPLICA_LEASE_S - 0.01)
+    (refused,) = replica.handle(0.01, 1, ClaimOwnership(0, "me", NEW))
+    assert refused == Reply(1, ClaimOwnershipReply(False, OLD, lease_active=True))
     settle(replica, actions)
-    assert not replica.holder(REFUSE_S + 0.01)
+    assert not replica.lease_active(REPLICA_LEASE_S + 0.01)
 
 
 def test_a_release_lets_others_claim_at_once() -> None:
     replica = Replica(0)
     claimed(replica, OLD, 0.0)
-    replica.touch(0.1, Lease(0, OLD))
-    assert replica.handle(0.2, 1, Release(0, "me", NEWEST)) == [Reply(1, Ok())]
-    assert claimed(replica, NEW, 0.2).held
-    replica.handle(0.2, 1, Release(0, "me", OLD))
+    replica.renew_lease(0.1, ShardLease(0, OLD))
+    assert replica.handle(0.2, 1, ReleaseOwnership(0, "me", NEWEST)) == [Reply(1, Ok())]
+    assert claimed(replica, NEW, 0.2).lease_active
+    replica.handle(0.2, 1, ReleaseOwnership(0, "me", OLD))
     assert claimed(replica, NEW, 0.2).granted
 
 
 def test_after_a_start_a_lease_granted_before_may_still_run() -> None:
     replica = Replica(0)
     replica.apply(0.0, Promised(OLD), 0)
-    replica.restored(10.0 + REFUSE_S)
-    assert claimed(replica, NEW, 10.0).held
+    replica.restored(10.0 + REPLICA_LEASE_S)
+    assert claimed(replica, NEW, 10.0).lease_active
     assert claimed(replica, Term(1, 2, "a"), 10.0).granted  # the owner itself, whose old process is gone
     fresh = Replica(0)
-    fresh.restored(10.0 + REFUSE_S)
+    fresh.restored(10.0 + REPLICA_LEASE_S)
     assert claimed(fresh, NEW, 10.0).granted
 
 
@@ -190,11 +190,11 @@
     replica = Replica(0)
     empty = replica.digest
     put(replica, OLD, "k", DEFINITION, b"d")
-    put(replica, OLD, "k", FORGOTTEN, b"")
+    put(replica, OLD, "k", TOMBSTONE, b"")
     settle(replica, replica.handle(0.0, 1, drop(OLD, ("k", DEFINITION))))
-    assert set(replica.jobs["k"].slots) == {FORGOTTEN}
+    assert set(replica.jobs["k"].slots) == {TOMBSTONE}
     assert replica.bytes == 0
-    settle(replica, replica.handle(0.0, 1, drop(OLD, ("k", FORGOTTEN))))
+    settle(replica, replica.handle(0.0, 1, drop(OLD, ("k", TOMBSTONE))))
     assert replica.jobs == {}
     assert replica.digest == empty
 
@@ -204,9 +204,9 @@
     put(replica, OLD, "k", 0, b"zero")
     put(replica, NEW, "k", 1, b"one")
     wanted = pack_records([Record("k", 1, 0, b""), Record("k", 5, 0, b""), Record("x", 0, 0, b"")])
-    (reply,) = replica.handle(2.0, 1, Fetch(0, "me", wanted))
+    (reply,) = replica.handle(2.0, 1, FetchRecords(0, "me", wanted))
     assert isinstance(reply, Reply)
-    assert isinstance(reply.body, Fetched)
+    assert isinstance(reply.body, FetchRecordsReply)
     assert unpack_records(reply.body.records) == [Record("k", 1, 2000, b"one")]
     (reply,) = replica.handle(2.0, 1, InventoryRequest(0, "me", NEW))
     assert isinstance(reply, Reply)
@@ -231,10 +231,10 @@
     put(replica, NEW, "k", 0, b"v")
     actions = replica.leave(0.0)
     assert replica.leave(0.0) == []
-    assert [entry for entry in replica.kept_in(0.0, 0) if isinstance(entry, Copied)] == []
+    assert [entry for entry in replica.live_entries(0.0, 0) if isinstance(entry, Copied)] == []
     settle(replica, actions)
     assert replica.jobs == {}
-    assert claimed(replica, OLD, 0.0) == ClaimReply(False, NEW)
+    assert claimed(replica, OLD, 0.0) == ClaimOwnershipReply(False, NEW)
 
 
 def restored(*entries: Entry) -> Replica:
@@ -273,8 +273,8 @@
     put(replica, OLD, "k", 2, b"two", segment=1)
     put(replica, NEW, "k", 0, b"new", segment=2)
     replica.handle(0.0, 1, drop(NEW, ("k", 2)))  # under way to the disk
-    kept = replica.kept_in(0.0, 1)
+    kept = replica.live_entries(0.0, 1)
     assert kept == [Promised(NEW), Copied(OLD, (Record("k", 1, 0, b"one"),))]
-    replica.relocated(kept[1], 5)
+    replica.on_relocated(kept[1], 5)
     assert replica.jobs["k"].slots[1].segment == 5
-    assert replica.kept_in(0.0, 1) == [Promised(NEW)]
+    assert replica.live_entries(0.0, 1) == [Promised(NEW)]
--- a/tests/emberring/jobs/test_tier_schedule.py
+++ b/tests/emberring/jobs/test_tier_schedule.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from emberring.jobs.schedule import LEAST_TIGHT_S, MOST_TIGHT_S, Entry, Schedule
+from emberring.jobs.schedule import MAX_RUN_ESTIMATE_S, MIN_RUN_ESTIMATE_S, Entry, Schedule
 
 
-def entry(name: str, due_s: float, given_up_s: float = 100.0) -> Entry:
-    return Entry(due_s, given_up_s, name, 0)
+def entry(name: str, due_s: float, expires_s: float = 100.0) -> Entry:
+    return Entry(due_s, expires_s, name, 0)
 
 
 def order(schedule: Schedule, now_s: float) -> list[str]:
@@ -18,35 +18,35 @@
     return found
 
 
-def learnt(run_s: float) -> Schedule:
+def learnt(run_estimate_s: float) -> Schedule:
     schedule = Schedule()
     for _ in range(200):
-        schedule.note_run(run_s)
+        schedule.record_run(run_estimate_s)
     return schedule
 
 
 @pytest.mark.parametrize(
-    ("run_s", "entries", "wanted"),
+    ("run_estimate_s", "entries", "wanted"),
     [
         (0.1, [entry("b", 9.0), entry("a", 8.0)], ["a", "b"]),  # due first, first
         (2.0, [entry("late", 1.5), entry("a", 8.0)], ["a", "late"]),  # can't be done in time any more
         (1.0, [entry("soon", 1.5), entry("a", 8.0)], ["soon", "a"]),  # it can
-        (0.1, [entry("late", LEAST_TIGHT_S / 2), entry("a", 8.0)], ["a", "late"]),
+        (0.1, [entry("late", MIN_RUN_ESTIMATE_S / 2), entry("a", 8.0)], ["a", "late"]),
         (
             60.0,
-            [entry("a", MOST_TIGHT_S + 0.1), entry("b", 50.0)],
+            [entry("a", MAX_RUN_ESTIMATE_S + 0.1), entry("b", 50.0)],
             ["a", "b"],
         ),  # one slow run turns nothing over
         (
             2.0,
             [entry("late", 0.5, 90.0), entry("later", 0.6, 80.0)],
             ["later", "late"],
-        ),  # given up first, first
-        (2.0, [entry("late", 0.5, 2.0), entry("a", 8.0)], ["late", "a"]),  # about to be given up: before all
+        ),  # expired first, first
+        (2.0, [entry("late", 0.5, 2.0), entry("a", 8.0)], ["late", "a"]),  # about to be expired: before all
     ],
 )
-def test_order(run_s: float, entries: list[Entry], wanted: list[str]) -> None:
-    schedule = learnt(run_s)
+def test_order(run_estimate_s: float, entries: list[Entry], wanted: list[str]) -> None:
+    schedule = learnt(run_estimate_s)
     for one in entries:
         schedule.add(one)
     assert len(schedule) == len(entries)
--- a/tests/emberring/jobs/test_tier_shard_owner.py
+++ b/tests/emberring/jobs/test_tier_shard_owner.py
@@ -8,11 +8,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from tier_jobs_trio import Trio
 
-from emberring.jobs.lease import LEASE_S
-from emberring.jobs.messages import Claim
-from emberring.jobs.owner import Stage
-from emberring.jobs.records import DEFINITION, FORGOTTEN, Term
-from emberring.jobs.replica import REFUSE_S
+from emberring.jobs.lease import OWNER_LEASE_S
+from emberring.jobs.messages import ClaimOwnership
+from emberring.jobs.owner import OwnershipStage
+from emberring.jobs.records import DEFINITION, TOMBSTONE, Term
+from emberring.jobs.replica import REPLICA_LEASE_S
 from emberring.jobs.results import ResultState, encode_result, item_index
 from emberring.placement.model import Group, in_order
 
@@ -51,9 +51,9 @@
     owner = trio.the_owner()
     trio.cut = {next(name for name in "abc" if name != owner)}
     trio.propose(owner, "k", 0, value(1))
-    assert trio.chosen == {}
+    assert trio.committed == {}
     trio.deliver_all()
-    assert trio.chosen == {("k", 0): value(1)}
+    assert trio.committed == {("k", 0): value(1)}
     trio.cut = set()
     trio.pass_time(2.0)
     assert all(held(trio, name) == {("k", 0): value(1)} for name in "abc")
@@ -65,9 +65,9 @@
     trio.cut = {name for name in "abc" if name != owner}
     trio.propose(owner, "k", 0, value(1))
     trio.deliver_all()
-    trio.now_s += LEASE_S + 0.01
-    trio.touch(owner)
-    assert trio.chosen == {}
+    trio.now_s += OWNER_LEASE_S + 0.01
+    trio.renew_lease(owner)
+    assert trio.committed == {}
     assert trio.serving() == []
 
 
@@ -78,7 +78,7 @@
     trio.deliver_all()
     trio.cut = {old}
     trio.propose(old, "k", 1, value(2))
-    trio.pass_time(REFUSE_S + 1.0)
+    trio.pass_time(REPLICA_LEASE_S + 1.0)
     new = trio.the_owner()
     assert new != old
     trio.propose(new, "k", 1, value(3))
@@ -97,7 +97,7 @@
     for _ in range(100):
         trio.now_s += 0.03
         for name in "abc":
-            trio.touch(name)
+            trio.renew_lease(name)
             trio.tick(name)
             trio.deliver_all()
             assert len(trio.serving()) <= 1
@@ -116,7 +116,7 @@
         if name != old:
             trio.tick(name)
             trio.deliver_all()
-            trio.touch(name)
+            trio.renew_lease(name)
     assert trio.the_owner() != old
 
 
@@ -126,12 +126,14 @@
     first, second = (name for name in "abc" if name != old)
     trio.cut = {second}
     trio.propose(old, "k", 0, value(1))
-    trio.letters = [letter for letter in trio.letters if letter.send.target == first]
+    trio.in_flight = [
+        in_flight_call for in_flight_call in trio.in_flight if in_flight_call.send.target == first
+    ]
     trio.deliver_all()
-    assert trio.chosen == {}
+    assert trio.committed == {}
     trio.wipe(old)
     trio.cut = set()
-    trio.pass_time(REFUSE_S + 1.5)
+    trio.pass_time(REPLICA_LEASE_S + 1.5)
     owner = trio.the_owner()
     assert trio.nodes[owner].truth == {("k", 0): value(1)}
     assert held(trio, second) == {("k", 0): value(1)}
@@ -146,14 +148,14 @@
     trio.wipe("a")
     trio.start("d")
     trio.place(JOINING)
-    trio.pass_time(REFUSE_S + 1.5)
+    trio.pass_time(REPLICA_LEASE_S + 1.5)
     owner = trio.the_owner()
-    assert 2 in trio.nodes[owner].moved
-    assert held(trio, "d") == trio.chosen
+    assert 2 in trio.nodes[owner].migration_complete
+    assert held(trio, "d") == trio.committed
     trio.place(BCD)
     trio.pass_time(1.0)
     assert trio.the_owner() in "bcd"
-    assert trio.nodes[trio.the_owner()].truth == trio.chosen
+    assert trio.nodes[trio.the_owner()].truth == trio.committed
 
 
 def test_a_newcomer_that_nobody_has_reached_yet_claims_nothing_while_a_lease_may_run() -> None:
@@ -162,14 +164,14 @@
     trio.wipe(lost)
     trio.start("d")
     trio.place(Group(0, 2, ABC.members, (*(name for name in "abc" if name != lost), "d")))
-    trio.letters.clear()
+    trio.in_flight.clear()
     for _ in range(8):
-        trio.now_s += REFUSE_S / 9
+        trio.now_s += REPLICA_LEASE_S / 9
         trio.tick("d")
-    assert trio.letters == []
+    assert trio.in_flight == []
     trio.now_s += 1.0
     trio.tick("d")
-    assert {letter.send.target for letter in trio.letters} == {"a", "b", "c", "d"}
+    assert {in_flight_call.send.target for in_flight_call in trio.in_flight} == {"a", "b", "c", "d"}
 
 
 def test_a_promise_of_one_replica_alone_ends_no_owner_that_a_quorum_keeps() -> None:
@@ -180,27 +182,29 @@
     other = next(name for name in "abc" if name != owner)
     trio.wipe(other)
     trio.start(other)
-    while not trio.letters:
+    while not trio.in_flight:
         trio.now_s += 0.05
         trio.tick(other)
     trio.deliver_all()
     assert trio.nodes[other].replica.promised.owner == other
-    trio.touch(owner)
+    trio.renew_lease(owner)
     trio.deliver_all()
     assert trio.the_owner() == owner
     assert trio.nodes[owner].lost == 0
     trio.pass_time(2.0)
     assert trio.the_owner() == owner
-    assert held(trio, other) == trio.chosen
+    assert held(trio, other) == trio.committed
 
 
 @pytest.mark.parametrize("lone", "abc")
 def test_a_replica_that_has_promised_itself_a_higher_term_does_not_hold_up_the_first_owner(lone: str) -> None:
     trio = Trio.of("abc", ABC)
     replica = trio.nodes[lone].replica
-    trio.settle(trio.nodes[lone], replica.handle(0.0, 1, Claim(0, lone, Term(1, 50, lone))))
+    trio.settle(trio.nodes[lone], replica.handle(0.0, 1, ClaimOwnership(0, lone, Term(1, 50, lone))))
     trio.tick(next(name for name in in_order(0, "abc") if name != lone))
-    trio.letters.sort(key=lambda letter: letter.send.target == lone)  # its refusal comes last
+    trio.in_flight.sort(
+        key=lambda in_flight_call: in_flight_call.send.target == lone
+    )  # its refusal comes last
     trio.deliver_all()
     trio.pass_time(3.0)
     assert trio.the_owner() != lone
@@ -215,8 +219,8 @@
     trio.start("d")
     trio.cut = {"d"}
     trio.place(JOINING)
-    trio.pass_time(REFUSE_S + 2.0)
-    assert trio.nodes[trio.the_owner()].moved == []
+    trio.pass_time(REPLICA_LEASE_S + 2.0)
+    assert trio.nodes[trio.the_owner()].migration_complete == []
 
 
 def test_while_members_join_the_old_ones_alone_do_not_suffice() -> None:
@@ -229,7 +233,7 @@
     trio.deliver_all()
     answered = set("abcd") - trio.cut
     both = len(answered & set("abc")) >= 2 and len(answered & set("bcd")) >= 2
-    assert (("k", 0) in trio.chosen) is both
+    assert (("k", 0) in trio.committed) is both
 
 
 def test_an_owner_that_leaves_the_group_hands_over() -> None:
@@ -269,12 +273,12 @@
     trio.act(node, node.owner.forget(trio.now_s, "k"))
     trio.act(node, node.owner.forget(trio.now_s, "k"))
     trio.pass_time(4.0)
-    assert set(held(trio, owner)) == {("k", FORGOTTEN)}
+    assert set(held(trio, owner)) == {("k", TOMBSTONE)}
     # The store that was away and another one take over: the mark wins.
     trio.cut = {owner}
-    trio.chosen.clear()
-    trio.pass_time(REFUSE_S + 1.5)
-    assert set(trio.nodes[trio.the_owner()].truth) == {("k", FORGOTTEN)}
+    trio.committed.clear()
+    trio.pass_time(REPLICA_LEASE_S + 1.5)
+    assert set(trio.nodes[trio.the_owner()].truth) == {("k", TOMBSTONE)}
     trio.cut = set()
     trio.pass_time(12.0)
     assert all(held(trio, name) == {} for name in "abc")
@@ -286,8 +290,11 @@
         trio.now_s += 0.1
         for name in "abc":
             trio.tick(name, fit=False)
-    assert trio.letters == []
-    assert all(node.owner is not None and node.owner.stage is Stage.FOLLOWING for node in trio.nodes.values())
+    assert trio.in_flight == []
+    assert all(
+        node.owner is not None and node.owner.stage is OwnershipStage.FOLLOWING
+        for node in trio.nodes.values()
+    )
 
 
 @pytest.mark.parametrize("members", ["a", "ab"])
@@ -296,12 +303,12 @@
     owner = trio.the_owner()
     trio.propose(owner, "k", 0, value(1))
     trio.deliver_all()
-    assert ("k", 0) in trio.chosen
+    assert ("k", 0) in trio.committed
 
 
 class OwnersUnderTrouble(RuleBasedStateMachine):
     """Calls arrive in any order, late or never; disks refuse; stores start anew, go away and are replaced. What was
-    chosen once is known to every later owner (checked by the trio), and at most one store serves."""
+    committed once is known to every later owner (checked by the trio), and at most one store serves."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -315,25 +322,25 @@
 
     @rule(number=st.integers(0, 40), lost=st.booleans())
     def deliver(self, number: int, lost: bool) -> None:
-        if self.trio.letters:
-            self.trio.deliver(number % len(self.trio.letters), reply_lost=lost and number % 5 == 0)
+        if self.trio.in_flight:
+            self.trio.deliver(number % len(self.trio.in_flight), reply_lost=lost and number % 5 == 0)
 
     @rule(number=st.integers(0, 40))
     def refuse(self, number: int) -> None:
-        if self.trio.letters:
-            self.trio.deliver(number % len(self.trio.letters), refused=True)
+        if self.trio.in_flight:
+            self.trio.deliver(number % len(self.trio.in_flight), refused=True)
 
     @rule(number=st.integers(0, 40))
     def lose_call(self, number: int) -> None:
-        if self.trio.letters:
-            letter = self.trio.letters.pop(number % len(self.trio.letters))
-            self.trio.back(letter, None)
+        if self.trio.in_flight:
+            in_flight_call = self.trio.in_flight.pop(number % len(self.trio.in_flight))
+            self.trio.back(in_flight_call, None)
 
     @rule(step_s=st.sampled_from([0.01, 0.1, 0.3, 1.0]))
     def live_on(self, step_s: float) -> None:
         self.trio.now_s += step_s
         for name in list(self.trio.nodes):
-            self.trio.touch(name)
+            self.trio.renew_lease(name)
             self.trio.tick(name)
 
     @rule(seconds=st.sampled_from([0.3, 1.5, 3.0]))
@@ -346,7 +353,7 @@
             owner = self.trio.nodes[name].owner
             assert owner is not None
             self.number += 1
-            # As the book does: an item has one position, a position one result.
+            # As the job manager does: an item has one position, a position one result.
             key = f"k{self.number % 2}"
             job = owner.records.jobs.get(key)
             values = {found: owned.value for found, owned in job.slots.items()} if job else {}
@@ -383,7 +390,7 @@
         trio.place(Group(0, group.epoch + 1, group.members, joining))
         trio.pass_time(4.0)
         owner = trio.the_owner()
-        assert trio.nodes[owner].moved[-1] == group.epoch + 1
+        assert trio.nodes[owner].migration_complete[-1] == group.epoch + 1
         trio.place(Group(0, group.epoch + 2, joining))
 
     @invariant()
