--- a/tests/emberring/jobs/tier_jobs_trio.py
+++ b/tests/emberring/jobs/tier_jobs_trio.py
@@ -7,8 +7,16 @@
 import attrs
 
 from emberring.jobs.messages import RenewLeases
-from emberring.jobs.owner import BecameOwner, Chosen, LostOwnership, Moved, OwnerAction, Send, ShardOwner
-from emberring.jobs.replica import REFUSE_S, Action, Fail, Persist, Replica, Reply
+from emberring.jobs.owner import (
+    MigrationCompleted,
+    OwnerAction,
+    OwnershipGained,
+    OwnershipLost,
+    SendToReplica,
+    ShardOwner,
+    SlotCommitted,
+)
+from emberring.jobs.replica import REPLICA_LEASE_S, Action, Fail, Persist, Replica, Reply
 from emberring.jobs.replica_log import Entry
 from emberring.placement.model import Group
 
@@ -21,28 +29,28 @@
     log: list[Entry] = attrs.field(factory=list)
     replica: Replica = attrs.field(factory=lambda: Replica(0))
     owner: ShardOwner | None = None
-    life: int = 0
+    incarnation: int = 0
     truth: dict[tuple[str, int], bytes] = attrs.field(factory=dict)  # when it last became the owner
-    moved: list[int] = attrs.field(factory=list)
+    migration_complete: list[int] = attrs.field(factory=list)
     lost: int = 0
 
 
 @attrs.define(eq=False)
-class Letter:
+class InFlightCall:
     """A call of an owner to a replica."""
 
     origin: Node
-    life: int
-    send: Send
+    incarnation: int
+    send: SendToReplica
 
 
 @attrs.define(eq=False)
 class Trio:
-    """Some stores. `chosen` has what was ever chosen, with the value."""
+    """Some stores. `committed` has what was ever committed, with the value."""
 
     nodes: dict[str, Node] = attrs.field(factory=dict)
-    letters: list[Letter] = attrs.field(factory=list)
-    chosen: dict[tuple[str, int], bytes] = attrs.field(factory=dict)
+    in_flight: list[InFlightCall] = attrs.field(factory=list)
+    committed: dict[tuple[str, int], bytes] = attrs.field(factory=dict)
     now_s: float = 0.0
     cut: set[str] = attrs.field(factory=set)
     group: Group | None = None
@@ -58,12 +66,12 @@
     def start(self, name: str) -> None:
         """Start a store on what its disk holds."""
         node = self.nodes.setdefault(name, Node(name))
-        node.life += 1
+        node.incarnation += 1
         node.replica = Replica(0)
         for entry in node.log:
             node.replica.apply(self.now_s, entry, 0)
-        node.replica.restored(self.now_s + REFUSE_S)
-        node.owner = ShardOwner(name, node.replica, node.life)
+        node.replica.restored(self.now_s + REPLICA_LEASE_S)
+        node.owner = ShardOwner(name, node.replica, node.incarnation)
         node.truth = {}
         if self.group is not None:
             self.act(node, node.owner.set_group(self.now_s, self.group))
@@ -80,39 +88,41 @@
 
     def act(self, node: Node, actions: list[OwnerAction]) -> None:
         for action in actions:
-            if isinstance(action, Send):
-                self.letters.append(Letter(node, node.life, action))
-            elif isinstance(action, Chosen):
+            if isinstance(action, SendToReplica):
+                self.in_flight.append(InFlightCall(node, node.incarnation, action))
+            elif isinstance(action, SlotCommitted):
                 self._check_chosen(node, action)
-            elif isinstance(action, BecameOwner):
+            elif isinstance(action, OwnershipGained):
                 node.truth = {
                     (key, slot): owned.value
                     for key, job in action.jobs.items()
                     for slot, owned in job.slots.items()
                 }
-                for ref, value in self.chosen.items():
+                for ref, value in self.committed.items():
                     assert node.truth.get(ref) == value, f"{node.name} does not know {ref}"
-            elif isinstance(action, LostOwnership):
+            elif isinstance(action, OwnershipLost):
                 node.lost += 1
-            elif isinstance(action, Moved):
-                node.moved.append(action.epoch)
+            elif isinstance(action, MigrationCompleted):
+                node.migration_complete.append(action.epoch)
 
-    def _check_chosen(self, node: Node, action: Chosen) -> None:
+    def _check_chosen(self, node: Node, action: SlotCommitted) -> None:
         assert node.owner is not None
         ref = (action.key, action.slot)
         owned = node.owner.records.find(*ref)
         assert owned is not None
-        assert self.chosen.setdefault(ref, owned.value) == owned.value
+        assert self.committed.setdefault(ref, owned.value) == owned.value
 
     def deliver(self, index: int = 0, reply_lost: bool = False, refused: bool = False) -> None:
         """Carry one call out and its reply back."""
-        letter = self.letters.pop(index)
-        target = self.nodes.get(letter.send.target)
-        if target is None or target.name in self.cut or letter.origin.name in self.cut:
-            self.back(letter, None)
+        in_flight_call = self.in_flight.pop(index)
+        target = self.nodes.get(in_flight_call.send.target)
+        if target is None or target.name in self.cut or in_flight_call.origin.name in self.cut:
+            self.back(in_flight_call, None)
             return
-        found = self.settle(target, target.replica.handle(self.now_s, 1, letter.send.message), refused)
-        self.back(letter, None if reply_lost else found)
+        found = self.settle(
+            target, target.replica.handle(self.now_s, 1, in_flight_call.send.message), refused
+        )
+        self.back(in_flight_call, None if reply_lost else found)
 
     def settle(self, node: Node, actions: list[Action], refused: bool = False) -> Any:
         """Let entries last, or have the disk refuse them; the reply."""
@@ -129,23 +139,23 @@
                 assert isinstance(action, Fail)
         return found
 
-    def back(self, letter: Letter, reply: Any) -> None:
-        owner = letter.origin.owner
-        if letter.life != letter.origin.life or owner is None:
+    def back(self, in_flight_call: InFlightCall, reply: Any) -> None:
+        owner = in_flight_call.origin.owner
+        if in_flight_call.incarnation != in_flight_call.origin.incarnation or owner is None:
             return
         if reply is None:
-            self.act(letter.origin, owner.failed(self.now_s, letter.send.ticket))
+            self.act(in_flight_call.origin, owner.on_call_failed(self.now_s, in_flight_call.send.ticket))
         else:
-            self.act(letter.origin, owner.answered(self.now_s, letter.send.ticket, reply))
+            self.act(in_flight_call.origin, owner.on_reply(self.now_s, in_flight_call.send.ticket, reply))
 
     def deliver_all(self) -> None:
         for _ in range(2000):
-            if not self.letters:
+            if not self.in_flight:
                 return
             self.deliver()
         raise AssertionError("calls without end")
 
-    def touch(self, name: str) -> None:
+    def renew_lease(self, name: str) -> None:
         """An owner keeps its leases."""
         node = self.nodes[name]
         assert node.owner is not None
@@ -155,9 +165,9 @@
             leases = node.owner.leases(target.name)
             if leases and target.name not in self.cut:
                 message = RenewLeases(name, target.name, tuple(leases))
-                answer, actions = target.replica.touch(self.now_s, message.leases[0])
+                answer, actions = target.replica.renew_lease(self.now_s, message.leases[0])
                 self.settle(target, actions)
-                self.act(node, node.owner.touched(self.now_s, target.name, self.now_s, answer))
+                self.act(node, node.owner.on_lease_renewal(self.now_s, target.name, self.now_s, answer))
 
     def tick(self, name: str, fit: bool = True) -> None:
         node = self.nodes[name]
@@ -170,7 +180,7 @@
         while self.now_s < until_s:
             self.now_s += step_s
             for name in list(self.nodes):
-                self.touch(name)
+                self.renew_lease(name)
                 self.tick(name)
                 self.deliver_all()
 
--- a/tests/emberring/store/test_tier_store_disk.py
+++ b/tests/emberring/store/test_tier_store_disk.py
@@ -1,4 +1,5 @@
-"""What a store finds on its disk: lots are no older than their records say, whatever the steady clock shows."""
+"""What a store finds on its disk: batch jobs are no older than their records say, whatever the monotonic
+clock shows."""
 
 from __future__ import annotations
 
--- a/tests/emberring/store/test_tier_store_dispatch.py
+++ b/tests/emberring/store/test_tier_store_dispatch.py
@@ -9,9 +9,9 @@
 import attrs
 import pytest
 
-from emberring.jobs.calls import LeasedItems, LeaseItems
+from emberring.jobs.calls import LeaseItems, LeaseItemsReply
 from emberring.simulation.common.virtual_time import run_virtually
-from emberring.store.dispatch import FAR_AFTER_S, Dispatch
+from emberring.store.dispatch import REMOTE_ZONE_DELAY_S, Dispatch
 
 WAIT_MS = 800
 
@@ -34,19 +34,19 @@
     def waiting(self) -> int:
         return len(self.items)
 
-    def take(self, now_s: float, gateway: str, room: int) -> list[Any]:
-        return [self.items.popleft() for _ in range(min(room, len(self.items)))]
+    def take(self, now_s: float, gateway: str, capacity: int) -> list[Any]:
+        return [self.items.popleft() for _ in range(min(capacity, len(self.items)))]
 
 
 class OneShard:
     def __init__(self) -> None:
-        self.book, self.owner = Book(), Owner()
-        self.books, self.owners = {0: self.book}, {0: self.owner}
-        self.items_wait: Any = None
+        self.job_manager, self.owner = Book(), Owner()
+        self.job_managers, self.owners = {0: self.job_manager}, {0: self.owner}
+        self.on_items_waiting: Any = None
 
     def add(self, count: int) -> None:
-        self.book.items.extend(range(count))
-        self.items_wait()
+        self.job_manager.items.extend(range(count))
+        self.on_items_waiting()
 
 
 @attrs.frozen
@@ -54,21 +54,21 @@
     """A gateway's question: its zone, its room, how many items it got and when (seconds)."""
 
     zone: str
-    room: int
+    capacity: int
     got: int
     at_s: float
 
 
-async def ask(dispatch: Dispatch, zone: str, room: int) -> Asked:
-    leased: LeasedItems = await dispatch.lease(LeaseItems(f"gateway-{zone}", room, WAIT_MS, zone))
-    return Asked(zone, room, len(leased.items), asyncio.get_running_loop().time())
+async def ask(dispatch: Dispatch, zone: str, capacity: int) -> Asked:
+    leased: LeaseItemsReply = await dispatch.lease(LeaseItems(f"gateway-{zone}", capacity, WAIT_MS, zone))
+    return Asked(zone, capacity, len(leased.items), asyncio.get_running_loop().time())
 
 
 async def play(items: int, questions: list[tuple[str, int]]) -> tuple[list[Asked], OneShard]:
     """All gateways ask; then so many items come."""
     shard = OneShard()
     dispatch = Dispatch(shard, "here")  # type: ignore[arg-type]
-    asked = [asyncio.ensure_future(ask(dispatch, zone, room)) for zone, room in questions]
+    asked = [asyncio.ensure_future(ask(dispatch, zone, capacity)) for zone, capacity in questions]
     await asyncio.sleep(0)
     shard.add(items)
     return list(await asyncio.gather(*asked)), shard
@@ -78,9 +78,14 @@
     ("items", "questions", "got", "far_at_s"),
     [
         (4, [("there", 5), ("here", 5), ("here", 5)], [0, 2, 2], WAIT_MS / 1000),  # shared among those near
-        (12, [("there", 5), ("here", 5), ("here", 5)], [2, 5, 5], FAR_AFTER_S),  # the rest goes far, later
-        (3, [("there", 5), ("elsewhere", 5)], [2, 1], FAR_AFTER_S),  # nobody near: late, but taken
-        (1, [("", 5)], [1], FAR_AFTER_S),  # a gateway that does not tell its zone
+        (
+            12,
+            [("there", 5), ("here", 5), ("here", 5)],
+            [2, 5, 5],
+            REMOTE_ZONE_DELAY_S,
+        ),  # the rest goes far, later
+        (3, [("there", 5), ("elsewhere", 5)], [2, 1], REMOTE_ZONE_DELAY_S),  # nobody near: late, but taken
+        (1, [("", 5)], [1], REMOTE_ZONE_DELAY_S),  # a gateway that does not tell its zone
     ],
 )
 def test_items_go_near_first(
@@ -102,13 +107,13 @@
         first = asyncio.ensure_future(ask(dispatch, "there", 2))
         await asyncio.sleep(0)
         shard.add(10)
-        assert (await first).at_s == pytest.approx(FAR_AFTER_S)
+        assert (await first).at_s == pytest.approx(REMOTE_ZONE_DELAY_S)
         second = await ask(dispatch, "there", 2)
-        assert (second.got, second.at_s) == (2, pytest.approx(FAR_AFTER_S))
+        assert (second.got, second.at_s) == (2, pytest.approx(REMOTE_ZONE_DELAY_S))
         await ask(dispatch, "here", 50)
         shard.add(1)  # nothing waited in between: near comes first again
         third = await ask(dispatch, "there", 2)
-        assert third.at_s == pytest.approx(2 * FAR_AFTER_S)
+        assert third.at_s == pytest.approx(2 * REMOTE_ZONE_DELAY_S)
 
     run_virtually(check())
 
@@ -122,7 +127,7 @@
         shard.owner.owns = False
         shard.add(3)
         assert (await asked).got == 0
-        assert shard.book.waiting == 3
+        assert shard.job_manager.waiting == 3
 
     run_virtually(check())
 
--- a/tests/emberring/store/test_tier_store_path.py
+++ b/tests/emberring/store/test_tier_store_path.py
@@ -1,4 +1,4 @@
-"""Lots on three stores: taken, run, read, ended."""
+"""Batch jobs on three stores: taken, run, read, ended."""
 
 from __future__ import annotations
 
--- a/tests/emberring/store/test_tier_store_troubles.py
+++ b/tests/emberring/store/test_tier_store_troubles.py
@@ -1,4 +1,4 @@
-"""Stores that lose their disks, stall, leave and are emptied, while lots run."""
+"""Stores that lose their disks, stall, leave and are emptied, while batch jobs run."""
 
 from __future__ import annotations
 
@@ -146,7 +146,7 @@
         await gateway.client.submit(HOST, ROUTE, "lot1", job_body("lot1", 2))
         await until(lambda: all(holds(cluster, name, "lot1") for name in cluster.stores))
         for store in cluster.stores.values():
-            store.host._most_bytes = 10
+            store.host._max_bytes = 10
         with pytest.raises(OverloadedError):
             await gateway.client.submit(HOST, ROUTE, "lot2", job_body("lot2", 2))
         with pytest.raises(NotFoundError):
@@ -188,7 +188,7 @@
         await until(lambda: len(slow.runs) == 3)
         owner = cluster.owner_of(SHARD)
         assert owner is not None
-        job = cluster.stores[owner].shards.books[SHARD].jobs[f"{HOST}/lot1"]
+        job = cluster.stores[owner].shards.job_managers[SHARD].jobs[f"{HOST}/lot1"]
         await until(lambda: all(len(item.events) >= 4 for item in job.items))
         await first.end()
         quick = FakeExecutor(events=30)
--- a/tests/emberring/store/tier_store_cluster.py
+++ b/tests/emberring/store/tier_store_cluster.py
@@ -151,10 +151,10 @@
         self.bodies: dict[str, bytes] = {}
         self.script: dict[str, list[OutcomeKind]] = {}
         self.active = 0
-        self.room = 20
+        self.capacity = 20
 
     def batch_room(self) -> int:
-        return self.room - self.active
+        return self.capacity - self.active
 
     async def run_item(self, item: ItemCall, on_events: Callable[[list[ItemEvent]], None]) -> ItemOutcome:
         if not item.still_allowed():
@@ -280,7 +280,7 @@
 
 
 async def read_all(client: JobClient, job: str, limit_s: float = 5.0) -> list[dict[str, str]]:
-    """All results of a lot, page after page."""
+    """All results of a batch job, page after page."""
     loop = asyncio.get_running_loop()
     until_s = loop.time() + limit_s
     found: list[dict[str, str]] = []
--- a/tests/golden/record_disk.py
+++ b/tests/golden/record_disk.py
@@ -22,7 +22,7 @@
 from emberring.configuration.state import ControlState
 from emberring.jobs.calls import EventData, JobTerms
 from emberring.jobs.definition import encode_definition, parse_items
-from emberring.jobs.packing import pack_events, squeeze
+from emberring.jobs.packing import compress, pack_events
 from emberring.jobs.records import (
     JobState,
     Record,
@@ -267,7 +267,7 @@
 def job_records() -> list[Record]:
     """A lot's slots: the definition, two results, the end and the mark that it is forgotten."""
     key = job_key("Batch.Example", "lot-é")
-    definition = encode_definition(JOB_TERMS, squeeze(orjson.dumps(SUBMITTED)))
+    definition = encode_definition(JOB_TERMS, compress(orjson.dumps(SUBMITTED)))
     return [
         Record(key, -1, 0, definition),
         Record(key, 0, 1200, encode_result(1, "b", ResultState.COMPLETED, "done é")),
@@ -304,7 +304,7 @@
         for record in job_records()[:1]
     }
     state["other/x"] = JobState(2**32 - 1, {0: SlotState(TERMS[1], 7, 8)})
-    squeezed = squeeze(orjson.dumps(SUBMITTED))
+    squeezed = compress(orjson.dumps(SUBMITTED))
     results = [[1, "b", "completed", "done é"], [0, "a", "dead_letter", "failed"]]
     write_json(
         "lots.json",
--- a/tests/golden/test_golden_disk.py
+++ b/tests/golden/test_golden_disk.py
@@ -266,7 +266,7 @@
     assert [stored[number][1] for number in (0, 3, 4)] == [
         records.DEFINITION,
         records.END,
-        records.FORGOTTEN,
+        records.TOMBSTONE,
     ]
     assert (
         {entry[0] for entry in stored}
@@ -283,9 +283,9 @@
     assert plain(terms) == stated["terms"]
     assert plain(definition.decode_items(value)) == stated["items"]
     assert definition.encode_definition(terms, squeezed) == value
-    body = packing.expand(squeezed)
+    body = packing.decompress(squeezed)
     assert json.loads(body) == stated["submitted"]
-    assert packing.squeeze(body) == squeezed
+    assert packing.compress(body) == squeezed
     head = json.loads(value.partition(b"\n")[0])
     assert positions(head) == stated["terms"]
     assert (
@@ -294,7 +294,7 @@
     )
 
     def read_items(changed: Any) -> Any:
-        return plain(definition.parse_items(packing.squeeze(json.dumps(changed).encode())))
+        return plain(definition.parse_items(packing.compress(json.dumps(changed).encode())))
 
     assert unread_keys(stated["submitted"], read_items) == []
 
