--- a/emberring/jobs/owner.py
+++ b/emberring/jobs/owner.py
@@ -1,18 +1,15 @@
-"""The owner of one shard: takes a term from a quorum, recovers what the replicas hold, writes under its term. No I/O.
+"""State machine of one shard's owner: claims a term at a quorum, recovers the records, writes under its term. No I/O.
 
-Every call gives actions. A `SendToReplica` is a call to a replica (this store's own too); its end is returned by
+Every call returns actions. A `SendToReplica` is a call to a replica (this store's own too); its result is returned by
 `on_reply` or `on_call_failed` with the same ticket. Times are seconds of the monotonic clock.
 """
 
 from __future__ import annotations
 
 import math
-import random
-from enum import Enum
-from typing import Any
-
-import attrs
 
+from emberring.errors import InternalError
+from emberring.jobs.claim_schedule import ClaimSchedule
 from emberring.jobs.lease import OwnerLease, has_quorum
 from emberring.jobs.messages import (
     ClaimOwnership,
@@ -26,98 +23,59 @@
     ShardLease,
     WriteSlotsReply,
 )
-from emberring.jobs.owned import OwnedJob, OwnedRecords
+from emberring.jobs.owned import OwnedRecords
+from emberring.jobs.owner_actions import (
+    MigrationCompleted,
+    OwnerAction,
+    OwnershipGained,
+    OwnershipLost,
+    ReplicaReply,
+    ReplicaRequest,
+    SendToReplica,
+    SlotCommitted,
+)
 from emberring.jobs.owner_recovery import OwnerRecovery
+from emberring.jobs.ownership_stage import OwnershipStage
 from emberring.jobs.records import NO_TERM, TOMBSTONE, JobState, Term, unpack_inventory, unpack_records
-from emberring.jobs.replica import CLAIM_LEASE_S, REPLICA_LEASE_S, Replica
+from emberring.jobs.replica import CLAIM_LEASE_S, Replica
+from emberring.jobs.replica_calls import ReplicaCalls
 from emberring.jobs.replication import Replication
-from emberring.placement.model import Group, in_order
+from emberring.placement.model import Group
 
-RANK_DELAY_S = 0.25  # each store waits so much longer than the one before it in the order
-CLAIM_TIMEOUT_S = 0.7
-CLAIM_BACKOFF_S = (0.05, 0.25)
-RECOVERY_TIMEOUT_S = 2.5
+CLAIM_TIMEOUT_S = 0.7  # for a quorum to grant a claim
+RECOVERY_TIMEOUT_S = 2.5  # for the values of all records to arrive
 MIGRATION_REPORT_INTERVAL_S = 0.5
 TOMBSTONE_SWEEP_INTERVAL_S = 2.0
-FIRST_EPOCH = 1  # of a group's life, when all its replicas are empty
-
-
-class OwnershipStage(Enum):
-    """How far a store is with a shard."""
-
-    FOLLOWING = "following"
-    CLAIMING = "claiming"
-    FETCHING = "fetching"
-    REPLICATING = "rewriting"
-    SERVING = "serving"
-
-
-@attrs.frozen
-class SendToReplica:
-    """Call the store of this identity."""
-
-    ticket: int
-    target: str
-    message: Any
-
-
-@attrs.frozen
-class SlotCommitted:
-    """This slot's value is on a quorum's disks: it may be shown and stays."""
-
-    key: str
-    slot: int
-
-
-@attrs.frozen
-class OwnershipGained:
-    """These batch jobs, all committed, are the shard's whole truth."""
-
-    jobs: dict[str, OwnedJob]
-
-
-@attrs.frozen
-class OwnershipLost:
-    """Nothing may be said of the shard any more."""
-
-
-@attrs.frozen
-class MigrationCompleted:
-    """All records stand on the joining replicas of this epoch's group."""
-
-    epoch: int
-
-
-OwnerAction = SendToReplica | SlotCommitted | OwnershipGained | OwnershipLost | MigrationCompleted
 
 
 class ShardOwner:
-    """One shard, as seen by a store that may own it."""
+    """One shard, as seen by a store that may own it.
+
+    Parameters: `identity` of the store's disk, the store's own `replica` of the shard, and the `seed` of the backoff
+    of its claims. Others may read `group`, `stage`, `term`, `replica` and `records`.
+    """
 
-    def __init__(self, me: str, replica: Replica, seed: int) -> None:
-        self.me = me
+    def __init__(self, identity: str, replica: Replica, seed: int) -> None:
+        self.identity = identity
         self.replica = replica
         self.group: Group | None = None
         self.stage = OwnershipStage.FOLLOWING
         self.term = NO_TERM
         self.lease = OwnerLease()
         self.records = OwnedRecords()
+        self._claims = ClaimSchedule(identity, replica, seed)
         self._replication = Replication(self.records)
-        self._random = random.Random(seed)
-        self._counter = 0
         self._inventories: dict[str, dict[str, JobState]] = {}
         self._recovery: OwnerRecovery | None = None
         self._stage_since_s = 0.0
-        self._not_before_s = 0.0
         self._claimed_s = -math.inf  # when the claim was sent that a quorum has granted
         self._migration_reported_s = 0.0
         self._tombstones_swept_s = 0.0
-        self._announced = False  # `OwnershipGained` was given, and `OwnershipLost` not yet
-        self._sent: dict[int, SendToReplica] = {}
-        self._next_ticket = 1
-        self._out: list[OwnerAction] = []
+        self._announced = False  # `OwnershipGained` was returned, and `OwnershipLost` not yet
+        self._calls = ReplicaCalls()
+        self._actions: list[OwnerAction] = []
 
-    # What the store asks.
+    # Calls of the store.
 
     def serving(self, now_s: float) -> bool:
         """Whether this store may answer for the shard now."""
@@ -126,310 +84,311 @@
         return now_s < self.lease.until_s(self.group)
 
     def leases(self, identity: str) -> list[ShardLease]:
-        """What to keep with a replica."""
+        """Return the leases to renew at the replica with this identity: one, or none."""
         if self.group is None or identity not in self.group.everyone:
             return []
-        owns = self.stage in (OwnershipStage.FETCHING, OwnershipStage.REPLICATING, OwnershipStage.SERVING)
-        return [ShardLease(self.group.shard, self.term)] if owns else []
+        return [ShardLease(self.group.shard, self.term)] if self.stage.has_term else []
 
     def set_group(self, now_s: float, group: Group) -> list[OwnerAction]:
-        """The placement has this group for the shard."""
+        """Take over the shard's group from a placement; an older one is ignored."""
         if self.group is not None and group.epoch <= self.group.epoch:
             return []
         before, self.group = self.group, group
-        if before is None or self.me not in before.everyone:
-            self._not_before_s = now_s + (REPLICA_LEASE_S if self._is_newcomer(group) else 0.0)
+        if before is None or self.identity not in before.everyone:
+            self._claims.joined(now_s, group)
         if self.stage is not OwnershipStage.FOLLOWING:
-            if self.me in group.everyone:
-                self._claim(now_s)
+            if self.identity in group.everyone:
+                self._transition_to_claiming(now_s)
             else:
                 self._release(now_s, group)
-        return self._take()
+        return self._drain_actions()
 
-    def _is_newcomer(self, group: Group) -> bool:
-        """Whether this replica knows of no lease although one may run."""
-        empty = group.epoch > FIRST_EPOCH and not self.replica.owner
-        return empty or self.me not in group.members
+    def tick(self, now_s: float, healthy: bool, live: set[str]) -> list[OwnerAction]:
+        """Carry out what is due now.
 
-    def tick(self, now_s: float, fit: bool, live: set[str]) -> list[OwnerAction]:
-        """Time goes on. `fit`: this store's disk works and it is not leaving; `live`: identities heard of lately."""
-        if self.group is None or self.me not in self.group.everyone:
+        `healthy`: this store's disk works and it is not shutting down; `live`: identities of stores in contact.
+        """
+        if self.group is None or self.identity not in self.group.everyone:
             return []
-        if not fit:
-            if self.stage is not OwnershipStage.FOLLOWING:
-                self._release(now_s, self.group)
-        elif self.stage is OwnershipStage.FOLLOWING:
-            if not self.replica.lease_active(now_s) and now_s >= self._claim_at_s(live):
-                self._claim(now_s)
+        if healthy:
+            self._advance(now_s, self.group, live)
+        elif self.stage is not OwnershipStage.FOLLOWING:
+            self._release(now_s, self.group)
+        return self._drain_actions()
+
+    def _advance(self, now_s: float, group: Group, live: set[str]) -> None:
+        if self.stage is OwnershipStage.FOLLOWING:
+            self._claim_if_due(now_s, group, live)
         elif self.stage is OwnershipStage.CLAIMING:
-            if now_s - self._stage_since_s > CLAIM_TIMEOUT_S:
-                self._step_down(now_s)
-        elif self.stage is OwnershipStage.FETCHING:
-            if now_s - self._stage_since_s > RECOVERY_TIMEOUT_S:
-                self._step_down(now_s)
+            self._step_down_after(now_s, CLAIM_TIMEOUT_S)
+        elif self.stage is OwnershipStage.RECOVERING:
+            self._step_down_after(now_s, RECOVERY_TIMEOUT_S)
         else:
-            self._flush(now_s)
-            self._report_migration(now_s)
-            self._sweep(now_s)
-        return self._take()
+            self._send_pending_writes(now_s)
+            self._report_migration(now_s, group)
+            self._sweep_tombstones(now_s)
+
+    def _claim_if_due(self, now_s: float, group: Group, live: set[str]) -> None:
+        if not self.replica.lease_active(now_s) and now_s >= self._claims.earliest_claim_s(group, live):
+            self._transition_to_claiming(now_s)
+
+    def _step_down_after(self, now_s: float, timeout_s: float) -> None:
+        if now_s - self._stage_since_s > timeout_s:
+            self._transition_to_following(now_s)
 
     def propose(
         self, now_s: float, key: str, slot: int, value: bytes, accepted_s: float
     ) -> list[OwnerAction]:
-        """Write a value into a slot that has none; `SlotCommitted` follows once it lasts."""
+        """Write a value into an empty slot; `SlotCommitted` follows once it is durable on a quorum."""
         self.records.put(key, slot, value, accepted_s)
         self._replication.write((key, slot))
-        self._flush(now_s)
-        return self._take()
+        self._send_pending_writes(now_s)
+        return self._drain_actions()
 
     def forget(self, now_s: float, key: str) -> list[OwnerAction]:
-        """Let go of a batch job. It is marked first, so that no replica that was away can bring it back."""
+        """Delete a batch job. A tombstone comes first, so that no replica that was away can bring it back."""
         job = self.records.jobs.get(key)
         if job is None or TOMBSTONE in job.slots:
             return []
         return self.propose(now_s, key, TOMBSTONE, b"", job.accepted_s)
 
-    # What replicas answer.
+    # Replies of replicas.
 
     def on_lease_renewal(
-        self, now_s: float, identity: str, sent_s: float, answer: LeaseRenewal
+        self, now_s: float, identity: str, sent_s: float, renewal: LeaseRenewal
     ) -> list[OwnerAction]:
-        """A replica answered a lease renewal that was sent at this time."""
-        if self.stage in (OwnershipStage.FOLLOWING, OwnershipStage.CLAIMING):
+        """Handle a replica's answer to a lease renewal that was sent at `sent_s`."""
+        if not self.stage.has_term:
             return []
-        if answer.promised > self.term:
-            self._overruled(now_s, answer.promised)
-        elif answer.granted and answer.promised == self.term:
+        if renewal.promised > self.term:
+            self._on_higher_term(now_s, renewal.promised)
+        elif renewal.granted and renewal.promised == self.term:
             self.lease.grant(identity, sent_s)
-            if self.stage in (OwnershipStage.REPLICATING, OwnershipStage.SERVING):
-                self._check_replica(now_s, identity, sent_s, answer.digest)
-        return self._take()
+            if self.stage.writes_records:
+                self._check_replica(now_s, identity, sent_s, renewal.digest)
+        return self._drain_actions()
 
     def _check_replica(self, now_s: float, identity: str, sent_s: float, digest: int) -> None:
-        assert self.group is not None
+        """Ask a replica for its inventory where its contents are unknown or differ."""
         if self._replication.wants_inventory(now_s, identity, sent_s, digest):
-            self._send(identity, InventoryRequest(self.group.shard, identity, self.term))
+            self._send(identity, InventoryRequest(self._known_group.shard, identity, self.term))
 
-    def on_reply(self, now_s: float, ticket: int, reply: Any) -> list[OwnerAction]:
-        """A call had this reply."""
-        sent = self._sent.pop(ticket, None)
-        if sent is None:
+    def on_reply(self, now_s: float, ticket: int, reply: ReplicaReply) -> list[OwnerAction]:
+        """Handle the reply to the call with this ticket."""
+        call = self._calls.complete(ticket)
+        if call is None:
             return []
         if isinstance(reply, ClaimOwnershipReply):
-            self._on_claim_reply(now_s, sent, reply)
+            self._on_claim_reply(now_s, call, reply)
         elif isinstance(reply, WriteSlotsReply):
-            self._on_write_reply(now_s, sent, reply)
+            self._on_write_reply(now_s, call, reply)
         elif isinstance(reply, InventoryReply):
-            self._on_inventory(now_s, sent, reply)
+            self._on_inventory(now_s, call, reply)
         elif isinstance(reply, FetchRecordsReply):
-            self._on_fetched(now_s, sent, reply)
-        return self._take()
+            self._on_fetched(now_s, call, reply)
+        return self._drain_actions()
 
     def on_call_failed(self, now_s: float, ticket: int) -> list[OwnerAction]:
-        """A call had no reply in time, or a refusal of the disk."""
-        sent = self._sent.pop(ticket, None)
-        if sent is not None and isinstance(sent.message, FetchRecords) and self._recovery is not None:
-            self._recovery.failed(sent.target)
-            self._fetch(now_s)
-        elif sent is not None:
-            self._replication.failed(now_s, sent.target, ticket)
-        return self._take()
-
-    # Taking a term.
-
-    def _claim_at_s(self, live: set[str]) -> float:
-        assert self.group is not None
-        staying = self.group.joining or self.group.members
-        settled = [identity for identity in self.group.members if identity in staying]
-        order = in_order(self.group.shard, settled)
-        order += [
-            identity for identity in in_order(self.group.shard, self.group.everyone) if identity not in order
-        ]
-        before = order[: order.index(self.me)]
-        # Whoever held the lease last has let it run out or given it up: it is not waited for.
-        rank = sum(1 for identity in before if identity in live and identity != self.replica.owner)
-        return max(self._not_before_s, self.replica.lease_until_s) + rank * RANK_DELAY_S
-
-    def _claim(self, now_s: float) -> None:
-        assert self.group is not None
-        self._counter = max(self._counter, self.replica.promised.counter, self.term.counter) + 1
-        self.term = Term(self.group.epoch, self._counter, self.me)
+        """Handle a call that had no reply in time, or was rejected by the replica's disk."""
+        call = self._calls.complete(ticket)
+        if call is not None and isinstance(call.message, FetchRecords) and self._recovery is not None:
+            self._recovery.failed(call.target)
+            self._continue_recovery(now_s)
+        elif call is not None:
+            self._replication.failed(now_s, call.target, ticket)
+        return self._drain_actions()
+
+    # Claim: from a claim to a quorum's grants.
+
+    def _transition_to_claiming(self, now_s: float) -> None:
+        group = self._known_group
+        self.term = self._claims.next_term(group.epoch, self.term)
         self._enter(now_s, OwnershipStage.CLAIMING)
         self._inventories.clear()
         self._recovery = None
-        self._sent.clear()
+        self._calls.abandon_all()
         self.lease.clear()
-        for identity in self.group.everyone:
-            self._send(identity, ClaimOwnership(self.group.shard, identity, self.term))
+        for identity in group.everyone:
+            self._send(identity, ClaimOwnership(group.shard, identity, self.term))
 
-    def _on_claim_reply(self, now_s: float, sent: SendToReplica, reply: ClaimOwnershipReply) -> None:
-        if sent.message.term != self.term or self.stage is OwnershipStage.FOLLOWING:
+    def _on_claim_reply(self, now_s: float, call: SendToReplica, reply: ClaimOwnershipReply) -> None:
+        if not self._sent_under_term(call.message) or self.stage is OwnershipStage.FOLLOWING:
             return
         if not reply.granted:
-            self._counter = max(self._counter, reply.promised.counter)
-            if reply.promised > self.term and self.stage is not OwnershipStage.CLAIMING:
-                self._overruled(now_s, reply.promised)
+            self._on_claim_rejected(now_s, reply)
             return
         inventory = unpack_inventory(reply.inventory)
         if self.stage is OwnershipStage.CLAIMING:
-            self._inventories[sent.target] = inventory
-            self._adopt_if_granted(now_s)
-        elif self.stage is OwnershipStage.FETCHING:
-            self._inventories[sent.target] = inventory
+            self._inventories[call.target] = inventory
+            self._recover_if_granted(now_s)
+        elif self.stage is OwnershipStage.RECOVERING:
+            self._inventories[call.target] = inventory
         else:
-            self._replication.compare(sent.target, inventory)
-            self._flush(now_s)
+            self._replication.compare(call.target, inventory)
+            self._send_pending_writes(now_s)
 
-    def _adopt_if_granted(self, now_s: float) -> None:
-        assert self.group is not None
-        if not has_quorum(self.group, set(self._inventories)):
-            return
+    def _on_claim_rejected(self, now_s: float, reply: ClaimOwnershipReply) -> None:
+        self._claims.observe(reply.promised)
+        if reply.promised > self.term and self.stage is not OwnershipStage.CLAIMING:
+            self._on_higher_term(now_s, reply.promised)
+
+    def _recover_if_granted(self, now_s: float) -> None:
+        if has_quorum(self._known_group, set(self._inventories)):
+            self._transition_claiming_recovering(now_s)
+
+    # Recovery: from a quorum's inventories to the values of all records.
+
+    def _transition_claiming_recovering(self, now_s: float) -> None:
         self._claimed_s = self._stage_since_s
-        self._enter(now_s, OwnershipStage.FETCHING)
-        self._recovery = OwnerRecovery(now_s, dict(self._inventories), self.group, self.me, self.replica)
-        self._fetch(now_s)
-
-    def _fetch(self, now_s: float) -> None:
-        assert self.group is not None
-        adoption = self._recovery
-        if adoption is None or self.stage is not OwnershipStage.FETCHING:
+        self._enter(now_s, OwnershipStage.RECOVERING)
+        inventories = dict(self._inventories)
+        self._recovery = OwnerRecovery(now_s, inventories, self._known_group, self.identity, self.replica)
+        self._continue_recovery(now_s)
+
+    def _continue_recovery(self, now_s: float) -> None:
+        recovery = self._recovery
+        if recovery is None or self.stage is not OwnershipStage.RECOVERING:
             return
-        for identity, records in adoption.wanted():
-            self._send(identity, FetchRecords(self.group.shard, identity, records))
-        if adoption.stuck:
-            self._step_down(now_s)
-        elif adoption.done:
-            self._rewrite(now_s, adoption)
-
-    def _on_fetched(self, now_s: float, sent: SendToReplica, reply: FetchRecordsReply) -> None:
-        if self._recovery is not None and self.stage is OwnershipStage.FETCHING:
-            self._recovery.fetched(sent.target, unpack_records(reply.records))
-            self._fetch(now_s)
-
-    def _rewrite(self, now_s: float, adoption: OwnerRecovery) -> None:
-        assert self.group is not None
+        shard = self._known_group.shard
+        for identity, records in recovery.wanted():
+            self._send(identity, FetchRecords(shard, identity, records))
+        if recovery.stuck:
+            self._transition_to_following(now_s)
+        elif recovery.done:
+            self._transition_recovering_replicating(now_s, recovery)
+
+    def _on_fetched(self, now_s: float, call: SendToReplica, reply: FetchRecordsReply) -> None:
+        if self._recovery is not None and self.stage is OwnershipStage.RECOVERING:
+            self._recovery.fetched(call.target, unpack_records(reply.records))
+            self._continue_recovery(now_s)
+
+    def _transition_recovering_replicating(self, now_s: float, recovery: OwnerRecovery) -> None:
         self._recovery = None
         self._enter(now_s, OwnershipStage.REPLICATING)
-        self.records.replace(adoption.jobs())
-        self._replication.begin(self.group, self.term)
+        self.records.replace(recovery.jobs())
+        self._replication.begin(self._known_group, self.term)
         for identity, inventory in self._inventories.items():
             self._replication.compare(identity, inventory)
         self._inventories.clear()
-        self._flush(now_s)
-        self._serve_if_rewritten(now_s)
+        self._send_pending_writes(now_s)
+        self._serve_if_replicated(now_s)
 
-    def _serve_if_rewritten(self, now_s: float) -> None:
+    def _serve_if_replicated(self, now_s: float) -> None:
         if self.stage is OwnershipStage.REPLICATING and not self.records.uncommitted:
-            self._enter(now_s, OwnershipStage.SERVING)
-            self._announced = True
-            self._out.append(OwnershipGained(self.records.jobs))
+            self._transition_replicating_serving(now_s)
+
+    def _transition_replicating_serving(self, now_s: float) -> None:
+        self._enter(now_s, OwnershipStage.SERVING)
+        self._announced = True
+        self._actions.append(OwnershipGained(self.records.jobs))
 
-    # Writing.
+    # Replication: writes to replicas and their contents.
 
-    def _flush(self, now_s: float) -> None:
-        if self.group is None or self.stage not in (OwnershipStage.REPLICATING, OwnershipStage.SERVING):
+    def _send_pending_writes(self, now_s: float) -> None:
+        if self.group is None or not self.stage.writes_records:
             return
         for identity in self.group.everyone:
-            while (message := self._replication.next_message(now_s, identity, self._next_ticket)) is not None:
+            while message := self._replication.next_message(now_s, identity, self._calls.next_ticket):
                 self._send(identity, message)
 
-    def _on_write_reply(self, now_s: float, sent: SendToReplica, reply: WriteSlotsReply) -> None:
-        if sent.message.term != self.term or self.stage not in (
-            OwnershipStage.REPLICATING,
-            OwnershipStage.SERVING,
-        ):
+    def _on_write_reply(self, now_s: float, call: SendToReplica, reply: WriteSlotsReply) -> None:
+        if not self._sent_under_term(call.message) or not self.stage.writes_records:
             return
-        if not reply.written:
-            if reply.promised > self.term:
-                self._overruled(now_s, reply.promised)
-            else:
-                self._replication.failed(now_s, sent.target, sent.ticket)
-            return
-        if sent.target == self.me:
-            self._share_values(sent.ticket)
-        for key, slot in self._replication.answered(sent.target, sent.ticket):
-            self._out.append(SlotCommitted(key, slot))
+        if reply.written:
+            self._on_written(now_s, call)
+        elif reply.promised > self.term:
+            self._on_higher_term(now_s, reply.promised)
+        else:
+            self._replication.failed(now_s, call.target, call.ticket)
+
+    def _on_written(self, now_s: float, call: SendToReplica) -> None:
+        if call.target == self.identity:
+            self._share_values(call.ticket)
+        for key, slot in self._replication.answered(call.target, call.ticket):
+            self._actions.append(SlotCommitted(key, slot))
             if slot == TOMBSTONE:
                 self._replication.drop_tombstoned(key)
-        self._flush(now_s)
-        self._serve_if_rewritten(now_s)
+        self._send_pending_writes(now_s)
+        self._serve_if_replicated(now_s)
 
     def _share_values(self, ticket: int) -> None:
-        """What this store's own replica holds need not stand in memory twice."""
-        for key, slot in self._replication.in_flight_refs(self.me, ticket):
+        """Refer to the values of this store's own replica, so that they are in memory once only."""
+        for key, slot in self._replication.in_flight_refs(self.identity, ticket):
             owned, value = self.records.find(key, slot), self.replica.value(key, slot)
             if owned is not None and value == owned.value:
                 owned.value = value
 
-    def _on_inventory(self, now_s: float, sent: SendToReplica, reply: InventoryReply) -> None:
-        if sent.message.term != self.term or self.stage not in (
-            OwnershipStage.REPLICATING,
-            OwnershipStage.SERVING,
-        ):
+    def _on_inventory(self, now_s: float, call: SendToReplica, reply: InventoryReply) -> None:
+        if not self._sent_under_term(call.message) or not self.stage.writes_records:
             return
         if reply.inventory is None:
-            self._overruled(now_s, reply.promised)
+            self._on_higher_term(now_s, reply.promised)
             return
-        self._replication.compare(sent.target, unpack_inventory(reply.inventory))
-        self._flush(now_s)
+        self._replication.compare(call.target, unpack_inventory(reply.inventory))
+        self._send_pending_writes(now_s)
 
-    def _report_migration(self, now_s: float) -> None:
-        assert self.group is not None
-        if self.stage is not OwnershipStage.SERVING or not self.group.joining:
+    def _report_migration(self, now_s: float, group: Group) -> None:
+        if self.stage is not OwnershipStage.SERVING or not group.joining:
             return
-        if (
-            now_s - self._migration_reported_s >= MIGRATION_REPORT_INTERVAL_S
-            and self._replication.migration_complete()
-        ):
+        due = now_s - self._migration_reported_s >= MIGRATION_REPORT_INTERVAL_S
+        if due and self._replication.migration_complete():
             self._migration_reported_s = now_s
-            self._out.append(MigrationCompleted(self.group.epoch))
+            self._actions.append(MigrationCompleted(group.epoch))
 
-    def _sweep(self, now_s: float) -> None:
-        if (
-            self.stage is OwnershipStage.SERVING
-            and now_s - self._tombstones_swept_s >= TOMBSTONE_SWEEP_INTERVAL_S
-        ):
+    def _sweep_tombstones(self, now_s: float) -> None:
+        due = now_s - self._tombstones_swept_s >= TOMBSTONE_SWEEP_INTERVAL_S
+        if self.stage is OwnershipStage.SERVING and due:
             self._tombstones_swept_s = now_s
             self._replication.sweep_tombstones()
 
-    # Letting go.
+    # Loss of ownership.
 
-    def _overruled(self, now_s: float, promised: Term) -> None:
-        self._counter = max(self._counter, promised.counter)
+    def _on_higher_term(self, now_s: float, promised: Term) -> None:
+        self._claims.observe(promised)
         if self.serving(now_s) or now_s < self._claimed_s + CLAIM_LEASE_S:
-            self._claim(now_s)  # a quorum is bound to this store and refuses others: one promise ends nothing
+            # A quorum is bound to this store and rejects other claims: one replica's promise ends nothing.
+            self._transition_to_claiming(now_s)
         else:
-            self._step_down(now_s)
+            self._transition_to_following(now_s)
 
-    def _step_down(self, now_s: float) -> None:
+    def _transition_to_following(self, now_s: float) -> None:
         self._enter(now_s, OwnershipStage.FOLLOWING)
         self._claimed_s = -math.inf
         self._recovery = None
         self._inventories.clear()
-        self._sent.clear()
+        self._calls.abandon_all()
         self.records.replace({})
         self._replication.clear()
-        self._not_before_s = now_s + self._random.uniform(*CLAIM_BACKOFF_S)
+        self._claims.back_off(now_s)
         if self._announced:
             self._announced = False
-            self._out.append(OwnershipLost())
+            self._actions.append(OwnershipLost())
 
     def _release(self, now_s: float, group: Group) -> None:
         term = self.term
-        self._step_down(now_s)
+        self._transition_to_following(now_s)
         for identity in group.everyone:
             self._send(identity, ReleaseOwnership(group.shard, identity, term))
 
+    # Helpers.
+
+    @property
+    def _known_group(self) -> Group:
+        if self.group is None:
+            raise InternalError("no placement has named the shard's group yet")
+        return self.group
+
     def _enter(self, now_s: float, stage: OwnershipStage) -> None:
         self.stage = stage
         self._stage_since_s = now_s
 
-    def _send(self, target: str, message: Any) -> None:
-        send = SendToReplica(self._next_ticket, target, message)
-        self._next_ticket += 1
-        self._sent[send.ticket] = send
-        self._out.append(send)
+    def _sent_under_term(self, message: ReplicaRequest) -> bool:
+        """Whether a request was sent under the current term; a fetch names none."""
+        return not isinstance(message, FetchRecords) and message.term == self.term
+
+    def _send(self, target: str, message: ReplicaRequest) -> None:
+        self._calls.send(self._actions, target, message)
 
-    def _take(self) -> list[OwnerAction]:
-        out, self._out = self._out, []
-        return out
+    def _drain_actions(self) -> list[OwnerAction]:
+        actions, self._actions = self._actions, []
+        return actions
--- /dev/null
+++ b/emberring/jobs/replica_calls.py
@@ -0,0 +1,28 @@
+"""Calls of an owner to replicas that are waiting for a reply."""
+
+from __future__ import annotations
+
+from emberring.jobs.owner_actions import OwnerAction, ReplicaRequest, SendToReplica
+
+
+class ReplicaCalls:
+    """Tickets of the calls in flight of one owner. `next_ticket` is the ticket of the next call."""
+
+    def __init__(self) -> None:
+        self.next_ticket = 1
+        self._in_flight: dict[int, SendToReplica] = {}
+
+    def send(self, actions: list[OwnerAction], target: str, message: ReplicaRequest) -> None:
+        """Append the action that sends a request to the replica with the identity `target`."""
+        call = SendToReplica(self.next_ticket, target, message)
+        self.next_ticket += 1
+        self._in_flight[call.ticket] = call
+        actions.append(call)
+
+    def complete(self, ticket: int) -> SendToReplica | None:
+        """Return the call of this ticket, which ends with that; None where it was abandoned."""
+        return self._in_flight.pop(ticket, None)
+
+    def abandon_all(self) -> None:
+        """Ignore the replies of all calls in flight."""
+        self._in_flight.clear()
--- a/emberring/simulation/jobs/store.py
+++ b/emberring/simulation/jobs/store.py
@@ -21,13 +21,13 @@
 from emberring.jobs.job_manager import JobManager
 from emberring.jobs.job_table import AnswerCall, JobManagerAction, ProposeValue, RejectCall
 from emberring.jobs.messages import RenewLeases, RenewLeasesReply
-from emberring.jobs.owner import (
+from emberring.jobs.owner import ShardOwner
+from emberring.jobs.owner_actions import (
     MigrationCompleted,
     OwnerAction,
     OwnershipGained,
     OwnershipLost,
     SendToReplica,
-    ShardOwner,
     SlotCommitted,
 )
 from emberring.jobs.replica import REPLICA_LEASE_S, Action, Fail, Persist, Replica, Reply
@@ -154,9 +154,9 @@
         if self.world.now_s >= self.thaw_at_s:
             now_s = self.world.now_s
             stalled = self.replica.oldest_pending_s(now_s) > DISK_STALL_TIMEOUT_S
-            fit = not (self.leaving or stalled or self.disk.refusing)
+            healthy = not (self.leaving or stalled or self.disk.refusing)
             live = {machine.identity for machine in self.machines.values() if self._seems_live(machine)}
-            self.perform(self.owner.tick(now_s, fit, live))
+            self.perform(self.owner.tick(now_s, healthy, live))
             if self.owner.serving(now_s):
                 self.perform_job_manager(self.job_manager.tick(now_s))
         self.world.after(TICK_INTERVAL_S, self._tick, incarnation)
--- a/emberring/store/role.py
+++ b/emberring/store/role.py
@@ -150,11 +150,11 @@
         ]
 
     def _tick(self) -> None:
-        fit = (
+        healthy = (
             not self._shutting_down and not self.host.failed and self.host.stalled_s() < DISK_STALL_TIMEOUT_S
         )
         live = {fact.identity for fact in self._stores() if not fact.leaving}
-        self.shards.tick(fit, live)
+        self.shards.tick(healthy, live)
 
     def _report_migration(self, shard: int, epoch: int) -> None:
         self._spawn(self._report_moved(PlacementMoved(shard, epoch)))
--- a/emberring/store/shards.py
+++ b/emberring/store/shards.py
@@ -12,13 +12,13 @@
 from emberring.jobs.job_manager import JobManager
 from emberring.jobs.job_table import AnswerCall, JobManagerAction, ProposeValue, RejectCall
 from emberring.jobs.messages import RenewLeasesReply
-from emberring.jobs.owner import (
+from emberring.jobs.owner import ShardOwner
+from emberring.jobs.owner_actions import (
     MigrationCompleted,
     OwnerAction,
     OwnershipGained,
     OwnershipLost,
     SendToReplica,
-    ShardOwner,
     SlotCommitted,
 )
 from emberring.logs import get_logger
@@ -67,11 +67,11 @@
         for job_manager in self.job_managers.values():
             job_manager.configure(configuration)
 
-    def tick(self, fit: bool, live: set[str]) -> None:
+    def tick(self, healthy: bool, live: set[str]) -> None:
         """Time goes on."""
         now_s = _now_s()
         for shard, owner in self.owners.items():
-            self._perform(shard, owner.tick(now_s, fit, live))
+            self._perform(shard, owner.tick(now_s, healthy, live))
             if owner.serving(now_s):
                 self._perform_job_manager(shard, self.job_managers[shard].tick(now_s))
         self.on_items_waiting()
--- a/tests/emberring/jobs/test_tier_shard_owner.py
+++ b/tests/emberring/jobs/test_tier_shard_owner.py
@@ -10,7 +10,7 @@
 
 from emberring.jobs.lease import OWNER_LEASE_S
 from emberring.jobs.messages import ClaimOwnership
-from emberring.jobs.owner import OwnershipStage
+from emberring.jobs.ownership_stage import OwnershipStage
 from emberring.jobs.records import DEFINITION, TOMBSTONE, Term
 from emberring.jobs.replica import REPLICA_LEASE_S
 from emberring.jobs.results import ResultState, encode_result, item_index
@@ -109,7 +109,7 @@
     old = trio.the_owner()
     trio.propose(old, "k", 0, value(1))
     trio.deliver_all()
-    trio.tick(old, fit=False)
+    trio.tick(old, healthy=False)
     trio.deliver_all()
     trio.now_s += 0.05
     for name in in_order(0, "abc"):
@@ -289,7 +289,7 @@
     for _ in range(20):
         trio.now_s += 0.1
         for name in "abc":
-            trio.tick(name, fit=False)
+            trio.tick(name, healthy=False)
     assert trio.in_flight == []
     assert all(
         node.owner is not None and node.owner.stage is OwnershipStage.FOLLOWING
--- a/tests/emberring/jobs/tier_jobs_trio.py
+++ b/tests/emberring/jobs/tier_jobs_trio.py
@@ -7,13 +7,13 @@
 import attrs
 
 from emberring.jobs.messages import RenewLeases
-from emberring.jobs.owner import (
+from emberring.jobs.owner import ShardOwner
+from emberring.jobs.owner_actions import (
     MigrationCompleted,
     OwnerAction,
     OwnershipGained,
     OwnershipLost,
     SendToReplica,
-    ShardOwner,
     SlotCommitted,
 )
 from emberring.jobs.replica import REPLICA_LEASE_S, Action, Fail, Persist, Replica, Reply
@@ -169,10 +169,10 @@
                 self.settle(target, actions)
                 self.act(node, node.owner.on_lease_renewal(self.now_s, target.name, self.now_s, answer))
 
-    def tick(self, name: str, fit: bool = True) -> None:
+    def tick(self, name: str, healthy: bool = True) -> None:
         node = self.nodes[name]
         assert node.owner is not None
-        self.act(node, node.owner.tick(self.now_s, fit, set(self.nodes) - self.cut))
+        self.act(node, node.owner.tick(self.now_s, healthy, set(self.nodes) - self.cut))
 
     def pass_time(self, seconds: float, step_s: float = 0.1) -> None:
         """Everybody lives on, and all calls arrive."""
