--- a/emberring/jobs/messages.py
+++ b/emberring/jobs/messages.py
@@ -7,7 +7,7 @@
 import attrs
 
 from emberring.jobs.records import NO_TERM, Term
-from emberring.transport.messages import message
+from emberring.transport.messages import Ok, message
 
 
 @message("lots.claim")
@@ -145,3 +145,7 @@
     """The records asked for, as far as the replica holds them, packed."""
 
     records: bytes
+
+
+ReplicaRequest = ClaimOwnership | WriteSlots | DropSlots | InventoryRequest | FetchRecords | ReleaseOwnership
+ReplicaReply = ClaimOwnershipReply | WriteSlotsReply | InventoryReply | FetchRecordsReply | Ok
--- a/emberring/jobs/owned.py
+++ b/emberring/jobs/owned.py
@@ -4,8 +4,7 @@
 
 import attrs
 
-from emberring.jobs.records import checksum
-from emberring.jobs.replica import slot_digest
+from emberring.jobs.records import checksum, slot_digest
 
 
 @attrs.define(eq=False)
--- a/emberring/jobs/owner.py
+++ b/emberring/jobs/owner.py
@@ -20,6 +20,8 @@
     InventoryRequest,
     LeaseRenewal,
     ReleaseOwnership,
+    ReplicaReply,
+    ReplicaRequest,
     ShardLease,
     WriteSlotsReply,
 )
@@ -29,8 +31,6 @@
     OwnerAction,
     OwnershipGained,
     OwnershipLost,
-    ReplicaReply,
-    ReplicaRequest,
     SendToReplica,
     SlotCommitted,
 )
--- a/emberring/jobs/owner_actions.py
+++ b/emberring/jobs/owner_actions.py
@@ -4,23 +4,8 @@
 
 import attrs
 
-from emberring.jobs.messages import (
-    ClaimOwnership,
-    ClaimOwnershipReply,
-    DropSlots,
-    FetchRecords,
-    FetchRecordsReply,
-    InventoryReply,
-    InventoryRequest,
-    ReleaseOwnership,
-    WriteSlots,
-    WriteSlotsReply,
-)
+from emberring.jobs.messages import ReplicaRequest
 from emberring.jobs.owned import OwnedJob
-from emberring.transport.messages import Ok
-
-ReplicaRequest = ClaimOwnership | WriteSlots | DropSlots | InventoryRequest | FetchRecords | ReleaseOwnership
-ReplicaReply = ClaimOwnershipReply | WriteSlotsReply | InventoryReply | FetchRecordsReply | Ok
 
 
 @attrs.frozen
--- a/emberring/jobs/records.py
+++ b/emberring/jobs/records.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import hashlib
 import struct
 import zlib
 from collections.abc import Iterable
@@ -19,6 +20,7 @@
 TOMBSTONE = -3
 
 MAX_AGE_MS = 0xFFFFFFFF
+DIGEST_BYTES = 6
 _TERM = struct.Struct("<QQB")  # epoch, counter, length of the owner's identity
 _RECORD = struct.Struct("<HiII")  # length of the key, slot, age in ms, length of the value
 _COUNT = struct.Struct("<I")
@@ -89,6 +91,17 @@
     return zlib.crc32(value)
 
 
+def slot_digest(key: str, slot: int, check: int) -> int:
+    """Return the contribution of a slot to the digest of all that a replica stores; `check` is its checksum."""
+    digest = hashlib.blake2b(f"{key} {slot} {check}".encode(), digest_size=DIGEST_BYTES).digest()
+    return int.from_bytes(digest, "big")
+
+
+def age_ms(now_s: float, accepted_s: float) -> int:
+    """Return the age of a batch job for a record, in whole milliseconds between 0 and `MAX_AGE_MS`."""
+    return max(0, min(MAX_AGE_MS, int((now_s - accepted_s) * 1000)))
+
+
 def pack_term(term: Term) -> bytes:
     """A term's bytes."""
     owner = term.owner.encode()
--- a/emberring/jobs/replica_calls.py
+++ b/emberring/jobs/replica_calls.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from emberring.jobs.owner_actions import OwnerAction, ReplicaRequest, SendToReplica
+from emberring.jobs.messages import ReplicaRequest
+from emberring.jobs.owner_actions import OwnerAction, SendToReplica
 
 
 class ReplicaCalls:
--- a/emberring/jobs/replication.py
+++ b/emberring/jobs/replication.py
@@ -8,8 +8,7 @@
 from emberring.jobs.messages import DropSlots, WriteSlots
 from emberring.jobs.owned import OwnedRecords
 from emberring.jobs.peer import INVENTORY_INTERVAL_S, ReplicaProgress, SlotRef
-from emberring.jobs.records import NO_TERM, TOMBSTONE, JobState, Record, Term, pack_records
-from emberring.jobs.replica import age_ms
+from emberring.jobs.records import NO_TERM, TOMBSTONE, JobState, Record, Term, age_ms, pack_records
 from emberring.placement.model import Group, quorum
 
 MAX_MESSAGE_BYTES = 256 * 1024
--- a/emberring/simulation/jobs/mutations.py
+++ b/emberring/simulation/jobs/mutations.py
@@ -12,7 +12,7 @@
 from emberring.jobs.messages import LeaseRenewal, ShardLease, WriteSlots
 from emberring.jobs.owner import ShardOwner
 from emberring.jobs.records import NO_TERM
-from emberring.jobs.replica import Action, Replica
+from emberring.jobs.replica import Replica, ReplicaAction
 from emberring.placement.model import Group, quorum
 
 
@@ -36,13 +36,13 @@
 class _TokenlessReplica(Replica):
     """Whoever writes or lease renewals is believed, whatever was promised."""
 
-    def _on_write(self, now_s: float, call: int, message: WriteSlots) -> list[Action]:
+    def _on_write(self, now_s: float, call: int, message: WriteSlots) -> list[ReplicaAction]:
         promised, self.promised = self.promised, NO_TERM
         actions = super()._on_write(now_s, call, message)
         self.promised = max(promised, self.promised)
         return actions
 
-    def renew_lease(self, now_s: float, lease: ShardLease) -> tuple[LeaseRenewal, list[Action]]:
+    def renew_lease(self, now_s: float, lease: ShardLease) -> tuple[LeaseRenewal, list[ReplicaAction]]:
         return LeaseRenewal(self.shard, True, lease.term, self.digest), []
 
 
--- a/emberring/simulation/jobs/store.py
+++ b/emberring/simulation/jobs/store.py
@@ -30,7 +30,7 @@
     SendToReplica,
     SlotCommitted,
 )
-from emberring.jobs.replica import REPLICA_LEASE_S, Action, Fail, Persist, Replica, Reply
+from emberring.jobs.replica import REPLICA_LEASE_S, FailCall, PersistEntry, Replica, ReplicaAction, SendReply
 from emberring.jobs.replica_log import decode_entry, encode_entry
 from emberring.placement.model import Placement
 from emberring.simulation.jobs.mutations import Bugs, make_owner, make_replica
@@ -230,16 +230,16 @@
             self._calls[self._number] = reply
             self._act(self.replica.handle(self.world.now_s, self._number, message))
 
-    def _act(self, actions: list[Action]) -> None:
+    def _act(self, actions: list[ReplicaAction]) -> None:
         for action in actions:
-            if isinstance(action, Reply):
+            if isinstance(action, SendReply):
                 self._calls.pop(action.call)(action.body)
-            elif isinstance(action, Fail):
+            elif isinstance(action, FailCall):
                 self._calls.pop(action.call)(None)
-            elif isinstance(action, Persist):
+            elif isinstance(action, PersistEntry):
                 self._persist(action)
 
-    def _persist(self, action: Persist) -> None:
+    def _persist(self, action: PersistEntry) -> None:
         payload = encode_entry(self.shard, self.world.now_s, action.entry)
         if self.disk.refusing:
             self.world.after(0.0, self.when_awake, self.incarnation, self._refused, action.token)
--- a/emberring/store/replicas.py
+++ b/emberring/store/replicas.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from emberring.errors import DiskFailedError, EmberringError, FencedError
-from emberring.jobs.messages import LeaseRenewal, RenewLeases, RenewLeasesReply
-from emberring.jobs.replica import Action, Fail, Persist, Replica, ReplicaMessage, Reply
+from emberring.jobs.messages import LeaseRenewal, RenewLeases, RenewLeasesReply, ReplicaRequest
+from emberring.jobs.replica import FailCall, PersistEntry, Replica, ReplicaAction, SendReply
 from emberring.jobs.replica_log import Copied, Entry, encode_entry, split_by_size
 from emberring.journal.journal import Journal
 from emberring.journal.layout import Position
@@ -30,7 +30,7 @@
         self._next_call = 1
         journal.set_rewriter(self._rewrite)
 
-    async def answer(self, message: ReplicaMessage) -> Any:
+    async def answer(self, message: ReplicaRequest) -> Any:
         """The reply to a message of another store; `FencedError` where it is meant for another disk."""
         if message.target != self.identity:
             raise FencedError(f"{message.target} is not the disk of this store")
@@ -46,7 +46,7 @@
             raise reply
         return reply
 
-    def ask(self, message: ReplicaMessage, done: Done) -> None:
+    def ask(self, message: ReplicaRequest, done: Done) -> None:
         """The same for this store's own owners; `done` gets the reply, or the error."""
         call = self._next_call
         self._next_call += 1
@@ -81,23 +81,23 @@
     @property
     def overloaded(self) -> bool:
         """Whether so much is held that no more batch jobs should be taken."""
-        return sum(replica.bytes for replica in self.replicas.values()) > self._max_bytes
+        return sum(replica.value_bytes for replica in self.replicas.values()) > self._max_bytes
 
     @property
     def failed(self) -> bool:
         """Whether the disk refuses."""
         return self._journal.failed
 
-    def _perform(self, replica: Replica, actions: list[Action]) -> None:
+    def _perform(self, replica: Replica, actions: list[ReplicaAction]) -> None:
         for action in actions:
-            if isinstance(action, Reply):
+            if isinstance(action, SendReply):
                 self._calls.pop(action.call)(action.body)
-            elif isinstance(action, Fail):
+            elif isinstance(action, FailCall):
                 self._calls.pop(action.call)(DiskFailedError("the disk refused"))
             else:
                 self._append(replica, action)
 
-    def _append(self, replica: Replica, action: Persist) -> None:
+    def _append(self, replica: Replica, action: PersistEntry) -> None:
         future = self._write(replica, action.entry)
         future.add_done_callback(lambda done: self._appended(replica, action.token, done))
 
--- a/tests/emberring/jobs/test_tier_replica.py
+++ b/tests/emberring/jobs/test_tier_replica.py
@@ -26,7 +26,15 @@
     unpack_inventory,
     unpack_records,
 )
-from emberring.jobs.replica import CLAIM_LEASE_S, REPLICA_LEASE_S, Action, Fail, Persist, Replica, Reply
+from emberring.jobs.replica import (
+    CLAIM_LEASE_S,
+    REPLICA_LEASE_S,
+    FailCall,
+    PersistEntry,
+    Replica,
+    ReplicaAction,
+    SendReply,
+)
 from emberring.jobs.replica_log import Copied, Dropped, Emptied, Entry, Promised, Written
 from emberring.transport.messages import Ok
 
@@ -41,11 +49,13 @@
     return DropSlots(0, "me", term, pack_records(Record(key, slot, 0, b"") for key, slot in refs))
 
 
-def settle(replica: Replica, actions: list[Action], now_s: float = 0.0, segment: int = 0) -> list[Action]:
+def settle(
+    replica: Replica, actions: list[ReplicaAction], now_s: float = 0.0, segment: int = 0
+) -> list[ReplicaAction]:
     """Let everything last; the replies."""
-    replies: list[Action] = []
+    replies: list[ReplicaAction] = []
     for action in actions:
-        if isinstance(action, Persist):
+        if isinstance(action, PersistEntry):
             replies += replica.persisted(now_s, action.token, segment)
         else:
             replies.append(action)
@@ -59,10 +69,10 @@
 def test_a_write_is_confirmed_and_shown_only_once_it_lasts() -> None:
     replica = Replica(0)
     (persist,) = replica.handle(0.0, 7, write(OLD, Record("k", 0, 250, b"v")))
-    assert isinstance(persist, Persist)
+    assert isinstance(persist, PersistEntry)
     assert replica.value("k", 0) is None
     assert replica.oldest_pending_s(0.6) == pytest.approx(0.6)
-    assert replica.persisted(1.0, persist.token, 3) == [Reply(7, WriteSlotsReply(True, OLD))]
+    assert replica.persisted(1.0, persist.token, 3) == [SendReply(7, WriteSlotsReply(True, OLD))]
     assert replica.value("k", 0) == b"v"
     assert replica.jobs["k"].accepted_s == pytest.approx(0.75)
     assert replica.oldest_pending_s(5.0) == 0.0
@@ -72,19 +82,21 @@
     replica = Replica(0)
     put(replica, OLD, "k", 0, b"before")
     (persist,) = replica.handle(0.0, 8, write(NEW, Record("k", 0, 0, b"after")))
-    assert isinstance(persist, Persist)
-    assert replica.persist_failed(persist.token) == [Fail(8)]
+    assert isinstance(persist, PersistEntry)
+    assert replica.persist_failed(persist.token) == [FailCall(8)]
     assert replica.value("k", 0) == b"before"
 
 
 def test_lower_terms_are_refused() -> None:
     replica = Replica(0)
     put(replica, NEW, "k", 0, b"v")
-    refused = [Reply(1, WriteSlotsReply(False, NEW))]
+    refused = [SendReply(1, WriteSlotsReply(False, NEW))]
     assert replica.handle(0.0, 1, write(OLD, Record("k", 1, 0, b"late"))) == refused
     assert replica.handle(0.0, 1, drop(OLD, ("k", 0))) == refused
-    assert replica.handle(0.0, 1, ClaimOwnership(0, "me", NEW)) == [Reply(1, ClaimOwnershipReply(False, NEW))]
-    assert replica.handle(0.0, 1, InventoryRequest(0, "me", OLD)) == [Reply(1, InventoryReply(None, NEW))]
+    assert replica.handle(0.0, 1, ClaimOwnership(0, "me", NEW)) == [
+        SendReply(1, ClaimOwnershipReply(False, NEW))
+    ]
+    assert replica.handle(0.0, 1, InventoryRequest(0, "me", OLD)) == [SendReply(1, InventoryReply(None, NEW))]
     answer, actions = replica.renew_lease(0.0, ShardLease(0, OLD))
     assert not answer.granted
     assert answer.promised == NEW
@@ -96,11 +108,11 @@
     put(replica, OLD, "k", 0, b"v")
     (persist,) = replica.handle(5.0, 2, ClaimOwnership(0, "me", NEW))
     assert replica.handle(5.0, 1, write(OLD, Record("k", 1, 0, b"late"))) == [
-        Reply(1, WriteSlotsReply(False, NEW))
+        SendReply(1, WriteSlotsReply(False, NEW))
     ]
-    assert isinstance(persist, Persist)
+    assert isinstance(persist, PersistEntry)
     (reply,) = replica.persisted(5.0, persist.token, 0)
-    assert isinstance(reply, Reply)
+    assert isinstance(reply, SendReply)
     assert reply.body.granted
     assert unpack_inventory(reply.body.inventory).keys() == {"k"}
 
@@ -109,17 +121,17 @@
     replica = Replica(0)
     (first,) = replica.handle(0.0, 1, ClaimOwnership(0, "me", NEW))
     (second,) = replica.handle(CLAIM_LEASE_S, 2, ClaimOwnership(0, "me", NEWEST))
-    assert isinstance(first, Persist)
-    assert isinstance(second, Persist)
-    assert replica.persisted(1.0, first.token, 0) == [Reply(1, ClaimOwnershipReply(False, NEWEST))]
+    assert isinstance(first, PersistEntry)
+    assert isinstance(second, PersistEntry)
+    assert replica.persisted(1.0, first.token, 0) == [SendReply(1, ClaimOwnershipReply(False, NEWEST))]
     (granted,) = replica.persisted(1.0, second.token, 0)
-    assert isinstance(granted, Reply)
+    assert isinstance(granted, SendReply)
     assert granted.body.granted
 
 
 def claimed(replica: Replica, term: Term, now_s: float) -> ClaimOwnershipReply:
     (reply,) = settle(replica, replica.handle(now_s, 1, ClaimOwnership(0, "me", term)), now_s)
-    assert isinstance(reply, Reply)
+    assert isinstance(reply, SendReply)
     assert isinstance(reply.body, ClaimOwnershipReply)
     return reply.body
 
@@ -150,7 +162,7 @@
     assert not answer.granted
     assert replica.lease_active(REPLICA_LEASE_S - 0.01)
     (refused,) = replica.handle(0.01, 1, ClaimOwnership(0, "me", NEW))
-    assert refused == Reply(1, ClaimOwnershipReply(False, OLD, lease_active=True))
+    assert refused == SendReply(1, ClaimOwnershipReply(False, OLD, lease_active=True))
     settle(replica, actions)
     assert not replica.lease_active(REPLICA_LEASE_S + 0.01)
 
@@ -159,7 +171,7 @@
     replica = Replica(0)
     claimed(replica, OLD, 0.0)
     replica.renew_lease(0.1, ShardLease(0, OLD))
-    assert replica.handle(0.2, 1, ReleaseOwnership(0, "me", NEWEST)) == [Reply(1, Ok())]
+    assert replica.handle(0.2, 1, ReleaseOwnership(0, "me", NEWEST)) == [SendReply(1, Ok())]
     assert claimed(replica, NEW, 0.2).lease_active
     replica.handle(0.2, 1, ReleaseOwnership(0, "me", OLD))
     assert claimed(replica, NEW, 0.2).granted
@@ -193,7 +205,7 @@
     put(replica, OLD, "k", TOMBSTONE, b"")
     settle(replica, replica.handle(0.0, 1, drop(OLD, ("k", DEFINITION))))
     assert set(replica.jobs["k"].slots) == {TOMBSTONE}
-    assert replica.bytes == 0
+    assert replica.value_bytes == 0
     settle(replica, replica.handle(0.0, 1, drop(OLD, ("k", TOMBSTONE))))
     assert replica.jobs == {}
     assert replica.digest == empty
@@ -205,11 +217,11 @@
     put(replica, NEW, "k", 1, b"one")
     wanted = pack_records([Record("k", 1, 0, b""), Record("k", 5, 0, b""), Record("x", 0, 0, b"")])
     (reply,) = replica.handle(2.0, 1, FetchRecords(0, "me", wanted))
-    assert isinstance(reply, Reply)
+    assert isinstance(reply, SendReply)
     assert isinstance(reply.body, FetchRecordsReply)
     assert unpack_records(reply.body.records) == [Record("k", 1, 2000, b"one")]
     (reply,) = replica.handle(2.0, 1, InventoryRequest(0, "me", NEW))
-    assert isinstance(reply, Reply)
+    assert isinstance(reply, SendReply)
     held = unpack_inventory(reply.body.inventory)["k"]
     assert {slot: state.term for slot, state in held.slots.items()} == {0: OLD, 1: NEW}
 
--- a/tests/emberring/jobs/test_tier_shard_owner.py
+++ b/tests/emberring/jobs/test_tier_shard_owner.py
@@ -255,7 +255,7 @@
     other = next(name for name in "abc" if name != owner)
     replica = trio.nodes[other].replica
     del replica.jobs["k"]
-    replica.digest = 12345
+    replica.records.digest = 12345
     trio.pass_time(4.0)
     assert held(trio, other) == {("k", 0): value(1)}
 
--- a/tests/emberring/jobs/tier_jobs_trio.py
+++ b/tests/emberring/jobs/tier_jobs_trio.py
@@ -16,7 +16,7 @@
     SendToReplica,
     SlotCommitted,
 )
-from emberring.jobs.replica import REPLICA_LEASE_S, Action, Fail, Persist, Replica, Reply
+from emberring.jobs.replica import REPLICA_LEASE_S, FailCall, PersistEntry, Replica, ReplicaAction, SendReply
 from emberring.jobs.replica_log import Entry
 from emberring.placement.model import Group
 
@@ -124,19 +124,19 @@
         )
         self.back(in_flight_call, None if reply_lost else found)
 
-    def settle(self, node: Node, actions: list[Action], refused: bool = False) -> Any:
+    def settle(self, node: Node, actions: list[ReplicaAction], refused: bool = False) -> Any:
         """Let entries last, or have the disk refuse them; the reply."""
         found = None
         for action in actions:
-            if isinstance(action, Persist) and refused:
+            if isinstance(action, PersistEntry) and refused:
                 found = self.settle(node, node.replica.persist_failed(action.token))
-            elif isinstance(action, Persist):
+            elif isinstance(action, PersistEntry):
                 node.log.append(action.entry)
                 found = self.settle(node, node.replica.persisted(self.now_s, action.token, 0))
-            elif isinstance(action, Reply):
+            elif isinstance(action, SendReply):
                 found = action.body
             else:
-                assert isinstance(action, Fail)
+                assert isinstance(action, FailCall)
         return found
 
     def back(self, in_flight_call: InFlightCall, reply: Any) -> None:
--- a/tests/golden/record_disk.py
+++ b/tests/golden/record_disk.py
@@ -33,8 +33,8 @@
     pack_inventory,
     pack_records,
     pack_term,
+    slot_digest,
 )
-from emberring.jobs.replica import slot_digest
 from emberring.jobs.replica_log import Copied, Dropped, Emptied, Promised, Started, Written, encode_entry
 from emberring.jobs.results import ResultState, encode_result
 from emberring.journal.folder import DiskFolder
@@ -433,7 +433,7 @@
     disk = open_disk(folder, 0.0, 1000.0)
     asyncio.run(disk.journal.close())
     held = {
-        shard: [replica.promised, replica.jobs, replica.digest, replica.bytes, replica.owner]
+        shard: [replica.promised, replica.jobs, replica.digest, replica.value_bytes, replica.owner]
         for shard, replica in disk.replicas.items()
     }
     return plain([disk.identity, held])
--- a/tests/golden/test_golden_disk.py
+++ b/tests/golden/test_golden_disk.py
@@ -23,7 +23,7 @@
 from emberring.configuration.state import ControlState as ControlValue
 from emberring.control import peer_cache
 from emberring.errors import CorruptRecordError as Corrupt
-from emberring.jobs import definition, packing, records, replica, replica_log, results
+from emberring.jobs import definition, packing, records, replica_log, results
 from emberring.journal.journal import Journal
 from emberring.journal.scan import scan_journal
 from emberring.placement import model as placement
@@ -327,7 +327,7 @@
     for shard, name, wanted in JOBS["scores"]:
         assert placement.score(shard, name) == wanted
     for key, slot, check, wanted in JOBS["slot_digests"]:
-        assert replica.slot_digest(key, slot, check) == wanted
+        assert records.slot_digest(key, slot, check) == wanted
 
 
 # Small files.
