--- a/tests/emberring/jobs/test_tier_replica.py
+++ b/tests/emberring/jobs/test_tier_replica.py
@@ -233,7 +233,7 @@
     put(other, NEW, "k", 1, b"x")
     put(other, NEWEST, "k", 1, b"w")
     assert one.digest != other.digest
-    assert (one.bytes, other.bytes) == (2, 1)
+    assert (one.value_bytes, other.value_bytes) == (2, 1)
     put(other, NEWEST, "k", 0, b"v")
     assert one.digest == other.digest
 
