--- a/emberring/jobs/execution.py
+++ b/emberring/jobs/execution.py
@@ -1,4 +1,4 @@
-"""How items run: leased to gateways, their events kept as they come, their ends turned into results."""
+"""Execution of items: leases to gateways, events of runs, results of runs."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from emberring.jobs.results import ResultState
 
 RUN_LEASE_S = 2.0  # the owner's side of a gateway's lease of 1.5 s, which counts from the gateway's sending
-TAKEOVER_GRACE_S = 0.7  # a new owner waits so long for gateways that run items already
+TAKEOVER_GRACE_S = 0.7  # a new owner waits so long for reports of gateways that run items already
 RETENTION_GRACE_S = 0.3
 TICKET_BITS = 52
 
@@ -32,34 +32,34 @@
     def __init__(self, table: JobTable, seed: int) -> None:
         self._table = table
         self._random = random.Random(seed)
-        self._held: list[tuple[float, str, int]] = []  # until when, the batch job's key, the item's index
-        self._finishers: dict[tuple[str, int], list[int]] = {}
+        self._takeover_waits: list[tuple[float, str, int]] = []  # until when, key, index of the item
+        self._waiting_finishes: dict[tuple[str, int], list[int]] = {}
         self._running: dict[tuple[str, int], None] = {}
 
-    # Giving out.
+    # Leases.
 
     @property
     def waiting(self) -> int:
-        """How many items wait, at most."""
+        """An upper bound of the number of items that wait."""
         return len(self._table.schedule)
 
     @property
     def idle(self) -> bool:
-        """Whether nothing runs and nothing is held back."""
-        return not (self._running or self._held)
+        """Whether nothing runs and no item waits for its former gateway."""
+        return not (self._running or self._takeover_waits)
 
-    def adopt(self, now_s: float, job: BatchJob, index: int, known: Item | None) -> None:
-        """An item without a result is recovered. A run known here goes on; otherwise wait for word of one."""
+    def load(self, now_s: float, job: BatchJob, index: int, known: Item | None) -> None:
+        """Load an item without a result. A run known here goes on; otherwise wait for a gateway's report of one."""
         item = job.items[index]
         if known is not None:
             item.events, item.failures = known.events, known.failures
         if known is not None and known.run is not None:
             self._begin(now_s, job, index, known.run.ticket, known.run.gateway)
         else:
-            self._held.append((now_s + TAKEOVER_GRACE_S, job.key, index))
+            self._takeover_waits.append((now_s + TAKEOVER_GRACE_S, job.key, index))
 
-    def take(self, now_s: float, gateway: str, capacity: int, shard: int) -> list[Assignment]:
-        """Up to `capacity` items for a gateway, each under a new ticket."""
+    def lease_items(self, now_s: float, gateway: str, capacity: int, shard: int) -> list[Assignment]:
+        """Lease up to `capacity` items to a gateway, each under a new ticket."""
         taken: list[Assignment] = []
         while len(taken) < capacity and (entry := self._table.schedule.pop(now_s)) is not None:
             job = self._table.jobs.get(entry.key)
@@ -100,10 +100,10 @@
         self._running.pop((job.key, index), None)
         self._table.queue(job, index)
 
-    # What gateways tell.
+    # Reports of gateways.
 
-    def report(self, now_s: float, message: ReportRuns) -> ReportRunsReply:
-        """Runs go on: their leases are renewed, their events kept. A run that is not an item's newest must stop."""
+    def report_runs(self, now_s: float, message: ReportRuns) -> ReportRunsReply:
+        """Renew the leases of runs and store their events. A run that is not an item's newest must stop."""
         answers = [self._report(now_s, message.gateway, run) for run in message.runs]
         return ReportRunsReply(tuple(answers))
 
@@ -122,14 +122,14 @@
             item.events = item.events[: run.start] + unpack_events(run.events)
         return RunRenewal(run.ticket, True, len(item.events))
 
-    def finish(self, now_s: float, call: int, message: FinishRun) -> None:
-        """A run has ended. Its gateway is answered once nothing can be lost any more."""
+    def finish_run(self, now_s: float, call: int, message: FinishRun) -> None:
+        """Handle the end of a run. Its gateway is answered once nothing can be lost any more."""
         job = self._table.jobs.get(message.key)
         item = job.items[message.index] if job and message.index < len(job.items) else None
         if job is None or item is None or (job.ended and not item.done) or item.status is ItemStatus.LISTED:
-            self._table.out.append(AnswerCall(call, FinishRunReply(True)))
+            self._table.actions.append(AnswerCall(call, FinishRunReply(True)))
         elif item.status is ItemStatus.RESULT_PENDING:
-            self._finishers.setdefault((job.key, message.index), []).append(call)
+            self._waiting_finishes.setdefault((job.key, message.index), []).append(call)
         else:
             self._finish(now_s, call, message, job, item)
 
@@ -139,22 +139,29 @@
         events = self._events_of(message, item, current)
         if kind is OutcomeKind.COMPLETED:
             if events is None or len(events) != message.total:
-                self._table.out.append(AnswerCall(call, FinishRunReply(False)))
+                self._table.actions.append(AnswerCall(call, FinishRunReply(False)))
                 return
-            self._finishers.setdefault((job.key, message.index), []).append(call)
+            self._waiting_finishes.setdefault((job.key, message.index), []).append(call)
             if item.run is not None and current:
                 self._table.schedule.record_run(now_s - item.run.started_s)
-            self._place(job, message.index, ResultState.COMPLETED, "\n".join(event.data for event in events))
-            return
-        if kind is OutcomeKind.IMPOSSIBLE_422:
-            self._finishers.setdefault((job.key, message.index), []).append(call)
-            self._place(job, message.index, ResultState.DEAD_LETTER, "")
-            return
-        self._table.out.append(AnswerCall(call, FinishRunReply(True)))
-        if kind is OutcomeKind.FAILED_500:
+            text = "\n".join(event.data for event in events)
+            self._assign_position(job, message.index, ResultState.COMPLETED, text)
+        elif kind is OutcomeKind.IMPOSSIBLE_422:
+            self._waiting_finishes.setdefault((job.key, message.index), []).append(call)
+            self._assign_position(job, message.index, ResultState.DEAD_LETTER, "")
+        else:
+            self._table.actions.append(AnswerCall(call, FinishRunReply(True)))
+            self._on_unsuccessful_run(message, job, item, events)
+
+    def _on_unsuccessful_run(
+        self, message: FinishRun, job: BatchJob, item: Item, events: tuple[EventData, ...] | None
+    ) -> None:
+        """Let the item wait again, or make it a dead letter after too many responses with status 500."""
+        current = item.run is not None and item.run.ticket == message.ticket
+        if message.kind == OutcomeKind.FAILED_500.value:
             item.failures |= {message.ticket}
             if len(item.failures) >= self._table.max_attempts(job):
-                self._place(job, message.index, ResultState.DEAD_LETTER, "")
+                self._assign_position(job, message.index, ResultState.DEAD_LETTER, "")
                 return
         if current or item.status is ItemStatus.WAITING:
             if events is not None and len(events) >= len(item.events):
@@ -163,26 +170,26 @@
                 self._requeue(job, message.index)
 
     def _events_of(self, message: FinishRun, item: Item, current: bool) -> tuple[EventData, ...] | None:
-        """All events of the run; None where its gateway must tell them again."""
+        """Return all events of the run; None where its gateway must send them again."""
         if message.start == 0:
             return unpack_events(message.events)
         if current and message.start <= len(item.events):
             return item.events[: message.start] + unpack_events(message.events)
         return None
 
-    def _place(self, job: BatchJob, index: int, state: ResultState, text: str) -> None:
+    def _assign_position(self, job: BatchJob, index: int, state: ResultState, text: str) -> None:
         self._running.pop((job.key, index), None)
-        self._table.place(job, index, state, text)
+        self._table.assign_position(job, index, state, text)
 
-    def listed(self, job: BatchJob, index: int) -> None:
-        """An item's result lasts."""
-        for call in self._finishers.pop((job.key, index), ()):
-            self._table.out.append(AnswerCall(call, FinishRunReply(True)))
+    def on_result_committed(self, job: BatchJob, index: int) -> None:
+        """Answer the gateways that wait for an item's result to be durable."""
+        for call in self._waiting_finishes.pop((job.key, index), ()):
+            self._table.actions.append(AnswerCall(call, FinishRunReply(True)))
 
     # Time.
 
     def tick(self, now_s: float) -> None:
-        """Runs whose gateway fell silent are given out again, and so are items that nobody announced."""
+        """Queue items again whose gateway reported in time neither a run before nor after a change of owner."""
         for key, index in list(self._running):
             job = self._table.jobs.get(key)
             run = job.items[index].run if job else None
@@ -190,25 +197,25 @@
                 self._running.pop((key, index), None)
             elif run.expires_s <= now_s:
                 self._requeue(job, index)
-        while self._held and self._held[0][0] <= now_s:
-            _, key, index = self._held.pop(0)
+        while self._takeover_waits and self._takeover_waits[0][0] <= now_s:
+            _, key, index = self._takeover_waits.pop(0)
             job = self._table.jobs.get(key)
             if job is not None and job.items[index].status is ItemStatus.WAITING:
                 self._table.queue(job, index)
 
     def expire_items(self, now_s: float, job: BatchJob) -> None:
-        """Items of a batch job past its retention, or without a route, become dead letters."""
+        """Turn unfinished items into dead letters where the batch job is past its retention or has no route."""
         too_old = now_s - job.accepted_s > self._table.retention_s(job) + RETENTION_GRACE_S
         if job.ended or not job.accepted or not (too_old or self._table.route_gone(job)):
             return
         for index, item in enumerate(job.items):
             if not item.done:
-                self._place(job, index, ResultState.DEAD_LETTER, "")
+                self._assign_position(job, index, ResultState.DEAD_LETTER, "")
 
-    def lost(self) -> None:
-        """Another store owns the shard; gateways tell it what they have."""
-        for calls in self._finishers.values():
-            self._table.out.extend(AnswerCall(call, FinishRunReply(False)) for call in calls)
-        self._finishers.clear()
+    def on_ownership_lost(self) -> None:
+        """Drop all runs: another store may own the shard, and gateways report their runs to it."""
+        for calls in self._waiting_finishes.values():
+            self._table.actions.extend(AnswerCall(call, FinishRunReply(False)) for call in calls)
+        self._waiting_finishes.clear()
         self._running.clear()
-        self._held.clear()
+        self._takeover_waits.clear()
--- a/emberring/jobs/job_manager.py
+++ b/emberring/jobs/job_manager.py
@@ -1,8 +1,7 @@
-"""The batch jobs of one shard at its owner: taking, running, listing, ending. No I/O.
+"""Batch jobs of one shard at its owner: submission, execution, queries, ends, retention. No I/O.
 
-Calls that wait have a number and are answered by an `AnswerCall` or a `RejectCall` with it. What must last is
-given as a
-`ProposeValue`; `committed` tells the job manager when it does. Times are seconds of the monotonic clock.
+Calls that wait have a number and are answered by an `AnswerCall` or a `RejectCall` with it. What must be durable is
+returned as a `ProposeValue`; `on_committed` says when it is. Times are seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -29,29 +28,31 @@
 from emberring.jobs.results import item_index
 from emberring.jobs.submission import JobSubmission
 
-SCAN_INTERVAL_S = 0.5  # between looks at all batch jobs
-RETENTION_MARGIN_S = 5.0
-UNENDED_RETENTION_MARGIN_S = (
-    30.0  # a batch job that is all listed but not ended is kept for so much longer than `StatusS`
-)
+SCAN_INTERVAL_S = 0.5  # between checks of all batch jobs
+RETENTION_MARGIN_S = 5.0  # an ended batch job is kept for so much longer than `StatusS`
+UNENDED_RETENTION_MARGIN_S = 30.0  # the same of one whose results are all listed but that is not ended
 
 
 class JobManager:
-    """One shard's batch jobs. `status_s`: for how long an ended batch job can be read after it was submitted."""
+    """Manager of one shard's batch jobs.
+
+    Parameters: the `shard` and its owner's `records`; `status_s`, for how many seconds after its submission an ended
+    batch job can be read; the `seed` of the tickets of runs.
+    """
 
     def __init__(self, shard: int, records: OwnedRecords, status_s: float, seed: int) -> None:
         self.shard = shard
         self._table = JobTable(records)
-        self._taking = JobSubmission(self._table)
-        self._reading = JobQueries(self._table)
-        self._running = JobExecution(self._table, seed)
+        self._submission = JobSubmission(self._table)
+        self._queries = JobQueries(self._table)
+        self._execution = JobExecution(self._table, seed)
         self._status_s = status_s
         self._scanned_s = 0.0
 
     @property
     def waiting(self) -> int:
-        """How many items wait for a server, at most."""
-        return self._running.waiting
+        """An upper bound of the number of items that wait for a server."""
+        return self._execution.waiting
 
     @property
     def jobs(self) -> dict[str, BatchJob]:
@@ -60,27 +61,29 @@
 
     @property
     def waiting_tokens(self) -> dict[str, int]:
-        """Tokens that wait, by route."""
+        """Tokens of waiting items, by route."""
         return self._table.waiting_tokens
 
     def configure(self, configuration: Configuration) -> None:
-        """A newer configuration is in force."""
+        """Use a newer configuration."""
         self._table.configure(configuration)
 
     # Ownership.
 
-    def adopt(self, now_s: float, jobs: dict[str, OwnedJob]) -> list[JobManagerAction]:
-        """This store owns the shard, and these records are all there are. Runs that the job manager knows of go on;
-        calls that wait for something to last are sent away, to ask again."""
+    def on_ownership_gained(self, now_s: float, jobs: dict[str, OwnedJob]) -> list[JobManagerAction]:
+        """Load the complete records of the shard, which this store owns now.
+
+        Runs that are known here go on; calls that wait for a commit are rejected, to be sent again.
+        """
         before = dict(self._table.jobs)
-        self.lose_calls()
+        self._reject_waiting_calls()
         self._table.clear()
         for key, owned in jobs.items():
             if DEFINITION in owned.slots and TOMBSTONE not in owned.slots:
-                self._adopt_job(now_s, key, owned, before.get(key))
-        return self._take()
+                self._load_job(now_s, key, owned, before.get(key))
+        return self._drain_actions()
 
-    def _adopt_job(self, now_s: float, key: str, owned: OwnedJob, known: BatchJob | None) -> None:
+    def _load_job(self, now_s: float, key: str, owned: OwnedJob, known: BatchJob | None) -> None:
         value = owned.slots[DEFINITION].value
         specs = decode_items(value)
         items = [Item(spec.id, spec.tokens, counted=False) for spec in specs]
@@ -91,102 +94,107 @@
             if position >= 0:
                 job.positions[position] = item_index(slot.value)
                 job.mark_committed(position)
-        for index, item in enumerate(items):
-            if not item.done and not job.ended:
+        if not job.ended:
+            self._load_unfinished_items(now_s, job, known)
+
+    def _load_unfinished_items(self, now_s: float, job: BatchJob, known: BatchJob | None) -> None:
+        for index, item in enumerate(job.items):
+            if not item.done:
                 self._table.count(job, item)
-                self._running.adopt(now_s, job, index, known.items[index] if known else None)
+                self._execution.load(now_s, job, index, known.items[index] if known else None)
 
-    def lose(self) -> list[JobManagerAction]:
-        """Another store may own the shard."""
-        self.lose_calls()
+    def on_ownership_lost(self) -> list[JobManagerAction]:
+        """Drop all state: another store may own the shard."""
+        self._reject_waiting_calls()
         self._table.clear()
-        return self._take()
+        return self._drain_actions()
 
-    def lose_calls(self) -> None:
-        """Whoever waits is told that nothing is sure."""
-        self._taking.lost()
-        self._reading.lost()
-        self._running.lost()
+    def _reject_waiting_calls(self) -> None:
+        """Tell whoever waits that the outcome is unknown."""
+        self._submission.on_ownership_lost()
+        self._queries.on_ownership_lost()
+        self._execution.on_ownership_lost()
 
-    def committed(self, now_s: float, key: str, slot: int) -> list[JobManagerAction]:
-        """What was proposed for a slot lasts."""
+    def on_committed(self, now_s: float, key: str, slot: int) -> list[JobManagerAction]:
+        """Handle the commit of a value that was proposed for a slot."""
         job = self._table.jobs.get(key)
         if job is None:
             return []
         if slot == DEFINITION:
-            self._taking.taken(job)
+            self._submission.on_definition_committed(job)
         elif slot == END:
-            self._taking.ended(job)
-            self._reading.more(job)
+            self._submission.on_end_committed(job)
+            self._queries.on_job_changed(job)
         elif slot == TOMBSTONE:
             del self._table.jobs[key]
         elif slot in job.positions:
             job.mark_committed(slot)
-            self._running.listed(job, job.positions[slot])
-            self._reading.more(job)
-        return self._take()
+            self._execution.on_result_committed(job, job.positions[slot])
+            self._queries.on_job_changed(job)
+        return self._drain_actions()
 
     # Calls.
 
     def submit(self, now_s: float, call: int, message: SubmitJob) -> list[JobManagerAction]:
-        """A batch job is submitted."""
+        """Handle the submission of a batch job."""
         try:
-            self._taking.submit(now_s, call, message)
+            self._submission.submit(now_s, call, message)
         except EmberringError as error:
-            self._table.out.append(RejectCall(call, error))
-        return self._take()
+            self._table.actions.append(RejectCall(call, error))
+        return self._drain_actions()
 
     def end(self, call: int, message: EndJob) -> list[JobManagerAction]:
-        """A batch job is ended."""
-        self._taking.end(call, message)
-        return self._take()
+        """Handle a client's request to end a batch job."""
+        self._submission.end(call, message)
+        return self._drain_actions()
 
     def read(self, now_s: float, call: int, message: ReadJob) -> list[JobManagerAction]:
-        """Results are read."""
-        self._reading.read(now_s, call, message)
-        return self._take()
+        """Handle a read of results."""
+        self._queries.read(now_s, call, message)
+        return self._drain_actions()
 
-    def item(self, call: int, message: ReadItem) -> list[JobManagerAction]:
-        """An item's body is read."""
-        self._reading.item(call, message)
-        return self._take()
+    def read_item(self, call: int, message: ReadItem) -> list[JobManagerAction]:
+        """Handle a read of an item's body."""
+        self._queries.read_item(call, message)
+        return self._drain_actions()
 
-    def take(self, now_s: float, gateway: str, capacity: int) -> list[Assignment]:
-        """Up to `capacity` items for a gateway."""
-        return self._running.take(now_s, gateway, capacity, self.shard)
+    def lease_items(self, now_s: float, gateway: str, capacity: int) -> list[Assignment]:
+        """Lease up to `capacity` items to a gateway."""
+        return self._execution.lease_items(now_s, gateway, capacity, self.shard)
 
-    def report(self, now_s: float, message: ReportRuns) -> ReportRunsReply:
-        """Runs go on."""
-        return self._running.report(now_s, message)
+    def report_runs(self, now_s: float, message: ReportRuns) -> ReportRunsReply:
+        """Renew the leases of a gateway's runs and store their progress."""
+        return self._execution.report_runs(now_s, message)
 
-    def finish(self, now_s: float, call: int, message: FinishRun) -> list[JobManagerAction]:
-        """A run has ended."""
-        self._running.finish(now_s, call, message)
-        return self._take()
+    def finish_run(self, now_s: float, call: int, message: FinishRun) -> list[JobManagerAction]:
+        """Handle the end of a run."""
+        self._execution.finish_run(now_s, call, message)
+        return self._drain_actions()
 
     # Time.
 
     def tick(self, now_s: float) -> list[JobManagerAction]:
-        """Time goes on."""
-        if not self._reading.idle:
-            self._reading.tick(now_s)
-        if not self._running.idle:
-            self._running.tick(now_s)
+        """Carry out what is due now."""
+        if not self._queries.idle:
+            self._queries.tick(now_s)
+        if not self._execution.idle:
+            self._execution.tick(now_s)
         if now_s - self._scanned_s >= SCAN_INTERVAL_S:
             self._scanned_s = now_s
             for job in list(self._table.jobs.values()):
                 self._scan_job(now_s, job)
-        return self._take()
+        return self._drain_actions()
 
     def _scan_job(self, now_s: float, job: BatchJob) -> None:
         if not job.all_visible:
-            self._running.expire_items(now_s, job)
+            self._execution.expire_items(now_s, job)
         age_s = now_s - job.accepted_s
-        kept_s = self._status_s + (RETENTION_MARGIN_S if job.end_committed else UNENDED_RETENTION_MARGIN_S)
-        if age_s > kept_s and (job.end_committed or job.all_visible) and not job.forget_proposed:
+        margin_s = RETENTION_MARGIN_S if job.end_committed else UNENDED_RETENTION_MARGIN_S
+        complete = job.end_committed or job.all_visible
+        if age_s > self._status_s + margin_s and complete and not job.forget_proposed:
             job.forget_proposed = True
-            self._table.out.append(ForgetJob(job.key))
+            self._table.actions.append(ForgetJob(job.key))
 
-    def _take(self) -> list[JobManagerAction]:
-        out, self._table.out = self._table.out, []
-        return out
+    def _drain_actions(self) -> list[JobManagerAction]:
+        actions, self._table.actions = self._table.actions, []
+        return actions
--- a/emberring/jobs/job_table.py
+++ b/emberring/jobs/job_table.py
@@ -1,28 +1,31 @@
-"""The batch jobs of one shard in its owner's memory, shared by the parts of the job manager; and what the job
+"""Batch jobs of one shard in its owner's memory, shared by the parts of the job manager; and what the job
 manager asks for."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
-from typing import Any
 
 import attrs
 
 from emberring.configuration.model import Configuration, Route, RouteType
-from emberring.errors import EmberringError
+from emberring.errors import EmberringError, InternalError
 from emberring.jobs.batch_job import BatchJob, Item, ItemStatus
+from emberring.jobs.calls import FinishRunReply, ItemBody, JobPage
 from emberring.jobs.definition import ItemSpec, decode_items
 from emberring.jobs.owned import OwnedRecords
 from emberring.jobs.records import DEFINITION
 from emberring.jobs.results import ResultState, encode_result
-from emberring.jobs.schedule import Entry, Schedule
+from emberring.jobs.schedule import QueuedItem, Schedule
+from emberring.transport.messages import Ok
 
-MAX_CACHED_SPECS = 16
+MAX_CACHED_SPECS = 16  # batch jobs whose decoded items are cached
+
+JobReply = Ok | JobPage | ItemBody | FinishRunReply
 
 
 @attrs.frozen
 class ProposeValue:
-    """Write this value into a slot."""
+    """Write this value into a slot; `accepted_s` is when the batch job was accepted."""
 
     key: str
     slot: int
@@ -35,12 +38,12 @@
     """Answer the call with this number."""
 
     call: int
-    body: Any
+    body: JobReply
 
 
 @attrs.frozen
 class RejectCall:
-    """Refuse the call with this number."""
+    """Reject the call with this number."""
 
     call: int
     error: EmberringError
@@ -48,7 +51,7 @@
 
 @attrs.frozen
 class ForgetJob:
-    """The batch job's room may be used again."""
+    """Delete this batch job everywhere."""
 
     key: str
 
@@ -66,23 +69,23 @@
         self.configuration: Configuration | None = None
         self._route_names: frozenset[str] = frozenset()
         self.waiting_tokens: dict[str, int] = {}
-        self.out: list[JobManagerAction] = []
-        self._specs: OrderedDict[str, list[ItemSpec]] = OrderedDict()
+        self.actions: list[JobManagerAction] = []
+        self._cached_specs: OrderedDict[str, list[ItemSpec]] = OrderedDict()
 
     def configure(self, configuration: Configuration) -> None:
-        """A newer configuration is in force."""
+        """Use a newer configuration."""
         self.configuration = configuration
         self._route_names = frozenset(route.name for route in configuration.routes)
 
     def clear(self) -> None:
-        """Forget everything but the configuration."""
+        """Drop everything but the configuration."""
         self.jobs.clear()
         self.schedule = Schedule()
         self.waiting_tokens.clear()
-        self._specs.clear()
+        self._cached_specs.clear()
 
     def route_of(self, job: BatchJob) -> Route | None:
-        """The batch job's route as now configured; None if it is not known here."""
+        """Return the batch job's route as now configured; None where it is not known here."""
         if self.configuration is None:
             return None
         route = self.configuration.route_for(job.host, job.terms.path)
@@ -95,50 +98,51 @@
         return job.terms.route not in self._route_names and self.route_of(job) is None
 
     def max_attempts(self, job: BatchJob) -> int:
-        """How many answers of 500 end an item."""
+        """Return after how many responses with status 500 an item becomes a dead letter."""
         route = self.route_of(job)
         return max(1, job.terms.max_attempts, route.max_attempts if route else 0)
 
     def retention_s(self, job: BatchJob) -> float:
-        """When its items may be expired, seconds after it was accepted."""
+        """Return after how many seconds from its acceptance its items may be expired."""
         route = self.route_of(job)
         return max(job.terms.retention_s, route.retention_s if route else 0.0)
 
     def specs(self, job: BatchJob) -> list[ItemSpec]:
-        """The items as submitted, read again from the definition."""
-        specs = self._specs.get(job.key)
+        """Return the items as submitted, decoded from the definition."""
+        specs = self._cached_specs.get(job.key)
         if specs is None:
             owned = self.records.find(job.key, DEFINITION)
-            assert owned is not None
-            specs = self._specs[job.key] = decode_items(owned.value)
-            while len(self._specs) > MAX_CACHED_SPECS:
-                self._specs.popitem(last=False)
+            if owned is None:
+                raise InternalError(f"{job.key} has no definition")
+            specs = self._cached_specs[job.key] = decode_items(owned.value)
+            while len(self._cached_specs) > MAX_CACHED_SPECS:
+                self._cached_specs.popitem(last=False)
         return specs
 
     def count(self, job: BatchJob, item: Item) -> None:
-        """The item's tokens wait."""
+        """Count the item's tokens as waiting."""
         if not item.counted:
             item.counted = True
             route = job.terms.route
             self.waiting_tokens[route] = self.waiting_tokens.get(route, 0) + item.tokens
 
     def release(self, job: BatchJob, item: Item) -> None:
-        """The item's tokens wait no longer."""
+        """Count the item's tokens as waiting no longer."""
         if item.counted:
             item.counted = False
             self.waiting_tokens[job.terms.route] -= item.tokens
 
     def queue(self, job: BatchJob, index: int) -> None:
-        """The item waits for a server."""
+        """Let the item wait for a server."""
         expires_s = job.accepted_s + self.retention_s(job)
-        self.schedule.add(Entry(job.due_s, expires_s, job.key, index))
+        self.schedule.add(QueuedItem(job.due_s, expires_s, job.key, index))
 
-    def place(self, job: BatchJob, index: int, state: ResultState, message: str) -> None:
-        """Give the item the next position, for good once it lasts."""
+    def assign_position(self, job: BatchJob, index: int, state: ResultState, message: str) -> None:
+        """Propose the item's result for the next free position."""
         item = job.items[index]
         position = job.free_position()
         job.positions[position] = index
         item.status, item.run, item.events = ItemStatus.RESULT_PENDING, None, ()
         self.release(job, item)
         value = encode_result(index, item.id, state, message)
-        self.out.append(ProposeValue(job.key, position, value, job.accepted_s))
+        self.actions.append(ProposeValue(job.key, position, value, job.accepted_s))
--- a/emberring/jobs/queries.py
+++ b/emberring/jobs/queries.py
@@ -1,4 +1,4 @@
-"""How batch jobs are read: pages of results that last, waits for the next one, bodies of items."""
+"""Reads of batch jobs: pages of committed results, waits for the next result, bodies of items."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class _Reader:
+class _WaitingRead:
     """A read that waits for a result at its position until a time."""
 
     call: int
@@ -26,15 +26,15 @@
 
     def __init__(self, table: JobTable) -> None:
         self._table = table
-        self._readers: dict[str, list[_Reader]] = {}
+        self._waiting_reads: dict[str, list[_WaitingRead]] = {}
 
     @property
     def idle(self) -> bool:
         """Whether no read waits."""
-        return not self._readers
+        return not self._waiting_reads
 
     def read(self, now_s: float, call: int, message: ReadJob) -> None:
-        """A page of results; it may wait for the first."""
+        """Answer with a page of results; the call may wait for the first one."""
         job = self._find(call, message.host, message.job)
         if job is None:
             return
@@ -42,27 +42,27 @@
         if start < job.visible or job.all_visible or job.ended or message.wait_ms <= 0:
             self._answer(job, call, start)
         else:
-            reader = _Reader(call, start, now_s + message.wait_ms / 1000)
-            self._readers.setdefault(job.key, []).append(reader)
+            read = _WaitingRead(call, start, now_s + message.wait_ms / 1000)
+            self._waiting_reads.setdefault(job.key, []).append(read)
 
-    def item(self, call: int, message: ReadItem) -> None:
-        """An item's body as it was submitted."""
+    def read_item(self, call: int, message: ReadItem) -> None:
+        """Answer with an item's body as it was submitted."""
         job = self._find(call, message.host, message.job)
         if job is None:
             return
         found = next((spec for spec in self._table.specs(job) if spec.id == message.item), None)
         if found is None or job.end_committed:
-            self._table.out.append(RejectCall(call, NotFoundError(f"no item {message.item}")))
+            self._table.actions.append(RejectCall(call, NotFoundError(f"no item {message.item}")))
         else:
-            self._table.out.append(AnswerCall(call, ItemBody(found.decoded_body())))
+            self._table.actions.append(AnswerCall(call, ItemBody(found.decoded_body())))
 
     def _find(self, call: int, host: str, job_id: str) -> BatchJob | None:
-        """The batch job; where it is certain that there is none, the call is refused so."""
+        """Return the batch job; reject the call where there is none or it is not accepted yet."""
         job = self._table.jobs.get(job_key(host, job_id))
         if job is None:
-            self._table.out.append(RejectCall(call, NotFoundError(f"no lot {job_id}")))
+            self._table.actions.append(RejectCall(call, NotFoundError(f"no lot {job_id}")))
         elif not job.accepted:
-            self._table.out.append(RejectCall(call, NotReadyError(f"lot {job_id} is being taken")))
+            self._table.actions.append(RejectCall(call, NotReadyError(f"lot {job_id} is being taken")))
             return None
         return job
 
@@ -72,38 +72,40 @@
             for position in range(start, job.visible)
             if (owned := self._table.records.find(job.key, position)) is not None
         )
-        self._table.out.append(AnswerCall(call, build_page(len(job.items), start, values)))
-
-    def more(self, job: BatchJob) -> None:
-        """More results are shown, or the batch job has ended."""
-        readers = self._readers.pop(job.key, [])
-        left = []
-        for reader in readers:
-            if reader.start_after < job.visible or job.all_visible or job.ended:
-                self._answer(job, reader.call, reader.start_after)
+        self._table.actions.append(AnswerCall(call, build_page(len(job.items), start, values)))
+
+    def on_job_changed(self, job: BatchJob) -> None:
+        """Answer the reads that waited for more results or for the end."""
+        reads = self._waiting_reads.pop(job.key, [])
+        remaining = []
+        for read in reads:
+            if read.start_after < job.visible or job.all_visible or job.ended:
+                self._answer(job, read.call, read.start_after)
             else:
-                left.append(reader)
-        if left:
-            self._readers[job.key] = left
+                remaining.append(read)
+        if remaining:
+            self._waiting_reads[job.key] = remaining
 
     def tick(self, now_s: float) -> None:
-        """Reads that have waited long enough get what there is."""
-        for key in list(self._readers):
+        """Answer the reads whose wait is over with what there is."""
+        for key in list(self._waiting_reads):
             job = self._table.jobs.get(key)
-            left = []
-            for reader in self._readers.pop(key):
-                if now_s < reader.until_s and job is not None:
-                    left.append(reader)
+            remaining = []
+            for read in self._waiting_reads.pop(key):
+                if now_s < read.until_s and job is not None:
+                    remaining.append(read)
                 elif job is not None:
-                    self._answer(job, reader.call, reader.start_after)
+                    self._answer(job, read.call, read.start_after)
                 else:
-                    self._table.out.append(RejectCall(reader.call, NotReadyError("the lot is not held here")))
-            if left:
-                self._readers[key] = left
-
-    def lost(self) -> None:
-        """Another store owns the shard."""
-        for readers in self._readers.values():
-            for reader in readers:
-                self._table.out.append(RejectCall(reader.call, NotReadyError("the owner changed")))
-        self._readers.clear()
+                    self._table.actions.append(
+                        RejectCall(read.call, NotReadyError("the lot is not held here"))
+                    )
+            if remaining:
+                self._waiting_reads[key] = remaining
+
+    def on_ownership_lost(self) -> None:
+        """Reject all waiting reads: another store may own the shard."""
+        for reads in self._waiting_reads.values():
+            for read in reads:
+                self._table.actions.append(RejectCall(read.call, NotReadyError("the owner changed")))
+        self._waiting_reads.clear()
--- a/emberring/jobs/schedule.py
+++ b/emberring/jobs/schedule.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen(order=True)
-class Entry:
+class QueuedItem:
     """An item that waits. Times are seconds of the monotonic clock."""
 
     due_s: float
@@ -34,7 +34,7 @@
     def __len__(self) -> int:
         return len(self._on_time) + len(self._late)
 
-    def add(self, entry: Entry) -> None:
+    def add(self, entry: QueuedItem) -> None:
         """An item waits."""
         self._on_time.add(entry)
 
@@ -42,7 +42,7 @@
         """A run was completed in this time."""
         self.run_estimate_s += RUN_ESTIMATE_GAIN * (seconds - self.run_estimate_s)
 
-    def pop(self, now_s: float) -> Entry | None:
+    def pop(self, now_s: float) -> QueuedItem | None:
         """The item to run next, or None. Items that no longer wait are the caller's to pass over.
 
         Items that can't be done in time any more come after those that can. Where more came than can be done,
--- a/emberring/simulation/jobs/store.py
+++ b/emberring/simulation/jobs/store.py
@@ -279,11 +279,11 @@
             if isinstance(action, SendToReplica):
                 self._call(action.target, action.message, self._answered(action.ticket))
             elif isinstance(action, SlotCommitted):
-                self.perform_job_manager(self.job_manager.committed(now_s, action.key, action.slot))
+                self.perform_job_manager(self.job_manager.on_committed(now_s, action.key, action.slot))
             elif isinstance(action, OwnershipGained):
-                self.perform_job_manager(self.job_manager.adopt(now_s, action.jobs))
+                self.perform_job_manager(self.job_manager.on_ownership_gained(now_s, action.jobs))
             elif isinstance(action, OwnershipLost):
-                self.perform_job_manager(self.job_manager.lose())
+                self.perform_job_manager(self.job_manager.on_ownership_lost())
             elif isinstance(action, MigrationCompleted):
                 self.on_moved(self.name, self.shard, action.epoch)
 
@@ -307,7 +307,7 @@
             elif isinstance(action, ProposeValue):
                 if self.bugs.shows_early:
                     self.perform_job_manager(
-                        self.job_manager.committed(self.world.now_s, action.key, action.slot)
+                        self.job_manager.on_committed(self.world.now_s, action.key, action.slot)
                     )
                 self.perform(
                     self.owner.propose(
@@ -337,9 +337,13 @@
         if not self.owner.serving(now_s):
             reply(NotOwnerError())
         elif isinstance(question, LeaseItems):
-            reply(LeaseItemsReply(tuple(self.job_manager.take(now_s, question.gateway, question.capacity))))
+            reply(
+                LeaseItemsReply(
+                    tuple(self.job_manager.lease_items(now_s, question.gateway, question.capacity))
+                )
+            )
         elif isinstance(question, ReportRuns):
-            reply(self.job_manager.report(now_s, question))
+            reply(self.job_manager.report_runs(now_s, question))
         else:
             self._number += 1
             self._job_manager_calls[self._number] = self._checked(question, reply)
@@ -351,11 +355,11 @@
         if isinstance(question, ReadJob):
             return self.job_manager.read(now_s, call, question)
         if isinstance(question, ReadItem):
-            return self.job_manager.item(call, question)
+            return self.job_manager.read_item(call, question)
         if isinstance(question, EndJob):
             return self.job_manager.end(call, question)
         assert isinstance(question, FinishRun)
-        return self.job_manager.finish(now_s, call, question)
+        return self.job_manager.finish_run(now_s, call, question)
 
     def _checked(self, question: Any, reply: Done) -> Done:
         """After a wait, reads are answered by an owner only."""
--- a/emberring/store/dispatch.py
+++ b/emberring/store/dispatch.py
@@ -98,5 +98,7 @@
         items: list[Assignment] = []
         for shard, owner in self._shards.owners.items():
             if len(items) < capacity and owner.serving(now_s):
-                items += self._shards.job_managers[shard].take(now_s, poll.gateway, capacity - len(items))
+                items += self._shards.job_managers[shard].lease_items(
+                    now_s, poll.gateway, capacity - len(items)
+                )
         return items
--- a/emberring/store/gateway_calls.py
+++ b/emberring/store/gateway_calls.py
@@ -41,7 +41,7 @@
     async def item(self, message: ReadItem) -> Any:
         """An item's body is read."""
         shard = shard_of(message.host)
-        return await self._shards.ask(shard, lambda job_manager, call: job_manager.item(call, message))
+        return await self._shards.ask(shard, lambda job_manager, call: job_manager.read_item(call, message))
 
     async def end(self, message: EndJob) -> Any:
         """A batch job is ended."""
@@ -51,12 +51,12 @@
 
     async def report(self, message: ReportRuns) -> ReportRunsReply:
         """Runs go on."""
-        return self._shards.serving(message.shard).report(_now_s(), message)
+        return self._shards.serving(message.shard).report_runs(_now_s(), message)
 
     async def finish(self, message: FinishRun) -> Any:
         """A run has ended."""
         return await self._shards.ask(
-            message.shard, lambda job_manager, call: job_manager.finish(_now_s(), call, message)
+            message.shard, lambda job_manager, call: job_manager.finish_run(_now_s(), call, message)
         )
 
 
--- a/emberring/store/shards.py
+++ b/emberring/store/shards.py
@@ -128,16 +128,18 @@
                 self._send(shard, action)
             elif isinstance(action, SlotCommitted):
                 self._perform_job_manager(
-                    shard, self.job_managers[shard].committed(_now_s(), action.key, action.slot)
+                    shard, self.job_managers[shard].on_committed(_now_s(), action.key, action.slot)
                 )
             elif isinstance(action, OwnershipGained):
                 logger.info(
                     "event=owner shard=%d term=%s lots=%d", shard, self.owners[shard].term, len(action.jobs)
                 )
-                self._perform_job_manager(shard, self.job_managers[shard].adopt(_now_s(), action.jobs))
+                self._perform_job_manager(
+                    shard, self.job_managers[shard].on_ownership_gained(_now_s(), action.jobs)
+                )
             elif isinstance(action, OwnershipLost):
                 logger.info("event=owner_lost shard=%d", shard)
-                self._perform_job_manager(shard, self.job_managers[shard].lose())
+                self._perform_job_manager(shard, self.job_managers[shard].on_ownership_lost())
             elif isinstance(action, MigrationCompleted):
                 self._on_moved(shard, action.epoch)
 
--- a/tests/emberring/jobs/test_tier_job_manager.py
+++ b/tests/emberring/jobs/test_tier_job_manager.py
@@ -105,7 +105,7 @@
             owned = self.records.find(proposal.key, proposal.slot)
             assert owned is not None
             self.records.mark_committed(owned)
-            self.act(self.job_manager.committed(self.now_s, proposal.key, proposal.slot))
+            self.act(self.job_manager.on_committed(self.now_s, proposal.key, proposal.slot))
 
     def number(self) -> int:
         self.calls += 1
@@ -128,7 +128,7 @@
         return self.answers.get(call)
 
     def take(self, capacity: int = 100, gateway: str = "g") -> list[Assignment]:
-        return self.job_manager.take(self.now_s, gateway, capacity)
+        return self.job_manager.lease_items(self.now_s, gateway, capacity)
 
     def finish(
         self,
@@ -149,14 +149,14 @@
             start + len(found),
             pack_events(found),
         )
-        self.act(self.job_manager.finish(self.now_s, call, message))
+        self.act(self.job_manager.finish_run(self.now_s, call, message))
         return self.answers.get(call)
 
     def report(
         self, item: Assignment, start: int, found: tuple[EventData, ...], gateway: str = "g"
     ) -> tuple[bool, int]:
         run = RunProgress(item.key, item.index, item.ticket, start, pack_events(found))
-        (answer,) = self.job_manager.report(self.now_s, ReportRuns(gateway, 0, (run,))).runs
+        (answer,) = self.job_manager.report_runs(self.now_s, ReportRuns(gateway, 0, (run,))).runs
         return answer.lease_renewed, answer.events_received
 
     def pass_time(self, seconds: float) -> None:
@@ -170,7 +170,7 @@
                 if not owned.committed:
                     self.records.erase(key, slot)
         other = Desk(self.records, self.now_s, calls=1000)
-        other.act(other.job_manager.adopt(self.now_s, self.records.jobs))
+        other.act(other.job_manager.on_ownership_gained(self.now_s, self.records.jobs))
         return other
 
 
@@ -330,14 +330,14 @@
     desk.submit("l", body(1))
     for name, found in (("i0", ItemBody(b"\xab\xcd")), ("other", None)):
         call = desk.number()
-        desk.act(desk.job_manager.item(call, ReadItem(HOST, "l", name)))
+        desk.act(desk.job_manager.read_item(call, ReadItem(HOST, "l", name)))
         if found is None:
             assert isinstance(desk.answers[call], NotFoundError)
         else:
             assert desk.answers[call] == found
     desk.end("l")
     call = desk.number()
-    desk.act(desk.job_manager.item(call, ReadItem(HOST, "l", "i0")))
+    desk.act(desk.job_manager.read_item(call, ReadItem(HOST, "l", "i0")))
     assert isinstance(desk.answers[call], NotFoundError)
 
 
@@ -522,7 +522,7 @@
     first, second = desk.take()
     desk.report(first, 0, events("a"))
     desk.finish(second, OutcomeKind.FAILED_500)
-    desk.act(desk.job_manager.adopt(desk.now_s, desk.records.jobs))
+    desk.act(desk.job_manager.on_ownership_gained(desk.now_s, desk.records.jobs))
     assert desk.report(first, 1, (EventData(1, "b"),)) == (True, 2)
     desk.pass_time(TAKEOVER_GRACE_S + 0.01)
     (again,) = desk.take()
@@ -539,7 +539,7 @@
     desk.read("l", 0, 1000)
     desk.finish(item, found=events("x"))
     desk.end("l")
-    desk.act(desk.job_manager.lose())
+    desk.act(desk.job_manager.on_ownership_lost())
     assert isinstance(desk.answers[2], UnknownOutcomeError)
     assert isinstance(desk.answers[3], NotReadyError)
     assert desk.answers[4] == FinishRunReply(False)
@@ -567,7 +567,7 @@
     assert bool(desk.forgotten) is forgotten
     if forgotten:
         desk.records.put("lots.example/l", TOMBSTONE, b"", 0.0)
-        desk.act(desk.job_manager.committed(desk.now_s, "lots.example/l", TOMBSTONE))
+        desk.act(desk.job_manager.on_committed(desk.now_s, "lots.example/l", TOMBSTONE))
         assert isinstance(desk.read("l"), NotFoundError)
 
 
@@ -583,5 +583,5 @@
     desk.records.put("lots.example/l", END, b"", 0.0)
     desk.records.put("lots.example/m", DEFINITION, b"", 0.0)
     desk.records.put("lots.example/m", TOMBSTONE, b"", 0.0)
-    desk.act(desk.job_manager.adopt(0.0, desk.records.jobs))
+    desk.act(desk.job_manager.on_ownership_gained(0.0, desk.records.jobs))
     assert desk.job_manager.jobs == {}
--- a/tests/emberring/jobs/test_tier_schedule.py
+++ b/tests/emberring/jobs/test_tier_schedule.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from emberring.jobs.schedule import MAX_RUN_ESTIMATE_S, MIN_RUN_ESTIMATE_S, Entry, Schedule
+from emberring.jobs.schedule import MAX_RUN_ESTIMATE_S, MIN_RUN_ESTIMATE_S, QueuedItem, Schedule
 
 
-def entry(name: str, due_s: float, expires_s: float = 100.0) -> Entry:
-    return Entry(due_s, expires_s, name, 0)
+def entry(name: str, due_s: float, expires_s: float = 100.0) -> QueuedItem:
+    return QueuedItem(due_s, expires_s, name, 0)
 
 
 def order(schedule: Schedule, now_s: float) -> list[str]:
@@ -45,7 +45,7 @@
         (2.0, [entry("late", 0.5, 2.0), entry("a", 8.0)], ["late", "a"]),  # about to be expired: before all
     ],
 )
-def test_order(run_estimate_s: float, entries: list[Entry], wanted: list[str]) -> None:
+def test_order(run_estimate_s: float, entries: list[QueuedItem], wanted: list[str]) -> None:
     schedule = learnt(run_estimate_s)
     for one in entries:
         schedule.add(one)
--- a/tests/emberring/store/test_tier_store_dispatch.py
+++ b/tests/emberring/store/test_tier_store_dispatch.py
@@ -34,7 +34,7 @@
     def waiting(self) -> int:
         return len(self.items)
 
-    def take(self, now_s: float, gateway: str, capacity: int) -> list[Any]:
+    def lease_items(self, now_s: float, gateway: str, capacity: int) -> list[Any]:
         return [self.items.popleft() for _ in range(min(capacity, len(self.items)))]
 
 
