--- a/emberring/jobs/execution.py
+++ b/emberring/jobs/execution.py
@@ -1,4 +1,4 @@
-"""How items run: leased to gateways, their events kept as they come, their ends turned into results."""
+"""Execution of items: leases to gateways, events of runs, results of runs."""
 
 from __future__ import annotations
 
@@ -9,67 +9,67 @@
     Assignment,
     EventData,
     FinishRun,
-    ReportAnswer,
+    FinishRunReply,
     ReportRuns,
-    RunAnswer,
-    RunFinished,
+    ReportRunsReply,
     RunProgress,
+    RunRenewal,
 )
 from emberring.jobs.items import OutcomeKind
-from emberring.jobs.job_table import Answer, JobTable
+from emberring.jobs.job_table import AnswerCall, JobTable
 from emberring.jobs.packing import pack_events, unpack_events
 from emberring.jobs.results import ResultState
 
 RUN_LEASE_S = 2.0  # the owner's side of a gateway's lease of 1.5 s, which counts from the gateway's sending
-ANNOUNCE_S = 0.7  # a new owner waits so long for gateways that run items already
-RETENTION_SLACK_S = 0.3
+TAKEOVER_GRACE_S = 0.7  # a new owner waits so long for reports of gateways that run items already
+RETENTION_GRACE_S = 0.3
 TICKET_BITS = 52
 
 
 class JobExecution:
     """Runs of one shard's items."""
 
-    def __init__(self, shelf: JobTable, seed: int) -> None:
-        self._shelf = shelf
+    def __init__(self, table: JobTable, seed: int) -> None:
+        self._table = table
         self._random = random.Random(seed)
-        self._held: list[tuple[float, str, int]] = []  # until when, the lot's key, the item's index
-        self._finishers: dict[tuple[str, int], list[int]] = {}
+        self._takeover_waits: list[tuple[float, str, int]] = []  # until when, key, index of the item
+        self._waiting_finishes: dict[tuple[str, int], list[int]] = {}
         self._running: dict[tuple[str, int], None] = {}
 
-    # Giving out.
+    # Leases.
 
     @property
     def waiting(self) -> int:
-        """How many items wait, at most."""
-        return len(self._shelf.schedule)
+        """An upper bound of the number of items that wait."""
+        return len(self._table.schedule)
 
     @property
     def idle(self) -> bool:
-        """Whether nothing runs and nothing is held back."""
-        return not (self._running or self._held)
+        """Whether nothing runs and no item waits for its former gateway."""
+        return not (self._running or self._takeover_waits)
 
-    def adopt(self, now_s: float, job: BatchJob, index: int, known: Item | None) -> None:
-        """An item without a result is adopted. A run known here goes on; otherwise wait for word of one."""
+    def load(self, now_s: float, job: BatchJob, index: int, known: Item | None) -> None:
+        """Load an item without a result. A run known here goes on; otherwise wait for a gateway's report of one."""
         item = job.items[index]
         if known is not None:
             item.events, item.failures = known.events, known.failures
         if known is not None and known.run is not None:
             self._begin(now_s, job, index, known.run.ticket, known.run.gateway)
         else:
-            self._held.append((now_s + ANNOUNCE_S, job.key, index))
+            self._takeover_waits.append((now_s + TAKEOVER_GRACE_S, job.key, index))
 
-    def take(self, now_s: float, gateway: str, room: int, shard: int) -> list[Assignment]:
-        """Up to `room` items for a gateway, each under a new ticket."""
+    def lease_items(self, now_s: float, gateway: str, capacity: int, shard: int) -> list[Assignment]:
+        """Lease up to `capacity` items to a gateway, each under a new ticket."""
         taken: list[Assignment] = []
-        while len(taken) < room and (entry := self._shelf.schedule.pop(now_s)) is not None:
-            job = self._shelf.jobs.get(entry.key)
+        while len(taken) < capacity and (entry := self._table.schedule.pop(now_s)) is not None:
+            job = self._table.jobs.get(entry.key)
             if job is None or job.ended or job.items[entry.index].status is not ItemStatus.WAITING:
                 continue
             taken.append(self._assign(now_s, gateway, shard, job, entry.index))
         return taken
 
     def _assign(self, now_s: float, gateway: str, shard: int, job: BatchJob, index: int) -> Assignment:
-        item, spec = job.items[index], self._shelf.specs(job)[index]
+        item, spec = job.items[index], self._table.specs(job)[index]
         ticket = self._random.getrandbits(TICKET_BITS)
         self._begin(now_s, job, index, ticket, gateway)
         return Assignment(
@@ -98,38 +98,38 @@
         item = job.items[index]
         item.status, item.run = ItemStatus.WAITING, None
         self._running.pop((job.key, index), None)
-        self._shelf.queue(job, index)
+        self._table.queue(job, index)
 
-    # What gateways tell.
+    # Reports of gateways.
 
-    def report(self, now_s: float, message: ReportRuns) -> ReportAnswer:
-        """Runs go on: their leases are renewed, their events kept. A run that is not an item's newest must stop."""
+    def report_runs(self, now_s: float, message: ReportRuns) -> ReportRunsReply:
+        """Renew the leases of runs and store their events. A run that is not an item's newest must stop."""
         answers = [self._report(now_s, message.gateway, run) for run in message.runs]
-        return ReportAnswer(tuple(answers))
+        return ReportRunsReply(tuple(answers))
 
-    def _report(self, now_s: float, gateway: str, run: RunProgress) -> RunAnswer:
-        job = self._shelf.jobs.get(run.key)
+    def _report(self, now_s: float, gateway: str, run: RunProgress) -> RunRenewal:
+        job = self._table.jobs.get(run.key)
         if job is None or job.ended or run.index >= len(job.items):
-            return RunAnswer(run.ticket, False, 0)
+            return RunRenewal(run.ticket, False, 0)
         item = job.items[run.index]
         if item.status is ItemStatus.WAITING:  # known to its gateway alone: it goes on under its ticket
             self._begin(now_s, job, run.index, run.ticket, gateway)
             item.events = ()
         if item.run is None or item.run.ticket != run.ticket:
-            return RunAnswer(run.ticket, False, 0)
+            return RunRenewal(run.ticket, False, 0)
         item.run.expires_s = now_s + RUN_LEASE_S
         if run.start <= len(item.events):
             item.events = item.events[: run.start] + unpack_events(run.events)
-        return RunAnswer(run.ticket, True, len(item.events))
+        return RunRenewal(run.ticket, True, len(item.events))
 
-    def finish(self, now_s: float, call: int, message: FinishRun) -> None:
-        """A run has ended. Its gateway is answered once nothing can be lost any more."""
-        job = self._shelf.jobs.get(message.key)
+    def finish_run(self, now_s: float, call: int, message: FinishRun) -> None:
+        """Handle the end of a run. Its gateway is answered once nothing can be lost any more."""
+        job = self._table.jobs.get(message.key)
         item = job.items[message.index] if job and message.index < len(job.items) else None
         if job is None or item is None or (job.ended and not item.done) or item.status is ItemStatus.LISTED:
-            self._shelf.out.append(Answer(call, RunFinished(True)))
-        elif item.status is ItemStatus.PLACED:
-            self._finishers.setdefault((job.key, message.index), []).append(call)
+            self._table.actions.append(AnswerCall(call, FinishRunReply(True)))
+        elif item.status is ItemStatus.RESULT_PENDING:
+            self._waiting_finishes.setdefault((job.key, message.index), []).append(call)
         else:
             self._finish(now_s, call, message, job, item)
 
@@ -139,22 +139,29 @@
         events = self._events_of(message, item, current)
         if kind is OutcomeKind.COMPLETED:
             if events is None or len(events) != message.total:
-                self._shelf.out.append(Answer(call, RunFinished(False)))
+                self._table.actions.append(AnswerCall(call, FinishRunReply(False)))
                 return
-            self._finishers.setdefault((job.key, message.index), []).append(call)
+            self._waiting_finishes.setdefault((job.key, message.index), []).append(call)
             if item.run is not None and current:
-                self._shelf.schedule.note_run(now_s - item.run.began_s)
-            self._place(job, message.index, ResultState.COMPLETED, "\n".join(event.data for event in events))
-            return
-        if kind is OutcomeKind.IMPOSSIBLE_422:
-            self._finishers.setdefault((job.key, message.index), []).append(call)
-            self._place(job, message.index, ResultState.DEAD_LETTER, "")
-            return
-        self._shelf.out.append(Answer(call, RunFinished(True)))
-        if kind is OutcomeKind.FAILED_500:
+                self._table.schedule.record_run(now_s - item.run.started_s)
+            text = "\n".join(event.data for event in events)
+            self._assign_position(job, message.index, ResultState.COMPLETED, text)
+        elif kind is OutcomeKind.IMPOSSIBLE_422:
+            self._waiting_finishes.setdefault((job.key, message.index), []).append(call)
+            self._assign_position(job, message.index, ResultState.DEAD_LETTER, "")
+        else:
+            self._table.actions.append(AnswerCall(call, FinishRunReply(True)))
+            self._on_unsuccessful_run(message, job, item, events)
+
+    def _on_unsuccessful_run(
+        self, message: FinishRun, job: BatchJob, item: Item, events: tuple[EventData, ...] | None
+    ) -> None:
+        """Let the item wait again, or make it a dead letter after too many responses with status 500."""
+        current = item.run is not None and item.run.ticket == message.ticket
+        if message.kind == OutcomeKind.FAILED_500.value:
             item.failures |= {message.ticket}
-            if len(item.failures) >= self._shelf.max_attempts(job):
-                self._place(job, message.index, ResultState.DEAD_LETTER, "")
+            if len(item.failures) >= self._table.max_attempts(job):
+                self._assign_position(job, message.index, ResultState.DEAD_LETTER, "")
                 return
         if current or item.status is ItemStatus.WAITING:
             if events is not None and len(events) >= len(item.events):
@@ -163,52 +170,52 @@
                 self._requeue(job, message.index)
 
     def _events_of(self, message: FinishRun, item: Item, current: bool) -> tuple[EventData, ...] | None:
-        """All events of the run; None where its gateway must tell them again."""
+        """Return all events of the run; None where its gateway must send them again."""
         if message.start == 0:
             return unpack_events(message.events)
         if current and message.start <= len(item.events):
             return item.events[: message.start] + unpack_events(message.events)
         return None
 
-    def _place(self, job: BatchJob, index: int, state: ResultState, text: str) -> None:
+    def _assign_position(self, job: BatchJob, index: int, state: ResultState, text: str) -> None:
         self._running.pop((job.key, index), None)
-        self._shelf.place(job, index, state, text)
+        self._table.assign_position(job, index, state, text)
 
-    def listed(self, job: BatchJob, index: int) -> None:
-        """An item's result lasts."""
-        for call in self._finishers.pop((job.key, index), ()):
-            self._shelf.out.append(Answer(call, RunFinished(True)))
+    def on_result_committed(self, job: BatchJob, index: int) -> None:
+        """Answer the gateways that wait for an item's result to be durable."""
+        for call in self._waiting_finishes.pop((job.key, index), ()):
+            self._table.actions.append(AnswerCall(call, FinishRunReply(True)))
 
     # Time.
 
     def tick(self, now_s: float) -> None:
-        """Runs whose gateway fell silent are given out again, and so are items that nobody announced."""
+        """Queue items again whose gateway reported in time neither a run before nor after a change of owner."""
         for key, index in list(self._running):
-            job = self._shelf.jobs.get(key)
+            job = self._table.jobs.get(key)
             run = job.items[index].run if job else None
             if job is None or run is None:
                 self._running.pop((key, index), None)
             elif run.expires_s <= now_s:
                 self._requeue(job, index)
-        while self._held and self._held[0][0] <= now_s:
-            _, key, index = self._held.pop(0)
-            job = self._shelf.jobs.get(key)
+        while self._takeover_waits and self._takeover_waits[0][0] <= now_s:
+            _, key, index = self._takeover_waits.pop(0)
+            job = self._table.jobs.get(key)
             if job is not None and job.items[index].status is ItemStatus.WAITING:
-                self._shelf.queue(job, index)
+                self._table.queue(job, index)
 
-    def give_up(self, now_s: float, job: BatchJob) -> None:
-        """Items of a lot past its retention, or without a route, become dead letters."""
-        too_old = now_s - job.accepted_s > self._shelf.retention_s(job) + RETENTION_SLACK_S
-        if job.ended or not job.accepted or not (too_old or self._shelf.route_gone(job)):
+    def expire_items(self, now_s: float, job: BatchJob) -> None:
+        """Turn unfinished items into dead letters where the batch job is past its retention or has no route."""
+        too_old = now_s - job.accepted_s > self._table.retention_s(job) + RETENTION_GRACE_S
+        if job.ended or not job.accepted or not (too_old or self._table.route_gone(job)):
             return
         for index, item in enumerate(job.items):
             if not item.done:
-                self._place(job, index, ResultState.DEAD_LETTER, "")
+                self._assign_position(job, index, ResultState.DEAD_LETTER, "")
 
-    def lost(self) -> None:
-        """Another store owns the shard; gateways tell it what they have."""
-        for calls in self._finishers.values():
-            self._shelf.out.extend(Answer(call, RunFinished(False)) for call in calls)
-        self._finishers.clear()
+    def on_ownership_lost(self) -> None:
+        """Drop all runs: another store may own the shard, and gateways report their runs to it."""
+        for calls in self._waiting_finishes.values():
+            self._table.actions.extend(AnswerCall(call, FinishRunReply(False)) for call in calls)
+        self._waiting_finishes.clear()
         self._running.clear()
-        self._held.clear()
+        self._takeover_waits.clear()
