--- a/emberring/simulation/control_plane/network.py
+++ b/emberring/simulation/control_plane/network.py
@@ -8,7 +8,7 @@
 from emberring.errors import PeerTimeoutError, PeerUnavailableError
 from emberring.simulation.control_plane.process import Process
 from emberring.simulation.control_plane.world import ControlWorld
-from emberring.transport.network import Caller, Network, Reply, expected
+from emberring.transport.network import Caller, Network, Reply, check_reply
 
 FOREVER_S = 1e6
 
@@ -33,7 +33,7 @@
                 answer = await self._exchange(address, body)
         except TimeoutError:
             raise PeerTimeoutError(f"no reply from {address}") from None
-        return expected(reply, answer, address)
+        return check_reply(reply, answer, address)
 
     async def tell(self, address: str, body: Any) -> None:
         """Hints go by the register's own host."""
--- a/emberring/simulation/scale/metered_network.py
+++ b/emberring/simulation/scale/metered_network.py
@@ -16,7 +16,7 @@
 from emberring.errors import PeerTimeoutError, PeerUnavailableError
 from emberring.simulation.common.task_owner import TaskOwner
 from emberring.transport.messages import Envelope, decode, encode
-from emberring.transport.network import Caller, Network, Reply, expected
+from emberring.transport.network import Caller, Network, Reply, check_reply
 
 DELAY_S = 0.0005  # one way
 
@@ -88,7 +88,7 @@
         except TimeoutError:
             raise PeerTimeoutError(f"no reply from {address}") from None
         self.meter.received_bytes += len(answer_line)
-        return expected(reply, decode(answer_line).body, address)
+        return check_reply(reply, decode(answer_line).body, address)
 
     async def _pass_to(self, peer: HollowNetwork, timeout_s: float) -> None:
         """The way of a line; between two sides of a cut it outlasts the call."""
--- a/emberring/transport/messages.py
+++ b/emberring/transport/messages.py
@@ -1,7 +1,7 @@
 """Typed messages between nodes and their JSON form: one line each, `{"i": id, "k": kind, "b": body}`.
 
-A message is a frozen `attrs` class under the `message` decorator. Bytes travel as a text where they are
-one, otherwise as base64, packed where that is shorter.
+A message is a frozen `attrs` class under the `message` decorator. Bytes are encoded as text where they are valid
+UTF-8, and otherwise as base64, compressed first where that is shorter.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import base64
 import zlib
 from collections.abc import Callable, Mapping
-from typing import Any, TypeVar
+from typing import TypeVar
 
 import attrs
 import orjson
@@ -18,29 +18,33 @@
 
 from emberring.errors import ProtocolViolationError
 
-MAX_LINE_BYTES = 24 * 1024 * 1024
-DEFLATE_FROM_BYTES = 512
-DEFLATE_LEVEL = 1
+MAX_LINE_BYTES = 24 * 1024 * 1024  # a longer line ends its connection
+MIN_DEFLATE_BYTES = 512  # shorter bytes are not compressed
+DEFLATE_LEVEL = 1  # the fastest
+MAX_ERROR_DETAIL_CHARS = 200
 
 T = TypeVar("T")
 
-_KIND_OF: dict[type[Any], str] = {}
-_CLASS_OF: dict[str, type[Any]] = {}
-
+_KIND_OF: dict[type[object], str] = {}
+_CLASS_OF: dict[str, type[object]] = {}
 
+# The first character of encoded bytes says how the rest is encoded.
 _TEXT = "t"
 _BASE64 = "b"
-_DEFLATED = "z"
+_DEFLATED = "z"  # and then as base64
 
 
 def _bytes_to_json(value: bytes) -> str:
-    """Bytes that are a text travel as one: base64 would make them a third larger, and much of what nodes tell one
-    another are documents that hold base64 already. Long ones that are none, such as packed records, are deflated."""
+    """Bytes as a JSON string.
+
+    UTF-8 text stays text: base64 would make it a third larger, and much of what nodes send are documents that hold
+    base64 already. Other long bytes, such as packed records, are compressed.
+    """
     try:
         return _TEXT + value.decode("utf-8")
     except UnicodeDecodeError:
         pass
-    if len(value) >= DEFLATE_FROM_BYTES:
+    if len(value) >= MIN_DEFLATE_BYTES:
         packed = zlib.compress(value, DEFLATE_LEVEL)
         if len(packed) < len(value):
             return _DEFLATED + base64.b64encode(packed).decode("ascii")
@@ -74,10 +78,10 @@
 
 
 def wire_record(wire_keys: Mapping[str, str]) -> Callable[[type[T]], type[T]]:
-    """Pin the JSON keys of an `attrs` class that travels inside messages or records.
+    """Pin the JSON keys of an `attrs` class that is part of messages or of records on disk.
 
-    `wire_keys` maps the names of fields to the keys that nodes of every version read and write for them. Fields that
-    are not named travel under their own names. `ValueError` where a name is no field of the class.
+    `wire_keys` maps the names of fields to the keys that nodes of every version read and write for them. The key of
+    any other field is its name. `ValueError` where a name is no field of the class.
     """
 
     def register(cls: type[T]) -> type[T]:
@@ -103,12 +107,13 @@
 def message(kind: str, wire_keys: Mapping[str, str] | None = None) -> Callable[[type[T]], type[T]]:
     """Register a frozen `attrs` class as the message of this kind, e.g. `register.prepare`.
 
-    `wire_keys` pins the JSON keys of fields as `wire_record` does.
+    `wire_keys` pins the JSON keys of fields as `wire_record` does. `ValueError` where another class has this kind,
+    `TypeError` where the class is not one of `attrs`.
     """
 
     def register(cls: type[T]) -> type[T]:
         if _CLASS_OF.get(kind, cls) is not cls:
-            raise ValueError(f"message kind {kind!r} stands twice")
+            raise ValueError(f"message kind {kind!r} is registered twice")
         if not hasattr(cls, "__attrs_attrs__"):
             raise TypeError(f"{cls.__name__} is not an attrs class")
         _KIND_OF[cls] = kind
@@ -118,21 +123,21 @@
     return register
 
 
-def kind_of(cls: type[Any]) -> str:
-    """The kind under which this class travels."""
+def kind_of(cls: type[object]) -> str:
+    """The message kind of this class; `KeyError` where it is no message class."""
     return _KIND_OF[cls]
 
 
 @message("transport.ok")
 @attrs.frozen
 class Ok:
-    """A reply that carries nothing."""
+    """A reply without content."""
 
 
 @message("transport.error")
 @attrs.frozen
 class Failure:
-    """A reply that says that the call failed; `kind` is the value of an `ErrorKind`."""
+    """A reply that reports an error; `kind` is the value of an `ErrorKind`."""
 
     kind: str
     detail: str = ""
@@ -140,30 +145,32 @@
 
 @attrs.frozen
 class Envelope:
-    """One line: a call has a positive id, its reply the same id negated; id 0 wants no reply."""
+    """One line: a call has a positive id, its reply the same id negated, and a message without reply the id 0."""
 
     id: int
-    body: Any
+    body: object
 
 
 def encode(envelope: Envelope) -> bytes:
     """The line of a message, with its line feed."""
     cls = type(envelope.body)
-    body = converter.unstructure(envelope.body, cls)
-    return (
-        orjson.dumps({"i": envelope.id, "k": _KIND_OF[cls], "b": body}, option=orjson.OPT_NON_STR_KEYS)
-        + b"\n"
-    )
+    content = {
+        "i": envelope.id,
+        "k": _KIND_OF[cls],
+        "b": converter.unstructure(envelope.body, cls),
+    }
+    return orjson.dumps(content, option=orjson.OPT_NON_STR_KEYS) + b"\n"
 
 
 def decode(line: bytes) -> Envelope:
     """The message of a line; `ProtocolViolationError` where it is none."""
     try:
-        parts = orjson.loads(line)
-        body = converter.structure(parts["b"], _CLASS_OF[parts["k"]])
-        number = parts["i"]
-        if type(number) is not int:
+        content = orjson.loads(line)
+        body = converter.structure(content["b"], _CLASS_OF[content["k"]])
+        message_id = content["i"]
+        if type(message_id) is not int:
             raise TypeError("id")
-        return Envelope(number, body)
-    except Exception as error:
-        raise ProtocolViolationError(f"{type(error).__name__}: {error}"[:200]) from error
+        return Envelope(message_id, body)
+    except Exception as error:  # any bytes may come, and the JSON and class readers raise many types
+        detail = f"{type(error).__name__}: {error}"[:MAX_ERROR_DETAIL_CHARS]
+        raise ProtocolViolationError(detail) from error
--- a/tests/emberring/transport/test_tier_messages.py
+++ b/tests/emberring/transport/test_tier_messages.py
@@ -121,8 +121,8 @@
     assert decode(line) == Envelope(1, Ok())
 
 
-def test_a_kind_cannot_stand_twice_nor_for_a_plain_class():
-    with pytest.raises(ValueError, match="stands twice"):
+def test_a_kind_cannot_be_registered_twice_nor_for_a_plain_class():
+    with pytest.raises(ValueError, match="registered twice"):
 
         @message("transport.ok")
         @attrs.frozen
--- a/tests/emberring/transport/test_tier_network.py
+++ b/tests/emberring/transport/test_tier_network.py
@@ -17,7 +17,7 @@
     PeerUnavailableError,
     ProtocolViolationError,
 )
-from emberring.transport import network as network_module
+from emberring.transport import client_connection, connection
 from emberring.transport.messages import Envelope, encode, message
 from emberring.transport.network import Caller, Network
 
@@ -157,7 +157,7 @@
     play(test)
 
 
-def test_a_hint_is_heard_and_its_failure_ignored():
+def test_a_message_without_reply_arrives_and_its_failure_is_ignored():
     async def test() -> None:
         async with Pair() as pair:
             heard: list[str] = []
@@ -219,7 +219,7 @@
 
 
 @pytest.mark.parametrize("answer", [say_nothing, hang_up_after_reading, half_a_reply, nonsense, another_id])
-def test_without_a_reply_the_call_is_in_doubt(answer):
+def test_without_a_reply_the_outcome_is_unknown(answer):
     async def test() -> None:
         async with RawPeer(answer) as peer:
             with pytest.raises(PeerTimeoutError):
@@ -228,10 +228,10 @@
     play(test)
 
 
-def test_a_connection_that_stays_silent_is_made_anew():
+def test_a_connection_whose_calls_time_out_is_replaced():
     async def test() -> None:
         async with RawPeer(say_nothing) as peer:
-            for _ in range(network_module.SILENT_LIMIT + 1):
+            for _ in range(client_connection.MAX_CONSECUTIVE_TIMEOUTS + 1):
                 with pytest.raises(PeerTimeoutError):
                     await peer.say(SHORT_S)
             assert peer.connections == 2
@@ -239,7 +239,7 @@
     play(test)
 
 
-def test_a_peer_that_comes_back_is_reached_again():
+def test_a_restarted_peer_is_reached_again():
     async def test() -> None:
         async with Pair() as pair:
             assert await pair.say("before") == "before"
@@ -257,7 +257,7 @@
 
 
 def test_a_peer_that_does_not_read_gets_no_more_calls(monkeypatch):
-    monkeypatch.setattr(network_module, "MAX_UNSENT_BYTES", 1000)
+    monkeypatch.setattr(client_connection, "MAX_UNSENT_BYTES", 1000)
 
     async def never_read(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -304,8 +304,8 @@
     play(test)
 
 
-def test_a_line_without_end_is_given_up(monkeypatch):
-    monkeypatch.setattr(network_module, "MAX_LINE_BYTES", 10_000)
+def test_a_line_over_the_limit_ends_its_connection(monkeypatch):
+    monkeypatch.setattr(connection, "MAX_LINE_BYTES", 10_000)
 
     async def test() -> None:
         async with Pair() as pair:
