--- a/emberring/control/app.py
+++ b/emberring/control/app.py
@@ -116,7 +116,7 @@
 
 
 def _failed(error: EmberringError) -> Reply:
-    return Reply(error.answer.status, orjson.dumps({"Error": error.kind.value, "Detail": error.detail}))
+    return Reply(error.response.status, orjson.dumps({"Error": error.kind.value, "Detail": error.detail}))
 
 
 async def _read(scope: Any, receive: Receive) -> Call:
--- a/emberring/errors.py
+++ b/emberring/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds, the exceptions that carry them, and the table from kind to HTTP answer."""
+"""The closed list of error kinds, the exception of each kind, and the table from kind to HTTP response."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ErrorKind(Enum):
-    """Every way in which a part of the tier may fail; the value is what stands on the wire between nodes."""
+    """Every way in which a part of the tier may fail; the value is the kind's name in messages between nodes."""
 
     BAD_SETTINGS = "bad_settings"
     BAD_REQUEST = "bad_request"
@@ -36,42 +36,42 @@
 
 
 @attrs.frozen
-class Answer:
-    """The HTTP status for an error kind, and whether that status promises that nothing has run or will run."""
+class ErrorResponse:
+    """The HTTP status for an error kind, and whether it promises that the request was not and will not be executed."""
 
     status: int
     promises_not_executed: bool
 
 
-ANSWERS: dict[ErrorKind, Answer] = {
-    ErrorKind.BAD_SETTINGS: Answer(500, False),
-    ErrorKind.BAD_REQUEST: Answer(400, False),
-    ErrorKind.INVALID_CONFIGURATION: Answer(400, False),
-    ErrorKind.VERSION_CONFLICT: Answer(412, False),
-    ErrorKind.NO_ROUTE: Answer(404, False),
-    ErrorKind.NOT_FOUND: Answer(404, False),
-    ErrorKind.CONFLICT: Answer(409, False),
-    ErrorKind.TOO_LARGE: Answer(413, False),
-    ErrorKind.QUOTA_EXCEEDED: Answer(429, True),
-    ErrorKind.OVERLOADED: Answer(503, True),
-    ErrorKind.NOT_READY: Answer(503, True),
-    ErrorKind.IN_DOUBT: Answer(504, False),
-    ErrorKind.UPSTREAM_FAILED: Answer(502, False),
-    ErrorKind.UPSTREAM_TIMEOUT: Answer(504, False),
-    ErrorKind.PEER_UNAVAILABLE: Answer(503, True),
-    ErrorKind.PEER_TIMEOUT: Answer(504, False),
-    ErrorKind.PROTOCOL_VIOLATION: Answer(502, False),
-    ErrorKind.NO_QUORUM: Answer(504, False),
-    ErrorKind.FENCED: Answer(504, False),
-    ErrorKind.NOT_OWNER: Answer(503, True),
-    ErrorKind.DISK_FAILED: Answer(504, False),
-    ErrorKind.CORRUPT_RECORD: Answer(500, False),
-    ErrorKind.INTERNAL: Answer(500, False),
+ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.BAD_SETTINGS: ErrorResponse(500, False),
+    ErrorKind.BAD_REQUEST: ErrorResponse(400, False),
+    ErrorKind.INVALID_CONFIGURATION: ErrorResponse(400, False),
+    ErrorKind.VERSION_CONFLICT: ErrorResponse(412, False),
+    ErrorKind.NO_ROUTE: ErrorResponse(404, False),
+    ErrorKind.NOT_FOUND: ErrorResponse(404, False),
+    ErrorKind.CONFLICT: ErrorResponse(409, False),
+    ErrorKind.TOO_LARGE: ErrorResponse(413, False),
+    ErrorKind.QUOTA_EXCEEDED: ErrorResponse(429, True),
+    ErrorKind.OVERLOADED: ErrorResponse(503, True),
+    ErrorKind.NOT_READY: ErrorResponse(503, True),
+    ErrorKind.IN_DOUBT: ErrorResponse(504, False),
+    ErrorKind.UPSTREAM_FAILED: ErrorResponse(502, False),
+    ErrorKind.UPSTREAM_TIMEOUT: ErrorResponse(504, False),
+    ErrorKind.PEER_UNAVAILABLE: ErrorResponse(503, True),
+    ErrorKind.PEER_TIMEOUT: ErrorResponse(504, False),
+    ErrorKind.PROTOCOL_VIOLATION: ErrorResponse(502, False),
+    ErrorKind.NO_QUORUM: ErrorResponse(504, False),
+    ErrorKind.FENCED: ErrorResponse(504, False),
+    ErrorKind.NOT_OWNER: ErrorResponse(503, True),
+    ErrorKind.DISK_FAILED: ErrorResponse(504, False),
+    ErrorKind.CORRUPT_RECORD: ErrorResponse(500, False),
+    ErrorKind.INTERNAL: ErrorResponse(500, False),
 }
 
 
 class EmberringError(Exception):
-    """The root of the exception tree; `kind` decides the answer, `detail` is one line for a person."""
+    """The root of the exception tree; `kind` decides the response, `detail` is one line for a person."""
 
     kind = ErrorKind.INTERNAL
 
@@ -80,13 +80,13 @@
         self.detail = detail
 
     @property
-    def answer(self) -> Answer:
-        """The HTTP answer for this error."""
-        return ANSWERS[self.kind]
+    def response(self) -> ErrorResponse:
+        """The HTTP response for this error."""
+        return ERROR_RESPONSES[self.kind]
 
 
 class SettingsError(EmberringError):
-    """The settings file cannot be used; `detail` names the file and every mistake."""
+    """The settings file cannot be used; `detail` names the file and every error in it."""
 
     kind = ErrorKind.BAD_SETTINGS
 
@@ -98,7 +98,7 @@
 
 
 class InvalidConfigurationError(EmberringError):
-    """An operator's configuration is invalid; `mistakes` has all of them."""
+    """An operator's configuration is invalid; `mistakes` has a line for each error in it."""
 
     kind = ErrorKind.INVALID_CONFIGURATION
 
@@ -108,31 +108,31 @@
 
 
 class VersionConflictError(EmberringError):
-    """Another version of the configuration is current."""
+    """A change builds on a version of the configuration that is not the current one."""
 
     kind = ErrorKind.VERSION_CONFLICT
 
 
 class NotFoundError(EmberringError):
-    """The thing asked for certainly does not exist."""
+    """The requested object certainly does not exist."""
 
     kind = ErrorKind.NOT_FOUND
 
 
 class ConflictError(EmberringError):
-    """The order cannot be carried out in the present state."""
+    """The request cannot be carried out in the current state."""
 
     kind = ErrorKind.CONFLICT
 
 
 class QuotaExceededError(EmberringError):
-    """The lot does not fit into its route's queue; nothing of it is kept."""
+    """The job does not fit into its route's queue; nothing of it is stored."""
 
     kind = ErrorKind.QUOTA_EXCEEDED
 
 
 class OverloadedError(EmberringError):
-    """Refused by admission before anything ran; `retry_after_s` is when to come back (seconds)."""
+    """Rejected by admission before anything ran; the client may retry after `retry_after_s` seconds."""
 
     kind = ErrorKind.OVERLOADED
 
@@ -142,31 +142,31 @@
 
 
 class NotReadyError(EmberringError):
-    """This process cannot serve yet; nothing was done."""
+    """The process cannot serve yet; nothing was executed."""
 
     kind = ErrorKind.NOT_READY
 
 
 class UnknownOutcomeError(EmberringError):
-    """The effect may or may not have taken place; no promise is made."""
+    """The request may or may not have taken effect: neither success nor failure may be reported."""
 
     kind = ErrorKind.IN_DOUBT
 
 
 class PeerError(EmberringError):
-    """The root of failures of calls between nodes."""
+    """The root of the failures of calls between nodes."""
 
     kind = ErrorKind.PEER_UNAVAILABLE
 
 
 class PeerUnavailableError(PeerError):
-    """The call never left this node: the effect did not take place."""
+    """The call was not sent: it had no effect."""
 
     kind = ErrorKind.PEER_UNAVAILABLE
 
 
 class PeerTimeoutError(PeerError):
-    """The call was sent and no reply came: the effect may have taken place."""
+    """The call was sent and no reply came: it may have had its effect."""
 
     kind = ErrorKind.PEER_TIMEOUT
 
@@ -178,7 +178,7 @@
 
 
 class NoQuorumError(EmberringError):
-    """Too few replicas answered; the effect may or may not have taken place."""
+    """Too few replicas replied: the request may or may not have taken effect."""
 
     kind = ErrorKind.NO_QUORUM
 
@@ -190,13 +190,13 @@
 
 
 class NotOwnerError(EmberringError):
-    """The node asked does not own the key; `detail` may hold the owner's address."""
+    """The called node does not own the key; `detail` may hold the owner's address."""
 
     kind = ErrorKind.NOT_OWNER
 
 
 class DiskFailedError(EmberringError):
-    """The disk refused or did not answer."""
+    """The disk reported an error, or did not complete an operation in time."""
 
     kind = ErrorKind.DISK_FAILED
 
@@ -208,12 +208,13 @@
 
 
 class InternalError(EmberringError):
-    """A fault of this program."""
+    """A defect of this program."""
 
     kind = ErrorKind.INTERNAL
 
 
-def _plain_classes() -> dict[ErrorKind, type[EmberringError]]:
+def _classes_by_kind() -> dict[ErrorKind, type[EmberringError]]:
+    """The class of each kind that `error_from_wire` makes from a detail alone."""
     found: dict[ErrorKind, type[EmberringError]] = {}
     pending: list[type[EmberringError]] = list(EmberringError.__subclasses__())
     while pending:
@@ -224,7 +225,7 @@
     return found
 
 
-_CLASS_OF_KIND = _plain_classes()
+_CLASS_OF_KIND = _classes_by_kind()
 
 
 def error_from_wire(kind: str, detail: str) -> EmberringError:
--- a/emberring/gateway/answers.py
+++ b/emberring/gateway/answers.py
@@ -77,8 +77,8 @@
 def answer_to(error: EmberringError) -> OwnAnswer:
     """The answer to a failure, by the table of error kinds; a promise says when to come back."""
     retry_after_s = 0.0
-    if error.answer.promises_not_executed:
+    if error.response.promises_not_executed:
         retry_after_s = RETRY_SOON_S
         if isinstance(error, OverloadedError) and error.retry_after_s > 0.0:
             retry_after_s = error.retry_after_s
-    return OwnAnswer(error.answer.status, error.detail, retry_after_s)
+    return OwnAnswer(error.response.status, error.detail, retry_after_s)
--- a/emberring/settings.py
+++ b/emberring/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process: read by `tomllib`, checked whole, every mistake named at once."""
+"""The settings file of a process: TOML, checked completely, every error reported at once."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import tomllib
 from collections.abc import Mapping
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeVar
 
 import attrs
 
@@ -14,68 +14,97 @@
 
 SETTINGS_VARIABLE = "EMBERRING_NODE_FILE"
 DEFAULT_SETTINGS_PATH = "/etc/emberring/local.toml"
+# A role's port for messages between nodes is the first of `PortRange` plus its offset.
 GATEWAY_PORT_OFFSET = 0
 CONTROL_PORT_OFFSET = 1
 STORE_PORT_OFFSET = 2
+MAX_PORT = 65535
+
+
+_KEY = "settings_key"
+
+Value = TypeVar("Value", str, int, float)
+
+
+def _setting(key: str, default: Value) -> Value:
+    """A field that is read from this key of its section."""
+    return attrs.field(default=default, metadata={_KEY: key})
 
 
 @attrs.frozen
 class Bounds:
-    """The deployment's bounds; the unit stands at the end of each name."""
-
-    seed_lag_s: float = 3.0
-    reuse_after_s: float = 2.0
-    contact_ms: float = 3000.0
-    ack_ms: float = 4000.0
-    catch_up_s: float = 4.9
-    drain_ms: float = 2000.0
-    grace_s: float = 8.0
-    loss_slack_ms: float = 200.0
-    config_apply_ms: float = 2000.0
-    rollback_slack_ms: float = 250.0
-    max_skew_ms: float = 5000.0
-    recovery_s: float = 12.0
-    pass_ms: float = 120.0
-    finish_s: float = 10.0
-    status_s: float = 120.0
-    cancel_ms: float = 3000.0
-    settle_ms: float = 1000.0
-    quota_overage: float = 0.1
+    """The deployment's time limits, section `[Bounds]`; the unit stands at the end of each name.
+
+    The tier itself uses `grace_s` and `status_s`; the others are read and checked, as every node's file may hold them.
+    `quota_overage` is a share of a quota.
+    """
+
+    seed_lag_s: float = _setting("SeedLagS", 3.0)
+    reuse_after_s: float = _setting("ReuseAfterS", 2.0)
+    contact_ms: float = _setting("ContactMs", 3000.0)
+    ack_ms: float = _setting("AckMs", 4000.0)  # within which an operator's change is acknowledged
+    catch_up_s: float = _setting("CatchUpS", 4.9)  # within which a returned replica holds everything again
+    drain_ms: float = _setting("DrainMs", 2000.0)
+    grace_s: float = _setting("GraceS", 8.0)  # from SIGTERM to the end of the process
+    loss_slack_ms: float = _setting("LossSlackMs", 200.0)
+    config_apply_ms: float = _setting(
+        "ConfigApplyMs", 2000.0
+    )  # within which gateways follow a new configuration
+    rollback_slack_ms: float = _setting("RollbackSlackMs", 250.0)
+    max_skew_ms: float = _setting("MaxSkewMs", 5000.0)
+    recovery_s: float = _setting("RecoveryS", 12.0)
+    pass_ms: float = _setting("pass_ms", 120.0)
+    finish_s: float = _setting("FinishS", 10.0)
+    status_s: float = _setting("StatusS", 120.0)  # for which a job that has ended can still be read
+    cancel_ms: float = _setting("CancelMs", 3000.0)
+    settle_ms: float = _setting("SettleMs", 1000.0)
+    quota_overage: float = _setting("QuotaOverage", 0.1)
 
 
 @attrs.frozen
 class Limits:
-    """What the machine grants this process."""
+    """The resources that the machine grants this process, section `[Limits]`.
+
+    `cpu_share` is a share of the machine's CPU time, `cores` a number of cores, `memory_mb` and `disk_mb` are MB,
+    `link_mbps` is Mbit/s and `max_fds` a number of file descriptors. The store uses `disk_mb`.
+    """
 
-    cpu_share: float = 1.0
-    cores: float = 1.0
-    memory_mb: float = 512.0
-    max_fds: int = 1024
-    link_mbps: float = 1000.0
-    disk_mb: float = 0.0
+    cpu_share: float = _setting("CpuShare", 1.0)
+    cores: float = _setting("Cores", 1.0)
+    memory_mb: float = _setting("MemoryMb", 512.0)
+    max_fds: int = _setting("MaxFds", 1024)
+    link_mbps: float = _setting("LinkMbps", 1000.0)
+    disk_mb: float = _setting("DiskMb", 0.0)
 
 
 @attrs.frozen
 class FaultTolerance:
-    """What may be lost at once while every rule is kept."""
+    """How many failures at the same time every guarantee must survive, section `[FaultTolerance]`."""
 
-    machines: int = 1
-    zones: int = 0
-    regions: int = 0
+    machines: int = _setting("Machines", 1)
+    zones: int = _setting("Zones", 0)
+    regions: int = _setting("Regions", 0)
 
 
 @attrs.frozen
 class Listen:
-    """Addresses (`ip:port`) at which others reach this process; empty where it does not serve them."""
+    """Addresses (`ip:port`) at which others reach this process, section `[Listen]`; empty: it does not serve them."""
 
-    frontend: str = ""
-    readiness: str = ""
-    control_plane: str = ""
+    frontend: str = _setting("Frontend", "")  # clients, at a gateway
+    readiness: str = _setting("Readiness", "")  # probes and metrics, at a gateway
+    control_plane: str = _setting("ControlPlane", "")  # operators and model servers, at a control node
 
 
 @attrs.frozen
 class Settings:
-    """The whole settings file. `port_range` holds the first and the last free port for internal use."""
+    """The complete settings file.
+
+    `port_range` holds the first and the last port for messages between nodes. `seed_nodes` are the control planes'
+    addresses (`ip:port`) of the machines that a node contacts first. `bootstrap`: the seeds may found the register, in
+    the first start of a deployment only. `zones` gives the region of each zone. `heartbeat_ms` is the interval of model
+    servers' heartbeats. `data_dir` is the folder for a control node's or a store's data. `role`, `machine_class`,
+    `serves`, `region` and `counts_for_quorum` are read and checked, and not used by the tier.
+    """
 
     node_name: str
     ip: str
@@ -98,7 +127,7 @@
     log_level: str = "INFO"
 
     def internal_address(self, offset: int) -> str:
-        """This node's address for messages between nodes, by its role's port offset."""
+        """The address (`ip:port`) of this node for messages between nodes, by its role's port offset."""
         return f"{self.ip}:{self.port_range[0] + offset}"
 
     def internal_seeds(self) -> tuple[str, ...]:
@@ -107,52 +136,55 @@
         return tuple(f"{seed.rsplit(':', 1)[0]}:{port}" for seed in self.seed_nodes)
 
 
-class _Reader:
-    """Reads typed values out of a table and collects every mistake."""
+Section = TypeVar("Section", Bounds, Limits, FaultTolerance, Listen)
+
+
+class _SettingsReader:
+    """Reads typed values out of a TOML table and collects every error in `errors`. `prefix` is the table's path."""
 
-    def __init__(self, table: Mapping[str, Any], where: str, mistakes: list[str]) -> None:
+    def __init__(self, table: Mapping[str, object], prefix: str, errors: list[str]) -> None:
         self._table = table
-        self._where = where
-        self._mistakes = mistakes
+        self._prefix = prefix
+        self._errors = errors
 
-    def _wrong(self, key: str, wanted: str) -> None:
-        self._mistakes.append(f"{self._where}{key}: {self._table.get(key)!r} is not {wanted}")
+    def _add_error(self, key: str, expected: str) -> None:
+        self._errors.append(f"{self._prefix}{key}: {self._table.get(key)!r} is not {expected}")
 
     def text(self, key: str, default: str | None = "") -> str:
         value = self._table.get(key, default)
         if isinstance(value, str):
             return value
         if value is None:
-            self._mistakes.append(f"{self._where}{key}: missing")
+            self._errors.append(f"{self._prefix}{key}: missing")
         else:
-            self._wrong(key, "a text")
+            self._add_error(key, "a text")
         return ""
 
     def flag(self, key: str) -> bool:
         value = self._table.get(key, False)
         if not isinstance(value, bool):
-            self._wrong(key, "true or false")
+            self._add_error(key, "true or false")
             return False
         return value
 
     def number(self, key: str, default: float) -> float:
         value = self._table.get(key, default)
         if isinstance(value, bool) or not isinstance(value, int | float):
-            self._wrong(key, "a number")
+            self._add_error(key, "a number")
             return default
         return value
 
-    def whole(self, key: str, default: int) -> int:
+    def whole_number(self, key: str, default: int) -> int:
         value = self._table.get(key, default)
         if isinstance(value, bool) or not isinstance(value, int):
-            self._wrong(key, "a whole number")
+            self._add_error(key, "a whole number")
             return default
         return value
 
     def texts(self, key: str) -> tuple[str, ...]:
         value = self._table.get(key, [])
         if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
-            self._wrong(key, "a list of texts")
+            self._add_error(key, "a list of texts")
             return ()
         return tuple(value)
 
@@ -160,61 +192,67 @@
         found = self.texts(key)
         for item in found:
             if not _is_address(item):
-                self._mistakes.append(f"{self._where}{key}: {item!r} is not an address")
+                self._errors.append(f"{self._prefix}{key}: {item!r} is not an address")
         return found
 
     def address(self, key: str) -> str:
         value = self.text(key)
         if value and not _is_address(value):
-            self._wrong(key, "an address")
+            self._add_error(key, "an address")
         return value
 
     def ports(self, key: str) -> tuple[int, int]:
         value = self._table.get(key)
-        good = isinstance(value, list) and len(value) == 2
-        if not good or not all(type(item) is int and 0 < item < 65536 for item in value or ()):
-            self._wrong(key, "two ports")
+        if not isinstance(value, list) or len(value) != 2 or not all(_is_port(item) for item in value):
+            self._add_error(key, "two ports")
             return (0, 0)
-        assert value is not None
-        if value[0] > value[1]:
-            self._wrong(key, "two ports in order")
-        return (value[0], value[1])
+        first, last = value
+        if first > last:
+            self._add_error(key, "two ports in order")
+        return (first, last)
 
-    def table(self, key: str) -> _Reader:
+    def section(self, key: str) -> _SettingsReader:
         value = self._table.get(key, {})
         if not isinstance(value, dict):
-            self._wrong(key, "a table")
+            self._add_error(key, "a table")
             value = {}
-        return _Reader(value, f"{self._where}{key}.", self._mistakes)
+        return _SettingsReader(value, f"{self._prefix}{key}.", self._errors)
 
-    def mapping(self, key: str) -> dict[str, str]:
+    def text_mapping(self, key: str) -> dict[str, str]:
         value = self._table.get(key, {})
         if not isinstance(value, dict) or not all(isinstance(item, str) for item in value.values()):
-            self._wrong(key, "a table of texts")
+            self._add_error(key, "a table of texts")
             return {}
         return dict(value)
 
 
+def _is_port(value: object) -> bool:
+    return type(value) is int and 0 < value <= MAX_PORT
+
+
 def _is_address(text: str) -> bool:
     host, _, port = text.rpartition(":")
-    return bool(host) and port.isdigit() and 0 < int(port) < 65536
+    return bool(host) and port.isdigit() and 0 < int(port) <= MAX_PORT
 
 
 def parse_settings(text: str, where: str = "settings") -> Settings:
-    """The settings in this text; `SettingsError` names every mistake. Unknown keys are skipped."""
+    """The settings in this TOML text; `SettingsError` names every error in it. Unknown keys are skipped.
+
+    `where` is the file's name for the error text.
+    """
     try:
         table = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         raise SettingsError(f"{where}: {error}") from error
-    mistakes: list[str] = []
-    top = _Reader(table, "", mistakes)
-    settings = _read_all(top)
-    if mistakes:
-        raise SettingsError(f"{where}: " + "; ".join(mistakes))
+    errors: list[str] = []
+    top = _SettingsReader(table, "", errors)
+    settings = _read_settings(top)
+    if errors:
+        raise SettingsError(f"{where}: " + "; ".join(errors))
     return settings
 
 
-def _read_all(top: _Reader) -> Settings:
+def _read_settings(top: _SettingsReader) -> Settings:
     return Settings(
         node_name=top.text("NodeName", None),
         ip=top.text("Ip", None),
@@ -229,76 +267,40 @@
         counts_for_quorum=top.flag("CountsForQuorum"),
         data_dir=top.text("DataDir"),
         heartbeat_ms=top.number("HeartbeatMs", 1000.0),
-        zones=top.mapping("Zones"),
-        listen=_read_listen(top.table("Listen")),
-        limits=_read_limits(top.table("Limits")),
-        fault_tolerance=_read_tolerance(top.table("FaultTolerance")),
-        bounds=_read_bounds(top.table("Bounds")),
+        zones=top.text_mapping("Zones"),
+        listen=_read_section(top.section("Listen"), Listen),
+        limits=_read_section(top.section("Limits"), Limits),
+        fault_tolerance=_read_section(top.section("FaultTolerance"), FaultTolerance),
+        bounds=_read_section(top.section("Bounds"), Bounds),
         log_level=top.text("LogLevel", "INFO"),
     )
 
 
-def _read_listen(table: _Reader) -> Listen:
-    return Listen(
-        frontend=table.address("Frontend"),
-        readiness=table.address("Readiness"),
-        control_plane=table.address("ControlPlane"),
-    )
-
-
-def _read_limits(table: _Reader) -> Limits:
-    return Limits(
-        cpu_share=table.number("CpuShare", 1.0),
-        cores=table.number("Cores", 1.0),
-        memory_mb=table.number("MemoryMb", 512.0),
-        max_fds=table.whole("MaxFds", 1024),
-        link_mbps=table.number("LinkMbps", 1000.0),
-        disk_mb=table.number("DiskMb", 0.0),
-    )
-
-
-def _read_tolerance(table: _Reader) -> FaultTolerance:
-    return FaultTolerance(
-        machines=table.whole("Machines", 1),
-        zones=table.whole("Zones", 0),
-        regions=table.whole("Regions", 0),
-    )
-
-
-def _read_bounds(table: _Reader) -> Bounds:
-    return Bounds(
-        seed_lag_s=table.number("SeedLagS", 3.0),
-        reuse_after_s=table.number("ReuseAfterS", 2.0),
-        contact_ms=table.number("ContactMs", 3000.0),
-        ack_ms=table.number("AckMs", 4000.0),
-        catch_up_s=table.number("CatchUpS", 4.9),
-        drain_ms=table.number("DrainMs", 2000.0),
-        grace_s=table.number("GraceS", 8.0),
-        loss_slack_ms=table.number("LossSlackMs", 200.0),
-        config_apply_ms=table.number("ConfigApplyMs", 2000.0),
-        rollback_slack_ms=table.number("RollbackSlackMs", 250.0),
-        max_skew_ms=table.number("MaxSkewMs", 5000.0),
-        recovery_s=table.number("RecoveryS", 12.0),
-        pass_ms=table.number("pass_ms", 120.0),
-        finish_s=table.number("FinishS", 10.0),
-        status_s=table.number("StatusS", 120.0),
-        cancel_ms=table.number("CancelMs", 3000.0),
-        settle_ms=table.number("SettleMs", 1000.0),
-        quota_overage=table.number("QuotaOverage", 0.1),
-    )
+def _read_section(reader: _SettingsReader, section: type[Section]) -> Section:
+    """A section whose fields name their keys by `_setting`; the type of a default is the type that is read."""
+    values: dict[str, Any] = {}  # by field
+    for field in attrs.fields(section):
+        key = field.metadata[_KEY]
+        if isinstance(field.default, str):
+            values[field.name] = reader.address(key)
+        elif isinstance(field.default, int):
+            values[field.name] = reader.whole_number(key, field.default)
+        else:
+            values[field.name] = reader.number(key, field.default)
+    return section(**values)
 
 
 def settings_path(environ: Mapping[str, str] | None = None) -> Path:
-    """Where the settings file of this process lies."""
+    """The path of the settings file: the environment's `SETTINGS_VARIABLE`, or else the default."""
     variables = os.environ if environ is None else environ
     return Path(variables.get(SETTINGS_VARIABLE) or DEFAULT_SETTINGS_PATH)
 
 
 def load_settings(path: Path | None = None) -> Settings:
-    """The settings of this process, from `path` or the environment's; `SettingsError` if they can't be used."""
-    place = path or settings_path()
+    """The settings of this process, from `path` or `settings_path()`; `SettingsError` if they cannot be used."""
+    file = path or settings_path()
     try:
-        text = place.read_text(encoding="utf-8")
+        text = file.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise SettingsError(f"{place}: {error}") from error
-    return parse_settings(text, str(place))
+        raise SettingsError(f"{file}: {error}") from error
+    return parse_settings(text, str(file))
--- a/emberring/transport/client_connection.py
+++ b/emberring/transport/client_connection.py
@@ -47,7 +47,10 @@
             self.abort()
 
     def send(self, envelope: Envelope) -> int:
-        """Send a message; the number of its bytes. `PeerUnavailableError` where the peer does not read; it is not sent."""
+        """Send a message; the number of its bytes.
+
+        `PeerUnavailableError` where the peer does not read its messages: this one is not sent.
+        """
         if self.transport is None:
             raise PeerUnavailableError("the connection is not open")
         if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
--- a/tests/emberring/test_tier_errors.py
+++ b/tests/emberring/test_tier_errors.py
@@ -1,11 +1,11 @@
-"""The closed list of errors: every kind has an answer, every class survives the wire."""
+"""The closed list of errors: every kind has a response, every class survives the wire."""
 
 from __future__ import annotations
 
 import pytest
 
 from emberring import errors
-from emberring.errors import ANSWERS, EmberringError, ErrorKind, InternalError, error_from_wire
+from emberring.errors import ERROR_RESPONSES, EmberringError, ErrorKind, InternalError, error_from_wire
 
 PROMISES = {429, 503}
 
@@ -27,32 +27,32 @@
 
 
 @pytest.mark.parametrize("kind", ErrorKind, ids=lambda kind: kind.value)
-def test_every_kind_has_an_answer(kind):
-    assert 400 <= ANSWERS[kind].status < 600
+def test_every_kind_has_a_response(kind):
+    assert 400 <= ERROR_RESPONSES[kind].status < 600
 
 
 @pytest.mark.parametrize("kind", ErrorKind, ids=lambda kind: kind.value)
-def test_a_promise_is_made_by_the_statuses_that_are_promises_and_by_no_other(kind):
-    answer = ANSWERS[kind]
-    assert answer.promises_not_executed == (answer.status in PROMISES)
+def test_only_statuses_429_and_503_promise_that_nothing_was_executed(kind):
+    response = ERROR_RESPONSES[kind]
+    assert response.promises_not_executed == (response.status in PROMISES)
 
 
 @pytest.mark.parametrize("kind", [ErrorKind.IN_DOUBT, ErrorKind.PEER_TIMEOUT, ErrorKind.NO_QUORUM])
-def test_doubt_is_no_promise(kind):
-    assert ANSWERS[kind].status in (502, 504)
+def test_an_unknown_outcome_makes_no_promise(kind):
+    assert ERROR_RESPONSES[kind].status in (502, 504)
 
 
 @pytest.mark.parametrize("cls", classes(), ids=lambda cls: cls.__name__)
-def test_an_error_says_its_kind_and_its_detail(cls):
+def test_an_error_has_its_kind_detail_and_response(cls):
     error = make(cls)
     assert isinstance(error.kind, ErrorKind)
     assert error.detail
     assert error.detail in str(error)
-    assert error.answer is ANSWERS[error.kind]
+    assert error.response is ERROR_RESPONSES[error.kind]
 
 
 @pytest.mark.parametrize("cls", classes(), ids=lambda cls: cls.__name__)
-def test_an_error_comes_over_the_wire_as_its_kind(cls):
+def test_an_error_keeps_its_kind_over_the_wire(cls):
     error = make(cls)
     back = error_from_wire(error.kind.value, error.detail)
     if back.kind is not error.kind:
@@ -77,7 +77,7 @@
     assert type(error_from_wire(kind, "x")) is cls
 
 
-def test_no_kind_stands_twice():
+def test_each_kind_has_one_class():
     by_kind: dict[ErrorKind, list[str]] = {}
     for cls in classes():
         if cls not in (EmberringError, errors.PeerError):
--- a/tests/golden/test_golden_errors.py
+++ b/tests/golden/test_golden_errors.py
@@ -11,7 +11,13 @@
 
 from emberring.cli.printing import exit_code_of
 from emberring.control.app import ControlApp
-from emberring.errors import ANSWERS, ErrorKind, InvalidConfigurationError, OverloadedError, error_from_wire
+from emberring.errors import (
+    ERROR_RESPONSES,
+    ErrorKind,
+    InvalidConfigurationError,
+    OverloadedError,
+    error_from_wire,
+)
 from emberring.gateway.answers import answer_to
 
 KINDS = [kind.value for kind in ErrorKind]
@@ -64,7 +70,10 @@
 
 
 def test_the_kinds_and_their_statuses_are_the_recorded_ones():
-    found = {kind.value: [ANSWERS[kind].status, ANSWERS[kind].promises_not_executed] for kind in ErrorKind}
+    found = {
+        kind.value: [ERROR_RESPONSES[kind].status, ERROR_RESPONSES[kind].promises_not_executed]
+        for kind in ErrorKind
+    }
     check_golden("errors/kinds.json", found)
 
 
