--- a/emberring/cli/config_commands.py
+++ b/emberring/cli/config_commands.py
@@ -13,8 +13,8 @@
 from emberring.cli.control_plane import order
 from emberring.cli.places import ControlOption, JsonOption, TimeoutOption, control_addresses
 from emberring.cli.printing import EXIT_CODES_TEXT, ExitCode, complain, leave, print_json, print_line
-from emberring.configuration.checks import mistakes_in
-from emberring.configuration.reading import read_strictly
+from emberring.configuration.checks import find_configuration_errors
+from emberring.configuration.reading import parse_object_strictly
 from emberring.errors import BadRequestError, InvalidConfigurationError
 
 LIVE = "live"  # stands for the configuration that is in force
@@ -36,7 +36,7 @@
 def mistakes_of(content: bytes) -> tuple[str, ...]:
     """Every mistake in a whole configuration."""
     try:
-        return mistakes_in(read_strictly(content))
+        return find_configuration_errors(parse_object_strictly(content))
     except InvalidConfigurationError as error:
         return error.mistakes
 
@@ -78,7 +78,7 @@
     if place == LIVE:
         return _live(control, timeout_s)
     try:
-        return read_strictly(read_file(Path(place)))
+        return parse_object_strictly(read_file(Path(place)))
     except InvalidConfigurationError as error:
         raise BadRequestError(f"{place}: {error.detail}") from error
 
@@ -141,7 +141,7 @@
 ) -> None:
     """Change named items of the configuration in force."""
     content = read_file(file)
-    read_strictly(content)
+    parse_object_strictly(content)
     _send("PATCH", content, control, if_match, timeout, as_json)
 
 
@@ -157,7 +157,7 @@
     base = if_match if if_match is not None else int(_live(control, timeout_s).get("Version") or 0)
     headers = {"If-Match": str(base)}
     order(controls, method, "/v1/config", content=content, headers=headers, within_s=timeout_s)
-    version = read_strictly(content).get("Version")
+    version = parse_object_strictly(content).get("Version")
     if as_json:
         print_json({"Taken": True, "Version": version, "BuiltOn": base})
     else:
--- a/emberring/cli/disk_reports.py
+++ b/emberring/cli/disk_reports.py
@@ -62,7 +62,7 @@
     epoch = state.placement.epoch if state.placement is not None else None
     return {
         "ConfigurationVersion": state.version,
-        "ChangesRemembered": len(state.taken),
+        "ChangesRemembered": len(state.accepted_digests),
         "PlacementEpoch": epoch,
     }
 
--- a/emberring/configuration/change_requests.py
+++ b/emberring/configuration/change_requests.py
@@ -1,5 +1,7 @@
-"""An operator's change, and whether a state takes it. Pure functions: the same order at any node, any number of
-times, has the same fate."""
+"""An operator's change, and whether a state accepts it.
+
+Pure functions: the same change has the same result at any node and any number of times.
+"""
 
 from __future__ import annotations
 
@@ -10,9 +12,9 @@
 
 import attrs
 
-from emberring.configuration.checks import is_whole, mistakes_in
-from emberring.configuration.patch import patched
-from emberring.configuration.reading import read
+from emberring.configuration.checks import find_configuration_errors, is_integer
+from emberring.configuration.patch import apply_patch
+from emberring.configuration.reading import parse_strictly
 from emberring.configuration.state import DIGEST_BYTES, ControlState
 from emberring.errors import (
     BadRequestError,
@@ -21,89 +23,102 @@
     VersionConflictError,
 )
 
+MAX_VERSION_DIGITS = 18  # of the base version in If-Match
+
 
 class ChangeRequestKind(Enum):
-    """A whole configuration, or named items of it."""
+    """Whether a change replaces the complete configuration or some named items of it; the value is the HTTP method."""
 
-    WHOLE = "PUT"
+    REPLACE = "PUT"
     PATCH = "PATCH"
 
 
 @attrs.frozen
 class ChangeRequest:
-    """A change that could be read. `base` is the version it builds on; `digest` is the same for the same change
-    in another spelling, and differs for another base."""
+    """A change that could be parsed.
+
+    `base_version` is the version that it builds on and `version` the one that it makes current. `digest` identifies the
+    change: it is the same for every spelling of the JSON and differs for another base version. `body` is the JSON as
+    received and `document` its content.
+    """
 
     kind: ChangeRequestKind
-    base: int
+    base_version: int
     version: int
     digest: bytes
     body: bytes
-    change: dict[str, Any] = attrs.field(eq=False, repr=False)
+    document: dict[str, Any] = attrs.field(eq=False, repr=False)
 
 
 @attrs.frozen
-class Taken:
-    """The state after the order; the state itself where the order had been taken before."""
+class Accepted:
+    """The state after the change. `is_repeat`: the change had been accepted before, and the state is unchanged."""
 
     state: ControlState
-    again: bool
+    is_repeat: bool
 
 
 @attrs.frozen
-class Refused:
-    """The order can't be taken on this state."""
+class Rejected:
+    """The change does not apply to this state; `error` says why."""
 
     error: EmberringError
 
 
 def read_change_request(kind: ChangeRequestKind, if_match: str | None, body: bytes) -> ChangeRequest:
-    """The order in a call; `BadRequestError` or `InvalidConfigurationError` where no state could take it."""
-    base = _base(if_match)
-    reading = read(body)
-    change = reading.value
-    if not is_whole(change.get("Version")):
+    """The change in a call; `if_match` is the header with the base version.
+
+    `BadRequestError` or `InvalidConfigurationError` where no state could accept it.
+    """
+    base_version = _parse_if_match(if_match)
+    parsed = parse_strictly(body)
+    document = parsed.value
+    if not is_integer(document.get("Version")):
         raise InvalidConfigurationError(("Version is not a whole number",))
-    if kind is ChangeRequestKind.WHOLE:
-        mistakes = mistakes_in(change)
-        if mistakes:
-            raise InvalidConfigurationError(mistakes)
-    return ChangeRequest(kind, base, change["Version"], _digest(kind, base, reading.canonical), body, change)
+    if kind is ChangeRequestKind.REPLACE:
+        errors = find_configuration_errors(document)
+        if errors:
+            raise InvalidConfigurationError(errors)
+    return ChangeRequest(
+        kind, base_version, document["Version"], _digest(kind, base_version, parsed.canonical), body, document
+    )
 
 
-def _base(if_match: str | None) -> int:
+def _parse_if_match(if_match: str | None) -> int:
     text = (if_match or "").strip().strip('"')
-    if not (text.isascii() and text.isdigit()) or len(text) > 18:
+    if not (text.isascii() and text.isdigit()) or len(text) > MAX_VERSION_DIGITS:
         raise BadRequestError("If-Match does not hold a version")
     return int(text)
 
 
-def _digest(kind: ChangeRequestKind, base: int, canonical: bytes) -> bytes:
-    head = f"{kind.value} {base}\n".encode()
+def _digest(kind: ChangeRequestKind, base_version: int, canonical: bytes) -> bytes:
+    head = f"{kind.value} {base_version}\n".encode()
     return hashlib.blake2b(head + canonical, digest_size=DIGEST_BYTES).digest()
 
 
-def judge(state: ControlState, order: ChangeRequest) -> Taken | Refused:
-    """What becomes of this order on this state."""
-    if order.digest in state.taken:
-        return Taken(state, again=True)
-    if order.base != state.version:
-        return Refused(VersionConflictError(f"version {state.version} is current"))
-    if order.version <= state.version:
-        detail = f"Version {order.version} is not above {state.version}"
-        return Refused(InvalidConfigurationError((detail,)))
-    if order.kind is ChangeRequestKind.WHOLE:
-        return Taken(state.with_configuration(order.version, order.body, order.digest), again=False)
-    return _judge_patch(state, order)
+def evaluate(state: ControlState, request: ChangeRequest) -> Accepted | Rejected:
+    """Whether this state accepts this change, and the state after it."""
+    if request.digest in state.accepted_digests:
+        return Accepted(state, is_repeat=True)
+    if request.base_version != state.version:
+        return Rejected(VersionConflictError(f"version {state.version} is current"))
+    if request.version <= state.version:
+        detail = f"Version {request.version} is not above {state.version}"
+        return Rejected(InvalidConfigurationError((detail,)))
+    if request.kind is ChangeRequestKind.REPLACE:
+        return Accepted(
+            state.with_configuration(request.version, request.body, request.digest), is_repeat=False
+        )
+    return _evaluate_patch(state, request)
 
 
-def _judge_patch(state: ControlState, order: ChangeRequest) -> Taken | Refused:
+def _evaluate_patch(state: ControlState, request: ChangeRequest) -> Accepted | Rejected:
     try:
-        document = patched(state.read_document(), order.change)
+        document = apply_patch(state.read_document(), request.document)
     except InvalidConfigurationError as error:
-        return Refused(error)
-    mistakes = mistakes_in(document)
-    if mistakes:
-        return Refused(InvalidConfigurationError(mistakes))
+        return Rejected(error)
+    errors = find_configuration_errors(document)
+    if errors:
+        return Rejected(InvalidConfigurationError(errors))
     body = json.dumps(document, separators=(",", ":"), ensure_ascii=False).encode()
-    return Taken(state.with_configuration(order.version, body, order.digest), again=False)
+    return Accepted(state.with_configuration(request.version, body, request.digest), is_repeat=False)
--- a/emberring/configuration/model.py
+++ b/emberring/configuration/model.py
@@ -8,7 +8,7 @@
 
 
 class RouteType(Enum):
-    """What may be repeated on a route, and how its answers come."""
+    """Whether requests of a route may be retried, and whether responses are streams or results of batch jobs."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class Share:
-    """A service's part of a route's traffic."""
+    """A service and its weight in a route's traffic split."""
 
     service: str
     weight: float
@@ -26,7 +26,12 @@
 
 @attrs.frozen
 class Route:
-    """Where requests of a host below a path prefix go, and on what terms."""
+    """Which services the requests of a host below a path prefix go to, and with which limits.
+
+    `split` gives the services with their weights. `timeout_ms` limits a request and `target_latency_ms` is its latency
+    target. `completion_target_ms`, `retention_s` and `max_queued_tokens` are for batch jobs. `resumable`: a broken
+    stream may be continued by another attempt.
+    """
 
     name: str
     host: str
@@ -39,20 +44,20 @@
     max_attempts: int = 1
     sticky: bool = False
     resumable: bool = False
-    gap_aim_ms: float = 0.0
+    gap_target_ms: float = 0.0
     completion_target_ms: float = 0.0
     retention_s: float = 0.0
     max_queued_tokens: int = 0
 
     @property
     def may_repeat(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         return self.type is RouteType.IDEMPOTENT or (self.type is RouteType.STREAMING and self.resumable)
 
 
 @attrs.frozen
 class Service:
-    """A group of model servers that are alike."""
+    """A group of interchangeable model servers. `capacity` and `kv_cache_tokens` are those of one server."""
 
     name: str
     health_path: str = ""
@@ -64,7 +69,7 @@
 
 @attrs.frozen
 class ClientLimits:
-    """What clients may send and how long they may take."""
+    """Limits of the size and the duration of clients' requests."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4194304
@@ -74,7 +79,7 @@
 
 @attrs.frozen
 class Configuration:
-    """A whole, valid configuration."""
+    """A complete, valid configuration."""
 
     version: int
     routes: tuple[Route, ...]
@@ -88,10 +93,10 @@
         by_host: dict[str, list[Route]] = {}
         for route in self.routes:
             by_host.setdefault(route.host.lower(), []).append(route)
-        ordered = {}
+        longest_first = {}
         for host, routes in by_host.items():
-            ordered[host] = tuple(sorted(routes, key=lambda route: -len(route.path_prefix)))
-        return ordered
+            longest_first[host] = tuple(sorted(routes, key=lambda route: -len(route.path_prefix)))
+        return longest_first
 
     @_by_service.default
     def _index_services(self) -> dict[str, Service]:
@@ -105,5 +110,5 @@
         return None
 
     def service(self, name: str) -> Service | None:
-        """The service of this name."""
+        """The service of this name; None if there is none."""
         return self._by_service.get(name)
--- a/emberring/configuration/patch.py
+++ b/emberring/configuration/patch.py
@@ -1,4 +1,4 @@
-"""A change of named items applied to a whole configuration."""
+"""Applies a change of named items to a complete configuration."""
 
 from __future__ import annotations
 
@@ -7,77 +7,80 @@
 
 from emberring.errors import InvalidConfigurationError
 
-_KNOWN = ("Routes", "Services")
+_ITEM_KINDS = ("Routes", "Services")
 
 
-def patched(document: Mapping[str, Any], change: Mapping[str, Any]) -> dict[str, Any]:
-    """The configuration after `Remove` and then `Upsert`, under the change's version. Items keep their places, new
-    ones come last; a name that is to be removed and isn't there is no mistake. `InvalidConfigurationError` where
-    the change cannot be applied."""
-    mistakes: list[str] = []
-    upsert = _table(change, "Upsert", mistakes)
-    remove = _table(change, "Remove", mistakes)
+def apply_patch(document: Mapping[str, Any], change: Mapping[str, Any]) -> dict[str, Any]:
+    """The configuration after `Remove` and then `Upsert`, under the change's version.
+
+    Items keep their positions, and new ones are appended. Removing a name that does not exist is no error.
+    `InvalidConfigurationError` where the change cannot be applied.
+    """
+    errors: list[str] = []
+    upsert = _section(change, "Upsert", errors)
+    remove = _section(change, "Remove", errors)
     result = {key: value for key, value in document.items() if key != "Version"}
-    for kind in [*_KNOWN, *(key for key in (*upsert, *remove) if key not in _KNOWN)]:
+    for kind in [*_ITEM_KINDS, *(key for key in (*upsert, *remove) if key not in _ITEM_KINDS)]:
         if kind not in upsert and kind not in remove:
             continue
         if kind == "Limits":
             result[kind] = upsert.get(kind)
             continue
-        items = _items(upsert.get(kind, []), f"Upsert.{kind}", mistakes)
-        names = _names(remove.get(kind, []), f"Remove.{kind}", mistakes)
-        result[kind] = _replaced(result.get(kind) or [], items, names)
+        items = _named_items(upsert.get(kind, []), f"Upsert.{kind}", errors)
+        names = _name_set(remove.get(kind, []), f"Remove.{kind}", errors)
+        result[kind] = _merge(result.get(kind) or [], items, names)
     if isinstance(change.get("Limits"), dict):
         result["Limits"] = change["Limits"]
-    if mistakes:
-        raise InvalidConfigurationError(tuple(mistakes))
+    if errors:
+        raise InvalidConfigurationError(tuple(errors))
     return {"Version": change.get("Version"), **result}
 
 
-def _table(change: Mapping[str, Any], key: str, mistakes: list[str]) -> dict[str, Any]:
+def _section(change: Mapping[str, Any], key: str, errors: list[str]) -> dict[str, Any]:
     value = change.get(key)
     if value is None:
         return {}
     if not isinstance(value, dict):
-        mistakes.append(f"{key} is not an object")
+        errors.append(f"{key} is not an object")
         return {}
     return value
 
 
-def _items(value: Any, where: str, mistakes: list[str]) -> dict[str, dict[str, Any]]:
+def _named_items(value: object, where: str, errors: list[str]) -> dict[str, dict[str, Any]]:
     found: dict[str, dict[str, Any]] = {}
     if value is not None and not isinstance(value, list):
-        mistakes.append(f"{where} is not a list")
+        errors.append(f"{where} is not a list")
         return found
     for item in value or ():
         name = item.get("Name") if isinstance(item, dict) else None
         if not isinstance(name, str) or not name:
-            mistakes.append(f"{where}: an item has no Name")
+            errors.append(f"{where}: an item has no Name")
         elif name in found:
-            mistakes.append(f"{where}: {name!r} stands twice")
+            errors.append(f"{where}: {name!r} stands twice")
         else:
             found[name] = item
     return found
 
 
-def _names(value: Any, where: str, mistakes: list[str]) -> set[str]:
+def _name_set(value: object, where: str, errors: list[str]) -> set[str]:
     if value is None:
         return set()
     if not isinstance(value, list) or not all(isinstance(name, str) for name in value):
-        mistakes.append(f"{where} is not a list of names")
+        errors.append(f"{where} is not a list of names")
         return set()
     return set(value)
 
 
-def _replaced(
-    before: list[dict[str, Any]], items: Mapping[str, dict[str, Any]], names: set[str]
+def _merge(
+    before: list[dict[str, Any]], upserts: Mapping[str, dict[str, Any]], removed_names: set[str]
 ) -> list[dict[str, Any]]:
-    left = dict(items)
+    """`before` with the items of `upserts` put in, and without those of `removed_names`."""
+    new_items = dict(upserts)
     after: list[dict[str, Any]] = []
     for item in before:
         name = str(item.get("Name"))
-        if name in left:
-            after.append(left.pop(name))
-        elif name not in names:
+        if name in new_items:
+            after.append(new_items.pop(name))
+        elif name not in removed_names:
             after.append(item)
-    return [*after, *left.values()]
+    return [*after, *new_items.values()]
--- a/emberring/configuration/reading.py
+++ b/emberring/configuration/reading.py
@@ -1,4 +1,4 @@
-"""From the operator's JSON to typed values: strict reading, building, and the packed form between nodes."""
+"""From the operator's JSON to typed values: strict parsing, building, and the compressed form between nodes."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 import math
 import zlib
 from collections.abc import Mapping
-from typing import Any
+from typing import Any, NoReturn
 
 import attrs
 import orjson
 
 from emberring.configuration.model import ClientLimits, Configuration, Route, RouteType, Service, Share
-from emberring.errors import InvalidConfigurationError
+from emberring.errors import CorruptRecordError, InvalidConfigurationError
 
-PACK_LEVEL = 1
+COMPRESSION_LEVEL = 1
 
 
 class DuplicateKeyError(ValueError):
-    """A key stands twice in one object."""
+    """An object holds a key twice."""
 
 
-def _unique(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     found = dict(pairs)
     if len(found) != len(pairs):
         seen: set[str] = set()
@@ -32,11 +32,11 @@
     return found
 
 
-def _no_constant(name: str) -> Any:
+def _reject_constant(name: str) -> NoReturn:
     raise ValueError(f"{name} is no JSON value")
 
 
-def _finite(text: str) -> float:
+def _parse_finite_float(text: str) -> float:
     value = float(text)
     if math.isinf(value):
         raise ValueError(f"{text} is too large a number")
@@ -44,44 +44,48 @@
 
 
 @attrs.frozen
-class JobQueries:
-    """An object that was read, and the one spelling that all its spellings share."""
+class ParsedDocument:
+    """A parsed object, and the canonical JSON that is the same for every spelling of it."""
 
     value: dict[str, Any]
     canonical: bytes
 
 
-def read_strictly(body: bytes) -> dict[str, Any]:
-    """The object in this text; `InvalidConfigurationError` as of `read`."""
-    return read(body).value
+def parse_object_strictly(body: bytes) -> dict[str, Any]:
+    """The object in this JSON text; `InvalidConfigurationError` as for `parse_strictly`."""
+    return parse_strictly(body).value
 
 
-def read(body: bytes) -> JobQueries:
-    """The object in this text, with its canonical spelling; `InvalidConfigurationError` where it is cut short, has
-    a key twice in one object, or is no JSON object at all."""
+def parse_strictly(body: bytes) -> ParsedDocument:
+    """The object in this JSON text, with its canonical JSON.
+
+    `InvalidConfigurationError` where the text is truncated, has a key twice in one object, or is no JSON object.
+    """
     try:
         value = json.loads(
-            body.decode("utf-8"), object_pairs_hook=_unique, parse_constant=_no_constant, parse_float=_finite
+            body.decode("utf-8"),
+            object_pairs_hook=_reject_duplicate_keys,
+            parse_constant=_reject_constant,
+            parse_float=_parse_finite_float,
         )
         canonical = _canonical(value)
     except (ValueError, RecursionError) as error:
         raise InvalidConfigurationError((f"not readable as JSON: {error}",)) from error
     if not isinstance(value, dict):
         raise InvalidConfigurationError(("not a JSON object",))
-    return JobQueries(value, canonical)
+    return ParsedDocument(value, canonical)
 
 
-def _canonical(value: Any) -> bytes:
+def _canonical(value: object) -> bytes:
     try:
         return orjson.dumps(value, option=orjson.OPT_SORT_KEYS)
-    except (
-        orjson.JSONEncodeError
-    ):  # numbers of over 64 bits, deep nesting, or half a character, which fails again
+    except orjson.JSONEncodeError:
+        # Integers of over 64 bits, deep nesting, or half of a surrogate pair, which fails here again.
         return json.dumps(value, sort_keys=True, separators=(",", ":"), ensure_ascii=False).encode("utf-8")
 
 
-def build(document: Mapping[str, Any]) -> Configuration:
-    """The typed form of a checked document."""
+def build_configuration(document: Mapping[str, Any]) -> Configuration:
+    """The typed form of a document without errors; others may raise `KeyError`, `TypeError` or `ValueError`."""
     return Configuration(
         version=int(document["Version"]),
         routes=tuple(_route(item) for item in document.get("Routes") or ()),
@@ -106,7 +110,7 @@
         max_attempts=max(1, int(item.get("MaxAttempts") or 1)),
         sticky=bool(item.get("Sticky")),
         resumable=bool(item.get("Resumable")),
-        gap_aim_ms=item.get("gap_aim_ms") or 0.0,
+        gap_target_ms=item.get("gap_aim_ms") or 0.0,
         completion_target_ms=item.get("CompletionTargetMs") or 0.0,
         retention_s=item.get("RetentionS") or 0.0,
         max_queued_tokens=int(item.get("MaxQueuedTokens") or 0),
@@ -136,25 +140,26 @@
 
 
 def pack(document: bytes) -> bytes:
-    """The compressed form in which a document travels between nodes."""
-    return zlib.compress(document, PACK_LEVEL)
+    """The compressed form in which nodes store and send a document."""
+    return zlib.compress(document, COMPRESSION_LEVEL)
 
 
 def unpack(packed: bytes) -> bytes:
-    """The document in its packed form."""
+    """The document in its compressed form."""
     return zlib.decompress(packed)
 
 
 def unpack_configuration(packed: bytes) -> Configuration:
-    """The typed configuration in the packed form of a document that was checked before it was taken."""
-    return build(read_checked(unpack(packed)))
+    """The typed configuration in a compressed document that was checked before it was accepted."""
+    return build_configuration(parse_validated(unpack(packed)))
 
 
-def read_checked(document: bytes) -> dict[str, Any]:
-    """The object in a document that was read strictly before."""
+def parse_validated(document: bytes) -> dict[str, Any]:
+    """The object in a document that was parsed strictly before; `CorruptRecordError` where it is none."""
     try:
         value = orjson.loads(document)
     except orjson.JSONDecodeError:
-        value = json.loads(document)  # numbers of over 64 bits
-    assert isinstance(value, dict)
+        value = json.loads(document)  # integers of over 64 bits
+    if not isinstance(value, dict):
+        raise CorruptRecordError("the stored configuration is no JSON object")
     return value
--- a/emberring/control/operator_requests.py
+++ b/emberring/control/operator_requests.py
@@ -9,11 +9,11 @@
 import attrs
 
 from emberring.configuration.change_requests import (
+    Accepted,
     ChangeRequest,
     ChangeRequestKind,
-    Refused,
-    Taken,
-    judge,
+    Rejected,
+    evaluate,
     read_change_request,
 )
 from emberring.configuration.state import ControlState
@@ -52,8 +52,8 @@
         """Take a configuration or a patch; the version that it made current, now or before."""
         order = read_change_request(kind, if_match, body)
         state = await self._swap(lambda state: _wanted(state, order), self._timeout_s(len(body)))
-        outcome = judge(state, order)  # on a value that a quorum holds: a refusal is certain
-        if isinstance(outcome, Refused):
+        outcome = evaluate(state, order)  # on a value that a quorum holds: a refusal is certain
+        if isinstance(outcome, Rejected):
             raise outcome.error
         logger.info("event=configuration_taken version=%d current=%d", order.version, state.version)
         return order.version
@@ -119,7 +119,7 @@
 
 
 def _wanted(state: ControlState, order: ChangeRequest) -> ControlState | None:
-    outcome = judge(state, order)
-    if isinstance(outcome, Taken) and not outcome.again:
+    outcome = evaluate(state, order)
+    if isinstance(outcome, Accepted) and not outcome.is_repeat:
         return outcome.state
     return None
--- a/emberring/simulation/control_plane/client_steps.py
+++ b/emberring/simulation/control_plane/client_steps.py
@@ -43,7 +43,7 @@
 
     def _kind(self) -> ChangeRequestKind:
         patch = self._deployment.operators.known > 0 and self._world.rng.random() < 0.5
-        return ChangeRequestKind.PATCH if patch else ChangeRequestKind.WHOLE
+        return ChangeRequestKind.PATCH if patch else ChangeRequestKind.REPLACE
 
     def _order(self, step: Step, version: int | None = None) -> None:
         operators = self._deployment.operators
--- a/emberring/simulation/control_plane/deployment.py
+++ b/emberring/simulation/control_plane/deployment.py
@@ -107,8 +107,8 @@
         for _ in range(SERVERS):
             self.add_server()
         self._tasks.append(asyncio.get_running_loop().create_task(self.copies.run()))
-        order = self.operators.order(0, 1, ChangeRequestKind.WHOLE)
-        await self.operators.send(order, ChangeRequestKind.WHOLE)
+        order = self.operators.order(0, 1, ChangeRequestKind.REPLACE)
+        await self.operators.send(order, ChangeRequestKind.REPLACE)
         await asyncio.sleep(1.0)
 
     def fair(self) -> None:
--- a/emberring/simulation/control_plane/history.py
+++ b/emberring/simulation/control_plane/history.py
@@ -61,13 +61,13 @@
         """A node was told this state after one of version `before` in the same life."""
         if state.version < before:
             self.wrong(f"{where} was told version {state.version} after {before}")
-        for digest in state.taken:
+        for digest in state.accepted_digests:
             order = self._by_digest.get(digest)
             if order is None:
                 self.wrong(f"{where} was told a state with a change that nobody ordered")
             else:
                 self._prove(now_s, where, order.version, digest)
-        newest = self._by_digest.get(state.taken[-1]) if state.taken else None
+        newest = self._by_digest.get(state.accepted_digests[-1]) if state.accepted_digests else None
         if newest is not None and newest.version != state.version:
             self.wrong(f"{where} was told version {state.version}, whose last change made {newest.version}")
 
--- a/emberring/simulation/control_plane/mutations.py
+++ b/emberring/simulation/control_plane/mutations.py
@@ -82,17 +82,17 @@
 
 
 def _with_last_digest_alone(self: ControlState, version: int, document: bytes, digest: bytes) -> ControlState:
-    return attrs.evolve(_with_configuration(self, version, document, digest), taken=(digest,))
+    return attrs.evolve(_with_configuration(self, version, document, digest), accepted_digests=(digest,))
 
 
-_judge = change_requests.judge
+_judge = change_requests.evaluate
 
 
 def _judge_without_comparison(
     state: ControlState, order: change_requests.ChangeRequest
-) -> change_requests.Taken | change_requests.Refused:
-    if order.digest not in state.taken and order.version > state.version:
-        order = attrs.evolve(order, base=state.version)
+) -> change_requests.Accepted | change_requests.Rejected:
+    if order.digest not in state.accepted_digests and order.version > state.version:
+        order = attrs.evolve(order, base_version=state.version)
     return _judge(state, order)
 
 
@@ -104,7 +104,7 @@
 ) -> int:
     order = change_requests.read_change_request(kind, if_match, body)
     outcome = _judge(self._board.state, order)
-    if isinstance(outcome, change_requests.Refused) and isinstance(outcome.error, VersionConflictError):
+    if isinstance(outcome, change_requests.Rejected) and isinstance(outcome.error, VersionConflictError):
         raise outcome.error
     return await _configure(self, kind, if_match, body)
 
@@ -141,7 +141,7 @@
     Mistake.KEEPS_WEAK_SOURCES: ((SourceChoice, "answered", _answered_whatever_its_quorum),),
     Mistake.TAKES_OLDER_CONFIGURATION: ((FollowerView, "take", _take_older),),
     Mistake.FORGETS_DIGESTS: ((ControlState, "with_configuration", _with_last_digest_alone),),
-    Mistake.NO_COMPARISON: ((operator_requests, "judge", _judge_without_comparison),),
+    Mistake.NO_COMPARISON: ((operator_requests, "evaluate", _judge_without_comparison),),
     Mistake.REFUSES_BY_MEMORY: ((operator_requests.OperatorRequests, "configure", _configure_by_memory),),
     Mistake.OLD_SET_ALONE: ((ReplicaSet, "has_quorum", _quorum_of_members),),
     Mistake.REWRITES_WITHOUT_SNAPSHOT: ((ControlMachine, "_reclaim", _reclaim_without_snapshot),),
--- a/emberring/simulation/control_plane/simulator.py
+++ b/emberring/simulation/control_plane/simulator.py
@@ -114,8 +114,8 @@
         operators = self._deployment.operators
         began_s = self._world.sync()
         base = max([operators.known, *(machine.told_version for machine in self._deployment.cores)])
-        order = operators.order(base, base + 1, ChangeRequestKind.WHOLE)
-        status = await operators.send(order, ChangeRequestKind.WHOLE)
+        order = operators.order(base, base + 1, ChangeRequestKind.REPLACE)
+        status = await operators.send(order, ChangeRequestKind.REPLACE)
         took_s = self._world.sync() - began_s
         if status != TAKEN:
             self._world.seen.wrong(f"in the calm at the end, {order} was answered {status}")
--- a/tests/emberring/configuration/test_tier_change_requests.py
+++ b/tests/emberring/configuration/test_tier_change_requests.py
@@ -1,4 +1,4 @@
-"""What becomes of an operator's order on a state: taken, taken before, or refused."""
+"""What becomes of an operator's change on a state: accepted, accepted before, or rejected."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from emberring.configuration.change_requests import (
+    Accepted,
     ChangeRequest,
     ChangeRequestKind,
-    Refused,
-    Taken,
-    judge,
+    Rejected,
+    evaluate,
     read_change_request,
 )
-from emberring.configuration.state import MOST_TAKEN, ControlState
+from emberring.configuration.state import MAX_REMEMBERED_DIGESTS, ControlState
 from emberring.errors import (
     BadRequestError,
     CorruptRecordError,
@@ -42,7 +42,7 @@
 
 def whole(version: int, *routes: dict[str, Any], base: int = 0) -> ChangeRequest:
     document = {"Version": version, "Routes": list(routes), "Services": [{"Name": "s"}]}
-    return read_change_request(ChangeRequestKind.WHOLE, str(base), json.dumps(document).encode())
+    return read_change_request(ChangeRequestKind.REPLACE, str(base), json.dumps(document).encode())
 
 
 def patch(version: int, base: int, **parts: Any) -> ChangeRequest:
@@ -51,23 +51,23 @@
     )
 
 
-def taken(state: ControlState, order: ChangeRequest) -> ControlState:
-    outcome = judge(state, order)
-    assert isinstance(outcome, Taken), outcome
+def accepted(state: ControlState, request: ChangeRequest) -> ControlState:
+    outcome = evaluate(state, request)
+    assert isinstance(outcome, Accepted), outcome
     return outcome.state
 
 
-FIRST = taken(ControlState(), whole(5, route("one"), route("two")))
+FIRST = accepted(ControlState(), whole(5, route("one"), route("two")))
 
 
-def test_the_first_order_is_taken_and_stands_as_it_was_sent() -> None:
+def test_the_first_change_is_accepted_and_kept_as_it_was_sent() -> None:
     body = b'{ "Version": 5, "Routes": [], "Services": [], "x": 1100000.0 }'
-    state = taken(ControlState(), read_change_request(ChangeRequestKind.WHOLE, "0", body))
+    state = accepted(ControlState(), read_change_request(ChangeRequestKind.REPLACE, "0", body))
     assert state.version == 5
     assert state.document == body
 
 
-REFUSED = [
+REJECTED = [
     (whole(6), VersionConflictError),  # on 0, as if there were no version yet
     (whole(9, base=4), VersionConflictError),
     (whole(9, base=6), VersionConflictError),
@@ -88,10 +88,12 @@
 ]
 
 
-@pytest.mark.parametrize(("order", "error"), REFUSED, ids=range(len(REFUSED)))
-def test_an_order_that_does_not_fit_is_refused(order: ChangeRequest, error: type[Exception]) -> None:
-    outcome = judge(FIRST, order)
-    assert isinstance(outcome, Refused)
+@pytest.mark.parametrize(("change", "error"), REJECTED, ids=range(len(REJECTED)))
+def test_a_change_that_does_not_fit_the_state_is_rejected(
+    change: ChangeRequest, error: type[Exception]
+) -> None:
+    outcome = evaluate(FIRST, change)
+    assert isinstance(outcome, Rejected)
     assert isinstance(outcome.error, error)
 
 
@@ -111,57 +113,59 @@
 
 @pytest.mark.parametrize(("parts", "wanted"), PATCHES, ids=range(len(PATCHES)))
 def test_a_patch_changes_named_items_alone(parts: dict[str, Any], wanted: list[tuple[str, int]]) -> None:
-    document = json.loads(taken(FIRST, patch(9, 5, **parts)).document)
+    document = json.loads(accepted(FIRST, patch(9, 5, **parts)).document)
     assert document["Version"] == 9
     assert [(item["Name"], item["TimeoutMs"]) for item in document["Routes"]] == wanted
     assert document["Services"][0] == {"Name": "s"}
 
 
-def test_a_patch_frees_a_place_for_another_route() -> None:
+def test_a_patch_may_replace_a_route_under_another_name() -> None:
     moved = route("one") | {"Name": "successor"}
-    state = taken(FIRST, patch(9, 5, Remove={"Routes": ["one"]}, Upsert={"Routes": [moved]}))
+    state = accepted(FIRST, patch(9, 5, Remove={"Routes": ["one"]}, Upsert={"Routes": [moved]}))
     assert [item["Name"] for item in json.loads(state.document)["Routes"]] == ["two", "successor"]
 
 
 @pytest.mark.parametrize("if_match", [None, "", "x", "-1", "1.5", "²", "9" * 30])
-def test_an_order_without_a_readable_base_is_refused(if_match: str | None) -> None:
+def test_a_change_without_a_readable_base_version_is_rejected(if_match: str | None) -> None:
     with pytest.raises(BadRequestError):
-        read_change_request(ChangeRequestKind.WHOLE, if_match, b'{"Version":1}')
+        read_change_request(ChangeRequestKind.REPLACE, if_match, b'{"Version":1}')
 
 
-def test_a_base_may_stand_in_quotes() -> None:
-    assert read_change_request(ChangeRequestKind.WHOLE, ' "12" ', b'{"Version":13}').base == 12
+def test_a_base_version_may_be_quoted() -> None:
+    assert read_change_request(ChangeRequestKind.REPLACE, ' "12" ', b'{"Version":13}').base_version == 12
 
 
-def test_the_same_change_is_the_same_in_another_spelling_and_another_on_another_base() -> None:
-    one = read_change_request(ChangeRequestKind.WHOLE, "0", b'{"Version":1,"Routes":[]}')
-    two = read_change_request(ChangeRequestKind.WHOLE, "0", b'{ "Routes" : [], "Version": 1 }')
+def test_the_digest_ignores_spelling_and_depends_on_the_base_version() -> None:
+    one = read_change_request(ChangeRequestKind.REPLACE, "0", b'{"Version":1,"Routes":[]}')
+    two = read_change_request(ChangeRequestKind.REPLACE, "0", b'{ "Routes" : [], "Version": 1 }')
     assert one.digest == two.digest
     assert (
-        read_change_request(ChangeRequestKind.WHOLE, "1", b'{"Version":1,"Routes":[]}').digest != one.digest
+        read_change_request(ChangeRequestKind.REPLACE, "1", b'{"Version":1,"Routes":[]}').digest != one.digest
     )
     assert (
         read_change_request(ChangeRequestKind.PATCH, "0", b'{"Version":1,"Routes":[]}').digest != one.digest
     )
 
 
-def test_a_change_is_known_hundreds_of_changes_later_and_after_a_restart() -> None:
-    state, orders = ControlState(), []
+def test_a_repeated_change_is_recognised_hundreds_of_changes_later_and_after_a_restart() -> None:
+    state, requests = ControlState(), []
     for number in range(1, 801):
-        order = whole(number * 3, route(f"r{number}"), base=state.version)
-        orders.append(order)
-        state = taken(state, order)
+        request = whole(number * 3, route(f"r{number}"), base=state.version)
+        requests.append(request)
+        state = accepted(state, request)
     state = ControlState.decode(state.encode())
-    for order in orders:
-        assert judge(state, order) == Taken(state, again=True)
+    for request in requests:
+        assert evaluate(state, request) == Accepted(state, is_repeat=True)
     assert state.version == 2400
 
 
 def test_the_digests_kept_are_bounded() -> None:
-    state = ControlState(taken=tuple(number.to_bytes(16, "big") for number in range(MOST_TAKEN)))
-    state = taken(state, whole(1))
-    assert len(state.taken) == MOST_TAKEN
-    assert state.taken[0] == (1).to_bytes(16, "big")
+    state = ControlState(
+        accepted_digests=tuple(number.to_bytes(16, "big") for number in range(MAX_REMEMBERED_DIGESTS))
+    )
+    state = accepted(state, whole(1))
+    assert len(state.accepted_digests) == MAX_REMEMBERED_DIGESTS
+    assert state.accepted_digests[0] == (1).to_bytes(16, "big")
 
 
 PLACEMENT = Placement(
@@ -178,44 +182,44 @@
 
 
 @pytest.mark.parametrize("value", [b"other", FIRST.encode()[:-1], FIRST.encode() + b"x"])
-def test_bytes_that_are_no_state_are_told(value: bytes) -> None:
+def test_bytes_that_are_no_state_raise_an_error(value: bytes) -> None:
     with pytest.raises(CorruptRecordError):
         ControlState.decode(value)
 
 
-def test_no_value_is_the_first_state() -> None:
+def test_no_value_decodes_to_the_initial_state() -> None:
     assert ControlState.decode(None) == ControlState()
     assert ControlState.decode(b"") == ControlState()
 
 
 class OperatorMachine(RuleBasedStateMachine):
-    """Orders that come again and again, from two operators, beside a plain model of what was taken."""
+    """Repeated changes of two operators, beside a plain model of what was accepted."""
 
     def __init__(self) -> None:
         super().__init__()
         self.state = ControlState()
-        self.accepted: list[ChangeRequest] = []
+        self.accepted_requests: list[ChangeRequest] = []
         self.sent: list[ChangeRequest] = []
-        self.refused: list[ChangeRequest] = []
+        self.rejected: list[ChangeRequest] = []
 
     @initialize()
     def begin(self) -> None:
         self.send(whole(1, route("one")))
 
-    def send(self, order: ChangeRequest) -> None:
-        outcome = judge(self.state, order)
-        self.sent.append(order)
-        if order in self.accepted:
-            assert outcome == Taken(self.state, again=True)
-        elif isinstance(outcome, Taken):
-            assert not outcome.again
-            assert order.base == self.state.version
-            assert order.version > order.base
+    def send(self, request: ChangeRequest) -> None:
+        outcome = evaluate(self.state, request)
+        self.sent.append(request)
+        if request in self.accepted_requests:
+            assert outcome == Accepted(self.state, is_repeat=True)
+        elif isinstance(outcome, Accepted):
+            assert not outcome.is_repeat
+            assert request.base_version == self.state.version
+            assert request.version > request.base_version
             self.state = outcome.state
-            self.accepted.append(order)
+            self.accepted_requests.append(request)
         else:
-            assert order.base != self.state.version or order.version <= self.state.version
-            self.refused.append(order)
+            assert request.base_version != self.state.version or request.version <= self.state.version
+            self.rejected.append(request)
 
     @rule(
         step=st.integers(-1, 3),
@@ -224,7 +228,7 @@
         timeout=st.integers(1, 3),
     )
     def change(self, step: int, back: int, name: str, timeout: int) -> None:
-        bases = [0, *(order.version for order in self.accepted)]
+        bases = [0, *(request.version for request in self.accepted_requests)]
         base = bases[max(0, len(bases) - 1 - back)]
         self.send(patch(max(0, base + step), base, Upsert={"Routes": [route(name, timeout)]}))
 
@@ -237,12 +241,12 @@
         self.state = ControlState.decode(self.state.encode())
 
     @invariant()
-    def current_is_the_newest_taken(self) -> None:
-        if self.accepted:
-            assert self.state.version == self.accepted[-1].version
-            versions = [order.version for order in self.accepted]
+    def current_is_the_newest_accepted(self) -> None:
+        if self.accepted_requests:
+            assert self.state.version == self.accepted_requests[-1].version
+            versions = [request.version for request in self.accepted_requests]
             assert versions == sorted(set(versions))
-            assert [order.base for order in self.accepted] == [0, *versions[:-1]]
+            assert [request.base_version for request in self.accepted_requests] == [0, *versions[:-1]]
 
 
 TestOperatorMachine = OperatorMachine.TestCase
--- a/tests/emberring/configuration/test_tier_checks.py
+++ b/tests/emberring/configuration/test_tier_checks.py
@@ -1,4 +1,4 @@
-"""What makes a configuration invalid, and that all mistakes are told at once."""
+"""What makes a configuration invalid, and that all errors are reported at once."""
 
 from __future__ import annotations
 
@@ -7,9 +7,15 @@
 
 import pytest
 
-from emberring.configuration.checks import MOST_TOLD, mistakes_in
+from emberring.configuration.checks import MAX_REPORTED_ERRORS, find_configuration_errors
 from emberring.configuration.model import RouteType
-from emberring.configuration.reading import build, pack, read, read_strictly, unpack_configuration
+from emberring.configuration.reading import (
+    build_configuration,
+    pack,
+    parse_object_strictly,
+    parse_strictly,
+    unpack_configuration,
+)
 from emberring.errors import InvalidConfigurationError
 
 
@@ -94,23 +100,23 @@
 
 
 @pytest.mark.parametrize("given", VALID)
-def test_a_valid_configuration_has_no_mistakes_and_can_be_built(given: dict[str, Any]) -> None:
-    assert mistakes_in(given) == ()
+def test_a_valid_configuration_has_no_errors_and_can_be_built(given: dict[str, Any]) -> None:
+    assert find_configuration_errors(given) == ()
     packed = pack(json.dumps(given).encode())
-    assert unpack_configuration(packed) == build(given)
+    assert unpack_configuration(packed) == build_configuration(given)
 
 
 @pytest.mark.parametrize(("given", "mistake"), INVALID)
-def test_an_invalid_configuration_names_its_mistake(given: dict[str, Any], mistake: str) -> None:
-    assert any(mistake in line for line in mistakes_in(given)), mistakes_in(given)
+def test_an_invalid_configuration_reports_its_error(given: dict[str, Any], mistake: str) -> None:
+    assert any(mistake in line for line in find_configuration_errors(given)), find_configuration_errors(given)
 
 
-def test_all_mistakes_are_told_at_once_up_to_a_number() -> None:
+def test_all_errors_are_reported_at_once_up_to_a_limit() -> None:
     given = document(route(TimeoutMs=0, Service="nobody"), route(Name="q", TrafficSplit=split(0)))
-    assert len(mistakes_in(given)) == 4
+    assert len(find_configuration_errors(given)) == 4
     many = document(*[route(Name=f"r{number}", Host=f"h{number}", TimeoutMs=0) for number in range(200)])
-    told = mistakes_in(many)
-    assert len(told) == MOST_TOLD + 1
+    told = find_configuration_errors(many)
+    assert len(told) == MAX_REPORTED_ERRORS + 1
     assert told[-1] == "and 150 more"
 
 
@@ -140,9 +146,9 @@
 
 
 @pytest.mark.parametrize("body", UNREADABLE, ids=range(len(UNREADABLE)))
-def test_what_cannot_be_read_whole_is_invalid(body: bytes) -> None:
+def test_what_cannot_be_read_completely_is_invalid(body: bytes) -> None:
     with pytest.raises(InvalidConfigurationError):
-        read_strictly(body)
+        parse_object_strictly(body)
 
 
 READABLE = [
@@ -156,17 +162,17 @@
 
 @pytest.mark.parametrize("body", READABLE, ids=range(len(READABLE)))
 def test_odd_values_are_read_and_have_one_spelling(body: bytes) -> None:
-    reading = read(body)
+    reading = parse_strictly(body)
     assert reading.value == json.loads(body)
-    assert read(reading.canonical) == reading
+    assert parse_strictly(reading.canonical) == reading
 
 
 def test_every_prefix_of_a_document_is_unreadable() -> None:
     body = json.dumps(document(route(TrafficSplit=split(1, 2)))).encode()
-    assert read_strictly(body)["Version"] == 1
+    assert parse_object_strictly(body)["Version"] == 1
     for end in range(len(body)):
         with pytest.raises(InvalidConfigurationError):
-            read_strictly(body[:end])
+            parse_object_strictly(body[:end])
 
 
 def test_the_typed_form_has_every_field_that_the_tier_uses() -> None:
@@ -193,12 +199,12 @@
         ],
         Limits={"MaxHeaderBytes": 1, "MaxBodyBytes": 2, "HeaderTimeoutMs": 3, "IdleTimeoutMs": 4},
     )
-    built = build(given)
+    built = build_configuration(given)
     found = built.route_for("H.EXAMPLE", "/a/x")
     assert found is not None
     assert [(share.service, share.weight) for share in found.split] == [("s", 90), ("s", 10)]
     assert (found.target_latency_ms, found.priority, found.max_attempts) == (200, 2, 3)
-    assert (found.sticky, found.resumable, found.gap_aim_ms) == (True, True, 250)
+    assert (found.sticky, found.resumable, found.gap_target_ms) == (True, True, 250)
     assert (found.completion_target_ms, found.retention_s, found.max_queued_tokens) == (8000, 60, 1200000)
     service = built.service("s")
     assert service is not None
--- a/tests/emberring/simulation/test_tier_control_simulator.py
+++ b/tests/emberring/simulation/test_tier_control_simulator.py
@@ -53,13 +53,16 @@
                 ControlState()
                 .with_configuration(1, b"a", b"1" * 16)
                 .with_configuration(2, b"b", b"2" * 16)
-                .taken
+                .accepted_digests
             )
             == 1
         )
     assert (
         len(
-            ControlState().with_configuration(1, b"a", b"1" * 16).with_configuration(2, b"b", b"2" * 16).taken
+            ControlState()
+            .with_configuration(1, b"a", b"1" * 16)
+            .with_configuration(2, b"b", b"2" * 16)
+            .accepted_digests
         )
         == 2
     )
--- a/tests/golden/record_disk.py
+++ b/tests/golden/record_disk.py
@@ -17,8 +17,8 @@
 import attrs
 import orjson
 
-from emberring.configuration.change_requests import ChangeRequestKind, judge, read_change_request
-from emberring.configuration.reading import build, pack
+from emberring.configuration.change_requests import ChangeRequestKind, evaluate, read_change_request
+from emberring.configuration.reading import build_configuration, pack
 from emberring.configuration.state import ControlState
 from emberring.jobs.calls import EventData, JobTerms
 from emberring.jobs.definition import encode_definition, parse_items
@@ -223,8 +223,8 @@
     """The values in the register, the document and what it means, and an order's digest."""
     states = [{"value": text(state.encode()), "state": plain(state)} for state in control_states()]
     body = orjson.dumps({**DOCUMENT, "Version": 43}, option=orjson.OPT_INDENT_2)
-    order = read_change_request(ChangeRequestKind.WHOLE, '"42"', body)
-    taken = judge(control_states()[-1], order)
+    order = read_change_request(ChangeRequestKind.REPLACE, '"42"', body)
+    taken = evaluate(control_states()[-1], order)
     orders = {
         "whole": {"base": '"42"', "body": body.decode(), "digest": order.digest.hex()},
         "patch": {
@@ -238,7 +238,7 @@
         {
             "states": states,
             "document": DOCUMENT,
-            "configuration": plain(build(DOCUMENT)),
+            "configuration": plain(build_configuration(DOCUMENT)),
             "orders": orders,
             "state_after_whole": text(taken.state.encode()),  # type: ignore[union-attr]
         },
--- a/tests/golden/test_golden_disk.py
+++ b/tests/golden/test_golden_disk.py
@@ -212,7 +212,7 @@
     assert json.loads(document) == CONTROL["document"]
     assert reading.pack(document) == packed
     assert plain(reading.unpack_configuration(packed)) == CONTROL["configuration"]
-    assert unread_keys(CONTROL["document"], lambda changed: plain(reading.build(changed))) == []
+    assert unread_keys(CONTROL["document"], lambda changed: plain(reading.build_configuration(changed))) == []
 
 
 @pytest.mark.parametrize("method", ["whole", "patch"])
@@ -221,10 +221,10 @@
     kind = change_requests.ChangeRequestKind({"whole": "PUT", "patch": "PATCH"}[method])
     order = change_requests.read_change_request(kind, stated["base"], stated["body"].encode())
     assert order.digest.hex() == stated["digest"]
-    assert bytes.fromhex(stated["digest"]) not in ControlValue.decode(None).taken
+    assert bytes.fromhex(stated["digest"]) not in ControlValue.decode(None).accepted_digests
     after = ControlValue.decode(unpacked(CONTROL["state_after_whole"]))
     if method == "whole":
-        assert after.taken[-1] == order.digest
+        assert after.accepted_digests[-1] == order.digest
         assert json.loads(after.document) == json.loads(stated["body"])
 
 
--- a/tests/golden/test_golden_settings.py
+++ b/tests/golden/test_golden_settings.py
@@ -25,9 +25,16 @@
 )
 
 from emberring import settings as tier
-from emberring.configuration.change_requests import ChangeRequestKind, judge, read_change_request
-from emberring.configuration.checks import mistakes_in
-from emberring.configuration.reading import build, pack, read, read_checked, unpack, unpack_configuration
+from emberring.configuration.change_requests import ChangeRequestKind, evaluate, read_change_request
+from emberring.configuration.checks import find_configuration_errors
+from emberring.configuration.reading import (
+    build_configuration,
+    pack,
+    parse_strictly,
+    parse_validated,
+    unpack,
+    unpack_configuration,
+)
 from emberring.configuration.state import ControlState
 from emberring.errors import InvalidConfigurationError, SettingsError
 from loadbalancer.node.config import parse_config
@@ -232,25 +239,25 @@
 
 def configuration_values(document: dict) -> dict:
     """The typed values of a document; `ValueError` with all mistakes as a control node would name them."""
-    mistakes = mistakes_in(document)
+    mistakes = find_configuration_errors(document)
     if mistakes:
         raise ValueError("; ".join(mistakes))
     try:
-        return flat(build(document))
+        return flat(build_configuration(document))
     except KeyError as error:  # a fault of today: a share without Weight passes the check and can't be built
         raise ValueError(f"not built: {error}") from error
 
 
 def test_the_configuration_has_the_recorded_values():
-    assert not mistakes_in(configuration_document())
+    assert not find_configuration_errors(configuration_document())
     check_golden("settings/configuration.values.json", configuration_values(configuration_document()))
 
 
 def test_each_key_of_the_configuration_is_read_and_no_other():
     log: set[str] = set()
     document = Recorded(configuration_document(), log)
-    assert not mistakes_in(document)
-    build(document)
+    assert not find_configuration_errors(document)
+    build_configuration(document)
     # Read of each item although one of them may have it: a service has its capacity in either place.
     assert log == key_paths(configuration_document())
 
@@ -268,7 +275,7 @@
         for step in place[:-1]:
             holder = holder[step]
         holder[place[-1]] = -1
-        found[".".join(map(str, place))] = list(mistakes_in(broken))
+        found[".".join(map(str, place))] = list(find_configuration_errors(broken))
     check_golden("settings/configuration.mistakes.json", found)
 
 
@@ -276,14 +283,14 @@
     body = configuration_bytes()
     assert unpack(pack(body)) == body
     assert flat(unpack_configuration(pack(body))) == configuration_values(configuration_document())
-    assert read_checked(body) == configuration_document()
-    taken = judge(ControlState(), read_change_request(ChangeRequestKind.WHOLE, '"0"', body)).state
+    assert parse_validated(body) == configuration_document()
+    taken = evaluate(ControlState(), read_change_request(ChangeRequestKind.REPLACE, '"0"', body)).state
     assert ControlState.decode(taken.encode()).document == body
     check_golden(
         "settings/configuration.canonical.json",
         {
-            "canonical": read(body).canonical.decode(),
-            "digest": read_change_request(ChangeRequestKind.WHOLE, "0", body).digest.hex(),
+            "canonical": parse_strictly(body).canonical.decode(),
+            "digest": read_change_request(ChangeRequestKind.REPLACE, "0", body).digest.hex(),
         },
     )
 
@@ -319,12 +326,12 @@
     "kind", ["upsert", "remove", "limits", "mistakes", "not_objects", "old_version", "no_version"]
 )
 def test_a_change_of_named_items_writes_the_recorded_document(kind):
-    before = judge(
-        ControlState(), read_change_request(ChangeRequestKind.WHOLE, "0", configuration_bytes())
+    before = evaluate(
+        ControlState(), read_change_request(ChangeRequestKind.REPLACE, "0", configuration_bytes())
     ).state
 
     def change() -> str:
-        fate = judge(
+        fate = evaluate(
             before, read_change_request(ChangeRequestKind.PATCH, "7", json.dumps(patch_of(kind)).encode())
         )
         if hasattr(fate, "error"):
@@ -335,14 +342,16 @@
 
 
 def test_each_key_of_a_change_has_an_effect():
-    before = judge(
-        ControlState(), read_change_request(ChangeRequestKind.WHOLE, "0", configuration_bytes())
+    before = evaluate(
+        ControlState(), read_change_request(ChangeRequestKind.REPLACE, "0", configuration_bytes())
     ).state
     for kind in ("upsert", "remove", "limits"):
         change = patch_of(kind)
         documents = []
         for place in [None, *((key,) for key in change if key != "Version")]:
             sent = change if place is None else without(change, place, f"{place[0]}New")
-            fate = judge(before, read_change_request(ChangeRequestKind.PATCH, "7", json.dumps(sent).encode()))
+            fate = evaluate(
+                before, read_change_request(ChangeRequestKind.PATCH, "7", json.dumps(sent).encode())
+            )
             documents.append(fate.state.document)
         assert len(set(documents)) == len(documents), kind
