--- a/emberring/__main__.py
+++ b/emberring/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m emberring ROLE` runs a node of the tier; every other word is a tool of the command line."""
+"""`python -m emberring ROLE` runs a node of the tier; any other command is a tool of the command line."""
 
 from __future__ import annotations
 
@@ -12,51 +12,52 @@
 from emberring.settings import Settings, load_settings
 
 EXIT_BAD_SETTINGS = 2
-COLLECT_EVERY = 20_000  # allocations between collections: few cycles are made here, and each pass costs time
+# Allocations between garbage collections: few cycles are made here, and each pass costs time.
+GC_THRESHOLDS = (20_000, 20, 50)
 
-Role = Callable[[Settings], Coroutine[None, None, None]]
+RunRole = Callable[[Settings], Coroutine[None, None, None]]
 
 
-def _gateway() -> Role:
+def _gateway() -> RunRole:
     from emberring.gateway.role import run
 
     return run
 
 
-def _control() -> Role:
+def _control() -> RunRole:
     from emberring.control.role import run
 
     return run
 
 
-def _store() -> Role:
+def _store() -> RunRole:
     from emberring.store.role import run
 
     return run
 
 
-# Each role imports its own parts alone: imports are paid in time and memory at every start.
-ROLES: dict[str, Callable[[], Role]] = {"gateway": _gateway, "control": _control, "store": _store}
+# Each role imports only its own modules: imports cost time and memory at every start.
+ROLES: dict[str, Callable[[], RunRole]] = {"gateway": _gateway, "control": _control, "store": _store}
 
 
 def run_role(name: str) -> int:
-    """Run a role until it is told to end; the exit code."""
+    """Run a role until it is stopped; the exit code, `EXIT_BAD_SETTINGS` where the settings cannot be used."""
     try:
         settings = load_settings()
     except SettingsError as error:
         print(f"emberring: {error.detail}", file=sys.stderr)
         return EXIT_BAD_SETTINGS
-    logs.set_up(settings.log_level, settings.node_name)
+    logs.configure_logging(settings.log_level, settings.node_name)
     role = ROLES[name]()
     gc.collect()
     gc.freeze()
-    gc.set_threshold(COLLECT_EVERY, 20, 50)
+    gc.set_threshold(*GC_THRESHOLDS)
     asyncio.run(role(settings))
     return 0
 
 
 def main() -> int:
-    """The command `emberring`."""
+    """The command `emberring`; its exit code."""
     if len(sys.argv) == 2 and sys.argv[1] in ROLES:
         return run_role(sys.argv[1])
     from emberring.cli.app import main as run_tool
--- a/emberring/placement/__init__.py
+++ b/emberring/placement/__init__.py
@@ -1,1 +1,1 @@
-"""The placement of shards of lots on stores: a table in the register, and its changes."""
+"""Which stores hold which shard of the batch jobs: the placement in the register, and its changes."""
--- a/emberring/placement/retirement.py
+++ b/emberring/placement/retirement.py
@@ -1,4 +1,4 @@
-"""Stores that are emptied to be taken away. Pure functions on the table of shards."""
+"""Retirement of stores: their shards move to other stores, so that the machine can be removed. Pure functions."""
 
 from __future__ import annotations
 
@@ -14,16 +14,19 @@
 def begin_retire(
     placement: Placement | None, name: str, live: Sequence[NodeRecord], tolerance: int = 1
 ) -> Placement:
-    """The table in which this store is being emptied; `NotFoundError` where no store has this name,
-    `ConflictError` where too few stores would remain. Asked again, it changes nothing."""
+    """The placement in which this store is retiring; `placement` itself where it already is or has been retired.
+
+    `tolerance` is how many stores may be lost at the same time. `NotFoundError` where no store has this name,
+    `ConflictError` where too few stores would remain.
+    """
     if placement is None:
         raise NotFoundError(f"no store named {name} is known yet")
     if name in placement.retiring or name in placement.retired:
         return placement
     staying = {
-        fact.name
-        for fact in live
-        if fact.role is NodeRole.STORE and fact.identity and fact.name not in placement.retiring
+        node.name
+        for node in live
+        if node.role is NodeRole.STORE and node.identity and node.name not in placement.retiring
     }
     known = {member.name for member in placement.stores.values()} | staying
     if name not in known:
@@ -34,7 +37,7 @@
 
 
 def retire_state(placement: Placement | None, name: str) -> str:
-    """`active` or `completed`; `NotFoundError` where the store was never asked to be emptied."""
+    """`active` or `completed`; `NotFoundError` where the store is neither retiring nor retired."""
     if placement is not None and name in placement.retired:
         return "completed"
     if placement is not None and name in placement.retiring:
--- a/tests/emberring/placement/test_tier_placement.py
+++ b/tests/emberring/placement/test_tier_placement.py
@@ -1,4 +1,4 @@
-"""The table of shards: first table, successors, moves, emptying."""
+"""The placement of shards: the first one, successors, moves, retirement."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from emberring.errors import ConflictError, NotFoundError
 from emberring.placement.model import SHARDS, Group, Placement, finish_move, in_order, shard_of
 from emberring.placement.planning import (
-    ABSENCE_S,
-    FIRST_TABLE_WAIT_S,
-    FRESH_ABSENCE_S,
-    SETTLE_S,
+    FIRST_PLACEMENT_DELAY_S,
+    FIRST_PLACEMENT_TIMEOUT_S,
+    MAX_ABSENCE_S,
+    MAX_ABSENCE_WITH_NEW_STORE_S,
     PlanMemory,
     plan,
 )
@@ -31,10 +31,10 @@
     return [store(name) for name in names]
 
 
-def first_table(live: list[NodeRecord], memory: PlanMemory | None = None) -> Placement:
+def first_placement(live: list[NodeRecord], memory: PlanMemory | None = None) -> Placement:
     memory = memory or PlanMemory()
     assert plan(None, live, 0.0, 1, memory) is None
-    placement = plan(None, live, SETTLE_S, 1, memory)
+    placement = plan(None, live, FIRST_PLACEMENT_DELAY_S, 1, memory)
     assert placement is not None
     return placement
 
@@ -45,15 +45,15 @@
     return placement
 
 
-def test_the_first_table_waits_for_enough_stores_and_spreads_over_zones() -> None:
+def test_the_first_placement_waits_for_enough_stores_and_spreads_over_zones() -> None:
     memory = PlanMemory()
     assert plan(None, stores("a", "b"), 0.0, 1, memory) is None
-    assert plan(None, stores("a", "b"), FIRST_TABLE_WAIT_S - 0.1, 1, memory) is None
-    few = plan(None, stores("a", "b"), FIRST_TABLE_WAIT_S, 1, memory)
+    assert plan(None, stores("a", "b"), FIRST_PLACEMENT_TIMEOUT_S - 0.1, 1, memory) is None
+    few = plan(None, stores("a", "b"), FIRST_PLACEMENT_TIMEOUT_S, 1, memory)
     assert few is not None
     assert all(len(group.members) == 2 for group in few.groups)
     live = [store("a", zone="x"), store("b", zone="x"), store("c", zone="y"), store("d", zone="z")]
-    placement = first_table(live)
+    placement = first_placement(live)
     assert len(placement.groups) == SHARDS
     for group in placement.groups:
         assert {placement.stores[identity].zone for identity in group.members} == {"x", "y", "z"}
@@ -62,14 +62,14 @@
 def test_nothing_changes_while_all_is_well() -> None:
     memory = PlanMemory()
     live = stores("a", "b", "c", "d")
-    placement = first_table(live, memory)
+    placement = first_placement(live, memory)
     for step in range(20):
         assert plan(placement, live, 1.0 + step, 1, memory) is placement
 
 
 def test_a_disk_that_is_lost_has_its_successor_at_once() -> None:
     memory = PlanMemory()
-    placement = first_table(stores("a", "b", "c"), memory)
+    placement = first_placement(stores("a", "b", "c"), memory)
     live = [store("a"), store("b"), store("c", identity="id-c2")]
     changed = plan(placement, live, 1.0, 1, memory)
     assert changed is not None
@@ -84,10 +84,10 @@
 @pytest.mark.parametrize(
     ("spare_is_new", "absent_s", "replaced"),
     [
-        (True, FRESH_ABSENCE_S - 0.1, False),
-        (True, FRESH_ABSENCE_S, True),
-        (False, ABSENCE_S - 0.1, False),
-        (False, ABSENCE_S, True),
+        (True, MAX_ABSENCE_WITH_NEW_STORE_S - 0.1, False),
+        (True, MAX_ABSENCE_WITH_NEW_STORE_S, True),
+        (False, MAX_ABSENCE_S - 0.1, False),
+        (False, MAX_ABSENCE_S, True),
     ],
 )
 def test_a_store_that_stays_away_gives_way_to_a_spare(
@@ -95,7 +95,7 @@
 ) -> None:
     memory = PlanMemory()
     names = ("a", "b", "c") if spare_is_new else ("a", "b", "c", "d")
-    placement = first_table(stores(*names), memory)
+    placement = first_placement(stores(*names), memory)
     assert plan(placement, stores(*names), 20.0, 1, memory) is placement
     changed = plan(placement, stores("a", "b", "d"), 20.0 + absent_s, 1, memory)
     assert changed is not None
@@ -105,7 +105,7 @@
 
 def test_a_move_is_called_off_when_the_absent_store_is_back() -> None:
     memory = PlanMemory()
-    placement = first_table(stores("a", "b", "c"), memory)
+    placement = first_placement(stores("a", "b", "c"), memory)
     away = plan(placement, stores("a", "b", "d"), 10.0, 1, memory)
     assert away is not None
     assert away.groups[0].joining
@@ -116,14 +116,14 @@
 
 def test_without_a_spare_a_store_that_is_away_keeps_its_place() -> None:
     memory = PlanMemory()
-    placement = first_table(stores("a", "b", "c"), memory)
+    placement = first_placement(stores("a", "b", "c"), memory)
     assert plan(placement, stores("a", "b"), 60.0, 1, memory) is placement
 
 
 def test_emptying_a_store() -> None:
     memory = PlanMemory()
     live = stores("a", "b", "c", "d")
-    placement = first_table(live, memory)
+    placement = first_placement(live, memory)
     with pytest.raises(NotFoundError):
         begin_retire(placement, "nobody", live)
     with pytest.raises(NotFoundError):
@@ -148,13 +148,13 @@
 def test_too_few_stores_would_remain() -> None:
     live = stores("a", "b", "c")
     with pytest.raises(ConflictError):
-        begin_retire(first_table(live), "a", live)
+        begin_retire(first_placement(live), "a", live)
 
 
 def test_a_machine_with_a_new_disk_under_an_emptied_name_is_an_ordinary_store() -> None:
     memory = PlanMemory()
     live = stores("a", "b", "c", "d")
-    placement = first_table(live, memory)
+    placement = first_placement(live, memory)
     changed = plan(begin_retire(placement, "a", live), live, 1.0, 1, memory)
     assert changed is not None
     done = plan(finish_all(changed), live, 2.0, 1, memory)
@@ -196,7 +196,7 @@
     memory = PlanMemory()
     facts = {name: store(name) for name in ("a", "b", "c", "d")}
     away: set[str] = set()
-    placement = first_table(list(facts.values()), memory)
+    placement = first_placement(list(facts.values()), memory)
     now_s = 1.0
     for kind, number, wait_s in events:
         now_s += wait_s
--- a/tests/emberring/test_tier_logs.py
+++ b/tests/emberring/test_tier_logs.py
@@ -8,7 +8,7 @@
 
 SCRIPT = """
 from emberring import logs
-logs.set_up("warning", "edge-1")
+logs.configure_logging("warning", "edge-1")
 logs.get_logger("store").info("event=unseen")
 logs.get_logger("store").warning("event=disk_failed detail=%r", "full")
 """
