--- a/emberring/control/app.py
+++ b/emberring/control/app.py
@@ -125,7 +125,7 @@
 
 
 def _error_response(error: EmberringError) -> Response:
-    return Response(error.answer.status, orjson.dumps({"Error": error.kind.value, "Detail": error.detail}))
+    return Response(error.response.status, orjson.dumps({"Error": error.kind.value, "Detail": error.detail}))
 
 
 async def _read_request(scope: Any, receive: Receive) -> Request:
--- a/emberring/control/operator_requests.py
+++ b/emberring/control/operator_requests.py
@@ -9,11 +9,11 @@
 import attrs
 
 from emberring.configuration.change_requests import (
+    Accepted,
     ChangeRequest,
     ChangeRequestKind,
-    Refused,
-    Taken,
-    judge,
+    Rejected,
+    evaluate,
     read_change_request,
 )
 from emberring.configuration.state import ControlState
@@ -54,8 +54,8 @@
         state = await self._compare_and_swap(
             lambda state: _accepted_state(state, request), self._timeout_s(len(body))
         )
-        outcome = judge(state, request)  # on a value that a quorum holds: a refusal is certain
-        if isinstance(outcome, Refused):
+        outcome = evaluate(state, request)  # on a value that a quorum holds: a refusal is certain
+        if isinstance(outcome, Rejected):
             raise outcome.error
         logger.info("event=configuration_taken version=%d current=%d", request.version, state.version)
         return request.version
@@ -125,7 +125,7 @@
 
 
 def _accepted_state(state: ControlState, request: ChangeRequest) -> ControlState | None:
-    outcome = judge(state, request)
-    if isinstance(outcome, Taken) and not outcome.again:
+    outcome = evaluate(state, request)
+    if isinstance(outcome, Accepted) and not outcome.is_repeat:
         return outcome.state
     return None
