--- a/emberring/admission/admission.py
+++ b/emberring/admission/admission.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from emberring.admission.pool import Pool
-from emberring.admission.server import Placed, ServerView
+from emberring.admission.server import PlacedCall, ServerView
 from emberring.admission.suspicion import SuspicionChange
 from emberring.admission.types import AdmissionSettings, CallInfo, CallOutcome, Decision, NoServer
 from emberring.configuration.model import Service
@@ -35,7 +35,7 @@
         self._random = Random(seed)
         self._connected = connected
         self._pools: dict[str, Pool] = {}
-        self._placed: dict[str, tuple[Pool, Placed]] = {}
+        self._placed: dict[str, tuple[Pool, PlacedCall]] = {}
 
     def set_servers(
         self,
@@ -49,12 +49,12 @@
         the calls in flight over all gateways as control last told."""
         gateways = max(1, gateways)
         by_service: dict[str, dict[str, ServerView]] = {}
-        for fact in servers:
-            pool = self._pools.get(fact.service)
-            known = pool.servers.get(fact.id) if pool else None
-            view = known or ServerView(fact, now_s)
-            view.fact = fact
-            by_service.setdefault(fact.service, {})[fact.id] = view
+        for record in servers:
+            pool = self._pools.get(record.service)
+            known = pool.servers.get(record.id) if pool else None
+            view = known or ServerView(record, now_s)
+            view.record = record
+            by_service.setdefault(record.service, {})[record.id] = view
         for name in self._pools.keys() - by_service.keys():
             self._pools[name].set_servers({}, gateways, None)
         for name, views in by_service.items():
@@ -68,7 +68,7 @@
                 if service is not None and service.kv_cache_tokens > 0:
                     view.kv_tokens = float(service.kv_cache_tokens)
             total = load.totals.get(name) if load.usual is not None else None
-            _hear_load(now_s, views, load, gateways, total)
+            _update_other_calls(now_s, views, load, gateways, total)
             pool.set_servers(views, gateways, total, load.true_s)
 
     def offer(self, now_s: float, call: CallInfo) -> Decision:
@@ -110,42 +110,42 @@
         """How many more items of lots would be taken now, over all services."""
         return sum(pool.batch_room(now_s) for pool in self._pools.values())
 
-    def decides_by(self, now_s: float) -> tuple[int, float, float]:
+    def status(self, now_s: float) -> tuple[int, float, float]:
         """Of all services the worst: the table's cursor, the share of the places that lots may have, and how long ago
         (seconds) word of the others' calls was true; the latter is infinite without any."""
         pools = self._pools.values()
         return (
             max((pool.table.cursor for pool in pools), default=0),
-            max((pool.pressure.share(now_s) for pool in pools), default=0.0),
-            max((now_s - pool.calls.true_s for pool in pools), default=math.inf),
+            max((pool.pressure.slot_share(now_s) for pool in pools), default=0.0),
+            max((now_s - pool.calls.load_measured_s for pool in pools), default=math.inf),
         )
 
-    def look_at_servers(self, now_s: float) -> list[SuspicionChange]:
+    def check_servers(self, now_s: float) -> list[SuspicionChange]:
         """Which servers came into trouble, or are well again, since the last look."""
-        return [change for pool in self._pools.values() for change in pool.look_at_servers(now_s)]
+        return [change for pool in self._pools.values() for change in pool.check_servers(now_s)]
 
-    def suspects(self) -> dict[str, Fault]:
+    def suspected_servers(self) -> dict[str, Fault]:
         """The servers held to be in trouble at the last look, by id."""
         found: dict[str, Fault] = {}
         for pool in self._pools.values():
-            found.update(pool.suspicions.troubles)
+            found.update(pool.suspicions.faults)
         return found
 
     @property
-    def calls_now(self) -> int:
+    def in_flight_count(self) -> int:
         """This gateway's calls in flight."""
         return len(self._placed)
 
-    def in_flight(self, word_follows: bool = True) -> dict[str, int]:
+    def in_flight(self, server_loads_follow: bool = True) -> dict[str, int]:
         """This gateway's calls in flight per server id, for `Follower.report` alone. What control tells later is
         taken to hold these: by service always, and by server if its word of each server follows."""
         report = {}
         for pool in self._pools.values():
-            report.update(pool.calls.report(word_follows))
+            report.update(pool.calls.report(server_loads_follow))
         return report
 
 
-def _hear_load(
+def _update_other_calls(
     now_s: float, views: Mapping[str, ServerView], load: KnownLoad, gateways: int, total: int | None
 ) -> None:
     """Tell each server of a service of the others' calls there. Where control was asked after some servers alone,
@@ -153,10 +153,10 @@
     part = 1.0 - 1.0 / gateways
     mean = part * total / len(views) if total is not None else 0.0
     for server_id, view in views.items():
-        others = max(0.0, load.calls.get(server_id, 0) - view.reported)
+        other_calls = max(0.0, load.calls.get(server_id, 0) - view.reported_calls)
         if load.usual is None:
-            view.hear_others(now_s, others)
+            view.update_other_calls(now_s, other_calls)
         elif server_id in load.usual:
-            view.hear_others(now_s, others, part * load.usual[server_id])
+            view.update_other_calls(now_s, other_calls, part * load.usual[server_id])
         else:
-            view.hear_others(now_s, mean, mean)
+            view.update_other_calls(now_s, mean, mean)
--- a/emberring/admission/affinity.py
+++ b/emberring/admission/affinity.py
@@ -12,19 +12,19 @@
 
 from emberring.admission.types import PrefixPart
 
-LARGE_TOKENS = 1500  # a shared part from this size on has a home
+AFFINITY_MIN_TOKENS = 1500  # a shared part from this size on has a home
 
 
-def home_key(parts: Sequence[PrefixPart]) -> str | None:
+def affinity_key(parts: Sequence[PrefixPart]) -> str | None:
     """The id of the largest shared part; None if no shared part is large. The last part is nobody else's."""
     best: PrefixPart | None = None
     for part in parts[:-1]:
-        if part.tokens >= LARGE_TOKENS and (best is None or part.tokens > best.tokens):
+        if part.tokens >= AFFINITY_MIN_TOKENS and (best is None or part.tokens > best.tokens):
             best = part
     return None if best is None else best.id
 
 
-def first_homes(key: str, server_ids: Iterable[str], count: int) -> list[str]:
+def preferred_servers(key: str, server_ids: Iterable[str], count: int) -> list[str]:
     """So many servers, in the order in which they are home to this key; the same at every gateway."""
     return heapq.nlargest(count, server_ids, key=lambda server_id: (_score(key, server_id), server_id))
 
--- a/emberring/admission/attempts.py
+++ b/emberring/admission/attempts.py
@@ -6,10 +6,10 @@
 
 from emberring.admission.types import CallOutcome
 
-PROMISED = frozenset({CallOutcome.FULL, CallOutcome.WRONG_SERVER})
-UNSENT = frozenset({CallOutcome.CONNECT_FAILED, CallOutcome.NOT_SENT})
-REPEATABLE = frozenset({CallOutcome.BROKEN, CallOutcome.SILENT, CallOutcome.FAILED})
-FREE_SENDS = 2  # sends beyond MaxAttempts that servers promised not to have run, or that never left
+NOT_EXECUTED = frozenset({CallOutcome.FULL, CallOutcome.WRONG_SERVER})
+NEVER_SENT = frozenset({CallOutcome.CONNECT_FAILED, CallOutcome.NOT_SENT})
+RETRYABLE = frozenset({CallOutcome.BROKEN, CallOutcome.SILENT, CallOutcome.FAILED})
+MAX_UNEXECUTED_SENDS = 2  # sends beyond MaxAttempts that servers promised not to have run, or that never left
 
 
 @attrs.frozen
@@ -17,29 +17,29 @@
     """The attempts of one try: how many servers may have run it, and how many certainly have not.
 
     `MaxAttempts` bounds the servers that may have run the request. A server that promised not to have run it, or
-    to which no byte went, doesn't count, but there are at most `FREE_SENDS` of these.
+    to which no byte went, doesn't count, but there are at most `MAX_UNEXECUTED_SENDS` of these.
     """
 
     max_attempts: int
-    may_repeat: bool
-    ran: int = 0
-    free: int = 0
+    idempotent: bool
+    executed: int = 0
+    not_executed: int = 0
 
     def after(self, outcome: CallOutcome) -> AttemptBudget:
         """The budget once an attempt has ended so."""
-        if outcome in PROMISED or outcome in UNSENT:
-            return attrs.evolve(self, free=self.free + 1)
-        return attrs.evolve(self, ran=self.ran + 1)
+        if outcome in NOT_EXECUTED or outcome in NEVER_SENT:
+            return attrs.evolve(self, not_executed=self.not_executed + 1)
+        return attrs.evolve(self, executed=self.executed + 1)
 
     def allows_another(self, outcome: CallOutcome) -> bool:
         """Whether, after an attempt that ended so and is already counted, another server may be tried."""
-        if outcome in PROMISED or outcome in UNSENT:
-            return self.ran < self.max_attempts and self.free <= FREE_SENDS
-        if outcome not in REPEATABLE:
+        if outcome in NOT_EXECUTED or outcome in NEVER_SENT:
+            return self.executed < self.max_attempts and self.not_executed <= MAX_UNEXECUTED_SENDS
+        if outcome not in RETRYABLE:
             return False
-        return self.may_repeat and self.ran < self.max_attempts
+        return self.idempotent and self.executed < self.max_attempts
 
     @property
-    def certainly_not_run(self) -> bool:
+    def certainly_not_executed(self) -> bool:
         """Whether a refusal that promises "not run" is true."""
-        return self.ran == 0
+        return self.executed == 0
--- a/emberring/admission/candidates.py
+++ b/emberring/admission/candidates.py
@@ -16,40 +16,45 @@
 
 from emberring.admission.server import ServerView
 
-ALL_RANKED = 8  # a pool up to this size is ranked whole
-DRAWN_CONNECTED = 1
-DRAWN_ANY = 1
-LEAST_AGE_S = 0.1  # word is on its way for about so long, whatever its age when it was told
-LEAST_CHANCE = 0.05  # of a server that looks full, beside one of mean room
+RANK_ALL_UP_TO = 8  # a pool up to this size is ranked whole
+SAMPLED_CONNECTED = 1
+SAMPLED_ANY = 1
+MIN_REPORT_AGE_S = 0.1  # word is on its way for about so long, whatever its age when it was told
+MIN_SAMPLING_WEIGHT = 0.05  # of a server that looks full, beside one of mean room
 
 
 def candidates(
     servers: Sequence[ServerView],
-    homes: Collection[str],
+    preferred: Collection[str],
     connected: Callable[[str], bool],
     random: Random,
-    kept: float,
+    still_running: float,
 ) -> Sequence[ServerView]:
-    """The servers to be ranked, each once. `homes` are ids of those that must be among them; `kept` is the share of the
+    """The servers to be ranked, each once. `preferred` are ids of those that must be among them; `kept` is the share of the
     others' calls told that are still there."""
-    if len(servers) <= ALL_RANKED:
+    if len(servers) <= RANK_ALL_UP_TO:
         return servers
-    chances = expected_room(servers, kept)
-    drawn = random.choices(servers, chances, k=DRAWN_ANY)
-    near = [at for at, one in enumerate(servers) if connected(one.fact.id)]
+    chances = sampling_weights(servers, still_running)
+    drawn = random.choices(servers, chances, k=SAMPLED_ANY)
+    near = [at for at, one in enumerate(servers) if connected(one.record.id)]
     if near:
-        drawn += random.choices([servers[at] for at in near], [chances[at] for at in near], k=DRAWN_CONNECTED)
-    drawn += [one for one in servers if one.fact.id in homes]
-    return list({one.fact.id: one for one in drawn}.values())
+        drawn += random.choices(
+            [servers[at] for at in near], [chances[at] for at in near], k=SAMPLED_CONNECTED
+        )
+    drawn += [one for one in servers if one.record.id in preferred]
+    return list({one.record.id: one for one in drawn}.values())
 
 
-def still_there(age_s: float, hold_s: float) -> float:
+def still_running_share(age_s: float, hold_s: float) -> float:
     """The share of calls that have not ended since word of them was true, each holding its place for about `hold_s`."""
-    return math.exp(-max(LEAST_AGE_S, age_s) / hold_s) if hold_s > 0.0 else 0.0
+    return math.exp(-max(MIN_REPORT_AGE_S, age_s) / hold_s) if hold_s > 0.0 else 0.0
 
 
-def expected_room(servers: Sequence[ServerView], kept: float) -> list[float]:
+def sampling_weights(servers: Sequence[ServerView], still_running: float) -> list[float]:
     """The calls that each server lacks of the mean of all, its part by places, now that some have ended."""
-    places = sum(one.capacity for one in servers)
-    mean = (sum(one.load for one in servers) + 1.0) / places
-    return [max(LEAST_CHANCE * mean * one.capacity, mean * one.capacity - kept * one.load) for one in servers]
+    slots = sum(one.capacity for one in servers)
+    mean = (sum(one.load for one in servers) + 1.0) / slots
+    return [
+        max(MIN_SAMPLING_WEIGHT * mean * one.capacity, mean * one.capacity - still_running * one.load)
+        for one in servers
+    ]
--- a/emberring/admission/failures.py
+++ b/emberring/admission/failure_rate.py
@@ -12,28 +12,28 @@
 import attrs
 
 GAIN = 0.1  # of each end
-FORGET_S = 4.0  # a server that gets nothing drifts back at this pace
-CHANCE = 0.15  # a share that says nothing
-FAILURE_MS = 2000.0  # what a failed call costs, as a delay of the first event
+DECAY_S = 4.0  # a server that gets nothing drifts back at this pace
+TOLERATED_RATE = 0.15  # a share that says nothing
+FAILURE_COST_MS = 2000.0  # what a failed call costs, as a delay of the first event
 
 
 @attrs.define
-class FailureShare:
+class FailureRate:
     """The share of one server's latest ends that were failures."""
 
-    _share: float = 0.0
+    _rate: float = 0.0
     _at_s: float = -math.inf
 
-    def end(self, now_s: float, failed: bool) -> None:
+    def record(self, now_s: float, failed: bool) -> None:
         """A call ended there."""
-        self._share = self.share(now_s)
-        self._share += GAIN * (float(failed) - self._share)
+        self._rate = self.rate(now_s)
+        self._rate += GAIN * (float(failed) - self._rate)
         self._at_s = now_s
 
-    def share(self, now_s: float) -> float:
+    def rate(self, now_s: float) -> float:
         """Failures of all ends, from 0 to 1."""
-        return self._share * math.exp((self._at_s - now_s) / FORGET_S) if self._share else 0.0
+        return self._rate * math.exp((self._at_s - now_s) / DECAY_S) if self._rate else 0.0
 
     def cost_ms(self, now_s: float) -> float:
         """What the ranking adds for a call there."""
-        return FAILURE_MS * max(0.0, self.share(now_s) - CHANCE)
+        return FAILURE_COST_MS * max(0.0, self.rate(now_s) - TOLERATED_RATE)
--- a/emberring/admission/load.py
+++ b/emberring/admission/load_meter.py
@@ -10,46 +10,46 @@
 
 from loadbalancer.balancer import BASE_FALL, BASE_LEAST, BASE_RISE, FULL_TARGET, JAM, QUIET, SLACK_ROOM
 
-OUTCOMES = 10.0  # outcomes that give a period half the say in the smoothed wait
-WORST = 3.0  # a wait counts as no more than this, so that a jam is forgotten once it has passed
-SILENT_LEAVES = 0.97  # of the smoothed wait, by a period without outcomes: load that nobody sees must pass
+OUTCOMES_FOR_HALF_WEIGHT = 10.0  # outcomes that give a period half the say in the smoothed wait
+MAX_WAIT_SHARE = 3.0  # a wait counts as no more than this, so that a jam is forgotten once it has passed
+IDLE_DECAY = 0.97  # of the smoothed wait, by a period without outcomes: load that nobody sees must pass
 
 
 class LoadMeter:
     """Counts a period's outcomes; `close_period` turns them into the load."""
 
     def __init__(self) -> None:
-        self.level = 0.0  # smoothed wait as a share of the aim
-        self.base: float | None = None  # the same in quiet
+        self.smoothed_wait = 0.0  # smoothed wait as a share of the aim
+        self.baseline: float | None = None  # the same in quiet
         self.load = 0.0
         self._waits: list[float] = []
         self._first: list[float] = []
-        self._heard = 0  # outcomes since the last step right
+        self._outcomes_since_step = 0  # outcomes since the last step right
         self._ended = 0
         self._full = 0
 
-    def waited(self, share_of_aim: float) -> None:
+    def record_wait(self, share_of_aim: float) -> None:
         """A first event came after this share of its aim, the prompt's own reading taken off."""
-        self._waits.append(min(WORST, max(0.0, share_of_aim)))
-        self._heard += 1
+        self._waits.append(min(MAX_WAIT_SHARE, max(0.0, share_of_aim)))
+        self._outcomes_since_step += 1
 
-    def ended(self, full: bool) -> None:
+    def record_outcome(self, full: bool) -> None:
         """An attempt ended; `full`: the server turned it away for want of room."""
         self._ended += 1
         self._full += full
 
-    def may_tighten(self) -> bool:
+    def may_step_right(self) -> bool:
         """Whether enough was heard since the last step right for another one to be known to be needed; a step's
         effect shows only in calls sent after it. A jam doesn't wait for that."""
-        if self._heard < OUTCOMES and not self.jammed:
+        if self._outcomes_since_step < OUTCOMES_FOR_HALF_WEIGHT and not self.jammed:
             return False
-        self._heard = 0
+        self._outcomes_since_step = 0
         return True
 
     @property
     def jammed(self) -> bool:
         """Whether waits are near the aim itself."""
-        return self.level > JAM
+        return self.smoothed_wait > JAM
 
     def close_period(self, quiet: bool) -> float:
         """The load of the period that ends; `quiet`: the table is fully open, so the baseline may rise."""
@@ -57,10 +57,10 @@
             middle = sorted(self._waits)[len(self._waits) // 2]
             self._follow(middle, quiet)
         else:
-            self.level *= SILENT_LEAVES
+            self.smoothed_wait *= IDLE_DECAY
         load = 0.0
-        if self.base is not None and self.level >= QUIET:
-            load = self.level / (self.base + SLACK_ROOM * (1.0 - self.base))
+        if self.baseline is not None and self.smoothed_wait >= QUIET:
+            load = self.smoothed_wait / (self.baseline + SLACK_ROOM * (1.0 - self.baseline))
         if self._ended:
             load = max(load, self._full / self._ended / FULL_TARGET)
         self.load = load
@@ -69,12 +69,12 @@
 
     def _follow(self, middle: float, quiet: bool) -> None:
         count = len(self._waits)
-        if self.base is None or len(self._first) < BASE_LEAST:
+        if self.baseline is None or len(self._first) < BASE_LEAST:
             self._first += self._waits
-            self.level = self.base = min(JAM, sorted(self._first)[len(self._first) // 2])
+            self.smoothed_wait = self.baseline = min(JAM, sorted(self._first)[len(self._first) // 2])
             return
-        self.level += count / (count + OUTCOMES) * (middle - self.level)
-        if self.level < self.base:
-            self.base += BASE_FALL * (self.level - self.base)
+        self.smoothed_wait += count / (count + OUTCOMES_FOR_HALF_WEIGHT) * (middle - self.smoothed_wait)
+        if self.smoothed_wait < self.baseline:
+            self.baseline += BASE_FALL * (self.smoothed_wait - self.baseline)
         elif quiet:
-            self.base += BASE_RISE * (self.level - self.base)
+            self.baseline += BASE_RISE * (self.smoothed_wait - self.baseline)
--- a/emberring/admission/placement.py
+++ b/emberring/admission/placement.py
@@ -7,21 +7,21 @@
 
 import attrs
 
-from emberring.admission.affinity import first_homes, home_key
-from emberring.admission.candidates import candidates, still_there
+from emberring.admission.affinity import affinity_key, preferred_servers
+from emberring.admission.candidates import candidates, still_running_share
 from emberring.admission.ranking import (
-    CONNECT_MS,
+    CONNECT_COST_MS,
     RankingContext,
     cost_ms,
+    exclusive_tokens,
+    expected_miss_tokens,
     expected_wait_ms,
-    own_tokens,
-    tokens_to_read,
 )
-from emberring.admission.server import Placed, ServerView
+from emberring.admission.server import PlacedCall, ServerView
 from emberring.admission.types import CallInfo
 
 JITTER = 0.05  # width of the draw that parts equal ranks
-HOMES = 2  # servers that a large shared part belongs to, by turns
+PREFERRED_SERVERS = 2  # servers that a large shared part belongs to, by turns
 
 
 @attrs.frozen
@@ -29,47 +29,55 @@
     """A server, the prompt's tokens it is held to lack, and those that are read before them."""
 
     server: ServerView
-    to_read: float
-    ahead: float
+    expected_miss_tokens: float
+    tokens_ahead: float
 
 
-def choose(
-    around: RankingContext,
+def choose_server(
+    context: RankingContext,
     call: CallInfo,
     servers: Sequence[ServerView],
     connected: Callable[[str], bool],
     random: Random,
 ) -> Choice:
     """The cheapest of these servers, of which there must be one."""
-    key = home_key(call.parts)
-    homes = first_homes(key, [one.fact.id for one in servers], HOMES) if key is not None else []
+    key = affinity_key(call.parts)
+    preferred = (
+        preferred_servers(key, [one.record.id for one in servers], PREFERRED_SERVERS)
+        if key is not None
+        else []
+    )
     ranked: list[tuple[float, Choice]] = []
     for server in candidates(
-        servers, homes, connected, random, still_there(around.word_age_s, around.pace.hold_s)
+        servers,
+        preferred,
+        connected,
+        random,
+        still_running_share(context.load_report_age_s, context.service_rate.hold_s),
     ):
-        to_read = tokens_to_read(call, server, homes, key)
-        ahead = server.waiting_tokens(around.now_s, around.pace.ms_per_token)
-        ahead += around.mean_waiting * around.mean_others
-        cost = cost_ms(around, server, ahead, to_read)
-        cost += 0.0 if connected(server.fact.id) else CONNECT_MS
+        miss_tokens = expected_miss_tokens(call, server, preferred, key)
+        tokens_ahead = server.waiting_tokens(context.now_s, context.service_rate.ms_per_token)
+        tokens_ahead += context.waiting_tokens_per_call * context.mean_other_calls
+        cost = cost_ms(context, server, tokens_ahead, miss_tokens)
+        cost += 0.0 if connected(server.record.id) else CONNECT_COST_MS
         cost *= 1.0 + JITTER * (random.random() - 0.5)
-        ranked.append((cost, Choice(server, to_read, ahead)))
+        ranked.append((cost, Choice(server, miss_tokens, tokens_ahead)))
     return min(ranked, key=lambda entry: entry[0])[1]
 
 
-def place(around: RankingContext, call: CallInfo, choice: Choice) -> Placed:
+def place_call(context: RankingContext, call: CallInfo, choice: Choice) -> PlacedCall:
     """Count the call at the server chosen for it."""
     server = choice.server
-    placed = Placed(
+    placed = PlacedCall(
         call,
         server,
-        around.now_s,
-        choice.to_read,
-        choice.ahead,
-        expected_wait_ms(around, server, choice.ahead, choice.to_read),
-        free=server.load < server.capacity,
-        own_tokens=own_tokens(call),
+        context.now_s,
+        choice.expected_miss_tokens,
+        choice.tokens_ahead,
+        expected_wait_ms(context, server, choice.tokens_ahead, choice.expected_miss_tokens),
+        had_free_slot=server.load < server.capacity,
+        exclusive_tokens=exclusive_tokens(call),
     )
     server.calls[call.id] = placed
-    server.memory.sent(call.parts, server.kv_tokens / around.gateways)
+    server.prefix_cache.record_prompt(call.parts, server.kv_tokens / context.gateways)
     return placed
--- a/emberring/admission/prefixes.py
+++ b/emberring/admission/prefix_cache.py
@@ -12,14 +12,14 @@
 from emberring.admission.types import PrefixPart
 
 
-class PrefixMemory:
+class PrefixCacheEstimate:
     """The chains of parts that one server is held to keep, the longest unused first."""
 
     def __init__(self) -> None:
         self._kept: OrderedDict[str, int] = OrderedDict()
         self._total = 0
 
-    def known(self, parts: Sequence[PrefixPart]) -> int:
+    def cached_parts(self, parts: Sequence[PrefixPart]) -> int:
         """How many parts from the start on are held to be kept; a part counts only if all before it do."""
         chain = ""
         for at, part in enumerate(parts):
@@ -28,7 +28,7 @@
                 return at
         return len(parts)
 
-    def sent(self, parts: Sequence[PrefixPart], limit_tokens: float) -> None:
+    def record_prompt(self, parts: Sequence[PrefixPart], limit_tokens: float) -> None:
         """A prompt has gone to the server, which has room for so many tokens of what this gateway sends."""
         chain = ""
         for part in parts:
@@ -41,7 +41,7 @@
             _, tokens = self._kept.popitem(last=False)
             self._total -= tokens
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Nothing is known any more."""
         self._kept.clear()
         self._total = 0
--- a/emberring/admission/server.py
+++ b/emberring/admission/server.py
@@ -7,22 +7,22 @@
 
 import attrs
 
-from emberring.admission.failures import FailureShare
-from emberring.admission.prefixes import PrefixMemory
+from emberring.admission.failure_rate import FailureRate
+from emberring.admission.prefix_cache import PrefixCacheEstimate
 from emberring.admission.types import CallInfo, CallOutcome
 from emberring.distribution.records import ServerRecord
 from emberring.registry.known_load import GATEWAYS_BY_WORD, USUAL_S
 
 DEFAULT_CAPACITY = 16
-SLOW_GAIN = 0.15  # smoothing of a server's waits over those expected
-SLOW_FORGET_S = 5.0  # a server that is not heard drifts back to the others at this pace
-SLOW_MOST = 8.0
-SLOW_CHANCE = 3.0  # times the wait expected that chance explains
-GAP_GAIN = 0.4  # smoothing of the pauses between events, which tell of prompts being read
-GAP_FORGET_S = 0.3
+SLOWDOWN_GAIN = 0.15  # smoothing of a server's waits over those expected
+SLOWDOWN_DECAY_S = 5.0  # a server that is not heard drifts back to the others at this pace
+SLOWDOWN_MAX = 8.0
+SLOWDOWN_TOLERANCE = 3.0  # times the wait expected that chance explains
+EVENT_GAP_GAIN = 0.4  # smoothing of the pauses between events, which tell of prompts being read
+EVENT_GAP_DECAY_S = 0.3
 
 
-def trust_in_word(gateways: int) -> float:
+def load_report_trust(gateways: int) -> float:
     """How far a gateway may go by what was just told of the others' calls at one server, from 0 to 1.
 
     Guard: word of them is up to a second old. Where many gateways went by it, all of them sent to the servers that
@@ -32,127 +32,133 @@
 
 
 @attrs.define(eq=False)
-class Placed:
-    """A call of this gateway at a server. `to_read` are the prompt's tokens that the server is held to lack,
-    `ahead` those that were before it when it came, `expected_ms` the wait that was foreseen, `free` whether it found
+class PlacedCall:
+    """A call of this gateway at a server. `expected_miss_tokens` are the prompt's tokens that the server is held to lack,
+    `tokens_ahead` those that were before it when it came, `predicted_wait_ms` the wait that was foreseen, `free` whether it found
     a place at once."""
 
     call: CallInfo
     server: ServerView
     placed_s: float
-    to_read: float
-    ahead: float
-    expected_ms: float
-    free: bool = True
+    expected_miss_tokens: float
+    tokens_ahead: float
+    predicted_wait_ms: float
+    had_free_slot: bool = True
     sent_s: float | None = None
-    first_s: float | None = None
-    own_tokens: float = 0.0  # of the memory that it takes for itself
-    later_s: float | None = None  # when its latest event after the first came
+    first_event_s: float | None = None
+    exclusive_tokens: float = 0.0  # of the memory that it takes for itself
+    latest_event_s: float | None = None  # when its latest event after the first came
 
 
 @attrs.define(eq=False)
 class ServerView:
     """One server's incarnation."""
 
-    fact: ServerRecord
-    since_s: float
+    record: ServerRecord
+    known_since_s: float
     connections: float = math.inf  # that this gateway may hold there
     kv_tokens: float = math.inf
-    calls: dict[str, Placed] = attrs.field(factory=dict)
-    others: float = 0.0
-    others_usual: float = 0.0  # the same, smoothed
-    others_s: float = -math.inf  # when it was last told
-    reported: int = 0
-    memory: PrefixMemory = attrs.field(factory=PrefixMemory)
-    heard_s: float = -math.inf
-    first_heard_s: float | None = None
-    slow: float = 1.0
-    slow_s: float = -math.inf
-    pause_ms: float = 0.0
-    pause_s: float = -math.inf
-    failures: int = 0  # in a row,
-    failed_by: CallOutcome | None = None  # and how the last of them
-    failed: FailureShare = attrs.field(factory=FailureShare)
-    avoid_until_s: float = -math.inf
+    calls: dict[str, PlacedCall] = attrs.field(factory=dict)
+    other_calls: float = 0.0
+    smoothed_other_calls: float = 0.0  # the same, smoothed
+    other_calls_updated_s: float = -math.inf  # when it was last told
+    reported_calls: int = 0
+    prefix_cache: PrefixCacheEstimate = attrs.field(factory=PrefixCacheEstimate)
+    last_received_s: float = -math.inf
+    first_received_s: float | None = None
+    slowdown: float = 1.0
+    slowdown_updated_s: float = -math.inf
+    event_gap_ms: float = 0.0
+    event_gap_updated_s: float = -math.inf
+    consecutive_failures: int = 0  # in a row,
+    last_failure: CallOutcome | None = None  # and how the last of them
+    failure_rate: FailureRate = attrs.field(factory=FailureRate)
+    ejected_until_s: float = -math.inf
     full_until_s: float = -math.inf
-    gone: bool = False  # another server answers at its address
+    replaced: bool = False  # another server answers at its address
 
     @property
     def capacity(self) -> int:
         """Requests that it works on at once."""
-        return self.fact.capacity or DEFAULT_CAPACITY
+        return self.record.capacity or DEFAULT_CAPACITY
 
-    def hear_others(self, now_s: float, calls: float, usual: float | None = None) -> None:
+    def update_other_calls(self, now_s: float, calls: float, usual: float | None = None) -> None:
         """The others' calls there, as control told them; they are smoothed here unless what is usual was told."""
         if usual is not None:
-            self.others_usual = usual
-        elif self.others_s == -math.inf:
-            self.others_usual = calls
+            self.smoothed_other_calls = usual
+        elif self.other_calls_updated_s == -math.inf:
+            self.smoothed_other_calls = calls
         else:
-            kept = math.exp((self.others_s - now_s) / USUAL_S)
-            self.others_usual = kept * self.others_usual + (1.0 - kept) * calls
-        self.others = calls
-        self.others_s = now_s
+            kept = math.exp((self.other_calls_updated_s - now_s) / USUAL_S)
+            self.smoothed_other_calls = kept * self.smoothed_other_calls + (1.0 - kept) * calls
+        self.other_calls = calls
+        self.other_calls_updated_s = now_s
 
-    def likely_load(self, gateways: int) -> float:
+    def estimated_load(self, gateways: int) -> float:
         """Calls in flight there, all gateways' together, to go by for a single server: what is usual there changes
         slowly enough to be followed by many."""
-        trust = trust_in_word(gateways)
-        return len(self.calls) + trust * self.others + (1.0 - trust) * self.others_usual
+        trust = load_report_trust(gateways)
+        return len(self.calls) + trust * self.other_calls + (1.0 - trust) * self.smoothed_other_calls
 
     @property
     def load(self) -> float:
         """Calls in flight there, all gateways' together."""
-        return len(self.calls) + self.others
+        return len(self.calls) + self.other_calls
 
-    def unheard(self) -> Iterator[Placed]:
+    def awaiting_first_event(self) -> Iterator[PlacedCall]:
         """This gateway's calls that have had no event yet."""
-        return (placed for placed in self.calls.values() if placed.first_s is None)
+        return (placed for placed in self.calls.values() if placed.first_event_s is None)
 
     def waiting_tokens(self, now_s: float, ms_per_token: float) -> float:
         """Tokens of this gateway's prompts that the server has still to read: a call's own are read after those
         that were ahead of it, at the pool's pace."""
         total = 0.0
-        for placed in self.unheard():
-            read = (now_s - placed.placed_s) * 1000.0 / ms_per_token - placed.ahead
-            total += placed.to_read if read <= 0.0 else max(0.0, placed.to_read - read)
+        for placed in self.awaiting_first_event():
+            read = (now_s - placed.placed_s) * 1000.0 / ms_per_token - placed.tokens_ahead
+            total += (
+                placed.expected_miss_tokens if read <= 0.0 else max(0.0, placed.expected_miss_tokens - read)
+            )
         return total
 
-    def hear(self, now_s: float) -> None:
+    def record_event(self, now_s: float) -> None:
         """Any event of the server's has come."""
-        self.heard_s = now_s
-        if self.first_heard_s is None:
-            self.first_heard_s = now_s
+        self.last_received_s = now_s
+        if self.first_received_s is None:
+            self.first_received_s = now_s
 
-    def hear_pause(self, now_s: float, pause_ms: float) -> None:
+    def record_event_gap(self, now_s: float, event_gap_ms: float) -> None:
         """A later event has come so long after the one before it."""
-        self.pause_ms = self.pause(now_s) + GAP_GAIN * (pause_ms - self.pause(now_s))
-        self.pause_s = now_s
+        self.event_gap_ms = self.event_gap(now_s) + EVENT_GAP_GAIN * (event_gap_ms - self.event_gap(now_s))
+        self.event_gap_updated_s = now_s
 
-    def pause(self, now_s: float) -> float:
+    def event_gap(self, now_s: float) -> float:
         """The recent pause between events in ms; it is forgotten quickly."""
-        return self.pause_ms * math.exp((self.pause_s - now_s) / GAP_FORGET_S) if self.pause_ms else 0.0
+        return (
+            self.event_gap_ms * math.exp((self.event_gap_updated_s - now_s) / EVENT_GAP_DECAY_S)
+            if self.event_gap_ms
+            else 0.0
+        )
 
-    def hear_wait(self, now_s: float, ratio: float) -> None:
+    def record_wait_ratio(self, now_s: float, ratio: float) -> None:
         """A first event came after so many times the wait expected."""
-        self.slow = self.slowness(now_s)
-        self.slow += SLOW_GAIN * (min(SLOW_MOST, ratio) - self.slow)
-        self.slow_s = now_s
+        self.slowdown = self.slowdown_ratio(now_s)
+        self.slowdown += SLOWDOWN_GAIN * (min(SLOWDOWN_MAX, ratio) - self.slowdown)
+        self.slowdown_updated_s = now_s
 
-    def slowness(self, now_s: float) -> float:
+    def slowdown_ratio(self, now_s: float) -> float:
         """Waits there over those expected: 1 as the others."""
-        return 1.0 + (self.slow - 1.0) * math.exp((self.slow_s - now_s) / SLOW_FORGET_S)
+        return 1.0 + (self.slowdown - 1.0) * math.exp((self.slowdown_updated_s - now_s) / SLOWDOWN_DECAY_S)
 
-    def handicap(self, now_s: float) -> float:
+    def latency_penalty(self, now_s: float) -> float:
         """What its slowness makes of a wait there; small differences are chance."""
-        return max(1.0, self.slowness(now_s) / SLOW_CHANCE)
+        return max(1.0, self.slowdown_ratio(now_s) / SLOWDOWN_TOLERANCE)
 
-    def silent_for(self, now_s: float) -> float:
+    def seconds_without_event(self, now_s: float) -> float:
         """Seconds since anything was heard while something was owed; 0 if nothing is out. A stream that has begun
         owes its next event only where later events are told at all."""
         oldest = math.inf
         for placed in self.calls.values():
-            since = placed.sent_s if placed.first_s is None else placed.later_s
+            since = placed.sent_s if placed.first_event_s is None else placed.latest_event_s
             if since is not None:
                 oldest = min(oldest, since)
-        return max(0.0, now_s - max(oldest, self.heard_s)) if oldest < math.inf else 0.0
+        return max(0.0, now_s - max(oldest, self.last_received_s)) if oldest < math.inf else 0.0
--- a/emberring/admission/suspicion.py
+++ b/emberring/admission/suspicion.py
@@ -10,13 +10,13 @@
 
 import attrs
 
-from emberring.admission import pacing
-from emberring.admission.failures import CHANCE
-from emberring.admission.server import SLOW_CHANCE, ServerView
+from emberring.admission import eligibility
+from emberring.admission.failure_rate import TOLERATED_RATE
+from emberring.admission.server import SLOWDOWN_TOLERANCE, ServerView
 from emberring.admission.types import CallOutcome
 from emberring.registry.faults import Fault
 
-WELL_AFTER_S = 2.0  # without a sign of trouble
+REINSTATE_AFTER_S = 2.0  # without a sign of trouble
 
 
 _BY_OUTCOME = {
@@ -26,72 +26,72 @@
 }
 
 
-def trouble_of(now_s: float, server: ServerView, usual_pause_ms: float) -> Fault | None:
+def detect_fault(now_s: float, server: ServerView, usual_event_gap_ms: float) -> Fault | None:
     """What speaks against it now, the gravest first."""
-    if pacing.failing(server) and server.failed_by is not None:
-        return _BY_OUTCOME.get(server.failed_by, Fault.FAILING)
-    if pacing.silent(now_s, server, usual_pause_ms):
+    if eligibility.failing(server) and server.last_failure is not None:
+        return _BY_OUTCOME.get(server.last_failure, Fault.FAILING)
+    if eligibility.unresponsive(now_s, server, usual_event_gap_ms):
         return Fault.SILENT
-    if server.failed.share(now_s) > CHANCE:
+    if server.failure_rate.rate(now_s) > TOLERATED_RATE:
         return Fault.FAILING
-    if server.slowness(now_s) > SLOW_CHANCE:
+    if server.slowdown_ratio(now_s) > SLOWDOWN_TOLERANCE:
         return Fault.SLOW
     return None
 
 
 @attrs.frozen
 class SuspicionChange:
-    """A server came into trouble, or is well again (`trouble` is None) after `lasted_s` seconds."""
+    """A server came into trouble, or is well again (`trouble` is None) after `duration_s` seconds."""
 
     server: ServerView
-    trouble: Fault | None
-    lasted_s: float = 0.0
+    fault: Fault | None
+    duration_s: float = 0.0
 
 
 @attrs.define
 class _Suspicion:
-    trouble: Fault
+    fault: Fault
     since_s: float
     last_sign_s: float
 
 
-class SuspicionBook:
+class SuspicionTable:
     """The suspicions held at present, by server id."""
 
     def __init__(self) -> None:
-        self._held: dict[str, _Suspicion] = {}
+        self._suspicions: dict[str, _Suspicion] = {}
 
     @property
-    def troubles(self) -> dict[str, Fault]:
+    def faults(self) -> dict[str, Fault]:
         """What each suspected server is held to suffer from."""
-        return {server_id: held.trouble for server_id, held in self._held.items()}
+        return {server_id: suspicion.fault for server_id, suspicion in self._suspicions.items()}
 
-    def look(
-        self, now_s: float, servers: Iterable[ServerView], usual_pause_ms: float
+    def check(
+        self, now_s: float, servers: Iterable[ServerView], usual_event_gap_ms: float
     ) -> list[SuspicionChange]:
         """Look at all servers of a pool; what has changed. A server that is no longer among them is dropped."""
         changes: list[SuspicionChange] = []
         present: set[str] = set()
         for server in servers:
-            present.add(server.fact.id)
-            change = self._look_at(now_s, server, trouble_of(now_s, server, usual_pause_ms))
+            present.add(server.record.id)
+            change = self._check_server(now_s, server, detect_fault(now_s, server, usual_event_gap_ms))
             if change is not None:
                 changes.append(change)
-        for server_id in self._held.keys() - present:
-            del self._held[server_id]
+        for server_id in self._suspicions.keys() - present:
+            del self._suspicions[server_id]
         return changes
 
-    def _look_at(self, now_s: float, server: ServerView, found: Fault | None) -> SuspicionChange | None:
-        held = self._held.get(server.fact.id)
-        if found is not None and held is None:
-            self._held[server.fact.id] = _Suspicion(found, now_s, now_s)
+    def _check_server(self, now_s: float, server: ServerView, found: Fault | None) -> SuspicionChange | None:
+        suspicion = self._suspicions.get(server.record.id)
+        if found is not None and suspicion is None:
+            self._suspicions[server.record.id] = _Suspicion(found, now_s, now_s)
             return SuspicionChange(server, found)
-        if held is None:
+        if suspicion is None:
             return None
         if found is not None:
-            held.trouble, held.last_sign_s = found, now_s
+            suspicion.fault, suspicion.last_sign_s = found, now_s
             return None
-        if now_s - held.last_sign_s < WELL_AFTER_S:
+        if now_s - suspicion.last_sign_s < REINSTATE_AFTER_S:
             return None
-        del self._held[server.fact.id]
-        return SuspicionChange(server, None, held.last_sign_s - held.since_s)
+        del self._suspicions[server.record.id]
+        return SuspicionChange(server, None, suspicion.last_sign_s - suspicion.since_s)
--- a/emberring/admission/table.py
+++ b/emberring/admission/threshold_table.py
@@ -13,25 +13,25 @@
 PRIORITY_SLOTS = 3  # slots by which a priority bends before the next more urgent one
 LIVE_SLOTS = 12  # slots in which a live row bends
 LIVE_STEP = 0.88  # each of which is this share of the one before
-LEAST_BATCH = 0.0
+MIN_BATCH_SHARE = 0.0
 PRIORITIES = 3  # rows of live calls; less urgent ones share the last
 
 
-class CursorTable:
+class ThresholdTable:
     """Thresholds as shares of T1, and the cursor over them."""
 
     def __init__(self) -> None:
         self.cursor = 0
-        self.last = FLAT_SLOTS + BATCH_SLOTS + (PRIORITIES - 1) * PRIORITY_SLOTS + LIVE_SLOTS
+        self.last_slot = FLAT_SLOTS + BATCH_SLOTS + (PRIORITIES - 1) * PRIORITY_SLOTS + LIVE_SLOTS
 
     def move(self, over_target: bool) -> None:
         """One slot right above the target, one left otherwise."""
-        self.cursor = min(self.last, self.cursor + 1) if over_target else max(0, self.cursor - 1)
+        self.cursor = min(self.last_slot, self.cursor + 1) if over_target else max(0, self.cursor - 1)
 
     def batch_share(self) -> float:
         """The share of T1 that the row of lots has at the cursor."""
         bent = max(0, self.cursor - FLAT_SLOTS + 1)
-        return max(LEAST_BATCH, 1.0 - bent / BATCH_SLOTS)
+        return max(MIN_BATCH_SHARE, 1.0 - bent / BATCH_SLOTS)
 
     def live_share(self, priority: int) -> float:
         """The share of T1 that live calls of this priority have at the cursor."""
--- a/emberring/admission/types.py
+++ b/emberring/admission/types.py
@@ -20,7 +20,7 @@
     """A live request or an item of a lot that asks for a server.
 
     `priority` is the route's (0 is the most urgent), `parts` are those of `Prefix-Hash` in order (the last is the
-    request's own or its session's), `aim_ms` is the time to the first event that earns full worth, `deadline_s`
+    request's own or its session's), `latency_target_ms` is the time to the first event that earns full worth, `deadline_s`
     the moment at which the caller gives up or, for an item, is due, and `target_s` the time that an item's lot had in
     all; `excluded` are servers that were tried and must not be tried again. `admitted` marks a call that the table has
     let in before (a further attempt, a stream that is resumed): it is not refused by the table again.
@@ -34,7 +34,7 @@
     tokens_in: int = 0
     tokens_out: int = 0
     parts: tuple[PrefixPart, ...] = ()
-    aim_ms: float = 1000.0
+    latency_target_ms: float = 1000.0
     deadline_s: float = 0.0
     target_s: float = 0.0
     excluded: frozenset[str] = frozenset()
--- a/emberring/gateway/execution.py
+++ b/emberring/gateway/execution.py
@@ -63,7 +63,7 @@
             if receiver.started:
                 receiver.break_off()
                 return None
-            if budget.value.certainly_not_run and not call.sent:
+            if budget.value.certainly_not_executed and not call.sent:
                 return OwnAnswer(503, "no server took it in time", RETRY_SOON_S)
             return OwnAnswer(504, "no answer in time")
 
@@ -114,7 +114,7 @@
     @staticmethod
     def _patience(route: Route, progress: _Progress) -> Patience | None:
         """A silence is given up only while another server may be asked."""
-        another = route.may_repeat and progress.value.ran + 1 < route.max_attempts
+        another = route.may_repeat and progress.value.executed + 1 < route.max_attempts
         return LIVE_PATIENCE if another else None
 
     async def _give_up(
@@ -128,7 +128,7 @@
         if receiver.started:
             receiver.break_off()
             return None
-        if progress.value.certainly_not_run:
+        if progress.value.certainly_not_executed:
             return OwnAnswer(503, "not taken", _retry_after_s(decision, last))
         failed = last.head if last is not None and last.outcome is CallOutcome.FAILED else None
         # A status that promises what the server did not promise is not passed on.
@@ -196,7 +196,7 @@
             tokens_in=tokens_in,
             tokens_out=tokens_out,
             parts=read_parts(request.header(b"prefix-hash")),
-            aim_ms=route.target_latency_ms,
+            latency_target_ms=route.target_latency_ms,
             deadline_s=call.end_s if due_s is None else due_s,
             target_s=route.completion_target_ms / 1000.0 if batch else 0.0,
             excluded=frozenset(excluded),
--- a/emberring/gateway/role.py
+++ b/emberring/gateway/role.py
@@ -117,7 +117,7 @@
     def _tick(self) -> None:
         self._refresher = self._loop.call_later(REFRESH_S, self._tick)
         self._refresh()
-        self._suspicions.look(self._loop.time())
+        self._suspicions.check(self._loop.time())
 
     def _refresh(self) -> None:
         """Tell admission and the pool what is known now."""
@@ -148,11 +148,11 @@
             "client_connections": float(len(self.clients.connections)),
             "client_connections_total": float(self.clients.accepted),
             "requests_in_progress": float(self.clients.busy),
-            "calls_in_flight": float(self.admission.calls_now),
+            "calls_in_flight": float(self.admission.in_flight_count),
             "items_running": float(self.runner.running),
             "server_connections_total": float(self.pool.opened),
         }
-        cursor, job_share, word_age_s = self.admission.decides_by(self._loop.time())
+        cursor, job_share, word_age_s = self.admission.status(self._loop.time())
         figures["admission_cursor"] = float(cursor)
         figures["admission_lot_share"] = job_share
         figures["admission_word_age_seconds"] = word_age_s
--- a/emberring/gateway/suspicions.py
+++ b/emberring/gateway/suspicions.py
@@ -19,40 +19,42 @@
         self._admission = admission
         self._begun: Counter[Fault] = Counter()
 
-    def look(self, now_s: float) -> None:
+    def check(self, now_s: float) -> None:
         """Write a line for each server that came into trouble, or is well again."""
-        for change in self._admission.look_at_servers(now_s):
+        for change in self._admission.check_servers(now_s):
             self._tell(now_s, change)
 
     def _tell(self, now_s: float, change: SuspicionChange) -> None:
         server = change.server
-        if change.trouble is None:
+        if change.fault is None:
             logger.info(
                 "event=server_trusted server=%s address=%s lasted_s=%.1f",
-                server.fact.id,
-                server.fact.address,
-                change.lasted_s,
+                server.record.id,
+                server.record.address,
+                change.duration_s,
             )
             return
-        self._begun[change.trouble] += 1
+        self._begun[change.fault] += 1
         logger.info(
             "event=server_suspected server=%s address=%s zone=%s trouble=%s failed_share=%.2f slowness=%.1f calls=%d",
-            server.fact.id,
-            server.fact.address,
-            server.fact.zone,
-            change.trouble.value,
-            server.failed.share(now_s),
-            server.slowness(now_s),
+            server.record.id,
+            server.record.address,
+            server.record.zone,
+            change.fault.value,
+            server.failure_rate.rate(now_s),
+            server.slowdown_ratio(now_s),
             len(server.calls),
         )
 
     def told(self) -> dict[str, str]:
         """The servers suspected now and of what, for `Follower.suspects`."""
-        return {server_id: trouble.value for server_id, trouble in self._admission.suspects().items()}
+        return {
+            server_id: trouble.value for server_id, trouble in self._admission.suspected_servers().items()
+        }
 
     def figures(self) -> dict[str, float]:
         """For the page of figures."""
-        figures = {"servers_suspected": float(len(self._admission.suspects()))}
+        figures = {"servers_suspected": float(len(self._admission.suspected_servers()))}
         for trouble in Fault:
             figures[f'server_suspicions_total{{trouble="{trouble.value}"}}'] = float(self._begun[trouble])
         return figures
--- a/emberring/simulation/admission/ablation.py
+++ b/emberring/simulation/admission/ablation.py
@@ -18,19 +18,19 @@
     Admission,
     AdmissionSettings,
     candidates,
-    failures,
+    eligibility,
+    failure_rate,
     job_pressure,
-    pacing,
     placement,
     pool,
     ranking,
     server,
 )
-from emberring.admission.known_calls import places
+from emberring.admission.known_calls import slots
 from emberring.admission.pool import Pool
-from emberring.admission.prefixes import PrefixMemory
+from emberring.admission.prefix_cache import PrefixCacheEstimate
 from emberring.admission.server import ServerView
-from emberring.admission.table import CursorTable
+from emberring.admission.threshold_table import ThresholdTable
 from emberring.simulation.admission.simulator import run_trial
 from emberring.simulation.admission.site import Burst, Crash, Site
 from emberring.simulation.admission.trial import Figures, figures_of
@@ -66,24 +66,24 @@
     WAY_BACK = "way-back"
 
 
-def _stay(self: CursorTable, over_target: bool) -> None:
+def _stay(self: ThresholdTable, over_target: bool) -> None:
     """The cursor never moves."""
 
 
 def _without_even_shares(self: Pool, now_s: float, servers: list[ServerView]) -> float:
-    most = places(servers) * self._batch_share(now_s)
-    return most - self.calls.others_at(servers)
+    most = slots(servers) * self._batch_share(now_s)
+    return most - self.calls.other_calls_at(servers)
 
 
 def _own_calls_alone(self: ServerView, gateways: int) -> float:
     return float(len(self.calls))
 
 
-def _nothing_known(self: PrefixMemory, parts: Sequence[Any]) -> int:
+def _nothing_known(self: PrefixCacheEstimate, parts: Sequence[Any]) -> int:
     return 0
 
 
-def _never_silent(now_s: float, one: ServerView, usual_pause_ms: float) -> bool:
+def _never_silent(now_s: float, one: ServerView, usual_event_gap_ms: float) -> bool:
     return False
 
 
@@ -92,27 +92,27 @@
 
 
 _PATCHES: dict[Mechanism, tuple[tuple[Any, str, object], ...]] = {
-    Mechanism.CURSOR: ((CursorTable, "move", _stay),),
-    Mechanism.LIVE_ROWS: ((CursorTable, "live_share", lambda self, priority: 1.0),),
-    Mechanism.NEVER_HELD: ((pool, "NEVER_HELD", 0.0),),
-    Mechanism.NEVER_REFUSED: ((pool, "NEVER_REFUSED", 0.0),),
+    Mechanism.CURSOR: ((ThresholdTable, "move", _stay),),
+    Mechanism.LIVE_ROWS: ((ThresholdTable, "live_share", lambda self, priority: 1.0),),
+    Mechanism.NEVER_HELD: ((pool, "BATCH_FLOOR_SHARE", 0.0),),
+    Mechanism.NEVER_REFUSED: ((pool, "LIVE_FLOOR_SHARE", 0.0),),
     Mechanism.EVEN_SHARES: ((Pool, "_batch_threshold", _without_even_shares),),
-    Mechanism.JOB_PRESSURE: ((job_pressure.JobPressure, "share", lambda self, now_s: 0.85),),
-    Mechanism.PROMPT_PACING: ((pool, "BATCH_PROMPTS", LARGE),),
-    Mechanism.DRAW_BY_ROOM: ((candidates, "LEAST_CHANCE", LARGE),),
-    Mechanism.LIKELY_LOAD: ((ServerView, "likely_load", _own_calls_alone),),
-    Mechanism.CROWD: ((ranking, "CROWD_MS", 0.0),),
-    Mechanism.HOMES: ((placement, "HOMES", 0),),
-    Mechanism.SECOND_HOME: ((placement, "HOMES", 1),),
-    Mechanism.PREFIX_MEMORY: ((PrefixMemory, "known", _nothing_known),),
-    Mechanism.READING_ANEW: ((ranking, "ANEW", 0.0),),
-    Mechanism.MEMORY_PRESSURE: ((ranking, "KV_MS", 0.0),),
-    Mechanism.PAUSES: ((ranking, "PAUSE_WEIGHT", 0.0),),
-    Mechanism.SLOW_HANDICAP: ((server, "SLOW_CHANCE", LARGE),),
-    Mechanism.FAILURE_COSTS: ((failures, "FAILURE_MS", 0.0),),
-    Mechanism.AVOIDANCE: ((pacing, "AVOID_MOST_S", 0.0),),
-    Mechanism.SILENCE: ((pacing, "silent", _never_silent),),
-    Mechanism.WAY_BACK: ((pacing, "failing", _never_failing),),
+    Mechanism.JOB_PRESSURE: ((job_pressure.JobPressure, "slot_share", lambda self, now_s: 0.85),),
+    Mechanism.PROMPT_PACING: ((pool, "BATCH_PROMPTS_PER_SERVER", LARGE),),
+    Mechanism.DRAW_BY_ROOM: ((candidates, "MIN_SAMPLING_WEIGHT", LARGE),),
+    Mechanism.LIKELY_LOAD: ((ServerView, "estimated_load", _own_calls_alone),),
+    Mechanism.CROWD: ((ranking, "CONCURRENCY_COST_MS", 0.0),),
+    Mechanism.HOMES: ((placement, "PREFERRED_SERVERS", 0),),
+    Mechanism.SECOND_HOME: ((placement, "PREFERRED_SERVERS", 1),),
+    Mechanism.PREFIX_MEMORY: ((PrefixCacheEstimate, "cached_parts", _nothing_known),),
+    Mechanism.READING_ANEW: ((ranking, "RECOMPUTE_COST_SHARE", 0.0),),
+    Mechanism.MEMORY_PRESSURE: ((ranking, "KV_PRESSURE_COST_MS", 0.0),),
+    Mechanism.PAUSES: ((ranking, "EVENT_GAP_WEIGHT", 0.0),),
+    Mechanism.SLOW_HANDICAP: ((server, "SLOWDOWN_TOLERANCE", LARGE),),
+    Mechanism.FAILURE_COSTS: ((failure_rate, "FAILURE_COST_MS", 0.0),),
+    Mechanism.AVOIDANCE: ((eligibility, "EJECTION_MAX_S", 0.0),),
+    Mechanism.SILENCE: ((eligibility, "unresponsive", _never_silent),),
+    Mechanism.WAY_BACK: ((eligibility, "failing", _never_failing),),
 }
 
 
--- a/emberring/simulation/admission/simulator.py
+++ b/emberring/simulation/admission/simulator.py
@@ -179,7 +179,7 @@
             tokens_in=sum(part.tokens for part in request.parts),
             tokens_out=request.tokens_out,
             parts=tuple(PrefixPart(part.id, part.tokens) for part in request.parts),
-            aim_ms=kind.aim_ms,
+            latency_target_ms=kind.aim_ms,
             deadline_s=request.until_ms / 1000.0,
             target_s=kind.due_s,
             excluded=request.excluded,
@@ -324,7 +324,7 @@
             self.at(self.now_ms + AGAIN_MS, lambda: self._items.append(request))
         elif request.budget.allows_another(outcome) and self.now_ms < request.until_ms:
             self._offer(request, attempt.gateway, first=False)
-        elif request.budget.certainly_not_run or request.kind.resumable:
+        elif request.budget.certainly_not_executed or request.kind.resumable:
             self._client_again(request, 0.1)
 
     # ------------------------------------------------------------- lots
--- a/tests/emberring/admission/test_tier_admission.py
+++ b/tests/emberring/admission/test_tier_admission.py
@@ -14,7 +14,7 @@
     NoServer,
     Refused,
 )
-from emberring.admission.pacing import SILENCE_MS_MOST
+from emberring.admission.eligibility import SILENCE_MAX_MS
 from emberring.configuration.model import Service
 from emberring.distribution.records import ServerRecord, ServerState
 from emberring.registry.known_load import NO_LOAD, KnownLoad
@@ -22,13 +22,13 @@
 SERVICES = {"llm": Service("llm", max_connections=200, capacity=8, kv_cache_tokens=100_000, stride=20)}
 
 
-def fact(name: str, state: ServerState = ServerState.READY, service: str = "llm") -> ServerRecord:
+def record(name: str, state: ServerState = ServerState.READY, service: str = "llm") -> ServerRecord:
     return ServerRecord(name, service, f"10.0.0.1:{name[1:]}", "a", 8, state, 1)
 
 
-def admission_of(*facts: ServerRecord) -> Admission:
+def admission_of(*records: ServerRecord) -> Admission:
     admission = Admission(AdmissionSettings(), seed=1)
-    admission.set_servers(0.0, facts, SERVICES, 1, NO_LOAD)
+    admission.set_servers(0.0, records, SERVICES, 1, NO_LOAD)
     return admission
 
 
@@ -37,32 +37,32 @@
 
 
 @pytest.mark.parametrize(
-    "facts",
+    "records",
     [
         (),
-        (fact("s1", ServerState.DRAINING),),
-        (fact("s1", service="other"),),
+        (record("s1", ServerState.DRAINING),),
+        (record("s1", service="other"),),
     ],
 )
-def test_no_server(facts: tuple[ServerRecord, ...]) -> None:
-    assert admission_of(*facts).offer(0.0, call("c1")) == NoServer()
+def test_no_server(records: tuple[ServerRecord, ...]) -> None:
+    assert admission_of(*records).offer(0.0, call("c1")) == NoServer()
 
 
 def test_an_excluded_server_is_not_picked() -> None:
-    admission = admission_of(fact("s1"), fact("s2"))
+    admission = admission_of(record("s1"), record("s2"))
     for at in range(6):
         decision = admission.offer(0.0, call(f"c{at}", excluded=frozenset({"s1"})))
         assert decision == Admitted("s2")
 
 
 def test_nothing_is_refused_while_half_the_places_are_free() -> None:
-    admission = admission_of(fact("s1"), fact("s2"))
+    admission = admission_of(record("s1"), record("s2"))
     decisions = [admission.offer(0.0, call(f"c{at}")) for at in range(8)]
     assert all(isinstance(decision, Admitted) for decision in decisions)
 
 
 def test_jobs_are_held_back_before_live_calls_are_refused() -> None:
-    admission = admission_of(fact("s1"), fact("s2"))
+    admission = admission_of(record("s1"), record("s2"))
     taken = 0
     while isinstance(admission.offer(0.0, call(f"b{taken}", batch=True)), Admitted):
         taken += 1
@@ -76,11 +76,11 @@
 
 def gateways_that_hear_late(servers: int) -> tuple[list[Admission], list[ServerRecord]]:
     """So many gateways before these servers; the others' calls were told as none."""
-    facts = [fact(f"s{number}") for number in range(servers)]
+    records = [record(f"s{number}") for number in range(servers)]
     gateways = [Admission(AdmissionSettings(), seed=number) for number in range(GATEWAYS)]
     for one in gateways:
-        one.set_servers(0.0, facts, SERVICES, GATEWAYS, NO_LOAD)
-    return gateways, facts
+        one.set_servers(0.0, records, SERVICES, GATEWAYS, NO_LOAD)
+    return gateways, records
 
 
 def take_items(gateway: Admission, name: str, now_s: float) -> int:
@@ -94,14 +94,14 @@
 
 
 def test_items_of_all_gateways_fit_the_places_while_nobody_hears_of_the_others() -> None:
-    gateways, facts = gateways_that_hear_late(12)
+    gateways, records = gateways_that_hear_late(12)
     taken = 0
     for round_number in range(10):  # each round tells the gateways anew, and each time of no one else's calls
         for number, gateway in enumerate(gateways):
-            gateway.set_servers(0.0, facts, SERVICES, GATEWAYS, NO_LOAD)
+            gateway.set_servers(0.0, records, SERVICES, GATEWAYS, NO_LOAD)
             taken += take_items(gateway, f"{number}/{round_number}", 0.0)
-    places = 12 * 8
-    assert 0.7 * places <= taken <= places
+    slots = 12 * 8
+    assert 0.7 * slots <= taken <= slots
 
 
 def test_live_calls_of_a_gateway_leave_its_items_less_room() -> None:
@@ -137,33 +137,35 @@
         placed[f"b{number}"] = decision.server_id
         gateway.started(0.0, f"b{number}", decision.server_id)
     assert gateway.batch_room(0.1) == 0
-    assert gateway.batch_room(SILENCE_MS_MOST / 1000.0 + 0.01) > 0  # all of them are silent by now
-    assert isinstance(gateway.offer(SILENCE_MS_MOST / 1000.0 + 0.01, call("next", batch=True)), Admitted)
+    assert gateway.batch_room(SILENCE_MAX_MS / 1000.0 + 0.01) > 0  # all of them are silent by now
+    assert isinstance(gateway.offer(SILENCE_MAX_MS / 1000.0 + 0.01, call("next", batch=True)), Admitted)
 
 
 def test_word_of_each_server_counts_against_the_report_that_it_holds() -> None:
-    admission = admission_of(fact("s1"), fact("s2"))
+    admission = admission_of(record("s1"), record("s2"))
     for number in range(4):
         assert isinstance(admission.offer(0.0, call(f"c{number}")), Admitted)
-    admission.in_flight(word_follows=True)
+    admission.in_flight(server_loads_follow=True)
     word = KnownLoad({"s1": 4, "s2": 4}, None, {"llm": 8})
-    admission.set_servers(0.1, [fact("s1"), fact("s2")], SERVICES, 2, word)
-    others = [view.others for view in admission._pools["llm"].servers.values()]
-    assert sum(others) == 4
+    admission.set_servers(0.1, [record("s1"), record("s2")], SERVICES, 2, word)
+    other_calls = [view.other_calls for view in admission._pools["llm"].servers.values()]
+    assert sum(other_calls) == 4
     for number in range(4):
         admission.finished(0.2, f"c{number}", CallOutcome.COMPLETED)
-    admission.in_flight(word_follows=False)  # the same word stands beside a newer report
-    admission.set_servers(0.3, [fact("s1"), fact("s2")], SERVICES, 2, attrs.evolve(word, totals={"llm": 4}))
-    assert [view.others for view in admission._pools["llm"].servers.values()] == others
+    admission.in_flight(server_loads_follow=False)  # the same word stands beside a newer report
+    admission.set_servers(
+        0.3, [record("s1"), record("s2")], SERVICES, 2, attrs.evolve(word, totals={"llm": 4})
+    )
+    assert [view.other_calls for view in admission._pools["llm"].servers.values()] == other_calls
 
 
 @pytest.mark.parametrize(("total", "most"), [(0, 24), (12, 12), (24, 2), (40, 2)])
 def test_items_go_by_the_newest_total_where_word_of_each_server_is_old(total: int, most: int) -> None:
-    facts = [fact("s1"), fact("s2"), fact("s3")]
+    records = [record("s1"), record("s2"), record("s3")]
     admission = Admission(AdmissionSettings(), seed=1)
     admission.in_flight()
     word = KnownLoad({"s1": 0, "s2": 0, "s3": 0}, {"s1": 0.0, "s2": 0.0, "s3": 0.0}, {"llm": total})
-    admission.set_servers(0.0, facts, SERVICES, 1, word)
+    admission.set_servers(0.0, records, SERVICES, 1, word)
     taken = take_items(admission, "b", 0.0)
     assert most - 6 <= taken <= most
 
@@ -171,30 +173,30 @@
 def test_what_is_usual_is_taken_as_told() -> None:
     admission = Admission(AdmissionSettings(), seed=1)
     word = KnownLoad({"s1": 0}, {"s1": 6.0}, {})
-    admission.set_servers(0.0, [fact("s1")], SERVICES, 60, word)
+    admission.set_servers(0.0, [record("s1")], SERVICES, 60, word)
     view = admission._pools["llm"].servers["s1"]
-    assert view.others_usual == pytest.approx(6.0 * 59 / 60)  # without this gateway's part
-    assert view.likely_load(60) > 5.0
+    assert view.smoothed_other_calls == pytest.approx(6.0 * 59 / 60)  # without this gateway's part
+    assert view.estimated_load(60) > 5.0
 
 
 def test_a_server_of_which_nothing_was_asked_is_taken_for_one_like_the_others() -> None:
-    facts = [fact("s1"), fact("s2"), fact("s3")]
+    records = [record("s1"), record("s2"), record("s3")]
     admission = Admission(AdmissionSettings(), seed=1)
     word = KnownLoad({"s1": 2}, {"s1": 2.0}, {"llm": 12})  # s1 alone was in use
-    admission.set_servers(0.0, facts, SERVICES, 60, word)
+    admission.set_servers(0.0, records, SERVICES, 60, word)
     views = admission._pools["llm"].servers
-    assert views["s1"].others == 2
-    assert views["s2"].others == pytest.approx(12 / 3 * 59 / 60)
-    assert views["s2"].others == views["s2"].others_usual
+    assert views["s1"].other_calls == 2
+    assert views["s2"].other_calls == pytest.approx(12 / 3 * 59 / 60)
+    assert views["s2"].other_calls == views["s2"].smoothed_other_calls
 
 
 def test_a_gateway_alone_uses_the_places_of_jobs() -> None:
-    admission = admission_of(fact("s1"), fact("s2"))
+    admission = admission_of(record("s1"), record("s2"))
     assert take_items(admission, "b", 0.0) >= 0.8 * 16
 
 
 def test_a_full_pool_refuses_with_a_moment_to_come_back() -> None:
-    admission = admission_of(fact("s1"))
+    admission = admission_of(record("s1"))
     decisions = [admission.offer(0.0, call(f"c{at}")) for at in range(200)]
     refused = decisions[-1]
     assert isinstance(refused, Refused)
@@ -202,17 +204,17 @@
 
 
 def test_a_finished_call_frees_its_place() -> None:
-    admission = admission_of(fact("s1"))
+    admission = admission_of(record("s1"))
     admission.offer(0.0, call("c1"))
     assert admission.in_flight() == {"s1": 1}
-    assert admission.calls_now == 1
+    assert admission.in_flight_count == 1
     admission.finished(1.0, "c1", CallOutcome.COMPLETED)
     admission.finished(1.0, "c1", CallOutcome.COMPLETED)
     assert admission.in_flight() == {"s1": 0}
 
 
 def test_a_failed_server_is_avoided_for_a_while() -> None:
-    admission = admission_of(fact("s1"), fact("s2"))
+    admission = admission_of(record("s1"), record("s2"))
     first = admission.offer(0.0, call("c1"))
     assert isinstance(first, Admitted)
     admission.finished(0.0, "c1", CallOutcome.CONNECT_FAILED)
@@ -231,9 +233,9 @@
 
 
 def test_a_server_with_a_resting_connection_comes_first_until_it_is_busier() -> None:
-    facts = [fact(f"s{number}") for number in range(6)]
+    records = [record(f"s{number}") for number in range(6)]
     admission = Admission(AdmissionSettings(), seed=1, connected=lambda server_id: server_id == "s4")
-    admission.set_servers(0.0, facts, SERVICES, 1, NO_LOAD)
+    admission.set_servers(0.0, records, SERVICES, 1, NO_LOAD)
     decisions = [admission.offer(0.0, call(f"c{number}")) for number in range(6)]
     assert decisions[0] == Admitted("s4")
     assert any(decision != Admitted("s4") for decision in decisions)
--- a/tests/emberring/admission/test_tier_admission_machine.py
+++ b/tests/emberring/admission/test_tier_admission_machine.py
@@ -47,17 +47,17 @@
         self.now_s = 0.0
         self.count = 0
         self.states = {name: ServerState.READY for name in NAMES[:2]}
-        self.gone: set[str] = set()
+        self.replaced: set[str] = set()
         self.trouble = False
         self.out: dict[str, str] = {}
         self.admission = Admission(AdmissionSettings(), seed=3)
         self.tell()
 
     def tell(self) -> None:
-        facts = [
+        records = [
             ServerRecord(name, "llm", name, "z", CAPACITY, state, 1) for name, state in self.states.items()
         ]
-        self.admission.set_servers(self.now_s, facts, SERVICES, 1, NO_LOAD)
+        self.admission.set_servers(self.now_s, records, SERVICES, 1, NO_LOAD)
 
     @rule(seconds=st.sampled_from((0.0, 0.001, 0.02, 0.3, 5.0)))
     def wait(self, seconds: float) -> None:
@@ -67,7 +67,7 @@
     def change(self, name: str, state: ServerState | None) -> None:
         if state is None:
             self.states.pop(name, None)
-            self.gone.discard(name)
+            self.replaced.discard(name)
         else:
             self.states[name] = state
         self.tell()
@@ -89,7 +89,7 @@
         able = [
             one
             for one, state in self.states.items()
-            if state is ServerState.READY and one not in excluded and one not in self.gone
+            if state is ServerState.READY and one not in excluded and one not in self.replaced
         ]
         decision = self.admission.offer(self.now_s, call)
         if isinstance(decision, NoServer):
@@ -112,7 +112,7 @@
             self.admission.started(self.now_s, name, self.out[name])
 
     @rule(name=calls, later=st.booleans())
-    def hear(self, name: str, later: bool) -> None:
+    def record_event(self, name: str, later: bool) -> None:
         self.admission.first_event(self.now_s, name)
         if later:
             self.admission.progress(self.now_s + 0.01, name)
@@ -121,7 +121,7 @@
     def end(self, name: str, outcome: CallOutcome) -> None:
         server = self.out.pop(name, None)
         if server is not None and outcome is CallOutcome.WRONG_SERVER and server in self.states:
-            self.gone.add(server)
+            self.replaced.add(server)
         self.trouble = self.trouble or outcome in TROUBLE
         self.admission.finished(self.now_s, name, outcome)
 
--- a/tests/emberring/admission/test_tier_affinity.py
+++ b/tests/emberring/admission/test_tier_affinity.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from emberring.admission.affinity import LARGE_TOKENS, first_homes, home_key
+from emberring.admission.affinity import AFFINITY_MIN_TOKENS, affinity_key, preferred_servers
 from emberring.admission.types import PrefixPart
 
 SERVERS = [f"i-{at:04x}" for at in range(6)]
@@ -16,28 +16,30 @@
     ("parts", "key"),
     [
         ((), None),
-        (((PrefixPart("a", LARGE_TOKENS)),), None),
-        ((PrefixPart("a", LARGE_TOKENS), PrefixPart("own", 10)), "a"),
-        ((PrefixPart("a", LARGE_TOKENS - 1), PrefixPart("own", 9000)), None),
+        (((PrefixPart("a", AFFINITY_MIN_TOKENS)),), None),
+        ((PrefixPart("a", AFFINITY_MIN_TOKENS), PrefixPart("own", 10)), "a"),
+        ((PrefixPart("a", AFFINITY_MIN_TOKENS - 1), PrefixPart("own", 9000)), None),
         ((PrefixPart("a", 2000), PrefixPart("b", 9000), PrefixPart("own", 10)), "b"),
     ],
 )
 def test_home_key(parts: tuple[PrefixPart, ...], key: str | None) -> None:
-    assert home_key(parts) == key
+    assert affinity_key(parts) == key
 
 
 def test_the_order_does_not_depend_on_the_order_of_the_servers() -> None:
-    assert first_homes("p", SERVERS, len(SERVERS)) == first_homes("p", list(reversed(SERVERS)), len(SERVERS))
+    assert preferred_servers("p", SERVERS, len(SERVERS)) == preferred_servers(
+        "p", list(reversed(SERVERS)), len(SERVERS)
+    )
 
 
 def test_a_server_that_leaves_moves_only_its_own_prefixes() -> None:
     keys = [f"part-{at}" for at in range(500)]
-    before = {key: first_homes(key, SERVERS, 1)[0] for key in keys}
-    after = {key: first_homes(key, SERVERS[1:], 1)[0] for key in keys}
+    before = {key: preferred_servers(key, SERVERS, 1)[0] for key in keys}
+    after = {key: preferred_servers(key, SERVERS[1:], 1)[0] for key in keys}
     assert all(after[key] == before[key] for key in keys if before[key] != SERVERS[0])
 
 
 def test_homes_are_spread() -> None:
-    counts = Counter(first_homes(f"part-{at}", SERVERS, 1)[0] for at in range(3000))
+    counts = Counter(preferred_servers(f"part-{at}", SERVERS, 1)[0] for at in range(3000))
     assert min(counts.values()) > 0.8 * 500
     assert max(counts.values()) < 1.2 * 500
--- a/tests/emberring/admission/test_tier_attempts.py
+++ b/tests/emberring/admission/test_tier_attempts.py
@@ -5,11 +5,11 @@
 import pytest
 
 from emberring.admission import AttemptBudget, CallOutcome
-from emberring.admission.attempts import FREE_SENDS
+from emberring.admission.attempts import MAX_UNEXECUTED_SENDS
 
 
 @pytest.mark.parametrize(
-    ("outcome", "may_repeat", "max_attempts", "another", "promise"),
+    ("outcome", "idempotent", "max_attempts", "another", "promise"),
     [
         (CallOutcome.FULL, False, 1, True, True),
         (CallOutcome.WRONG_SERVER, False, 1, True, True),
@@ -26,11 +26,11 @@
     ],
 )
 def test_after_one_attempt(
-    outcome: CallOutcome, may_repeat: bool, max_attempts: int, another: bool, promise: bool
+    outcome: CallOutcome, idempotent: bool, max_attempts: int, another: bool, promise: bool
 ) -> None:
-    budget = AttemptBudget(max_attempts, may_repeat).after(outcome)
+    budget = AttemptBudget(max_attempts, idempotent).after(outcome)
     assert budget.allows_another(outcome) is another
-    assert budget.certainly_not_run is promise
+    assert budget.certainly_not_executed is promise
 
 
 def test_sends_that_did_not_run_are_bounded() -> None:
@@ -38,7 +38,7 @@
     sends = 1
     while budget.after(CallOutcome.FULL).allows_another(CallOutcome.FULL):
         budget, sends = budget.after(CallOutcome.FULL), sends + 1
-    assert sends == 1 + FREE_SENDS
+    assert sends == 1 + MAX_UNEXECUTED_SENDS
 
 
 def test_no_more_servers_than_max_attempts_may_have_run_it() -> None:
--- a/tests/emberring/admission/test_tier_candidates.py
+++ b/tests/emberring/admission/test_tier_candidates.py
@@ -11,26 +11,26 @@
 
 from emberring.admission import Admission, AdmissionSettings, Admitted, CallInfo
 from emberring.admission.candidates import (
-    ALL_RANKED,
-    DRAWN_ANY,
-    DRAWN_CONNECTED,
+    RANK_ALL_UP_TO,
+    SAMPLED_ANY,
+    SAMPLED_CONNECTED,
     candidates,
-    expected_room,
-    still_there,
+    sampling_weights,
+    still_running_share,
 )
 from emberring.admission.server import ServerView
 from emberring.distribution.records import ServerRecord, ServerState
 from emberring.registry.known_load import KnownLoad
 
-KEPT = 0.75  # of the calls told are still there
+STILL_RUNNING = 0.75  # of the calls told are still there
 
 
-def fact(number: int) -> ServerRecord:
+def record(number: int) -> ServerRecord:
     return ServerRecord(f"s{number}", "llm", f"10.0.0.1:{number}", "a", 12, ServerState.READY, 1)
 
 
 def views(count: int) -> list[ServerView]:
-    return [ServerView(fact(number), 0.0) for number in range(count)]
+    return [ServerView(record(number), 0.0) for number in range(count)]
 
 
 def never(server_id: str) -> bool:
@@ -38,41 +38,45 @@
 
 
 def test_a_small_pool_is_ranked_whole() -> None:
-    servers = views(ALL_RANKED)
-    assert candidates(servers, (), never, Random(1), KEPT) == servers
+    servers = views(RANK_ALL_UP_TO)
+    assert candidates(servers, (), never, Random(1), STILL_RUNNING) == servers
 
 
-@pytest.mark.parametrize("connected", [0, 1, DRAWN_CONNECTED, 40])
+@pytest.mark.parametrize("connected", [0, 1, SAMPLED_CONNECTED, 40])
 def test_a_large_pool_is_ranked_in_part_homes_always(connected: int) -> None:
     servers = views(50)
     for seed in range(200):
         found = candidates(
-            servers, ("s3", "s49"), lambda server_id: int(server_id[1:]) < connected, Random(seed), KEPT
+            servers,
+            ("s3", "s49"),
+            lambda server_id: int(server_id[1:]) < connected,
+            Random(seed),
+            STILL_RUNNING,
         )
-        ids = [one.fact.id for one in found]
-        assert len(set(ids)) == len(ids) <= DRAWN_CONNECTED + DRAWN_ANY + 2
+        ids = [one.record.id for one in found]
+        assert len(set(ids)) == len(ids) <= SAMPLED_CONNECTED + SAMPLED_ANY + 2
         assert {"s3", "s49"} <= set(ids)
-        wanted = min(connected, DRAWN_CONNECTED)
+        wanted = min(connected, SAMPLED_CONNECTED)
         assert sum(int(server_id[1:]) < connected for server_id in ids) >= wanted
 
 
 def test_every_server_of_a_large_pool_is_drawn_at_times() -> None:
     servers = views(50)
     drawn = {
-        one.fact.id
+        one.record.id
         for seed in range(400)
-        for one in candidates(servers, (), lambda server_id: server_id == "s1", Random(seed), KEPT)
+        for one in candidates(servers, (), lambda server_id: server_id == "s1", Random(seed), STILL_RUNNING)
     }
     assert len(drawn) == 50
 
 
 def test_gateways_with_the_same_late_sums_do_not_all_choose_the_idlest_server() -> None:
-    facts = [fact(number) for number in range(40)]
-    told = {one.id: 9 for one in facts} | {"s7": 0}
+    records = [record(number) for number in range(40)]
+    told = {one.id: 9 for one in records} | {"s7": 0}
     chosen: Counter[str] = Counter()
     for seed in range(200):
         admission = Admission(AdmissionSettings(), seed=seed, connected=never)
-        admission.set_servers(0.0, facts, {}, 200, KnownLoad(told))
+        admission.set_servers(0.0, records, {}, 200, KnownLoad(told))
         decision = admission.offer(0.0, CallInfo("c", "llm", "r", tokens_in=500, tokens_out=100))
         assert isinstance(decision, Admitted)
         chosen[decision.server_id] += 1
@@ -80,9 +84,9 @@
 
 
 def test_a_server_full_of_the_others_calls_is_left_alone() -> None:
-    facts = [fact(number) for number in range(6)]
+    records = [record(number) for number in range(6)]
     admission = Admission(AdmissionSettings(), seed=1)
-    admission.set_servers(0.0, facts, {}, 75, KnownLoad({one.id: 4 for one in facts} | {"s0": 14}))
+    admission.set_servers(0.0, records, {}, 75, KnownLoad({one.id: 4 for one in records} | {"s0": 14}))
     for number in range(12):
         decision = admission.offer(0.0, CallInfo(f"c{number}", "llm", "r", tokens_in=500, tokens_out=100))
         assert isinstance(decision, Admitted)
@@ -93,7 +97,7 @@
 
 def told(servers: list[ServerView], loads: list[float]) -> list[ServerView]:
     for server, load in zip(servers, loads, strict=True):
-        server.hear_others(0.0, load)
+        server.update_other_calls(0.0, load)
     return servers
 
 
@@ -109,28 +113,28 @@
 def test_the_draw_follows_the_room_that_servers_will_have(
     loads: list[float], least: float, most: float
 ) -> None:
-    chances = expected_room(told(views(20), loads), KEPT)
+    chances = sampling_weights(told(views(20), loads), STILL_RUNNING)
     assert least <= chances[0] / chances[1] <= most
 
 
 def test_a_server_that_looks_full_is_drawn_seldom_but_drawn() -> None:
-    chances = expected_room(told(views(20), [40.0] + [6.0] * 19), KEPT)
+    chances = sampling_weights(told(views(20), [40.0] + [6.0] * 19), STILL_RUNNING)
     assert 0.0 < chances[0] < 0.2 * chances[1]
 
 
 def test_a_larger_server_is_drawn_by_its_places() -> None:
     servers = told(views(20), [4.0] * 20)
-    servers[0].fact = attrs.evolve(servers[0].fact, capacity=24)
-    servers[0].hear_others(0.0, 8.0)
-    chances = expected_room(servers, KEPT)
+    servers[0].record = attrs.evolve(servers[0].record, capacity=24)
+    servers[0].update_other_calls(0.0, 8.0)
+    chances = sampling_weights(servers, STILL_RUNNING)
     assert chances[0] == pytest.approx(2 * chances[1])
 
 
 def test_calls_that_end_meanwhile_are_taken_off_the_word() -> None:
     """Where calls are short, what was told says little; where they last, it says much."""
     servers = told(views(20), [4.0, 8.0] * 10)
-    short = expected_room(servers, still_there(0.3, 0.1))
-    long = expected_room(servers, still_there(0.3, 10.0))
+    short = sampling_weights(servers, still_running_share(0.3, 0.1))
+    long = sampling_weights(servers, still_running_share(0.3, 10.0))
     assert short[0] / short[1] == pytest.approx(1.0, abs=0.1)
     assert long[0] / long[1] > 2.0
 
@@ -148,4 +152,4 @@
 def test_what_is_left_of_calls_told_falls_with_the_age_of_the_word(
     age_s: float, hold_s: float, least: float, most: float
 ) -> None:
-    assert least <= still_there(age_s, hold_s) <= most
+    assert least <= still_running_share(age_s, hold_s) <= most
--- a/tests/emberring/admission/test_tier_failures.py
+++ b/tests/emberring/admission/test_tier_failure_rate.py
@@ -5,7 +5,7 @@
 import pytest
 
 from emberring.admission import Admission, AdmissionSettings, Admitted, CallInfo, CallOutcome
-from emberring.admission.failures import CHANCE, FailureShare
+from emberring.admission.failure_rate import TOLERATED_RATE, FailureRate
 from emberring.distribution.records import ServerRecord, ServerState
 from emberring.registry.known_load import NO_LOAD
 
@@ -13,10 +13,10 @@
 BAD = (CallOutcome.FAILED, CallOutcome.BROKEN)
 
 
-def share_after(ends: list[bool], seconds: float = 0.0) -> FailureShare:
-    found = FailureShare()
+def share_after(ends: list[bool], seconds: float = 0.0) -> FailureRate:
+    found = FailureRate()
     for failed in ends:
-        found.end(0.0, failed)
+        found.record(0.0, failed)
     return found
 
 
@@ -35,8 +35,8 @@
 def test_what_is_priced(ends: list[bool], seconds: float, priced: bool) -> None:
     found = share_after(ends)
     assert (found.cost_ms(seconds) > 0.0) is priced
-    assert (found.share(seconds) > CHANCE) is priced
-    assert 0.0 <= found.share(seconds) <= 1.0
+    assert (found.rate(seconds) > TOLERATED_RATE) is priced
+    assert 0.0 <= found.rate(seconds) <= 1.0
 
 
 def play(admission: Admission, start: int, calls: int, bad: CallOutcome | None) -> list[str]:
@@ -59,12 +59,12 @@
 
 @pytest.mark.parametrize("bad", BAD)
 def test_a_server_that_fails_half_gets_little_and_all_again_once_it_is_well(bad: CallOutcome) -> None:
-    facts = [
+    records = [
         ServerRecord(name, "llm", f"10.0.0.1:{port}", "a", 8, ServerState.READY, 1)
         for port, name in enumerate((GREY, "good-1", "good-2"), start=1)
     ]
     admission = Admission(AdmissionSettings(), seed=3)
-    admission.set_servers(0.0, facts, {}, 1, NO_LOAD)
+    admission.set_servers(0.0, records, {}, 1, NO_LOAD)
     troubled = play(admission, 0, 900, bad)
     assert 0 < troubled.count(GREY) < 900 / 3 / 4
     play(admission, 900, 600, None)
--- a/tests/emberring/admission/test_tier_job_pressure.py
+++ b/tests/emberring/admission/test_tier_job_pressure.py
@@ -8,11 +8,11 @@
 
 from emberring.admission import Admission, AdmissionSettings, Admitted, CallInfo
 from emberring.admission.job_pressure import (
-    EASY_LEFT,
-    EASY_SHARE,
-    FORGET_S,
-    PRESSED_LEFT,
-    PRESSED_SHARE,
+    DECAY_S,
+    RELAXED_SLOT_SHARE,
+    RELAXED_TIME_LEFT,
+    URGENT_SLOT_SHARE,
+    URGENT_TIME_LEFT,
     JobPressure,
 )
 from emberring.distribution.records import ServerRecord, ServerState
@@ -25,22 +25,22 @@
     """After so many items with this share of their time left, all at once."""
     pressure = JobPressure()
     for _ in range(count):
-        pressure.taken(0.0, left * TARGET_S, TARGET_S)
+        pressure.record_item(0.0, left * TARGET_S, TARGET_S)
     return pressure
 
 
 @pytest.mark.parametrize(
     ("left", "share"),
     [
-        (1.0, EASY_SHARE),
-        (EASY_LEFT, EASY_SHARE),
-        ((EASY_LEFT + PRESSED_LEFT) / 2.0, (EASY_SHARE + PRESSED_SHARE) / 2.0),
-        (PRESSED_LEFT, PRESSED_SHARE),
-        (0.05, PRESSED_SHARE),
+        (1.0, RELAXED_SLOT_SHARE),
+        (RELAXED_TIME_LEFT, RELAXED_SLOT_SHARE),
+        ((RELAXED_TIME_LEFT + URGENT_TIME_LEFT) / 2.0, (RELAXED_SLOT_SHARE + URGENT_SLOT_SHARE) / 2.0),
+        (URGENT_TIME_LEFT, URGENT_SLOT_SHARE),
+        (0.05, URGENT_SLOT_SHARE),
     ],
 )
 def test_items_get_the_more_places_the_less_time_they_have_left(left: float, share: float) -> None:
-    assert heard(left).share(0.0) == pytest.approx(share, abs=0.001)
+    assert heard(left).slot_share(0.0) == pytest.approx(share, abs=0.001)
 
 
 @pytest.mark.parametrize(
@@ -50,24 +50,24 @@
 def test_items_that_more_places_can_not_save_say_nothing(due_s: float, target_s: float) -> None:
     pressure = JobPressure()
     for _ in range(60):
-        pressure.taken(0.0, due_s, target_s)
-    assert pressure.share(0.0) == pytest.approx(0.85)
+        pressure.record_item(0.0, due_s, target_s)
+    assert pressure.slot_share(0.0) == pytest.approx(0.85)
 
 
 @pytest.mark.parametrize("left", [0.1, 1.0])
 def test_what_was_heard_is_forgotten_soon_after_the_jobs_are_done(left: float) -> None:
-    assert heard(left).share(5.0 * FORGET_S) == pytest.approx(0.85, abs=0.01)
+    assert heard(left).slot_share(5.0 * DECAY_S) == pytest.approx(0.85, abs=0.01)
 
 
 def test_a_gateway_takes_more_items_once_those_it_gets_are_pressed() -> None:
-    facts = [
+    records = [
         ServerRecord(f"s{number}", "llm", f"10.0.0.1:{number}", "a", 12, ServerState.READY, 1)
         for number in range(4)
     ]
 
     def room(left: float) -> int:
         admission = Admission(AdmissionSettings(), seed=1)
-        admission.set_servers(0.0, facts, {}, 1, KnownLoad())
+        admission.set_servers(0.0, records, {}, 1, KnownLoad())
         for number in range(200):
             item = CallInfo(
                 f"i{number}", "llm", "r", batch=True, deadline_s=left * TARGET_S, target_s=TARGET_S
@@ -78,15 +78,15 @@
             admission.first_event(0.001, item.id)
         return 200
 
-    assert room(1.0) == round(4 * 12 * EASY_SHARE)
+    assert room(1.0) == round(4 * 12 * RELAXED_SLOT_SHARE)
     assert room(0.1) > 4 * 12 * 0.85
 
 
 def test_what_decisions_go_by_is_told_to_operators() -> None:
     admission = Admission(AdmissionSettings(), seed=1)
-    assert admission.decides_by(1.0) == (0, 0.0, math.inf)
-    facts = [ServerRecord("s1", "llm", "10.0.0.1:1", "a", 12, ServerState.READY, 1)]
-    admission.set_servers(1.0, facts, {}, 1, KnownLoad(true_s=0.8))
-    cursor, share, word_age_s = admission.decides_by(1.1)
+    assert admission.status(1.0) == (0, 0.0, math.inf)
+    records = [ServerRecord("s1", "llm", "10.0.0.1:1", "a", 12, ServerState.READY, 1)]
+    admission.set_servers(1.0, records, {}, 1, KnownLoad(true_s=0.8))
+    cursor, share, load_report_age_s = admission.status(1.1)
     assert (cursor, share) == (0, pytest.approx(0.85))
-    assert word_age_s == pytest.approx(0.3)
+    assert load_report_age_s == pytest.approx(0.3)
--- a/tests/emberring/admission/test_tier_load.py
+++ b/tests/emberring/admission/test_tier_load_meter.py
@@ -2,15 +2,15 @@
 
 from __future__ import annotations
 
-from emberring.admission.load import OUTCOMES, LoadMeter
+from emberring.admission.load_meter import OUTCOMES_FOR_HALF_WEIGHT, LoadMeter
 
 
 def fed(meter: LoadMeter, share: float, periods: int, quiet: bool = True) -> float:
     load = 0.0
     for _ in range(periods):
         for _ in range(5):
-            meter.waited(share)
-            meter.ended(full=False)
+            meter.record_wait(share)
+            meter.record_outcome(full=False)
         load = meter.close_period(quiet)
     return load
 
@@ -30,9 +30,9 @@
 def test_the_baseline_does_not_rise_under_load() -> None:
     meter = LoadMeter()
     fed(meter, 0.2, 20)
-    before = meter.base
+    before = meter.baseline
     fed(meter, 0.9, 50, quiet=False)
-    assert meter.base == before
+    assert meter.baseline == before
 
 
 def test_load_that_nobody_sees_passes() -> None:
@@ -47,7 +47,7 @@
 def test_full_answers_are_load_at_once() -> None:
     meter = LoadMeter()
     for full in (True, False, False, False):
-        meter.ended(full)
+        meter.record_outcome(full)
     assert meter.close_period(True) > 1.0
     assert meter.close_period(True) == 0.0
 
@@ -55,8 +55,8 @@
 def test_a_step_needs_as_many_outcomes_as_the_smoothing_remembers() -> None:
     meter = LoadMeter()
     fed(meter, 0.2, 8)
-    assert meter.may_tighten()
-    assert not meter.may_tighten()
-    for _ in range(int(OUTCOMES)):
-        meter.waited(0.3)
-    assert meter.may_tighten()
+    assert meter.may_step_right()
+    assert not meter.may_step_right()
+    for _ in range(int(OUTCOMES_FOR_HALF_WEIGHT)):
+        meter.record_wait(0.3)
+    assert meter.may_step_right()
--- a/tests/emberring/admission/test_tier_many_gateways.py
+++ b/tests/emberring/admission/test_tier_many_gateways.py
@@ -12,33 +12,33 @@
 from emberring.distribution.records import ServerRecord, ServerState
 from emberring.registry.known_load import GATEWAYS_BY_WORD, USUAL_S, KnownLoad
 
-GATEWAYS, SERVERS, PLACES = 50, 36, 12
+GATEWAYS, SERVERS, SLOTS = 50, 36, 12
 STEP_S = 0.01
 CALLS_A_STEP = 4
 HOLD_S = 0.5
 TELL_EVERY_S, TOLD_AFTER_S = 0.3, 0.7
 
 
-def fact(number: int) -> ServerRecord:
-    return ServerRecord(f"s{number}", "llm", f"10.0.0.1:{number}", "a", PLACES, ServerState.READY, 1)
+def record(number: int) -> ServerRecord:
+    return ServerRecord(f"s{number}", "llm", f"10.0.0.1:{number}", "a", SLOTS, ServerState.READY, 1)
 
 
 def test_few_gateways_go_by_what_was_just_told() -> None:
-    view = ServerView(fact(1), 0.0)
-    view.hear_others(0.0, 2.0)
-    view.hear_others(0.1, 9.0)
-    assert view.likely_load(GATEWAYS_BY_WORD) == pytest.approx(9.0)
+    view = ServerView(record(1), 0.0)
+    view.update_other_calls(0.0, 2.0)
+    view.update_other_calls(0.1, 9.0)
+    assert view.estimated_load(GATEWAYS_BY_WORD) == pytest.approx(9.0)
 
 
 def test_many_gateways_go_by_what_is_usual_and_follow_it() -> None:
-    view = ServerView(fact(1), 0.0)
-    view.hear_others(0.0, 2.0)
-    view.hear_others(0.3, 9.0)
-    assert view.likely_load(50) < 4.0  # 2 usual, 9 just told
+    view = ServerView(record(1), 0.0)
+    view.update_other_calls(0.0, 2.0)
+    view.update_other_calls(0.3, 9.0)
+    assert view.estimated_load(50) < 4.0  # 2 usual, 9 just told
     for number in range(1, 50):
-        view.hear_others(0.3 + number * 0.3, 9.0)
-    assert view.likely_load(50) == pytest.approx(9.0, abs=0.2)
-    assert view.others_s > 2 * USUAL_S
+        view.update_other_calls(0.3 + number * 0.3, 9.0)
+    assert view.estimated_load(50) == pytest.approx(9.0, abs=0.2)
+    assert view.other_calls_updated_s > 2 * USUAL_S
 
 
 class Play:
@@ -47,7 +47,7 @@
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
         self.gateways = [Admission(AdmissionSettings(), seed=seed * 100 + n) for n in range(GATEWAYS)]
-        self.facts = [fact(number) for number in range(SERVERS)]
+        self.records = [record(number) for number in range(SERVERS)]
         self.loads: Counter[str] = Counter()
         self.ends: deque[tuple[float, Admission, str, str]] = deque()
         self.told: deque[tuple[float, dict[str, int]]] = deque()
@@ -72,12 +72,12 @@
     def tell(self, now_s: float) -> None:
         for gateway in self.gateways:
             gateway.in_flight()
-        self.told.append((now_s, {**{one.id: 0 for one in self.facts}, **self.loads}))
+        self.told.append((now_s, {**{one.id: 0 for one in self.records}, **self.loads}))
         while len(self.told) > 1 and self.told[1][0] <= now_s - TOLD_AFTER_S:
             self.told.popleft()
         true_s, told = self.told[0]
         for gateway in self.gateways:
-            gateway.set_servers(now_s, self.facts, {}, GATEWAYS, KnownLoad(told, true_s=true_s))
+            gateway.set_servers(now_s, self.records, {}, GATEWAYS, KnownLoad(told, true_s=true_s))
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -93,7 +93,7 @@
         play.step(now_s)
         if now_s > 2.0:
             steps += SERVERS
-            crowded += sum(load > PLACES for load in play.loads.values())
+            crowded += sum(load > SLOTS for load in play.loads.values())
     mean = CALLS_A_STEP / STEP_S * HOLD_S / SERVERS
     assert 5.0 < mean < 6.0  # half of the places
     assert crowded / steps < 0.08  # 0.15 where the word is followed in full
--- a/tests/emberring/admission/test_tier_prefixes.py
+++ b/tests/emberring/admission/test_tier_prefix_cache.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from emberring.admission.prefixes import PrefixMemory
+from emberring.admission.prefix_cache import PrefixCacheEstimate
 from emberring.admission.types import PrefixPart
 
 A, B, C = PrefixPart("a", 100), PrefixPart("b", 50), PrefixPart("c", 30)
@@ -22,23 +22,23 @@
     ],
 )
 def test_known_parts(sent: list[tuple[PrefixPart, ...]], asked: tuple[PrefixPart, ...], known: int) -> None:
-    memory = PrefixMemory()
+    prefix_cache = PrefixCacheEstimate()
     for parts in sent:
-        memory.sent(parts, 1000.0)
-    assert memory.known(asked) == known
+        prefix_cache.record_prompt(parts, 1000.0)
+    assert prefix_cache.cached_parts(asked) == known
 
 
 def test_the_longest_unused_give_way() -> None:
-    memory = PrefixMemory()
-    memory.sent((A,), 150.0)
-    memory.sent((B,), 150.0)
-    memory.sent((A,), 150.0)
-    memory.sent((C,), 150.0)
-    assert [memory.known((part,)) for part in (A, B, C)] == [1, 0, 1]
+    prefix_cache = PrefixCacheEstimate()
+    prefix_cache.record_prompt((A,), 150.0)
+    prefix_cache.record_prompt((B,), 150.0)
+    prefix_cache.record_prompt((A,), 150.0)
+    prefix_cache.record_prompt((C,), 150.0)
+    assert [prefix_cache.cached_parts((part,)) for part in (A, B, C)] == [1, 0, 1]
 
 
 def test_nothing_is_known_once_forgotten() -> None:
-    memory = PrefixMemory()
-    memory.sent((A, B), 1000.0)
-    memory.forget()
-    assert memory.known((A, B)) == 0
+    prefix_cache = PrefixCacheEstimate()
+    prefix_cache.record_prompt((A, B), 1000.0)
+    prefix_cache.clear()
+    assert prefix_cache.cached_parts((A, B)) == 0
--- a/tests/emberring/admission/test_tier_suspicion.py
+++ b/tests/emberring/admission/test_tier_suspicion.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from emberring.admission import Admission, AdmissionSettings, Admitted, CallInfo, CallOutcome, pacing
+from emberring.admission import Admission, AdmissionSettings, Admitted, CallInfo, CallOutcome, eligibility
 from emberring.admission.server import ServerView
-from emberring.admission.suspicion import WELL_AFTER_S, SuspicionBook, trouble_of
+from emberring.admission.suspicion import REINSTATE_AFTER_S, SuspicionTable, detect_fault
 from emberring.distribution.records import ServerRecord, ServerState
 from emberring.gateway.suspicions import SuspicionReport
 from emberring.registry.faults import Fault
@@ -24,21 +24,21 @@
 def failed(outcome: CallOutcome, times: int) -> ServerView:
     server = view()
     for _ in range(times):
-        pacing.note_failure(0.0, server, outcome, Random(1))
+        eligibility.record_failure(0.0, server, outcome, Random(1))
     return server
 
 
 def failing_some(bad: int, good: int) -> ServerView:
     server = view()
     for number in range(bad + good):
-        server.failed.end(0.0, number >= good)
+        server.failure_rate.record(0.0, number >= good)
     return server
 
 
 def late(ratio: float) -> ServerView:
     server = view()
     for _ in range(30):
-        server.hear_wait(0.0, ratio)
+        server.record_wait_ratio(0.0, ratio)
     return server
 
 
@@ -57,51 +57,56 @@
     ],
 )
 def test_what_speaks_against_a_server(server: ServerView, trouble: Fault | None) -> None:
-    assert trouble_of(0.0, server, PAUSE_MS) is trouble
+    assert detect_fault(0.0, server, PAUSE_MS) is trouble
 
 
 def test_a_change_of_state_is_told_once_and_its_end_after_a_while_without_a_sign() -> None:
-    book, server = SuspicionBook(), failed(CallOutcome.SILENT, 2)
-    begun = book.look(1.0, [server], PAUSE_MS)
-    assert [(change.server, change.trouble) for change in begun] == [(server, Fault.SILENT)]
-    assert book.look(2.0, [server], PAUSE_MS) == []
-    assert book.troubles == {"s": Fault.SILENT}
-    server.failures = 0  # it has answered
-    assert book.look(2.1, [server], PAUSE_MS) == []
-    server.failures, server.failed_by = 5, CallOutcome.CONNECT_FAILED  # it flaps: still the same trouble
-    assert book.look(3.0, [server], PAUSE_MS) == []
-    assert book.troubles == {"s": Fault.UNREACHABLE}
-    server.failures = 0
-    assert book.look(3.0 + WELL_AFTER_S - 0.1, [server], PAUSE_MS) == []
-    ended = book.look(3.0 + WELL_AFTER_S, [server], PAUSE_MS)
-    assert [(change.trouble, change.lasted_s) for change in ended] == [(None, 2.0)]
-    assert book.troubles == {}
+    book, server = SuspicionTable(), failed(CallOutcome.SILENT, 2)
+    begun = book.check(1.0, [server], PAUSE_MS)
+    assert [(change.server, change.fault) for change in begun] == [(server, Fault.SILENT)]
+    assert book.check(2.0, [server], PAUSE_MS) == []
+    assert book.faults == {"s": Fault.SILENT}
+    server.consecutive_failures = 0  # it has answered
+    assert book.check(2.1, [server], PAUSE_MS) == []
+    server.consecutive_failures, server.last_failure = (
+        5,
+        CallOutcome.CONNECT_FAILED,
+    )  # it flaps: still the same trouble
+    assert book.check(3.0, [server], PAUSE_MS) == []
+    assert book.faults == {"s": Fault.UNREACHABLE}
+    server.consecutive_failures = 0
+    assert book.check(3.0 + REINSTATE_AFTER_S - 0.1, [server], PAUSE_MS) == []
+    ended = book.check(3.0 + REINSTATE_AFTER_S, [server], PAUSE_MS)
+    assert [(change.fault, change.duration_s) for change in ended] == [(None, 2.0)]
+    assert book.faults == {}
 
 
 def test_a_server_that_is_gone_is_dropped_without_a_word() -> None:
-    book, server = SuspicionBook(), failed(CallOutcome.SILENT, 2)
-    book.look(1.0, [server, view("other")], PAUSE_MS)
-    assert book.look(9.0, [view("other")], PAUSE_MS) == []
-    assert book.troubles == {}
+    book, server = SuspicionTable(), failed(CallOutcome.SILENT, 2)
+    book.check(1.0, [server, view("other")], PAUSE_MS)
+    assert book.check(9.0, [view("other")], PAUSE_MS) == []
+    assert book.faults == {}
 
 
 def test_a_gateway_tells_control_and_its_figures() -> None:
     admission = Admission(AdmissionSettings(), seed=1)
-    facts = [view("s1").fact, view("s2").fact]
-    admission.set_servers(0.0, facts, {}, 1, NO_LOAD)
+    records = [view("s1").record, view("s2").record]
+    admission.set_servers(0.0, records, {}, 1, NO_LOAD)
     report = SuspicionReport(admission)
-    report.look(0.0)
+    report.check(0.0)
     assert report.told() == {}
     assert report.figures()["servers_suspected"] == 0.0
     decision = admission.offer(0.0, CallInfo("c", "llm", "r", tokens_in=500, tokens_out=100))
     assert isinstance(decision, Admitted)
     admission.finished(0.1, "c", CallOutcome.CONNECT_FAILED)
-    report.look(0.1)
+    report.check(0.1)
     assert report.told() == {decision.server_id: "unreachable"}
     figures = report.figures()
     assert figures["servers_suspected"] == 1.0
     assert figures['server_suspicions_total{trouble="unreachable"}'] == 1.0
-    admission.set_servers(0.2, [fact for fact in facts if fact.id != decision.server_id], {}, 1, NO_LOAD)
-    report.look(0.2)
+    admission.set_servers(
+        0.2, [record for record in records if record.id != decision.server_id], {}, 1, NO_LOAD
+    )
+    report.check(0.2)
     assert report.told() == {}
     assert report.figures()['server_suspicions_total{trouble="unreachable"}'] == 1.0
--- a/tests/emberring/admission/test_tier_table.py
+++ b/tests/emberring/admission/test_tier_threshold_table.py
@@ -2,21 +2,21 @@
 
 from __future__ import annotations
 
-from emberring.admission.table import PRIORITIES, CursorTable
+from emberring.admission.threshold_table import PRIORITIES, ThresholdTable
 
 
 def test_the_cursor_stays_within_the_table() -> None:
-    table = CursorTable()
+    table = ThresholdTable()
     table.move(False)
     assert table.cursor == 0
     for _ in range(100):
         table.move(True)
-    assert table.cursor == table.last
+    assert table.cursor == table.last_slot
 
 
 def test_live_rows_bend_only_once_jobs_have_nothing() -> None:
-    table = CursorTable()
-    for _ in range(table.last):
+    table = ThresholdTable()
+    for _ in range(table.last_slot):
         if table.batch_share() > 0.0:
             assert table.live_share(PRIORITIES - 1) == 1.0
         table.move(True)
@@ -24,8 +24,8 @@
 
 
 def test_a_more_urgent_row_is_never_below_a_less_urgent_one() -> None:
-    table = CursorTable()
-    for _ in range(table.last):
+    table = ThresholdTable()
+    for _ in range(table.last_slot):
         shares = [table.live_share(priority) for priority in range(PRIORITIES + 2)]
         assert shares == sorted(shares, reverse=True)
         assert shares[0] >= table.batch_share()
--- a/tests/emberring/simulation/test_tier_ablation.py
+++ b/tests/emberring/simulation/test_tier_ablation.py
@@ -9,7 +9,7 @@
 import pytest
 
 from emberring.admission import candidates, pool
-from emberring.admission.table import CursorTable
+from emberring.admission.threshold_table import ThresholdTable
 from emberring.cli.app import main
 from emberring.simulation.admission import ablation
 from emberring.simulation.admission.ablation import Case, Mechanism, play, without, worth_of
@@ -34,9 +34,9 @@
 
 
 def test_nothing_is_switched_off_without_a_name() -> None:
-    kept = CursorTable.move, pool.BATCH_PROMPTS, candidates.LEAST_CHANCE
+    kept = ThresholdTable.move, pool.BATCH_PROMPTS_PER_SERVER, candidates.MIN_SAMPLING_WEIGHT
     with without(None):
-        assert (CursorTable.move, pool.BATCH_PROMPTS, candidates.LEAST_CHANCE) == kept
+        assert (ThresholdTable.move, pool.BATCH_PROMPTS_PER_SERVER, candidates.MIN_SAMPLING_WEIGHT) == kept
 
 
 def test_the_same_seed_without_the_same_is_the_same_trial() -> None:
