--- a/emberring/admission/__init__.py
+++ b/emberring/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admission: whether a call is taken, and by which server. Decisions only: no I/O, no clock of its own."""
+"""Admission control and server selection: whether a call is taken, and by which server. No I/O, no clock of its own."""
 
 from emberring.admission.admission import Admission
 from emberring.admission.attempts import AttemptBudget
--- a/emberring/admission/admission.py
+++ b/emberring/admission/admission.py
@@ -1,15 +1,21 @@
-"""Admission: whether a call is taken, and by which server. Sans-I/O; the moment is an argument of every call."""
+"""Admission control over all services of a gateway: whether a call is taken, and by which server.
+
+Sans-I/O: the current time is an argument of every call.
+"""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Callable, Iterable, Mapping
 from random import Random
+from typing import NamedTuple
+
+import attrs
 
 from emberring.admission.pool import Pool
 from emberring.admission.server import PlacedCall, ServerView
 from emberring.admission.suspicion import SuspicionChange
-from emberring.admission.types import AdmissionSettings, CallInfo, CallOutcome, Decision, NoServer
+from emberring.admission.types import AdmissionSettings, Admitted, CallInfo, CallOutcome, Decision, NoServer
 from emberring.configuration.model import Service
 from emberring.distribution.records import ServerRecord
 from emberring.registry.faults import Fault
@@ -17,13 +23,42 @@
 
 
 def always_connected(server_id: str) -> bool:
-    """Where nothing is known of connections, none has to be made."""
+    """Return True: the default where connections are not known, so that none has to be opened."""
     return True
 
 
+class AdmissionStatus(NamedTuple):
+    """The figures that admission decisions go by, for operators.
+
+    Args:
+        cursor: position of the threshold table's cursor.
+        batch_slot_share: share of the slots that batch items may use.
+        load_report_age_s: age of the reported load of other gateways; infinite without any.
+    """
+
+    cursor: int
+    batch_slot_share: float
+    load_report_age_s: float
+
+
+@attrs.frozen
+class _Placement:
+    """A call that was admitted, and the pool of its server."""
+
+    pool: Pool
+    call: PlacedCall
+
+
 class Admission:
-    """One gateway's decisions over all services. `finished` must be told once for every `Admitted`. `connected` tells
-    whether a connection to a server rests here that the next call may use."""
+    """The decisions of one gateway over all services.
+
+    `finished` must be called once for every `Admitted`.
+
+    Args:
+        settings: what the deployment sets.
+        seed: seed of all draws.
+        connected: whether an idle connection to a server (by id) can carry the next call.
+    """
 
     def __init__(
         self,
@@ -35,7 +70,7 @@
         self._random = Random(seed)
         self._connected = connected
         self._pools: dict[str, Pool] = {}
-        self._placed: dict[str, tuple[Pool, PlacedCall]] = {}
+        self._placements: dict[str, _Placement] = {}
 
     def set_servers(
         self,
@@ -45,8 +80,15 @@
         gateways: int,
         load: KnownLoad,
     ) -> None:
-        """The servers now known (draining ones may be among them; they get nothing new), the live gateways, and
-        the calls in flight over all gateways as control last told."""
+        """Replace the known servers and the load of the other gateways.
+
+        Args:
+            now_s: the current time (monotonic clock).
+            servers: all known servers; draining ones may be among them and get nothing new.
+            service_info: settings of the services by name.
+            gateways: live gateways, this one included.
+            load: calls in flight of all gateways as the control nodes last reported them.
+        """
         gateways = max(1, gateways)
         by_service: dict[str, dict[str, ServerView]] = {}
         for record in servers:
@@ -72,73 +114,77 @@
             pool.set_servers(views, gateways, total, load.true_s)
 
     def offer(self, now_s: float, call: CallInfo) -> Decision:
-        """Decide at once; an admitted call counts against its server from now on."""
+        """Decide on a call at once; an admitted call counts against its server from now on."""
         pool = self._pools.get(call.service)
         if pool is None:
             return NoServer()
         decision = pool.offer(now_s, call)
-        server_id = getattr(decision, "server_id", None)
-        if server_id is not None:
-            self._placed[call.id] = pool, pool.servers[server_id].calls[call.id]
+        if isinstance(decision, Admitted):
+            placed = pool.servers[decision.server_id].calls[call.id]
+            self._placements[call.id] = _Placement(pool, placed)
         return decision
 
     def started(self, now_s: float, call_id: str, server_id: str) -> None:
-        """The call's bytes have been sent."""
-        entry = self._placed.get(call_id)
-        if entry is not None:
-            entry[0].started(now_s, entry[1])
+        """Record that the request of a call has been sent."""
+        placement = self._placements.get(call_id)
+        if placement is not None:
+            placement.pool.started(now_s, placement.call)
 
     def first_event(self, now_s: float, call_id: str) -> None:
-        """The first event of the answer, or its head where it is no stream, has come."""
-        entry = self._placed.get(call_id)
-        if entry is not None:
-            entry[0].first_event(now_s, entry[1])
+        """Record the first event of an answer, or its head if it is not a stream."""
+        placement = self._placements.get(call_id)
+        if placement is not None:
+            placement.pool.first_event(now_s, placement.call)
 
     def progress(self, now_s: float, call_id: str) -> None:
-        """A later event of the answer has come."""
-        entry = self._placed.get(call_id)
-        if entry is not None:
-            entry[0].progress(now_s, entry[1])
+        """Record a later event of an answer."""
+        placement = self._placements.get(call_id)
+        if placement is not None:
+            placement.pool.progress(now_s, placement.call)
 
     def finished(self, now_s: float, call_id: str, outcome: CallOutcome) -> None:
-        """The attempt is over; the call no longer counts against its server."""
-        entry = self._placed.pop(call_id, None)
-        if entry is not None:
-            entry[0].finished(now_s, entry[1], outcome)
+        """Record how an attempt ended; the call no longer counts against its server."""
+        placement = self._placements.pop(call_id, None)
+        if placement is not None:
+            placement.pool.finished(now_s, placement.call, outcome)
 
     def batch_room(self, now_s: float) -> int:
-        """How many more items of lots would be taken now, over all services."""
+        """Return how many more batch items would be admitted now, over all services."""
         return sum(pool.batch_room(now_s) for pool in self._pools.values())
 
-    def status(self, now_s: float) -> tuple[int, float, float]:
-        """Of all services the worst: the table's cursor, the share of the places that lots may have, and how long ago
-        (seconds) word of the others' calls was true; the latter is infinite without any."""
+    def status(self, now_s: float) -> AdmissionStatus:
+        """Return the figures that decisions go by now, for operators; of all services the worst."""
         pools = self._pools.values()
-        return (
+        return AdmissionStatus(
             max((pool.table.cursor for pool in pools), default=0),
             max((pool.pressure.slot_share(now_s) for pool in pools), default=0.0),
             max((now_s - pool.calls.load_measured_s for pool in pools), default=math.inf),
         )
 
     def check_servers(self, now_s: float) -> list[SuspicionChange]:
-        """Which servers came into trouble, or are well again, since the last look."""
+        """Return the servers that became suspected, or were reinstated, since the last check."""
         return [change for pool in self._pools.values() for change in pool.check_servers(now_s)]
 
     def suspected_servers(self) -> dict[str, Fault]:
-        """The servers held to be in trouble at the last look, by id."""
-        found: dict[str, Fault] = {}
+        """Return the servers that were suspected at the last check, with the fault, by id."""
+        faults: dict[str, Fault] = {}
         for pool in self._pools.values():
-            found.update(pool.suspicions.faults)
-        return found
+            faults.update(pool.suspicions.faults)
+        return faults
 
     @property
     def in_flight_count(self) -> int:
-        """This gateway's calls in flight."""
-        return len(self._placed)
+        """The calls of this gateway in flight."""
+        return len(self._placements)
 
     def in_flight(self, server_loads_follow: bool = True) -> dict[str, int]:
-        """This gateway's calls in flight per server id, for `Follower.report` alone. What control tells later is
-        taken to hold these: by service always, and by server if its word of each server follows."""
+        """Return this gateway's calls in flight by server id; for `Follower.report` alone.
+
+        Load that the control nodes report later is assumed to include these calls.
+
+        Args:
+            server_loads_follow: whether the report will include the load of each server, and not only of each service.
+        """
         report = {}
         for pool in self._pools.values():
             report.update(pool.calls.report(server_loads_follow))
@@ -148,15 +194,24 @@
 def _update_other_calls(
     now_s: float, views: Mapping[str, ServerView], load: KnownLoad, gateways: int, total: int | None
 ) -> None:
-    """Tell each server of a service of the others' calls there. Where control was asked after some servers alone,
-    the others are taken to have as many calls as a server has in the mean."""
-    part = 1.0 - 1.0 / gateways
-    mean = part * total / len(views) if total is not None else 0.0
+    """Update the other gateways' calls at each server of a service.
+
+    Where control nodes were asked about some servers only, the others are assumed to have the mean load of a server.
+
+    Args:
+        now_s: the current time (monotonic clock).
+        views: the servers of the service by id.
+        load: the load as reported by the control nodes.
+        gateways: live gateways, this one included.
+        total: calls of all gateways at the service; None where every server was reported.
+    """
+    others_share = 1.0 - 1.0 / gateways
+    mean = others_share * total / len(views) if total is not None else 0.0
     for server_id, view in views.items():
         other_calls = max(0.0, load.calls.get(server_id, 0) - view.reported_calls)
         if load.usual is None:
             view.update_other_calls(now_s, other_calls)
         elif server_id in load.usual:
-            view.update_other_calls(now_s, other_calls, part * load.usual[server_id])
+            view.update_other_calls(now_s, other_calls, others_share * load.usual[server_id])
         else:
             view.update_other_calls(now_s, mean, mean)
--- a/emberring/admission/attempts.py
+++ b/emberring/admission/attempts.py
@@ -1,4 +1,4 @@
-"""Which failures of an attempt allow another server, within the route's `MaxAttempts`."""
+"""The attempts of a request: which failures allow another server, within the route's `MaxAttempts`."""
 
 from __future__ import annotations
 
@@ -6,18 +6,27 @@
 
 from emberring.admission.types import CallOutcome
 
+# Outcomes by which a server guarantees that it did not execute the request.
 NOT_EXECUTED = frozenset({CallOutcome.FULL, CallOutcome.WRONG_SERVER})
+# Outcomes after which no byte of the request was sent.
 NEVER_SENT = frozenset({CallOutcome.CONNECT_FAILED, CallOutcome.NOT_SENT})
+# Outcomes after which an idempotent request may be retried.
 RETRYABLE = frozenset({CallOutcome.BROKEN, CallOutcome.SILENT, CallOutcome.FAILED})
-MAX_UNEXECUTED_SENDS = 2  # sends beyond MaxAttempts that servers promised not to have run, or that never left
+MAX_UNEXECUTED_SENDS = 2  # beyond MaxAttempts, that were not executed or never sent
 
 
 @attrs.frozen
 class AttemptBudget:
-    """The attempts of one try: how many servers may have run it, and how many certainly have not.
+    """The attempts of one request so far, and whether another one is allowed.
 
-    `MaxAttempts` bounds the servers that may have run the request. A server that promised not to have run it, or
-    to which no byte went, doesn't count, but there are at most `MAX_UNEXECUTED_SENDS` of these.
+    `MaxAttempts` limits the servers that may have executed the request. A server that guaranteed that it did not, or to
+    which no byte was sent, does not count, but at most `MAX_UNEXECUTED_SENDS` of these are retried.
+
+    Args:
+        max_attempts: servers that may have executed the request.
+        idempotent: whether the route allows a request to be executed more than once.
+        executed: attempts that may have executed the request.
+        not_executed: attempts that certainly have not.
     """
 
     max_attempts: int
@@ -26,13 +35,13 @@
     not_executed: int = 0
 
     def after(self, outcome: CallOutcome) -> AttemptBudget:
-        """The budget once an attempt has ended so."""
+        """Return the budget after an attempt that ended with this outcome."""
         if outcome in NOT_EXECUTED or outcome in NEVER_SENT:
             return attrs.evolve(self, not_executed=self.not_executed + 1)
         return attrs.evolve(self, executed=self.executed + 1)
 
     def allows_another(self, outcome: CallOutcome) -> bool:
-        """Whether, after an attempt that ended so and is already counted, another server may be tried."""
+        """Return whether another server may be tried after this outcome, which is already counted."""
         if outcome in NOT_EXECUTED or outcome in NEVER_SENT:
             return self.executed < self.max_attempts and self.not_executed <= MAX_UNEXECUTED_SENDS
         if outcome not in RETRYABLE:
@@ -41,5 +50,5 @@
 
     @property
     def certainly_not_executed(self) -> bool:
-        """Whether a refusal that promises "not run" is true."""
+        """Whether no server can have executed the request."""
         return self.executed == 0
--- a/emberring/admission/candidates.py
+++ b/emberring/admission/candidates.py
@@ -1,11 +1,11 @@
-"""Which servers are ranked for a call: all of a small pool, a draw of a large one.
+"""The servers that are ranked for a call: all of a small pool, a random sample of a large one.
 
 All gateways see the same sums of each other's calls, some hundred ms late. If each ranked all servers, all would choose
-the one that looked idlest. Each ranks a draw of its own instead. A server is drawn with a chance that follows the room
-that it will have: what it lacks of the mean load, once the calls that have ended since the word was true are taken off.
-So the calls of all gateways together level the servers out, whatever each of them draws. The homes of the call's
-prompt are always ranked. A part of the draw is taken from the servers to which a connection rests: a gateway that sees
-a few calls a second would otherwise make a new one for nearly each of them.
+the one that looked idlest, so each ranks its own sample. A server is sampled in proportion to its expected free
+capacity: what it lacks of the mean load, less the calls that have ended since the load was measured. The calls of all
+gateways together thus level the load, whatever each of them samples. The preferred servers of the prompt are always
+ranked. Part of the sample is taken from servers with an idle connection: a gateway with a few calls a second would
+otherwise open a new connection for connected_atly each of them.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 from emberring.admission.server import ServerView
 
-RANK_ALL_UP_TO = 8  # a pool up to this size is ranked whole
-SAMPLED_CONNECTED = 1
-SAMPLED_ANY = 1
-MIN_REPORT_AGE_S = 0.1  # word is on its way for about so long, whatever its age when it was told
-MIN_SAMPLING_WEIGHT = 0.05  # of a server that looks full, beside one of mean room
+RANK_ALL_UP_TO = 8  # servers; a pool up to this size is ranked completely
+SAMPLED_CONNECTED = 1  # servers sampled among those with an idle connection
+SAMPLED_ANY = 1  # servers sampled among all
+MIN_REPORT_AGE_S = 0.1  # a load report is in transit for about this long, whatever its age
+MIN_SAMPLING_WEIGHT = 0.05  # of a server that looks full, against one of mean capacity
 
 
 def candidates(
@@ -30,31 +30,47 @@
     random: Random,
     still_running: float,
 ) -> Sequence[ServerView]:
-    """The servers to be ranked, each once. `preferred` are ids of those that must be among them; `kept` is the share of the
-    others' calls told that are still there."""
+    """Return the servers to be ranked, each once.
+
+    Args:
+        servers: the servers of the pool.
+        preferred: ids of servers that must be among them.
+        connected: whether an idle connection to a server (by id) exists.
+        random: source of the draws.
+        still_running: share of the other gateways' reported calls that have not ended yet.
+    """
     if len(servers) <= RANK_ALL_UP_TO:
         return servers
-    chances = sampling_weights(servers, still_running)
-    drawn = random.choices(servers, chances, k=SAMPLED_ANY)
-    near = [at for at, one in enumerate(servers) if connected(one.record.id)]
-    if near:
-        drawn += random.choices(
-            [servers[at] for at in near], [chances[at] for at in near], k=SAMPLED_CONNECTED
+    weights = sampling_weights(servers, still_running)
+    sampled = random.choices(servers, weights, k=SAMPLED_ANY)
+    connected_at = [index for index, server in enumerate(servers) if connected(server.record.id)]
+    if connected_at:
+        sampled += random.choices(
+            [servers[index] for index in connected_at],
+            [weights[index] for index in connected_at],
+            k=SAMPLED_CONNECTED,
         )
-    drawn += [one for one in servers if one.record.id in preferred]
-    return list({one.record.id: one for one in drawn}.values())
+    sampled += [server for server in servers if server.record.id in preferred]
+    return list({server.record.id: server for server in sampled}.values())
 
 
 def still_running_share(age_s: float, hold_s: float) -> float:
-    """The share of calls that have not ended since word of them was true, each holding its place for about `hold_s`."""
+    """Return the share of calls that have not ended since they were reported.
+
+    Args:
+        age_s: age of the report.
+        hold_s: mean time for which a call holds its slot.
+    """
     return math.exp(-max(MIN_REPORT_AGE_S, age_s) / hold_s) if hold_s > 0.0 else 0.0
 
 
 def sampling_weights(servers: Sequence[ServerView], still_running: float) -> list[float]:
-    """The calls that each server lacks of the mean of all, its part by places, now that some have ended."""
-    slots = sum(one.capacity for one in servers)
-    mean = (sum(one.load for one in servers) + 1.0) / slots
+    """Return for each server the calls that it lacks of the mean load, in proportion to its slots."""
+    slots = sum(server.capacity for server in servers)
+    mean = (sum(server.load for server in servers) + 1.0) / slots
     return [
-        max(MIN_SAMPLING_WEIGHT * mean * one.capacity, mean * one.capacity - still_running * one.load)
-        for one in servers
+        max(
+            MIN_SAMPLING_WEIGHT * mean * server.capacity, mean * server.capacity - still_running * server.load
+        )
+        for server in servers
     ]
--- a/emberring/admission/job_pressure.py
+++ b/emberring/admission/job_pressure.py
@@ -1,8 +1,8 @@
-"""How much of their time items of lots have left when they are taken, and the share of the places that this gives them.
+"""How urgent batch items are when they are admitted, and the share of the slots that this gives them.
 
-Items that come with nearly all their time left can wait: few places for them keep places free for live calls. Items
-that come with little left have waited long: lots pile up, and would be late. What is observed is the time left of the
-items that this gateway is given, as a share of the time that their lots had in all.
+Items that arrive with nearly all their time left can wait: a small share keeps slots free for live calls. Items with
+little time left have waited long: jobs are piling up and would be late. What is measured is the time left of the items
+offered to this gateway, as a share of the time that their jobs had in all.
 """
 
 from __future__ import annotations
@@ -11,25 +11,30 @@
 
 import attrs
 
-RELAXED_TIME_LEFT = 0.95  # of an item's time: from here on nothing presses,
-URGENT_TIME_LEFT = 0.75  # and below this it presses in full
-RELAXED_SLOT_SHARE = 0.7  # of the places, up to which items are taken then,
-URGENT_SLOT_SHARE = 0.95  # and then
-GAIN = 0.2  # of each item in what is usual
-DECAY_S = 3.0  # without items nothing is known
-DEFAULT_TIME_LEFT = 0.83  # what stands for it then: a share of 0.85
+RELAXED_TIME_LEFT = 0.95  # share of an item's time; from here on there is no pressure
+URGENT_TIME_LEFT = 0.75  # and below this the pressure is full
+RELAXED_SLOT_SHARE = 0.7  # of the slots, without pressure
+URGENT_SLOT_SHARE = 0.95  # of the slots, under full pressure
+GAIN = 0.2  # smoothing, of each item
+DECAY_S = 3.0  # time constant by which the figure returns to the default without items
+DEFAULT_TIME_LEFT = 0.83  # share of the time left that gives a slot share of 0.85
 
 
 @attrs.define
 class JobPressure:
-    """The usual share of their time that items have left as they are taken here. Times are seconds."""
+    """The smoothed share of their time that items have left when they are admitted here. Times are seconds."""
 
     _time_left: float = DEFAULT_TIME_LEFT
     _at_s: float = -math.inf
 
     def record_item(self, now_s: float, due_s: float, target_s: float) -> None:
-        """An item is taken that is due then, of a lot that had `target_s` in all. One that is late already says
-        nothing: it can't be saved by more places."""
+        """Record an admitted item; one that is late already is ignored, as more slots cannot save it.
+
+        Args:
+            now_s: the current time (monotonic clock).
+            due_s: when the item is due (monotonic clock).
+            target_s: time that its job had in all.
+        """
         if target_s <= 0.0 or due_s <= now_s:
             return
         left = min(1.0, (due_s - now_s) / target_s)
@@ -38,12 +43,12 @@
         self._at_s = now_s
 
     def time_left(self, now_s: float) -> float:
-        """The share of their time that items have left, from 0 to 1."""
+        """Return the share of their time that items have left, from 0 to 1."""
         return DEFAULT_TIME_LEFT + (self._time_left - DEFAULT_TIME_LEFT) * math.exp(
             (self._at_s - now_s) / DECAY_S
         )
 
     def slot_share(self, now_s: float) -> float:
-        """Of the places, up to which items may be taken."""
+        """Return the share of the slots up to which items may be admitted."""
         pressed = (RELAXED_TIME_LEFT - self.time_left(now_s)) / (RELAXED_TIME_LEFT - URGENT_TIME_LEFT)
         return RELAXED_SLOT_SHARE + (URGENT_SLOT_SHARE - RELAXED_SLOT_SHARE) * min(1.0, max(0.0, pressed))
--- a/emberring/admission/placement.py
+++ b/emberring/admission/placement.py
@@ -1,4 +1,4 @@
-"""The server that a call is sent to: the cheapest of the candidates."""
+"""The selection of the server for a call: the candidate with the lowest cost."""
 
 from __future__ import annotations
 
@@ -20,13 +20,18 @@
 from emberring.admission.server import PlacedCall, ServerView
 from emberring.admission.types import CallInfo
 
-JITTER = 0.05  # width of the draw that parts equal ranks
-PREFERRED_SERVERS = 2  # servers that a large shared part belongs to, by turns
+JITTER = 0.05  # width of the random factor on costs, which breaks ties
+PREFERRED_SERVERS = 2  # of a large shared prompt part, in order of preference
 
 
 @attrs.frozen
 class Choice:
-    """A server, the prompt's tokens it is held to lack, and those that are read before them."""
+    """The server chosen for a call.
+
+    Args:
+        expected_miss_tokens: tokens of the prompt that the server is expected to have to compute.
+        tokens_ahead: prompt tokens queued there before the call's own.
+    """
 
     server: ServerView
     expected_miss_tokens: float
@@ -40,7 +45,7 @@
     connected: Callable[[str], bool],
     random: Random,
 ) -> Choice:
-    """The cheapest of these servers, of which there must be one."""
+    """Return the server with the lowest cost of these, of which there must be at least one."""
     key = affinity_key(call.parts)
     preferred = (
         preferred_servers(key, [one.record.id for one in servers], PREFERRED_SERVERS)
--- a/emberring/admission/pool.py
+++ b/emberring/admission/pool.py
@@ -1,4 +1,4 @@
-"""The servers of one service with the cursor table over them: the decision for each call."""
+"""Admission for one service: which of its servers takes a call, and when a call is refused."""
 
 from __future__ import annotations
 
@@ -27,21 +27,25 @@
 )
 from emberring.distribution.records import ServerState
 
-BATCH_FLOOR_SHARE = 0.34  # share of the places under which no item is held back
-LIVE_FLOOR_SHARE = 0.75  # share of the places under which no live call is refused
-MAX_CATCH_UP_PERIODS = 50  # that are made up for after a silence
+BATCH_FLOOR_SHARE = 0.34  # of the slots; below it the table holds back no batch item
+LIVE_FLOOR_SHARE = 0.75  # of the slots; below it the table refuses no live call
+MAX_CATCH_UP_PERIODS = 50  # periods closed at once after a time without calls
 MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 0.1, 1.0
-EVENT_GAP_GAIN = 0.02  # smoothing of the usual pause between events, all servers'
-BATCH_PROMPTS_PER_SERVER = (
-    3.0  # items a server, all gateways' together, whose prompts may wait there to be read
-)
-BATCH_CLAIM_SHARE = 1.0  # of its share of the free places a gateway may fill before it hears from the others
+EVENT_GAP_GAIN = 0.02  # smoothing of the usual time between events, over all servers
+BATCH_PROMPTS_PER_SERVER = 3.0  # items of all gateways that may wait for prefill at a server
+BATCH_CLAIM_SHARE = 1.0  # of its part of the free slots a gateway may fill before the next load report
 SERVER_FAILURES = frozenset({CallOutcome.CONNECT_FAILED, CallOutcome.BROKEN, CallOutcome.SILENT})
 FAILURE_OUTCOMES = SERVER_FAILURES | {CallOutcome.FAILED}
 
 
 class Pool:
-    """One service's servers as this gateway sees them."""
+    """The servers of one service as this gateway knows them, and the decisions over them.
+
+    Args:
+        settings: what the deployment sets.
+        random: source of all draws of this pool.
+        connected: whether an idle connection to a server (by id) can carry the next call.
+    """
 
     def __init__(self, settings: AdmissionSettings, random: Random, connected: Callable[[str], bool]) -> None:
         self.gateways = 1
@@ -57,11 +61,11 @@
         self._period_end_s = math.inf
         self.calls = KnownCalls()
 
-    # ------------------------------------------------------------- what is known
+    # ------------------------------------------------------------- state
 
     @property
     def servers(self) -> dict[str, ServerView]:
-        """The servers now known, by id."""
+        """The servers known now, by id."""
         return self.calls.servers
 
     def set_servers(
@@ -71,17 +75,23 @@
         total: int | None,
         load_measured_s: float = -math.inf,
     ) -> None:
-        """The servers now known and the live gateways; `total` is all gateways' calls, where it is told, and `true_s`
-        the moment at which that and the word of each server were true."""
+        """Replace the known servers and the load of the other gateways.
+
+        Args:
+            servers: the servers of the service by id.
+            gateways: live gateways, this one included.
+            total: calls in flight of all gateways at this service; None where it was not reported.
+            load_measured_s: when the reported load was measured (monotonic clock).
+        """
         self.gateways = gateways
         self.calls.update(servers, total, load_measured_s)
 
     def check_servers(self, now_s: float) -> list[SuspicionChange]:
-        """Which servers came into trouble, or are well again, since the last look."""
+        """Return the servers that became suspected, or were reinstated, since the last check."""
         return self.suspicions.check(now_s, self.servers.values(), self.usual_event_gap_ms)
 
     def advance(self, now_s: float) -> None:
-        """Close the periods that have passed."""
+        """Close the measurement periods that have passed, and move the table's cursor for each."""
         period_s = self._settings.period_s
         if self._period_end_s == math.inf:
             self._period_end_s = now_s + period_s
@@ -106,18 +116,21 @@
         ]
 
     def _working(self) -> list[ServerView]:
-        """The ready servers that count as places; where none works, all do."""
+        """Return the ready servers whose slots count; all ready ones if every one of them is failing."""
         ready = self._ready(frozenset())
         return [server for server in ready if not eligibility.failing(server)] or ready
 
     def _eligible(self, now_s: float, servers: list[ServerView]) -> list[ServerView]:
-        """Those against which nothing speaks now."""
+        """Return those of these servers that nothing speaks against now."""
         return [one for one in servers if eligibility.eligible(now_s, one, self.usual_event_gap_ms)]
 
     # ------------------------------------------------------------- decisions
 
     def offer(self, now_s: float, call: CallInfo) -> Decision:
-        """Decide at once."""
+        """Decide on a call at once: its server, or why it gets none.
+
+        An admitted call counts against its server from now on.
+        """
         self.advance(now_s)
         ready = self._ready(call.excluded)
         if not ready:
@@ -138,14 +151,17 @@
     def _fallback_servers(
         self, now_s: float, ready: list[ServerView], eligible: list[ServerView]
     ) -> list[ServerView]:
-        """Where pacing leaves nothing for a live call although the pool is not full."""
+        """Return servers for a live call for which no server has remaining capacity.
+
+        None are returned once the pool as a whole is full, its queue share included.
+        """
         if self.calls.utilization(self._working()) >= 1.0 + self._settings.live_queue_share:
             return []
         candidates = eligible or ready
         return [one for one in candidates if len(one.calls) < one.connections and now_s >= one.full_until_s]
 
     def _over_threshold(self, now_s: float, call: CallInfo) -> bool:
-        """The table's word: this gateway's calls in flight against the threshold of the call's row."""
+        """Return whether this gateway's calls in flight have reached the threshold of the call's row."""
         servers = self._working()
         own = own_calls(servers)
         if call.batch:
@@ -157,21 +173,22 @@
         return own >= self._live_threshold(servers, call.priority)
 
     def _batch_share(self, now_s: float) -> float:
-        """The share of the places up to which items are taken: the lower row's at the cursor, the more the less time
-        items have left.
+        """Return the share of the slots up to which batch items are admitted.
 
-        Guard: after a jam the row stayed at nothing for seconds while servers stood idle; waits of an idle pool have
-        another cause than lots.
+        It is the share of the table's batch row at the cursor, raised by the pressure of items whose time runs out.
+        It never falls below `BATCH_FLOOR_SHARE`: after congestion the row stayed at zero for seconds while servers
+        stood idle, and long waits in an idle pool have another cause than batch jobs.
         """
         return max(BATCH_FLOOR_SHARE, self.pressure.slot_share(now_s) * self.table.batch_share())
 
     def _batch_threshold(self, now_s: float, servers: list[ServerView]) -> float:
-        """Calls in flight of this gateway up to which items are taken: what it had when the others' were told and
-        its share of the places that were free then, and no more than an even share of all places.
+        """Return the calls in flight of this gateway up to which batch items are admitted.
 
-        Guard: the others' calls are known some hundred ms late, and are told piece by piece. Gateways that went by
-        them alone took items for the same free places again and again, 330 for 163 places, and then none for
-        seconds. Even shares add up to the places whatever is known.
+        That is the calls it had when the load was last reported plus its part of the slots that were free then, and at
+        most an even share of all slots. The even share is needed because the other gateways' calls are known some
+        hundred ms late and are reported in parts: gateways that relied on the reports alone admitted items for the same
+        free slots again and again (330 items for 163 slots), and then none for seconds. Even shares never add up to
+        more than the slots, whatever is known.
         """
         limit = slots(servers) * self._batch_share(now_s)
         reported = self.calls.own_calls_at_report + self.calls.other_calls_at(servers)
@@ -180,11 +197,11 @@
         return min(self.calls.own_calls_at_report + claimable, max(1.0, limit / self.gateways))
 
     def _prompt_capacity(self, count: int, eligible: list[ServerView]) -> int:
-        """How many more items may have their prompts before a server's first word, by this gateway's even share.
+        """Return how many more items may wait for their first event, by this gateway's even share.
 
-        Guard: items come in lots; taken all at once, their prompts stood before those of live calls. Those at a
-        server that has gone dark wait for nothing, and held up all others until they were given up: only those at
-        `eligible` ones of the `count` servers count.
+        Items arrive in batch jobs: admitted all at once, their prompts were queued ahead of those of live calls. Only
+        items at the `eligible` ones of the `count` servers are counted, because those at an unresponsive server are not
+        being processed, and counting them blocked all other items until they timed out.
         """
         unread_prompts = sum(
             1 for one in eligible for placed in one.awaiting_first_event() if placed.call.batch
@@ -192,13 +209,19 @@
         return max(1, math.floor(BATCH_PROMPTS_PER_SERVER * count / self.gateways + 0.5)) - unread_prompts
 
     def _live_threshold(self, servers: list[ServerView], priority: int) -> float:
-        """The same for live calls: all that the others leave, and no less than an even share."""
+        """Return the calls in flight of this gateway up to which live calls of this priority are admitted.
+
+        All slots that the other gateways leave are open to it, and at least an even share of all slots.
+        """
         limit = slots(servers) * (1.0 + self._settings.live_queue_share)
         other_calls = self.calls.other_calls_at(servers)
         return max(limit / self.gateways, limit - other_calls) * self.table.live_share(priority)
 
     def _retry_after_s(self) -> float:
-        """When the table may be open again: the cursor's way back, and a draw so that callers don't return at once."""
+        """Return after how many seconds the table may admit the call again.
+
+        It is the time in which the cursor returns to its first slot, randomized so that callers do not return at once.
+        """
         wait_s = self._settings.period_s * self.table.cursor
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s)) * self._random.uniform(0.75, 1.25)
 
@@ -220,7 +243,10 @@
         return Admitted(choice.server.record.id)
 
     def _waiting_tokens_per_call(self, now_s: float) -> float:
-        """Tokens that wait to be read for each call in flight, the others' being taken to be like ours."""
+        """Return the prompt tokens waiting for prefill for each call in flight.
+
+        Calls of the other gateways are assumed to be like this gateway's.
+        """
         calls = own_calls(self.servers.values())
         if not calls:
             return 0.0
@@ -230,7 +256,7 @@
         return mine / (calls + 1.0)
 
     def batch_room(self, now_s: float) -> int:
-        """How many more items would be taken now."""
+        """Return how many more batch items would be admitted now."""
         self.advance(now_s)
         servers = self._working()
         if not servers:
@@ -248,11 +274,11 @@
     # ------------------------------------------------------------- outcomes
 
     def started(self, now_s: float, placed: PlacedCall) -> None:
-        """The call's bytes have been sent."""
+        """Record that the request of a call has been sent."""
         placed.sent_s = now_s
 
     def first_event(self, now_s: float, placed: PlacedCall) -> None:
-        """The first event of an answer."""
+        """Record the first event of an answer: it updates the server's state and all estimates of the pool."""
         server = placed.server
         server.record_event(now_s)
         server.consecutive_failures = 0
@@ -266,7 +292,7 @@
         self.meter.record_wait((wait_ms - own_ms) / max(1.0, placed.call.latency_target_ms))
 
     def progress(self, now_s: float, placed: PlacedCall) -> None:
-        """A later event."""
+        """Record a later event of an answer."""
         last_s = placed.first_event_s if placed.latest_event_s is None else placed.latest_event_s
         event_gap_ms = (now_s - last_s) * 1000.0 if last_s is not None else 0.0
         placed.latest_event_s = now_s
@@ -275,7 +301,7 @@
         self.usual_event_gap_ms += EVENT_GAP_GAIN * (event_gap_ms - self.usual_event_gap_ms)
 
     def finished(self, now_s: float, placed: PlacedCall, outcome: CallOutcome) -> None:
-        """The attempt is over."""
+        """Record how an attempt ended, and release its slot."""
         server = placed.server
         server.calls.pop(placed.call.id, None)
         if outcome in FAILURE_OUTCOMES or outcome is CallOutcome.COMPLETED:
--- a/emberring/admission/prefix_cache.py
+++ b/emberring/admission/prefix_cache.py
@@ -1,7 +1,7 @@
-"""Which parts of prompts a server is held to keep, judged by what this gateway sent there.
+"""An estimate of which prompt parts a server has cached, from what this gateway sent there.
 
-A server keeps parts until others push them out, the longest unused first. This gateway sees only a share of what
-is sent, so its memory of a server holds that share of the server's memory.
+A server caches parts until others evict them, least recently used first. This gateway sees only its share of the
+requests, so its model of a server's cache has that share of the cache's capacity.
 """
 
 from __future__ import annotations
@@ -13,35 +13,35 @@
 
 
 class PrefixCacheEstimate:
-    """The chains of parts that one server is held to keep, the longest unused first."""
+    """The chains of prompt parts that one server is expected to cache, least recently used first."""
 
     def __init__(self) -> None:
-        self._kept: OrderedDict[str, int] = OrderedDict()
-        self._total = 0
+        self._chains: OrderedDict[str, int] = OrderedDict()
+        self._total_tokens = 0
 
     def cached_parts(self, parts: Sequence[PrefixPart]) -> int:
-        """How many parts from the start on are held to be kept; a part counts only if all before it do."""
+        """Return how many leading parts of a prompt are expected to be cached."""
         chain = ""
-        for at, part in enumerate(parts):
+        for index, part in enumerate(parts):
             chain = f"{chain}/{part.id}"
-            if chain not in self._kept:
-                return at
+            if chain not in self._chains:
+                return index
         return len(parts)
 
     def record_prompt(self, parts: Sequence[PrefixPart], limit_tokens: float) -> None:
-        """A prompt has gone to the server, which has room for so many tokens of what this gateway sends."""
+        """Record that a prompt was sent to the server, and evict what exceeds `limit_tokens`."""
         chain = ""
         for part in parts:
             chain = f"{chain}/{part.id}"
-            if chain not in self._kept:
-                self._total += part.tokens
-            self._kept[chain] = part.tokens
-            self._kept.move_to_end(chain)
-        while self._total > limit_tokens and len(self._kept) > 1:
-            _, tokens = self._kept.popitem(last=False)
-            self._total -= tokens
+            if chain not in self._chains:
+                self._total_tokens += part.tokens
+            self._chains[chain] = part.tokens
+            self._chains.move_to_end(chain)
+        while self._total_tokens > limit_tokens and len(self._chains) > 1:
+            _, tokens = self._chains.popitem(last=False)
+            self._total_tokens -= tokens
 
     def clear(self) -> None:
-        """Nothing is known any more."""
-        self._kept.clear()
-        self._total = 0
+        """Forget everything: the state of the server's cache is unknown."""
+        self._chains.clear()
+        self._total_tokens = 0
--- a/emberring/admission/service_rate.py
+++ b/emberring/admission/service_rate.py
@@ -1,20 +1,26 @@
-"""How fast a pool's engines are, learned from first events: tokens read per millisecond, and what else a first
-event takes; and how long a call holds its place."""
+"""The service rate of a pool, learned from its answers.
+
+Estimated are the prefill speed (tokens per millisecond), the fixed part of the wait for a first event, and how long a
+call holds its slot.
+"""
 
 from __future__ import annotations
 
-DECAY_PER_OUTCOME = 0.995  # what each outcome leaves of those before it
-MIN_TOKENS_PER_MS, MAX_TOKENS_PER_MS = 5.0, 5000.0  # tokens per ms
-PRIOR_OUTCOMES = 10.0  # the start's figures count as much as so many outcomes
-PRIOR_TOKENS = 8000.0
-HOLD_GAIN = 0.02
-LATE_OUTCOME_WEIGHT = (
-    0.3  # of an outcome that came later than the line says: much may have held it up that is not seen
-)
+DECAY_PER_OUTCOME = 0.995  # weight that each outcome leaves to those before it
+MIN_TOKENS_PER_MS, MAX_TOKENS_PER_MS = 5.0, 5000.0  # limits of the estimated prefill speed
+PRIOR_OUTCOMES = 10.0  # outcomes that the assumed speed counts as
+PRIOR_TOKENS = 8000.0  # prompt length of these
+HOLD_GAIN = 0.02  # smoothing of the time for which a call holds its slot
+LATE_OUTCOME_WEIGHT = 0.3  # of an outcome later than estimated: it may have been delayed by unobserved causes
 
 
 class ServiceRateEstimator:
-    """A line through (tokens to read, wait), the latest outcomes counting most."""
+    """A linear regression of the wait for a first event on the tokens to compute, recent outcomes weighing most.
+
+    Args:
+        tokens_per_ms: assumed prefill speed before any outcome.
+        hold_s: assumed time for which a call holds its slot before any outcome.
+    """
 
     def __init__(self, tokens_per_ms: float, hold_s: float) -> None:
         self.hold_s = hold_s
@@ -24,7 +30,7 @@
         self.base_ms = 0.0
 
     def record_first_event(self, tokens: float, wait_ms: float) -> None:
-        """A first event came so long after its call was sent, with so many tokens before it to be read."""
+        """Record the wait for a first event with this many tokens to be computed before it."""
         weight = LATE_OUTCOME_WEIGHT if wait_ms > self.wait_ms(tokens) else 1.0
         self._n = self._n * DECAY_PER_OUTCOME + weight
         self._x = self._x * DECAY_PER_OUTCOME + weight * tokens
@@ -40,9 +46,9 @@
         self.base_ms = max(0.0, mean_y - self.ms_per_token * mean_x)
 
     def record_completion(self, seconds: float) -> None:
-        """A whole answer took its place for so long."""
+        """Record how long a completed call held its slot."""
         self.hold_s += HOLD_GAIN * (seconds - self.hold_s)
 
     def wait_ms(self, tokens: float) -> float:
-        """The wait for a first event with so many tokens to be read before it."""
+        """Return the expected wait for a first event with this many tokens to be computed before it."""
         return self.base_ms + tokens * self.ms_per_token
--- a/emberring/admission/suspicion.py
+++ b/emberring/admission/suspicion.py
@@ -1,7 +1,7 @@
-"""Which servers this gateway holds to be in trouble, and since when: for operators, not for decisions.
+"""The servers that this gateway suspects of a fault, and since when; for operators, not for decisions.
 
-A server may fail calls while its health check is good. The pick goes by the figures of each server, which change with
-every call; here they become states that last, so that a change is worth a line of the log.
+A server may fail calls while its health check passes. Server selection uses the estimates of each server, which change
+with every call; here they become states with hysteresis, so that each change is worth a log line.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 from emberring.admission.types import CallOutcome
 from emberring.registry.faults import Fault
 
-REINSTATE_AFTER_S = 2.0  # without a sign of trouble
+REINSTATE_AFTER_S = 2.0  # without a sign of a fault
 
 
-_BY_OUTCOME = {
+_FAULT_OF_OUTCOME = {
     CallOutcome.CONNECT_FAILED: Fault.UNREACHABLE,
     CallOutcome.SILENT: Fault.SILENT,
     CallOutcome.BROKEN: Fault.BREAKING_OFF,
@@ -27,9 +27,9 @@
 
 
 def detect_fault(now_s: float, server: ServerView, usual_event_gap_ms: float) -> Fault | None:
-    """What speaks against it now, the gravest first."""
+    """Return the gravest fault that the server shows now; None if it shows none."""
     if eligibility.failing(server) and server.last_failure is not None:
-        return _BY_OUTCOME.get(server.last_failure, Fault.FAILING)
+        return _FAULT_OF_OUTCOME.get(server.last_failure, Fault.FAILING)
     if eligibility.unresponsive(now_s, server, usual_event_gap_ms):
         return Fault.SILENT
     if server.failure_rate.rate(now_s) > TOLERATED_RATE:
@@ -41,7 +41,12 @@
 
 @attrs.frozen
 class SuspicionChange:
-    """A server came into trouble, or is well again (`trouble` is None) after `duration_s` seconds."""
+    """A server became suspected, or was reinstated.
+
+    Args:
+        fault: what it is suspected of; None if it was reinstated.
+        duration_s: how long it showed the fault; 0 if it became suspected only now.
+    """
 
     server: ServerView
     fault: Fault | None
@@ -56,20 +61,23 @@
 
 
 class SuspicionTable:
-    """The suspicions held at present, by server id."""
+    """The suspicions held now, by server id."""
 
     def __init__(self) -> None:
         self._suspicions: dict[str, _Suspicion] = {}
 
     @property
     def faults(self) -> dict[str, Fault]:
-        """What each suspected server is held to suffer from."""
+        """The fault that each suspected server shows, by id."""
         return {server_id: suspicion.fault for server_id, suspicion in self._suspicions.items()}
 
     def check(
         self, now_s: float, servers: Iterable[ServerView], usual_event_gap_ms: float
     ) -> list[SuspicionChange]:
-        """Look at all servers of a pool; what has changed. A server that is no longer among them is dropped."""
+        """Check all servers of a pool and return what changed.
+
+        A server that is no longer among them is dropped without a change.
+        """
         changes: list[SuspicionChange] = []
         present: set[str] = set()
         for server in servers:
@@ -81,15 +89,15 @@
             del self._suspicions[server_id]
         return changes
 
-    def _check_server(self, now_s: float, server: ServerView, found: Fault | None) -> SuspicionChange | None:
+    def _check_server(self, now_s: float, server: ServerView, fault: Fault | None) -> SuspicionChange | None:
         suspicion = self._suspicions.get(server.record.id)
-        if found is not None and suspicion is None:
-            self._suspicions[server.record.id] = _Suspicion(found, now_s, now_s)
-            return SuspicionChange(server, found)
+        if fault is not None and suspicion is None:
+            self._suspicions[server.record.id] = _Suspicion(fault, now_s, now_s)
+            return SuspicionChange(server, fault)
         if suspicion is None:
             return None
-        if found is not None:
-            suspicion.fault, suspicion.last_sign_s = found, now_s
+        if fault is not None:
+            suspicion.fault, suspicion.last_sign_s = fault, now_s
             return None
         if now_s - suspicion.last_sign_s < REINSTATE_AFTER_S:
             return None
--- a/emberring/admission/types.py
+++ b/emberring/admission/types.py
@@ -1,4 +1,4 @@
-"""What goes into admission and what comes out of it. Seconds (`_s`) are of the steady clock."""
+"""The inputs and outputs of admission. Seconds (`_s`) are of the monotonic clock."""
 
 from __future__ import annotations
 
@@ -17,13 +17,20 @@
 
 @attrs.frozen
 class CallInfo:
-    """A live request or an item of a lot that asks for a server.
-
-    `priority` is the route's (0 is the most urgent), `parts` are those of `Prefix-Hash` in order (the last is the
-    request's own or its session's), `latency_target_ms` is the time to the first event that earns full worth, `deadline_s`
-    the moment at which the caller gives up or, for an item, is due, and `target_s` the time that an item's lot had in
-    all; `excluded` are servers that were tried and must not be tried again. `admitted` marks a call that the table has
-    let in before (a further attempt, a stream that is resumed): it is not refused by the table again.
+    """A live request or a batch item that asks for a server.
+
+    Args:
+        priority: the route's priority; 0 is the most urgent.
+        batch: whether it is an item of a batch job.
+        tokens_in: tokens of the prompt; 0 if unknown.
+        tokens_out: tokens of the output at most; 0 if unknown.
+        parts: the parts of `Prefix-Hash` in order; the last one is the request's own or its session's.
+        latency_target_ms: time to the first event that earns the full value.
+        deadline_s: when the caller gives up or, for an item, when it is due.
+        target_s: time that an item's job had in all.
+        excluded: ids of servers that were tried and must not be tried again.
+        admitted: whether the table has admitted the call before (a retry, a resumed stream): it is not refused by the
+            table again.
     """
 
     id: str
@@ -43,14 +50,14 @@
 
 @attrs.frozen
 class Admitted:
-    """The call is taken and counts against this server until `finished` is told."""
+    """The call is taken and counts against this server until `Admission.finished` is called."""
 
     server_id: str
 
 
 @attrs.frozen
 class Refused:
-    """The call is not taken now; it may come back after `retry_after_s` seconds (for an item: it is held back)."""
+    """The call is not taken now; it may come back after `retry_after_s` seconds (an item is held back)."""
 
     retry_after_s: float
 
@@ -66,21 +73,28 @@
 class CallOutcome(Enum):
     """How an attempt at a server ended."""
 
-    COMPLETED = "completed"  # a whole answer, 422 included
-    FAILED = "failed"  # a whole answer that is a failure and has run (500, 504)
+    COMPLETED = "completed"  # a complete answer, 422 included
+    FAILED = "failed"  # a complete answer that is a failure of an executed request (500, 504)
     FULL = "full"  # 503 or 429 with Not-Executed: the server is full
     WRONG_SERVER = "wrong_server"  # 421: another server has the address now
     CONNECT_FAILED = "connect_failed"  # no connection came up; nothing was sent
-    BROKEN = "broken"  # reset, closed early, or bytes that are no answer
-    SILENT = "silent"  # nothing came within the time allowed
-    CANCELLED = "cancelled"  # the caller left, or the tier ended it for reasons of its own
+    BROKEN = "broken"  # reset, closed early, or not a valid answer
+    SILENT = "silent"  # nothing came within the time-out
+    CANCELLED = "cancelled"  # the caller disconnected, or the tier ended it for reasons of its own
     NOT_SENT = "not_sent"  # given up before any byte was sent, through no fault of the server
 
 
 @attrs.frozen
 class AdmissionSettings:
-    """What a deployment may set. Shares are of 1; times are in the unit at the end of each name. `zone` is where
-    this gateway stands; servers of other zones cost a little more to use."""
+    """What a deployment may set.
+
+    Args:
+        period_s: period after which the load moves the table's cursor.
+        live_queue_share: calls that may queue beyond the slots, as a share of the slots.
+        start_prefill_tokens_per_ms: assumed prefill speed before any outcome.
+        start_hold_s: assumed time for which a call holds its slot before any outcome.
+        zone: the gateway's zone; servers of other zones cost a little more to use.
+    """
 
     period_s: float = 0.05
     live_queue_share: float = 0.5
