--- a/emberring/gateway/app.py
+++ b/emberring/gateway/app.py
@@ -10,13 +10,13 @@
 
 from emberring.configuration.model import ClientLimits, Configuration, Route, RouteType
 from emberring.errors import BadRequestError, EmberringError, NotReadyError
-from emberring.gateway.answers import OwnAnswer, answer_to
-from emberring.gateway.client_answer import ClientAnswer
+from emberring.gateway.client_response import ClientResponse
 from emberring.gateway.clients import ClientConnection
 from emberring.gateway.execution import Executor
 from emberring.gateway.jobs_api import JobsApi
 from emberring.gateway.messages import ClientRequest
 from emberring.gateway.ports import Directory
+from emberring.gateway.responses import GatewayResponse, response_to_error
 from emberring.logs import get_logger
 
 BODY_TIMEOUT_S = 10.0  # for a body on no route; otherwise the route's time-out holds
@@ -38,8 +38,8 @@
         connection: ClientConnection = scope["state"]["connection"]
         task = asyncio.current_task()
         assert task is not None
-        connection.on_gone = lambda: _cancel(task)
-        answer = ClientAnswer(send, connection, _header(scope, b"request-id"), scope["method"] == "HEAD")
+        connection.on_disconnected = lambda: _cancel(task)
+        answer = ClientResponse(send, connection, _header(scope, b"request-id"), scope["method"] == "HEAD")
         try:
             await self._handle(scope, receive, answer)
         except asyncio.CancelledError:
@@ -47,48 +47,48 @@
         except Exception:
             logger.exception("event=request_failed target=%r", scope["state"]["target"])
             if answer.started:
-                answer.break_off()
+                answer.abort_response()
             else:
-                await answer.own(OwnAnswer(500, "internal error", close=True))
+                await answer.send_local(GatewayResponse(500, "internal error", close=True))
         finally:
-            connection.on_gone = None
+            connection.on_disconnected = None
 
-    async def _handle(self, scope: Any, receive: Any, answer: ClientAnswer) -> None:
+    async def _handle(self, scope: Any, receive: Any, answer: ClientResponse) -> None:
         try:
             final = await self._carry_out(scope, receive, answer)
         except EmberringError as error:
-            final = answer_to(error)
+            final = response_to_error(error)
         if final is not None:
-            await answer.own(final)
+            await answer.send_local(final)
 
-    async def _carry_out(self, scope: Any, receive: Any, answer: ClientAnswer) -> OwnAnswer | None:
+    async def _carry_out(self, scope: Any, receive: Any, answer: ClientResponse) -> GatewayResponse | None:
         if scope["http_version"] != "1.1":
-            return OwnAnswer(505, "HTTP/1.1 is wanted", close=True)
+            return GatewayResponse(505, "HTTP/1.1 is wanted", close=True)
         configuration = self._directory.configuration
         if configuration is None:
             raise NotReadyError("no configuration is known yet")
         if scope["state"]["head_bytes"] > configuration.limits.max_header_bytes:
-            return OwnAnswer(431, "the head is too long", close=True)
+            return GatewayResponse(431, "the head is too long", close=True)
         request = _request_of(scope)
         route = _route_of(configuration, request)
         limit_s = route.timeout_ms / 1000.0 if route else BODY_TIMEOUT_S
         body = await _read_body(scope, receive, configuration.limits, limit_s)
-        if isinstance(body, OwnAnswer):
+        if isinstance(body, GatewayResponse):
             return body
         request = attrs.evolve(request, body=body)
         # What is in force once the request is whole decides.
         route = _route_of(self._directory.configuration or configuration, request)
-        if self._jobs.takes(request, route):
+        if self._jobs.handles(request, route):
             return await self._jobs.answer(request, route, answer)
         return await self._forward(request, route, answer)
 
     async def _forward(
-        self, request: ClientRequest, route: Route | None, answer: ClientAnswer
-    ) -> OwnAnswer | None:
+        self, request: ClientRequest, route: Route | None, answer: ClientResponse
+    ) -> GatewayResponse | None:
         if route is None:
-            return OwnAnswer(404, "no route")
+            return GatewayResponse(404, "no route")
         if route.type is RouteType.BATCH:
-            return OwnAnswer(405, "lots are submitted by POST")
+            return GatewayResponse(405, "lots are submitted by POST")
         return await self._executor.run_live(request, route, answer)
 
 
@@ -118,7 +118,9 @@
     return configuration.route_for(request.host_name, request.path)
 
 
-async def _read_body(scope: Any, receive: Any, limits: ClientLimits, limit_s: float) -> bytes | OwnAnswer:
+async def _read_body(
+    scope: Any, receive: Any, limits: ClientLimits, limit_s: float
+) -> bytes | GatewayResponse:
     """The whole body; an answer instead where it is too long or comes too slowly."""
     announced = _header(scope, b"content-length")
     if announced.isdigit() and int(announced) > limits.max_body_bytes:
@@ -138,16 +140,16 @@
                 if not message["more_body"]:
                     return chunks[0] if len(chunks) == 1 else b"".join(chunks)
     except TimeoutError:
-        return OwnAnswer(408, "the body came too slowly", close=True)
+        return GatewayResponse(408, "the body came too slowly", close=True)
 
 
-async def _refuse(receive: Any) -> OwnAnswer:
+async def _refuse(receive: Any) -> GatewayResponse:
     """Read on for a moment, so that the client reads the answer before a reset."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(DISCARD_S):
             while (await receive()).get("more_body"):
                 pass
-    return OwnAnswer(413, "the body is too long", close=True)
+    return GatewayResponse(413, "the body is too long", close=True)
 
 
 def _cancel(task: asyncio.Task[Any]) -> None:
--- a/emberring/gateway/attempt.py
+++ b/emberring/gateway/attempt.py
@@ -10,20 +10,20 @@
 
 from emberring.admission.types import CallOutcome
 from emberring.distribution.records import ServerRecord
-from emberring.gateway.answers import OUTCOME_OF, Verdict, judge
-from emberring.gateway.events import Event, EventCutter
-from emberring.gateway.messages import AnswerHead, ClientRequest, render_request
-from emberring.gateway.pool import NoConnection, ServerPool
+from emberring.gateway.connection_pool import ConnectionPool, ConnectionUnavailable
+from emberring.gateway.events import Event, EventParser
+from emberring.gateway.messages import ClientRequest, ResponseHead, render_request
 from emberring.gateway.ports import AdmissionPort
-from emberring.gateway.reply import Hearing, Patience, Reply
+from emberring.gateway.response import PendingResponse, ResponseTimeouts, ServerActivity
+from emberring.gateway.responses import OUTCOME_BY_CLASS, ResponseClass, classify_response
 from emberring.gateway.upstream import ServerConnection
 
 BUFFERED_BODY_BYTES = 256 * 1024  # of an answer that is no stream, until which it can still be asked for anew
-SILENT_FROM_S = 0.9  # a server that said nothing for so long before the caller left counts as silent
+SILENT_AFTER_S = 0.9  # a server that said nothing for so long before the caller left counts as silent
 MAX_FAILURE_BYTES = 256 * 1024
 
 
-def always() -> bool:
+def always_allowed() -> bool:
     """A live request may be sent as long as its server may get something."""
     return True
 
@@ -35,32 +35,32 @@
     def started(self) -> bool:
         """Whether a part of an answer has been given on, so that no other answer may follow."""
 
-    async def events(self, head: AnswerHead, events: list[Event]) -> None:
+    async def events(self, head: ResponseHead, events: list[Event]) -> None:
         """Whole events of a stream; the first call carries the head that stays."""
 
-    async def piece(self, head: AnswerHead, data: bytes) -> None:
-        """A part of a body that is too long to be held."""
+    async def body_chunk(self, head: ResponseHead, data: bytes) -> None:
+        """A part of a body that is too long to be buffered."""
 
-    async def end(self, head: AnswerHead, data: bytes) -> None:
+    async def end(self, head: ResponseHead, data: bytes) -> None:
         """The rest of the answer, which is whole with it; all of it where nothing was given on before."""
 
 
 @attrs.define(eq=False)
-class Call:
+class UpstreamCall:
     """A request on its way through attempts. `end_s` is when it is given up (the loop's time)."""
 
     id: str
     request: ClientRequest
-    may_repeat: bool
-    end_s: float
-    tell_deadline: bool = True
+    idempotent: bool
+    deadline_s: float
+    send_deadline: bool = True
     stream_only: bool = False  # an answer that is no stream is none
-    allowed: Callable[[], bool] = always
+    allowed: Callable[[], bool] = always_allowed
     last_event_id: int | None = None
     resumed: bool = False
-    sent: bool = False  # a byte of it may be at a server now that has not promised anything
+    possibly_sent: bool = False  # a byte of it may be at a server now that has not promised anything
 
-    def follow(self, event: Event) -> bool:
+    def accept_event(self, event: Event) -> bool:
         """Take note of an event's id; False where it can't be the next one."""
         if event.id is None:
             return True
@@ -73,40 +73,45 @@
 
 
 @attrs.frozen
-class Ended:
+class AttemptResult:
     """How an attempt ended; `head` and `body` are of a whole answer that was not handed on."""
 
     outcome: CallOutcome
-    head: AnswerHead | None = None
+    head: ResponseHead | None = None
     body: bytes = b""
 
 
 @attrs.frozen
-class Means:
+class AttemptContext:
     """What every attempt of this process uses."""
 
-    pool: ServerPool
+    pool: ConnectionPool
     admission: AdmissionPort
-    hearing: Hearing
-    sendable: Callable[[str], ServerRecord | None]
+    activity: ServerActivity
+    routable: Callable[[str], ServerRecord | None]
 
 
 class Attempt:
     """One send to one server."""
 
     def __init__(
-        self, means: Means, call: Call, server: ServerRecord, receiver: Receiver, patience: Patience | None
+        self,
+        context: AttemptContext,
+        call: UpstreamCall,
+        server: ServerRecord,
+        receiver: Receiver,
+        timeouts: ResponseTimeouts | None,
     ) -> None:
-        self._means = means
+        self._context = context
         self._call = call
         self._server = server
         self._receiver = receiver
-        self._patience = patience
+        self._timeouts = timeouts
         self._loop = asyncio.get_running_loop()
         self._connection: ServerConnection | None = None
-        self._reply: Reply | None = None
+        self._response: PendingResponse | None = None
 
-    async def run(self) -> Ended:
+    async def run(self) -> AttemptResult:
         """Send and hand on; the connection and admission's count are given back however it ends."""
         outcome = CallOutcome.CANCELLED
         try:
@@ -116,136 +121,150 @@
         finally:
             self._release(outcome)
 
-    async def _run(self) -> Ended:
+    async def _run(self) -> AttemptResult:
         server, call = self._server, self._call
-        taken = await self._means.pool.take(
-            server.id, server.address, call.request.request_id, sure=not call.may_repeat
+        taken = await self._context.pool.acquire(
+            server.id, server.address, call.request.request_id, verify=not call.idempotent
         )
-        if isinstance(taken, NoConnection):
-            unreachable = taken is NoConnection.UNREACHABLE
-            return Ended(CallOutcome.CONNECT_FAILED if unreachable else CallOutcome.NOT_SENT)
-        if self._means.sendable(server.id) is None or not call.allowed():
-            self._means.pool.give_back(server.id, taken)
-            return Ended(CallOutcome.NOT_SENT)
+        if isinstance(taken, ConnectionUnavailable):
+            unreachable = taken is ConnectionUnavailable.UNREACHABLE
+            return AttemptResult(CallOutcome.CONNECT_FAILED if unreachable else CallOutcome.NOT_SENT)
+        if self._context.routable(server.id) is None or not call.allowed():
+            self._context.pool.release(server.id, taken)
+            return AttemptResult(CallOutcome.NOT_SENT)
         self._connection = taken
         if not self._send(taken):
-            return Ended(CallOutcome.CONNECT_FAILED)
-        assert self._reply is not None
-        head = await self._reply.wait_head()
+            return AttemptResult(CallOutcome.CONNECT_FAILED)
+        assert self._response is not None
+        head = await self._response.wait_for_head()
         if head is None:
-            return Ended(self._failure())
-        return await self._hand_on(self._reply, head)
+            return AttemptResult(self._failure())
+        return await self._forward_answer(self._response, head)
 
     def _send(self, connection: ServerConnection) -> bool:
         call = self._call
         now_s = self._loop.time()
-        left_ms = int((call.end_s - now_s) * 1000) if call.tell_deadline else None
-        data = render_request(call.request, self._server.id, left_ms, call.last_event_id)
-        self._reply = Reply(connection, self._server.id, self._means.hearing)
-        connection.start(data, call.request.request_id, call.request.method == b"HEAD", self._reply)
-        if not connection.touched:
+        remaining_ms = int((call.deadline_s - now_s) * 1000) if call.send_deadline else None
+        data = render_request(call.request, self._server.id, remaining_ms, call.last_event_id)
+        self._response = PendingResponse(connection, self._server.id, self._context.activity)
+        connection.start(data, call.request.request_id, call.request.method == b"HEAD", self._response)
+        if not connection.possibly_sent:
             return False
-        call.sent = True
-        self._reply.watch(self._patience)
-        self._means.admission.started(now_s, call.id, self._server.id)
+        call.possibly_sent = True
+        self._response.set_timeouts(self._timeouts)
+        self._context.admission.started(now_s, call.id, self._server.id)
         return True
 
-    async def _hand_on(self, reply: Reply, head: AnswerHead) -> Ended:
-        verdict = judge(head)
-        if verdict is Verdict.NO_ANSWER:
-            return Ended(CallOutcome.BROKEN)
-        if verdict is Verdict.PASS_ON and 200 <= head.status < 300:
+    async def _forward_answer(self, response: PendingResponse, head: ResponseHead) -> AttemptResult:
+        response_class = classify_response(head)
+        if response_class is ResponseClass.INVALID:
+            return AttemptResult(CallOutcome.BROKEN)
+        if response_class is ResponseClass.FORWARD and 200 <= head.status < 300:
             if head.is_event_stream:
-                return await self._stream(reply, head)
+                return await self._forward_stream(response, head)
             if (
                 self._receiver.started or self._call.stream_only
             ):  # what goes on with a stream must be a stream
-                return Ended(CallOutcome.BROKEN)
-            return await self._plain(reply, head)
-        return await self._failed(reply, head, OUTCOME_OF[verdict])
+                return AttemptResult(CallOutcome.BROKEN)
+            return await self._forward_body(response, head)
+        return await self._collect_failure(response, head, OUTCOME_BY_CLASS[response_class])
 
-    async def _stream(self, reply: Reply, head: AnswerHead) -> Ended:
-        cutter = EventCutter()
-        heard_first = False
+    async def _forward_stream(self, response: PendingResponse, head: ResponseHead) -> AttemptResult:
+        parser = EventParser()
+        received_first = False
         while True:
-            over = reply.over
-            events = cutter.feed(reply.take())
+            finished = response.finished
+            events = parser.feed(response.take())
             if events:
-                tell = self._means.admission.progress if heard_first else self._means.admission.first_event
+                tell = (
+                    self._context.admission.progress
+                    if received_first
+                    else self._context.admission.first_event
+                )
                 tell(self._loop.time(), self._call.id)
-                heard_first = True
-            good = self._following(events)
+                received_first = True
+            good = self._consecutive(events)
             if good:
                 await self._receiver.events(head, good)
-            if len(good) < len(events) or cutter.too_long:
-                return Ended(CallOutcome.BROKEN)
-            if not over:
-                if not reply.over and not reply.held:
-                    await reply.changed()
-            elif reply.whole:
-                await self._receiver.end(head, cutter.rest())
-                return Ended(CallOutcome.COMPLETED)
+            if len(good) < len(events) or parser.too_long:
+                return AttemptResult(CallOutcome.BROKEN)
+            if not finished:
+                if not response.finished and not response.buffered_bytes:
+                    await response.wait_for_change()
+            elif response.completed:
+                await self._receiver.end(head, parser.rest())
+                return AttemptResult(CallOutcome.COMPLETED)
             else:
-                return Ended(self._failure())
+                return AttemptResult(self._failure())
 
-    def _following(self, events: list[Event]) -> list[Event]:
+    def _consecutive(self, events: list[Event]) -> list[Event]:
         """The events up to the first that can't follow the one before it."""
         for at, event in enumerate(events):
-            if not self._call.follow(event):
+            if not self._call.accept_event(event):
                 return events[:at]
         return events
 
-    async def _plain(self, reply: Reply, head: AnswerHead) -> Ended:
-        self._means.admission.first_event(self._loop.time(), self._call.id)
-        held = b""
+    async def _forward_body(self, response: PendingResponse, head: ResponseHead) -> AttemptResult:
+        self._context.admission.first_event(self._loop.time(), self._call.id)
+        buffered = b""
         while True:
-            over = reply.over
-            held += reply.take()
-            if over and reply.whole:
-                await self._receiver.end(head, held)
-                return Ended(CallOutcome.COMPLETED)
-            if over:
-                return Ended(self._failure())
-            if len(held) > BUFFERED_BODY_BYTES or (self._receiver.started and held):
-                await self._receiver.piece(head, held)
-                held = b""
-            if not reply.over and not reply.held:
-                await reply.changed()
-
-    async def _failed(self, reply: Reply, head: AnswerHead, outcome: CallOutcome) -> Ended:
+            finished = response.finished
+            buffered += response.take()
+            if finished and response.completed:
+                await self._receiver.end(head, buffered)
+                return AttemptResult(CallOutcome.COMPLETED)
+            if finished:
+                return AttemptResult(self._failure())
+            if len(buffered) > BUFFERED_BODY_BYTES or (self._receiver.started and buffered):
+                await self._receiver.body_chunk(head, buffered)
+                buffered = b""
+            if not response.finished and not response.buffered_bytes:
+                await response.wait_for_change()
+
+    async def _collect_failure(
+        self, response: PendingResponse, head: ResponseHead, outcome: CallOutcome
+    ) -> AttemptResult:
         body = b""
         while True:
-            over = reply.over
-            body += reply.take()
-            if over and reply.whole:
-                return Ended(outcome, head, body)
-            if over or len(body) > MAX_FAILURE_BYTES:
+            finished = response.finished
+            body += response.take()
+            if finished and response.completed:
+                return AttemptResult(outcome, head, body)
+            if finished or len(body) > MAX_FAILURE_BYTES:
                 promised = outcome in (CallOutcome.FULL, CallOutcome.WRONG_SERVER)
-                return Ended(outcome, head) if promised else Ended(self._failure())
-            if not reply.over and not reply.held:
-                await reply.changed()
-
-    def _was_silent(self, reply: Reply, now_s: float) -> bool:
-        """Whether the caller's patience, or its time, ended with a server that said nothing to anyone."""
-        heard_s = self._means.hearing.last(self._server.id)
-        return not reply.heard_any and heard_s <= reply.heard_s and now_s - reply.heard_s >= SILENT_FROM_S
+                return AttemptResult(outcome, head) if promised else AttemptResult(self._failure())
+            if not response.finished and not response.buffered_bytes:
+                await response.wait_for_change()
+
+    def _server_was_silent(self, response: PendingResponse, now_s: float) -> bool:
+        """Whether the caller's timeouts, or its time, ended with a server that said nothing to anyone."""
+        last_received_s = self._context.activity.last_received_s(self._server.id)
+        return (
+            not response.received_any
+            and last_received_s <= response.last_received_s
+            and now_s - response.last_received_s >= SILENT_AFTER_S
+        )
 
     def _failure(self) -> CallOutcome:
-        silent = self._reply is not None and self._reply.silent
+        silent = self._response is not None and self._response.timed_out
         return CallOutcome.SILENT if silent else CallOutcome.BROKEN
 
     def _release(self, outcome: CallOutcome) -> None:
-        reply, connection = self._reply, self._connection
+        response, connection = self._response, self._connection
         if connection is not None:
-            if reply is not None:
-                reply.close()
-            if reply is not None and reply.whole:
-                self._means.pool.give_back(self._server.id, connection)
+            if response is not None:
+                response.close()
+            if response is not None and response.completed:
+                self._context.pool.release(self._server.id, connection)
             else:
                 connection.abort()
         now_s = self._loop.time()
-        if outcome is CallOutcome.CANCELLED and reply is not None and self._was_silent(reply, now_s):
+        if (
+            outcome is CallOutcome.CANCELLED
+            and response is not None
+            and self._server_was_silent(response, now_s)
+        ):
             outcome = CallOutcome.SILENT
         if outcome in (CallOutcome.FULL, CallOutcome.WRONG_SERVER, CallOutcome.CONNECT_FAILED):
-            self._call.sent = False
-        self._means.admission.finished(now_s, self._call.id, outcome)
+            self._call.possibly_sent = False
+        self._context.admission.finished(now_s, self._call.id, outcome)
--- a/emberring/gateway/calls.py
+++ b/emberring/gateway/calls.py
@@ -34,7 +34,7 @@
     return (int(numbers[0]), int(numbers[1]))
 
 
-def read_parts(value: bytes | None) -> tuple[PrefixPart, ...]:
+def read_prefix_parts(value: bytes | None) -> tuple[PrefixPart, ...]:
     """The parts of a prompt, from `Prefix-Hash`; those up to the first that can't be read."""
     parts: list[PrefixPart] = []
     for item in (value or b"").split(b","):
--- a/emberring/gateway/client_answer.py
+++ b/emberring/gateway/client_response.py
@@ -4,15 +4,15 @@
 
 from typing import Any
 
-from emberring.gateway.answers import OwnAnswer
 from emberring.gateway.clients import ClientConnection
 from emberring.gateway.events import Event
-from emberring.gateway.messages import BODILESS_STATUSES, AnswerHead, Header, end_to_end
+from emberring.gateway.messages import BODILESS_STATUSES, Header, ResponseHead, end_to_end_headers
+from emberring.gateway.responses import GatewayResponse
 
 Send = Any  # the ASGI callable
 
 
-class ClientAnswer:
+class ClientResponse:
     """Writes one answer. The head that goes out first is the one that stays."""
 
     def __init__(self, send: Send, connection: ClientConnection, request_id: bytes, is_head: bool) -> None:
@@ -27,36 +27,36 @@
         """Whether a head has gone out."""
         return self._started
 
-    async def events(self, head: AnswerHead, events: list[Event]) -> None:
+    async def events(self, head: ResponseHead, events: list[Event]) -> None:
         """Whole events, in chunks: a stream that is resumed has no length that is known before."""
         if not self._started:
             await self._start(head.status, _without_length(head))
         await self._write(b"".join([event.raw for event in events]), True)
 
-    async def piece(self, head: AnswerHead, data: bytes) -> None:
+    async def body_chunk(self, head: ResponseHead, data: bytes) -> None:
         """A part of a body whose length the head tells, or which comes in chunks."""
         if not self._started:
-            await self._start(head.status, end_to_end(head.headers))
+            await self._start(head.status, end_to_end_headers(head.headers))
         await self._write(data, True)
 
-    async def end(self, head: AnswerHead, data: bytes) -> None:
+    async def end(self, head: ResponseHead, data: bytes) -> None:
         """The rest of an answer; all of it if nothing was written before."""
         if not self._started:
-            headers = end_to_end(head.headers)
+            headers = end_to_end_headers(head.headers)
             bodiless = self._is_head or head.status in BODILESS_STATUSES
             if not bodiless:
                 headers = [*_without_length(head), (b"content-length", b"%d" % len(data))]
             await self._start(head.status, headers)
         await self._write(data, False)
 
-    async def own(self, answer: OwnAnswer) -> None:
+    async def send_local(self, answer: GatewayResponse) -> None:
         """An answer of the gateway's own."""
         if answer.close:
             self._connection.close_after_answer()
         await self._start(answer.status, answer.headers(self._request_id))
         await self._write(answer.body, False)
 
-    async def whole(self, status: int, content_type: bytes, body: bytes) -> None:
+    async def send_complete(self, status: int, content_type: bytes, body: bytes) -> None:
         """An answer of the tier itself with a body."""
         headers = [(b"content-type", content_type), (b"content-length", b"%d" % len(body))]
         if self._request_id:
@@ -64,15 +64,15 @@
         await self._start(status, headers)
         await self._write(body, False)
 
-    def break_off(self) -> None:
+    def abort_response(self) -> None:
         """End an answer that was begun so that it can't look complete."""
-        self._connection.owner.answers["broken_off"] += 1
-        self._connection.break_off()
+        self._connection.listener.responses["broken_off"] += 1
+        self._connection.abort_response()
 
     async def _start(self, status: int, headers: list[Header]) -> None:
         self._started = True
-        self._connection.owner.answers[str(status)] += 1
-        if self._connection.owner.leaving:
+        self._connection.listener.responses[str(status)] += 1
+        if self._connection.listener.shutting_down:
             self._connection.close_after_answer()
         await self._send({"type": "http.response.start", "status": status, "headers": headers})
 
@@ -81,5 +81,5 @@
             await self._send({"type": "http.response.body", "body": data, "more_body": more})
 
 
-def _without_length(head: AnswerHead) -> list[Header]:
-    return [item for item in end_to_end(head.headers) if item[0] != b"content-length"]
+def _without_length(head: ResponseHead) -> list[Header]:
+    return [item for item in end_to_end_headers(head.headers) if item[0] != b"content-length"]
--- a/emberring/gateway/clients.py
+++ b/emberring/gateway/clients.py
@@ -15,13 +15,13 @@
 from loadbalancer.core.outgoing import readable
 
 BACKLOG = 2048
-ACCEPT_ROUNDS = 3  # turns of the loop after which what stood in the accept queue has been taken
+ACCEPT_LOOP_TURNS = 3  # turns of the loop after which what stood in the accept queue has been taken
 LINGER_S = 2.0  # how long a client may take to read the last bytes of an answer that was broken off
 
 Application = Callable[[Any, Any, Any], Awaitable[None]]
 
 
-class ClientPort:
+class ClientListener:
     """One listening address: its connections, its limits, and how it comes to an end."""
 
     def __init__(self, app: Application, limits: Callable[[], ClientLimits]) -> None:
@@ -41,8 +41,8 @@
         self._state = ServerState()
         self._server: asyncio.Server | None = None
         self.limits = limits
-        self.leaving = False
-        self.answers: Counter[str] = Counter()  # begun, by status, and those broken off
+        self.shutting_down = False
+        self.responses: Counter[str] = Counter()  # begun, by status, and those broken off
         self.accepted = 0
         self.accepted_s = 0.0
 
@@ -59,7 +59,7 @@
         return int(self._server.sockets[0].getsockname()[1])
 
     def _connection(self) -> ClientConnection:
-        return ClientConnection(self._config, self._state, {"port": self})
+        return ClientConnection(self._config, self._state, {"listener": self})
 
     @property
     def connections(self) -> set[ClientConnection]:
@@ -75,7 +75,7 @@
         """Take what stands in the accept queue, then listen no more. Open connections stay."""
         if self._server is None:
             return
-        for _ in range(ACCEPT_ROUNDS):
+        for _ in range(ACCEPT_LOOP_TURNS):
             await asyncio.sleep(0)
         self._server.close()
         self._server = None
@@ -102,8 +102,8 @@
         _loop: asyncio.AbstractEventLoop | None = None,
     ) -> None:
         super().__init__(config, server_state, app_state, _loop)
-        self.owner: ClientPort = app_state["port"]
-        self.on_gone: Callable[[], None] | None = None
+        self.listener: ClientListener = app_state["listener"]
+        self.on_disconnected: Callable[[], None] | None = None
         self._in_head = False
         self._begun = 0  # requests
         self._fed_bytes = 0  # since the head began, as far as that is known
@@ -128,7 +128,7 @@
         if not self.pipeline:
             self.cycle.keep_alive = False
 
-    def break_off(self) -> None:
+    def abort_response(self) -> None:
         """End the answer that was begun without its end: what was written still goes out, for a while."""
         self.cycle.disconnected = True
         self.transport.close()
@@ -143,15 +143,15 @@
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
         super().connection_made(transport)
-        self.owner.accepted += 1
-        self.owner.accepted_s = self.loop.time()
-        self._rest()
+        self.listener.accepted += 1
+        self.listener.accepted_s = self.loop.time()
+        self._wait_for_request()
 
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
         self._unset_keepalive_if_required()
         self._stop_head_timer()
-        gone, self.on_gone = self.on_gone, None
+        gone, self.on_disconnected = self.on_disconnected, None
         if gone is not None:
             gone()
 
@@ -162,7 +162,7 @@
         super().data_received(data)
         if between and self._begun == begun + 1:
             self._fed_bytes = len(data)
-        if self._in_head and self._fed_bytes > self.owner.limits().max_header_bytes:
+        if self._in_head and self._fed_bytes > self.listener.limits().max_header_bytes:
             self._refuse(b"431 Request Header Fields Too Large")
 
     # ------------------------------------------------------------------- parser's callbacks
@@ -174,7 +174,7 @@
         self._began_s = self.loop.time()
         self._stop_head_timer()
         self._head_timer = self.loop.call_later(
-            self.owner.limits().header_timeout_ms / 1000.0, self._head_late
+            self.listener.limits().header_timeout_ms / 1000.0, self._on_head_timeout
         )
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -191,31 +191,31 @@
 
     def on_response_complete(self) -> None:
         super().on_response_complete()
-        self.on_gone = None
+        self.on_disconnected = None
         if self.timeout_keep_alive_task is not None:
             self._unset_keepalive_if_required()
-            self._rest()
+            self._wait_for_request()
 
     # ------------------------------------------------------------------------------- limits
 
-    def _rest(self) -> None:
+    def _wait_for_request(self) -> None:
         """Wait for a request, for as long as clients may stay idle."""
         self._idle_since_s = self.loop.time()
         self._arm_idle()
 
     def _arm_idle(self) -> None:
-        left_s = self._idle_since_s + self.owner.limits().idle_timeout_ms / 1000.0 - self.loop.time()
+        left_s = self._idle_since_s + self.listener.limits().idle_timeout_ms / 1000.0 - self.loop.time()
         self.timeout_keep_alive_task = self.loop.call_later(max(0.0, left_s), self.timeout_keep_alive_handler)
 
     def timeout_keep_alive_handler(self) -> None:
         self.timeout_keep_alive_task = None
         rested_s = self.loop.time() - self._idle_since_s
-        if rested_s < self.owner.limits().idle_timeout_ms / 1000.0:
+        if rested_s < self.listener.limits().idle_timeout_ms / 1000.0:
             self._arm_idle()  # the limit was raised meanwhile
         else:
             self.close_if_idle()
 
-    def _head_late(self) -> None:
+    def _on_head_timeout(self) -> None:
         self._head_timer = None
         if self._in_head:
             self._refuse(b"408 Request Timeout")
--- a/emberring/gateway/connect_timeout.py
+++ b/emberring/gateway/connect_timeout.py
@@ -9,33 +9,33 @@
 
 import attrs
 
-MOST_S = 0.3  # and until enough connections have come up
-LEAST_S = 0.08
-TIMES_USUAL = 8.0
+MAX_CONNECT_TIMEOUT_S = 0.3  # and until enough connections have come up
+MIN_CONNECT_TIMEOUT_S = 0.08
+TIMEOUT_FACTOR = 8.0
 GAIN = 0.1  # of each connection in what is usual
-ENOUGH = 8  # connections that came up
+MIN_SAMPLES = 8  # connections that came up
 
 
 @attrs.define
 class ConnectTimeoutEstimator:
     """The time within which a connection must be up (seconds)."""
 
-    _usual_s: float = 0.0
+    _mean_s: float = 0.0
     _count: int = 0
 
-    def came_up(self, seconds: float) -> None:
+    def record_connected(self, seconds: float) -> None:
         """A connection came up after so long."""
         self._count += 1
         gain = max(GAIN, 1.0 / self._count)
-        self._usual_s += gain * (seconds - self._usual_s)
+        self._mean_s += gain * (seconds - self._mean_s)
 
-    def gave_up(self, limit_s: float) -> None:
+    def record_timeout(self, limit_s: float) -> None:
         """None came up within this limit. Guard: a limit that had become too short, as this process or the way turned
         slow, would fail all connections for good; each one that is given up lengthens it."""
-        self._usual_s += GAIN * max(0.0, limit_s - self._usual_s)
+        self._mean_s += GAIN * max(0.0, limit_s - self._mean_s)
 
-    def limit_s(self, most_s: float = MOST_S) -> float:
-        """How long the next one is waited for, at most `most_s`."""
-        if self._count < ENOUGH:
-            return most_s
-        return min(most_s, max(LEAST_S, TIMES_USUAL * self._usual_s))
+    def timeout_s(self, max_s: float = MAX_CONNECT_TIMEOUT_S) -> float:
+        """How long the next one is waited for, at most `max_s`."""
+        if self._count < MIN_SAMPLES:
+            return max_s
+        return min(max_s, max(MIN_CONNECT_TIMEOUT_S, TIMEOUT_FACTOR * self._mean_s))
--- a/emberring/gateway/events.py
+++ b/emberring/gateway/events.py
@@ -32,7 +32,7 @@
         return b"\n".join(found)
 
 
-class EventCutter:
+class EventParser:
     """Collects bytes and gives out the events that are whole."""
 
     def __init__(self) -> None:
--- a/emberring/gateway/execution.py
+++ b/emberring/gateway/execution.py
@@ -10,41 +10,41 @@
 from emberring.admission.attempts import AttemptBudget
 from emberring.admission.types import Admitted, CallInfo, CallOutcome, Decision, NoServer, Refused
 from emberring.configuration.model import Route
-from emberring.gateway.answers import PROMISES, RETRY_SOON_S, OwnAnswer
-from emberring.gateway.attempt import Attempt, Call, Ended, Means, Receiver
-from emberring.gateway.calls import choose_service, read_milliseconds, read_parts, read_token_count
+from emberring.gateway.attempt import Attempt, AttemptContext, AttemptResult, Receiver, UpstreamCall
+from emberring.gateway.calls import choose_service, read_milliseconds, read_prefix_parts, read_token_count
+from emberring.gateway.connection_pool import ConnectionPool
 from emberring.gateway.items import ItemReceiver, item_outcome, item_request
 from emberring.gateway.messages import ClientRequest
-from emberring.gateway.pool import ServerPool
 from emberring.gateway.ports import AdmissionPort
-from emberring.gateway.reply import Hearing, Patience
-from emberring.gateway.servers import ServerBook
+from emberring.gateway.response import ResponseTimeouts, ServerActivity
+from emberring.gateway.responses import DEFAULT_RETRY_AFTER_S, NOT_EXECUTED_STATUSES, GatewayResponse
+from emberring.gateway.routable_servers import RoutableServers
 from emberring.jobs.items import ItemCall, ItemEvent, ItemOutcome, OutcomeKind
 
 # With calls that may go to another server. Clients leave after 2 s of silence at the earliest; a server that is heard
 # elsewhere is at work on what came before.
-LIVE_PATIENCE = Patience(dark_s=1.1, alive_s=10.0)
-ITEM_PATIENCE = Patience(dark_s=2.5, alive_s=10.0)
-CUT_OFF_S = 1.0  # without a word from any server, while connections to them fail
+LIVE_RESPONSE_TIMEOUTS = ResponseTimeouts(unresponsive_server_s=1.1, active_server_s=10.0)
+ITEM_RESPONSE_TIMEOUTS = ResponseTimeouts(unresponsive_server_s=2.5, active_server_s=10.0)
+ISOLATED_AFTER_S = 1.0  # without a word from any server, while connections to them fail
 ITEM_LIMIT_S = 60.0  # an item that still speaks after so long is begun anew later
 
 
 class LiveReceiver(Receiver, Protocol):
     """The client's end of a live request."""
 
-    def break_off(self) -> None:
+    def abort_response(self) -> None:
         """End an answer that was begun so that it can't look complete."""
 
 
 class Executor:
     """All calls of this process. A call is in admission's count from `offer` until its attempt is over."""
 
-    def __init__(self, admission: AdmissionPort, pool: ServerPool, book: ServerBook) -> None:
+    def __init__(self, admission: AdmissionPort, pool: ConnectionPool, servers: RoutableServers) -> None:
         self._admission = admission
-        self._book = book
+        self._servers = servers
         self._pool = pool
-        self._hearing = Hearing()
-        self._means = Means(pool, admission, self._hearing, book.sendable)
+        self._activity = ServerActivity()
+        self._context = AttemptContext(pool, admission, self._activity, servers.routable)
         self._numbers = count(1)
         self.on_misdirected: Callable[[], None] = lambda: None
 
@@ -52,43 +52,43 @@
 
     async def run_live(
         self, request: ClientRequest, route: Route, receiver: LiveReceiver
-    ) -> OwnAnswer | None:
+    ) -> GatewayResponse | None:
         """Carry a request out. What is returned is still to be sent; None: the receiver has got its answer."""
         call = self._live_call(request, route)
         budget = _Progress(AttemptBudget(route.max_attempts, route.may_repeat))
         try:
-            async with asyncio.timeout_at(call.end_s):
+            async with asyncio.timeout_at(call.deadline_s):
                 return await self._serve(call, route, receiver, budget)
         except TimeoutError:
             if receiver.started:
-                receiver.break_off()
+                receiver.abort_response()
                 return None
-            if budget.value.certainly_not_executed and not call.sent:
-                return OwnAnswer(503, "no server took it in time", RETRY_SOON_S)
-            return OwnAnswer(504, "no answer in time")
+            if budget.value.certainly_not_executed and not call.possibly_sent:
+                return GatewayResponse(503, "no server took it in time", DEFAULT_RETRY_AFTER_S)
+            return GatewayResponse(504, "no answer in time")
 
-    def _live_call(self, request: ClientRequest, route: Route) -> Call:
+    def _live_call(self, request: ClientRequest, route: Route) -> UpstreamCall:
         limit_ms = route.timeout_ms
         deadline_ms = read_milliseconds(request.header(b"deadline-ms"))
         if deadline_ms is not None:
             limit_ms = min(limit_ms, deadline_ms)
         asked_after = request.header(b"last-event-id")
-        return Call(
+        return UpstreamCall(
             id=f"r{next(self._numbers)}",
             request=request,
-            may_repeat=route.may_repeat,
-            end_s=request.arrived_s + limit_ms / 1000.0,
+            idempotent=route.may_repeat,
+            deadline_s=request.arrived_s + limit_ms / 1000.0,
             last_event_id=int(asked_after) if asked_after and asked_after.isdigit() else None,
         )
 
     async def _serve(
-        self, call: Call, route: Route, receiver: LiveReceiver, progress: _Progress
-    ) -> OwnAnswer | None:
+        self, call: UpstreamCall, route: Route, receiver: LiveReceiver, progress: _Progress
+    ) -> GatewayResponse | None:
         excluded: set[str] = set()
         broken: set[str] = (
             set()
         )  # of these, those that answered and may be asked again where there is no other
-        last: Ended | None = None
+        last: AttemptResult | None = None
         while True:
             decision = self._offer(call, route, excluded, batch=False, admitted=last is not None)
             if isinstance(decision, NoServer) and broken:
@@ -98,7 +98,9 @@
             if not isinstance(decision, Admitted):
                 return await self._give_up(call, receiver, progress, last, decision)
             excluded.add(decision.server_id)
-            last = await self._attempt(call, decision.server_id, receiver, self._patience(route, progress))
+            last = await self._attempt(
+                call, decision.server_id, receiver, self._response_timeouts(route, progress)
+            )
             if last.outcome is CallOutcome.COMPLETED:
                 if last.head is not None:
                     await receiver.end(last.head, last.body)
@@ -112,36 +114,39 @@
             call.resumed = receiver.started
 
     @staticmethod
-    def _patience(route: Route, progress: _Progress) -> Patience | None:
+    def _response_timeouts(route: Route, progress: _Progress) -> ResponseTimeouts | None:
         """A silence is given up only while another server may be asked."""
         another = route.may_repeat and progress.value.executed + 1 < route.max_attempts
-        return LIVE_PATIENCE if another else None
+        return LIVE_RESPONSE_TIMEOUTS if another else None
 
     async def _give_up(
         self,
-        call: Call,
+        call: UpstreamCall,
         receiver: LiveReceiver,
         progress: _Progress,
-        last: Ended | None,
+        last: AttemptResult | None,
         decision: Decision | None,
-    ) -> OwnAnswer | None:
+    ) -> GatewayResponse | None:
         if receiver.started:
-            receiver.break_off()
+            receiver.abort_response()
             return None
         if progress.value.certainly_not_executed:
-            return OwnAnswer(503, "not taken", _retry_after_s(decision, last))
+            return GatewayResponse(503, "not taken", _retry_after_s(decision, last))
         failed = last.head if last is not None and last.outcome is CallOutcome.FAILED else None
         # A status that promises what the server did not promise is not passed on.
-        if last is not None and failed is not None and failed.status not in PROMISES:
+        if last is not None and failed is not None and failed.status not in NOT_EXECUTED_STATUSES:
             await receiver.end(failed, last.body)
             return None
         if last is not None and last.outcome is CallOutcome.SILENT:
-            return OwnAnswer(504, "the server fell silent")
-        return OwnAnswer(502, "the server's answer broke off or was none")
+            return GatewayResponse(504, "the server fell silent")
+        return GatewayResponse(502, "the server's answer broke off or was none")
 
-    def cut_off(self, now_s: float) -> bool:
+    def isolated(self, now_s: float) -> bool:
         """Whether connections to servers fail and none was heard since, for a while."""
-        return self._pool.unreachable_s > self._hearing.latest and now_s - self._hearing.latest > CUT_OFF_S
+        return (
+            self._pool.last_unreachable_s > self._activity.latest_s
+            and now_s - self._activity.latest_s > ISOLATED_AFTER_S
+        )
 
     # ---------------------------------------------------------------- items of lots
 
@@ -152,13 +157,13 @@
     async def run_item(self, item: ItemCall, on_events: Callable[[list[ItemEvent]], None]) -> ItemOutcome:
         """Run an item once, at one server."""
         loop = asyncio.get_running_loop()
-        call = Call(
+        call = UpstreamCall(
             id=f"i{next(self._numbers)}",
             request=item_request(item, loop.time()),
-            may_repeat=True,
-            end_s=loop.time() + ITEM_LIMIT_S,
+            idempotent=True,
+            deadline_s=loop.time() + ITEM_LIMIT_S,
             allowed=item.still_allowed,
-            tell_deadline=False,
+            send_deadline=False,
             stream_only=True,
             last_event_id=item.resume_after,
             resumed=item.resume_after is not None,
@@ -167,8 +172,10 @@
         if not isinstance(decision, Admitted):
             return ItemOutcome(OutcomeKind.NOT_RUN)
         try:
-            async with asyncio.timeout_at(call.end_s):
-                ended = await self._attempt(call, decision.server_id, ItemReceiver(on_events), ITEM_PATIENCE)
+            async with asyncio.timeout_at(call.deadline_s):
+                ended = await self._attempt(
+                    call, decision.server_id, ItemReceiver(on_events), ITEM_RESPONSE_TIMEOUTS
+                )
         except TimeoutError:
             return ItemOutcome(OutcomeKind.BROKEN)
         return item_outcome(ended)
@@ -177,7 +184,7 @@
 
     def _offer(
         self,
-        call: Call,
+        call: UpstreamCall,
         route: Route,
         excluded: set[str],
         batch: bool,
@@ -185,7 +192,7 @@
         due_s: float | None = None,
     ) -> Decision:
         request = call.request
-        service = choose_service(route, request.request_id, self._book.has_servers)
+        service = choose_service(route, request.request_id, self._servers.has_servers)
         tokens_in, tokens_out = read_token_count(request.header(b"token-count"))
         info = CallInfo(
             id=call.id,
@@ -195,9 +202,9 @@
             batch=batch,
             tokens_in=tokens_in,
             tokens_out=tokens_out,
-            parts=read_parts(request.header(b"prefix-hash")),
+            parts=read_prefix_parts(request.header(b"prefix-hash")),
             latency_target_ms=route.target_latency_ms,
-            deadline_s=call.end_s if due_s is None else due_s,
+            deadline_s=call.deadline_s if due_s is None else due_s,
             target_s=route.completion_target_ms / 1000.0 if batch else 0.0,
             excluded=frozenset(excluded),
             admitted=admitted,
@@ -205,24 +212,24 @@
         return self._admission.offer(asyncio.get_running_loop().time(), info)
 
     async def _attempt(
-        self, call: Call, server_id: str, receiver: Receiver, patience: Patience | None
-    ) -> Ended:
-        server = self._book.sendable(server_id)
+        self, call: UpstreamCall, server_id: str, receiver: Receiver, timeouts: ResponseTimeouts | None
+    ) -> AttemptResult:
+        server = self._servers.routable(server_id)
         if server is None:
             self._admission.finished(asyncio.get_running_loop().time(), call.id, CallOutcome.NOT_SENT)
-            return Ended(CallOutcome.NOT_SENT)
-        ended = await Attempt(self._means, call, server, receiver, patience).run()
+            return AttemptResult(CallOutcome.NOT_SENT)
+        ended = await Attempt(self._context, call, server, receiver, timeouts).run()
         if ended.outcome is CallOutcome.WRONG_SERVER and ended.head is not None:
             answered_by = ended.head.header(b"instance-id")
             if answered_by is not None and answered_by != server_id.encode("latin-1"):
-                self._book.misdirect(server_id)
-                self._pool.forget(server_id)
+                self._servers.mark_misdirected(server_id)
+                self._pool.close_idle(server_id)
                 self.on_misdirected()
         return ended
 
     def forget_absent(self, present: set[str]) -> None:
         """Drop what is kept about servers that are gone."""
-        self._hearing.keep_only(present)
+        self._activity.keep_only(present)
 
 
 class _Progress:
@@ -232,12 +239,12 @@
         self.value = value
 
 
-def _retry_after_s(decision: Decision | None, last: Ended | None) -> float:
+def _retry_after_s(decision: Decision | None, last: AttemptResult | None) -> float:
     """When a refused request may come back (seconds)."""
     if isinstance(decision, Refused):
         return max(0.001, decision.retry_after_s)
     told = last.head.header(b"retry-after") if last is not None and last.head is not None else None
     try:
-        return max(0.001, float(told)) if told is not None else RETRY_SOON_S
+        return max(0.001, float(told)) if told is not None else DEFAULT_RETRY_AFTER_S
     except ValueError:
-        return RETRY_SOON_S
+        return DEFAULT_RETRY_AFTER_S
--- a/emberring/gateway/graceful_shutdown.py
+++ b/emberring/gateway/graceful_shutdown.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-UNNOTICED_S = 2.4  # the platform asks once a second and needs two misses to send nothing new
+READINESS_DETECTION_S = 2.4  # the platform asks once a second and needs two misses to send nothing new
 QUIET_S = 0.6  # without a new connection, after which none is expected
 LISTEN_SHARE = 0.5  # of the grace, after which no new connection is taken in any case
 END_BEFORE_S = 0.7  # before the grace is over
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen
-class Seen:
+class OpenConnections:
     """What is open: when the last connection came, open connections, and those with a request on them."""
 
     last_accepted_s: float
@@ -38,12 +38,12 @@
 
     def __init__(self, began_s: float, grace_s: float) -> None:
         self._began_s = began_s
-        self._listen_until_s = began_s + max(0.0, min(UNNOTICED_S, grace_s * LISTEN_SHARE))
+        self._listen_until_s = began_s + max(0.0, min(READINESS_DETECTION_S, grace_s * LISTEN_SHARE))
         self._listen_at_most_s = began_s + grace_s * LISTEN_SHARE
         self._end_s = began_s + max(0.0, grace_s - END_BEFORE_S)
         self._listening = True
 
-    def step(self, now_s: float, seen: Seen) -> Stage:
+    def step(self, now_s: float, seen: OpenConnections) -> Stage:
         """What to do at this moment; each of `STOP_LISTENING` and `END` comes once."""
         if now_s >= self._end_s:
             return Stage.END
--- a/emberring/gateway/items.py
+++ b/emberring/gateway/items.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 
 from emberring.admission.types import CallOutcome
-from emberring.gateway.attempt import Ended
+from emberring.gateway.attempt import AttemptResult
 from emberring.gateway.events import Event
-from emberring.gateway.messages import AnswerHead, ClientRequest
+from emberring.gateway.messages import ClientRequest, ResponseHead
 from emberring.jobs.items import ItemCall, ItemEvent, ItemOutcome, OutcomeKind
 
-IMPOSSIBLE_STATUS = 422
+UNPROCESSABLE_STATUS = 422
 FAILED_STATUS = 500
 
 _NOT_RUN = frozenset(
@@ -36,12 +36,12 @@
     )
 
 
-def item_outcome(ended: Ended) -> ItemOutcome:
+def item_outcome(ended: AttemptResult) -> ItemOutcome:
     """What the end of an attempt means for an item."""
     if ended.outcome in _NOT_RUN:
         return ItemOutcome(OutcomeKind.NOT_RUN)
     status = ended.head.status if ended.head else 0
-    if status == IMPOSSIBLE_STATUS:
+    if status == UNPROCESSABLE_STATUS:
         return ItemOutcome(OutcomeKind.IMPOSSIBLE_422)
     if status == FAILED_STATUS:
         return ItemOutcome(OutcomeKind.FAILED_500)
@@ -62,7 +62,7 @@
         """Whether events were handed on."""
         return self._started
 
-    async def events(self, head: AnswerHead, events: list[Event]) -> None:
+    async def events(self, head: ResponseHead, events: list[Event]) -> None:
         """Whole events; those without an id carry no text of the item."""
         self._started = True
         found = [
@@ -73,8 +73,8 @@
         if found:
             self._on_events(found)
 
-    async def piece(self, head: AnswerHead, data: bytes) -> None:
+    async def body_chunk(self, head: ResponseHead, data: bytes) -> None:
         """An answer that is no stream holds no events."""
 
-    async def end(self, head: AnswerHead, data: bytes) -> None:
+    async def end(self, head: ResponseHead, data: bytes) -> None:
         """Nothing is left to hand on."""
--- a/emberring/gateway/jobs_api.py
+++ b/emberring/gateway/jobs_api.py
@@ -14,17 +14,17 @@
     NotReadyError,
     UnknownOutcomeError,
 )
-from emberring.gateway.answers import OwnAnswer
 from emberring.gateway.calls import read_milliseconds
-from emberring.gateway.client_answer import ClientAnswer
+from emberring.gateway.client_response import ClientResponse
 from emberring.gateway.messages import ClientRequest
+from emberring.gateway.responses import GatewayResponse
 
 JOBS_PATH = "/v1/lots/"
 ITEMS_PATH = "/v1/items/"
 OWN_PATHS = "/v1/"
 MAX_WAIT_MS = 2000.0  # for which a page may be held until there is a result
-READ_SLACK_S = 1.2  # for an answer beyond the wait that was allowed: clients wait 1.5 s
-END_LIMIT_S = 3.0
+READ_MARGIN_S = 1.2  # for an answer beyond the wait that was allowed: clients wait 1.5 s
+CANCEL_TIMEOUT_S = 3.0
 
 JSON = b"application/json"
 BYTES = b"application/octet-stream"
@@ -52,7 +52,7 @@
     def __init__(self, jobs: Jobs) -> None:
         self._jobs = jobs
 
-    def takes(self, request: ClientRequest, route: Route | None) -> bool:
+    def handles(self, request: ClientRequest, route: Route | None) -> bool:
         """Whether a request belongs to this interface."""
         if route is not None and route.type is RouteType.BATCH and request.method == b"POST":
             return True
@@ -61,22 +61,22 @@
         return own and (route is None or not route.path_prefix.startswith(OWN_PATHS))
 
     async def answer(
-        self, request: ClientRequest, route: Route | None, answer: ClientAnswer
-    ) -> OwnAnswer | None:
+        self, request: ClientRequest, route: Route | None, answer: ClientResponse
+    ) -> GatewayResponse | None:
         """Carry it out and answer; an `EmberringError` is the caller's to answer. An order without a clear end
         in its time is in doubt (504); a question without one is refused (503), as it changed nothing."""
         try:
             if route is not None and route.type is RouteType.BATCH and request.method == b"POST":
                 await self._submit(request, route)
-                await answer.whole(202, JSON, b"{}")
+                await answer.send_complete(202, JSON, b"{}")
             elif request.path.startswith(JOBS_PATH) and request.method == b"DELETE":
                 await self._end(request)
-                await answer.whole(200, JSON, b"{}")
+                await answer.send_complete(200, JSON, b"{}")
             elif request.method == b"GET":
                 kind, body = await self._look_up(request)
-                await answer.whole(200, kind, body)
+                await answer.send_complete(200, kind, body)
             else:
-                return OwnAnswer(405, "GET or DELETE is wanted")
+                return GatewayResponse(405, "GET or DELETE is wanted")
         except TimeoutError:
             raise UnknownOutcomeError("no clear end in time") from None
         return None
@@ -99,7 +99,7 @@
             await self._jobs.submit(request.host_name, route, job, request.body)
 
     async def _end(self, request: ClientRequest) -> None:
-        async with asyncio.timeout(END_LIMIT_S):
+        async with asyncio.timeout(CANCEL_TIMEOUT_S):
             await self._jobs.end(request.host_name, request.path[len(JOBS_PATH) :])
 
     async def _read(self, request: ClientRequest) -> bytes:
@@ -109,14 +109,14 @@
         wait_ms = read_milliseconds(request.header(b"wait-ms")) or 0.0
         job = request.path[len(JOBS_PATH) :]
         wait_ms = min(wait_ms, MAX_WAIT_MS)
-        async with asyncio.timeout(wait_ms / 1000.0 + READ_SLACK_S):
+        async with asyncio.timeout(wait_ms / 1000.0 + READ_MARGIN_S):
             return await self._jobs.read(request.host_name, job, int(start_text), wait_ms)
 
     async def _item(self, request: ClientRequest) -> bytes:
         item = _query(request, "Id")
         if not item:
             raise BadRequestError("Id is missing")
-        async with asyncio.timeout(READ_SLACK_S):
+        async with asyncio.timeout(READ_MARGIN_S):
             return await self._jobs.item(request.host_name, request.path[len(ITEMS_PATH) :], item)
 
 
@@ -126,7 +126,7 @@
     return parse_qs(text).get(name, [""])[-1]
 
 
-class NoJobs:
+class UnavailableJobs:
     """Stands in where no store can be reached: nothing is taken, nothing is known."""
 
     async def submit(self, host: str, route: Route, job: str, body: bytes) -> None:
--- a/emberring/gateway/messages.py
+++ b/emberring/gateway/messages.py
@@ -46,7 +46,7 @@
 
     def header(self, name: bytes) -> bytes | None:
         """The first value under this lower-case name."""
-        return first(self.headers, name)
+        return first_header(self.headers, name)
 
     @property
     def host_name(self) -> str:
@@ -61,7 +61,7 @@
 
 
 @attrs.frozen
-class AnswerHead:
+class ResponseHead:
     """The head of a server's answer. Header names are in lower case; `length` is None where it comes in chunks."""
 
     status: int
@@ -70,7 +70,7 @@
 
     def header(self, name: bytes) -> bytes | None:
         """The first value under this lower-case name."""
-        return first(self.headers, name)
+        return first_header(self.headers, name)
 
     @property
     def is_event_stream(self) -> bool:
@@ -79,7 +79,7 @@
         return kind is not None and kind.lower().startswith(b"text/event-stream")
 
 
-def first(headers: tuple[Header, ...], name: bytes) -> bytes | None:
+def first_header(headers: tuple[Header, ...], name: bytes) -> bytes | None:
     """The first value under this lower-case name; None if there is none."""
     for found, value in headers:
         if found == name:
@@ -87,7 +87,7 @@
     return None
 
 
-def end_to_end(headers: tuple[Header, ...]) -> list[Header]:
+def end_to_end_headers(headers: tuple[Header, ...]) -> list[Header]:
     """The headers that are passed along: all but those of one connection and those that `Connection` names."""
     named = set(CONNECTION_HEADERS)
     for name, value in headers:
@@ -97,24 +97,24 @@
 
 
 def render_request(
-    request: ClientRequest, server_id: str, left_ms: int | None, last_event_id: int | None
+    request: ClientRequest, server_id: str, remaining_ms: int | None, last_event_id: int | None
 ) -> bytes:
-    """The bytes of a request to a server. `left_ms` is what is left of its time, `last_event_id` the event after
+    """The bytes of a request to a server. `remaining_ms` is what is left of its time, `last_event_id` the event after
     which a stream goes on; with None, what the client said of either is passed along."""
     lines = [
         request.method + b" " + request.target + b" HTTP/1.1",
         b"Host: " + request.host.encode("latin-1"),
     ]
-    kept = {b"deadline-ms"} if left_ms is None else set()
+    kept = {b"deadline-ms"} if remaining_ms is None else set()
     if last_event_id is None:
         kept.add(b"last-event-id")
-    for name, value in end_to_end(request.headers):
+    for name, value in end_to_end_headers(request.headers):
         if name not in _REWRITTEN or name in kept:
             lines.append(name + b": " + value)
     if last_event_id is not None:
         lines.append(b"Last-Event-Id: %d" % last_event_id)
-    if left_ms is not None:
-        lines.append(b"Deadline-Ms: %d" % max(1, left_ms))
+    if remaining_ms is not None:
+        lines.append(b"Deadline-Ms: %d" % max(1, remaining_ms))
     lines.append(b"Expected-Instance: " + server_id.encode("latin-1"))
     if request.body or request.method not in _BODILESS_METHODS:
         lines.append(b"Content-Length: %d" % len(request.body))
--- a/emberring/gateway/readiness.py
+++ b/emberring/gateway/readiness.py
@@ -19,23 +19,23 @@
     """Not ready until a configuration that a quorum chose and its servers are known; ready then until the end,
     but for times in which this node is cut off: from the control nodes and from the servers alike."""
 
-    def __init__(self, directory: Directory, cut_off: Callable[[], bool] = lambda: False) -> None:
+    def __init__(self, directory: Directory, isolated: Callable[[], bool] = lambda: False) -> None:
         self._directory = directory
-        self._cut_off = cut_off
+        self._isolated = isolated
         self._configured_s: float | None = None
         self._was_ready = False
-        self.leaving = False
+        self.shutting_down = False
 
     def ready(self, now_s: float) -> bool:
         """Whether new connections should come here."""
-        if self.leaving or self._directory.configuration is None:
+        if self.shutting_down or self._directory.configuration is None:
             return False
         if self._configured_s is None:
             self._configured_s = now_s
         if not self._was_ready:
             waited = now_s - self._configured_s >= SERVERS_WAIT_S
             self._was_ready = bool(self._directory.servers) or waited
-        return self._was_ready and not self._cut_off()
+        return self._was_ready and not self._isolated()
 
 
 def render_metrics(figures: Mapping[str, float]) -> bytes:
@@ -58,14 +58,14 @@
 
     def __init__(self, ready: Callable[[], bool], figures: Callable[[], Mapping[str, float]]) -> None:
         self._ready = ready
-        self._figures = figures
+        self._metrics = figures
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
         """Answer one request."""
         if scope["path"] == READY_PATH:
             status, body = (200, b"ready\n") if self._ready() else (503, b"not ready\n")
         elif scope["path"] == METRICS_PATH:
-            status, body = 200, render_metrics(self._figures())
+            status, body = 200, render_metrics(self._metrics())
         else:
             status, body = 404, b""
         headers = [(b"content-type", b"text/plain"), (b"content-length", b"%d" % len(body))]
--- a/emberring/gateway/reply.py
+++ b/emberring/gateway/response.py
@@ -7,84 +7,84 @@
 
 import attrs
 
-from emberring.gateway.messages import AnswerHead
+from emberring.gateway.messages import ResponseHead
 from emberring.gateway.upstream import ServerConnection
 
 HIGH_WATER_BYTES = 64 * 1024  # collected and not taken, from which the server is read no more
 
 
 @attrs.frozen
-class Patience:
+class ResponseTimeouts:
     """How long a silence is borne (seconds): from a server that says nothing on any connection, and from one
     that is heard elsewhere."""
 
-    dark_s: float
-    alive_s: float
+    unresponsive_server_s: float
+    active_server_s: float
 
 
-class Hearing:
+class ServerActivity:
     """When each server was last heard, on any connection (the loop's time)."""
 
     def __init__(self) -> None:
-        self._heard: dict[str, float] = {}
+        self._received_s: dict[str, float] = {}
 
-    def note(self, server_id: str, now_s: float) -> None:
+    def record(self, server_id: str, now_s: float) -> None:
         """Bytes have come from this server."""
-        self._heard[server_id] = now_s
+        self._received_s[server_id] = now_s
 
-    def last(self, server_id: str) -> float:
+    def last_received_s(self, server_id: str) -> float:
         """When that was; 0 where it never was."""
-        return self._heard.get(server_id, 0.0)
+        return self._received_s.get(server_id, 0.0)
 
     @property
-    def latest(self) -> float:
+    def latest_s(self) -> float:
         """When any of them was; 0 where none ever was."""
-        return max(self._heard.values(), default=0.0)
+        return max(self._received_s.values(), default=0.0)
 
     def keep_only(self, server_ids: set[str]) -> None:
         """Forget all others."""
-        for server_id in self._heard.keys() - server_ids:
-            del self._heard[server_id]
+        for server_id in self._received_s.keys() - server_ids:
+            del self._received_s[server_id]
 
 
-class Reply:
+class PendingResponse:
     """The exchange of one request. One consumer: it takes what has come and awaits `changed`."""
 
-    def __init__(self, connection: ServerConnection, server_id: str, hearing: Hearing) -> None:
+    def __init__(self, connection: ServerConnection, server_id: str, activity: ServerActivity) -> None:
         self._connection = connection
         self._server_id = server_id
-        self._hearing = hearing
+        self._activity = activity
         self._loop = asyncio.get_running_loop()
         self._chunks: deque[bytes] = deque()
-        self._held = 0
+        self._buffered_bytes = 0
         self._paused = False
         self._waiter: asyncio.Future[None] | None = None
-        self._patience: Patience | None = None
+        self._timeouts: ResponseTimeouts | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self.heard_s = self._loop.time()
-        self.heard_any = False
-        self.answer: AnswerHead | None = None
-        self.whole = False
+        self.last_received_s = self._loop.time()
+        self.received_any = False
+        self.response_head: ResponseHead | None = None
+        self.completed = False
         self.broken = False
-        self.silent = False
+        self.timed_out = False
 
     # ----------------------------------------------------------------- for the connection
 
-    def head(self, head: AnswerHead) -> None:
-        self.answer = head
-        self._hear()
+    def head(self, head: ResponseHead) -> None:
+        self.response_head = head
+        self._record_receipt()
 
     def body(self, data: bytes) -> None:
         self._chunks.append(data)
-        self._held += len(data)
-        if self._held > HIGH_WATER_BYTES and not self._paused:
+        self._buffered_bytes += len(data)
+        if self._buffered_bytes > HIGH_WATER_BYTES and not self._paused:
             self._paused = True
             self._connection.pause()
-        self._hear()
+        self._record_receipt()
 
     def complete(self) -> None:
-        self.whole = True
-        self._hear()
+        self.completed = True
+        self._record_receipt()
 
     def lost(self, sent: bool) -> None:
         self.broken = True
@@ -93,14 +93,14 @@
     # ------------------------------------------------------------------- for the consumer
 
     @property
-    def over(self) -> bool:
+    def finished(self) -> bool:
         """Whether nothing more will come."""
-        return self.whole or self.broken or self.silent
+        return self.completed or self.broken or self.timed_out
 
     @property
-    def held(self) -> int:
+    def buffered_bytes(self) -> int:
         """Bytes that have come and were not taken."""
-        return self._held
+        return self._buffered_bytes
 
     def take(self) -> bytes:
         """What has come of the body since the last time."""
@@ -108,14 +108,14 @@
             return b""
         data = self._chunks.popleft() if len(self._chunks) == 1 else b"".join(self._chunks)
         self._chunks.clear()
-        self._held = 0
+        self._buffered_bytes = 0
         if self._paused:
             self._paused = False
-            self.heard_s = self._loop.time()  # the silence until now was of our own making
+            self.last_received_s = self._loop.time()  # the silence until now was of our own making
             self._connection.resume()
         return data
 
-    async def changed(self) -> None:
+    async def wait_for_change(self) -> None:
         """Wait until something more has come or is known."""
         self._waiter = self._loop.create_future()
         try:
@@ -123,52 +123,58 @@
         finally:
             self._waiter = None
 
-    async def wait_head(self) -> AnswerHead | None:
+    async def wait_for_head(self) -> ResponseHead | None:
         """The head of the answer; None where there will be none."""
-        while self.answer is None and not self.over:
-            await self.changed()
-        return self.answer
+        while self.response_head is None and not self.finished:
+            await self.wait_for_change()
+        return self.response_head
 
-    def watch(self, patience: Patience | None) -> None:
+    def set_timeouts(self, timeouts: ResponseTimeouts | None) -> None:
         """Take the answer for silent after so long without a byte; None: wait for ever."""
-        self._patience = patience
+        self._timeouts = timeouts
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if patience is not None:
-            self._timer = self._loop.call_later(patience.dark_s, self._look)
+        if timeouts is not None:
+            self._timer = self._loop.call_later(timeouts.unresponsive_server_s, self._check_silence)
 
     def close(self) -> None:
         """The consumer is done with it."""
-        self.watch(None)
+        self.set_timeouts(None)
         if self._paused:
             self._paused = False
             self._connection.resume()
 
     # -------------------------------------------------------------------------------- inside
 
-    def _hear(self) -> None:
-        self.heard_any = True
-        self.heard_s = self._loop.time()
-        self._hearing.note(self._server_id, self.heard_s)
+    def _record_receipt(self) -> None:
+        self.received_any = True
+        self.last_received_s = self._loop.time()
+        self._activity.record(self._server_id, self.last_received_s)
         self._wake()
 
     def _wake(self) -> None:
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
-    def _look(self) -> None:
+    def _check_silence(self) -> None:
         self._timer = None
-        patience = self._patience
-        if patience is None or self.over:
+        timeouts = self._timeouts
+        if timeouts is None or self.finished:
             return
         now = self._loop.time()
-        quiet_s = 0.0 if self._held else now - self.heard_s
-        dark = self._hearing.last(self._server_id) <= self.heard_s
-        limit_s = patience.dark_s if dark else patience.alive_s
+        quiet_s = 0.0 if self._buffered_bytes else now - self.last_received_s
+        dark = self._activity.last_received_s(self._server_id) <= self.last_received_s
+        limit_s = timeouts.unresponsive_server_s if dark else timeouts.active_server_s
         if quiet_s >= limit_s:
-            self.silent = True
+            self.timed_out = True
             self._wake()
             return
-        step_s = patience.dark_s - quiet_s if quiet_s < patience.dark_s else patience.alive_s - quiet_s
-        self._timer = self._loop.call_later(max(0.01, min(step_s, patience.dark_s)), self._look)
+        step_s = (
+            timeouts.unresponsive_server_s - quiet_s
+            if quiet_s < timeouts.unresponsive_server_s
+            else timeouts.active_server_s - quiet_s
+        )
+        self._timer = self._loop.call_later(
+            max(0.01, min(step_s, timeouts.unresponsive_server_s)), self._check_silence
+        )
--- a/emberring/gateway/answers.py
+++ b/emberring/gateway/responses.py
@@ -8,48 +8,50 @@
 
 from emberring.admission.types import CallOutcome
 from emberring.errors import EmberringError, OverloadedError
-from emberring.gateway.messages import AnswerHead, Header
+from emberring.gateway.messages import Header, ResponseHead
 
-PROMISES = frozenset((408, 421, 429, 503))  # these say to a client that nothing has run or will run
-FAILED_RUNS = frozenset((500, 502, 504))
-RETRY_SOON_S = 0.2  # when to come back after a failure that says nothing of load
+NOT_EXECUTED_STATUSES = frozenset(
+    (408, 421, 429, 503)
+)  # these say to a client that nothing has run or will run
+EXECUTED_FAILURE_STATUSES = frozenset((500, 502, 504))
+DEFAULT_RETRY_AFTER_S = 0.2  # when to come back after a failure that says nothing of load
 
 
-class Verdict(Enum):
+class ResponseClass(Enum):
     """What becomes of an answer whose head has come."""
 
-    PASS_ON = "pass_on"
+    FORWARD = "pass_on"
     FULL = "full"
     WRONG_SERVER = "wrong_server"
     FAILED = "failed"
-    NO_ANSWER = "no_answer"  # a success that can't be passed on
+    INVALID = "no_answer"  # a success that can't be passed on
 
 
-def judge(head: AnswerHead) -> Verdict:
+def classify_response(head: ResponseHead) -> ResponseClass:
     """What a server's answer stands for. Only `Not-Executed` and 421 say that the request did not run."""
     if 200 <= head.status < 300:
         whole = head.header(b"response-signature") is not None and head.header(b"content-encoding") is None
-        return Verdict.PASS_ON if whole else Verdict.NO_ANSWER
+        return ResponseClass.FORWARD if whole else ResponseClass.INVALID
     if head.status == 421:
-        return Verdict.WRONG_SERVER
-    if head.status in PROMISES:
-        return Verdict.FULL if head.header(b"not-executed") is not None else Verdict.FAILED
-    if head.status in FAILED_RUNS:
-        return Verdict.FAILED
-    return Verdict.PASS_ON
-
-
-OUTCOME_OF = {
-    Verdict.PASS_ON: CallOutcome.COMPLETED,
-    Verdict.FULL: CallOutcome.FULL,
-    Verdict.WRONG_SERVER: CallOutcome.WRONG_SERVER,
-    Verdict.FAILED: CallOutcome.FAILED,
-    Verdict.NO_ANSWER: CallOutcome.BROKEN,
+        return ResponseClass.WRONG_SERVER
+    if head.status in NOT_EXECUTED_STATUSES:
+        return ResponseClass.FULL if head.header(b"not-executed") is not None else ResponseClass.FAILED
+    if head.status in EXECUTED_FAILURE_STATUSES:
+        return ResponseClass.FAILED
+    return ResponseClass.FORWARD
+
+
+OUTCOME_BY_CLASS = {
+    ResponseClass.FORWARD: CallOutcome.COMPLETED,
+    ResponseClass.FULL: CallOutcome.FULL,
+    ResponseClass.WRONG_SERVER: CallOutcome.WRONG_SERVER,
+    ResponseClass.FAILED: CallOutcome.FAILED,
+    ResponseClass.INVALID: CallOutcome.BROKEN,
 }
 
 
 @attrs.frozen
-class OwnAnswer:
+class GatewayResponse:
     """An answer of the gateway's own: never a server's stamp, a body of one line."""
 
     status: int
@@ -74,11 +76,11 @@
         return found
 
 
-def answer_to(error: EmberringError) -> OwnAnswer:
+def response_to_error(error: EmberringError) -> GatewayResponse:
     """The answer to a failure, by the table of error kinds; a promise says when to come back."""
     retry_after_s = 0.0
     if error.answer.promises_not_executed:
-        retry_after_s = RETRY_SOON_S
+        retry_after_s = DEFAULT_RETRY_AFTER_S
         if isinstance(error, OverloadedError) and error.retry_after_s > 0.0:
             retry_after_s = error.retry_after_s
-    return OwnAnswer(error.answer.status, error.detail, retry_after_s)
+    return GatewayResponse(error.answer.status, error.detail, retry_after_s)
--- a/emberring/gateway/role.py
+++ b/emberring/gateway/role.py
@@ -15,14 +15,14 @@
 from emberring.distribution.follower import Follower
 from emberring.distribution.records import NodeRecord, NodeRole
 from emberring.gateway.app import Application
-from emberring.gateway.clients import ClientPort
+from emberring.gateway.clients import ClientListener
+from emberring.gateway.connection_pool import ConnectionPool
 from emberring.gateway.execution import Executor
-from emberring.gateway.graceful_shutdown import GracefulShutdown, Seen, Stage
+from emberring.gateway.graceful_shutdown import GracefulShutdown, OpenConnections, Stage
 from emberring.gateway.jobs_api import JobsApi
-from emberring.gateway.pool import ServerPool
 from emberring.gateway.readiness import Readiness, ReadinessPages
-from emberring.gateway.servers import ServerBook
-from emberring.gateway.suspicions import SuspicionReport
+from emberring.gateway.routable_servers import RoutableServers
+from emberring.gateway.suspicion_report import SuspicionReport
 from emberring.jobs.client import JobClient
 from emberring.jobs.directory import OwnerDirectory
 from emberring.jobs.runner import ItemRunner
@@ -31,9 +31,9 @@
 from emberring.transport.network import Network
 
 REFRESH_S = 0.2  # between looks at the load of servers over all gateways
-STEP_S = 0.05  # between looks while the process comes to its end
+SHUTDOWN_POLL_S = 0.05  # between looks while the process comes to its end
 SEED_BITS = 32
-ITEMS_SHARE = 0.6  # of the grace, within which items of lots that run may come to their end here
+ITEM_GRACE_SHARE = 0.6  # of the grace, within which items of lots that run may come to their end here
 
 logger = get_logger("gateway")
 
@@ -53,28 +53,28 @@
             incarnation=secrets.token_hex(8),
         )
         self.follower = Follower(self.network, me, settings.internal_seeds())
-        self.pool = ServerPool()
+        self.pool = ConnectionPool()
         self.admission = Admission(
             AdmissionSettings(zone=settings.zone), secrets.randbits(SEED_BITS), self.pool.has_idle
         )
-        self.book = ServerBook(self.follower)
-        self.executor = Executor(self.admission, self.pool, self.book)
-        self.readiness = Readiness(self.follower, self._cut_off)
+        self.routable_servers = RoutableServers(self.follower)
+        self.executor = Executor(self.admission, self.pool, self.routable_servers)
+        self.readiness = Readiness(self.follower, self._isolated)
         owners = OwnerDirectory(self.follower)
         jobs = JobsApi(JobClient(self.network, self.follower, owners))
         name = f"{me.name}/{me.incarnation}"
         self.runner = ItemRunner(self.network, self.follower, self.executor, name, owners, me.zone)
-        self.clients = ClientPort(Application(self.follower, self.executor, jobs), self._limits)
-        self.probes = ClientPort(ReadinessPages(self._ready, self._figures), ClientLimits)
+        self.clients = ClientListener(Application(self.follower, self.executor, jobs), self._limits)
+        self.probes = ClientListener(ReadinessPages(self._ready, self._metrics), ClientLimits)
         self._suspicions = SuspicionReport(self.admission)
         self._refresher: asyncio.TimerHandle | None = None
-        self._refresh_soon = False
-        self._said_ready = False
+        self._refresh_scheduled = False
+        self._reported_ready = False
 
     async def start(self) -> None:
         """Listen, and begin to learn what is to be known."""
         self.follower.report = self._report
-        self.follower.suspects = self._suspicions.told
+        self.follower.suspects = self._suspicions.suspected
         self.follower.subscribe(self._on_change)
         self.follower.subscribe_load(self._on_change)
         self.executor.on_misdirected = self._refresh
@@ -86,13 +86,13 @@
         self._tick()
         await self.runner.start()
 
-    def _report(self, word_follows: bool) -> dict[str, int]:
+    def _report(self, server_loads_follow: bool) -> dict[str, int]:
         """Calls in flight by server; with those servers to which connections rest where word of them follows."""
-        calls = self.admission.in_flight(word_follows)
+        calls = self.admission.in_flight(server_loads_follow)
         return {
             server_id: count
             for server_id, count in calls.items()
-            if count or (word_follows and self.pool.has_idle(server_id))
+            if count or (server_loads_follow and self.pool.has_idle(server_id))
         }
 
     def _limits(self) -> ClientLimits:
@@ -101,17 +101,17 @@
 
     def _ready(self) -> bool:
         ready = self.readiness.ready(self._loop.time())
-        if ready != self._said_ready:
-            self._said_ready = ready
+        if ready != self._reported_ready:
+            self._reported_ready = ready
             logger.info("event=%s servers=%d", "ready" if ready else "not_ready", len(self.follower.servers))
         return ready
 
-    def _cut_off(self) -> bool:
-        return not self.follower.in_contact and self.executor.cut_off(self._loop.time())
+    def _isolated(self) -> bool:
+        return not self.follower.in_contact and self.executor.isolated(self._loop.time())
 
     def _on_change(self) -> None:
-        if not self._refresh_soon:
-            self._refresh_soon = True
+        if not self._refresh_scheduled:
+            self._refresh_scheduled = True
             self._loop.call_soon(self._refresh)
 
     def _tick(self) -> None:
@@ -121,24 +121,24 @@
 
     def _refresh(self) -> None:
         """Tell admission and the pool what is known now."""
-        self._refresh_soon = False
+        self._refresh_scheduled = False
         follower = self.follower
         if follower.configuration is None:
             return
         services = {service.name: service for service in follower.configuration.services}
         self.admission.set_servers(
             self._loop.time(),
-            self.book.usable(),
+            self.routable_servers.all_routable(),
             services,
             follower.gateway_count,
             follower.load,
         )
-        self.book.forget_absent()
+        self.routable_servers.forget_absent()
         self.executor.forget_absent(set(follower.servers))
-        self.pool.keep_only(lambda server_id: self.book.sendable(server_id) is not None)
-        self.pool.set_shares(self.book.connection_share)
+        self.pool.keep_only(lambda server_id: self.routable_servers.routable(server_id) is not None)
+        self.pool.set_limits(self.routable_servers.connection_limit)
 
-    def _figures(self) -> dict[str, float]:
+    def _metrics(self) -> dict[str, float]:
         configuration = self.follower.configuration
         figures = {
             "ready": float(self._ready()),
@@ -150,36 +150,36 @@
             "requests_in_progress": float(self.clients.busy),
             "calls_in_flight": float(self.admission.in_flight_count),
             "items_running": float(self.runner.running),
-            "server_connections_total": float(self.pool.opened),
+            "server_connections_total": float(self.pool.opened_total),
         }
         cursor, job_share, word_age_s = self.admission.status(self._loop.time())
         figures["admission_cursor"] = float(cursor)
         figures["admission_lot_share"] = job_share
         figures["admission_word_age_seconds"] = word_age_s
-        figures.update(self._suspicions.figures())
-        for status, count in sorted(self.clients.answers.items()):
+        figures.update(self._suspicions.metrics())
+        for status, count in sorted(self.clients.responses.items()):
             figures[f'answers_total{{status="{status}"}}'] = float(count)
         return figures
 
-    async def leave(self) -> None:
+    async def shut_down_gracefully(self) -> None:
         """Finish all that is open and all that still comes, within the grace."""
-        self.readiness.leaving = True
-        self.clients.leaving = True
+        self.readiness.shutting_down = True
+        self.clients.shutting_down = True
         self.follower.me = attrs.evolve(self.follower.me, leaving=True)
         grace_s = self._settings.bounds.grace_s
-        departure = GracefulShutdown(self._loop.time(), grace_s)
-        handing_back = self._loop.create_task(self.runner.leave(grace_s * ITEMS_SHARE))
+        shutdown = GracefulShutdown(self._loop.time(), grace_s)
+        handing_back = self._loop.create_task(self.runner.leave(grace_s * ITEM_GRACE_SHARE))
         while True:
             open_now = len(self.clients.connections) + self.runner.running
-            seen = Seen(self.clients.accepted_s, open_now, self.clients.busy)
-            stage = departure.step(self._loop.time(), seen)
+            seen = OpenConnections(self.clients.accepted_s, open_now, self.clients.busy)
+            stage = shutdown.step(self._loop.time(), seen)
             if stage is Stage.END:
                 break
             if stage is Stage.STOP_LISTENING:
                 await self.clients.stop_listening()
             if stage is not Stage.SERVE:
                 self.clients.close_idle()
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(SHUTDOWN_POLL_S)
         handing_back.cancel()
 
     async def stop(self) -> None:
@@ -193,7 +193,7 @@
         self.probes.abort()
         self.pool.close()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(STEP_S):
+            async with asyncio.timeout(SHUTDOWN_POLL_S):
                 await self.follower.stop()
         await self.network.close()
 
@@ -210,6 +210,6 @@
     logger.info("event=started frontend=%s", settings.listen.frontend)
     await told_to_end.wait()
     logger.info("event=leaving")
-    await gateway.leave()
+    await gateway.shut_down_gracefully()
     await gateway.stop()
     logger.info("event=ended")
--- a/emberring/gateway/suspicions.py
+++ b/emberring/gateway/suspicion_report.py
@@ -17,14 +17,14 @@
 
     def __init__(self, admission: Admission) -> None:
         self._admission = admission
-        self._begun: Counter[Fault] = Counter()
+        self._suspicion_counts: Counter[Fault] = Counter()
 
     def check(self, now_s: float) -> None:
         """Write a line for each server that came into trouble, or is well again."""
         for change in self._admission.check_servers(now_s):
-            self._tell(now_s, change)
+            self._log_change(now_s, change)
 
-    def _tell(self, now_s: float, change: SuspicionChange) -> None:
+    def _log_change(self, now_s: float, change: SuspicionChange) -> None:
         server = change.server
         if change.fault is None:
             logger.info(
@@ -34,7 +34,7 @@
                 change.duration_s,
             )
             return
-        self._begun[change.fault] += 1
+        self._suspicion_counts[change.fault] += 1
         logger.info(
             "event=server_suspected server=%s address=%s zone=%s trouble=%s failed_share=%.2f slowness=%.1f calls=%d",
             server.record.id,
@@ -46,15 +46,15 @@
             len(server.calls),
         )
 
-    def told(self) -> dict[str, str]:
+    def suspected(self) -> dict[str, str]:
         """The servers suspected now and of what, for `Follower.suspects`."""
-        return {
-            server_id: trouble.value for server_id, trouble in self._admission.suspected_servers().items()
-        }
+        return {server_id: fault.value for server_id, fault in self._admission.suspected_servers().items()}
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """For the page of figures."""
         figures = {"servers_suspected": float(len(self._admission.suspected_servers()))}
-        for trouble in Fault:
-            figures[f'server_suspicions_total{{trouble="{trouble.value}"}}'] = float(self._begun[trouble])
+        for fault in Fault:
+            figures[f'server_suspicions_total{{trouble="{fault.value}"}}'] = float(
+                self._suspicion_counts[fault]
+            )
         return figures
--- a/emberring/gateway/upstream.py
+++ b/emberring/gateway/upstream.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from emberring.gateway.messages import BODILESS_STATUSES, AnswerHead, Header
+from emberring.gateway.messages import BODILESS_STATUSES, Header, ResponseHead
 from loadbalancer.core.outgoing import Outgoing
 
 MAX_HEAD_BYTES = 32 * 1024
@@ -18,7 +18,7 @@
 class Exchange(Protocol):
     """Where the answer to one request goes. After `complete` or `lost` nothing more comes."""
 
-    def head(self, head: AnswerHead) -> None:
+    def head(self, head: ResponseHead) -> None:
         """The head of the answer to this very request."""
 
     def body(self, data: bytes) -> None:
@@ -42,7 +42,7 @@
         self.exchange.complete()
 
     def lost(self, written: bool) -> None:
-        self.exchange.lost(self.connection.touched)
+        self.exchange.lost(self.connection.possibly_sent)
 
 
 class ServerConnection(Outgoing):
@@ -57,22 +57,22 @@
         self._headers: list[Header] = []
         self._head_bytes = 0
         self._in_head = False
-        self._skipping = False
-        self._whole = False
-        self.touched = False
+        self._discarding = False
+        self._completed = False
+        self.possibly_sent = False
         self.keep_alive_s: float | None = None
-        self.failed_ids: set[bytes] = set()  # of requests that were answered with a failure here
+        self.failed_request_ids: set[bytes] = set()  # of requests that were answered with a failure here
 
     def start(self, data: bytes, request_id: bytes, bodiless: bool, exchange: Exchange) -> None:
-        """Send a request; `bodiless`: its method is HEAD. Afterwards `touched` tells whether a byte may have left."""
+        """Send a request; `bodiless`: its method is HEAD. Afterwards `possibly_sent` tells whether a byte may have left."""
         self._request_id = request_id
         self._bodiless = bodiless
-        self._in_head, self._head_bytes, self._whole, self._skipping = True, 0, False, False
+        self._in_head, self._head_bytes, self._completed, self._discarding = True, 0, False, False
         self._relay = _Relay(self, exchange)
         self._send(data, self._relay)
         assert self._transport is not None
         # A write that fails at once has taken no byte; anything else may have.
-        self.touched = not self._transport.is_closing()
+        self.possibly_sent = not self._transport.is_closing()
 
     def pause(self) -> None:
         """Read no more until `resume`: the caller takes the answer slower than it comes."""
@@ -98,7 +98,7 @@
             self._spoilt = True
         if self._in_head and self._head_bytes > MAX_HEAD_BYTES:
             self._spoilt = True
-        if self._whole:
+        if self._completed:
             self._finish_exchange()
         elif self._spoilt:
             self._relay = None
@@ -120,7 +120,7 @@
     def on_message_begin(self) -> None:
         self._headers = []
         self._in_head = True
-        if self._whole:
+        if self._completed:
             self._spoilt = True  # more than was asked for: the connection is not used again
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -129,28 +129,28 @@
 
     def on_headers_complete(self) -> None:
         status = self._parser.get_status_code()
-        if self._whole or status < FINAL_FROM:
+        if self._completed or status < FINAL_FROM:
             return
         self._in_head = False
         head = self._read_head(status)
         if head is None or self._relay is None:
             self._spoilt = True
             return
-        if self._skipping:
+        if self._discarding:
             return
         if status >= SUCCESS_BELOW:
-            self.failed_ids.add(self._request_id)
+            self.failed_request_ids.add(self._request_id)
         bodiless = self._bodiless or status in BODILESS_STATUSES
         if not bodiless and head.length is None and not self._is_chunked():
             self._spoilt = True  # only the connection's end would end it, and that could be a break too
             return
         self._relay.exchange.head(head)
         if bodiless:
-            self._whole, self._bodiless = True, True
+            self._completed, self._bodiless = True, True
             if not self._parser.should_keep_alive():
                 self._spoilt = True
 
-    def _read_head(self, status: int) -> AnswerHead | None:
+    def _read_head(self, status: int) -> ResponseHead | None:
         """The head, or None where it can't be trusted; sets whether this answer is another request's."""
         length = found_id = None
         for name, value in self._headers:
@@ -162,31 +162,31 @@
                 found_id = value
             elif name == b"keep-alive":
                 self.keep_alive_s = _timeout_of(value, self.keep_alive_s)
-        self._skipping = found_id is not None and found_id != self._request_id
+        self._discarding = found_id is not None and found_id != self._request_id
         success = SUCCESS_FROM <= status < SUCCESS_BELOW
         if found_id is None and self._request_id and success:
             return None
-        return AnswerHead(status, tuple(self._headers), length)
+        return ResponseHead(status, tuple(self._headers), length)
 
     def _is_chunked(self) -> bool:
         return any(name == b"transfer-encoding" for name, _ in self._headers)
 
     def on_body(self, body: bytes) -> None:
-        if self._whole or self._spoilt:
+        if self._completed or self._spoilt:
             self._spoilt = True
-        elif not self._skipping and self._relay is not None:
+        elif not self._discarding and self._relay is not None:
             self._relay.exchange.body(body)
 
     def on_message_complete(self) -> None:
-        if self._whole or self._spoilt:
+        if self._completed or self._spoilt:
             return
         if not self._parser.should_keep_alive():
             self._spoilt = True
-        if self._in_head or self._skipping:  # an interim or a surplus answer: the right one may follow
-            self._skipping = False
+        if self._in_head or self._discarding:  # an interim or a surplus answer: the right one may follow
+            self._discarding = False
             self._in_head, self._head_bytes = True, 0
             return
-        self._whole = True
+        self._completed = True
 
 
 def _timeout_of(value: bytes, known: float | None) -> float | None:
--- a/tests/emberring/admission/test_tier_suspicion.py
+++ b/tests/emberring/admission/test_tier_suspicion.py
@@ -10,7 +10,7 @@
 from emberring.admission.server import ServerView
 from emberring.admission.suspicion import REINSTATE_AFTER_S, SuspicionTable, detect_fault
 from emberring.distribution.records import ServerRecord, ServerState
-from emberring.gateway.suspicions import SuspicionReport
+from emberring.gateway.suspicion_report import SuspicionReport
 from emberring.registry.faults import Fault
 from emberring.registry.known_load import NO_LOAD
 
@@ -94,19 +94,19 @@
     admission.set_servers(0.0, records, {}, 1, NO_LOAD)
     report = SuspicionReport(admission)
     report.check(0.0)
-    assert report.told() == {}
-    assert report.figures()["servers_suspected"] == 0.0
+    assert report.suspected() == {}
+    assert report.metrics()["servers_suspected"] == 0.0
     decision = admission.offer(0.0, CallInfo("c", "llm", "r", tokens_in=500, tokens_out=100))
     assert isinstance(decision, Admitted)
     admission.finished(0.1, "c", CallOutcome.CONNECT_FAILED)
     report.check(0.1)
-    assert report.told() == {decision.server_id: "unreachable"}
-    figures = report.figures()
+    assert report.suspected() == {decision.server_id: "unreachable"}
+    figures = report.metrics()
     assert figures["servers_suspected"] == 1.0
     assert figures['server_suspicions_total{trouble="unreachable"}'] == 1.0
     admission.set_servers(
         0.2, [record for record in records if record.id != decision.server_id], {}, 1, NO_LOAD
     )
     report.check(0.2)
-    assert report.told() == {}
-    assert report.figures()['server_suspicions_total{trouble="unreachable"}'] == 1.0
+    assert report.suspected() == {}
+    assert report.metrics()['server_suspicions_total{trouble="unreachable"}'] == 1.0
--- a/tests/emberring/gateway/gateway_world.py
+++ b/tests/emberring/gateway/gateway_world.py
@@ -12,17 +12,19 @@
 from emberring.admission.types import Admitted, CallInfo, CallOutcome, Decision, NoServer
 from emberring.configuration.model import ClientLimits, Configuration, Route, RouteType, Service, Share
 from emberring.distribution.records import ServerRecord, ServerState
-from emberring.gateway import pool
+from emberring.gateway import connection_pool
 from emberring.gateway.app import Application
-from emberring.gateway.clients import ClientPort
+from emberring.gateway.clients import ClientListener
+from emberring.gateway.connection_pool import ConnectionPool
 from emberring.gateway.execution import Executor
-from emberring.gateway.jobs_api import JobsApi, NoJobs
-from emberring.gateway.pool import ServerPool
-from emberring.gateway.servers import ServerBook
+from emberring.gateway.jobs_api import JobsApi, UnavailableJobs
+from emberring.gateway.routable_servers import RoutableServers
 
 HOST = "bank.example"
 PATIENCE_S = 20.0  # after which a test has failed
-OWN_CONNECT_TIMEOUT_S = pool.CONNECT_TIMEOUT_S  # the program's; tests wait longer where they are not about it
+OWN_CONNECT_TIMEOUT_S = (
+    connection_pool.CONNECT_TIMEOUT_S
+)  # the program's; tests wait longer where they are not about it
 
 
 @attrs.define
@@ -320,17 +322,19 @@
         services = (Service("s", max_connections=100, capacity=8),)
         self.directory = FakeDirectory(Configuration(1, routes, services, limits or ClientLimits()))
         self.admission = FakeAdmission(self.directory)
-        self.pool = ServerPool()
-        self.book = ServerBook(self.directory)
-        self.pool.set_shares(self.book.connection_share)
-        self.executor = Executor(self.admission, self.pool, self.book)
-        self.jobs: Any = NoJobs()
+        self.pool = ConnectionPool()
+        self.routable_servers = RoutableServers(self.directory)
+        self.pool.set_limits(self.routable_servers.connection_limit)
+        self.executor = Executor(self.admission, self.pool, self.routable_servers)
+        self.jobs: Any = UnavailableJobs()
         self.servers: list[ScriptedServer] = []
         self.clients: list[Client] = []
-        self.port: ClientPort
+        self.port: ClientListener
 
     async def start(self) -> None:
-        self.port = ClientPort(Application(self.directory, self.executor, JobsApi(self.jobs)), self.limits)
+        self.port = ClientListener(
+            Application(self.directory, self.executor, JobsApi(self.jobs)), self.limits
+        )
         await self.port.listen("127.0.0.1:0")
 
     def limits(self) -> ClientLimits:
--- a/tests/emberring/gateway/test_tier_connect_timeout.py
+++ b/tests/emberring/gateway/test_tier_connect_timeout.py
@@ -4,7 +4,13 @@
 
 import pytest
 
-from emberring.gateway.connect_timeout import ENOUGH, LEAST_S, MOST_S, TIMES_USUAL, ConnectTimeoutEstimator
+from emberring.gateway.connect_timeout import (
+    MAX_CONNECT_TIMEOUT_S,
+    MIN_CONNECT_TIMEOUT_S,
+    MIN_SAMPLES,
+    TIMEOUT_FACTOR,
+    ConnectTimeoutEstimator,
+)
 
 
 @pytest.fixture
@@ -15,21 +21,21 @@
 def learned(seconds: float, count: int = 50) -> ConnectTimeoutEstimator:
     patience = ConnectTimeoutEstimator()
     for _ in range(count):
-        patience.came_up(seconds)
+        patience.record_connected(seconds)
     return patience
 
 
 @pytest.mark.parametrize(
     ("usual_s", "limit_s"),
-    [(0.002, LEAST_S), (0.02, 0.02 * TIMES_USUAL), (0.1, MOST_S)],
+    [(0.002, MIN_CONNECT_TIMEOUT_S), (0.02, 0.02 * TIMEOUT_FACTOR), (0.1, MAX_CONNECT_TIMEOUT_S)],
 )
 def test_the_limit_follows_what_is_usual_within_bounds(usual_s: float, limit_s: float) -> None:
-    assert learned(usual_s).limit_s() == pytest.approx(limit_s)
+    assert learned(usual_s).timeout_s() == pytest.approx(limit_s)
 
 
 def test_a_few_connections_say_nothing_yet() -> None:
-    assert learned(0.002, ENOUGH - 1).limit_s() == MOST_S
-    assert learned(0.002, ENOUGH).limit_s() == LEAST_S
+    assert learned(0.002, MIN_SAMPLES - 1).timeout_s() == MAX_CONNECT_TIMEOUT_S
+    assert learned(0.002, MIN_SAMPLES).timeout_s() == MIN_CONNECT_TIMEOUT_S
 
 
 def test_a_process_that_turned_slow_gets_its_patience_back() -> None:
@@ -37,16 +43,16 @@
     patience = learned(0.002)
     limits = []
     for _ in range(60):
-        limits.append(patience.limit_s())
-        patience.gave_up(patience.limit_s())
+        limits.append(patience.timeout_s())
+        patience.record_timeout(patience.timeout_s())
     assert limits == sorted(limits)
-    assert patience.limit_s() == pytest.approx(MOST_S, abs=0.01)
+    assert patience.timeout_s() == pytest.approx(MAX_CONNECT_TIMEOUT_S, abs=0.01)
 
 
 def test_one_dark_server_among_many_leaves_it_short() -> None:
     patience = learned(0.002)
     for _ in range(20):
         for _ in range(9):
-            patience.came_up(0.002)
-        patience.gave_up(patience.limit_s())
-    assert patience.limit_s() <= 2 * LEAST_S
+            patience.record_connected(0.002)
+        patience.record_timeout(patience.timeout_s())
+    assert patience.timeout_s() <= 2 * MIN_CONNECT_TIMEOUT_S
--- a/tests/emberring/gateway/test_tier_gateway_clients.py
+++ b/tests/emberring/gateway/test_tier_gateway_clients.py
@@ -23,7 +23,7 @@
 
 from emberring.configuration.model import ClientLimits
 from emberring.gateway.graceful_shutdown import GracefulShutdown, Stage
-from emberring.gateway.graceful_shutdown import Seen as Open
+from emberring.gateway.graceful_shutdown import OpenConnections as Open
 
 TIGHT = ClientLimits(
     max_header_bytes=400, max_body_bytes=1000, header_timeout_ms=150.0, idle_timeout_ms=200.0
@@ -199,7 +199,7 @@
         assert (await resting.ask("/once/1")).headers.get("connection") is None
         data = request("/once/2")
         await half.send(data[:30])
-        world.port.leaving = True
+        world.port.shutting_down = True
         answer = await resting.ask("/once/3")
         assert (answer.status, answer.headers["connection"]) == (200, "close")
         late = await world.client()
@@ -222,7 +222,7 @@
         clients = [await Client.connect(world.port.port) for _ in range(20)]
         for client in clients:
             client.writer.write(request("/once/1"))
-        world.port.leaving = True
+        world.port.shutting_down = True
         await world.port.stop_listening()
         world.port.close_idle()
         for client in clients:
@@ -258,6 +258,6 @@
     ],
 )
 def test_departure_after_listening(now_s: float, seen: Open, stage: Stage) -> None:
-    departure = GracefulShutdown(0.0, 8.0)
-    assert departure.step(2.4, Open(0.0, 2, 1)) is Stage.STOP_LISTENING
-    assert departure.step(now_s, seen) is stage
+    shutdown = GracefulShutdown(0.0, 8.0)
+    assert shutdown.step(2.4, Open(0.0, 2, 1)) is Stage.STOP_LISTENING
+    assert shutdown.step(now_s, seen) is stage
--- a/tests/emberring/gateway/test_tier_gateway_failures.py
+++ b/tests/emberring/gateway/test_tier_gateway_failures.py
@@ -26,8 +26,8 @@
 from emberring.admission.types import Refused
 from emberring.configuration.model import RouteType
 from emberring.distribution.records import ServerState
-from emberring.gateway import attempt, execution, pool
-from emberring.gateway.reply import Patience
+from emberring.gateway import attempt, connection_pool, execution
+from emberring.gateway.response import ResponseTimeouts
 
 REPEATABLE = ("/again/1", "/plain/1")
 ONCE = ("/live/1", "/once/1")
@@ -208,7 +208,7 @@
         for number in range(3):
             assert (await client.ask(request_id=f"r{number}")).status == 200
         assert (len(first.seen), len(second.seen)) == (1, 3)
-        assert world.book.sendable(first.id) is None
+        assert world.routable_servers.routable(first.id) is None
         assert world.pool.size(first.id) == 0
 
     play(story)
@@ -222,7 +222,7 @@
         await world.server(other_version, say_ok)
         await world.server(say_ok)
         assert (await (await world.client()).ask()).status == 200
-        assert world.book.sendable("i-1") is not None
+        assert world.routable_servers.routable("i-1") is not None
 
     play(story)
 
@@ -243,7 +243,7 @@
 
 
 def test_a_connection_that_does_not_come_up_is_given_up_soon(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pool, "CONNECT_TIMEOUT_S", OWN_CONNECT_TIMEOUT_S)
+    monkeypatch.setattr(connection_pool, "CONNECT_TIMEOUT_S", OWN_CONNECT_TIMEOUT_S)
 
     async def story(world: World) -> None:
         with socket.socket() as stuffed:
@@ -280,15 +280,15 @@
 def test_a_drain_known_while_a_connection_opens_holds() -> None:
     async def story(world: World) -> None:
         first, second = await world.server(say_ok), await world.server(say_ok)
-        take = world.pool.take
+        take = world.pool.acquire
 
-        async def take_and_drain(server_id: str, address: str, request_id: bytes, sure: bool):  # type: ignore[no-untyped-def]
-            found = await take(server_id, address, request_id, sure)
+        async def take_and_drain(server_id: str, address: str, request_id: bytes, verify: bool):  # type: ignore[no-untyped-def]
+            found = await take(server_id, address, request_id, verify)
             if server_id == first.id:
                 world.know(first.id, first.address, ServerState.DRAINING)
             return found
 
-        world.pool.take = take_and_drain  # type: ignore[method-assign]
+        world.pool.acquire = take_and_drain  # type: ignore[method-assign]
         assert (await (await world.client()).ask()).status == 200
         assert (len(first.seen), len(second.seen)) == (0, 1)
 
@@ -314,7 +314,7 @@
 
 
 def test_a_caller_that_leaves_a_silent_server_tells_of_its_silence(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(attempt, "SILENT_FROM_S", 0.05)
+    monkeypatch.setattr(attempt, "SILENT_AFTER_S", 0.05)
 
     async def story(world: World) -> None:
         async def silent(side: Side, seen: Seen) -> None:
@@ -638,10 +638,10 @@
     async def story(world: World) -> None:
         server = await world.server(say_ok)
 
-        async def never(server_id: str, address: str, request_id: bytes, sure: bool) -> None:
+        async def never(server_id: str, address: str, request_id: bytes, verify: bool) -> None:
             await asyncio.Event().wait()
 
-        world.pool.take = never  # type: ignore[method-assign, assignment]
+        world.pool.acquire = never  # type: ignore[method-assign, assignment]
         answer = await (await world.client()).ask("/short/1")
         assert answer.status == 503
         assert float(answer.headers["retry-after"]) > 0.0
@@ -652,7 +652,7 @@
 
 @pytest.mark.parametrize("path", REPEATABLE)
 def test_a_server_gone_dark_is_left_for_another(path: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(execution, "LIVE_PATIENCE", Patience(0.1, 0.2))
+    monkeypatch.setattr(execution, "LIVE_RESPONSE_TIMEOUTS", ResponseTimeouts(0.1, 0.2))
 
     async def story(world: World) -> None:
         async def silent(side: Side, seen: Seen) -> None:
@@ -668,7 +668,7 @@
 
 
 def test_a_stream_that_falls_silent_goes_on_elsewhere(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(execution, "LIVE_PATIENCE", Patience(0.1, 0.2))
+    monkeypatch.setattr(execution, "LIVE_RESPONSE_TIMEOUTS", ResponseTimeouts(0.1, 0.2))
 
     async def story(world: World) -> None:
         async def begin(side: Side, seen: Seen) -> None:
--- a/tests/emberring/gateway/test_tier_gateway_items.py
+++ b/tests/emberring/gateway/test_tier_gateway_items.py
@@ -32,11 +32,11 @@
     UnknownOutcomeError,
 )
 from emberring.gateway import execution, jobs_api
-from emberring.gateway.reply import Patience
+from emberring.gateway.response import ResponseTimeouts
 from emberring.jobs.items import ItemCall, ItemEvent, OutcomeKind
 
 ROUTE = route("/lots/", RouteType.BATCH)
-SHORT = Patience(0.1, 0.2)
+SHORT = ResponseTimeouts(0.1, 0.2)
 
 
 def item(resume_after: int | None = None, allowed: Callable[[], bool] = lambda: True) -> ItemCall:
@@ -120,7 +120,9 @@
 ) -> None:
     # Only silence is to be found out soon.
     monkeypatch.setattr(
-        execution, "ITEM_PATIENCE", SHORT if script is silent else Patience(PATIENCE_S, PATIENCE_S)
+        execution,
+        "ITEM_RESPONSE_TIMEOUTS",
+        SHORT if script is silent else ResponseTimeouts(PATIENCE_S, PATIENCE_S),
     )
 
     async def story(world: World) -> None:
@@ -344,7 +346,7 @@
 
 @pytest.mark.parametrize(("data", "status"), [(SUBMIT, 504), (READ, 503), (ITEM, 503), (END, 504)])
 def test_stores_that_never_answer(data: bytes, status: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    for name in ("READ_SLACK_S", "END_LIMIT_S"):
+    for name in ("READ_MARGIN_S", "CANCEL_TIMEOUT_S"):
         monkeypatch.setattr(jobs_api, name, 0.1)
     monkeypatch.setattr(jobs_api, "MAX_WAIT_MS", 50.0)
 
--- a/tests/emberring/gateway/test_tier_gateway_pure.py
+++ b/tests/emberring/gateway/test_tier_gateway_pure.py
@@ -14,12 +14,12 @@
 from emberring.configuration.model import ClientLimits, Configuration, RouteType, Service, Share
 from emberring.distribution.records import ServerRecord, ServerState
 from emberring.errors import NotReadyError, OverloadedError, QuotaExceededError
-from emberring.gateway.answers import Verdict, answer_to, judge
-from emberring.gateway.calls import choose_service, read_milliseconds, read_parts, read_token_count
-from emberring.gateway.events import EventCutter
-from emberring.gateway.messages import AnswerHead, ClientRequest, render_request
+from emberring.gateway.calls import choose_service, read_milliseconds, read_prefix_parts, read_token_count
+from emberring.gateway.events import EventParser
+from emberring.gateway.messages import ClientRequest, ResponseHead, render_request
 from emberring.gateway.readiness import SERVERS_WAIT_S, Readiness, render_metrics
-from emberring.gateway.servers import UNLIMITED, ServerBook
+from emberring.gateway.responses import ResponseClass, classify_response, response_to_error
+from emberring.gateway.routable_servers import DEFAULT_CONNECTION_LIMIT, RoutableServers
 
 BLANKS = st.sampled_from([b"\n\n", b"\r\n\r\n", b"\n\r\n", b"\r\r"])
 TEXT = st.text(st.characters(exclude_characters="\r\n", codec="utf-8"), max_size=20).map(str.encode)
@@ -38,12 +38,12 @@
         first = b"" if number is None else b"id: %d" % number + line_end
         raws.append(first + b"data: " + text + blank)
     stream, found, at, turn = b"".join(raws), [], 0, 0
-    cutter = EventCutter()
+    parser = EventParser()
     while at < len(stream):
         size = cuts[turn % len(cuts)]
-        found += cutter.feed(stream[at : at + size])
+        found += parser.feed(stream[at : at + size])
         at, turn = at + size, turn + 1
-    assert b"".join(event.raw for event in found) + cutter.rest() == stream
+    assert b"".join(event.raw for event in found) + parser.rest() == stream
     assert [event.id for event in found] == [number for number, _, _ in wanted]
     assert [event.data for event in found] == [text for _, text, _ in wanted]
 
@@ -59,41 +59,43 @@
     ],
 )
 def test_what_stands_in_an_event(raw: bytes, number: int | None, data: bytes) -> None:
-    (found,) = EventCutter().feed(raw)
+    (found,) = EventParser().feed(raw)
     assert (found.raw, found.id, found.data) == (raw, number, data)
 
 
 def test_an_event_that_is_cut_is_held() -> None:
-    cutter = EventCutter()
-    assert cutter.feed(event(1)[:-1]) == []
-    assert (cutter.pending, cutter.rest()) == (len(event(1)) - 1, event(1)[:-1])
-    assert not cutter.too_long
-    cutter.feed(b"x" * (1024 * 1024))
-    assert cutter.too_long
+    parser = EventParser()
+    assert parser.feed(event(1)[:-1]) == []
+    assert (parser.pending, parser.rest()) == (len(event(1)) - 1, event(1)[:-1])
+    assert not parser.too_long
+    parser.feed(b"x" * (1024 * 1024))
+    assert parser.too_long
 
 
 @pytest.mark.parametrize(
-    ("status", "headers", "verdict"),
+    ("status", "headers", "response_class"),
     [
-        (200, {b"response-signature": b"s"}, Verdict.PASS_ON),
-        (206, {b"response-signature": b"s"}, Verdict.PASS_ON),
-        (200, {}, Verdict.NO_ANSWER),
-        (200, {b"response-signature": b"s", b"content-encoding": b"gzip"}, Verdict.NO_ANSWER),
-        (421, {}, Verdict.WRONG_SERVER),
-        (503, {b"not-executed": b"1"}, Verdict.FULL),
-        (429, {b"not-executed": b"1"}, Verdict.FULL),
-        (408, {b"not-executed": b"1"}, Verdict.FULL),
-        (503, {}, Verdict.FAILED),
-        (429, {}, Verdict.FAILED),
-        (500, {b"response-signature": b"s"}, Verdict.FAILED),
-        (504, {}, Verdict.FAILED),
-        (422, {}, Verdict.PASS_ON),
-        (400, {b"not-executed": b"1"}, Verdict.PASS_ON),
-        (302, {}, Verdict.PASS_ON),
+        (200, {b"response-signature": b"s"}, ResponseClass.FORWARD),
+        (206, {b"response-signature": b"s"}, ResponseClass.FORWARD),
+        (200, {}, ResponseClass.INVALID),
+        (200, {b"response-signature": b"s", b"content-encoding": b"gzip"}, ResponseClass.INVALID),
+        (421, {}, ResponseClass.WRONG_SERVER),
+        (503, {b"not-executed": b"1"}, ResponseClass.FULL),
+        (429, {b"not-executed": b"1"}, ResponseClass.FULL),
+        (408, {b"not-executed": b"1"}, ResponseClass.FULL),
+        (503, {}, ResponseClass.FAILED),
+        (429, {}, ResponseClass.FAILED),
+        (500, {b"response-signature": b"s"}, ResponseClass.FAILED),
+        (504, {}, ResponseClass.FAILED),
+        (422, {}, ResponseClass.FORWARD),
+        (400, {b"not-executed": b"1"}, ResponseClass.FORWARD),
+        (302, {}, ResponseClass.FORWARD),
     ],
 )
-def test_what_an_answer_stands_for(status: int, headers: dict[bytes, bytes], verdict: Verdict) -> None:
-    assert judge(AnswerHead(status, tuple(headers.items()), 0)) is verdict
+def test_what_an_answer_stands_for(
+    status: int, headers: dict[bytes, bytes], response_class: ResponseClass
+) -> None:
+    assert classify_response(ResponseHead(status, tuple(headers.items()), 0)) is response_class
 
 
 @pytest.mark.parametrize(
@@ -107,7 +109,7 @@
 def test_answers_that_promise_say_when_to_come_back(
     error: NotReadyError, status: int, retry_after: bytes
 ) -> None:
-    answer = answer_to(error)
+    answer = response_to_error(error)
     assert answer.status == status
     assert dict(answer.headers(b"r1"))[b"retry-after"] == retry_after
     assert dict(answer.headers(b"r1"))[b"request-id"] == b"r1"
@@ -138,7 +140,7 @@
     ],
 )
 def test_parts_of_a_prompt(value: bytes | None, found: tuple[PrefixPart, ...]) -> None:
-    assert read_parts(value) == found
+    assert read_prefix_parts(value) == found
 
 
 @pytest.mark.parametrize(
@@ -176,7 +178,7 @@
 
 
 @pytest.mark.parametrize(
-    ("headers", "left_ms", "last", "there", "absent"),
+    ("headers", "remaining_ms", "last", "there", "absent"),
     [
         ({"deadline_ms": "9"}, 5, None, [b"Deadline-Ms: 5"], [b"deadline-ms: 9"]),
         ({"deadline_ms": "9"}, None, None, [b"deadline-ms: 9"], [b"Deadline-Ms"]),
@@ -189,9 +191,13 @@
     ],
 )
 def test_the_bytes_that_a_server_gets(
-    headers: dict[str, str], left_ms: int | None, last: int | None, there: list[bytes], absent: list[bytes]
+    headers: dict[str, str],
+    remaining_ms: int | None,
+    last: int | None,
+    there: list[bytes],
+    absent: list[bytes],
 ) -> None:
-    data = render_request(made(**headers), "i-1", left_ms, last)
+    data = render_request(made(**headers), "i-1", remaining_ms, last)
     assert data.startswith(b"POST /a?b HTTP/1.1\r\nHost: bank.example\r\n")
     assert data.endswith(b"\r\n\r\nbody")
     for line in there:
@@ -212,15 +218,15 @@
 
 def test_who_may_get_something_new() -> None:
     known = directory()
-    book = ServerBook(known)
-    assert [fact.id for fact in book.usable()] == ["i-0", "i-2"]
-    assert book.sendable("i-1") is None
-    assert book.sendable("i-9") is None
-    book.misdirect("i-0")
-    assert book.sendable("i-0") is None
+    book = RoutableServers(known)
+    assert [fact.id for fact in book.all_routable()] == ["i-0", "i-2"]
+    assert book.routable("i-1") is None
+    assert book.routable("i-9") is None
+    book.mark_misdirected("i-0")
+    assert book.routable("i-0") is None
     assert not book.has_servers("s")
     book.forget_absent()
-    assert book.sendable("i-0") is None
+    assert book.routable("i-0") is None
     del known.servers["i-0"]
     book.forget_absent()
     assert book.has_servers("t")
@@ -230,9 +236,9 @@
 def test_a_share_of_the_connections(gateways: int, share: int) -> None:
     known = directory()
     known.gateway_count = gateways
-    assert ServerBook(known).connection_share("i-0") == share
-    assert ServerBook(known).connection_share("i-2") == UNLIMITED
-    assert ServerBook(known).connection_share("i-9") == UNLIMITED
+    assert RoutableServers(known).connection_limit("i-0") == share
+    assert RoutableServers(known).connection_limit("i-2") == DEFAULT_CONNECTION_LIMIT
+    assert RoutableServers(known).connection_limit("i-9") == DEFAULT_CONNECTION_LIMIT
 
 
 def test_ready_with_a_configuration_and_servers_until_it_leaves() -> None:
@@ -248,7 +254,7 @@
     assert readiness.ready(1.5)
     known.servers = {}
     assert readiness.ready(1.6)
-    readiness.leaving = True
+    readiness.shutting_down = True
     assert not readiness.ready(1.7)
 
 
--- a/tests/emberring/gateway/test_tier_gateway_role.py
+++ b/tests/emberring/gateway/test_tier_gateway_role.py
@@ -132,11 +132,11 @@
         assert b"emberring_gateway_admission_lot_share 0.85\n" in metrics.body
         assert (await ask(probe, b"GET /x HTTP/1.1\r\nHost: n\r\n\r\n")).status == 404
         control.facts.append(ServerRecord("i-1", "s", server.address, "z", 4, ServerState.DRAINING, 2))
-        await until(lambda: gateway.book.sendable("i-1") is None)
+        await until(lambda: gateway.routable_servers.routable("i-1") is None)
         assert (await ask(front, request())).status == 503
         assert len(server.seen) == 1
-        leaving = asyncio.create_task(gateway.leave())
-        await until(lambda: gateway.clients.leaving)
+        leaving = asyncio.create_task(gateway.shut_down_gracefully())
+        await until(lambda: gateway.clients.shutting_down)
         assert (await ask(probe, PROBE)).status == 503
         assert (await ask(front, request())).headers["connection"] == "close"
         await leaving
@@ -147,7 +147,7 @@
 
 
 def test_a_gateway_that_leaves_answers_what_is_open(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(graceful_shutdown, "UNNOTICED_S", 0.1)
+    monkeypatch.setattr(graceful_shutdown, "READINESS_DETECTION_S", 0.1)
 
     async def story(settings: Settings, control: FakeControl, server: ScriptedServer) -> None:
         told = asyncio.Event()
@@ -165,7 +165,7 @@
         client = await Client.connect(gateway.clients.port)
         await client.send(request())
         await server.arrived.wait()
-        leaving = asyncio.create_task(gateway.leave())
+        leaving = asyncio.create_task(gateway.shut_down_gracefully())
         await until(lambda: gateway.clients._server is None)
         assert not leaving.done()
         told.set()
--- a/tests/golden/test_golden_errors.py
+++ b/tests/golden/test_golden_errors.py
@@ -12,7 +12,7 @@
 from emberring.cli.printing import exit_code_of
 from emberring.control.app import ControlApp
 from emberring.errors import ANSWERS, ErrorKind, InvalidConfigurationError, OverloadedError, error_from_wire
-from emberring.gateway.answers import answer_to
+from emberring.gateway.responses import response_to_error
 
 KINDS = [kind.value for kind in ErrorKind]
 DETAIL = "what went wrong, größer"
@@ -58,7 +58,7 @@
 
 def gateway_answer(error: Any) -> dict[str, Any]:
     """What a gateway answers when a request ends with this error."""
-    answer = answer_to(error)
+    answer = response_to_error(error)
     headers = [[name.decode(), value.decode()] for name, value in answer.headers(b"request-1")]
     return {"status": answer.status, "headers": headers, "body": answer.body.decode()}
 
--- a/tests/golden/test_golden_http.py
+++ b/tests/golden/test_golden_http.py
@@ -25,7 +25,7 @@
 
 from emberring.admission.types import Refused
 from emberring.distribution.records import NodeRole, ServerRecord, ServerState
-from emberring.gateway import connect_timeout, pool
+from emberring.gateway import connect_timeout, connection_pool
 from emberring.gateway.role import Gateway
 from emberring.journal.folder import DiskFile
 
@@ -36,8 +36,8 @@
 @pytest.fixture(autouse=True)
 def unhurried(monkeypatch: pytest.MonkeyPatch) -> None:
     """A busy machine and its disk are not what these tests are about."""
-    monkeypatch.setattr(pool, "CONNECT_TIMEOUT_S", PATIENCE_S)
-    monkeypatch.setattr(connect_timeout, "LEAST_S", PATIENCE_S)
+    monkeypatch.setattr(connection_pool, "CONNECT_TIMEOUT_S", PATIENCE_S)
+    monkeypatch.setattr(connect_timeout, "MIN_CONNECT_TIMEOUT_S", PATIENCE_S)
     monkeypatch.setattr(DiskFile, "sync", lambda self: None)
 
 
@@ -356,7 +356,7 @@
             await eventually(lambda: board.state.placement is not None and len(first.placement.stores) == 4)
             assert (await ask("heartbeat", "PUT", "/v1/instances/i-1", a_heartbeat(1))).status == 200
             await eventually(lambda: "i-1" in gateway.servers)
-            gateway.report = lambda word_follows: {"i-1": 3}
+            gateway.report = lambda server_loads_follow: {"i-1": 3}
             gateway.suspects = lambda: {"i-1": "silent"}
             page: dict[str, Any] = {}
             give_up_at = now() + 5.0
