--- a/emberring/gateway/app.py
+++ b/emberring/gateway/app.py
@@ -1,15 +1,15 @@
-"""The application behind the clients' listener: reads a request whole, finds its route, has it carried out."""
+"""The application behind the clients' listener: reads a complete request, finds its route, has it executed."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-from typing import Any
 
 import attrs
 
 from emberring.configuration.model import ClientLimits, Configuration, Route, RouteType
 from emberring.errors import BadRequestError, EmberringError, NotReadyError
+from emberring.gateway.asgi import Receive, Scope, Send
 from emberring.gateway.client_response import ClientResponse
 from emberring.gateway.clients import ClientConnection
 from emberring.gateway.execution import Executor
@@ -19,32 +19,32 @@
 from emberring.gateway.responses import GatewayResponse, response_to_error
 from emberring.logs import get_logger
 
-BODY_TIMEOUT_S = 10.0  # for a body on no route; otherwise the route's time-out holds
-DISCARD_S = 0.5  # for reading on after an answer to a request that is too large
+BODY_TIMEOUT_S = 10.0  # for a body without a route; otherwise the route's time-out applies
+DISCARD_S = 0.5  # for reading on after the response to a request that is too large
 
 logger = get_logger("gateway")
 
 
 class Application:
-    """An ASGI application; one call for each request."""
+    """An ASGI application; called once for each request."""
 
     def __init__(self, directory: Directory, executor: Executor, jobs: JobsApi) -> None:
         self._directory = directory
         self._executor = executor
         self._jobs = jobs
 
-    async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Answer one request; a client that leaves ends all work for it at once."""
+    async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
+        """Answer one request; a client that disconnects cancels all work for it at once."""
         connection: ClientConnection = scope["state"]["connection"]
         task = asyncio.current_task()
-        assert task is not None
-        connection.on_disconnected = lambda: _cancel(task)
+        if task is not None:
+            connection.on_disconnected = lambda: _cancel(task)
         answer = ClientResponse(send, connection, _header(scope, b"request-id"), scope["method"] == "HEAD")
         try:
             await self._handle(scope, receive, answer)
         except asyncio.CancelledError:
             connection.cycle.disconnected = True
-        except Exception:
+        except Exception:  # outermost loop: a programming error fails this request alone, not the process
             logger.exception("event=request_failed target=%r", scope["state"]["target"])
             if answer.started:
                 answer.abort_response()
@@ -53,7 +53,7 @@
         finally:
             connection.on_disconnected = None
 
-    async def _handle(self, scope: Any, receive: Any, answer: ClientResponse) -> None:
+    async def _handle(self, scope: Scope, receive: Receive, answer: ClientResponse) -> None:
         try:
             final = await self._carry_out(scope, receive, answer)
         except EmberringError as error:
@@ -61,7 +61,9 @@
         if final is not None:
             await answer.send_local(final)
 
-    async def _carry_out(self, scope: Any, receive: Any, answer: ClientResponse) -> GatewayResponse | None:
+    async def _carry_out(
+        self, scope: Scope, receive: Receive, answer: ClientResponse
+    ) -> GatewayResponse | None:
         if scope["http_version"] != "1.1":
             return GatewayResponse(505, "HTTP/1.1 is wanted", close=True)
         configuration = self._directory.configuration
@@ -76,7 +78,7 @@
         if isinstance(body, GatewayResponse):
             return body
         request = attrs.evolve(request, body=body)
-        # What is in force once the request is whole decides.
+        # The configuration in force once the request is complete decides.
         route = _route_of(self._directory.configuration or configuration, request)
         if self._jobs.handles(request, route):
             return await self._jobs.answer(request, route, answer)
@@ -92,15 +94,19 @@
         return await self._executor.run_live(request, route, answer)
 
 
-def _header(scope: Any, name: bytes) -> bytes:
+def _header(scope: Scope, name: bytes) -> bytes:
     for found, value in scope["headers"]:
         if found == name:
             return bytes(value)
     return b""
 
 
-def _request_of(scope: Any) -> ClientRequest:
-    """The request of a scope, its body still to come; `BadRequestError` unless it names exactly one host."""
+def _request_of(scope: Scope) -> ClientRequest:
+    """Return the request of a scope, its body still to come.
+
+    Raises:
+        BadRequestError: it does not name exactly one host.
+    """
     hosts = [value for name, value in scope["headers"] if name == b"host"]
     if len(hosts) != 1:
         raise BadRequestError("one Host header is wanted")
@@ -119,9 +125,9 @@
 
 
 async def _read_body(
-    scope: Any, receive: Any, limits: ClientLimits, limit_s: float
+    scope: Scope, receive: Receive, limits: ClientLimits, limit_s: float
 ) -> bytes | GatewayResponse:
-    """The whole body; an answer instead where it is too long or comes too slowly."""
+    """Return the complete body, or the response to one that is too long or arrives too slowly."""
     announced = _header(scope, b"content-length")
     if announced.isdigit() and int(announced) > limits.max_body_bytes:
         return await _refuse(receive)
@@ -143,8 +149,8 @@
         return GatewayResponse(408, "the body came too slowly", close=True)
 
 
-async def _refuse(receive: Any) -> GatewayResponse:
-    """Read on for a moment, so that the client reads the answer before a reset."""
+async def _refuse(receive: Receive) -> GatewayResponse:
+    """Read on for a moment, so that the client reads the response before a reset."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(DISCARD_S):
             while (await receive()).get("more_body"):
@@ -152,5 +158,5 @@
     return GatewayResponse(413, "the body is too long", close=True)
 
 
-def _cancel(task: asyncio.Task[Any]) -> None:
+def _cancel(task: asyncio.Task[None]) -> None:
     task.cancel()
--- a/emberring/gateway/attempt.py
+++ b/emberring/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a call sent to one server, its answer handed on as it comes, admission told of each step."""
+"""One attempt: a call sent to one server, its response forwarded as it arrives, admission notified of each step."""
 
 from __future__ import annotations
 
@@ -18,50 +18,61 @@
 from emberring.gateway.responses import OUTCOME_BY_CLASS, ResponseClass, classify_response
 from emberring.gateway.upstream import ServerConnection
 
-BUFFERED_BODY_BYTES = 256 * 1024  # of an answer that is no stream, until which it can still be asked for anew
-SILENT_AFTER_S = 0.9  # a server that said nothing for so long before the caller left counts as silent
-MAX_FAILURE_BYTES = 256 * 1024
+BUFFERED_BODY_BYTES = 256 * 1024  # of a response that is not a stream; up to this it can still be retried
+SILENT_AFTER_S = 0.9  # a server silent for this long before the client left counts as unresponsive
+MAX_FAILURE_BYTES = 256 * 1024  # of the body of a failure that is forwarded
 
 
 def always_allowed() -> bool:
-    """A live request may be sent as long as its server may get something."""
+    """Return True: a live request may be sent as long as its server is routable."""
     return True
 
 
 class Receiver(Protocol):
-    """Where a success goes. Each call returns once the receiver can take more."""
+    """The destination of a successful response. Each call returns once the receiver can take more."""
 
     @property
     def started(self) -> bool:
-        """Whether a part of an answer has been given on, so that no other answer may follow."""
+        """Whether a part of a response has been forwarded, so that no other response may follow."""
 
     async def events(self, head: ResponseHead, events: list[Event]) -> None:
-        """Whole events of a stream; the first call carries the head that stays."""
+        """Forward complete events of a stream; the head of the first call is the one that is kept."""
 
     async def body_chunk(self, head: ResponseHead, data: bytes) -> None:
-        """A part of a body that is too long to be buffered."""
+        """Forward a part of a body that is too long to be buffered."""
 
     async def end(self, head: ResponseHead, data: bytes) -> None:
-        """The rest of the answer, which is whole with it; all of it where nothing was given on before."""
+        """Forward the rest of the response, or all of it if nothing was forwarded before."""
 
 
 @attrs.define(eq=False)
 class UpstreamCall:
-    """A request on its way through attempts. `end_s` is when it is given up (the loop's time)."""
+    """A request on its way through its attempts.
+
+    Args:
+        idempotent: whether the route allows the request to be executed more than once.
+        deadline_s: when the call is given up (the event loop's time).
+        send_deadline: whether the remaining time is sent to the server as `Deadline-Ms`.
+        stream_only: whether a response that is not an event stream is invalid.
+        allowed: whether the call may still be sent; checked right before it is sent.
+        last_event_id: id of the last event that was forwarded; None before the first one.
+        resumed: whether the next event must directly follow `last_event_id`.
+        possibly_sent: whether a server that gave no guarantee may have received a byte of the request.
+    """
 
     id: str
     request: ClientRequest
     idempotent: bool
     deadline_s: float
     send_deadline: bool = True
-    stream_only: bool = False  # an answer that is no stream is none
+    stream_only: bool = False
     allowed: Callable[[], bool] = always_allowed
     last_event_id: int | None = None
     resumed: bool = False
-    possibly_sent: bool = False  # a byte of it may be at a server now that has not promised anything
+    possibly_sent: bool = False
 
     def accept_event(self, event: Event) -> bool:
-        """Take note of an event's id; False where it can't be the next one."""
+        """Record the id of an event; return False if the event cannot be the next one."""
         if event.id is None:
             return True
         last = self.last_event_id
@@ -74,7 +85,7 @@
 
 @attrs.frozen
 class AttemptResult:
-    """How an attempt ended; `head` and `body` are of a whole answer that was not handed on."""
+    """How an attempt ended; `head` and `body` are of a complete response that was not forwarded."""
 
     outcome: CallOutcome
     head: ResponseHead | None = None
@@ -83,7 +94,7 @@
 
 @attrs.frozen
 class AttemptContext:
-    """What every attempt of this process uses."""
+    """The objects that all attempts of this process share."""
 
     pool: ConnectionPool
     admission: AdmissionPort
@@ -92,7 +103,7 @@
 
 
 class Attempt:
-    """One send to one server."""
+    """One request sent to one server."""
 
     def __init__(
         self,
@@ -112,59 +123,60 @@
         self._response: PendingResponse | None = None
 
     async def run(self) -> AttemptResult:
-        """Send and hand on; the connection and admission's count are given back however it ends."""
+        """Send the request and forward the response; the connection and the slot are released however it ends."""
         outcome = CallOutcome.CANCELLED
         try:
-            ended = await self._run()
-            outcome = ended.outcome
-            return ended
+            result = await self._run()
+            outcome = result.outcome
+            return result
         finally:
             self._release(outcome)
 
     async def _run(self) -> AttemptResult:
         server, call = self._server, self._call
-        taken = await self._context.pool.acquire(
+        connection = await self._context.pool.acquire(
             server.id, server.address, call.request.request_id, verify=not call.idempotent
         )
-        if isinstance(taken, ConnectionUnavailable):
-            unreachable = taken is ConnectionUnavailable.UNREACHABLE
+        if isinstance(connection, ConnectionUnavailable):
+            unreachable = connection is ConnectionUnavailable.UNREACHABLE
             return AttemptResult(CallOutcome.CONNECT_FAILED if unreachable else CallOutcome.NOT_SENT)
         if self._context.routable(server.id) is None or not call.allowed():
-            self._context.pool.release(server.id, taken)
+            self._context.pool.release(server.id, connection)
             return AttemptResult(CallOutcome.NOT_SENT)
-        self._connection = taken
-        if not self._send(taken):
+        self._connection = connection
+        response = self._send(connection)
+        if response is None:
             return AttemptResult(CallOutcome.CONNECT_FAILED)
-        assert self._response is not None
-        head = await self._response.wait_for_head()
+        head = await response.wait_for_head()
         if head is None:
             return AttemptResult(self._failure())
-        return await self._forward_answer(self._response, head)
+        return await self._forward_response(response, head)
 
-    def _send(self, connection: ServerConnection) -> bool:
+    def _send(self, connection: ServerConnection) -> PendingResponse | None:
+        """Send the request; None if the connection was closed before a byte was sent."""
         call = self._call
         now_s = self._loop.time()
         remaining_ms = int((call.deadline_s - now_s) * 1000) if call.send_deadline else None
         data = render_request(call.request, self._server.id, remaining_ms, call.last_event_id)
-        self._response = PendingResponse(connection, self._server.id, self._context.activity)
-        connection.start(data, call.request.request_id, call.request.method == b"HEAD", self._response)
+        response = PendingResponse(connection, self._server.id, self._context.activity)
+        self._response = response
+        connection.start(data, call.request.request_id, call.request.method == b"HEAD", response)
         if not connection.possibly_sent:
-            return False
+            return None
         call.possibly_sent = True
-        self._response.set_timeouts(self._timeouts)
+        response.set_timeouts(self._timeouts)
         self._context.admission.started(now_s, call.id, self._server.id)
-        return True
+        return response
 
-    async def _forward_answer(self, response: PendingResponse, head: ResponseHead) -> AttemptResult:
+    async def _forward_response(self, response: PendingResponse, head: ResponseHead) -> AttemptResult:
         response_class = classify_response(head)
         if response_class is ResponseClass.INVALID:
             return AttemptResult(CallOutcome.BROKEN)
         if response_class is ResponseClass.FORWARD and 200 <= head.status < 300:
             if head.is_event_stream:
                 return await self._forward_stream(response, head)
-            if (
-                self._receiver.started or self._call.stream_only
-            ):  # what goes on with a stream must be a stream
+            # A response that continues a stream must be a stream itself.
+            if self._receiver.started or self._call.stream_only:
                 return AttemptResult(CallOutcome.BROKEN)
             return await self._forward_body(response, head)
         return await self._collect_failure(response, head, OUTCOME_BY_CLASS[response_class])
@@ -176,17 +188,12 @@
             finished = response.finished
             events = parser.feed(response.take())
             if events:
-                tell = (
-                    self._context.admission.progress
-                    if received_first
-                    else self._context.admission.first_event
-                )
-                tell(self._loop.time(), self._call.id)
+                self._record_events(first=not received_first)
                 received_first = True
-            good = self._consecutive(events)
-            if good:
-                await self._receiver.events(head, good)
-            if len(good) < len(events) or parser.too_long:
+            valid = self._consecutive(events)
+            if valid:
+                await self._receiver.events(head, valid)
+            if len(valid) < len(events) or parser.too_long:
                 return AttemptResult(CallOutcome.BROKEN)
             if not finished:
                 if not response.finished and not response.buffered_bytes:
@@ -197,11 +204,16 @@
             else:
                 return AttemptResult(self._failure())
 
+    def _record_events(self, first: bool) -> None:
+        admission = self._context.admission
+        record = admission.first_event if first else admission.progress
+        record(self._loop.time(), self._call.id)
+
     def _consecutive(self, events: list[Event]) -> list[Event]:
-        """The events up to the first that can't follow the one before it."""
-        for at, event in enumerate(events):
+        """Return the events up to the first that cannot follow the one before it."""
+        for index, event in enumerate(events):
             if not self._call.accept_event(event):
-                return events[:at]
+                return events[:index]
         return events
 
     async def _forward_body(self, response: PendingResponse, head: ResponseHead) -> AttemptResult:
@@ -231,13 +243,13 @@
             if finished and response.completed:
                 return AttemptResult(outcome, head, body)
             if finished or len(body) > MAX_FAILURE_BYTES:
-                promised = outcome in (CallOutcome.FULL, CallOutcome.WRONG_SERVER)
-                return AttemptResult(outcome, head) if promised else AttemptResult(self._failure())
+                guaranteed = outcome in (CallOutcome.FULL, CallOutcome.WRONG_SERVER)
+                return AttemptResult(outcome, head) if guaranteed else AttemptResult(self._failure())
             if not response.finished and not response.buffered_bytes:
                 await response.wait_for_change()
 
     def _server_was_silent(self, response: PendingResponse, now_s: float) -> bool:
-        """Whether the caller's timeouts, or its time, ended with a server that said nothing to anyone."""
+        """Return whether the client left, or its time ended, while the server was silent on all connections."""
         last_received_s = self._context.activity.last_received_s(self._server.id)
         return (
             not response.received_any
--- a/emberring/gateway/calls.py
+++ b/emberring/gateway/calls.py
@@ -1,4 +1,4 @@
-"""From a request to what admission needs to know of it: service, tokens, parts of the prompt. Pure functions."""
+"""What admission needs to know of a request: service, tokens, parts of the prompt. Pure functions."""
 
 from __future__ import annotations
 
@@ -12,8 +12,10 @@
 
 
 def choose_service(route: Route, key: bytes, has_servers: Callable[[str], bool]) -> str | None:
-    """The service of this request by the route's weights, the same for the same key; one without servers only
-    where none has any. None where no weight is above 0."""
+    """Return the service of a request by the route's weights, the same for the same key.
+
+    A service without servers is chosen only if none has any; None is returned if no weight is above 0.
+    """
     shares = [share for share in route.split if share.weight > 0]
     if not shares:
         return None
@@ -27,7 +29,7 @@
 
 
 def read_token_count(value: bytes | None) -> tuple[int, int]:
-    """Tokens of the prompt and the most to come out, from `Token-Count`; (0, 0) where it can't be read."""
+    """Read `Token-Count`: tokens of the prompt, and of the output at most; (0, 0) if it is invalid."""
     numbers = (value or b"").split(b",")
     if len(numbers) != 2 or not all(number.strip().isdigit() for number in numbers):
         return (0, 0)
@@ -35,7 +37,7 @@
 
 
 def read_prefix_parts(value: bytes | None) -> tuple[PrefixPart, ...]:
-    """The parts of a prompt, from `Prefix-Hash`; those up to the first that can't be read."""
+    """Read the parts of a prompt from `Prefix-Hash`, those up to the first invalid one."""
     parts: list[PrefixPart] = []
     for item in (value or b"").split(b","):
         part_id, _, tokens = item.strip().partition(b":")
@@ -46,7 +48,7 @@
 
 
 def read_milliseconds(value: bytes | None) -> float | None:
-    """A whole or broken number of milliseconds; None where there is none."""
+    """Read a number of milliseconds; None if there is none."""
     try:
         found = float(value or b"")
     except ValueError:
--- a/emberring/gateway/clients.py
+++ b/emberring/gateway/clients.py
@@ -1,10 +1,10 @@
-"""The clients' listener: uvicorn's HTTP/1.1 protocol with this tier's limits, which may change while it runs."""
+"""The clients' listener: uvicorn's HTTP/1.1 protocol with this tier's limits, which may change at run time."""
 
 from __future__ import annotations
 
 import asyncio
 from collections import Counter
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable
 from typing import Any
 
 from uvicorn.config import Config
@@ -12,17 +12,16 @@
 from uvicorn.server import ServerState
 
 from emberring.configuration.model import ClientLimits
+from emberring.gateway.asgi import Application
 from loadbalancer.core.outgoing import readable
 
-BACKLOG = 2048
-ACCEPT_LOOP_TURNS = 3  # turns of the loop after which what stood in the accept queue has been taken
-LINGER_S = 2.0  # how long a client may take to read the last bytes of an answer that was broken off
-
-Application = Callable[[Any, Any, Any], Awaitable[None]]
+BACKLOG = 2048  # connections in the accept queue
+ACCEPT_LOOP_TURNS = 3  # turns of the event loop after which the accept queue has been emptied
+LINGER_S = 2.0  # time for a client to read the last bytes of an aborted response
 
 
 class ClientListener:
-    """One listening address: its connections, its limits, and how it comes to an end."""
+    """One listening address: its connections, its limits, and how it is closed."""
 
     def __init__(self, app: Application, limits: Callable[[], ClientLimits]) -> None:
         self._config = Config(
@@ -42,7 +41,7 @@
         self._server: asyncio.Server | None = None
         self.limits = limits
         self.shutting_down = False
-        self.responses: Counter[str] = Counter()  # begun, by status, and those broken off
+        self.responses: Counter[str] = Counter()  # begun, by status, and those aborted
         self.accepted = 0
         self.accepted_s = 0.0
 
@@ -54,8 +53,9 @@
 
     @property
     def port(self) -> int:
-        """The port that is listened on."""
-        assert self._server is not None
+        """The port that is listened on; raises RuntimeError if there is none."""
+        if self._server is None:
+            raise RuntimeError("not listening")
         return int(self._server.sockets[0].getsockname()[1])
 
     def _connection(self) -> ClientConnection:
@@ -63,16 +63,16 @@
 
     @property
     def connections(self) -> set[ClientConnection]:
-        """All that are open."""
+        """All open connections."""
         return self._state.connections  # type: ignore[return-value]
 
     @property
     def busy(self) -> int:
-        """Connections with a request that is half read or not answered."""
+        """Connections with a request that is partly read or not answered."""
         return sum(connection.busy for connection in self.connections)
 
     async def stop_listening(self) -> None:
-        """Take what stands in the accept queue, then listen no more. Open connections stay."""
+        """Accept what is in the accept queue, then stop listening. Open connections stay."""
         if self._server is None:
             return
         for _ in range(ACCEPT_LOOP_TURNS):
@@ -81,12 +81,12 @@
         self._server = None
 
     def close_idle(self) -> None:
-        """Close connections on which nothing was asked; one whose request is just arriving stays."""
+        """Close connections without a request; one whose request is just arriving stays."""
         for connection in list(self.connections):
             connection.close_if_idle()
 
     def abort(self) -> None:
-        """End all that is left."""
+        """Abort all open connections."""
         for connection in list(self.connections):
             connection.transport.abort()
 
@@ -106,8 +106,8 @@
         self.on_disconnected: Callable[[], None] | None = None
         self._in_head = False
         self._begun = 0  # requests
-        self._fed_bytes = 0  # since the head began, as far as that is known
-        self._head_bytes = 0  # in names and values that are whole
+        self._fed_bytes = 0  # since the head began, as far as known
+        self._head_bytes = 0  # in complete names and values
         self._began_s = 0.0
         self._idle_since_s = 0.0
         self._head_timer: asyncio.TimerHandle | None = None
@@ -116,7 +116,7 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a request is half read or not answered."""
+        """Whether a request is partly read or not answered."""
         return (
             self._in_head
             or bool(self.pipeline)
@@ -124,30 +124,32 @@
         )
 
     def close_after_answer(self) -> None:
-        """The answer that is about to begin is the last one here, and says so."""
+        """Make the response that is about to begin the last one here, with `Connection: close`."""
         if not self.pipeline:
             self.cycle.keep_alive = False
 
     def abort_response(self) -> None:
-        """End the answer that was begun without its end: what was written still goes out, for a while."""
+        """End a begun response without its end: what was written is still sent, for `LINGER_S`."""
         self.cycle.disconnected = True
         self.transport.close()
         self.loop.call_later(LINGER_S, self.transport.abort)
 
     def close_if_idle(self) -> None:
-        """Close it if nothing was asked on it, not even in bytes that wait in the kernel."""
+        """Close the connection if no byte of a request has arrived, not even in the kernel."""
         if not self.busy and not self.transport.is_closing() and not readable(self.transport):
             self.transport.close()
 
     # --------------------------------------------------------------------- asyncio.Protocol
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
+        """Start the idle time-out; called by asyncio."""
         super().connection_made(transport)
         self.listener.accepted += 1
         self.listener.accepted_s = self.loop.time()
         self._wait_for_request()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Cancel timers and notify the application; called by asyncio."""
         super().connection_lost(exc)
         self._unset_keepalive_if_required()
         self._stop_head_timer()
@@ -156,6 +158,7 @@
             gone()
 
     def data_received(self, data: bytes) -> None:
+        """Parse received bytes and limit the size of a head; called by asyncio."""
         between = not self._in_head and (self.cycle is None or not self.cycle.more_body)
         begun = self._begun
         self._fed_bytes += len(data)
@@ -168,6 +171,7 @@
     # ------------------------------------------------------------------- parser's callbacks
 
     def on_message_begin(self) -> None:
+        """Start the time-out of a head; called by httptools."""
         super().on_message_begin()
         self._in_head, self._fed_bytes, self._head_bytes = True, 0, 0
         self._begun += 1
@@ -178,10 +182,12 @@
         )
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Count the bytes of a header; called by httptools."""
         super().on_header(name, value)
         self._head_bytes += len(name) + len(value)
 
     def on_headers_complete(self) -> None:
+        """Store what the application needs in the scope; called by httptools."""
         self._in_head = False
         self._stop_head_timer()
         state = self.scope["state"]
@@ -190,6 +196,7 @@
         super().on_headers_complete()
 
     def on_response_complete(self) -> None:
+        """Restart the idle time-out; called by uvicorn."""
         super().on_response_complete()
         self.on_disconnected = None
         if self.timeout_keep_alive_task is not None:
@@ -208,6 +215,7 @@
         self.timeout_keep_alive_task = self.loop.call_later(max(0.0, left_s), self.timeout_keep_alive_handler)
 
     def timeout_keep_alive_handler(self) -> None:
+        """Close the connection at its idle time-out; called by uvicorn's timer."""
         self.timeout_keep_alive_task = None
         rested_s = self.loop.time() - self._idle_since_s
         if rested_s < self.listener.limits().idle_timeout_ms / 1000.0:
@@ -226,7 +234,7 @@
             self._head_timer = None
 
     def _refuse(self, status: bytes) -> None:
-        """Answer a head that can't be read whole, unless an earlier answer is still under way."""
+        """Answer a head that cannot be read completely, unless an earlier response is still being sent."""
         if self.transport.is_closing():
             return
         if self.cycle is None or self.cycle.response_complete:
--- a/emberring/gateway/connection_pool.py
+++ b/emberring/gateway/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to model servers: this gateway's share of each server's `MaxConnections`, the newest idle one first."""
+"""Connections to model servers, within this gateway's part of each server's `MaxConnections`, last used first."""
 
 from __future__ import annotations
 
@@ -13,19 +13,15 @@
 from emberring.gateway.connect_timeout import MAX_CONNECT_TIMEOUT_S, ConnectTimeoutEstimator
 from emberring.gateway.upstream import ServerConnection
 
-CONNECT_TIMEOUT_S = MAX_CONNECT_TIMEOUT_S  # less where connections usually come up sooner
-# A server resets a connection beyond its limit right after it came up. A request that may go out once alone waits
-# for that: as long as coming up took, and a little.
+CONNECT_TIMEOUT_S = MAX_CONNECT_TIMEOUT_S  # upper limit; less where connections are usually opened sooner
+# A server resets a connection beyond its limit right after it was opened. A request that may be sent only once waits
+# for that: as long as opening took, and this much longer.
 RESET_GRACE_S = 0.003
-TCP_USER_TIMEOUT_MS = (
-    1500  # bytes that a server's machine has not acknowledged for so long end the connection
-)
-DEFAULT_IDLE_TIMEOUT_S = 4.0  # kept idle, where a server has not said for how long it keeps one
-IDLE_MARGIN_S = (
-    1.0  # before a server closes an idle connection, ours is no longer used: it grants whole seconds
-)
-IDLE_FRACTION = 0.5  # of a time that is too short for this margin
-SWEEP_S = 1.0
+TCP_USER_TIMEOUT_MS = 1500  # a connection with bytes unacknowledged for this long is closed
+DEFAULT_IDLE_TIMEOUT_S = 4.0  # where a server has not sent `Keep-Alive`
+IDLE_MARGIN_S = 1.0  # before the server's idle time-out (in whole seconds) a connection is no longer used
+IDLE_FRACTION = 0.5  # of an idle time-out that is too short for this margin
+SWEEP_S = 1.0  # between two sweeps of idle connections
 
 
 class ConnectionUnavailable(Enum):
@@ -37,8 +33,10 @@
 
 @attrs.define(eq=False)
 class _Server:
+    """The connections to one incarnation of a server; `idle` has the latest used one last."""
+
     address: str
-    idle: list[ServerConnection] = attrs.field(factory=list)  # the newest last
+    idle: list[ServerConnection] = attrs.field(factory=list)
     open: set[ServerConnection] = attrs.field(factory=set)
     opening: int = 0
 
@@ -48,7 +46,7 @@
 
 
 class ConnectionPool:
-    """All connections to servers, by the id of the incarnation they were made for."""
+    """All connections to servers, by the id of the incarnation that they were opened for."""
 
     def __init__(self) -> None:
         self._servers: dict[str, _Server] = {}
@@ -56,17 +54,17 @@
         self._sweep_timer: asyncio.TimerHandle | None = None
         self._connect_timeout = ConnectTimeoutEstimator()
         self.opened_total = 0
-        self.last_unreachable_s = 0.0  # when a connection last did not come up (the loop's time)
+        self.last_unreachable_s = 0.0  # when a connection last failed to open (the event loop's time)
 
     def set_limits(self, limit: Callable[[str], int]) -> None:
-        """How many connections this gateway may hold to a server, by its id."""
+        """Set how many connections this gateway may hold to a server, by its id, and close idle ones beyond."""
         self._limit = limit
         for server_id, server in self._servers.items():
             while server.idle and server.size > limit(server_id):
                 server.idle.pop(0).retire()
 
     def keep_only(self, usable: Callable[[str], bool]) -> None:
-        """Close idle connections to servers that get nothing new; those at work end by themselves."""
+        """Close idle connections to servers that get nothing new; those in use are closed when released."""
         for server_id in list(self._servers):
             if not usable(server_id):
                 self.close_idle(server_id)
@@ -83,21 +81,27 @@
             del self._servers[server_id]
 
     def has_idle(self, server_id: str) -> bool:
-        """Whether a connection to this server rests here."""
+        """Return whether there is an idle connection to this server."""
         server = self._servers.get(server_id)
         return server is not None and bool(server.idle)
 
     def size(self, server_id: str) -> int:
-        """Connections to this server, those being opened among them."""
+        """Return the number of connections to this server, those being opened included."""
         server = self._servers.get(server_id)
         return server.size if server else 0
 
     async def acquire(
         self, server_id: str, address: str, request_id: bytes, verify: bool
     ) -> ServerConnection | ConnectionUnavailable:
-        """A connection that carries nothing: an idle one that was proven to stand, or a new one; with `sure`, a new
-        one that was not reset as it came up. One on which a request of this id has failed is not taken: a late copy
-        of that answer could not be told from the answer to come."""
+        """Return an unused connection: an idle one that still stands, or a new one.
+
+        Args:
+            server_id: id of the server's incarnation.
+            address: its `ip:port`.
+            request_id: id of the request to be sent. A connection on which a request of this id has failed is not used:
+                a late duplicate of that response could not be told from the response to come.
+            verify: whether to wait until a new connection was not reset right after it was opened.
+        """
         server = self._servers.setdefault(server_id, _Server(address))
         found = self._take_idle(server, request_id)
         if found is not None:
@@ -150,7 +154,7 @@
         finally:
             server.opening -= 1
         self.opened_total += 1
-        if not connection.usable:  # reset at once, as a server does beyond its limit
+        if not connection.usable:  # reset at once, as servers do beyond their limit
             connection.abort()
             return ConnectionUnavailable.UNREACHABLE
         _set_socket_options(transport)
@@ -158,7 +162,7 @@
         return connection
 
     def release(self, server_id: str, connection: ServerConnection) -> None:
-        """A connection has brought its whole answer."""
+        """Return a connection whose response is complete; it becomes idle, or is closed."""
         server = self._servers.get(server_id)
         if server is None or not connection.usable or server.size > self._limit(server_id):
             connection.retire()
@@ -170,7 +174,7 @@
             self._sweep_timer = loop.call_later(SWEEP_S, self._sweep)
 
     def _sweep(self) -> None:
-        """Close what has rested for too long."""
+        """Close the connections that have been idle for too long."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         self._sweep_timer = None
@@ -183,7 +187,7 @@
             self._sweep_timer = loop.call_later(SWEEP_S, self._sweep)
 
     def close(self) -> None:
-        """Abort everything."""
+        """Abort all connections."""
         if self._sweep_timer is not None:
             self._sweep_timer.cancel()
         for server in self._servers.values():
--- a/emberring/gateway/events.py
+++ b/emberring/gateway/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events cut out of a stream of bytes, whole or not at all. No sockets."""
+"""Parser of server-sent events: a byte stream is split into complete events. No sockets."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class Event:
-    """One whole event: its bytes as they came, blank line included, and its id (None where it has none)."""
+    """One complete event: its bytes as received, blank line included, and its id (None if it has none)."""
 
     raw: bytes
     id: int | None
@@ -33,7 +33,7 @@
 
 
 class EventParser:
-    """Collects bytes and gives out the events that are whole."""
+    """Buffers bytes and returns the events that are complete."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
@@ -41,20 +41,20 @@
 
     @property
     def pending(self) -> int:
-        """Bytes held of an event that is not whole yet."""
+        """Bytes buffered of an event that is not complete yet."""
         return len(self._buffer)
 
     @property
     def too_long(self) -> bool:
-        """Whether what is held can be no event that this tier passes on."""
+        """Whether the buffered event is longer than this tier forwards."""
         return len(self._buffer) > MAX_EVENT_BYTES
 
     def rest(self) -> bytes:
-        """What is held of an event that is not whole; for a body that has ended without a blank line."""
+        """Return the bytes of an incomplete event, for a body that ended without a blank line."""
         return bytes(self._buffer)
 
     def feed(self, data: bytes) -> list[Event]:
-        """The events that have become whole with these bytes, in order."""
+        """Return the events that are completed by these bytes, in order."""
         self._buffer += data
         found = []
         start = 0
--- a/emberring/gateway/execution.py
+++ b/emberring/gateway/execution.py
@@ -1,4 +1,4 @@
-"""Runs calls against the model servers: live requests through all their attempts, items of lots one attempt each."""
+"""Execution of calls at the model servers: live requests with all their attempts, batch items with one attempt each."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
 from emberring.gateway.routable_servers import RoutableServers
 from emberring.jobs.items import ItemCall, ItemEvent, ItemOutcome, OutcomeKind
 
-# With calls that may go to another server. Clients leave after 2 s of silence at the earliest; a server that is heard
-# elsewhere is at work on what came before.
+# For calls that may be retried at another server. Clients leave after 2 s of silence at the earliest; a server that
+# sends on other connections is working on earlier requests.
 LIVE_RESPONSE_TIMEOUTS = ResponseTimeouts(unresponsive_server_s=1.1, active_server_s=10.0)
 ITEM_RESPONSE_TIMEOUTS = ResponseTimeouts(unresponsive_server_s=2.5, active_server_s=10.0)
-ISOLATED_AFTER_S = 1.0  # without a word from any server, while connections to them fail
-ITEM_LIMIT_S = 60.0  # an item that still speaks after so long is begun anew later
+ISOLATED_AFTER_S = 1.0  # without a byte from any server, while connections to them fail
+ITEM_LIMIT_S = 60.0  # an item that still runs after this is retried later
 
 
 class LiveReceiver(Receiver, Protocol):
     """The client's end of a live request."""
 
     def abort_response(self) -> None:
-        """End an answer that was begun so that it can't look complete."""
+        """End a response that was begun so that it cannot look complete."""
 
 
 class Executor:
-    """All calls of this process. A call is in admission's count from `offer` until its attempt is over."""
+    """All calls of this process. A call counts in admission from `offer` until its attempt has ended."""
 
     def __init__(self, admission: AdmissionPort, pool: ConnectionPool, servers: RoutableServers) -> None:
         self._admission = admission
@@ -53,7 +53,10 @@
     async def run_live(
         self, request: ClientRequest, route: Route, receiver: LiveReceiver
     ) -> GatewayResponse | None:
-        """Carry a request out. What is returned is still to be sent; None: the receiver has got its answer."""
+        """Execute a live request.
+
+        Returns the response that is still to be sent; None if the receiver already has the response.
+        """
         call = self._live_call(request, route)
         budget = _Progress(AttemptBudget(route.max_attempts, route.may_repeat))
         try:
@@ -72,29 +75,27 @@
         deadline_ms = read_milliseconds(request.header(b"deadline-ms"))
         if deadline_ms is not None:
             limit_ms = min(limit_ms, deadline_ms)
-        asked_after = request.header(b"last-event-id")
+        resume_after = request.header(b"last-event-id")
         return UpstreamCall(
             id=f"r{next(self._numbers)}",
             request=request,
             idempotent=route.may_repeat,
             deadline_s=request.arrived_s + limit_ms / 1000.0,
-            last_event_id=int(asked_after) if asked_after and asked_after.isdigit() else None,
+            last_event_id=int(resume_after) if resume_after and resume_after.isdigit() else None,
         )
 
     async def _serve(
         self, call: UpstreamCall, route: Route, receiver: LiveReceiver, progress: _Progress
     ) -> GatewayResponse | None:
         excluded: set[str] = set()
-        broken: set[str] = (
-            set()
-        )  # of these, those that answered and may be asked again where there is no other
+        broken: set[str] = set()  # excluded servers that may be retried if there is no other one
         last: AttemptResult | None = None
         while True:
-            decision = self._offer(call, route, excluded, batch=False, admitted=last is not None)
+            decision = self._offer(call, route, excluded, admitted=last is not None)
             if isinstance(decision, NoServer) and broken:
                 excluded -= broken
                 broken.clear()
-                decision = self._offer(call, route, excluded, batch=False, admitted=True)
+                decision = self._offer(call, route, excluded, admitted=True)
             if not isinstance(decision, Admitted):
                 return await self._give_up(call, receiver, progress, last, decision)
             excluded.add(decision.server_id)
@@ -115,7 +116,7 @@
 
     @staticmethod
     def _response_timeouts(route: Route, progress: _Progress) -> ResponseTimeouts | None:
-        """A silence is given up only while another server may be asked."""
+        """Return the time-outs of the next attempt: none unless another server may be tried after it."""
         another = route.may_repeat and progress.value.executed + 1 < route.max_attempts
         return LIVE_RESPONSE_TIMEOUTS if another else None
 
@@ -133,7 +134,7 @@
         if progress.value.certainly_not_executed:
             return GatewayResponse(503, "not taken", _retry_after_s(decision, last))
         failed = last.head if last is not None and last.outcome is CallOutcome.FAILED else None
-        # A status that promises what the server did not promise is not passed on.
+        # A status that guarantees what the server did not guarantee is not forwarded.
         if last is not None and failed is not None and failed.status not in NOT_EXECUTED_STATUSES:
             await receiver.end(failed, last.body)
             return None
@@ -142,20 +143,20 @@
         return GatewayResponse(502, "the server's answer broke off or was none")
 
     def isolated(self, now_s: float) -> bool:
-        """Whether connections to servers fail and none was heard since, for a while."""
+        """Return whether connections to servers fail and no server has answered since, for `ISOLATED_AFTER_S`."""
         return (
             self._pool.last_unreachable_s > self._activity.latest_s
             and now_s - self._activity.latest_s > ISOLATED_AFTER_S
         )
 
-    # ---------------------------------------------------------------- items of lots
+    # ---------------------------------------------------------------- batch items
 
     def batch_room(self) -> int:
-        """How many more items admission would take now."""
+        """Return how many more batch items admission would take now."""
         return self._admission.batch_room(asyncio.get_running_loop().time())
 
     async def run_item(self, item: ItemCall, on_events: Callable[[list[ItemEvent]], None]) -> ItemOutcome:
-        """Run an item once, at one server."""
+        """Run a batch item once, at one server."""
         loop = asyncio.get_running_loop()
         call = UpstreamCall(
             id=f"i{next(self._numbers)}",
@@ -168,30 +169,31 @@
             last_event_id=item.resume_after,
             resumed=item.resume_after is not None,
         )
-        decision = self._offer(call, item.route, set(), batch=True, due_s=item.due_s)
+        decision = self._offer(call, item.route, set(), due_s=item.due_s)
         if not isinstance(decision, Admitted):
             return ItemOutcome(OutcomeKind.NOT_RUN)
         try:
             async with asyncio.timeout_at(call.deadline_s):
-                ended = await self._attempt(
+                result = await self._attempt(
                     call, decision.server_id, ItemReceiver(on_events), ITEM_RESPONSE_TIMEOUTS
                 )
         except TimeoutError:
             return ItemOutcome(OutcomeKind.BROKEN)
-        return item_outcome(ended)
+        return item_outcome(result)
 
-    # -------------------------------------------------------------------------- both
+    # ---------------------------------------------------------------- live and batch
 
     def _offer(
         self,
         call: UpstreamCall,
         route: Route,
         excluded: set[str],
-        batch: bool,
         admitted: bool = False,
         due_s: float | None = None,
     ) -> Decision:
+        """Offer a call to admission; `due_s` is when an item is due, None for a live request."""
         request = call.request
+        batch = due_s is not None
         service = choose_service(route, request.request_id, self._servers.has_servers)
         tokens_in, tokens_out = read_token_count(request.header(b"token-count"))
         info = CallInfo(
@@ -218,33 +220,33 @@
         if server is None:
             self._admission.finished(asyncio.get_running_loop().time(), call.id, CallOutcome.NOT_SENT)
             return AttemptResult(CallOutcome.NOT_SENT)
-        ended = await Attempt(self._context, call, server, receiver, timeouts).run()
-        if ended.outcome is CallOutcome.WRONG_SERVER and ended.head is not None:
-            answered_by = ended.head.header(b"instance-id")
+        result = await Attempt(self._context, call, server, receiver, timeouts).run()
+        if result.outcome is CallOutcome.WRONG_SERVER and result.head is not None:
+            answered_by = result.head.header(b"instance-id")
             if answered_by is not None and answered_by != server_id.encode("latin-1"):
                 self._servers.mark_misdirected(server_id)
                 self._pool.close_idle(server_id)
                 self.on_misdirected()
-        return ended
+        return result
 
     def forget_absent(self, present: set[str]) -> None:
-        """Drop what is kept about servers that are gone."""
+        """Drop what is stored about servers that no longer exist."""
         self._activity.keep_only(present)
 
 
 class _Progress:
-    """The budget of a live request, kept where the end of its time can read it."""
+    """The attempt budget of a live request, stored where the time-out handler can read it."""
 
     def __init__(self, value: AttemptBudget) -> None:
         self.value = value
 
 
 def _retry_after_s(decision: Decision | None, last: AttemptResult | None) -> float:
-    """When a refused request may come back (seconds)."""
+    """Return after how many seconds a refused request may be retried."""
     if isinstance(decision, Refused):
         return max(0.001, decision.retry_after_s)
-    told = last.head.header(b"retry-after") if last is not None and last.head is not None else None
+    retry_after = last.head.header(b"retry-after") if last is not None and last.head is not None else None
     try:
-        return max(0.001, float(told)) if told is not None else DEFAULT_RETRY_AFTER_S
+        return max(0.001, float(retry_after)) if retry_after is not None else DEFAULT_RETRY_AFTER_S
     except ValueError:
         return DEFAULT_RETRY_AFTER_S
--- a/emberring/gateway/graceful_shutdown.py
+++ b/emberring/gateway/graceful_shutdown.py
@@ -1,6 +1,6 @@
-"""How a gateway ends: not ready at once, everything that still comes is answered, then out within the grace.
+"""The graceful shutdown of a gateway: not ready at once, all that still arrives is answered, out within the grace.
 
-Sans-I/O: `step(now_s, seen)` says what to do; the moment is an argument (seconds of the loop's clock).
+Sans-I/O: `step(now_s, seen)` says what to do; the current time is an argument (seconds of the event loop's clock).
 """
 
 from __future__ import annotations
@@ -9,24 +9,30 @@
 
 import attrs
 
-READINESS_DETECTION_S = 2.4  # the platform asks once a second and needs two misses to send nothing new
-QUIET_S = 0.6  # without a new connection, after which none is expected
-LISTEN_SHARE = 0.5  # of the grace, after which no new connection is taken in any case
+READINESS_DETECTION_S = 2.4  # the platform probes once a second and stops sending after two failed probes
+QUIET_S = 0.6  # without a new connection; after that none is expected
+LISTEN_SHARE = 0.5  # of the grace, after which no new connection is accepted in any case
 END_BEFORE_S = 0.7  # before the grace is over
 
 
 class Stage(Enum):
     """What the process does next."""
 
-    SERVE = "serve"  # take all that comes
+    SERVE = "serve"  # accept all that arrives
     STOP_LISTENING = "stop_listening"  # and close idle connections
-    FINISH = "finish"  # close what has become idle
+    FINISH = "finish"  # close connections that became idle
     END = "end"
 
 
 @attrs.frozen
 class OpenConnections:
-    """What is open: when the last connection came, open connections, and those with a request on them."""
+    """What is open.
+
+    Args:
+        last_accepted_s: when the last connection was accepted.
+        connections: open connections.
+        busy: connections with a request on them.
+    """
 
     last_accepted_s: float
     connections: int
@@ -34,7 +40,7 @@
 
 
 class GracefulShutdown:
-    """From SIGTERM (`began_s`) to the end."""
+    """The stages from SIGTERM (`began_s`) to the end of the process."""
 
     def __init__(self, began_s: float, grace_s: float) -> None:
         self._began_s = began_s
@@ -44,7 +50,7 @@
         self._listening = True
 
     def step(self, now_s: float, seen: OpenConnections) -> Stage:
-        """What to do at this moment; each of `STOP_LISTENING` and `END` comes once."""
+        """Return what to do at this moment; each of `STOP_LISTENING` and `END` comes once."""
         if now_s >= self._end_s:
             return Stage.END
         if self._listening:
--- a/emberring/gateway/items.py
+++ b/emberring/gateway/items.py
@@ -1,4 +1,4 @@
-"""Items of lots as calls: the request that a server sees, the events handed on, how the run ended."""
+"""Batch items as calls: the request that a server gets, the events handed on, how the run ended."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def item_request(item: ItemCall, now_s: float) -> ClientRequest:
-    """The request of an item: a `POST` of its body with its own headers, its id as `Request-Id`."""
+    """Return the request of an item: a `POST` of its body with its own headers, its id as `Request-Id`."""
     headers = [
         (name.lower().encode("latin-1"), value.encode("latin-1"))
         for name, value in item.headers
@@ -37,7 +37,7 @@
 
 
 def item_outcome(ended: AttemptResult) -> ItemOutcome:
-    """What the end of an attempt means for an item."""
+    """Return what the result of an attempt means for an item."""
     if ended.outcome in _NOT_RUN:
         return ItemOutcome(OutcomeKind.NOT_RUN)
     status = ended.head.status if ended.head else 0
@@ -51,7 +51,7 @@
 
 
 class ItemReceiver:
-    """Hands an item's events on as they come."""
+    """Hands on an item's events as they arrive."""
 
     def __init__(self, on_events: Callable[[list[ItemEvent]], None]) -> None:
         self._on_events = on_events
@@ -63,7 +63,7 @@
         return self._started
 
     async def events(self, head: ResponseHead, events: list[Event]) -> None:
-        """Whole events; those without an id carry no text of the item."""
+        """Hand on complete events; those without an id carry no text of the item."""
         self._started = True
         found = [
             ItemEvent(event.id, event.data.decode("utf-8", "replace"))
@@ -74,7 +74,7 @@
             self._on_events(found)
 
     async def body_chunk(self, head: ResponseHead, data: bytes) -> None:
-        """An answer that is no stream holds no events."""
+        """Ignore a part of a response that is not a stream: it holds no events."""
 
     async def end(self, head: ResponseHead, data: bytes) -> None:
-        """Nothing is left to hand on."""
+        """Do nothing: all events have been handed on."""
--- a/emberring/gateway/jobs_api.py
+++ b/emberring/gateway/jobs_api.py
@@ -1,4 +1,4 @@
-"""The batch interface for clients: submissions, pages of results, bodies of items, ends."""
+"""The batch interface for clients: submission of jobs, pages of results, bodies of items, cancellation."""
 
 from __future__ import annotations
 
@@ -22,49 +22,58 @@
 JOBS_PATH = "/v1/lots/"
 ITEMS_PATH = "/v1/items/"
 OWN_PATHS = "/v1/"
-MAX_WAIT_MS = 2000.0  # for which a page may be held until there is a result
-READ_MARGIN_S = 1.2  # for an answer beyond the wait that was allowed: clients wait 1.5 s
-CANCEL_TIMEOUT_S = 3.0
+MAX_WAIT_MS = 2000.0  # long poll: how long a page may wait for a result
+READ_MARGIN_S = 1.2  # beyond the wait that the client allowed: clients wait 1.5 s
+CANCEL_TIMEOUT_S = 3.0  # of ending a job
 
 JSON = b"application/json"
 BYTES = b"application/octet-stream"
 
 
 class Jobs(Protocol):
-    """The client of the stores. Errors are those of `emberring.errors`; a failure that is no promise is in doubt."""
+    """The client of the store nodes.
+
+    Errors are those of `emberring.errors`; after a failure without a guarantee the outcome is unknown.
+    """
 
     async def submit(self, host: str, route: Route, job: str, body: bytes) -> None:
-        """Have a lot taken; returns once it is kept."""
+        """Submit a batch job; returns once it is stored durably."""
 
     async def read(self, host: str, job: str, start_after: int, wait_ms: float) -> bytes:
-        """A page of results as JSON."""
+        """Return a page of results as JSON."""
 
     async def item(self, host: str, job: str, item: str) -> bytes:
-        """The body of an item that is not listed yet."""
+        """Return the body of an item that is not listed yet."""
 
     async def end(self, host: str, job: str) -> None:
-        """End a lot."""
+        """End a batch job."""
 
 
 class JobsApi:
-    """Maps calls to the client of the stores."""
+    """Maps HTTP requests to the client of the store nodes."""
 
     def __init__(self, jobs: Jobs) -> None:
         self._jobs = jobs
 
     def handles(self, request: ClientRequest, route: Route | None) -> bool:
-        """Whether a request belongs to this interface."""
+        """Return whether a request belongs to this interface."""
         if route is not None and route.type is RouteType.BATCH and request.method == b"POST":
             return True
-        # A route below these paths goes first; one that covers the whole host doesn't hide them.
+        # A route below these paths takes precedence; one that covers the whole host does not hide them.
         own = request.path.startswith((JOBS_PATH, ITEMS_PATH))
         return own and (route is None or not route.path_prefix.startswith(OWN_PATHS))
 
     async def answer(
         self, request: ClientRequest, route: Route | None, answer: ClientResponse
     ) -> GatewayResponse | None:
-        """Carry it out and answer; an `EmberringError` is the caller's to answer. An order without a clear end
-        in its time is in doubt (504); a question without one is refused (503), as it changed nothing."""
+        """Execute a request and answer it.
+
+        The outcome of a change that was not confirmed in its time is unknown (504); a query that was not answered in
+        its time is refused (503), as it changed nothing.
+
+        Raises:
+            EmberringError: the failure, for the caller to answer.
+        """
         try:
             if route is not None and route.type is RouteType.BATCH and request.method == b"POST":
                 await self._submit(request, route)
@@ -121,26 +130,26 @@
 
 
 def _query(request: ClientRequest, name: str) -> str:
-    """The last value under this name in the query; empty where there is none."""
+    """Return the last value under this name in the query; empty if there is none."""
     text = request.target.partition(b"?")[2].decode("latin-1")
     return parse_qs(text).get(name, [""])[-1]
 
 
 class UnavailableJobs:
-    """Stands in where no store can be reached: nothing is taken, nothing is known."""
+    """The client where no store node can be reached: everything is refused."""
 
     async def submit(self, host: str, route: Route, job: str, body: bytes) -> None:
-        """Refuse a lot."""
+        """Refuse a batch job."""
         raise NotReadyError("no store is known")
 
     async def read(self, host: str, job: str, start_after: int, wait_ms: float) -> bytes:
-        """Say that nothing is certain."""
+        """Refuse: nothing is certain."""
         raise NotReadyError("no store is known")
 
     async def item(self, host: str, job: str, item: str) -> bytes:
-        """Say that nothing is certain."""
+        """Refuse: nothing is certain."""
         raise NotReadyError("no store is known")
 
     async def end(self, host: str, job: str) -> None:
-        """Say that nothing was done."""
+        """Refuse: nothing was done."""
         raise NotReadyError("no store is known")
--- a/emberring/gateway/messages.py
+++ b/emberring/gateway/messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers as the gateway handles them, and their HTTP/1.1 form towards servers. No sockets."""
+"""Requests and responses as the gateway handles them, and their HTTP/1.1 form towards servers. No sockets."""
 
 from __future__ import annotations
 
@@ -29,8 +29,13 @@
 
 @attrs.frozen
 class ClientRequest:
-    """A request read whole. Header names are in lower case; `target` is path and query as they came;
-    `arrived_s` is the loop's time of its first byte."""
+    """A request that was received completely.
+
+    Args:
+        target: path and query as received.
+        headers: names in lower case.
+        arrived_s: when its first byte arrived (the event loop's time).
+    """
 
     method: bytes
     target: bytes
@@ -45,7 +50,7 @@
         return self.target.partition(b"?")[0].decode("latin-1")
 
     def header(self, name: bytes) -> bytes | None:
-        """The first value under this lower-case name."""
+        """Return the first value under this lower-case name; None if there is none."""
         return first_header(self.headers, name)
 
     @property
@@ -56,31 +61,31 @@
 
     @property
     def request_id(self) -> bytes:
-        """The id that the client gave this try; empty where it gave none."""
+        """The id that the client gave this request; empty if it gave none."""
         return self.header(b"request-id") or b""
 
 
 @attrs.frozen
 class ResponseHead:
-    """The head of a server's answer. Header names are in lower case; `length` is None where it comes in chunks."""
+    """The head of a server's response. Header names are in lower case; `length` is None if the body is chunked."""
 
     status: int
     headers: tuple[Header, ...]
     length: int | None
 
     def header(self, name: bytes) -> bytes | None:
-        """The first value under this lower-case name."""
+        """Return the first value under this lower-case name; None if there is none."""
         return first_header(self.headers, name)
 
     @property
     def is_event_stream(self) -> bool:
-        """Whether the body is a sequence of events."""
+        """Whether the body is a sequence of server-sent events."""
         kind = self.header(b"content-type")
         return kind is not None and kind.lower().startswith(b"text/event-stream")
 
 
 def first_header(headers: tuple[Header, ...], name: bytes) -> bytes | None:
-    """The first value under this lower-case name; None if there is none."""
+    """Return the first value under this lower-case name; None if there is none."""
     for found, value in headers:
         if found == name:
             return value
@@ -88,7 +93,7 @@
 
 
 def end_to_end_headers(headers: tuple[Header, ...]) -> list[Header]:
-    """The headers that are passed along: all but those of one connection and those that `Connection` names."""
+    """Return the headers to forward: all but hop-by-hop headers and those that `Connection` names."""
     named = set(CONNECTION_HEADERS)
     for name, value in headers:
         if name == b"connection":
@@ -99,8 +104,14 @@
 def render_request(
     request: ClientRequest, server_id: str, remaining_ms: int | None, last_event_id: int | None
 ) -> bytes:
-    """The bytes of a request to a server. `remaining_ms` is what is left of its time, `last_event_id` the event after
-    which a stream goes on; with None, what the client said of either is passed along."""
+    """Return the bytes of a request to a server.
+
+    Args:
+        request: the client's request.
+        server_id: the incarnation that must answer it.
+        remaining_ms: time left for the request; None: the client's `Deadline-Ms` is forwarded.
+        last_event_id: event after which a stream is resumed; None: the client's `Last-Event-Id` is forwarded.
+    """
     lines = [
         request.method + b" " + request.target + b" HTTP/1.1",
         b"Host: " + request.host.encode("latin-1"),
--- a/emberring/gateway/ports.py
+++ b/emberring/gateway/ports.py
@@ -1,4 +1,4 @@
-"""What the gateway needs of other parts, as they are used here."""
+"""The interfaces that the gateway needs of other packages, as they are used here."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Directory(Protocol):
-    """The newest configuration and the model servers, as the follower of the control nodes knows them."""
+    """The latest configuration and the model servers, as known from the control nodes."""
 
     @property
     def configuration(self) -> Configuration | None:
@@ -19,7 +19,7 @@
 
     @property
     def servers(self) -> Mapping[str, ServerRecord]:
-        """The servers by the id of their incarnation, draining ones among them."""
+        """The servers by the id of their incarnation, draining ones included."""
 
     @property
     def gateway_count(self) -> int:
@@ -27,22 +27,22 @@
 
 
 class AdmissionPort(Protocol):
-    """The decisions that are asked for at every send."""
+    """Admission control, as every attempt uses it."""
 
     def offer(self, now_s: float, call: CallInfo) -> Decision:
-        """Whether a call is taken, and by which server."""
+        """Decide whether a call is taken, and by which server."""
 
     def started(self, now_s: float, call_id: str, server_id: str) -> None:
-        """Its bytes have been sent."""
+        """Record that the request has been sent."""
 
     def first_event(self, now_s: float, call_id: str) -> None:
-        """The first event, or the head of an answer that is no stream, has come."""
+        """Record the first event, or the head of a response that is not a stream."""
 
     def progress(self, now_s: float, call_id: str) -> None:
-        """Later events have come."""
+        """Record later events."""
 
     def finished(self, now_s: float, call_id: str, outcome: CallOutcome) -> None:
-        """The attempt is over."""
+        """Record how the attempt ended."""
 
     def batch_room(self, now_s: float) -> int:
-        """How many more items of lots would be taken now."""
+        """Return how many more batch items would be admitted now."""
--- a/emberring/gateway/readiness.py
+++ b/emberring/gateway/readiness.py
@@ -1,23 +1,24 @@
-"""Whether this gateway calls itself ready, and the page of its figures."""
+"""Whether this gateway reports itself ready, and the page of its metrics."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Callable, Mapping
-from typing import Any
 
+from emberring.gateway.asgi import Receive, Scope, Send
 from emberring.gateway.ports import Directory
 
 READY_PATH = "/v1/readyz"
 METRICS_PATH = "/metrics"
-SERVERS_WAIT_S = (
-    2.0  # with a configuration but no server known, the gateway is ready after so long all the same
-)
+SERVERS_WAIT_S = 2.0  # with a configuration and no server known, the gateway is ready after this time
 
 
 class Readiness:
-    """Not ready until a configuration that a quorum chose and its servers are known; ready then until the end,
-    but for times in which this node is cut off: from the control nodes and from the servers alike."""
+    """The readiness of this gateway.
+
+    It is not ready until a configuration chosen by a quorum and its servers are known. From then on it is ready until
+    shutdown, except while this node is partitioned from the control nodes and from the servers alike.
+    """
 
     def __init__(self, directory: Directory, isolated: Callable[[], bool] = lambda: False) -> None:
         self._directory = directory
@@ -27,7 +28,7 @@
         self.shutting_down = False
 
     def ready(self, now_s: float) -> bool:
-        """Whether new connections should come here."""
+        """Return whether new connections should come here."""
         if self.shutting_down or self._directory.configuration is None:
             return False
         if self._configured_s is None:
@@ -39,7 +40,7 @@
 
 
 def render_metrics(figures: Mapping[str, float]) -> bytes:
-    """Figures as Prometheus reads them; those that end in `_total` are counters."""
+    """Return metrics in the text format of Prometheus; those that end in `_total` are counters."""
     lines = []
     typed = set()
     for name, value in figures.items():
@@ -48,19 +49,19 @@
             typed.add(family)
             kind = "counter" if family.endswith("_total") else "gauge"
             lines.append(f"# TYPE emberring_gateway_{family} {kind}\n")
-        told = "+Inf" if value == math.inf else f"{value:g}"
-        lines.append(f"emberring_gateway_{name} {told}\n")
+        shown = "+Inf" if value == math.inf else f"{value:g}"
+        lines.append(f"emberring_gateway_{name} {shown}\n")
     return "".join(lines).encode()
 
 
 class ReadinessPages:
-    """An ASGI application: readiness and figures."""
+    """An ASGI application with the pages of readiness and metrics."""
 
     def __init__(self, ready: Callable[[], bool], figures: Callable[[], Mapping[str, float]]) -> None:
         self._ready = ready
         self._metrics = figures
 
-    async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
+    async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one request."""
         if scope["path"] == READY_PATH:
             status, body = (200, b"ready\n") if self._ready() else (503, b"not ready\n")
--- a/emberring/gateway/response.py
+++ b/emberring/gateway/response.py
@@ -1,4 +1,4 @@
-"""A server's answer on its way to one consumer: collected, bounded, and watched for silence."""
+"""A server's response on its way to one consumer: buffered within a limit, with time-outs for silence."""
 
 from __future__ import annotations
 
@@ -10,45 +10,49 @@
 from emberring.gateway.messages import ResponseHead
 from emberring.gateway.upstream import ServerConnection
 
-HIGH_WATER_BYTES = 64 * 1024  # collected and not taken, from which the server is read no more
+HIGH_WATER_BYTES = 64 * 1024  # buffered and not taken; above this the server is read no more
 
 
 @attrs.frozen
 class ResponseTimeouts:
-    """How long a silence is borne (seconds): from a server that says nothing on any connection, and from one
-    that is heard elsewhere."""
+    """How long a server may send nothing before the attempt is given up.
+
+    Args:
+        unresponsive_server_s: limit if the server sends nothing on any connection.
+        active_server_s: limit if the server sends on other connections.
+    """
 
     unresponsive_server_s: float
     active_server_s: float
 
 
 class ServerActivity:
-    """When each server was last heard, on any connection (the loop's time)."""
+    """When each server last sent bytes, on any connection (the event loop's time)."""
 
     def __init__(self) -> None:
         self._received_s: dict[str, float] = {}
 
     def record(self, server_id: str, now_s: float) -> None:
-        """Bytes have come from this server."""
+        """Record that bytes came from this server."""
         self._received_s[server_id] = now_s
 
     def last_received_s(self, server_id: str) -> float:
-        """When that was; 0 where it never was."""
+        """Return when bytes last came from this server; 0 if never."""
         return self._received_s.get(server_id, 0.0)
 
     @property
     def latest_s(self) -> float:
-        """When any of them was; 0 where none ever was."""
+        """When bytes last came from any server; 0 if never."""
         return max(self._received_s.values(), default=0.0)
 
     def keep_only(self, server_ids: set[str]) -> None:
-        """Forget all others."""
+        """Drop all other servers."""
         for server_id in self._received_s.keys() - server_ids:
             del self._received_s[server_id]
 
 
 class PendingResponse:
-    """The exchange of one request. One consumer: it takes what has come and awaits `changed`."""
+    """The response to one request, for one consumer, which takes what has arrived and awaits `wait_for_change`."""
 
     def __init__(self, connection: ServerConnection, server_id: str, activity: ServerActivity) -> None:
         self._connection = connection
@@ -71,10 +75,12 @@
     # ----------------------------------------------------------------- for the connection
 
     def head(self, head: ResponseHead) -> None:
+        """Record the head of the response."""
         self.response_head = head
         self._record_receipt()
 
     def body(self, data: bytes) -> None:
+        """Buffer a part of the body; above `HIGH_WATER_BYTES` the connection is paused."""
         self._chunks.append(data)
         self._buffered_bytes += len(data)
         if self._buffered_bytes > HIGH_WATER_BYTES and not self._paused:
@@ -83,10 +89,12 @@
         self._record_receipt()
 
     def complete(self) -> None:
+        """Record that the response is complete."""
         self.completed = True
         self._record_receipt()
 
     def lost(self, sent: bool) -> None:
+        """Record that the response broke off."""
         self.broken = True
         self._wake()
 
@@ -94,16 +102,16 @@
 
     @property
     def finished(self) -> bool:
-        """Whether nothing more will come."""
+        """Whether nothing more will arrive."""
         return self.completed or self.broken or self.timed_out
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes that have come and were not taken."""
+        """Bytes that have arrived and were not taken."""
         return self._buffered_bytes
 
     def take(self) -> bytes:
-        """What has come of the body since the last time."""
+        """Return what has arrived of the body since the last call, and let a paused connection read on."""
         if not self._chunks:
             return b""
         data = self._chunks.popleft() if len(self._chunks) == 1 else b"".join(self._chunks)
@@ -111,12 +119,12 @@
         self._buffered_bytes = 0
         if self._paused:
             self._paused = False
-            self.last_received_s = self._loop.time()  # the silence until now was of our own making
+            self.last_received_s = self._loop.time()  # the silence until now was caused by this gateway
             self._connection.resume()
         return data
 
     async def wait_for_change(self) -> None:
-        """Wait until something more has come or is known."""
+        """Wait until something more has arrived or is known."""
         self._waiter = self._loop.create_future()
         try:
             await self._waiter
@@ -124,13 +132,13 @@
             self._waiter = None
 
     async def wait_for_head(self) -> ResponseHead | None:
-        """The head of the answer; None where there will be none."""
+        """Wait for the head of the response and return it; None if there will be none."""
         while self.response_head is None and not self.finished:
             await self.wait_for_change()
         return self.response_head
 
     def set_timeouts(self, timeouts: ResponseTimeouts | None) -> None:
-        """Take the answer for silent after so long without a byte; None: wait for ever."""
+        """Give the response up after these silences; None: never."""
         self._timeouts = timeouts
         if self._timer is not None:
             self._timer.cancel()
@@ -139,13 +147,13 @@
             self._timer = self._loop.call_later(timeouts.unresponsive_server_s, self._check_silence)
 
     def close(self) -> None:
-        """The consumer is done with it."""
+        """Stop the time-outs and let a paused connection read on: the consumer is done."""
         self.set_timeouts(None)
         if self._paused:
             self._paused = False
             self._connection.resume()
 
-    # -------------------------------------------------------------------------------- inside
+    # -------------------------------------------------------------------------------- internal
 
     def _record_receipt(self) -> None:
         self.received_any = True
@@ -163,17 +171,17 @@
         if timeouts is None or self.finished:
             return
         now = self._loop.time()
-        quiet_s = 0.0 if self._buffered_bytes else now - self.last_received_s
-        dark = self._activity.last_received_s(self._server_id) <= self.last_received_s
-        limit_s = timeouts.unresponsive_server_s if dark else timeouts.active_server_s
-        if quiet_s >= limit_s:
+        silence_s = 0.0 if self._buffered_bytes else now - self.last_received_s
+        unresponsive = self._activity.last_received_s(self._server_id) <= self.last_received_s
+        limit_s = timeouts.unresponsive_server_s if unresponsive else timeouts.active_server_s
+        if silence_s >= limit_s:
             self.timed_out = True
             self._wake()
             return
         step_s = (
-            timeouts.unresponsive_server_s - quiet_s
-            if quiet_s < timeouts.unresponsive_server_s
-            else timeouts.active_server_s - quiet_s
+            timeouts.unresponsive_server_s - silence_s
+            if silence_s < timeouts.unresponsive_server_s
+            else timeouts.active_server_s - silence_s
         )
         self._timer = self._loop.call_later(
             max(0.01, min(step_s, timeouts.unresponsive_server_s)), self._check_silence
--- a/emberring/gateway/responses.py
+++ b/emberring/gateway/responses.py
@@ -1,4 +1,4 @@
-"""What a server's answer stands for, and the answers that the gateway gives itself. Pure functions."""
+"""The meaning of servers' responses, and the responses that the gateway gives itself. Pure functions."""
 
 from __future__ import annotations
 
@@ -12,26 +12,29 @@
 
 NOT_EXECUTED_STATUSES = frozenset(
     (408, 421, 429, 503)
-)  # these say to a client that nothing has run or will run
-EXECUTED_FAILURE_STATUSES = frozenset((500, 502, 504))
-DEFAULT_RETRY_AFTER_S = 0.2  # when to come back after a failure that says nothing of load
+)  # they guarantee to a client that nothing was or will be executed
+EXECUTED_FAILURE_STATUSES = frozenset((500, 502, 504))  # failures of requests that may have been executed
+DEFAULT_RETRY_AFTER_S = 0.2  # after a failure that says nothing about load
 
 
 class ResponseClass(Enum):
-    """What becomes of an answer whose head has come."""
+    """What is done with a response whose head has arrived."""
 
     FORWARD = "pass_on"
     FULL = "full"
     WRONG_SERVER = "wrong_server"
     FAILED = "failed"
-    INVALID = "no_answer"  # a success that can't be passed on
+    INVALID = "no_answer"  # a success that cannot be forwarded
 
 
 def classify_response(head: ResponseHead) -> ResponseClass:
-    """What a server's answer stands for. Only `Not-Executed` and 421 say that the request did not run."""
+    """Return what a server's response means.
+
+    Only `Not-Executed` and status 421 guarantee that the request was not executed.
+    """
     if 200 <= head.status < 300:
-        whole = head.header(b"response-signature") is not None and head.header(b"content-encoding") is None
-        return ResponseClass.FORWARD if whole else ResponseClass.INVALID
+        valid = head.header(b"response-signature") is not None and head.header(b"content-encoding") is None
+        return ResponseClass.FORWARD if valid else ResponseClass.INVALID
     if head.status == 421:
         return ResponseClass.WRONG_SERVER
     if head.status in NOT_EXECUTED_STATUSES:
@@ -52,7 +55,7 @@
 
 @attrs.frozen
 class GatewayResponse:
-    """An answer of the gateway's own: never a server's stamp, a body of one line."""
+    """A response of the gateway's own: never with a server's signature, its body one line."""
 
     status: int
     detail: str = ""
@@ -65,19 +68,22 @@
         return (self.detail + "\n").encode() if self.detail else b""
 
     def headers(self, request_id: bytes) -> list[Header]:
-        """The headers of this answer, the request's id among them."""
-        found = [(b"content-type", b"text/plain"), (b"content-length", b"%d" % len(self.body))]
+        """Return the headers of this response, with the request's id if it has one."""
+        headers = [(b"content-type", b"text/plain"), (b"content-length", b"%d" % len(self.body))]
         if request_id:
-            found.append((b"request-id", request_id))
+            headers.append((b"request-id", request_id))
         if self.retry_after_s > 0.0:
-            found.append((b"retry-after", b"%.3f" % self.retry_after_s))
+            headers.append((b"retry-after", b"%.3f" % self.retry_after_s))
         if self.close:
-            found.append((b"connection", b"close"))
-        return found
+            headers.append((b"connection", b"close"))
+        return headers
 
 
 def response_to_error(error: EmberringError) -> GatewayResponse:
-    """The answer to a failure, by the table of error kinds; a promise says when to come back."""
+    """Return the response to an error, by the table of error kinds.
+
+    A response that guarantees that nothing was executed says when to retry.
+    """
     retry_after_s = 0.0
     if error.answer.promises_not_executed:
         retry_after_s = DEFAULT_RETRY_AFTER_S
--- a/emberring/gateway/role.py
+++ b/emberring/gateway/role.py
@@ -1,4 +1,4 @@
-"""The gateway's program: everything put together, its signals and its end."""
+"""The gateway process: all its parts put together, its signals and its shutdown."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
 from emberring.settings import GATEWAY_PORT_OFFSET, Settings
 from emberring.transport.network import Network
 
-REFRESH_S = 0.2  # between looks at the load of servers over all gateways
-SHUTDOWN_POLL_S = 0.05  # between looks while the process comes to its end
-SEED_BITS = 32
-ITEM_GRACE_SHARE = 0.6  # of the grace, within which items of lots that run may come to their end here
+REFRESH_S = 0.2  # between two updates of admission
+SHUTDOWN_POLL_S = 0.05  # between two steps of the shutdown
+SEED_BITS = 32  # of the seed of admission's draws
+ITEM_GRACE_SHARE = 0.6  # of the grace, within which running batch items may finish here
 
 logger = get_logger("gateway")
 
 
 class Gateway:
-    """The parts of a gateway, tied to one another."""
+    """The parts of a gateway, connected to one another."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
@@ -72,7 +72,7 @@
         self._reported_ready = False
 
     async def start(self) -> None:
-        """Listen, and begin to learn what is to be known."""
+        """Listen, and start to follow the control nodes."""
         self.follower.report = self._report
         self.follower.suspects = self._suspicions.suspected
         self.follower.subscribe(self._on_change)
@@ -87,7 +87,12 @@
         await self.runner.start()
 
     def _report(self, server_loads_follow: bool) -> dict[str, int]:
-        """Calls in flight by server; with those servers to which connections rest where word of them follows."""
+        """Return calls in flight by server id.
+
+        Args:
+            server_loads_follow: whether the reply has the load of each server; servers with an idle connection are then
+                included.
+        """
         calls = self.admission.in_flight(server_loads_follow)
         return {
             server_id: count
@@ -120,7 +125,7 @@
         self._suspicions.check(self._loop.time())
 
     def _refresh(self) -> None:
-        """Tell admission and the pool what is known now."""
+        """Update admission and the connection pool with what is known now."""
         self._refresh_scheduled = False
         follower = self.follower
         if follower.configuration is None:
@@ -152,23 +157,23 @@
             "items_running": float(self.runner.running),
             "server_connections_total": float(self.pool.opened_total),
         }
-        cursor, job_share, word_age_s = self.admission.status(self._loop.time())
-        figures["admission_cursor"] = float(cursor)
-        figures["admission_lot_share"] = job_share
-        figures["admission_word_age_seconds"] = word_age_s
+        admission_status = self.admission.status(self._loop.time())
+        figures["admission_cursor"] = float(admission_status.cursor)
+        figures["admission_lot_share"] = admission_status.batch_slot_share
+        figures["admission_word_age_seconds"] = admission_status.load_report_age_s
         figures.update(self._suspicions.metrics())
         for status, count in sorted(self.clients.responses.items()):
             figures[f'answers_total{{status="{status}"}}'] = float(count)
         return figures
 
     async def shut_down_gracefully(self) -> None:
-        """Finish all that is open and all that still comes, within the grace."""
+        """Finish all that is open and all that still arrives, within the grace."""
         self.readiness.shutting_down = True
         self.clients.shutting_down = True
         self.follower.me = attrs.evolve(self.follower.me, leaving=True)
         grace_s = self._settings.bounds.grace_s
         shutdown = GracefulShutdown(self._loop.time(), grace_s)
-        handing_back = self._loop.create_task(self.runner.leave(grace_s * ITEM_GRACE_SHARE))
+        returning_items = self._loop.create_task(self.runner.leave(grace_s * ITEM_GRACE_SHARE))
         while True:
             open_now = len(self.clients.connections) + self.runner.running
             seen = OpenConnections(self.clients.accepted_s, open_now, self.clients.busy)
@@ -180,10 +185,10 @@
             if stage is not Stage.SERVE:
                 self.clients.close_idle()
             await asyncio.sleep(SHUTDOWN_POLL_S)
-        handing_back.cancel()
+        returning_items.cancel()
 
     async def stop(self) -> None:
-        """End what is left."""
+        """Close what is left."""
         if self._refresher is not None:
             self._refresher.cancel()
         await self.runner.stop()
@@ -201,14 +206,14 @@
 async def run(settings: Settings) -> None:
     """Run a gateway until SIGTERM. SIGHUP changes nothing: what can change comes with the configuration."""
     loop = asyncio.get_running_loop()
-    told_to_end = asyncio.Event()
-    loop.add_signal_handler(signal.SIGTERM, told_to_end.set)
-    loop.add_signal_handler(signal.SIGINT, told_to_end.set)
+    stop_requested = asyncio.Event()
+    loop.add_signal_handler(signal.SIGTERM, stop_requested.set)
+    loop.add_signal_handler(signal.SIGINT, stop_requested.set)
     loop.add_signal_handler(signal.SIGHUP, lambda: None)
     gateway = Gateway(settings)
     await gateway.start()
     logger.info("event=started frontend=%s", settings.listen.frontend)
-    await told_to_end.wait()
+    await stop_requested.wait()
     logger.info("event=leaving")
     await gateway.shut_down_gracefully()
     await gateway.stop()
--- a/emberring/gateway/routable_servers.py
+++ b/emberring/gateway/routable_servers.py
@@ -1,33 +1,33 @@
-"""The model servers as sends see them: who may get something new, and this gateway's share of connections."""
+"""The model servers that requests may be sent to, and this gateway's connection limit for each."""
 
 from __future__ import annotations
 
 from emberring.distribution.records import ServerRecord, ServerState
 from emberring.gateway.ports import Directory
 
-DEFAULT_CONNECTION_LIMIT = 64  # connections to a server whose service states no limit
+DEFAULT_CONNECTION_LIMIT = 64  # connections to a server whose service sets no limit
 
 
 class RoutableServers:
-    """Reads the directory at each question, so that a drain holds from the moment it is known here."""
+    """The routable servers; the directory is read at each call, so that a drain holds as soon as it is known here."""
 
     def __init__(self, directory: Directory) -> None:
         self._directory = directory
         self._misdirected: set[str] = set()
 
     def routable(self, server_id: str) -> ServerRecord | None:
-        """The server, if something new may be sent to it now."""
+        """Return the server if a new request may be sent to it now, else None."""
         record = self._directory.servers.get(server_id)
         if record is None or record.state is not ServerState.READY or server_id in self._misdirected:
             return None
         return record
 
     def has_servers(self, service: str) -> bool:
-        """Whether a server of this service may get something new."""
+        """Return whether a server of this service may be sent a new request."""
         return any(record.service == service for record in self.all_routable())
 
     def all_routable(self) -> list[ServerRecord]:
-        """All servers that may get something new."""
+        """Return all servers that may be sent a new request."""
         return [
             record
             for record in self._directory.servers.values()
@@ -35,15 +35,15 @@
         ]
 
     def mark_misdirected(self, server_id: str) -> None:
-        """Another server answered at this one's address: this incarnation is gone for good."""
+        """Record that another server answered at this one's address: this incarnation is gone for good."""
         self._misdirected.add(server_id)
 
     def forget_absent(self) -> None:
-        """Drop what is kept about servers that the directory no longer lists."""
+        """Drop what is stored about servers that the directory no longer lists."""
         self._misdirected &= set(self._directory.servers)
 
     def connection_limit(self, server_id: str) -> int:
-        """How many connections this gateway may hold to a server; at least one."""
+        """Return how many connections this gateway may hold to a server; at least one."""
         record = self._directory.servers.get(server_id)
         configuration = self._directory.configuration
         service = configuration.service(record.service) if configuration and record else None
--- a/emberring/gateway/suspicion_report.py
+++ b/emberring/gateway/suspicion_report.py
@@ -1,4 +1,4 @@
-"""What this gateway says of servers in trouble: a line of the log at each change, figures, word to control."""
+"""What this gateway reports of suspected servers: a log line at each change, metrics, a report to the control nodes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         self._suspicion_counts: Counter[Fault] = Counter()
 
     def check(self, now_s: float) -> None:
-        """Write a line for each server that came into trouble, or is well again."""
+        """Log each server that became suspected, or was reinstated, since the last check."""
         for change in self._admission.check_servers(now_s):
             self._log_change(now_s, change)
 
@@ -47,11 +47,11 @@
         )
 
     def suspected(self) -> dict[str, str]:
-        """The servers suspected now and of what, for `Follower.suspects`."""
+        """Return the servers suspected now and the fault of each, for `Follower.suspects`."""
         return {server_id: fault.value for server_id, fault in self._admission.suspected_servers().items()}
 
     def metrics(self) -> dict[str, float]:
-        """For the page of figures."""
+        """Return the metrics of suspected servers."""
         figures = {"servers_suspected": float(len(self._admission.suspected_servers()))}
         for fault in Fault:
             figures[f'server_suspicions_total{{trouble="{fault.value}"}}'] = float(
--- a/emberring/gateway/upstream.py
+++ b/emberring/gateway/upstream.py
@@ -1,4 +1,4 @@
-"""One connection to a model server: one exchange at a time, answers matched by `Request-Id`, nothing sent twice."""
+"""One connection to a model server: one exchange at a time, responses matched by `Request-Id`, nothing sent twice."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 from emberring.gateway.messages import BODILESS_STATUSES, Header, ResponseHead
 from loadbalancer.core.outgoing import Outgoing
 
-MAX_HEAD_BYTES = 32 * 1024
+MAX_HEAD_BYTES = 32 * 1024  # of a response, interim responses included
 SUCCESS_FROM, SUCCESS_BELOW = 200, 300
-FINAL_FROM = 200  # statuses below are interim answers
+FINAL_FROM = 200  # statuses below are interim responses
 
 
 class Exchange(Protocol):
-    """Where the answer to one request goes. After `complete` or `lost` nothing more comes."""
+    """The receiver of the response to one request. After `complete` or `lost` no more calls come."""
 
     def head(self, head: ResponseHead) -> None:
-        """The head of the answer to this very request."""
+        """Receive the head of the response to this very request."""
 
     def body(self, data: bytes) -> None:
-        """A part of its body."""
+        """Receive a part of the body."""
 
     def complete(self) -> None:
-        """The body is whole."""
+        """Receive the end of the body."""
 
     def lost(self, sent: bool) -> None:
-        """The answer broke off, or was no answer; `sent`: a byte of the request may have left."""
+        """Receive the failure of the response; `sent`: a byte of the request may have been sent."""
 
 
 class _Relay:
-    """Takes the place of `Exchange` in `loadbalancer.core.outgoing`, which knows whole answers alone."""
+    """The exchange as `loadbalancer.core.outgoing` sees it, which handles complete responses only."""
 
     def __init__(self, connection: ServerConnection, exchange: Exchange) -> None:
         self.connection = connection
@@ -46,7 +46,7 @@
 
 
 class ServerConnection(Outgoing):
-    """The calling end of a connection to a server. `on_closed` is told when it is gone."""
+    """The client end of a connection to a server. `on_closed` is called when it is closed."""
 
     def __init__(self, on_closed: Callable[[ServerConnection], None]) -> None:
         super().__init__(on_closed)
@@ -64,33 +64,40 @@
         self.failed_request_ids: set[bytes] = set()  # of requests that were answered with a failure here
 
     def start(self, data: bytes, request_id: bytes, bodiless: bool, exchange: Exchange) -> None:
-        """Send a request; `bodiless`: its method is HEAD. Afterwards `possibly_sent` tells whether a byte may have left."""
+        """Send a request; afterwards `possibly_sent` tells whether a byte may have been sent.
+
+        Args:
+            data: the bytes of the request.
+            request_id: its `Request-Id`; empty if it has none.
+            bodiless: whether its method is HEAD.
+            exchange: receiver of the response.
+        """
         self._request_id = request_id
         self._bodiless = bodiless
         self._in_head, self._head_bytes, self._completed, self._discarding = True, 0, False, False
         self._relay = _Relay(self, exchange)
         self._send(data, self._relay)
-        assert self._transport is not None
-        # A write that fails at once has taken no byte; anything else may have.
-        self.possibly_sent = not self._transport.is_closing()
+        # A write that fails at once has sent no byte; anything else may have.
+        self.possibly_sent = self._transport is not None and not self._transport.is_closing()
 
     def pause(self) -> None:
-        """Read no more until `resume`: the caller takes the answer slower than it comes."""
+        """Stop reading until `resume`: the consumer is slower than the server."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue reading."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.resume_reading()
 
     # ---------------------------------------------------------- asyncio.Protocol
 
     def data_received(self, data: bytes) -> None:
-        if self._relay is None:  # nothing was asked: these bytes belong to no request
+        """Parse received bytes; called by asyncio."""
+        if self._relay is None:  # no request is pending: these bytes belong to none
             self.abort()
             return
-        if self._in_head:  # the parser keeps a header back until it is whole; interim answers count too
+        if self._in_head:  # the parser holds an incomplete header back; interim responses count too
             self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
@@ -106,28 +113,32 @@
 
     def _finish_exchange(self) -> None:
         if self._bodiless:
-            self._parser = httptools.HttpResponseParser(self)  # the old one may wait for a body
+            self._parser = httptools.HttpResponseParser(self)  # the old one may still expect a body
         self._relay = None
         self._answer(None)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Release the parser; called by asyncio."""
         super().connection_lost(exc)
         self._relay = None
-        del self._parser  # parser and connection hold each other
+        del self._parser  # parser and connection reference each other
 
     # --------------------------------------------------------- httptools callbacks
 
     def on_message_begin(self) -> None:
+        """Start a message; called by httptools."""
         self._headers = []
         self._in_head = True
         if self._completed:
-            self._spoilt = True  # more than was asked for: the connection is not used again
+            self._spoilt = True  # a surplus response: the connection is not reused
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Collect a header; called by httptools."""
         if self._in_head:  # a trailer changes nothing
             self._headers.append((name.lower(), value.rstrip(b" \t")))
 
     def on_headers_complete(self) -> None:
+        """Check the head and give it to the exchange; called by httptools."""
         status = self._parser.get_status_code()
         if self._completed or status < FINAL_FROM:
             return
@@ -142,7 +153,7 @@
             self.failed_request_ids.add(self._request_id)
         bodiless = self._bodiless or status in BODILESS_STATUSES
         if not bodiless and head.length is None and not self._is_chunked():
-            self._spoilt = True  # only the connection's end would end it, and that could be a break too
+            self._spoilt = True  # only the connection's end would end the body, and that may be a failure
             return
         self._relay.exchange.head(head)
         if bodiless:
@@ -151,7 +162,7 @@
                 self._spoilt = True
 
     def _read_head(self, status: int) -> ResponseHead | None:
-        """The head, or None where it can't be trusted; sets whether this answer is another request's."""
+        """Return the head, or None if it cannot be trusted; set whether the response is another request's."""
         length = found_id = None
         for name, value in self._headers:
             if name == b"content-length":
@@ -172,17 +183,19 @@
         return any(name == b"transfer-encoding" for name, _ in self._headers)
 
     def on_body(self, body: bytes) -> None:
+        """Give a part of the body to the exchange; called by httptools."""
         if self._completed or self._spoilt:
             self._spoilt = True
         elif not self._discarding and self._relay is not None:
             self._relay.exchange.body(body)
 
     def on_message_complete(self) -> None:
+        """End a message, which may have been an interim or a surplus one; called by httptools."""
         if self._completed or self._spoilt:
             return
         if not self._parser.should_keep_alive():
             self._spoilt = True
-        if self._in_head or self._discarding:  # an interim or a surplus answer: the right one may follow
+        if self._in_head or self._discarding:  # an interim or a surplus response: the right one may follow
             self._discarding = False
             self._in_head, self._head_bytes = True, 0
             return
@@ -190,7 +203,7 @@
 
 
 def _timeout_of(value: bytes, known: float | None) -> float | None:
-    """The seconds that a `Keep-Alive` header grants; what was known before if it names none."""
+    """Return the seconds that a `Keep-Alive` header grants; `known` if it names none."""
     for part in value.split(b","):
         name, _, number = part.strip().partition(b"=")
         if name.strip().lower() == b"timeout" and number.strip().isdigit():
