--- a/emberring/admission/service_rate.py
+++ b/emberring/admission/service_rate.py
@@ -1,20 +1,26 @@
-"""How fast a pool's engines are, learned from first events: tokens read per millisecond, and what else a first
-event takes; and how long a call holds its place."""
+"""The service rate of a pool, learned from its answers.
+
+Estimated are the prefill speed (tokens per millisecond), the fixed part of the wait for a first event, and how long a
+call holds its slot.
+"""
 
 from __future__ import annotations
 
-FORGET = 0.995  # what each outcome leaves of those before it
-LEAST_RATE, MOST_RATE = 5.0, 5000.0  # tokens per ms
-PRIOR_WEIGHT = 10.0  # the start's figures count as much as so many outcomes
-PRIOR_TOKENS = 8000.0
-HOLD_GAIN = 0.02
-LATE_WEIGHT = (
-    0.3  # of an outcome that came later than the line says: much may have held it up that is not seen
-)
+DECAY_PER_OUTCOME = 0.995  # weight that each outcome leaves to those before it
+MIN_TOKENS_PER_MS, MAX_TOKENS_PER_MS = 5.0, 5000.0  # limits of the estimated prefill speed
+PRIOR_OUTCOMES = 10.0  # outcomes that the assumed speed counts as
+PRIOR_TOKENS = 8000.0  # prompt length of these
+HOLD_GAIN = 0.02  # smoothing of the time for which a call holds its slot
+LATE_OUTCOME_WEIGHT = 0.3  # of an outcome later than estimated: it may have been delayed by unobserved causes
 
 
 class ServiceRateEstimator:
-    """A line through (tokens to read, wait), the latest outcomes counting most."""
+    """A linear regression of the wait for a first event on the tokens to compute, recent outcomes weighing most.
+
+    Args:
+        tokens_per_ms: assumed prefill speed before any outcome.
+        hold_s: assumed time for which a call holds its slot before any outcome.
+    """
 
     def __init__(self, tokens_per_ms: float, hold_s: float) -> None:
         self.hold_s = hold_s
@@ -23,26 +29,26 @@
         self.ms_per_token = self._prior
         self.base_ms = 0.0
 
-    def first_event(self, tokens: float, wait_ms: float) -> None:
-        """A first event came so long after its call was sent, with so many tokens before it to be read."""
-        weight = LATE_WEIGHT if wait_ms > self.wait_ms(tokens) else 1.0
-        self._n = self._n * FORGET + weight
-        self._x = self._x * FORGET + weight * tokens
-        self._y = self._y * FORGET + weight * wait_ms
-        self._xx = self._xx * FORGET + weight * tokens * tokens
-        self._xy = self._xy * FORGET + weight * tokens * wait_ms
+    def record_first_event(self, tokens: float, wait_ms: float) -> None:
+        """Record the wait for a first event with this many tokens to be computed before it."""
+        weight = LATE_OUTCOME_WEIGHT if wait_ms > self.wait_ms(tokens) else 1.0
+        self._n = self._n * DECAY_PER_OUTCOME + weight
+        self._x = self._x * DECAY_PER_OUTCOME + weight * tokens
+        self._y = self._y * DECAY_PER_OUTCOME + weight * wait_ms
+        self._xx = self._xx * DECAY_PER_OUTCOME + weight * tokens * tokens
+        self._xy = self._xy * DECAY_PER_OUTCOME + weight * tokens * wait_ms
         mean_x, mean_y = self._x / self._n, self._y / self._n
         spread = self._xx - self._n * mean_x * mean_x
         covered = self._xy - self._n * mean_x * mean_y
-        prior = PRIOR_WEIGHT * PRIOR_TOKENS * PRIOR_TOKENS
+        prior = PRIOR_OUTCOMES * PRIOR_TOKENS * PRIOR_TOKENS
         slope = (covered + prior * self._prior) / (spread + prior)
-        self.ms_per_token = min(1.0 / LEAST_RATE, max(1.0 / MOST_RATE, slope))
+        self.ms_per_token = min(1.0 / MIN_TOKENS_PER_MS, max(1.0 / MAX_TOKENS_PER_MS, slope))
         self.base_ms = max(0.0, mean_y - self.ms_per_token * mean_x)
 
-    def held(self, seconds: float) -> None:
-        """A whole answer took its place for so long."""
+    def record_completion(self, seconds: float) -> None:
+        """Record how long a completed call held its slot."""
         self.hold_s += HOLD_GAIN * (seconds - self.hold_s)
 
     def wait_ms(self, tokens: float) -> float:
-        """The wait for a first event with so many tokens to be read before it."""
+        """Return the expected wait for a first event with this many tokens to be computed before it."""
         return self.base_ms + tokens * self.ms_per_token
--- a/emberring/gateway/clients.py
+++ b/emberring/gateway/clients.py
@@ -1,10 +1,10 @@
-"""The clients' listener: uvicorn's HTTP/1.1 protocol with this tier's limits, which may change while it runs."""
+"""The clients' listener: uvicorn's HTTP/1.1 protocol with this tier's limits, which may change at run time."""
 
 from __future__ import annotations
 
 import asyncio
 from collections import Counter
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable
 from typing import Any
 
 from uvicorn.config import Config
@@ -12,17 +12,16 @@
 from uvicorn.server import ServerState
 
 from emberring.configuration.model import ClientLimits
+from emberring.gateway.asgi import Application
 from loadbalancer.core.outgoing import readable
 
-BACKLOG = 2048
-ACCEPT_ROUNDS = 3  # turns of the loop after which what stood in the accept queue has been taken
-LINGER_S = 2.0  # how long a client may take to read the last bytes of an answer that was broken off
+BACKLOG = 2048  # connections in the accept queue
+ACCEPT_LOOP_TURNS = 3  # turns of the event loop after which the accept queue has been emptied
+LINGER_S = 2.0  # time for a client to read the last bytes of an aborted response
 
-Application = Callable[[Any, Any, Any], Awaitable[None]]
 
-
-class ClientPort:
-    """One listening address: its connections, its limits, and how it comes to an end."""
+class ClientListener:
+    """One listening address: its connections, its limits, and how it is closed."""
 
     def __init__(self, app: Application, limits: Callable[[], ClientLimits]) -> None:
         self._config = Config(
@@ -41,8 +40,8 @@
         self._state = ServerState()
         self._server: asyncio.Server | None = None
         self.limits = limits
-        self.leaving = False
-        self.answers: Counter[str] = Counter()  # begun, by status, and those broken off
+        self.shutting_down = False
+        self.responses: Counter[str] = Counter()  # begun, by status, and those aborted
         self.accepted = 0
         self.accepted_s = 0.0
 
@@ -54,39 +53,40 @@
 
     @property
     def port(self) -> int:
-        """The port that is listened on."""
-        assert self._server is not None
+        """The port that is listened on; raises RuntimeError if there is none."""
+        if self._server is None:
+            raise RuntimeError("not listening")
         return int(self._server.sockets[0].getsockname()[1])
 
     def _connection(self) -> ClientConnection:
-        return ClientConnection(self._config, self._state, {"port": self})
+        return ClientConnection(self._config, self._state, {"listener": self})
 
     @property
     def connections(self) -> set[ClientConnection]:
-        """All that are open."""
+        """All open connections."""
         return self._state.connections  # type: ignore[return-value]
 
     @property
     def busy(self) -> int:
-        """Connections with a request that is half read or not answered."""
+        """Connections with a request that is partly read or not answered."""
         return sum(connection.busy for connection in self.connections)
 
     async def stop_listening(self) -> None:
-        """Take what stands in the accept queue, then listen no more. Open connections stay."""
+        """Accept what is in the accept queue, then stop listening. Open connections stay."""
         if self._server is None:
             return
-        for _ in range(ACCEPT_ROUNDS):
+        for _ in range(ACCEPT_LOOP_TURNS):
             await asyncio.sleep(0)
         self._server.close()
         self._server = None
 
     def close_idle(self) -> None:
-        """Close connections on which nothing was asked; one whose request is just arriving stays."""
+        """Close connections without a request; one whose request is just arriving stays."""
         for connection in list(self.connections):
             connection.close_if_idle()
 
     def abort(self) -> None:
-        """End all that is left."""
+        """Abort all open connections."""
         for connection in list(self.connections):
             connection.transport.abort()
 
@@ -102,12 +102,12 @@
         _loop: asyncio.AbstractEventLoop | None = None,
     ) -> None:
         super().__init__(config, server_state, app_state, _loop)
-        self.owner: ClientPort = app_state["port"]
-        self.on_gone: Callable[[], None] | None = None
+        self.listener: ClientListener = app_state["listener"]
+        self.on_disconnected: Callable[[], None] | None = None
         self._in_head = False
         self._begun = 0  # requests
-        self._fed_bytes = 0  # since the head began, as far as that is known
-        self._head_bytes = 0  # in names and values that are whole
+        self._fed_bytes = 0  # since the head began, as far as known
+        self._head_bytes = 0  # in complete names and values
         self._began_s = 0.0
         self._idle_since_s = 0.0
         self._head_timer: asyncio.TimerHandle | None = None
@@ -116,7 +116,7 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a request is half read or not answered."""
+        """Whether a request is partly read or not answered."""
         return (
             self._in_head
             or bool(self.pipeline)
@@ -124,64 +124,70 @@
         )
 
     def close_after_answer(self) -> None:
-        """The answer that is about to begin is the last one here, and says so."""
+        """Make the response that is about to begin the last one here, with `Connection: close`."""
         if not self.pipeline:
             self.cycle.keep_alive = False
 
-    def break_off(self) -> None:
-        """End the answer that was begun without its end: what was written still goes out, for a while."""
+    def abort_response(self) -> None:
+        """End a begun response without its end: what was written is still sent, for `LINGER_S`."""
         self.cycle.disconnected = True
         self.transport.close()
         self.loop.call_later(LINGER_S, self.transport.abort)
 
     def close_if_idle(self) -> None:
-        """Close it if nothing was asked on it, not even in bytes that wait in the kernel."""
+        """Close the connection if no byte of a request has arrived, not even in the kernel."""
         if not self.busy and not self.transport.is_closing() and not readable(self.transport):
             self.transport.close()
 
     # --------------------------------------------------------------------- asyncio.Protocol
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
+        """Start the idle time-out; called by asyncio."""
         super().connection_made(transport)
-        self.owner.accepted += 1
-        self.owner.accepted_s = self.loop.time()
-        self._rest()
+        self.listener.accepted += 1
+        self.listener.accepted_s = self.loop.time()
+        self._wait_for_request()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Cancel timers and notify the application; called by asyncio."""
         super().connection_lost(exc)
         self._unset_keepalive_if_required()
         self._stop_head_timer()
-        gone, self.on_gone = self.on_gone, None
+        gone, self.on_disconnected = self.on_disconnected, None
         if gone is not None:
             gone()
 
     def data_received(self, data: bytes) -> None:
+        """Parse received bytes and limit the size of a head; called by asyncio."""
         between = not self._in_head and (self.cycle is None or not self.cycle.more_body)
         begun = self._begun
         self._fed_bytes += len(data)
         super().data_received(data)
         if between and self._begun == begun + 1:
             self._fed_bytes = len(data)
-        if self._in_head and self._fed_bytes > self.owner.limits().max_header_bytes:
+        if self._in_head and self._fed_bytes > self.listener.limits().max_header_bytes:
             self._refuse(b"431 Request Header Fields Too Large")
 
     # ------------------------------------------------------------------- parser's callbacks
 
     def on_message_begin(self) -> None:
+        """Start the time-out of a head; called by httptools."""
         super().on_message_begin()
         self._in_head, self._fed_bytes, self._head_bytes = True, 0, 0
         self._begun += 1
         self._began_s = self.loop.time()
         self._stop_head_timer()
         self._head_timer = self.loop.call_later(
-            self.owner.limits().header_timeout_ms / 1000.0, self._head_late
+            self.listener.limits().header_timeout_ms / 1000.0, self._on_head_timeout
         )
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Count the bytes of a header; called by httptools."""
         super().on_header(name, value)
         self._head_bytes += len(name) + len(value)
 
     def on_headers_complete(self) -> None:
+        """Store what the application needs in the scope; called by httptools."""
         self._in_head = False
         self._stop_head_timer()
         state = self.scope["state"]
@@ -190,32 +196,34 @@
         super().on_headers_complete()
 
     def on_response_complete(self) -> None:
+        """Restart the idle time-out; called by uvicorn."""
         super().on_response_complete()
-        self.on_gone = None
+        self.on_disconnected = None
         if self.timeout_keep_alive_task is not None:
             self._unset_keepalive_if_required()
-            self._rest()
+            self._wait_for_request()
 
     # ------------------------------------------------------------------------------- limits
 
-    def _rest(self) -> None:
+    def _wait_for_request(self) -> None:
         """Wait for a request, for as long as clients may stay idle."""
         self._idle_since_s = self.loop.time()
         self._arm_idle()
 
     def _arm_idle(self) -> None:
-        left_s = self._idle_since_s + self.owner.limits().idle_timeout_ms / 1000.0 - self.loop.time()
+        left_s = self._idle_since_s + self.listener.limits().idle_timeout_ms / 1000.0 - self.loop.time()
         self.timeout_keep_alive_task = self.loop.call_later(max(0.0, left_s), self.timeout_keep_alive_handler)
 
     def timeout_keep_alive_handler(self) -> None:
+        """Close the connection at its idle time-out; called by uvicorn's timer."""
         self.timeout_keep_alive_task = None
         rested_s = self.loop.time() - self._idle_since_s
-        if rested_s < self.owner.limits().idle_timeout_ms / 1000.0:
+        if rested_s < self.listener.limits().idle_timeout_ms / 1000.0:
             self._arm_idle()  # the limit was raised meanwhile
         else:
             self.close_if_idle()
 
-    def _head_late(self) -> None:
+    def _on_head_timeout(self) -> None:
         self._head_timer = None
         if self._in_head:
             self._refuse(b"408 Request Timeout")
@@ -226,7 +234,7 @@
             self._head_timer = None
 
     def _refuse(self, status: bytes) -> None:
-        """Answer a head that can't be read whole, unless an earlier answer is still under way."""
+        """Answer a head that cannot be read completely, unless an earlier response is still being sent."""
         if self.transport.is_closing():
             return
         if self.cycle is None or self.cycle.response_complete:
--- a/emberring/gateway/execution.py
+++ b/emberring/gateway/execution.py
@@ -1,4 +1,4 @@
-"""Runs calls against the model servers: live requests through all their attempts, items of lots one attempt each."""
+"""Execution of calls at the model servers: live requests with all their attempts, batch items with one attempt each."""
 
 from __future__ import annotations
 
@@ -10,41 +10,41 @@
 from emberring.admission.attempts import AttemptBudget
 from emberring.admission.types import Admitted, CallInfo, CallOutcome, Decision, NoServer, Refused
 from emberring.configuration.model import Route
-from emberring.gateway.answers import PROMISES, RETRY_SOON_S, OwnAnswer
-from emberring.gateway.attempt import Attempt, Call, Ended, Means, Receiver
-from emberring.gateway.calls import choose_service, read_milliseconds, read_parts, read_token_count
+from emberring.gateway.attempt import Attempt, AttemptContext, AttemptResult, Receiver, UpstreamCall
+from emberring.gateway.calls import choose_service, read_milliseconds, read_prefix_parts, read_token_count
+from emberring.gateway.connection_pool import ConnectionPool
 from emberring.gateway.items import ItemReceiver, item_outcome, item_request
 from emberring.gateway.messages import ClientRequest
-from emberring.gateway.pool import ServerPool
 from emberring.gateway.ports import AdmissionPort
-from emberring.gateway.reply import Hearing, Patience
-from emberring.gateway.servers import ServerBook
+from emberring.gateway.response import ResponseTimeouts, ServerActivity
+from emberring.gateway.responses import DEFAULT_RETRY_AFTER_S, NOT_EXECUTED_STATUSES, GatewayResponse
+from emberring.gateway.routable_servers import RoutableServers
 from emberring.jobs.items import ItemCall, ItemEvent, ItemOutcome, OutcomeKind
 
-# With calls that may go to another server. Clients leave after 2 s of silence at the earliest; a server that is heard
-# elsewhere is at work on what came before.
-LIVE_PATIENCE = Patience(dark_s=1.1, alive_s=10.0)
-ITEM_PATIENCE = Patience(dark_s=2.5, alive_s=10.0)
-CUT_OFF_S = 1.0  # without a word from any server, while connections to them fail
-ITEM_LIMIT_S = 60.0  # an item that still speaks after so long is begun anew later
+# For calls that may be retried at another server. Clients leave after 2 s of silence at the earliest; a server that
+# sends on other connections is working on earlier requests.
+LIVE_RESPONSE_TIMEOUTS = ResponseTimeouts(unresponsive_server_s=1.1, active_server_s=10.0)
+ITEM_RESPONSE_TIMEOUTS = ResponseTimeouts(unresponsive_server_s=2.5, active_server_s=10.0)
+ISOLATED_AFTER_S = 1.0  # without a byte from any server, while connections to them fail
+ITEM_LIMIT_S = 60.0  # an item that still runs after this is retried later
 
 
 class LiveReceiver(Receiver, Protocol):
     """The client's end of a live request."""
 
-    def break_off(self) -> None:
-        """End an answer that was begun so that it can't look complete."""
+    def abort_response(self) -> None:
+        """End a response that was begun so that it cannot look complete."""
 
 
 class Executor:
-    """All calls of this process. A call is in admission's count from `offer` until its attempt is over."""
+    """All calls of this process. A call counts in admission from `offer` until its attempt has ended."""
 
-    def __init__(self, admission: AdmissionPort, pool: ServerPool, book: ServerBook) -> None:
+    def __init__(self, admission: AdmissionPort, pool: ConnectionPool, servers: RoutableServers) -> None:
         self._admission = admission
-        self._book = book
+        self._servers = servers
         self._pool = pool
-        self._hearing = Hearing()
-        self._means = Means(pool, admission, self._hearing, book.sendable)
+        self._activity = ServerActivity()
+        self._context = AttemptContext(pool, admission, self._activity, servers.routable)
         self._numbers = count(1)
         self.on_misdirected: Callable[[], None] = lambda: None
 
@@ -52,53 +52,56 @@
 
     async def run_live(
         self, request: ClientRequest, route: Route, receiver: LiveReceiver
-    ) -> OwnAnswer | None:
-        """Carry a request out. What is returned is still to be sent; None: the receiver has got its answer."""
+    ) -> GatewayResponse | None:
+        """Execute a live request.
+
+        Returns the response that is still to be sent; None if the receiver already has the response.
+        """
         call = self._live_call(request, route)
         budget = _Progress(AttemptBudget(route.max_attempts, route.may_repeat))
         try:
-            async with asyncio.timeout_at(call.end_s):
+            async with asyncio.timeout_at(call.deadline_s):
                 return await self._serve(call, route, receiver, budget)
         except TimeoutError:
             if receiver.started:
-                receiver.break_off()
+                receiver.abort_response()
                 return None
-            if budget.value.certainly_not_run and not call.sent:
-                return OwnAnswer(503, "no server took it in time", RETRY_SOON_S)
-            return OwnAnswer(504, "no answer in time")
+            if budget.value.certainly_not_executed and not call.possibly_sent:
+                return GatewayResponse(503, "no server took it in time", DEFAULT_RETRY_AFTER_S)
+            return GatewayResponse(504, "no answer in time")
 
-    def _live_call(self, request: ClientRequest, route: Route) -> Call:
+    def _live_call(self, request: ClientRequest, route: Route) -> UpstreamCall:
         limit_ms = route.timeout_ms
         deadline_ms = read_milliseconds(request.header(b"deadline-ms"))
         if deadline_ms is not None:
             limit_ms = min(limit_ms, deadline_ms)
-        asked_after = request.header(b"last-event-id")
-        return Call(
+        resume_after = request.header(b"last-event-id")
+        return UpstreamCall(
             id=f"r{next(self._numbers)}",
             request=request,
-            may_repeat=route.may_repeat,
-            end_s=request.arrived_s + limit_ms / 1000.0,
-            last_event_id=int(asked_after) if asked_after and asked_after.isdigit() else None,
+            idempotent=route.may_repeat,
+            deadline_s=request.arrived_s + limit_ms / 1000.0,
+            last_event_id=int(resume_after) if resume_after and resume_after.isdigit() else None,
         )
 
     async def _serve(
-        self, call: Call, route: Route, receiver: LiveReceiver, progress: _Progress
-    ) -> OwnAnswer | None:
+        self, call: UpstreamCall, route: Route, receiver: LiveReceiver, progress: _Progress
+    ) -> GatewayResponse | None:
         excluded: set[str] = set()
-        broken: set[str] = (
-            set()
-        )  # of these, those that answered and may be asked again where there is no other
-        last: Ended | None = None
+        broken: set[str] = set()  # excluded servers that may be retried if there is no other one
+        last: AttemptResult | None = None
         while True:
-            decision = self._offer(call, route, excluded, batch=False, admitted=last is not None)
+            decision = self._offer(call, route, excluded, admitted=last is not None)
             if isinstance(decision, NoServer) and broken:
                 excluded -= broken
                 broken.clear()
-                decision = self._offer(call, route, excluded, batch=False, admitted=True)
+                decision = self._offer(call, route, excluded, admitted=True)
             if not isinstance(decision, Admitted):
                 return await self._give_up(call, receiver, progress, last, decision)
             excluded.add(decision.server_id)
-            last = await self._attempt(call, decision.server_id, receiver, self._patience(route, progress))
+            last = await self._attempt(
+                call, decision.server_id, receiver, self._response_timeouts(route, progress)
+            )
             if last.outcome is CallOutcome.COMPLETED:
                 if last.head is not None:
                     await receiver.end(last.head, last.body)
@@ -112,80 +115,86 @@
             call.resumed = receiver.started
 
     @staticmethod
-    def _patience(route: Route, progress: _Progress) -> Patience | None:
-        """A silence is given up only while another server may be asked."""
-        another = route.may_repeat and progress.value.ran + 1 < route.max_attempts
-        return LIVE_PATIENCE if another else None
+    def _response_timeouts(route: Route, progress: _Progress) -> ResponseTimeouts | None:
+        """Return the time-outs of the next attempt: none unless another server may be tried after it."""
+        another = route.may_repeat and progress.value.executed + 1 < route.max_attempts
+        return LIVE_RESPONSE_TIMEOUTS if another else None
 
     async def _give_up(
         self,
-        call: Call,
+        call: UpstreamCall,
         receiver: LiveReceiver,
         progress: _Progress,
-        last: Ended | None,
+        last: AttemptResult | None,
         decision: Decision | None,
-    ) -> OwnAnswer | None:
+    ) -> GatewayResponse | None:
         if receiver.started:
-            receiver.break_off()
+            receiver.abort_response()
             return None
-        if progress.value.certainly_not_run:
-            return OwnAnswer(503, "not taken", _retry_after_s(decision, last))
+        if progress.value.certainly_not_executed:
+            return GatewayResponse(503, "not taken", _retry_after_s(decision, last))
         failed = last.head if last is not None and last.outcome is CallOutcome.FAILED else None
-        # A status that promises what the server did not promise is not passed on.
-        if last is not None and failed is not None and failed.status not in PROMISES:
+        # A status that guarantees what the server did not guarantee is not forwarded.
+        if last is not None and failed is not None and failed.status not in NOT_EXECUTED_STATUSES:
             await receiver.end(failed, last.body)
             return None
         if last is not None and last.outcome is CallOutcome.SILENT:
-            return OwnAnswer(504, "the server fell silent")
-        return OwnAnswer(502, "the server's answer broke off or was none")
-
-    def cut_off(self, now_s: float) -> bool:
-        """Whether connections to servers fail and none was heard since, for a while."""
-        return self._pool.unreachable_s > self._hearing.latest and now_s - self._hearing.latest > CUT_OFF_S
+            return GatewayResponse(504, "the server fell silent")
+        return GatewayResponse(502, "the server's answer broke off or was none")
+
+    def isolated(self, now_s: float) -> bool:
+        """Return whether connections to servers fail and no server has answered since, for `ISOLATED_AFTER_S`."""
+        return (
+            self._pool.last_unreachable_s > self._activity.latest_s
+            and now_s - self._activity.latest_s > ISOLATED_AFTER_S
+        )
 
-    # ---------------------------------------------------------------- items of lots
+    # ---------------------------------------------------------------- batch items
 
     def batch_room(self) -> int:
-        """How many more items admission would take now."""
+        """Return how many more batch items admission would take now."""
         return self._admission.batch_room(asyncio.get_running_loop().time())
 
     async def run_item(self, item: ItemCall, on_events: Callable[[list[ItemEvent]], None]) -> ItemOutcome:
-        """Run an item once, at one server."""
+        """Run a batch item once, at one server."""
         loop = asyncio.get_running_loop()
-        call = Call(
+        call = UpstreamCall(
             id=f"i{next(self._numbers)}",
             request=item_request(item, loop.time()),
-            may_repeat=True,
-            end_s=loop.time() + ITEM_LIMIT_S,
+            idempotent=True,
+            deadline_s=loop.time() + ITEM_LIMIT_S,
             allowed=item.still_allowed,
-            tell_deadline=False,
+            send_deadline=False,
             stream_only=True,
             last_event_id=item.resume_after,
             resumed=item.resume_after is not None,
         )
-        decision = self._offer(call, item.route, set(), batch=True, due_s=item.due_s)
+        decision = self._offer(call, item.route, set(), due_s=item.due_s)
         if not isinstance(decision, Admitted):
             return ItemOutcome(OutcomeKind.NOT_RUN)
         try:
-            async with asyncio.timeout_at(call.end_s):
-                ended = await self._attempt(call, decision.server_id, ItemReceiver(on_events), ITEM_PATIENCE)
+            async with asyncio.timeout_at(call.deadline_s):
+                result = await self._attempt(
+                    call, decision.server_id, ItemReceiver(on_events), ITEM_RESPONSE_TIMEOUTS
+                )
         except TimeoutError:
             return ItemOutcome(OutcomeKind.BROKEN)
-        return item_outcome(ended)
+        return item_outcome(result)
 
-    # -------------------------------------------------------------------------- both
+    # ---------------------------------------------------------------- live and batch
 
     def _offer(
         self,
-        call: Call,
+        call: UpstreamCall,
         route: Route,
         excluded: set[str],
-        batch: bool,
         admitted: bool = False,
         due_s: float | None = None,
     ) -> Decision:
+        """Offer a call to admission; `due_s` is when an item is due, None for a live request."""
         request = call.request
-        service = choose_service(route, request.request_id, self._book.has_servers)
+        batch = due_s is not None
+        service = choose_service(route, request.request_id, self._servers.has_servers)
         tokens_in, tokens_out = read_token_count(request.header(b"token-count"))
         info = CallInfo(
             id=call.id,
@@ -195,9 +204,9 @@
             batch=batch,
             tokens_in=tokens_in,
             tokens_out=tokens_out,
-            parts=read_parts(request.header(b"prefix-hash")),
-            aim_ms=route.target_latency_ms,
-            deadline_s=call.end_s if due_s is None else due_s,
+            parts=read_prefix_parts(request.header(b"prefix-hash")),
+            latency_target_ms=route.target_latency_ms,
+            deadline_s=call.deadline_s if due_s is None else due_s,
             target_s=route.completion_target_ms / 1000.0 if batch else 0.0,
             excluded=frozenset(excluded),
             admitted=admitted,
@@ -205,39 +214,39 @@
         return self._admission.offer(asyncio.get_running_loop().time(), info)
 
     async def _attempt(
-        self, call: Call, server_id: str, receiver: Receiver, patience: Patience | None
-    ) -> Ended:
-        server = self._book.sendable(server_id)
+        self, call: UpstreamCall, server_id: str, receiver: Receiver, timeouts: ResponseTimeouts | None
+    ) -> AttemptResult:
+        server = self._servers.routable(server_id)
         if server is None:
             self._admission.finished(asyncio.get_running_loop().time(), call.id, CallOutcome.NOT_SENT)
-            return Ended(CallOutcome.NOT_SENT)
-        ended = await Attempt(self._means, call, server, receiver, patience).run()
-        if ended.outcome is CallOutcome.WRONG_SERVER and ended.head is not None:
-            answered_by = ended.head.header(b"instance-id")
+            return AttemptResult(CallOutcome.NOT_SENT)
+        result = await Attempt(self._context, call, server, receiver, timeouts).run()
+        if result.outcome is CallOutcome.WRONG_SERVER and result.head is not None:
+            answered_by = result.head.header(b"instance-id")
             if answered_by is not None and answered_by != server_id.encode("latin-1"):
-                self._book.misdirect(server_id)
-                self._pool.forget(server_id)
+                self._servers.mark_misdirected(server_id)
+                self._pool.close_idle(server_id)
                 self.on_misdirected()
-        return ended
+        return result
 
     def forget_absent(self, present: set[str]) -> None:
-        """Drop what is kept about servers that are gone."""
-        self._hearing.keep_only(present)
+        """Drop what is stored about servers that no longer exist."""
+        self._activity.keep_only(present)
 
 
 class _Progress:
-    """The budget of a live request, kept where the end of its time can read it."""
+    """The attempt budget of a live request, stored where the time-out handler can read it."""
 
     def __init__(self, value: AttemptBudget) -> None:
         self.value = value
 
 
-def _retry_after_s(decision: Decision | None, last: Ended | None) -> float:
-    """When a refused request may come back (seconds)."""
+def _retry_after_s(decision: Decision | None, last: AttemptResult | None) -> float:
+    """Return after how many seconds a refused request may be retried."""
     if isinstance(decision, Refused):
         return max(0.001, decision.retry_after_s)
-    told = last.head.header(b"retry-after") if last is not None and last.head is not None else None
+    retry_after = last.head.header(b"retry-after") if last is not None and last.head is not None else None
     try:
-        return max(0.001, float(told)) if told is not None else RETRY_SOON_S
+        return max(0.001, float(retry_after)) if retry_after is not None else DEFAULT_RETRY_AFTER_S
     except ValueError:
-        return RETRY_SOON_S
+        return DEFAULT_RETRY_AFTER_S
--- a/emberring/gateway/items.py
+++ b/emberring/gateway/items.py
@@ -1,16 +1,16 @@
-"""Items of lots as calls: the request that a server sees, the events handed on, how the run ended."""
+"""Batch items as calls: the request that a server gets, the events handed on, how the run ended."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from emberring.admission.types import CallOutcome
-from emberring.gateway.attempt import Ended
+from emberring.gateway.attempt import AttemptResult
 from emberring.gateway.events import Event
-from emberring.gateway.messages import AnswerHead, ClientRequest
+from emberring.gateway.messages import ClientRequest, ResponseHead
 from emberring.jobs.items import ItemCall, ItemEvent, ItemOutcome, OutcomeKind
 
-IMPOSSIBLE_STATUS = 422
+UNPROCESSABLE_STATUS = 422
 FAILED_STATUS = 500
 
 _NOT_RUN = frozenset(
@@ -19,7 +19,7 @@
 
 
 def item_request(item: ItemCall, now_s: float) -> ClientRequest:
-    """The request of an item: a `POST` of its body with its own headers, its id as `Request-Id`."""
+    """Return the request of an item: a `POST` of its body with its own headers, its id as `Request-Id`."""
     headers = [
         (name.lower().encode("latin-1"), value.encode("latin-1"))
         for name, value in item.headers
@@ -36,12 +36,12 @@
     )
 
 
-def item_outcome(ended: Ended) -> ItemOutcome:
-    """What the end of an attempt means for an item."""
+def item_outcome(ended: AttemptResult) -> ItemOutcome:
+    """Return what the result of an attempt means for an item."""
     if ended.outcome in _NOT_RUN:
         return ItemOutcome(OutcomeKind.NOT_RUN)
     status = ended.head.status if ended.head else 0
-    if status == IMPOSSIBLE_STATUS:
+    if status == UNPROCESSABLE_STATUS:
         return ItemOutcome(OutcomeKind.IMPOSSIBLE_422)
     if status == FAILED_STATUS:
         return ItemOutcome(OutcomeKind.FAILED_500)
@@ -51,7 +51,7 @@
 
 
 class ItemReceiver:
-    """Hands an item's events on as they come."""
+    """Hands on an item's events as they arrive."""
 
     def __init__(self, on_events: Callable[[list[ItemEvent]], None]) -> None:
         self._on_events = on_events
@@ -62,8 +62,8 @@
         """Whether events were handed on."""
         return self._started
 
-    async def events(self, head: AnswerHead, events: list[Event]) -> None:
-        """Whole events; those without an id carry no text of the item."""
+    async def events(self, head: ResponseHead, events: list[Event]) -> None:
+        """Hand on complete events; those without an id carry no text of the item."""
         self._started = True
         found = [
             ItemEvent(event.id, event.data.decode("utf-8", "replace"))
@@ -73,8 +73,8 @@
         if found:
             self._on_events(found)
 
-    async def piece(self, head: AnswerHead, data: bytes) -> None:
-        """An answer that is no stream holds no events."""
+    async def body_chunk(self, head: ResponseHead, data: bytes) -> None:
+        """Ignore a part of a response that is not a stream: it holds no events."""
 
-    async def end(self, head: AnswerHead, data: bytes) -> None:
-        """Nothing is left to hand on."""
+    async def end(self, head: ResponseHead, data: bytes) -> None:
+        """Do nothing: all events have been handed on."""
--- a/emberring/gateway/jobs_api.py
+++ b/emberring/gateway/jobs_api.py
@@ -1,4 +1,4 @@
-"""The batch interface for clients: submissions, pages of results, bodies of items, ends."""
+"""The batch interface for clients: submission of jobs, pages of results, bodies of items, cancellation."""
 
 from __future__ import annotations
 
@@ -14,69 +14,78 @@
     NotReadyError,
     UnknownOutcomeError,
 )
-from emberring.gateway.answers import OwnAnswer
 from emberring.gateway.calls import read_milliseconds
-from emberring.gateway.client_answer import ClientAnswer
+from emberring.gateway.client_response import ClientResponse
 from emberring.gateway.messages import ClientRequest
+from emberring.gateway.responses import GatewayResponse
 
 JOBS_PATH = "/v1/lots/"
 ITEMS_PATH = "/v1/items/"
 OWN_PATHS = "/v1/"
-MAX_WAIT_MS = 2000.0  # for which a page may be held until there is a result
-READ_SLACK_S = 1.2  # for an answer beyond the wait that was allowed: clients wait 1.5 s
-END_LIMIT_S = 3.0
+MAX_WAIT_MS = 2000.0  # long poll: how long a page may wait for a result
+READ_MARGIN_S = 1.2  # beyond the wait that the client allowed: clients wait 1.5 s
+CANCEL_TIMEOUT_S = 3.0  # of ending a job
 
 JSON = b"application/json"
 BYTES = b"application/octet-stream"
 
 
 class Jobs(Protocol):
-    """The client of the stores. Errors are those of `emberring.errors`; a failure that is no promise is in doubt."""
+    """The client of the store nodes.
+
+    Errors are those of `emberring.errors`; after a failure without a guarantee the outcome is unknown.
+    """
 
     async def submit(self, host: str, route: Route, job: str, body: bytes) -> None:
-        """Have a lot taken; returns once it is kept."""
+        """Submit a batch job; returns once it is stored durably."""
 
     async def read(self, host: str, job: str, start_after: int, wait_ms: float) -> bytes:
-        """A page of results as JSON."""
+        """Return a page of results as JSON."""
 
     async def item(self, host: str, job: str, item: str) -> bytes:
-        """The body of an item that is not listed yet."""
+        """Return the body of an item that is not listed yet."""
 
     async def end(self, host: str, job: str) -> None:
-        """End a lot."""
+        """End a batch job."""
 
 
 class JobsApi:
-    """Maps calls to the client of the stores."""
+    """Maps HTTP requests to the client of the store nodes."""
 
     def __init__(self, jobs: Jobs) -> None:
         self._jobs = jobs
 
-    def takes(self, request: ClientRequest, route: Route | None) -> bool:
-        """Whether a request belongs to this interface."""
+    def handles(self, request: ClientRequest, route: Route | None) -> bool:
+        """Return whether a request belongs to this interface."""
         if route is not None and route.type is RouteType.BATCH and request.method == b"POST":
             return True
-        # A route below these paths goes first; one that covers the whole host doesn't hide them.
+        # A route below these paths takes precedence; one that covers the whole host does not hide them.
         own = request.path.startswith((JOBS_PATH, ITEMS_PATH))
         return own and (route is None or not route.path_prefix.startswith(OWN_PATHS))
 
     async def answer(
-        self, request: ClientRequest, route: Route | None, answer: ClientAnswer
-    ) -> OwnAnswer | None:
-        """Carry it out and answer; an `EmberringError` is the caller's to answer. An order without a clear end
-        in its time is in doubt (504); a question without one is refused (503), as it changed nothing."""
+        self, request: ClientRequest, route: Route | None, answer: ClientResponse
+    ) -> GatewayResponse | None:
+        """Execute a request and answer it.
+
+        The outcome of a change that was not confirmed in its time is unknown (504); a query that was not answered in
+        its time is refused (503), as it changed nothing.
+
+        Raises:
+            EmberringError: the failure, for the caller to answer.
+        """
         try:
             if route is not None and route.type is RouteType.BATCH and request.method == b"POST":
                 await self._submit(request, route)
-                await answer.whole(202, JSON, b"{}")
+                await answer.send_complete(202, JSON, b"{}")
             elif request.path.startswith(JOBS_PATH) and request.method == b"DELETE":
                 await self._end(request)
-                await answer.whole(200, JSON, b"{}")
+                await answer.send_complete(200, JSON, b"{}")
             elif request.method == b"GET":
                 kind, body = await self._look_up(request)
-                await answer.whole(200, kind, body)
+                await answer.send_complete(200, kind, body)
             else:
-                return OwnAnswer(405, "GET or DELETE is wanted")
+                return GatewayResponse(405, "GET or DELETE is wanted")
         except TimeoutError:
             raise UnknownOutcomeError("no clear end in time") from None
         return None
@@ -99,7 +108,7 @@
             await self._jobs.submit(request.host_name, route, job, request.body)
 
     async def _end(self, request: ClientRequest) -> None:
-        async with asyncio.timeout(END_LIMIT_S):
+        async with asyncio.timeout(CANCEL_TIMEOUT_S):
             await self._jobs.end(request.host_name, request.path[len(JOBS_PATH) :])
 
     async def _read(self, request: ClientRequest) -> bytes:
@@ -109,38 +118,38 @@
         wait_ms = read_milliseconds(request.header(b"wait-ms")) or 0.0
         job = request.path[len(JOBS_PATH) :]
         wait_ms = min(wait_ms, MAX_WAIT_MS)
-        async with asyncio.timeout(wait_ms / 1000.0 + READ_SLACK_S):
+        async with asyncio.timeout(wait_ms / 1000.0 + READ_MARGIN_S):
             return await self._jobs.read(request.host_name, job, int(start_text), wait_ms)
 
     async def _item(self, request: ClientRequest) -> bytes:
         item = _query(request, "Id")
         if not item:
             raise BadRequestError("Id is missing")
-        async with asyncio.timeout(READ_SLACK_S):
+        async with asyncio.timeout(READ_MARGIN_S):
             return await self._jobs.item(request.host_name, request.path[len(ITEMS_PATH) :], item)
 
 
 def _query(request: ClientRequest, name: str) -> str:
-    """The last value under this name in the query; empty where there is none."""
+    """Return the last value under this name in the query; empty if there is none."""
     text = request.target.partition(b"?")[2].decode("latin-1")
     return parse_qs(text).get(name, [""])[-1]
 
 
-class NoJobs:
-    """Stands in where no store can be reached: nothing is taken, nothing is known."""
+class UnavailableJobs:
+    """The client where no store node can be reached: everything is refused."""
 
     async def submit(self, host: str, route: Route, job: str, body: bytes) -> None:
-        """Refuse a lot."""
+        """Refuse a batch job."""
         raise NotReadyError("no store is known")
 
     async def read(self, host: str, job: str, start_after: int, wait_ms: float) -> bytes:
-        """Say that nothing is certain."""
+        """Refuse: nothing is certain."""
         raise NotReadyError("no store is known")
 
     async def item(self, host: str, job: str, item: str) -> bytes:
-        """Say that nothing is certain."""
+        """Refuse: nothing is certain."""
         raise NotReadyError("no store is known")
 
     async def end(self, host: str, job: str) -> None:
-        """Say that nothing was done."""
+        """Refuse: nothing was done."""
         raise NotReadyError("no store is known")
--- /dev/null
+++ b/emberring/gateway/responses.py
@@ -0,0 +1,92 @@
+"""The meaning of servers' responses, and the responses that the gateway gives itself. Pure functions."""
+
+from __future__ import annotations
+
+from enum import Enum
+
+import attrs
+
+from emberring.admission.types import CallOutcome
+from emberring.errors import EmberringError, OverloadedError
+from emberring.gateway.messages import Header, ResponseHead
+
+NOT_EXECUTED_STATUSES = frozenset(
+    (408, 421, 429, 503)
+)  # they guarantee to a client that nothing was or will be executed
+EXECUTED_FAILURE_STATUSES = frozenset((500, 502, 504))  # failures of requests that may have been executed
+DEFAULT_RETRY_AFTER_S = 0.2  # after a failure that says nothing about load
+
+
+class ResponseClass(Enum):
+    """What is done with a response whose head has arrived."""
+
+    FORWARD = "pass_on"
+    FULL = "full"
+    WRONG_SERVER = "wrong_server"
+    FAILED = "failed"
+    INVALID = "no_answer"  # a success that cannot be forwarded
+
+
+def classify_response(head: ResponseHead) -> ResponseClass:
+    """Return what a server's response means.
+
+    Only `Not-Executed` and status 421 guarantee that the request was not executed.
+    """
+    if 200 <= head.status < 300:
+        valid = head.header(b"response-signature") is not None and head.header(b"content-encoding") is None
+        return ResponseClass.FORWARD if valid else ResponseClass.INVALID
+    if head.status == 421:
+        return ResponseClass.WRONG_SERVER
+    if head.status in NOT_EXECUTED_STATUSES:
+        return ResponseClass.FULL if head.header(b"not-executed") is not None else ResponseClass.FAILED
+    if head.status in EXECUTED_FAILURE_STATUSES:
+        return ResponseClass.FAILED
+    return ResponseClass.FORWARD
+
+
+OUTCOME_BY_CLASS = {
+    ResponseClass.FORWARD: CallOutcome.COMPLETED,
+    ResponseClass.FULL: CallOutcome.FULL,
+    ResponseClass.WRONG_SERVER: CallOutcome.WRONG_SERVER,
+    ResponseClass.FAILED: CallOutcome.FAILED,
+    ResponseClass.INVALID: CallOutcome.BROKEN,
+}
+
+
+@attrs.frozen
+class GatewayResponse:
+    """A response of the gateway's own: never with a server's signature, its body one line."""
+
+    status: int
+    detail: str = ""
+    retry_after_s: float = 0.0
+    close: bool = False
+
+    @property
+    def body(self) -> bytes:
+        """One line for a person."""
+        return (self.detail + "\n").encode() if self.detail else b""
+
+    def headers(self, request_id: bytes) -> list[Header]:
+        """Return the headers of this response, with the request's id if it has one."""
+        headers = [(b"content-type", b"text/plain"), (b"content-length", b"%d" % len(self.body))]
+        if request_id:
+            headers.append((b"request-id", request_id))
+        if self.retry_after_s > 0.0:
+            headers.append((b"retry-after", b"%.3f" % self.retry_after_s))
+        if self.close:
+            headers.append((b"connection", b"close"))
+        return headers
+
+
+def response_to_error(error: EmberringError) -> GatewayResponse:
+    """Return the response to an error, by the table of error kinds.
+
+    A response that guarantees that nothing was executed says when to retry.
+    """
+    retry_after_s = 0.0
+    if error.response.promises_not_executed:
+        retry_after_s = DEFAULT_RETRY_AFTER_S
+        if isinstance(error, OverloadedError) and error.retry_after_s > 0.0:
+            retry_after_s = error.retry_after_s
+    return GatewayResponse(error.response.status, error.detail, retry_after_s)
--- a/emberring/gateway/role.py
+++ b/emberring/gateway/role.py
@@ -1,4 +1,4 @@
-"""The gateway's program: everything put together, its signals and its end."""
+"""The gateway process: all its parts put together, its signals and its shutdown."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from emberring.distribution.follower import Follower
 from emberring.distribution.records import NodeRecord, NodeRole
 from emberring.gateway.app import Application
-from emberring.gateway.clients import ClientPort
+from emberring.gateway.clients import ClientListener
+from emberring.gateway.connection_pool import ConnectionPool
 from emberring.gateway.execution import Executor
-from emberring.gateway.graceful_shutdown import GracefulShutdown, Seen, Stage
+from emberring.gateway.graceful_shutdown import GracefulShutdown, OpenConnections, Stage
 from emberring.gateway.jobs_api import JobsApi
-from emberring.gateway.pool import ServerPool
 from emberring.gateway.readiness import Readiness, ReadinessPages
-from emberring.gateway.servers import ServerBook
-from emberring.gateway.suspicions import SuspicionReport
+from emberring.gateway.routable_servers import RoutableServers
+from emberring.gateway.suspicion_report import SuspicionReport
 from emberring.jobs.client import JobClient
 from emberring.jobs.directory import OwnerDirectory
 from emberring.jobs.runner import ItemRunner
@@ -30,16 +30,16 @@
 from emberring.settings import GATEWAY_PORT_OFFSET, Settings
 from emberring.transport.network import Network
 
-REFRESH_S = 0.2  # between looks at the load of servers over all gateways
-STEP_S = 0.05  # between looks while the process comes to its end
-SEED_BITS = 32
-ITEMS_SHARE = 0.6  # of the grace, within which items of lots that run may come to their end here
+REFRESH_S = 0.2  # between two updates of admission
+SHUTDOWN_POLL_S = 0.05  # between two steps of the shutdown
+SEED_BITS = 32  # of the seed of admission's draws
+ITEM_GRACE_SHARE = 0.6  # of the grace, within which running batch items may finish here
 
 logger = get_logger("gateway")
 
 
 class Gateway:
-    """The parts of a gateway, tied to one another."""
+    """The parts of a gateway, connected to one another."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
@@ -53,28 +53,28 @@
             incarnation=secrets.token_hex(8),
         )
         self.follower = Follower(self.network, me, settings.internal_seeds())
-        self.pool = ServerPool()
+        self.pool = ConnectionPool()
         self.admission = Admission(
             AdmissionSettings(zone=settings.zone), secrets.randbits(SEED_BITS), self.pool.has_idle
         )
-        self.book = ServerBook(self.follower)
-        self.executor = Executor(self.admission, self.pool, self.book)
-        self.readiness = Readiness(self.follower, self._cut_off)
+        self.routable_servers = RoutableServers(self.follower)
+        self.executor = Executor(self.admission, self.pool, self.routable_servers)
+        self.readiness = Readiness(self.follower, self._isolated)
         owners = OwnerDirectory(self.follower)
         jobs = JobsApi(JobClient(self.network, self.follower, owners))
         name = f"{me.name}/{me.incarnation}"
         self.runner = ItemRunner(self.network, self.follower, self.executor, name, owners, me.zone)
-        self.clients = ClientPort(Application(self.follower, self.executor, jobs), self._limits)
-        self.probes = ClientPort(ReadinessPages(self._ready, self._figures), ClientLimits)
+        self.clients = ClientListener(Application(self.follower, self.executor, jobs), self._limits)
+        self.probes = ClientListener(ReadinessPages(self._ready, self._metrics), ClientLimits)
         self._suspicions = SuspicionReport(self.admission)
         self._refresher: asyncio.TimerHandle | None = None
-        self._refresh_soon = False
-        self._said_ready = False
+        self._refresh_scheduled = False
+        self._reported_ready = False
 
     async def start(self) -> None:
-        """Listen, and begin to learn what is to be known."""
+        """Listen, and start to follow the control nodes."""
         self.follower.report = self._report
-        self.follower.suspects = self._suspicions.told
+        self.follower.suspects = self._suspicions.suspected
         self.follower.subscribe(self._on_change)
         self.follower.subscribe_load(self._on_change)
         self.executor.on_misdirected = self._refresh
@@ -86,13 +86,18 @@
         self._tick()
         await self.runner.start()
 
-    def _report(self, word_follows: bool) -> dict[str, int]:
-        """Calls in flight by server; with those servers to which connections rest where word of them follows."""
-        calls = self.admission.in_flight(word_follows)
+    def _report(self, server_loads_follow: bool) -> dict[str, int]:
+        """Return calls in flight by server id.
+
+        Args:
+            server_loads_follow: whether the reply has the load of each server; servers with an idle connection are then
+                included.
+        """
+        calls = self.admission.in_flight(server_loads_follow)
         return {
             server_id: count
             for server_id, count in calls.items()
-            if count or (word_follows and self.pool.has_idle(server_id))
+            if count or (server_loads_follow and self.pool.has_idle(server_id))
         }
 
     def _limits(self) -> ClientLimits:
@@ -101,44 +106,44 @@
 
     def _ready(self) -> bool:
         ready = self.readiness.ready(self._loop.time())
-        if ready != self._said_ready:
-            self._said_ready = ready
+        if ready != self._reported_ready:
+            self._reported_ready = ready
             logger.info("event=%s servers=%d", "ready" if ready else "not_ready", len(self.follower.servers))
         return ready
 
-    def _cut_off(self) -> bool:
-        return not self.follower.in_contact and self.executor.cut_off(self._loop.time())
+    def _isolated(self) -> bool:
+        return not self.follower.in_contact and self.executor.isolated(self._loop.time())
 
     def _on_change(self) -> None:
-        if not self._refresh_soon:
-            self._refresh_soon = True
+        if not self._refresh_scheduled:
+            self._refresh_scheduled = True
             self._loop.call_soon(self._refresh)
 
     def _tick(self) -> None:
         self._refresher = self._loop.call_later(REFRESH_S, self._tick)
         self._refresh()
-        self._suspicions.look(self._loop.time())
+        self._suspicions.check(self._loop.time())
 
     def _refresh(self) -> None:
-        """Tell admission and the pool what is known now."""
-        self._refresh_soon = False
+        """Update admission and the connection pool with what is known now."""
+        self._refresh_scheduled = False
         follower = self.follower
         if follower.configuration is None:
             return
         services = {service.name: service for service in follower.configuration.services}
         self.admission.set_servers(
             self._loop.time(),
-            self.book.usable(),
+            self.routable_servers.all_routable(),
             services,
             follower.gateway_count,
             follower.load,
         )
-        self.book.forget_absent()
+        self.routable_servers.forget_absent()
         self.executor.forget_absent(set(follower.servers))
-        self.pool.keep_only(lambda server_id: self.book.sendable(server_id) is not None)
-        self.pool.set_shares(self.book.connection_share)
+        self.pool.keep_only(lambda server_id: self.routable_servers.routable(server_id) is not None)
+        self.pool.set_limits(self.routable_servers.connection_limit)
 
-    def _figures(self) -> dict[str, float]:
+    def _metrics(self) -> dict[str, float]:
         configuration = self.follower.configuration
         figures = {
             "ready": float(self._ready()),
@@ -148,42 +153,42 @@
             "client_connections": float(len(self.clients.connections)),
             "client_connections_total": float(self.clients.accepted),
             "requests_in_progress": float(self.clients.busy),
-            "calls_in_flight": float(self.admission.calls_now),
+            "calls_in_flight": float(self.admission.in_flight_count),
             "items_running": float(self.runner.running),
-            "server_connections_total": float(self.pool.opened),
+            "server_connections_total": float(self.pool.opened_total),
         }
-        cursor, job_share, word_age_s = self.admission.decides_by(self._loop.time())
-        figures["admission_cursor"] = float(cursor)
-        figures["admission_lot_share"] = job_share
-        figures["admission_word_age_seconds"] = word_age_s
-        figures.update(self._suspicions.figures())
-        for status, count in sorted(self.clients.answers.items()):
+        admission_status = self.admission.status(self._loop.time())
+        figures["admission_cursor"] = float(admission_status.cursor)
+        figures["admission_lot_share"] = admission_status.batch_slot_share
+        figures["admission_word_age_seconds"] = admission_status.load_report_age_s
+        figures.update(self._suspicions.metrics())
+        for status, count in sorted(self.clients.responses.items()):
             figures[f'answers_total{{status="{status}"}}'] = float(count)
         return figures
 
-    async def leave(self) -> None:
-        """Finish all that is open and all that still comes, within the grace."""
-        self.readiness.leaving = True
-        self.clients.leaving = True
+    async def shut_down_gracefully(self) -> None:
+        """Finish all that is open and all that still arrives, within the grace."""
+        self.readiness.shutting_down = True
+        self.clients.shutting_down = True
         self.follower.me = attrs.evolve(self.follower.me, leaving=True)
         grace_s = self._settings.bounds.grace_s
-        departure = GracefulShutdown(self._loop.time(), grace_s)
-        handing_back = self._loop.create_task(self.runner.leave(grace_s * ITEMS_SHARE))
+        shutdown = GracefulShutdown(self._loop.time(), grace_s)
+        returning_items = self._loop.create_task(self.runner.leave(grace_s * ITEM_GRACE_SHARE))
         while True:
             open_now = len(self.clients.connections) + self.runner.running
-            seen = Seen(self.clients.accepted_s, open_now, self.clients.busy)
-            stage = departure.step(self._loop.time(), seen)
+            seen = OpenConnections(self.clients.accepted_s, open_now, self.clients.busy)
+            stage = shutdown.step(self._loop.time(), seen)
             if stage is Stage.END:
                 break
             if stage is Stage.STOP_LISTENING:
                 await self.clients.stop_listening()
             if stage is not Stage.SERVE:
                 self.clients.close_idle()
-            await asyncio.sleep(STEP_S)
-        handing_back.cancel()
+            await asyncio.sleep(SHUTDOWN_POLL_S)
+        returning_items.cancel()
 
     async def stop(self) -> None:
-        """End what is left."""
+        """Close what is left."""
         if self._refresher is not None:
             self._refresher.cancel()
         await self.runner.stop()
@@ -193,7 +198,7 @@
         self.probes.abort()
         self.pool.close()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(STEP_S):
+            async with asyncio.timeout(SHUTDOWN_POLL_S):
                 await self.follower.stop()
         await self.network.close()
 
@@ -201,15 +206,15 @@
 async def run(settings: Settings) -> None:
     """Run a gateway until SIGTERM. SIGHUP changes nothing: what can change comes with the configuration."""
     loop = asyncio.get_running_loop()
-    told_to_end = asyncio.Event()
-    loop.add_signal_handler(signal.SIGTERM, told_to_end.set)
-    loop.add_signal_handler(signal.SIGINT, told_to_end.set)
+    stop_requested = asyncio.Event()
+    loop.add_signal_handler(signal.SIGTERM, stop_requested.set)
+    loop.add_signal_handler(signal.SIGINT, stop_requested.set)
     loop.add_signal_handler(signal.SIGHUP, lambda: None)
     gateway = Gateway(settings)
     await gateway.start()
     logger.info("event=started frontend=%s", settings.listen.frontend)
-    await told_to_end.wait()
+    await stop_requested.wait()
     logger.info("event=leaving")
-    await gateway.leave()
+    await gateway.shut_down_gracefully()
     await gateway.stop()
     logger.info("event=ended")
