--- a/emberring/admission/eligibility.py
+++ b/emberring/admission/eligibility.py
@@ -10,7 +10,7 @@
 
 from emberring.admission.server import ServerView
 from emberring.admission.types import CallOutcome
-from loadbalancer.balancer import COLD_SHARE
+from loadbalancer.slow_start import COLD_SHARE
 
 EJECTION_BASE_S = 0.15  # ejection after the first failure that counts, doubled for each further one
 EJECTION_MAX_S = 3.0  # longest ejection
--- a/emberring/admission/load_meter.py
+++ b/emberring/admission/load_meter.py
@@ -1,14 +1,22 @@
 """The load of a pool of servers, from latency over its quiet baseline and from answers that said "full".
 
 A load of 1 is the target; above it the cursor of the threshold table steps right. The baseline, its rate of change and
-its slack are those of the node's decision module (`loadbalancer.balancer`). What differs: the measured values are waits
+its slack are those of the node's decision module (`loadbalancer.load_estimate`). What differs: the measured values are waits
 for a first event, each as a share of its own latency target, and since prompt lengths differ a hundredfold, the wait
 that the prompt itself explains is subtracted first.
 """
 
 from __future__ import annotations
 
-from loadbalancer.balancer import BASE_FALL, BASE_LEAST, BASE_RISE, FULL_TARGET, JAM, QUIET, SLACK_ROOM
+from loadbalancer.load_estimate import (
+    BASELINE_FALL_GAIN,
+    BASELINE_MIN_OUTCOMES,
+    BASELINE_RISE_GAIN,
+    JAMMED_LEVEL,
+    QUIET_LEVEL,
+    REJECTED_SHARE_TARGET,
+    UNCROWDED_SLACK,
+)
 
 OUTCOMES_FOR_HALF_WEIGHT = 10.0  # in a period, for half the weight in the smoothed wait
 MAX_WAIT_SHARE = 3.0  # a wait counts as no more, so that a jam is forgotten once it has passed
@@ -51,7 +59,7 @@
     @property
     def jammed(self) -> bool:
         """Whether waits are near the latency target itself."""
-        return self.smoothed_wait > JAM
+        return self.smoothed_wait > JAMMED_LEVEL
 
     def close_period(self, quiet: bool) -> float:
         """End the period and return its load; `quiet`: the table is fully open, so the baseline may rise."""
@@ -61,24 +69,24 @@
         else:
             self.smoothed_wait *= IDLE_DECAY
         load = 0.0
-        if self.baseline is not None and self.smoothed_wait >= QUIET:
-            load = self.smoothed_wait / (self.baseline + SLACK_ROOM * (1.0 - self.baseline))
+        if self.baseline is not None and self.smoothed_wait >= QUIET_LEVEL:
+            load = self.smoothed_wait / (self.baseline + UNCROWDED_SLACK * (1.0 - self.baseline))
         if self._period_outcomes:
-            load = max(load, self._period_full / self._period_outcomes / FULL_TARGET)
+            load = max(load, self._period_full / self._period_outcomes / REJECTED_SHARE_TARGET)
         self.load = load
         self._period_waits, self._period_outcomes, self._period_full = [], 0, 0
         return load
 
     def _update_smoothed_wait(self, median: float, quiet: bool) -> None:
         count = len(self._period_waits)
-        if self.baseline is None or len(self._first_waits) < BASE_LEAST:
+        if self.baseline is None or len(self._first_waits) < BASELINE_MIN_OUTCOMES:
             self._first_waits += self._period_waits
             self.smoothed_wait = self.baseline = min(
-                JAM, sorted(self._first_waits)[len(self._first_waits) // 2]
+                JAMMED_LEVEL, sorted(self._first_waits)[len(self._first_waits) // 2]
             )
             return
         self.smoothed_wait += count / (count + OUTCOMES_FOR_HALF_WEIGHT) * (median - self.smoothed_wait)
         if self.smoothed_wait < self.baseline:
-            self.baseline += BASE_FALL * (self.smoothed_wait - self.baseline)
+            self.baseline += BASELINE_FALL_GAIN * (self.smoothed_wait - self.baseline)
         elif quiet:
-            self.baseline += BASE_RISE * (self.smoothed_wait - self.baseline)
+            self.baseline += BASELINE_RISE_GAIN * (self.smoothed_wait - self.baseline)
