--- a/emberring/admission/load_meter.py
+++ b/emberring/admission/load_meter.py
@@ -1,7 +1,7 @@
 """The load of a pool of servers, from latency over its quiet baseline and from answers that said "full".
 
 A load of 1 is the target; above it the cursor of the threshold table steps right. The baseline, its rate of change and
-its slack are those of the node's decision module (`loadbalancer.load_estimate`). What differs: the measured values are waits
+its slack are those of the node (`loadbalancer.load_estimate`). What differs: the measured values are waits
 for a first event, each as a share of its own latency target, and since prompt lengths differ a hundredfold, the wait
 that the prompt itself explains is subtracted first.
 """
