--- a/loadbalancer/stale_list.py
+++ b/loadbalancer/stale_list.py
@@ -14,19 +14,24 @@
 
 # Whoever answered a call sent since is a candidate: half of the time in which a drain may go unnoticed.
 RECENT_MS = 3000.0
+# Where these are fewer than the calls in flight, whoever answered a call sent since: 6 s and the 0.5 s of grace,
+# less the 2 s for which draining servers took calls.
+USABLE_MS = 4500.0
 LEAST_CANDIDATES = 3  # so many are candidates however long ago they answered
 CALLS_PER_CANDIDATE = 4.0  # with more calls in flight for each of them, every server is a candidate
 
 
 def last_to_answer(now: float, ready: list[TrackedServer], in_flight: float) -> list[TrackedServer]:
-    """Return the servers that answered well last: the recent ones, and at least as many as calls in flight.
+    """Return the servers that answered well last: the recent ones, or as many as calls in flight.
 
     `now` is in milliseconds, `in_flight` the weight of the calls at the servers in use.
     """
     answered = [server for server in ready if server.answered_sent_ms > -math.inf]
-    calls = in_flight + 1.0
-    if calls > CALLS_PER_CANDIDATE * len(answered):
-        return ready
     answered.sort(key=lambda server: -server.answered_sent_ms)
     recent = sum(now - server.answered_sent_ms < RECENT_MS for server in answered)
-    return answered[: max(LEAST_CANDIDATES, recent, math.ceil(calls))]
+    usable = sum(now - server.answered_sent_ms < USABLE_MS for server in answered)
+    calls = math.ceil(in_flight + 1.0)
+    candidates = answered[: max(LEAST_CANDIDATES, recent, min(usable, calls))]
+    if calls > CALLS_PER_CANDIDATE * len(candidates):
+        return ready
+    return candidates
