--- a/emberring/cli/ablation_command.py
+++ b/emberring/cli/ablation_command.py
@@ -12,7 +12,7 @@
 from emberring.cli.places import JsonOption
 from emberring.cli.printing import print_json, print_line, print_table
 from emberring.errors import BadRequestError
-from emberring.simulation.admission.ablation import Case, Mechanism, Worth, play, worth_of
+from emberring.simulation.admission.ablation import Case, Mechanism, MechanismValue, mechanism_value, play
 from emberring.simulation.admission.site import SITES
 from emberring.simulation.admission.trial import Figures
 
@@ -38,7 +38,7 @@
     case = Case(SITES[site], seconds, factor)
     seeds = range(seed, seed + trials)
     whole = _played(case, None, seeds, jobs)
-    found = [worth_of(one, whole, _played(case, one, seeds, jobs)) for one in wanted]
+    found = [mechanism_value(one, whole, _played(case, one, seeds, jobs)) for one in wanted]
     if as_json:
         print_json([attrs.asdict(one) | {"mechanism": one.mechanism.value} for one in found])
         return
@@ -64,5 +64,5 @@
         return list(pool.map(play_seed, seeds))
 
 
-def _row(one: Worth) -> tuple[str, str, str, str]:
+def _row(one: MechanismValue) -> tuple[str, str, str, str]:
     return one.mechanism.value, f"{one.mean:+.3f}", f"{one.least:+.3f}", f"{one.most:+.3f}"
--- a/emberring/cli/simulation_commands.py
+++ b/emberring/cli/simulation_commands.py
@@ -13,14 +13,14 @@
 from emberring.cli.places import JsonOption
 from emberring.cli.printing import EXIT_CODES_TEXT, print_json, print_line, print_table
 from emberring.errors import BadRequestError
-from emberring.simulation.admission.ablation import SEED_STEP, whole_admission
+from emberring.simulation.admission.ablation import SEED_STEP, full_admission
 from emberring.simulation.admission.baselines import (
-    PlainPolicy,
+    BaselinePolicy,
     least_in_flight,
     round_robin,
     two_choices,
 )
-from emberring.simulation.admission.simulator import MakePolicy, run_trial
+from emberring.simulation.admission.simulator import MakePolicy, TrialPlan, run_trial
 from emberring.simulation.admission.site import SITES
 from emberring.simulation.admission.trial import Figures, figures_of
 from emberring.simulation.scale.control_plane import RoleFigures, ScaleFigures, Size, measure, power
@@ -42,11 +42,11 @@
 
 
 def _plain(pick: Any) -> MakePolicy:
-    return lambda world, index: PlainPolicy(pick, index * SEED_STEP)
+    return lambda world, index: BaselinePolicy(pick, index * SEED_STEP)
 
 
 POLICIES: dict[str, MakePolicy] = {
-    "admission": whole_admission,
+    "admission": full_admission,
     "least-in-flight": _plain(least_in_flight),
     "round-robin": _plain(round_robin),
     "two-choices": _plain(two_choices),
@@ -74,7 +74,8 @@
         raise BadRequestError(f"no policy named {unknown[0]!r}: there are {', '.join(POLICIES)}")
     found: dict[str, list[Figures]] = {}
     for name in names:
-        tallies = (run_trial(SITES[site], POLICIES[name], seed + at, seconds, factor) for at in range(trials))
+        plan = TrialPlan(seconds, factor)
+        tallies = (run_trial(SITES[site], POLICIES[name], seed + at, plan) for at in range(trials))
         found[name] = [figures_of(tally) for tally in tallies]
     if as_json:
         print_json({name: [attrs.asdict(one) for one in figures] for name, figures in found.items()})
--- a/emberring/simulation/admission/parts.py
+++ b/emberring/simulation/admission/entities.py
@@ -1,25 +1,25 @@
-"""What a trial of admission is made of: servers, requests, and their attempts at servers."""
+"""The entities of a trial of admission: servers, requests, and their attempts at servers."""
 
 from __future__ import annotations
 
 import attrs
 
 from emberring.admission import AttemptBudget
-from emberring.simulation.admission.engine_model import Engine, EngineCall, Part
-from emberring.simulation.admission.site import Kind
-from emberring.simulation.admission.trial import Asked
+from emberring.simulation.admission.engine_model import Engine, EngineCall, PromptPart
+from emberring.simulation.admission.site import RequestKind
+from emberring.simulation.admission.trial import RequestRecord
 
 
 @attrs.define(eq=False)
 class Server:
-    """A server's incarnation in a trial."""
+    """One incarnation of a server in a trial; `position` is its index in the site."""
 
     id: str
     engine: Engine
-    place: int
-    since_ms: float
+    position: int
+    started_ms: float
     up: bool = True
-    dark: bool = False
+    silent: bool = False
     known: bool = True
     stepping: bool = False
     attempts: set[Attempt] = attrs.field(factory=set)
@@ -27,21 +27,21 @@
 
 @attrs.define(eq=False)
 class Request:
-    """One try of a client, or one item."""
+    """One request of a client, or one batch item. Times are milliseconds of the trial."""
 
-    kind: Kind
-    asked: Asked
-    parts: tuple[Part, ...]
+    kind: RequestKind
+    record: RequestRecord
+    parts: tuple[PromptPart, ...]
     tokens_out: int
-    from_ms: float
-    until_ms: float
-    tries_left: int
+    arrived_ms: float
+    deadline_ms: float
+    retries_left: int
     budget: AttemptBudget
     excluded: frozenset[str] = frozenset()
     events: int = 0
-    last_ms: float = 0.0
+    last_event_ms: float = 0.0
     late: bool = False
-    over: bool = False
+    finished: bool = False
 
 
 @attrs.define(eq=False)
@@ -53,5 +53,5 @@
     gateway: int
     server: Server
     call: EngineCall | None = None
-    over: bool = False
-    heard_ms: float = 0.0
+    finished: bool = False
+    last_received_ms: float = 0.0
--- a/emberring/simulation/admission/traffic.py
+++ b/emberring/simulation/admission/traffic.py
@@ -1,4 +1,4 @@
-"""The traffic of a trial of admission: requests and items drawn from a seed, whatever is decided about them."""
+"""The traffic of a trial of admission: requests and items drawn from a seed, independent of decisions about them."""
 
 from __future__ import annotations
 
@@ -9,101 +9,103 @@
 from typing import Protocol
 
 from emberring.admission import AttemptBudget
-from emberring.simulation.admission.engine_model import Part
-from emberring.simulation.admission.parts import Request
-from emberring.simulation.admission.site import Burst, Kind, Site, Sizes
-from emberring.simulation.admission.trial import OUT_WEIGHT, Asked, Tally
+from emberring.simulation.admission.engine_model import PromptPart
+from emberring.simulation.admission.entities import Request
+from emberring.simulation.admission.site import Burst, LengthDistribution, RequestKind, Site
+from emberring.simulation.admission.trial import OUTPUT_TOKEN_WEIGHT, RequestRecord, TrialRecord
 
-MARGIN_MS = 2.0  # for the way between client and gateway
+CLIENT_NETWORK_MS = 2.0  # network delay between client and gateway
 
 
-class Clock(Protocol):
+class TrafficSink(Protocol):
     """The world of a trial, as far as traffic needs it."""
 
-    tally: Tally
+    record: TrialRecord
 
-    def at(self, when_ms: float, what: Callable[[], None]) -> None:
-        """Do this at that moment."""
+    def call_at(self, when_ms: float, callback: Callable[[], None]) -> None:
+        """Call a function at this time."""
 
-    def ask(self, request: Request, gateway: int) -> None:
-        """A request comes to this gateway."""
+    def submit(self, request: Request, gateway: int) -> None:
+        """Submit a request to this gateway."""
 
     def add_item(self, request: Request) -> None:
-        """An item of a lot waits from now on."""
+        """Queue a batch item."""
 
 
-def _draw(random: Random, sizes: Sizes) -> int:
+def _draw_length(random: Random, sizes: LengthDistribution) -> int:
     mu = math.log(sizes.mean) - sizes.spread**2 / 2.0
     return max(1, int(min(sizes.most, random.lognormvariate(mu, sizes.spread))))
 
 
-class _Things:
-    """The shared parts of a kind at one level: their lengths, and a draw by their use."""
+class _SharedParts:
+    """The shared prompt parts of a request kind at one level: their lengths, and a draw by their popularity."""
 
-    def __init__(self, random: Random, name: str, count: int, sizes: Sizes, skew: float) -> None:
-        self._parts = [Part(f"{name}-{at}", _draw(random, sizes), True) for at in range(count)]
-        self._sums = list(itertools.accumulate((at + 1.0) ** -skew for at in range(count)))
+    def __init__(self, random: Random, name: str, count: int, sizes: LengthDistribution, skew: float) -> None:
+        self._parts = [PromptPart(f"{name}-{at}", _draw_length(random, sizes), True) for at in range(count)]
+        self._cumulative_weights = list(itertools.accumulate((at + 1.0) ** -skew for at in range(count)))
 
-    def draw(self, random: Random) -> Part:
-        """One of them."""
-        return random.choices(self._parts, cum_weights=self._sums)[0]
+    def draw(self, random: Random) -> PromptPart:
+        """Return one of the parts."""
+        return random.choices(self._parts, cum_weights=self._cumulative_weights)[0]
 
 
-class Traffic:
-    """Makes the requests of a kind; independent of what is decided about them."""
+class TrafficGenerator:
+    """Generates the requests of a kind; independent of what is decided about them."""
 
-    def __init__(self, kind: Kind, site: Site, seed: int) -> None:
+    def __init__(self, kind: RequestKind, site: Site, seed: int) -> None:
         self._kind, self._site = kind, site
         self._random = Random(f"{seed} {kind.name}")
-        self._things = [
-            _Things(self._random, f"{kind.name}{level}", shared.things, shared.tokens, shared.skew)
+        self._shared_parts = [
+            _SharedParts(self._random, f"{kind.name}{level}", shared.count, shared.tokens, shared.skew)
             for level, shared in enumerate(kind.shared)
         ]
         self._names = itertools.count()
 
-    def schedule(self, world: Clock, until_ms: float, factor: float, bursts: Sequence[Burst]) -> None:
-        """All requests of this kind up to that moment."""
+    def schedule(self, world: TrafficSink, end_ms: float, factor: float, bursts: Sequence[Burst]) -> None:
+        """Schedule all requests of this kind up to `end_ms`."""
         now_ms, kind = 0.0, self._kind
-        most = factor * max([1.0, *(burst.factor for burst in bursts)])
+        peak_factor = factor * max([1.0, *(burst.factor for burst in bursts)])
         while True:
-            now_ms += self._random.expovariate(kind.per_s * most / 1000.0)
-            if now_ms >= until_ms:
+            now_ms += self._random.expovariate(kind.rate_per_s * peak_factor / 1000.0)
+            if now_ms >= end_ms:
                 return
-            part = max(
+            burst_factor = max(
                 [
                     1.0,
                     *(
                         burst.factor
                         for burst in bursts
-                        if burst.at_s * 1000.0 <= now_ms < (burst.at_s + burst.for_s) * 1000.0
+                        if burst.at_s * 1000.0 <= now_ms < (burst.at_s + burst.duration_s) * 1000.0
                     ),
                 ]
             )
-            if self._random.random() * most >= factor * part:
+            if self._random.random() * peak_factor >= factor * burst_factor:
                 continue
-            if kind.items is None:
-                self._one(world, now_ms)
+            if kind.items_per_job is None:
+                self._create_request(world, now_ms)
             else:
-                for _ in range(_draw(self._random, kind.items)):
-                    self._one(world, now_ms)
+                for _ in range(_draw_length(self._random, kind.items_per_job)):
+                    self._create_request(world, now_ms)
 
-    def _one(self, world: Clock, now_ms: float) -> None:
+    def _create_request(self, world: TrafficSink, now_ms: float) -> None:
         kind = self._kind
-        parts = [things.draw(self._random) for things in self._things]
+        parts = [level.draw(self._random) for level in self._shared_parts]
         parts.append(
-            Part(f"{kind.name}-own-{next(self._names)}", _draw(self._random, kind.own_tokens), False)
+            PromptPart(
+                f"{kind.name}-own-{next(self._names)}", _draw_length(self._random, kind.own_tokens), False
+            )
         )
-        tokens_out = _draw(self._random, kind.pieces) * self._site.engine.stride
-        batch = kind.items is not None
-        size = float(sum(part.tokens for part in parts) + OUT_WEIGHT * tokens_out)
-        asked = Asked(kind.name, batch, size, now_ms, kind.worth, kind.late_worth)
-        world.tally.asked.append(asked)
-        until_ms = now_ms + (kind.due_s * 1000.0 if batch else kind.deadline_ms)
+        tokens_out = _draw_length(self._random, kind.output_events) * self._site.engine.stride
+        batch = kind.items_per_job is not None
+        size = float(sum(part.tokens for part in parts) + OUTPUT_TOKEN_WEIGHT * tokens_out)
+        asked = RequestRecord(kind.name, batch, size, now_ms, kind.value, kind.late_value)
+        world.record.requests.append(asked)
+        deadline_ms = now_ms + (kind.completion_target_s * 1000.0 if batch else kind.timeout_ms)
         budget = AttemptBudget(kind.max_attempts, kind.resumable)
-        request = Request(kind, asked, tuple(parts), tokens_out, now_ms, until_ms, 1, budget)
+        request = Request(kind, asked, tuple(parts), tokens_out, now_ms, deadline_ms, 1, budget)
         shares = self._site.gateway_shares
         gateway = self._random.choices(range(len(shares)), weights=shares)[0]
         if batch:
-            world.at(now_ms, lambda: world.add_item(request))
+            world.call_at(now_ms, lambda: world.add_item(request))
         else:
-            world.at(now_ms + MARGIN_MS, lambda: world.ask(request, gateway))
+            world.call_at(now_ms + CLIENT_NETWORK_MS, lambda: world.submit(request, gateway))
--- a/emberring/simulation/admission/trial.py
+++ b/emberring/simulation/admission/trial.py
@@ -1,4 +1,4 @@
-"""What a trial of admission counts, and the figures drawn from it."""
+"""What a trial of admission counts, and the figures derived from it."""
 
 from __future__ import annotations
 
@@ -6,33 +6,34 @@
 
 import attrs
 
-SIZE_BASE, SIZE_PART, SIZE_MOST = 0.3, 0.7, 4.0
-OUT_WEIGHT = 10  # tokens out count as so many tokens in
-LARGEST, NEXT = 0.1, 0.2  # the largest tenth and the fifth below it
+# The value of a request over that of one of mean size: base, part in proportion to its size, and limit.
+VALUE_BASE, VALUE_PER_RELATIVE_SIZE, VALUE_MAX = 0.3, 0.7, 4.0
+OUTPUT_TOKEN_WEIGHT = 10  # size of an output token in prompt tokens
+LARGEST_SHARE, SECOND_LARGEST_SHARE = 0.1, 0.2  # of the requests, by size
 
 
 @attrs.define
-class Asked:
-    """One request of a client, or one item of a lot, over all its tries."""
+class RequestRecord:
+    """One request of a client, or one batch item, over all its attempts."""
 
     kind: str
     batch: bool
     size: float
-    asked_ms: float
-    worth: float
-    late_worth: float
+    arrived_ms: float
+    value: float
+    late_value: float
     refusals: int = 0
     served: bool = False
     in_time: bool = False
-    first_ms: float | None = None
-    broken: int = 0
+    first_event_ms: float | None = None
+    failed_attempts: int = 0
 
 
 @attrs.define
-class Tally:
-    """Everything that a trial has seen."""
+class TrialRecord:
+    """Everything that was counted in a trial."""
 
-    asked: list[Asked] = attrs.field(factory=list)
+    requests: list[RequestRecord] = attrs.field(factory=list)
     refusals_with_room: int = 0
     full_answers: int = 0
     busy_ms: dict[str, float] = attrs.field(factory=dict)
@@ -45,7 +46,7 @@
 
 @attrs.frozen
 class Figures:
-    """What a trial showed; shares are of 1."""
+    """The result of a trial; shares are of 1. Field names are keys of the JSON output."""
 
     live: int
     live_in_aim: float
@@ -65,74 +66,76 @@
     largest_served: float
 
 
-def figures_of(tally: Tally) -> Figures:
-    """The figures of a finished trial."""
-    live = [one for one in tally.asked if not one.batch]
-    items = [one for one in tally.asked if one.batch]
-    firsts = sorted(one.first_ms for one in live if one.first_ms is not None)
+def figures_of(record: TrialRecord) -> Figures:
+    """Return the figures of a finished trial."""
+    live = [one for one in record.requests if not one.batch]
+    items = [one for one in record.requests if one.batch]
+    firsts = sorted(one.first_event_ms for one in live if one.first_event_ms is not None)
     return Figures(
         live=len(live),
         live_in_aim=_share(live, lambda one: one.in_time),
         live_served=_share(live, lambda one: one.served),
-        first_ms_median=_at(firsts, 0.5),
-        first_ms_99=_at(firsts, 0.99),
+        first_ms_median=_quantile(firsts, 0.5),
+        first_ms_99=_quantile(firsts, 0.99),
         items=len(items),
         items_in_time=_share(items, lambda one: one.in_time),
         items_done=_share(items, lambda one: one.served),
-        worth=_worth(tally.asked),
+        worth=_earned_value(record.requests),
         refused=sum(one.refusals for one in live),
-        refused_with_room=tally.refusals_with_room,
-        full_answers=tally.full_answers,
-        balance=_balance(tally),
-        shared_prefilled=tally.shared_prefilled,
-        preempted=tally.preempted,
-        largest_served=_largest(live),
+        refused_with_room=record.refusals_with_room,
+        full_answers=record.full_answers,
+        balance=_balance(record),
+        shared_prefilled=record.shared_prefilled,
+        preempted=record.preempted,
+        largest_served=_largest_served(live),
     )
 
 
-def _share(asked: Iterable[Asked], fits: Callable[[Asked], bool]) -> float:
-    told = [fits(one) for one in asked]
-    return sum(told) / len(told) if told else 1.0
+def _share(asked: Iterable[RequestRecord], fits: Callable[[RequestRecord], bool]) -> float:
+    results = [fits(one) for one in asked]
+    return sum(results) / len(results) if results else 1.0
 
 
-def _at(values: list[float], share: float) -> float:
+def _quantile(values: list[float], share: float) -> float:
     return values[min(len(values) - 1, int(share * len(values)))] if values else 0.0
 
 
-def _worth(asked: list[Asked]) -> float:
-    """Worth earned over worth owed, by size within each kind."""
+def _earned_value(asked: list[RequestRecord]) -> float:
+    """Return the earned over the possible value, by relative size within each kind."""
     means: dict[str, float] = {}
     for kind in {one.kind for one in asked}:
         sizes = [one.size for one in asked if one.kind == kind]
         means[kind] = sum(sizes) / len(sizes)
-    owed = earned = 0.0
+    possible = earned = 0.0
     for one in asked:
-        factor = min(SIZE_MOST, SIZE_BASE + SIZE_PART * one.size / means[one.kind])
-        owed += factor * one.worth
+        factor = min(VALUE_MAX, VALUE_BASE + VALUE_PER_RELATIVE_SIZE * one.size / means[one.kind])
+        possible += factor * one.value
         if one.served:
-            earned += factor * (one.worth if one.in_time else one.late_worth)
-    return earned / owed if owed else 1.0
+            earned += factor * (one.value if one.in_time else one.late_value)
+    return earned / possible if possible else 1.0
 
 
-def _balance(tally: Tally) -> float:
-    """The busiest server's part of its time at work, over the mean of all; servers that were up briefly don't
-    count."""
-    whole = max(tally.up_ms.values(), default=0.0)
+def _balance(record: TrialRecord) -> float:
+    """Return the busiest server's share of time at work over the mean; servers that were up briefly are left out."""
+    whole = max(record.up_ms.values(), default=0.0)
     busy = [
-        tally.busy_ms[name] / up
-        for name, up in tally.up_ms.items()
-        if up >= 0.5 * whole and name in tally.busy_ms
+        record.busy_ms[name] / up
+        for name, up in record.up_ms.items()
+        if up >= 0.5 * whole and name in record.busy_ms
     ]
     return max(busy) / (sum(busy) / len(busy)) if busy and sum(busy) > 0.0 else 1.0
 
 
-def _largest(live: list[Asked]) -> float:
-    """The least share served among the largest tenth and the fifth below it, over that of its kind."""
+def _largest_served(live: list[RequestRecord]) -> float:
+    """Return the lowest served share of the largest tenth and the fifth below it, over that of their kind."""
     least = 1.0
     for kind in {one.kind for one in live}:
         ordered = sorted((one for one in live if one.kind == kind), key=lambda one: -one.size)
         whole = _share(ordered, lambda one: one.served)
-        tenth, fifth = int(LARGEST * len(ordered)), int((LARGEST + NEXT) * len(ordered))
+        tenth, fifth = (
+            int(LARGEST_SHARE * len(ordered)),
+            int((LARGEST_SHARE + SECOND_LARGEST_SHARE) * len(ordered)),
+        )
         for group in (ordered[:tenth], ordered[tenth:fifth]):
             if group and whole > 0.0:
                 least = min(least, _share(group, lambda one: one.served) / whole)
--- a/tests/emberring/simulation/test_tier_ablation.py
+++ b/tests/emberring/simulation/test_tier_ablation.py
@@ -12,7 +12,7 @@
 from emberring.admission.threshold_table import ThresholdTable
 from emberring.cli.app import main
 from emberring.simulation.admission import ablation
-from emberring.simulation.admission.ablation import Case, Mechanism, play, without, worth_of
+from emberring.simulation.admission.ablation import Case, Mechanism, mechanism_value, play, without
 from emberring.simulation.admission.site import LEDGER, SITES
 from emberring.simulation.admission.trial import Figures
 
@@ -59,7 +59,7 @@
 def test_worth_is_told_seed_by_seed(
     whole: Sequence[float], less: Sequence[float], mean: float, least: float, most: float
 ) -> None:
-    found = worth_of(Mechanism.HOMES, [figures(one) for one in whole], [figures(one) for one in less])
+    found = mechanism_value(Mechanism.HOMES, [figures(one) for one in whole], [figures(one) for one in less])
     assert (found.mean, found.least, found.most) == pytest.approx((mean, least, most))
 
 
--- a/tests/emberring/simulation/test_tier_engine_model.py
+++ b/tests/emberring/simulation/test_tier_engine_model.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from emberring.simulation.admission.engine_model import Engine, EngineCall, EngineFigures, Part
+from emberring.simulation.admission.engine_model import Engine, EngineCall, EngineParameters, PromptPart
 
-FIGURES = EngineFigures(
+FIGURES = EngineParameters(
     capacity=2,
     queue=2,
     kv_tokens=10_000,
@@ -18,19 +18,19 @@
     stride=10,
     chunk=1000,
 )
-SHARED = Part("shared", 2000, True)
+SHARED = PromptPart("shared", 2000, True)
 
 
 class Played:
     """Requests at one engine and what came of them."""
 
     def __init__(self, **figures: int) -> None:
-        self.engine = Engine(EngineFigures(**{**vars_of(FIGURES), **figures}))
+        self.engine = Engine(EngineParameters(**{**vars_of(FIGURES), **figures}))
         self.first: dict[str, float] = {}
         self.ended: dict[str, float] = {}
         self.events: dict[str, int] = {}
 
-    def ask(self, name: str, *parts: Part, tokens_out: int = 10) -> bool:
+    def ask(self, name: str, *parts: PromptPart, tokens_out: int = 10) -> bool:
         def on_event(when_ms: float, number: int) -> None:
             self.first.setdefault(name, when_ms)
             self.events[name] = number
@@ -46,12 +46,12 @@
         return now_ms
 
 
-def vars_of(figures: EngineFigures) -> dict[str, float]:
-    return {name: getattr(figures, name) for name in EngineFigures.__slots__ if not name.startswith("__")}
+def vars_of(figures: EngineParameters) -> dict[str, float]:
+    return {name: getattr(figures, name) for name in EngineParameters.__slots__ if not name.startswith("__")}
 
 
-def own(name: str, tokens: int) -> Part:
-    return Part(name, tokens, False)
+def own(name: str, tokens: int) -> PromptPart:
+    return PromptPart(name, tokens, False)
 
 
 def test_a_prompt_is_read_in_pieces_and_a_step_gives_a_token() -> None:
@@ -70,19 +70,19 @@
     played.play()
     assert played.engine.missing((SHARED, own("b", 10))) == 10
     assert played.engine.missing((own("b", 10), SHARED)) == 2010
-    before = played.engine.accounts.prefilled
+    before = played.engine.counters.prefilled
     played.ask("b", SHARED, own("b", 10))
     played.play()
-    assert played.engine.accounts.prefilled - before == 10
-    assert played.engine.accounts.shared_prefilled == 2000
+    assert played.engine.counters.prefilled - before == 10
+    assert played.engine.counters.shared_prefilled == 2000
 
 
 def test_the_longest_unused_part_gives_way() -> None:
     played = Played(kv_tokens=5000)
     for name in ("x", "y", "z"):
-        played.ask(name, Part(name, 1900, True), own(f"own-{name}", 10))
+        played.ask(name, PromptPart(name, 1900, True), own(f"own-{name}", 10))
         played.play()
-    kept = [played.engine.missing((Part(name, 1900, True),)) == 0 for name in ("x", "y", "z")]
+    kept = [played.engine.missing((PromptPart(name, 1900, True),)) == 0 for name in ("x", "y", "z")]
     assert kept == [False, True, True]
 
 
@@ -93,7 +93,7 @@
     taken += [played.ask(name, own(name, 10)) for name in "cde"]
     assert taken == [True, True, True, True, False]
     assert (played.engine.active, played.engine.queued) == (2, 2)
-    assert played.engine.accounts.full == 1
+    assert played.engine.counters.full == 1
 
 
 def test_without_memory_the_newest_is_preempted_and_still_ends_once() -> None:
@@ -101,7 +101,7 @@
     played.ask("old", own("old", 50), tokens_out=150)
     played.ask("new", own("new", 50), tokens_out=150)
     played.play()
-    assert played.engine.accounts.preempted > 0
+    assert played.engine.counters.preempted > 0
     assert set(played.ended) == {"old", "new"}
     assert played.ended["old"] < played.ended["new"]
     assert played.events == {"old": 15, "new": 15}
