--- a/emberring/gateway/attempt.py
+++ b/emberring/gateway/attempt.py
@@ -36,7 +36,7 @@
         """Whether a part of a response has been forwarded, so that no other response may follow."""
 
     async def events(self, head: ResponseHead, events: list[Event]) -> None:
-        """Forward complete events of a stream; the head of the first call is the one that is kept."""
+        """Forward complete events of a stream; the head of the first call is the one that counts."""
 
     async def body_chunk(self, head: ResponseHead, data: bytes) -> None:
         """Forward a part of a body that is too long to be buffered."""
--- a/emberring/gateway/client_response.py
+++ b/emberring/gateway/client_response.py
@@ -10,7 +10,7 @@
 
 
 class ClientResponse:
-    """Writes one response. The head that is sent first is the one that is kept."""
+    """Writes one response. A response has one head, the first that is sent."""
 
     def __init__(self, send: Send, connection: ClientConnection, request_id: bytes, is_head: bool) -> None:
         self._send = send
--- a/emberring/gateway/execution.py
+++ b/emberring/gateway/execution.py
@@ -97,7 +97,7 @@
                 broken.clear()
                 decision = self._offer(call, route, excluded, admitted=True)
             if not isinstance(decision, Admitted):
-                return await self._give_up(call, receiver, progress, last, decision)
+                return await self._give_up(receiver, progress, last, decision)
             excluded.add(decision.server_id)
             last = await self._attempt(
                 call, decision.server_id, receiver, self._response_timeouts(route, progress)
@@ -111,7 +111,7 @@
             progress.value = progress.value.after(last.outcome)
             resumable = not receiver.started or (route.resumable and call.last_event_id is not None)
             if not resumable or not progress.value.allows_another(last.outcome):
-                return await self._give_up(call, receiver, progress, last, None)
+                return await self._give_up(receiver, progress, last, None)
             call.resumed = receiver.started
 
     @staticmethod
@@ -122,7 +122,6 @@
 
     async def _give_up(
         self,
-        call: UpstreamCall,
         receiver: LiveReceiver,
         progress: _Progress,
         last: AttemptResult | None,
--- a/emberring/gateway/messages.py
+++ b/emberring/gateway/messages.py
@@ -116,11 +116,11 @@
         request.method + b" " + request.target + b" HTTP/1.1",
         b"Host: " + request.host.encode("latin-1"),
     ]
-    kept = {b"deadline-ms"} if remaining_ms is None else set()
+    forwarded = {b"deadline-ms"} if remaining_ms is None else set()
     if last_event_id is None:
-        kept.add(b"last-event-id")
+        forwarded.add(b"last-event-id")
     for name, value in end_to_end_headers(request.headers):
-        if name not in _REWRITTEN or name in kept:
+        if name not in _REWRITTEN or name in forwarded:
             lines.append(name + b": " + value)
     if last_event_id is not None:
         lines.append(b"Last-Event-Id: %d" % last_event_id)
--- a/emberring/gateway/suspicion_report.py
+++ b/emberring/gateway/suspicion_report.py
@@ -13,7 +13,7 @@
 
 
 class SuspicionReport:
-    """Looks at admission's servers when told to."""
+    """The report of this gateway's suspicions."""
 
     def __init__(self, admission: Admission) -> None:
         self._admission = admission
--- a/emberring/simulation/admission/ablation.py
+++ b/emberring/simulation/admission/ablation.py
@@ -172,8 +172,8 @@
 
 
 def mechanism_value(
-    mechanism: Mechanism, whole: Sequence[Figures], without_it: Sequence[Figures]
+    mechanism: Mechanism, complete: Sequence[Figures], without_it: Sequence[Figures]
 ) -> MechanismValue:
     """Return the value of a mechanism from trials in the same order of seeds."""
-    differences = [one.worth - other.worth for one, other in zip(whole, without_it, strict=True)]
+    differences = [one.worth - other.worth for one, other in zip(complete, without_it, strict=True)]
     return MechanismValue(mechanism, sum(differences) / len(differences), min(differences), max(differences))
--- a/emberring/simulation/admission/engine_model.py
+++ b/emberring/simulation/admission/engine_model.py
@@ -1,9 +1,9 @@
 """A model of a model server's engine, for experiments with admission: no sockets, no clock of its own.
 
 The engine works in steps. A step generates one token for each running request and prefills a chunk of the waiting
-prompts, in the order of arrival; it takes longer with more running requests, longer contexts and a larger chunk. The KV
-cache is shared by running requests and by prompt parts that are kept for others, which are evicted least recently used
-first. When it is full, the newest running request is preempted and prefilled again later.
+prompts, in the order of arrival; it takes longer with more running requests, longer contexts and a larger chunk. The
+KV cache is shared by running requests and by prompt parts that are cached for others, which are evicted least
+recently used first. When it is full, the newest running request is preempted and prefilled again later.
 Times are in milliseconds, sizes in tokens.
 """
 
--- a/emberring/simulation/admission/trial.py
+++ b/emberring/simulation/admission/trial.py
@@ -117,11 +117,11 @@
 
 def _balance(record: TrialRecord) -> float:
     """Return the busiest server's share of time at work over the mean; servers that were up briefly are left out."""
-    whole = max(record.up_ms.values(), default=0.0)
+    longest_ms = max(record.up_ms.values(), default=0.0)
     busy = [
         record.busy_ms[name] / up
         for name, up in record.up_ms.items()
-        if up >= 0.5 * whole and name in record.busy_ms
+        if up >= 0.5 * longest_ms and name in record.busy_ms
     ]
     return max(busy) / (sum(busy) / len(busy)) if busy and sum(busy) > 0.0 else 1.0
 
@@ -131,12 +131,12 @@
     least = 1.0
     for kind in {one.kind for one in live}:
         ordered = sorted((one for one in live if one.kind == kind), key=lambda one: -one.size)
-        whole = _share(ordered, lambda one: one.served)
+        overall = _share(ordered, lambda one: one.served)
         tenth, fifth = (
             int(LARGEST_SHARE * len(ordered)),
             int((LARGEST_SHARE + SECOND_LARGEST_SHARE) * len(ordered)),
         )
         for group in (ordered[:tenth], ordered[tenth:fifth]):
-            if group and whole > 0.0:
-                least = min(least, _share(group, lambda one: one.served) / whole)
+            if group and overall > 0.0:
+                least = min(least, _share(group, lambda one: one.served) / overall)
     return least
--- a/tests/emberring/admission/test_tier_admission.py
+++ b/tests/emberring/admission/test_tier_admission.py
@@ -1,4 +1,4 @@
-"""Admission as a whole: what is taken, by which server, and what is refused."""
+"""Admission as a whole: which calls are taken, by which server, and which are refused."""
 
 from __future__ import annotations
 
@@ -48,14 +48,14 @@
     assert admission_of(*records).offer(0.0, call("c1")) == NoServer()
 
 
-def test_an_excluded_server_is_not_picked() -> None:
+def test_an_excluded_server_is_not_chosen() -> None:
     admission = admission_of(record("s1"), record("s2"))
     for at in range(6):
         decision = admission.offer(0.0, call(f"c{at}", excluded=frozenset({"s1"})))
         assert decision == Admitted("s2")
 
 
-def test_nothing_is_refused_while_half_the_places_are_free() -> None:
+def test_nothing_is_refused_while_half_the_slots_are_free() -> None:
     admission = admission_of(record("s1"), record("s2"))
     decisions = [admission.offer(0.0, call(f"c{at}")) for at in range(8)]
     assert all(isinstance(decision, Admitted) for decision in decisions)
@@ -74,8 +74,8 @@
 GATEWAYS = 7
 
 
-def gateways_that_hear_late(servers: int) -> tuple[list[Admission], list[ServerRecord]]:
-    """So many gateways before these servers; the others' calls were told as none."""
+def gateways_with_stale_reports(servers: int) -> tuple[list[Admission], list[ServerRecord]]:
+    """Return gateways before these servers, to which the others' load was reported as zero."""
     records = [record(f"s{number}") for number in range(servers)]
     gateways = [Admission(AdmissionSettings(), seed=number) for number in range(GATEWAYS)]
     for one in gateways:
@@ -84,7 +84,7 @@
 
 
 def take_items(gateway: Admission, name: str, now_s: float) -> int:
-    """Take items, each heard at once, until one is held back; returns how many were taken."""
+    """Admit items, each with a first event at once, until one is refused; return how many were admitted."""
     taken = 0
     while isinstance(gateway.offer(now_s, call(f"{name}/{taken}", batch=True)), Admitted):
         gateway.started(now_s, f"{name}/{taken}", "")
@@ -93,8 +93,8 @@
     return taken
 
 
-def test_items_of_all_gateways_fit_the_places_while_nobody_hears_of_the_others() -> None:
-    gateways, records = gateways_that_hear_late(12)
+def test_items_of_all_gateways_fit_the_slots_without_reports_of_each_other() -> None:
+    gateways, records = gateways_with_stale_reports(12)
     taken = 0
     for round_number in range(10):  # each round tells the gateways anew, and each time of no one else's calls
         for number, gateway in enumerate(gateways):
@@ -104,8 +104,8 @@
     assert 0.7 * slots <= taken <= slots
 
 
-def test_live_calls_of_a_gateway_leave_its_items_less_room() -> None:
-    gateways, _ = gateways_that_hear_late(12)
+def test_live_calls_of_a_gateway_leave_its_items_less_capacity() -> None:
+    gateways, _ = gateways_with_stale_reports(12)
     quiet, busy = gateways[0], gateways[1]
     for number in range(8):
         assert isinstance(busy.offer(0.0, call(f"live/{number}")), Admitted)
@@ -113,7 +113,7 @@
 
 
 def test_items_wait_for_the_prompts_of_those_before_them() -> None:
-    gateways, _ = gateways_that_hear_late(12)
+    gateways, _ = gateways_with_stale_reports(12)
     gateway = gateways[0]
     room = gateway.batch_room(0.0)
     names = [f"b{number}" for number in range(room + 1)]
@@ -126,8 +126,8 @@
     assert gateway.batch_room(0.02) == 1
 
 
-def test_prompts_at_a_server_that_has_gone_dark_hold_up_no_other_items() -> None:
-    gateways, _ = gateways_that_hear_late(12)
+def test_prompts_at_an_unresponsive_server_block_no_other_items() -> None:
+    gateways, _ = gateways_with_stale_reports(12)
     gateway = gateways[0]
     room = gateway.batch_room(0.0)
     placed: dict[str, str] = {}
@@ -141,7 +141,7 @@
     assert isinstance(gateway.offer(SILENCE_MAX_MS / 1000.0 + 0.01, call("next", batch=True)), Admitted)
 
 
-def test_word_of_each_server_counts_against_the_report_that_it_holds() -> None:
+def test_a_load_report_is_compared_with_the_own_report_that_it_includes() -> None:
     admission = admission_of(record("s1"), record("s2"))
     for number in range(4):
         assert isinstance(admission.offer(0.0, call(f"c{number}")), Admitted)
@@ -160,7 +160,9 @@
 
 
 @pytest.mark.parametrize(("total", "most"), [(0, 24), (12, 12), (24, 2), (40, 2)])
-def test_items_go_by_the_newest_total_where_word_of_each_server_is_old(total: int, most: int) -> None:
+def test_items_are_limited_by_the_latest_total_where_reports_of_servers_are_old(
+    total: int, most: int
+) -> None:
     records = [record("s1"), record("s2"), record("s3")]
     admission = Admission(AdmissionSettings(), seed=1)
     admission.in_flight()
@@ -170,7 +172,7 @@
     assert most - 6 <= taken <= most
 
 
-def test_what_is_usual_is_taken_as_told() -> None:
+def test_a_reported_smoothed_load_is_used_as_reported() -> None:
     admission = Admission(AdmissionSettings(), seed=1)
     word = KnownLoad({"s1": 0}, {"s1": 6.0}, {})
     admission.set_servers(0.0, [record("s1")], SERVICES, 60, word)
@@ -179,7 +181,7 @@
     assert view.estimated_load(60) > 5.0
 
 
-def test_a_server_of_which_nothing_was_asked_is_taken_for_one_like_the_others() -> None:
+def test_a_server_without_a_report_is_assumed_to_have_the_mean_load() -> None:
     records = [record("s1"), record("s2"), record("s3")]
     admission = Admission(AdmissionSettings(), seed=1)
     word = KnownLoad({"s1": 2}, {"s1": 2.0}, {"llm": 12})  # s1 alone was in use
@@ -190,12 +192,12 @@
     assert views["s2"].other_calls == views["s2"].smoothed_other_calls
 
 
-def test_a_gateway_alone_uses_the_places_of_jobs() -> None:
+def test_a_single_gateway_uses_all_batch_slots() -> None:
     admission = admission_of(record("s1"), record("s2"))
     assert take_items(admission, "b", 0.0) >= 0.8 * 16
 
 
-def test_a_full_pool_refuses_with_a_moment_to_come_back() -> None:
+def test_a_full_pool_refuses_with_a_retry_delay() -> None:
     admission = admission_of(record("s1"))
     decisions = [admission.offer(0.0, call(f"c{at}")) for at in range(200)]
     refused = decisions[-1]
@@ -203,7 +205,7 @@
     assert refused.retry_after_s > 0.0
 
 
-def test_a_finished_call_frees_its_place() -> None:
+def test_a_finished_call_releases_its_slot() -> None:
     admission = admission_of(record("s1"))
     admission.offer(0.0, call("c1"))
     assert admission.in_flight() == {"s1": 1}
@@ -213,7 +215,7 @@
     assert admission.in_flight() == {"s1": 0}
 
 
-def test_a_failed_server_is_avoided_for_a_while() -> None:
+def test_a_failed_server_is_ejected_for_a_while() -> None:
     admission = admission_of(record("s1"), record("s2"))
     first = admission.offer(0.0, call("c1"))
     assert isinstance(first, Admitted)
@@ -232,7 +234,7 @@
     assert Admitted("far") in decisions
 
 
-def test_a_server_with_a_resting_connection_comes_first_until_it_is_busier() -> None:
+def test_a_server_with_an_idle_connection_comes_first_until_it_is_busier() -> None:
     records = [record(f"s{number}") for number in range(6)]
     admission = Admission(AdmissionSettings(), seed=1, connected=lambda server_id: server_id == "s4")
     admission.set_servers(0.0, records, SERVICES, 1, NO_LOAD)
--- a/tests/emberring/admission/test_tier_admission_machine.py
+++ b/tests/emberring/admission/test_tier_admission_machine.py
@@ -1,4 +1,4 @@
-"""Admission under any order of events: places are counted right, and no promise of the table is broken."""
+"""Admission under any order of events: slots are counted correctly, and no guarantee of the table is broken."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """One gateway alone, so that what it counts is all there is."""
+    """One gateway alone, so that its own counts are complete."""
 
     calls = Bundle("calls")
 
@@ -51,9 +51,9 @@
         self.trouble = False
         self.out: dict[str, str] = {}
         self.admission = Admission(AdmissionSettings(), seed=3)
-        self.tell()
+        self.update_servers()
 
-    def tell(self) -> None:
+    def update_servers(self) -> None:
         records = [
             ServerRecord(name, "llm", name, "z", CAPACITY, state, 1) for name, state in self.states.items()
         ]
@@ -70,7 +70,7 @@
             self.replaced.discard(name)
         else:
             self.states[name] = state
-        self.tell()
+        self.update_servers()
 
     @rule(
         target=calls,
@@ -126,14 +126,14 @@
         self.admission.finished(self.now_s, name, outcome)
 
     @invariant()
-    def places_are_counted_right(self) -> None:
+    def slots_are_counted_correctly(self) -> None:
         report = self.admission.in_flight()
         assert set(report) == set(self.states)
         for name, calls in report.items():
             assert 0 <= calls <= sum(server == name for server in self.out.values())
 
     @invariant()
-    def room_is_never_negative(self) -> None:
+    def batch_capacity_is_never_negative(self) -> None:
         assert 0 <= self.admission.batch_room(self.now_s) <= CAPACITY * len(NAMES)
 
 
--- a/tests/emberring/admission/test_tier_affinity.py
+++ b/tests/emberring/admission/test_tier_affinity.py
@@ -1,4 +1,4 @@
-"""Affinity: large shared parts have a home that all gateways agree on; small ones have none."""
+"""Affinity: large shared parts have preferred servers that all gateways agree on; small ones have none."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         ((PrefixPart("a", 2000), PrefixPart("b", 9000), PrefixPart("own", 10)), "b"),
     ],
 )
-def test_home_key(parts: tuple[PrefixPart, ...], key: str | None) -> None:
+def test_affinity_key(parts: tuple[PrefixPart, ...], key: str | None) -> None:
     assert affinity_key(parts) == key
 
 
@@ -32,14 +32,14 @@
     )
 
 
-def test_a_server_that_leaves_moves_only_its_own_prefixes() -> None:
+def test_a_removed_server_moves_only_its_own_prefixes() -> None:
     keys = [f"part-{at}" for at in range(500)]
     before = {key: preferred_servers(key, SERVERS, 1)[0] for key in keys}
     after = {key: preferred_servers(key, SERVERS[1:], 1)[0] for key in keys}
     assert all(after[key] == before[key] for key in keys if before[key] != SERVERS[0])
 
 
-def test_homes_are_spread() -> None:
+def test_preferred_servers_are_spread_evenly() -> None:
     counts = Counter(preferred_servers(f"part-{at}", SERVERS, 1)[0] for at in range(3000))
     assert min(counts.values()) > 0.8 * 500
     assert max(counts.values()) < 1.2 * 500
--- a/tests/emberring/admission/test_tier_attempts.py
+++ b/tests/emberring/admission/test_tier_attempts.py
@@ -33,7 +33,7 @@
     assert budget.certainly_not_executed is promise
 
 
-def test_sends_that_did_not_run_are_bounded() -> None:
+def test_attempts_that_were_not_executed_are_limited() -> None:
     budget = AttemptBudget(1, False)
     sends = 1
     while budget.after(CallOutcome.FULL).allows_another(CallOutcome.FULL):
@@ -41,7 +41,7 @@
     assert sends == 1 + MAX_UNEXECUTED_SENDS
 
 
-def test_no_more_servers_than_max_attempts_may_have_run_it() -> None:
+def test_no_more_servers_than_max_attempts_may_have_executed_it() -> None:
     budget = AttemptBudget(2, True).after(CallOutcome.BROKEN).after(CallOutcome.BROKEN)
     assert not budget.allows_another(CallOutcome.BROKEN)
     assert not budget.after(CallOutcome.FULL).allows_another(CallOutcome.FULL)
--- a/tests/emberring/admission/test_tier_candidates.py
+++ b/tests/emberring/admission/test_tier_candidates.py
@@ -37,13 +37,13 @@
     return False
 
 
-def test_a_small_pool_is_ranked_whole() -> None:
+def test_a_small_pool_is_ranked_completely() -> None:
     servers = views(RANK_ALL_UP_TO)
     assert candidates(servers, (), never, Random(1), STILL_RUNNING) == servers
 
 
 @pytest.mark.parametrize("connected", [0, 1, SAMPLED_CONNECTED, 40])
-def test_a_large_pool_is_ranked_in_part_homes_always(connected: int) -> None:
+def test_a_large_pool_is_sampled_with_preferred_servers_always_included(connected: int) -> None:
     servers = views(50)
     for seed in range(200):
         found = candidates(
@@ -60,7 +60,7 @@
         assert sum(int(server_id[1:]) < connected for server_id in ids) >= wanted
 
 
-def test_every_server_of_a_large_pool_is_drawn_at_times() -> None:
+def test_every_server_of_a_large_pool_is_sampled_at_times() -> None:
     servers = views(50)
     drawn = {
         one.record.id
@@ -70,7 +70,7 @@
     assert len(drawn) == 50
 
 
-def test_gateways_with_the_same_late_sums_do_not_all_choose_the_idlest_server() -> None:
+def test_gateways_with_the_same_stale_sums_do_not_all_choose_the_idlest_server() -> None:
     records = [record(number) for number in range(40)]
     told = {one.id: 9 for one in records} | {"s7": 0}
     chosen: Counter[str] = Counter()
@@ -110,19 +110,17 @@
         ([0.0] * 20, 0.9, 1.1),  # nobody has anything
     ],
 )
-def test_the_draw_follows_the_room_that_servers_will_have(
-    loads: list[float], least: float, most: float
-) -> None:
+def test_sampling_follows_the_expected_free_capacity(loads: list[float], least: float, most: float) -> None:
     chances = sampling_weights(told(views(20), loads), STILL_RUNNING)
     assert least <= chances[0] / chances[1] <= most
 
 
-def test_a_server_that_looks_full_is_drawn_seldom_but_drawn() -> None:
+def test_a_server_that_looks_full_is_sampled_rarely_but_sampled() -> None:
     chances = sampling_weights(told(views(20), [40.0] + [6.0] * 19), STILL_RUNNING)
     assert 0.0 < chances[0] < 0.2 * chances[1]
 
 
-def test_a_larger_server_is_drawn_by_its_places() -> None:
+def test_a_larger_server_is_sampled_in_proportion_to_its_slots() -> None:
     servers = told(views(20), [4.0] * 20)
     servers[0].record = attrs.evolve(servers[0].record, capacity=24)
     servers[0].update_other_calls(0.0, 8.0)
@@ -130,8 +128,8 @@
     assert chances[0] == pytest.approx(2 * chances[1])
 
 
-def test_calls_that_end_meanwhile_are_taken_off_the_word() -> None:
-    """Where calls are short, what was told says little; where they last, it says much."""
+def test_calls_that_have_ended_since_are_subtracted_from_the_report() -> None:
+    """Where calls are short, a report says little; where they are long, it says much."""
     servers = told(views(20), [4.0, 8.0] * 10)
     short = sampling_weights(servers, still_running_share(0.3, 0.1))
     long = sampling_weights(servers, still_running_share(0.3, 10.0))
@@ -149,7 +147,7 @@
         (0.2, 0.0, 0.0, 0.0),
     ],
 )
-def test_what_is_left_of_calls_told_falls_with_the_age_of_the_word(
+def test_the_share_of_calls_still_running_falls_with_the_age_of_the_report(
     age_s: float, hold_s: float, least: float, most: float
 ) -> None:
     assert least <= still_running_share(age_s, hold_s) <= most
--- a/tests/emberring/admission/test_tier_failure_rate.py
+++ b/tests/emberring/admission/test_tier_failure_rate.py
@@ -1,4 +1,4 @@
-"""Servers that fail a part of what they take."""
+"""Servers that fail some of the calls they take."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 BAD = (CallOutcome.FAILED, CallOutcome.BROKEN)
 
 
-def share_after(ends: list[bool], seconds: float = 0.0) -> FailureRate:
+def rate_after(ends: list[bool], seconds: float = 0.0) -> FailureRate:
     found = FailureRate()
     for failed in ends:
         found.record(0.0, failed)
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize(
-    ("ends", "seconds", "priced"),
+    ("ends", "seconds", "costs"),
     [
         ([], 0.0, False),
         ([True], 0.0, False),  # one failure is chance
@@ -32,16 +32,18 @@
         ([True] * 20 + [False] * 40, 0.0, False),  # answered again
     ],
 )
-def test_what_is_priced(ends: list[bool], seconds: float, priced: bool) -> None:
-    found = share_after(ends)
-    assert (found.cost_ms(seconds) > 0.0) is priced
-    assert (found.rate(seconds) > TOLERATED_RATE) is priced
+def test_which_failure_rates_cost(ends: list[bool], seconds: float, costs: bool) -> None:
+    found = rate_after(ends)
+    assert (found.cost_ms(seconds) > 0.0) is costs
+    assert (found.rate(seconds) > TOLERATED_RATE) is costs
     assert 0.0 <= found.rate(seconds) <= 1.0
 
 
 def play(admission: Admission, start: int, calls: int, bad: CallOutcome | None) -> list[str]:
-    """Calls one after another, each answered after 20 ms; every second one on the grey server ends badly. Returns the
-    servers that got them."""
+    """Place calls one after another, each answered after 20 ms; every second one on the grey server fails.
+
+    Returns the servers that got them.
+    """
     used: list[str] = []
     for number in range(start, start + calls):
         now_s = number * 0.02
@@ -58,7 +60,7 @@
 
 
 @pytest.mark.parametrize("bad", BAD)
-def test_a_server_that_fails_half_gets_little_and_all_again_once_it_is_well(bad: CallOutcome) -> None:
+def test_a_server_that_fails_half_gets_few_calls_until_it_has_recovered(bad: CallOutcome) -> None:
     records = [
         ServerRecord(name, "llm", f"10.0.0.1:{port}", "a", 8, ServerState.READY, 1)
         for port, name in enumerate((GREY, "good-1", "good-2"), start=1)
--- a/tests/emberring/admission/test_tier_job_pressure.py
+++ b/tests/emberring/admission/test_tier_job_pressure.py
@@ -1,4 +1,4 @@
-"""How many places items of lots get, by the time that they have left."""
+"""The share of the slots that batch items get, by the time that they have left."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def heard(left: float, count: int = 60) -> JobPressure:
-    """After so many items with this share of their time left, all at once."""
+    """Return the pressure after this many items with this share of their time left, all at once."""
     pressure = JobPressure()
     for _ in range(count):
         pressure.record_item(0.0, left * TARGET_S, TARGET_S)
@@ -39,7 +39,7 @@
         (0.05, URGENT_SLOT_SHARE),
     ],
 )
-def test_items_get_the_more_places_the_less_time_they_have_left(left: float, share: float) -> None:
+def test_items_get_more_slots_the_less_time_they_have_left(left: float, share: float) -> None:
     assert heard(left).slot_share(0.0) == pytest.approx(share, abs=0.001)
 
 
@@ -47,7 +47,7 @@
     ("due_s", "target_s"),
     [(-1.0, TARGET_S), (0.0, TARGET_S), (1.0, 0.0)],  # late already, late just now, no time told
 )
-def test_items_that_more_places_can_not_save_say_nothing(due_s: float, target_s: float) -> None:
+def test_items_that_more_slots_cannot_save_are_ignored(due_s: float, target_s: float) -> None:
     pressure = JobPressure()
     for _ in range(60):
         pressure.record_item(0.0, due_s, target_s)
@@ -55,11 +55,11 @@
 
 
 @pytest.mark.parametrize("left", [0.1, 1.0])
-def test_what_was_heard_is_forgotten_soon_after_the_jobs_are_done(left: float) -> None:
+def test_pressure_decays_after_the_jobs_are_done(left: float) -> None:
     assert heard(left).slot_share(5.0 * DECAY_S) == pytest.approx(0.85, abs=0.01)
 
 
-def test_a_gateway_takes_more_items_once_those_it_gets_are_pressed() -> None:
+def test_a_gateway_admits_more_items_under_pressure() -> None:
     records = [
         ServerRecord(f"s{number}", "llm", f"10.0.0.1:{number}", "a", 12, ServerState.READY, 1)
         for number in range(4)
@@ -82,7 +82,7 @@
     assert room(0.1) > 4 * 12 * 0.85
 
 
-def test_what_decisions_go_by_is_told_to_operators() -> None:
+def test_the_figures_behind_decisions_are_reported_to_operators() -> None:
     admission = Admission(AdmissionSettings(), seed=1)
     assert admission.status(1.0) == (0, 0.0, math.inf)
     records = [ServerRecord("s1", "llm", "10.0.0.1:1", "a", 12, ServerState.READY, 1)]
--- a/tests/emberring/admission/test_tier_load_meter.py
+++ b/tests/emberring/admission/test_tier_load_meter.py
@@ -19,7 +19,7 @@
     assert fed(LoadMeter(), 0.2, 40) < 1.0
 
 
-def test_waits_far_over_the_baseline_are_load_and_pass_again() -> None:
+def test_waits_far_over_the_baseline_are_load_until_they_end() -> None:
     meter = LoadMeter()
     fed(meter, 0.2, 20)
     assert fed(meter, 0.9, 10) > 1.0
@@ -35,7 +35,7 @@
     assert meter.baseline == before
 
 
-def test_load_that_nobody_sees_passes() -> None:
+def test_unobserved_load_decays() -> None:
     meter = LoadMeter()
     fed(meter, 0.2, 20)
     fed(meter, 0.9, 20)
--- a/tests/emberring/admission/test_tier_many_gateways.py
+++ b/tests/emberring/admission/test_tier_many_gateways.py
@@ -1,4 +1,4 @@
-"""Many gateways before many servers, each hearing late what the others have in flight."""
+"""Many gateways before many servers, with late reports of each other's calls in flight."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
     return ServerRecord(f"s{number}", "llm", f"10.0.0.1:{number}", "a", SLOTS, ServerState.READY, 1)
 
 
-def test_few_gateways_go_by_what_was_just_told() -> None:
+def test_few_gateways_use_the_latest_report() -> None:
     view = ServerView(record(1), 0.0)
     view.update_other_calls(0.0, 2.0)
     view.update_other_calls(0.1, 9.0)
     assert view.estimated_load(GATEWAYS_BY_WORD) == pytest.approx(9.0)
 
 
-def test_many_gateways_go_by_what_is_usual_and_follow_it() -> None:
+def test_many_gateways_use_the_smoothed_load_and_follow_it() -> None:
     view = ServerView(record(1), 0.0)
     view.update_other_calls(0.0, 2.0)
     view.update_other_calls(0.3, 9.0)
@@ -42,7 +42,7 @@
 
 
 class Play:
-    """Calls come at random gateways and hold their place for a while."""
+    """Calls arrive at random gateways and hold their slot for a while."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
@@ -69,7 +69,7 @@
             self.loads[decision.server_id] += 1
             self.ends.append((now_s + HOLD_S, gateway, name, decision.server_id))
 
-    def tell(self, now_s: float) -> None:
+    def update_servers(self, now_s: float) -> None:
         for gateway in self.gateways:
             gateway.in_flight()
         self.told.append((now_s, {**{one.id: 0 for one in self.records}, **self.loads}))
@@ -81,14 +81,14 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_late_word_of_the_others_makes_no_waves(seed: int) -> None:
+def test_stale_reports_cause_no_oscillation(seed: int) -> None:
     play = Play(seed)
     crowded = steps = 0
     next_tell_s = 0.0
     for number in range(800):
         now_s = number * STEP_S
         if now_s >= next_tell_s:
-            play.tell(now_s)
+            play.update_servers(now_s)
             next_tell_s += TELL_EVERY_S
         play.step(now_s)
         if now_s > 2.0:
--- a/tests/emberring/admission/test_tier_prefix_cache.py
+++ b/tests/emberring/admission/test_tier_prefix_cache.py
@@ -1,4 +1,4 @@
-"""What a server is held to keep of prompts."""
+"""The prompt parts that a server is expected to cache."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
         ([(A,), (A, B, C)], (A, B, C), 3),
     ],
 )
-def test_known_parts(sent: list[tuple[PrefixPart, ...]], asked: tuple[PrefixPart, ...], known: int) -> None:
+def test_cached_parts(sent: list[tuple[PrefixPart, ...]], asked: tuple[PrefixPart, ...], known: int) -> None:
     prefix_cache = PrefixCacheEstimate()
     for parts in sent:
         prefix_cache.record_prompt(parts, 1000.0)
     assert prefix_cache.cached_parts(asked) == known
 
 
-def test_the_longest_unused_give_way() -> None:
+def test_the_least_recently_used_parts_are_evicted() -> None:
     prefix_cache = PrefixCacheEstimate()
     prefix_cache.record_prompt((A,), 150.0)
     prefix_cache.record_prompt((B,), 150.0)
@@ -37,7 +37,7 @@
     assert [prefix_cache.cached_parts((part,)) for part in (A, B, C)] == [1, 0, 1]
 
 
-def test_nothing_is_known_once_forgotten() -> None:
+def test_nothing_is_cached_after_clear() -> None:
     prefix_cache = PrefixCacheEstimate()
     prefix_cache.record_prompt((A, B), 1000.0)
     prefix_cache.clear()
--- a/tests/emberring/admission/test_tier_suspicion.py
+++ b/tests/emberring/admission/test_tier_suspicion.py
@@ -1,4 +1,4 @@
-"""Which servers a gateway holds to be in trouble: what counts, when it ends, what is told of it."""
+"""The servers that a gateway suspects: which faults count, when a suspicion ends, what is reported."""
 
 from __future__ import annotations
 
@@ -56,11 +56,11 @@
         (late(6.0), Fault.SLOW),
     ],
 )
-def test_what_speaks_against_a_server(server: ServerView, trouble: Fault | None) -> None:
+def test_which_fault_a_server_shows(server: ServerView, trouble: Fault | None) -> None:
     assert detect_fault(0.0, server, PAUSE_MS) is trouble
 
 
-def test_a_change_of_state_is_told_once_and_its_end_after_a_while_without_a_sign() -> None:
+def test_a_suspicion_is_reported_once_and_its_end_after_a_while_without_a_fault() -> None:
     book, server = SuspicionTable(), failed(CallOutcome.SILENT, 2)
     begun = book.check(1.0, [server], PAUSE_MS)
     assert [(change.server, change.fault) for change in begun] == [(server, Fault.SILENT)]
@@ -81,14 +81,14 @@
     assert book.faults == {}
 
 
-def test_a_server_that_is_gone_is_dropped_without_a_word() -> None:
+def test_a_server_that_no_longer_exists_is_dropped_without_a_report() -> None:
     book, server = SuspicionTable(), failed(CallOutcome.SILENT, 2)
     book.check(1.0, [server, view("other")], PAUSE_MS)
     assert book.check(9.0, [view("other")], PAUSE_MS) == []
     assert book.faults == {}
 
 
-def test_a_gateway_tells_control_and_its_figures() -> None:
+def test_a_gateway_reports_suspicions_to_control_nodes_and_metrics() -> None:
     admission = Admission(AdmissionSettings(), seed=1)
     records = [view("s1").record, view("s2").record]
     admission.set_servers(0.0, records, {}, 1, NO_LOAD)
--- a/tests/emberring/admission/test_tier_threshold_table.py
+++ b/tests/emberring/admission/test_tier_threshold_table.py
@@ -1,4 +1,4 @@
-"""The cursor table: lots bend first, then the least urgent live calls."""
+"""The threshold table: batch items are held back first, then the least urgent live calls."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     assert table.cursor == table.last_slot
 
 
-def test_live_rows_bend_only_once_jobs_have_nothing() -> None:
+def test_live_rows_fall_only_once_batch_items_have_nothing() -> None:
     table = ThresholdTable()
     for _ in range(table.last_slot):
         if table.batch_share() > 0.0:
--- a/tests/emberring/gateway/conftest.py
+++ b/tests/emberring/gateway/conftest.py
@@ -1,4 +1,4 @@
-"""What holds for all tests of the gateway."""
+"""Fixtures for all tests of the gateway."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 @pytest.fixture(autouse=True)
-def unhurried(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A machine under load is not taken for a server that does not answer a connection."""
+def long_connect_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Keep a machine under load from being taken for a server that accepts no connections."""
     monkeypatch.setattr(connection_pool, "CONNECT_TIMEOUT_S", PATIENCE_S)
     monkeypatch.setattr(connect_timeout, "MIN_CONNECT_TIMEOUT_S", PATIENCE_S)
--- a/tests/emberring/gateway/gateway_world.py
+++ b/tests/emberring/gateway/gateway_world.py
@@ -35,7 +35,7 @@
 
 
 class FakeAdmission:
-    """Takes the servers in the order in which they were named; `script` may hold other decisions."""
+    """Takes the servers in the order in which they were added; `script` may hold other decisions."""
 
     def __init__(self, directory: FakeDirectory) -> None:
         self.directory = directory
@@ -80,8 +80,8 @@
 
 
 @attrs.frozen
-class Seen:
-    """A request as a server read it."""
+class ReceivedRequest:
+    """A request as a server received it."""
 
     start: bytes
     headers: dict[str, str]
@@ -89,8 +89,8 @@
     connection: int
 
 
-class Side:
-    """A server's end of a connection, in the hands of a script."""
+class ServerSide:
+    """A server's end of a connection, controlled by a script."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -99,12 +99,12 @@
         self.writer.write(data)
         await self.writer.drain()
 
-    async def answer(self, seen: Seen, status: int = 200, body: bytes = b"", **more: str) -> None:
-        """A whole answer with a length."""
+    async def answer(self, seen: ReceivedRequest, status: int = 200, body: bytes = b"", **more: str) -> None:
+        """Send a complete response with a length."""
         await self.write(head(seen, status, len(body), **more) + body)
 
-    async def stream(self, seen: Seen, ids: Iterable[int], end: bool = True, **more: str) -> None:
-        """An event stream in chunks."""
+    async def stream(self, seen: ReceivedRequest, ids: Iterable[int], end: bool = True, **more: str) -> None:
+        """Send an event stream in chunks."""
         await self.write(stream_head(seen, **more))
         for number in ids:
             await self.write(chunk(event(number)))
@@ -124,7 +124,7 @@
                 pass
 
 
-Script = Callable[[Side, Seen], Awaitable[None]]
+Script = Callable[[ServerSide, ReceivedRequest], Awaitable[None]]
 
 
 def event(number: int) -> bytes:
@@ -139,7 +139,7 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-def head(seen: Seen, status: int, length: int | None, signed: bool = True, **more: str) -> bytes:
+def head(seen: ReceivedRequest, status: int, length: int | None, signed: bool = True, **more: str) -> bytes:
     lines = [f"HTTP/1.1 {status} X"]
     fields = {"Request-Id": seen.headers.get("request-id", "")}
     if signed:
@@ -151,18 +151,18 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
 
-def stream_head(seen: Seen, **more: str) -> bytes:
+def stream_head(seen: ReceivedRequest, **more: str) -> bytes:
     fields = {"Content_Type": "text/event-stream", "Transfer_Encoding": "chunked"} | more
     return head(seen, 200, None, **fields)
 
 
 class ScriptedServer:
-    """Answers each request by the next script, the last one again and again."""
+    """Answers each request by the next script; the last one is repeated."""
 
     def __init__(self, server_id: str, scripts: tuple[Script, ...]) -> None:
         self.id = server_id
         self.scripts = list(scripts)
-        self.seen: list[Seen] = []
+        self.seen: list[ReceivedRequest] = []
         self.connections = 0
         self.arrived = asyncio.Event()
         self.tasks: set[asyncio.Task[None]] = set()
@@ -186,7 +186,7 @@
         self.tasks.add(task)
         self.connections += 1
         number = self.connections
-        side = Side(reader, writer)
+        side = ServerSide(reader, writer)
         try:
             while not writer.is_closing():
                 seen = await self._read(reader, number)
@@ -200,7 +200,7 @@
             self.tasks.discard(task)
 
     @staticmethod
-    async def _read(reader: asyncio.StreamReader, number: int) -> Seen:
+    async def _read(reader: asyncio.StreamReader, number: int) -> ReceivedRequest:
         raw = await reader.readuntil(b"\r\n\r\n")
         start, *lines = raw[:-4].split(b"\r\n")
         headers = {}
@@ -208,12 +208,12 @@
             name, _, value = line.decode().partition(": ")
             headers[name.lower()] = value
         body = await reader.readexactly(int(headers.get("content-length", "0")))
-        return Seen(start, headers, body, number)
+        return ReceivedRequest(start, headers, body, number)
 
 
 @attrs.frozen
 class Received:
-    """What a client got: `whole` says whether the answer came to its end."""
+    """What a client received; `whole`: the response was complete."""
 
     status: int
     headers: dict[str, str]
@@ -316,7 +316,7 @@
 
 
 class World:
-    """The gateway and its surroundings."""
+    """The gateway and its environment."""
 
     def __init__(self, routes: tuple[Route, ...] = ROUTES, limits: ClientLimits | None = None) -> None:
         services = (Service("s", max_connections=100, capacity=8),)
@@ -369,7 +369,7 @@
 
 
 def play(story: Callable[[World], Awaitable[None]], world: Callable[[], World] = World) -> None:
-    """Run a story in a fresh world; it fails if it hangs."""
+    """Run a story in a new world; it fails if it hangs."""
 
     async def run() -> None:
         place = world()
@@ -384,6 +384,6 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait until something is so; the story's time-out is the limit."""
+    """Wait until a condition holds; the story's time-out is the limit."""
     while not condition():
         await asyncio.sleep(0.002)
--- a/tests/emberring/gateway/test_tier_connect_timeout.py
+++ b/tests/emberring/gateway/test_tier_connect_timeout.py
@@ -1,4 +1,4 @@
-"""How long a connection may take to come up."""
+"""The time-out for opening a connection."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 
 @pytest.fixture
-def unhurried() -> None:
-    """Here the program's own bounds are looked at: nothing is changed."""
+def long_connect_timeouts() -> None:
+    """Leave the program's own limits unchanged here."""
 
 
 def learned(seconds: float, count: int = 50) -> ConnectTimeoutEstimator:
@@ -29,17 +29,17 @@
     ("usual_s", "limit_s"),
     [(0.002, MIN_CONNECT_TIMEOUT_S), (0.02, 0.02 * TIMEOUT_FACTOR), (0.1, MAX_CONNECT_TIMEOUT_S)],
 )
-def test_the_limit_follows_what_is_usual_within_bounds(usual_s: float, limit_s: float) -> None:
+def test_the_time_out_follows_the_usual_time_within_limits(usual_s: float, limit_s: float) -> None:
     assert learned(usual_s).timeout_s() == pytest.approx(limit_s)
 
 
-def test_a_few_connections_say_nothing_yet() -> None:
+def test_a_few_connections_are_not_enough_for_an_estimate() -> None:
     assert learned(0.002, MIN_SAMPLES - 1).timeout_s() == MAX_CONNECT_TIMEOUT_S
     assert learned(0.002, MIN_SAMPLES).timeout_s() == MIN_CONNECT_TIMEOUT_S
 
 
-def test_a_process_that_turned_slow_gets_its_patience_back() -> None:
-    """All connections now take longer than the limit: each one given up lengthens it, to the most there is."""
+def test_a_process_that_turned_slow_gets_longer_time_outs() -> None:
+    """All connections take longer than the time-out now: each failure lengthens it, up to its limit."""
     patience = learned(0.002)
     limits = []
     for _ in range(60):
@@ -49,7 +49,7 @@
     assert patience.timeout_s() == pytest.approx(MAX_CONNECT_TIMEOUT_S, abs=0.01)
 
 
-def test_one_dark_server_among_many_leaves_it_short() -> None:
+def test_one_unreachable_server_among_many_leaves_the_time_out_short() -> None:
     patience = learned(0.002)
     for _ in range(20):
         for _ in range(9):
--- a/tests/emberring/gateway/test_tier_gateway_clients.py
+++ b/tests/emberring/gateway/test_tier_gateway_clients.py
@@ -1,4 +1,4 @@
-"""What clients may send and how long they may take; how a gateway comes to its end."""
+"""What clients may send and how long they may take; how a gateway shuts down."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from gateway_world import (
     HOST,
     Client,
-    Seen,
-    Side,
+    ReceivedRequest,
+    ServerSide,
     World,
     chunk,
     event,
@@ -34,7 +34,7 @@
     return World(limits=TIGHT)
 
 
-async def say_ok(side: Side, seen: Seen) -> None:
+async def say_ok(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.answer(seen, 200, b"ok")
 
 
@@ -93,7 +93,7 @@
     play(story, tight)
 
 
-def test_a_body_that_comes_too_slowly_is_a_promise() -> None:
+def test_a_body_that_comes_too_slowly_was_not_executed() -> None:
     async def story(world: World) -> None:
         server = await world.server(say_ok)
         client = await world.client()
@@ -119,7 +119,7 @@
     play(story, tight)
 
 
-def test_the_idle_limit_changes_while_a_connection_rests() -> None:
+def test_the_idle_limit_changes_while_a_connection_is_idle() -> None:
     async def story(world: World) -> None:
         await world.server(say_ok)
         client = await world.client()
@@ -183,11 +183,11 @@
 # ------------------------------------------------------------------------------------- the end
 
 
-def test_while_leaving_answers_say_close_and_streams_go_on() -> None:
+def test_during_shutdown_responses_say_close_and_streams_continue() -> None:
     async def story(world: World) -> None:
         told = asyncio.Event()
 
-        async def slow(side: Side, seen: Seen) -> None:
+        async def slow(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.write(stream_head(seen) + chunk(event(1)))
             await told.wait()
             await side.write(chunk(event(2)) + b"0\r\n\r\n")
--- a/tests/emberring/gateway/test_tier_gateway_failures.py
+++ b/tests/emberring/gateway/test_tier_gateway_failures.py
@@ -8,9 +8,9 @@
 import pytest
 from gateway_world import (
     OWN_CONNECT_TIMEOUT_S,
+    ReceivedRequest,
     Script,
-    Seen,
-    Side,
+    ServerSide,
     World,
     chunk,
     event,
@@ -33,72 +33,72 @@
 ONCE = ("/live/1", "/once/1")
 
 
-async def say_ok(side: Side, seen: Seen) -> None:
+async def say_ok(side: ServerSide, seen: ReceivedRequest) -> None:
     if seen.start.startswith((b"POST /live", b"POST /again")):
         await side.stream(seen, (1, 2))
     else:
         await side.answer(seen, 200, events(1, 2))
 
 
-async def reset(side: Side, seen: Seen) -> None:
+async def reset(side: ServerSide, seen: ReceivedRequest) -> None:
     side.reset()
 
 
-async def close(side: Side, seen: Seen) -> None:
+async def close(side: ServerSide, seen: ReceivedRequest) -> None:
     side.close()
 
 
-async def garble(side: Side, seen: Seen) -> None:
+async def garble(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.write(b"\x00\x01 this is no answer\r\n\r\n")
     await side.gone()
 
 
-async def half_a_head(side: Side, seen: Seen) -> None:
+async def half_a_head(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.write(b"HTTP/1.1 200 OK\r\nRequest-Id: " + seen.headers["request-id"].encode())
     side.close()
 
 
-async def head_alone(side: Side, seen: Seen) -> None:
+async def head_alone(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.write(stream_head(seen))
     side.close()
 
 
-async def unsigned(side: Side, seen: Seen) -> None:
+async def unsigned(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.write(head(seen, 200, 2, signed=False) + b"ok")
 
 
-async def encoded(side: Side, seen: Seen) -> None:
+async def encoded(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.write(head(seen, 200, 2, Content_Encoding="gzip") + b"ok")
 
 
-async def nameless(side: Side, seen: Seen) -> None:
+async def nameless(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.write(b"HTTP/1.1 200 OK\r\nResponse-Signature: x\r\nContent-Length: 2\r\n\r\nok")
 
 
-async def endless(side: Side, seen: Seen) -> None:
+async def endless(side: ServerSide, seen: ReceivedRequest) -> None:
     """A body that only the end of the connection ends."""
     await side.write(head(seen, 200, None) + b"looks whole")
     side.close()
 
 
-async def cut_body(side: Side, seen: Seen) -> None:
+async def cut_body(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.write(head(seen, 200, 100) + b"not all")
     side.close()
 
 
-async def unpromised_503(side: Side, seen: Seen) -> None:
+async def unpromised_503(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.answer(seen, 503)
 
 
-async def full(side: Side, seen: Seen) -> None:
+async def full(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.write(b"HTTP/1.1 503 X\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 
 
-async def busy(side: Side, seen: Seen) -> None:
+async def busy(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.answer(seen, 429, Not_Executed="1", Retry_After="0.7")
 
 
-async def misdirected(side: Side, seen: Seen) -> None:
+async def misdirected(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.write(b"HTTP/1.1 421 X\r\nInstance-Id: i-other\r\nContent-Length: 0\r\n\r\n")
 
 
@@ -115,12 +115,12 @@
     cut_body,
     unpromised_503,
 )
-CERTAINLY_NOT_RUN = (full, busy, misdirected)
+CERTAINLY_NOT_EXECUTED = (full, busy, misdirected)
 
 
 @pytest.mark.parametrize("script", MAY_HAVE_RUN)
 @pytest.mark.parametrize("path", ONCE)
-def test_what_may_have_run_once_is_not_sent_again(path: str, script: Script) -> None:
+def test_a_request_that_may_have_been_executed_is_not_sent_again(path: str, script: Script) -> None:
     async def story(world: World) -> None:
         first, second = await world.server(script), await world.server(say_ok)
         answer = await (await world.client()).ask(path)
@@ -135,7 +135,7 @@
 
 @pytest.mark.parametrize("script", MAY_HAVE_RUN)
 @pytest.mark.parametrize("path", REPEATABLE)
-def test_what_may_be_repeated_goes_to_another_server(path: str, script: Script) -> None:
+def test_an_idempotent_request_is_retried_at_another_server(path: str, script: Script) -> None:
     async def story(world: World) -> None:
         first, second = await world.server(script), await world.server(say_ok)
         answer = await (await world.client()).ask(path)
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize("script", MAY_HAVE_RUN)
-def test_no_more_servers_than_max_attempts_may_run_it(script: Script) -> None:
+def test_no_more_servers_than_max_attempts_may_execute_it(script: Script) -> None:
     async def story(world: World) -> None:
         servers = [await world.server(script) for _ in range(4)]
         answer = await (await world.client()).ask("/plain/1")
@@ -156,9 +156,9 @@
     play(story)
 
 
-@pytest.mark.parametrize("script", CERTAINLY_NOT_RUN)
+@pytest.mark.parametrize("script", CERTAINLY_NOT_EXECUTED)
 @pytest.mark.parametrize("path", [*ONCE, *REPEATABLE])
-def test_a_promise_allows_another_server(path: str, script: Script) -> None:
+def test_a_guarantee_of_not_executed_allows_another_server(path: str, script: Script) -> None:
     async def story(world: World) -> None:
         first, second = await world.server(script), await world.server(say_ok)
         answer = await (await world.client()).ask(path)
@@ -168,9 +168,9 @@
     play(story)
 
 
-@pytest.mark.parametrize("script", CERTAINLY_NOT_RUN)
+@pytest.mark.parametrize("script", CERTAINLY_NOT_EXECUTED)
 @pytest.mark.parametrize("path", [*ONCE, *REPEATABLE])
-def test_what_no_server_took_is_refused_with_a_time_to_come_back(path: str, script: Script) -> None:
+def test_a_request_that_no_server_took_is_refused_with_a_retry_delay(path: str, script: Script) -> None:
     async def story(world: World) -> None:
         await world.server(script)
         answer = await (await world.client()).ask(path)
@@ -181,7 +181,7 @@
     play(story)
 
 
-def test_after_a_run_that_broke_a_full_server_makes_no_promise() -> None:
+def test_after_a_broken_attempt_a_full_server_guarantees_nothing() -> None:
     async def story(world: World) -> None:
         await world.server(reset)
         await world.server(full)
@@ -190,7 +190,7 @@
     play(story)
 
 
-def test_an_admission_that_refuses_is_heard_at_once() -> None:
+def test_a_refusal_by_admission_is_answered_at_once() -> None:
     async def story(world: World) -> None:
         server = await world.server(say_ok)
         world.admission.script.append(Refused(0.35))
@@ -216,7 +216,7 @@
 
 def test_a_421_of_the_server_itself_concerns_this_request_alone() -> None:
     async def story(world: World) -> None:
-        async def other_version(side: Side, seen: Seen) -> None:
+        async def other_version(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.answer(seen, 421, Instance_Id="i-1")
 
         await world.server(other_version, say_ok)
@@ -242,7 +242,7 @@
     play(story)
 
 
-def test_a_connection_that_does_not_come_up_is_given_up_soon(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_connection_that_does_not_open_times_out_soon(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection_pool, "CONNECT_TIMEOUT_S", OWN_CONNECT_TIMEOUT_S)
 
     async def story(world: World) -> None:
@@ -266,7 +266,7 @@
     play(story)
 
 
-def test_a_draining_server_gets_nothing_even_when_it_was_picked() -> None:
+def test_a_draining_server_gets_nothing_even_when_it_was_chosen() -> None:
     async def story(world: World) -> None:
         first, second = await world.server(say_ok), await world.server(say_ok)
         world.know(first.id, first.address, ServerState.DRAINING)
@@ -277,7 +277,7 @@
     play(story)
 
 
-def test_a_drain_known_while_a_connection_opens_holds() -> None:
+def test_a_drain_that_begins_while_a_connection_opens_is_respected() -> None:
     async def story(world: World) -> None:
         first, second = await world.server(say_ok), await world.server(say_ok)
         take = world.pool.acquire
@@ -313,11 +313,13 @@
     play(story)
 
 
-def test_a_caller_that_leaves_a_silent_server_tells_of_its_silence(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_disconnects_from_a_silent_server_shows_its_silence(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(attempt, "SILENT_AFTER_S", 0.05)
 
     async def story(world: World) -> None:
-        async def silent(side: Side, seen: Seen) -> None:
+        async def silent(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.gone()
 
         await world.server(silent)
@@ -331,10 +333,10 @@
 # ------------------------------------------------------------------ answers that are another's
 
 
-def test_a_surplus_answer_in_the_place_of_the_next_is_skipped() -> None:
+def test_a_surplus_response_instead_of_the_next_is_skipped() -> None:
     async def story(world: World) -> None:
-        async def late_copy_first(side: Side, seen: Seen) -> None:
-            other = Seen(b"", {"request-id": "r0"}, b"", 0)
+        async def late_copy_first(side: ServerSide, seen: ReceivedRequest) -> None:
+            other = ReceivedRequest(b"", {"request-id": "r0"}, b"", 0)
             await side.write(head(other, 200, 5) + b"other")
             await side.write(head(other, 500, 0))
             await side.stream(seen, (1, 2))
@@ -350,9 +352,9 @@
     play(story)
 
 
-def test_bytes_behind_a_whole_answer_end_the_connection() -> None:
+def test_bytes_after_a_complete_response_close_the_connection() -> None:
     async def story(world: World) -> None:
-        async def twice(side: Side, seen: Seen) -> None:
+        async def twice(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.write(2 * (head(seen, 200, 5) + b"first"))
 
         server = await world.server(twice, say_ok)
@@ -364,11 +366,11 @@
     play(story)
 
 
-def test_a_surplus_answer_on_a_resting_connection_ends_it() -> None:
+def test_a_surplus_response_on_an_idle_connection_closes_it() -> None:
     async def story(world: World) -> None:
         told = asyncio.Event()
 
-        async def late_copy(side: Side, seen: Seen) -> None:
+        async def late_copy(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.answer(seen, 200, b"first")
             await told.wait()
             await side.answer(seen, 200, b"again")
@@ -388,9 +390,9 @@
 # ---------------------------------------------------------------------------- idle connections
 
 
-def test_an_idle_connection_that_has_ended_is_found_out_before_use() -> None:
+def test_a_closed_idle_connection_is_detected_before_use() -> None:
     async def story(world: World) -> None:
-        async def answer_and_close(side: Side, seen: Seen) -> None:
+        async def answer_and_close(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.answer(seen, 200, b"done")
             side.close()
 
@@ -416,11 +418,11 @@
     play(story)
 
 
-def test_a_resting_connection_is_known_until_it_is_in_use() -> None:
+def test_an_idle_connection_is_known_until_it_is_in_use() -> None:
     async def story(world: World) -> None:
         resting: list[bool] = []
 
-        async def look_and_answer(side: Side, seen: Seen) -> None:
+        async def look_and_answer(side: ServerSide, seen: ReceivedRequest) -> None:
             resting.append(world.pool.has_idle(server.id))
             await side.answer(seen, 200, b"done")
 
@@ -436,9 +438,9 @@
     play(story)
 
 
-def test_keep_alive_bounds_the_rest_of_a_connection() -> None:
+def test_keep_alive_limits_the_idle_time_of_a_connection() -> None:
     async def story(world: World) -> None:
-        async def short(side: Side, seen: Seen) -> None:
+        async def short(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.answer(seen, 200, b"done", Keep_Alive="timeout=0")
 
         server = await world.server(short)
@@ -453,25 +455,25 @@
 # ------------------------------------------------------------------------- streams that break
 
 
-async def cut_inside_an_event(side: Side, seen: Seen) -> None:
+async def cut_inside_an_event(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.write(stream_head(seen) + chunk(event(1)) + chunk(event(2)) + chunk(event(3)[:8]))
     side.close()
 
 
-async def reset_in_the_stream(side: Side, seen: Seen) -> None:
+async def reset_in_the_stream(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.write(stream_head(seen) + chunk(event(1) + event(2)))
     await asyncio.sleep(0)
     await side.gone() if seen.headers.get("never") else side.close()
 
 
-async def going_on(side: Side, seen: Seen) -> None:
+async def going_on(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.stream(
         seen, range(int(seen.headers.get("last-event-id", "0")) + 1, 6), Response_Signature="later"
     )
 
 
 @pytest.mark.parametrize("script", [cut_inside_an_event, reset_in_the_stream])
-def test_a_stream_that_breaks_gives_whole_events_and_no_end(script: Script) -> None:
+def test_a_broken_stream_gives_complete_events_and_no_end(script: Script) -> None:
     async def story(world: World) -> None:
         await world.server(script)
         second = await world.server(going_on)
@@ -483,7 +485,7 @@
 
 
 @pytest.mark.parametrize("script", [cut_inside_an_event, reset_in_the_stream])
-def test_a_resumable_stream_goes_on_in_one_answer(script: Script) -> None:
+def test_a_resumable_stream_continues_in_one_response(script: Script) -> None:
     async def story(world: World) -> None:
         await world.server(script)
         second = await world.server(going_on)
@@ -498,9 +500,9 @@
 
 
 @pytest.mark.parametrize("ids", [(1, 2, 3), (2, 3), (4, 5)])
-def test_a_run_that_does_not_go_on_where_it_was_asked_is_not_joined(ids: tuple[int, ...]) -> None:
+def test_an_attempt_that_does_not_continue_at_the_requested_event_is_not_joined(ids: tuple[int, ...]) -> None:
     async def story(world: World) -> None:
-        async def wrong(side: Side, seen: Seen) -> None:
+        async def wrong(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.stream(seen, ids)
 
         await world.server(cut_inside_an_event)
@@ -523,7 +525,7 @@
     play(story)
 
 
-def test_a_stream_resumed_by_the_client_goes_on_from_there() -> None:
+def test_a_stream_resumed_by_the_client_continues_from_there() -> None:
     async def story(world: World) -> None:
         server = await world.server(going_on)
         answer = await (await world.client()).ask("/again/1", Last_Event_Id="3")
@@ -533,9 +535,9 @@
     play(story)
 
 
-def test_a_piece_that_comes_twice_breaks_the_stream() -> None:
+def test_a_duplicate_event_breaks_the_stream() -> None:
     async def story(world: World) -> None:
-        async def doubled(side: Side, seen: Seen) -> None:
+        async def doubled(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.stream(seen, (1, 2, 2, 3))
 
         await world.server(doubled)
@@ -549,11 +551,11 @@
 
 
 @pytest.mark.parametrize("path", ["/live/1", "/plain/1"])
-def test_a_client_that_leaves_ends_the_servers_work(path: str) -> None:
+def test_a_client_that_disconnects_ends_the_servers_work(path: str) -> None:
     async def story(world: World) -> None:
         ended = asyncio.Event()
 
-        async def work(side: Side, seen: Seen) -> None:
+        async def work(side: ServerSide, seen: ReceivedRequest) -> None:
             if path == "/live/1":
                 await side.write(stream_head(seen) + chunk(event(1)))
             await side.gone()
@@ -571,12 +573,12 @@
     play(story)
 
 
-def test_a_slow_reader_holds_up_its_own_server_alone() -> None:
+def test_a_slow_reader_blocks_its_own_server_only() -> None:
     async def story(world: World) -> None:
         text = b"x" * 20_000
         made = 0
 
-        async def flood(side: Side, seen: Seen) -> None:
+        async def flood(side: ServerSide, seen: ReceivedRequest) -> None:
             nonlocal made
             await side.write(stream_head(seen))
             for number in range(1, 2001):
@@ -605,9 +607,9 @@
 
 
 @pytest.mark.parametrize("more", [{}, {"Deadline_Ms": "150"}])
-def test_a_request_in_progress_is_given_up_at_its_time(more: dict[str, str]) -> None:
+def test_a_request_in_progress_is_cancelled_at_its_deadline(more: dict[str, str]) -> None:
     async def story(world: World) -> None:
-        async def silent(side: Side, seen: Seen) -> None:
+        async def silent(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.gone()
 
         await world.server(silent)
@@ -621,9 +623,9 @@
     play(story)
 
 
-def test_a_stream_under_way_is_broken_off_at_its_time() -> None:
+def test_a_stream_in_progress_is_aborted_at_its_deadline() -> None:
     async def story(world: World) -> None:
-        async def begin(side: Side, seen: Seen) -> None:
+        async def begin(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.write(stream_head(seen) + chunk(event(1)))
             await side.gone()
 
@@ -634,7 +636,7 @@
     play(story)
 
 
-def test_time_that_ran_out_before_anything_was_sent_is_a_promise() -> None:
+def test_a_deadline_before_anything_was_sent_guarantees_not_executed() -> None:
     async def story(world: World) -> None:
         server = await world.server(say_ok)
 
@@ -651,11 +653,13 @@
 
 
 @pytest.mark.parametrize("path", REPEATABLE)
-def test_a_server_gone_dark_is_left_for_another(path: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_at_an_unresponsive_server_is_retried_at_another(
+    path: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(execution, "LIVE_RESPONSE_TIMEOUTS", ResponseTimeouts(0.1, 0.2))
 
     async def story(world: World) -> None:
-        async def silent(side: Side, seen: Seen) -> None:
+        async def silent(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.gone()
 
         await world.server(silent)
@@ -667,11 +671,11 @@
     play(story)
 
 
-def test_a_stream_that_falls_silent_goes_on_elsewhere(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_silent_stream_continues_at_another_server(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(execution, "LIVE_RESPONSE_TIMEOUTS", ResponseTimeouts(0.1, 0.2))
 
     async def story(world: World) -> None:
-        async def begin(side: Side, seen: Seen) -> None:
+        async def begin(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.write(stream_head(seen) + chunk(event(1) + event(2)))
             await side.gone()
 
@@ -683,11 +687,11 @@
     play(story)
 
 
-def test_a_server_has_no_more_connections_than_this_gateways_share() -> None:
+def test_a_server_has_no_more_connections_than_this_gateways_limit() -> None:
     async def story(world: World) -> None:
         told = asyncio.Event()
 
-        async def held(side: Side, seen: Seen) -> None:
+        async def held(side: ServerSide, seen: ReceivedRequest) -> None:
             await told.wait()
             await side.stream(seen, (1,))
 
--- a/tests/emberring/gateway/test_tier_gateway_forwarding.py
+++ b/tests/emberring/gateway/test_tier_gateway_forwarding.py
@@ -1,4 +1,4 @@
-"""The ordinary path: requests and streams forwarded whole, on real sockets."""
+"""The ordinary path: requests and streams forwarded completely, on real sockets."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 import pytest
 from gateway_world import (
     HOST,
-    Seen,
-    Side,
+    ReceivedRequest,
+    ServerSide,
     World,
     chunk,
     event,
@@ -20,11 +20,11 @@
 )
 
 
-async def five_events(side: Side, seen: Seen) -> None:
+async def five_events(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.stream(seen, range(1, 6))
 
 
-async def say_ok(side: Side, seen: Seen) -> None:
+async def say_ok(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.answer(seen, 200, b"body of " + seen.headers["request-id"].encode())
 
 
@@ -51,7 +51,7 @@
     play(story)
 
 
-def test_headers_of_one_connection_are_not_passed_along() -> None:
+def test_hop_by_hop_headers_are_not_forwarded() -> None:
     async def story(world: World) -> None:
         server = await world.server(say_ok)
         client = await world.client()
@@ -65,7 +65,7 @@
     play(story)
 
 
-def test_a_stream_arrives_whole_and_the_connection_serves_on() -> None:
+def test_a_stream_arrives_complete_and_the_connection_is_reused() -> None:
     async def story(world: World) -> None:
         server = await world.server(five_events)
         client = await world.client()
@@ -80,11 +80,11 @@
     play(story)
 
 
-def test_each_event_is_passed_on_before_the_next_is_made() -> None:
+def test_each_event_is_forwarded_before_the_next_is_generated() -> None:
     async def story(world: World) -> None:
         told = asyncio.Event()
 
-        async def slow(side: Side, seen: Seen) -> None:
+        async def slow(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.write(stream_head(seen) + chunk(event(1)[:7]))
             await side.write(chunk(event(1)[7:] + event(2)[:3]))
             await told.wait()
@@ -115,7 +115,7 @@
     play(story)
 
 
-def test_before_a_configuration_is_known_a_request_is_promised_not_to_have_run() -> None:
+def test_before_a_configuration_is_known_a_request_is_guaranteed_not_executed() -> None:
     async def story(world: World) -> None:
         limits = world.limits()
         world.port.limits = lambda: limits
@@ -129,9 +129,9 @@
 
 
 @pytest.mark.parametrize("status", [500, 504, 422, 400, 404, 303])
-def test_a_servers_own_failure_is_passed_on_unchanged(status: int) -> None:
+def test_a_servers_own_failure_is_forwarded_unchanged(status: int) -> None:
     async def story(world: World) -> None:
-        async def fail(side: Side, seen: Seen) -> None:
+        async def fail(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.answer(seen, status, b"why")
 
         server = await world.server(fail)
--- a/tests/emberring/gateway/test_tier_gateway_fuzz.py
+++ b/tests/emberring/gateway/test_tier_gateway_fuzz.py
@@ -1,4 +1,4 @@
-"""Servers that misbehave at random, requests of all kinds: no rule of the answers is broken, whatever happens."""
+"""Servers that misbehave at random, requests of all kinds: no rule of the responses is broken."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 import attrs
 from gateway_world import (
     Received,
+    ReceivedRequest,
     ScriptedServer,
-    Seen,
-    Side,
+    ServerSide,
     World,
     chunk,
     event,
@@ -28,8 +28,8 @@
 
 
 @attrs.frozen
-class Deed:
-    """What a server does with a request: `runs` says whether it begins work on it."""
+class Behaviour:
+    """What a server does with a request; `runs`: it begins to execute it."""
 
     kind: str
     at: int = 0  # events before a break
@@ -53,36 +53,38 @@
     "nothing",
 )
 NOT_RUN = frozenset(("full", "wrong"))
-DEEDS = st.builds(Deed, st.sampled_from(KINDS), st.integers(0, LAST), st.booleans())
+BEHAVIOURS = st.builds(Behaviour, st.sampled_from(KINDS), st.integers(0, LAST), st.booleans())
 
 
-def stamp(server: str, seen: Seen) -> str:
+def stamp(server: str, seen: ReceivedRequest) -> str:
     return f"{server}/{seen.headers['request-id']}"
 
 
 class Server:
     """A server that does the next deed of its list, and keeps book of what it ran."""
 
-    def __init__(self, name: str, deeds: list[Deed], runs: list[tuple[str, str, int]]) -> None:
-        self.name, self.deeds, self.runs = name, deeds, runs
+    def __init__(self, name: str, behaviours: list[Behaviour], runs: list[tuple[str, str, int]]) -> None:
+        self.name, self.behaviours, self.runs = name, behaviours, runs
         self.late: bytes = b""
 
-    async def __call__(self, side: Side, seen: Seen) -> None:
-        deed = self.deeds.pop(0) if self.deeds else Deed("whole")
+    async def __call__(self, side: ServerSide, seen: ReceivedRequest) -> None:
+        behaviour = self.behaviours.pop(0) if self.behaviours else Behaviour("whole")
         after = int(seen.headers.get("last-event-id", "0"))
-        if deed.kind not in NOT_RUN:
+        if behaviour.kind not in NOT_RUN:
             self.runs.append((seen.headers["request-id"], self.name, after))
         late, self.late = self.late, b""
         if late:
             await side.write(late)
-        await self._do(deed, side, seen, after)
-        if deed.copy and deed.kind in ("whole", "error"):
-            self.late = await self._whole_bytes(seen, after) if deed.kind == "whole" else self._error(seen)
+        await self._do(behaviour, side, seen, after)
+        if behaviour.copy and behaviour.kind in ("whole", "error"):
+            self.late = (
+                await self._whole_bytes(seen, after) if behaviour.kind == "whole" else self._error(seen)
+            )
 
-    def _error(self, seen: Seen) -> bytes:
+    def _error(self, seen: ReceivedRequest) -> bytes:
         return head(seen, 500, 0, Response_Signature=stamp(self.name, seen))
 
-    async def _whole_bytes(self, seen: Seen, after: int) -> bytes:
+    async def _whole_bytes(self, seen: ReceivedRequest, after: int) -> bytes:
         name = stamp(self.name, seen)
         if b" /live" not in seen.start and b" /again" not in seen.start:
             body = b"body of " + seen.headers["request-id"].encode()
@@ -90,11 +92,11 @@
         data = b"".join(chunk(event(number)) for number in range(after + 1, LAST + 1))
         return stream_head(seen, Response_Signature=name) + data + b"0\r\n\r\n"
 
-    async def _do(self, deed: Deed, side: Side, seen: Seen, after: int) -> None:
+    async def _do(self, behaviour: Behaviour, side: ServerSide, seen: ReceivedRequest, after: int) -> None:
         whole = await self._whole_bytes(seen, after)
         begun, _, rest = whole.partition(b"\r\n\r\n")
-        part = begun + b"\r\n\r\n" + rest[: len(rest) * deed.at // (LAST + 1)]
-        match deed.kind:
+        part = begun + b"\r\n\r\n" + rest[: len(rest) * behaviour.at // (LAST + 1)]
+        match behaviour.kind:
             case "whole":
                 await side.write(whole)
             case "close_after":
@@ -163,15 +165,15 @@
 
 @settings(max_examples=120, deadline=None, suppress_health_check=list(HealthCheck))
 @given(
-    st.lists(st.lists(DEEDS, max_size=12), min_size=1, max_size=3),
+    st.lists(st.lists(BEHAVIOURS, max_size=12), min_size=1, max_size=3),
     st.lists(st.tuples(st.sampled_from(PATHS), st.integers(0, 1)), min_size=1, max_size=16),
 )
 def test_rules_hold_with_servers_that_misbehave(
-    deeds: list[list[Deed]], asked: list[tuple[str, int]]
+    behaviours: list[list[Behaviour]], asked: list[tuple[str, int]]
 ) -> None:
     async def story(world: World) -> None:
         runs: list[tuple[str, str, int]] = []
-        for number, todo in enumerate(deeds):
+        for number, todo in enumerate(behaviours):
             name = f"i-{number}"
             server: ScriptedServer = await world.server(Server(name, list(todo), runs), name=name)
             assert server.id == name
@@ -189,13 +191,15 @@
 
 @settings(max_examples=40, deadline=None, suppress_health_check=list(HealthCheck))
 @given(
-    st.lists(st.lists(DEEDS, max_size=12), min_size=2, max_size=3),
+    st.lists(st.lists(BEHAVIOURS, max_size=12), min_size=2, max_size=3),
     st.lists(st.sampled_from(PATHS), max_size=10),
 )
-def test_rules_hold_for_requests_at_the_same_time(deeds: list[list[Deed]], paths: list[str]) -> None:
+def test_rules_hold_for_requests_at_the_same_time(
+    behaviours: list[list[Behaviour]], paths: list[str]
+) -> None:
     async def story(world: World) -> None:
         runs: list[tuple[str, str, int]] = []
-        for number, todo in enumerate(deeds):
+        for number, todo in enumerate(behaviours):
             await world.server(Server(f"i-{number}", list(todo), runs), name=f"i-{number}")
         clients = [await world.client() for _ in paths]
         for number, (client, path) in enumerate(zip(clients, paths, strict=True)):
--- a/tests/emberring/gateway/test_tier_gateway_items.py
+++ b/tests/emberring/gateway/test_tier_gateway_items.py
@@ -1,4 +1,4 @@
-"""Items of lots at the servers: their own request, their events, how a run ends; and the batch interface's answers."""
+"""Batch items at the servers: request, events and outcome of an attempt; responses of the batch interface."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 import pytest
 from gateway_world import (
     PATIENCE_S,
+    ReceivedRequest,
     Script,
-    Seen,
-    Side,
+    ServerSide,
     World,
     chunk,
     event,
@@ -54,48 +54,48 @@
     )
 
 
-async def three(side: Side, seen: Seen) -> None:
+async def three(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.stream(seen, range(int(seen.headers.get("last-event-id", "0")) + 1, 4))
 
 
-async def two_and_a_break(side: Side, seen: Seen) -> None:
+async def two_and_a_break(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.write(stream_head(seen) + chunk(event(1) + event(2) + event(3)[:5]))
     side.close()
 
 
-async def fail(side: Side, seen: Seen) -> None:
+async def fail(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.answer(seen, 500)
 
 
-async def impossible(side: Side, seen: Seen) -> None:
+async def impossible(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.answer(seen, 422)
 
 
-async def out_of_time(side: Side, seen: Seen) -> None:
+async def out_of_time(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.answer(seen, 504)
 
 
-async def odd(side: Side, seen: Seen) -> None:
+async def odd(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.answer(seen, 404)
 
 
-async def no_stream(side: Side, seen: Seen) -> None:
+async def no_stream(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.answer(seen, 200, b"plain")
 
 
-async def full(side: Side, seen: Seen) -> None:
+async def full(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.answer(seen, 503, Not_Executed="1")
 
 
-async def unpromised(side: Side, seen: Seen) -> None:
+async def unpromised(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.answer(seen, 503)
 
 
-async def garble(side: Side, seen: Seen) -> None:
+async def garble(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.write(b"\x01\x02\r\n\r\n")
 
 
-async def silent(side: Side, seen: Seen) -> None:
+async def silent(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.gone()
 
 
@@ -115,7 +115,7 @@
         (full, OutcomeKind.NOT_RUN, []),
     ],
 )
-def test_how_a_run_ends(
+def test_the_outcome_of_an_attempt(
     script: Script, kind: OutcomeKind, ids: list[int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Only silence is to be found out soon.
@@ -159,7 +159,7 @@
     play(story)
 
 
-def test_an_item_goes_on_after_the_events_that_are_kept() -> None:
+def test_an_item_continues_after_the_stored_events() -> None:
     async def story(world: World) -> None:
         server = await world.server(three)
         found: list[ItemEvent] = []
@@ -171,12 +171,12 @@
     play(story)
 
 
-def test_a_late_copy_of_a_failure_is_not_taken_for_the_next_run() -> None:
+def test_a_late_duplicate_of_a_failure_is_not_taken_for_the_next_attempt() -> None:
     async def story(world: World) -> None:
-        async def fail_twice(side: Side, seen: Seen) -> None:
+        async def fail_twice(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.answer(seen, 500)
 
-        async def copy_first(side: Side, seen: Seen) -> None:
+        async def copy_first(side: ServerSide, seen: ReceivedRequest) -> None:
             if seen.connection == 1:
                 await side.answer(seen, 500)
             await side.stream(seen, (1, 2, 3))
@@ -188,9 +188,9 @@
     play(story)
 
 
-def test_a_run_from_the_start_is_not_joined_to_what_is_kept() -> None:
+def test_an_attempt_from_the_start_is_not_joined_to_stored_events() -> None:
     async def story(world: World) -> None:
-        async def from_the_start(side: Side, seen: Seen) -> None:
+        async def from_the_start(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.stream(seen, (1, 2, 3))
 
         await world.server(from_the_start)
@@ -201,7 +201,7 @@
     play(story)
 
 
-def test_an_item_that_may_not_run_any_more_is_not_sent() -> None:
+def test_an_item_that_is_no_longer_allowed_is_not_sent() -> None:
     async def story(world: World) -> None:
         server = await world.server(three)
         outcome = await world.executor.run_item(item(allowed=lambda: False), lambda events: None)
@@ -211,7 +211,7 @@
     play(story)
 
 
-def test_an_item_that_admission_holds_back_was_not_run() -> None:
+def test_an_item_that_admission_refuses_was_not_executed() -> None:
     async def story(world: World) -> None:
         server = await world.server(three)
         world.admission.script.append(Refused(0.1))
@@ -223,11 +223,11 @@
     play(story)
 
 
-def test_an_item_that_is_stopped_ends_at_its_server() -> None:
+def test_a_cancelled_item_ends_at_its_server() -> None:
     async def story(world: World) -> None:
         ended = asyncio.Event()
 
-        async def work(side: Side, seen: Seen) -> None:
+        async def work(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.write(stream_head(seen) + chunk(event(1)))
             await side.gone()
             ended.set()
@@ -246,7 +246,7 @@
 
 
 class FakeJobs:
-    """Does what a test says, and remembers what it was asked."""
+    """Does what a test says, and records its calls."""
 
     def __init__(self, error: EmberringError | None = None, hang: bool = False) -> None:
         self.error, self.hang = error, hang
@@ -366,7 +366,7 @@
         request("/lots/7c", request_id=""),
     ],
 )
-def test_calls_that_can_not_be_read(data: bytes) -> None:
+def test_invalid_requests(data: bytes) -> None:
     jobs = FakeJobs()
 
     async def story(world: World) -> None:
@@ -378,9 +378,9 @@
     play(story, with_jobs(jobs))
 
 
-def test_a_whole_answer_of_a_server_without_events_completes_nothing() -> None:
+def test_a_complete_response_without_events_completes_nothing() -> None:
     async def story(world: World) -> None:
-        async def empty(side: Side, seen: Seen) -> None:
+        async def empty(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.write(head(seen, 200, 0))
 
         await world.server(empty)
--- a/tests/emberring/gateway/test_tier_gateway_pure.py
+++ b/tests/emberring/gateway/test_tier_gateway_pure.py
@@ -1,4 +1,4 @@
-"""The parts without sockets: events cut from bytes, headers, services chosen by weight, verdicts, readiness."""
+"""The parts without sockets: event parser, headers, choice of a service, classes of responses, readiness."""
 
 from __future__ import annotations
 
@@ -58,12 +58,12 @@
         (b"id: x\ndata: y\n\n", None, b"y"),
     ],
 )
-def test_what_stands_in_an_event(raw: bytes, number: int | None, data: bytes) -> None:
+def test_the_id_and_data_of_an_event(raw: bytes, number: int | None, data: bytes) -> None:
     (found,) = EventParser().feed(raw)
     assert (found.raw, found.id, found.data) == (raw, number, data)
 
 
-def test_an_event_that_is_cut_is_held() -> None:
+def test_an_incomplete_event_is_buffered() -> None:
     parser = EventParser()
     assert parser.feed(event(1)[:-1]) == []
     assert (parser.pending, parser.rest()) == (len(event(1)) - 1, event(1)[:-1])
@@ -92,7 +92,7 @@
         (302, {}, ResponseClass.FORWARD),
     ],
 )
-def test_what_an_answer_stands_for(
+def test_the_class_of_a_response(
     status: int, headers: dict[bytes, bytes], response_class: ResponseClass
 ) -> None:
     assert classify_response(ResponseHead(status, tuple(headers.items()), 0)) is response_class
@@ -106,7 +106,7 @@
         (QuotaExceededError(), 429, b"0.200"),
     ],
 )
-def test_answers_that_promise_say_when_to_come_back(
+def test_responses_that_guarantee_not_executed_say_when_to_retry(
     error: NotReadyError, status: int, retry_after: bytes
 ) -> None:
     answer = response_to_error(error)
@@ -216,7 +216,7 @@
     return found
 
 
-def test_who_may_get_something_new() -> None:
+def test_which_servers_are_routable() -> None:
     known = directory()
     book = RoutableServers(known)
     assert [fact.id for fact in book.all_routable()] == ["i-0", "i-2"]
@@ -233,7 +233,7 @@
 
 
 @pytest.mark.parametrize(("gateways", "share"), [(1, 70), (7, 10), (40, 1), (500, 1)])
-def test_a_share_of_the_connections(gateways: int, share: int) -> None:
+def test_the_connection_limit_of_a_gateway(gateways: int, share: int) -> None:
     known = directory()
     known.gateway_count = gateways
     assert RoutableServers(known).connection_limit("i-0") == share
@@ -241,7 +241,7 @@
     assert RoutableServers(known).connection_limit("i-9") == DEFAULT_CONNECTION_LIMIT
 
 
-def test_ready_with_a_configuration_and_servers_until_it_leaves() -> None:
+def test_ready_with_a_configuration_and_servers_until_shutdown() -> None:
     known = directory()
     configuration, servers = known.configuration, known.servers
     known.configuration, known.servers = None, {}
@@ -258,7 +258,7 @@
     assert not readiness.ready(1.7)
 
 
-def test_not_ready_while_cut_off() -> None:
+def test_not_ready_while_isolated() -> None:
     cut: list[bool] = []
     readiness = Readiness(directory(), lambda: bool(cut))
     assert readiness.ready(0.0)
@@ -276,12 +276,12 @@
     assert readiness.ready(SERVERS_WAIT_S)
 
 
-def test_a_figure_without_bound_is_written_as_prometheus_reads_it() -> None:
+def test_an_infinite_metric_in_the_text_format() -> None:
     page = render_metrics({"admission_word_age_seconds": math.inf})
     assert page.endswith(b"emberring_gateway_admission_word_age_seconds +Inf\n")
 
 
-def test_figures_for_prometheus() -> None:
+def test_metrics_in_the_text_format() -> None:
     page = render_metrics({"ready": 1.0, 'a_total{status="200"}': 7.0, 'a_total{status="503"}': 2.0})
     assert page == (
         b"# TYPE emberring_gateway_ready gauge\nemberring_gateway_ready 1\n"
--- a/tests/emberring/gateway/test_tier_gateway_role.py
+++ b/tests/emberring/gateway/test_tier_gateway_role.py
@@ -1,4 +1,4 @@
-"""The whole program: what it learns from a control node, its readiness, its signals and its end."""
+"""The complete process: what it learns from a control node, readiness, signals and shutdown."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import orjson
 import pytest
 from free_ports import free_ports
-from gateway_world import HOST, Client, ScriptedServer, Seen, Side, events, request, until
+from gateway_world import HOST, Client, ReceivedRequest, ScriptedServer, ServerSide, events, request, until
 
 from emberring.configuration.reading import pack
 from emberring.distribution.messages import Delta, Pull, ServerEntry, Update
@@ -42,7 +42,7 @@
 
 
 class FakeControl:
-    """A control node that tells what a test puts into it."""
+    """A control node that reports what a test puts into it."""
 
     def __init__(self) -> None:
         self.network = Network()
@@ -82,7 +82,7 @@
     )
 
 
-async def stream_two(side: Side, seen: Seen) -> None:
+async def stream_two(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.stream(seen, (1, 2))
 
 
@@ -112,7 +112,7 @@
         await control.network.close()
 
 
-def test_ready_once_configuration_and_servers_are_known_and_not_while_leaving() -> None:
+def test_ready_once_configuration_and_servers_are_known_and_not_during_shutdown() -> None:
     async def story(settings: Settings, control: FakeControl, server: ScriptedServer) -> None:
         gateway = Gateway(settings)
         await gateway.start()
@@ -146,13 +146,13 @@
     asyncio.run(with_control(story, 1.0))
 
 
-def test_a_gateway_that_leaves_answers_what_is_open(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_gateway_shutting_down_answers_open_requests(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(graceful_shutdown, "READINESS_DETECTION_S", 0.1)
 
     async def story(settings: Settings, control: FakeControl, server: ScriptedServer) -> None:
         told = asyncio.Event()
 
-        async def wait_and_stream(side: Side, seen: Seen) -> None:
+        async def wait_and_stream(side: ServerSide, seen: ReceivedRequest) -> None:
             await told.wait()
             await side.stream(seen, (1, 2))
 
@@ -177,7 +177,7 @@
     asyncio.run(with_control(story, 8.0))
 
 
-def test_the_process_lives_through_sighup_and_ends_at_sigterm(tmp_path: Path) -> None:
+def test_the_process_ignores_sighup_and_ends_at_sigterm(tmp_path: Path) -> None:
     async def story(settings: Settings, control: FakeControl, server: ScriptedServer) -> None:
         control.version = 1
         control.facts.append(ServerRecord("i-1", "s", server.address, "z", 4, ServerState.READY, 1))
--- a/tests/emberring/simulation/test_tier_ablation.py
+++ b/tests/emberring/simulation/test_tier_ablation.py
@@ -1,4 +1,4 @@
-"""Mechanisms of admission switched off by name: each switch does something, alone, and is on again afterwards."""
+"""Mechanisms of admission switched off by name: each switch has an effect, alone, and is undone afterwards."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     assert play(SHORT, None, 3) == play(SHORT, None, 3)
 
 
-def test_without_homes_more_shared_parts_are_read_again() -> None:
+def test_without_preferred_servers_more_shared_parts_are_recomputed() -> None:
     longer = Case(LEDGER, seconds=8.0)  # so that most shared parts are asked for again
     assert play(longer, Mechanism.HOMES, 3).shared_prefilled > 1.1 * play(longer, None, 3).shared_prefilled
 
@@ -56,7 +56,7 @@
         ([0.8], [0.9], -0.1, -0.1, -0.1),  # it does harm
     ],
 )
-def test_worth_is_told_seed_by_seed(
+def test_the_value_of_a_mechanism_over_the_seeds(
     whole: Sequence[float], less: Sequence[float], mean: float, least: float, most: float
 ) -> None:
     found = mechanism_value(Mechanism.HOMES, [figures(one) for one in whole], [figures(one) for one in less])
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("more", [["--site", "nowhere"], ["--mechanism", "magic"]])
-def test_unknown_names_are_refused_before_anything_is_played(
+def test_unknown_names_are_refused_before_any_trial_runs(
     more: list[str], capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(ablation, "run_trial", None)
--- a/tests/emberring/simulation/test_tier_engine_model.py
+++ b/tests/emberring/simulation/test_tier_engine_model.py
@@ -1,4 +1,4 @@
-"""The engine model: steps, prompts read in pieces, kept parts, places, preemption."""
+"""The engine model: steps, prompts prefilled in chunks, cached parts, slots, preemption."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Played:
-    """Requests at one engine and what came of them."""
+    """Requests at one engine and their results."""
 
     def __init__(self, **figures: int) -> None:
         self.engine = Engine(EngineParameters(**{**vars_of(FIGURES), **figures}))
@@ -54,7 +54,7 @@
     return PromptPart(name, tokens, False)
 
 
-def test_a_prompt_is_read_in_pieces_and_a_step_gives_a_token() -> None:
+def test_a_prompt_is_prefilled_in_chunks_and_a_step_generates_a_token() -> None:
     played = Played()
     played.ask("a", own("a", 1500))
     end_ms = played.play()
@@ -64,7 +64,7 @@
     assert played.events == {"a": 1}
 
 
-def test_a_kept_part_is_not_read_again_but_only_after_those_before_it() -> None:
+def test_a_cached_part_is_not_recomputed_if_all_before_it_are_cached() -> None:
     played = Played()
     played.ask("a", SHARED, own("a", 10))
     played.play()
@@ -77,7 +77,7 @@
     assert played.engine.counters.shared_prefilled == 2000
 
 
-def test_the_longest_unused_part_gives_way() -> None:
+def test_the_least_recently_used_part_is_evicted() -> None:
     played = Played(kv_tokens=5000)
     for name in ("x", "y", "z"):
         played.ask(name, PromptPart(name, 1900, True), own(f"own-{name}", 10))
@@ -86,7 +86,7 @@
     assert kept == [False, True, True]
 
 
-def test_places_then_queue_then_full() -> None:
+def test_slots_then_queue_then_full() -> None:
     played = Played()
     taken = [played.ask(name, own(name, 10), tokens_out=1000) for name in "ab"]
     played.engine.step(0.0)
@@ -96,7 +96,7 @@
     assert played.engine.counters.full == 1
 
 
-def test_without_memory_the_newest_is_preempted_and_still_ends_once() -> None:
+def test_with_a_full_cache_the_newest_request_is_preempted_and_still_ends_once() -> None:
     played = Played(kv_tokens=300)
     played.ask("old", own("old", 50), tokens_out=150)
     played.ask("new", own("new", 50), tokens_out=150)
@@ -107,7 +107,7 @@
     assert played.events == {"old": 15, "new": 15}
 
 
-def test_a_request_larger_than_the_memory_is_rejected() -> None:
+def test_a_request_larger_than_the_cache_is_rejected() -> None:
     played = Played(kv_tokens=1000)
     played.ask("a", own("a", 2000))
     played.engine.step(0.0)
@@ -115,7 +115,7 @@
     assert played.engine.idle
 
 
-def test_a_dropped_request_frees_its_place() -> None:
+def test_a_dropped_request_releases_its_slot() -> None:
     played = Played()
     call = EngineCall("a", (own("a", 10),), 1000, lambda when, number: None, lambda when: None)
     played.engine.submit(call)
