--- a/emberring/admission/admission.py
+++ b/emberring/admission/admission.py
@@ -128,25 +128,25 @@
         """Record that the request of a call has been sent."""
         placement = self._placements.get(call_id)
         if placement is not None:
-            placement.pool.started(now_s, placement.call)
+            placement.pool.outcomes.started(now_s, placement.call)
 
     def first_event(self, now_s: float, call_id: str) -> None:
         """Record the first event of an answer, or its head if it is not a stream."""
         placement = self._placements.get(call_id)
         if placement is not None:
-            placement.pool.first_event(now_s, placement.call)
+            placement.pool.outcomes.first_event(now_s, placement.call)
 
     def progress(self, now_s: float, call_id: str) -> None:
         """Record a later event of an answer."""
         placement = self._placements.get(call_id)
         if placement is not None:
-            placement.pool.progress(now_s, placement.call)
+            placement.pool.outcomes.progress(now_s, placement.call)
 
     def finished(self, now_s: float, call_id: str, outcome: CallOutcome) -> None:
         """Record how an attempt ended; the call no longer counts against its server."""
         placement = self._placements.pop(call_id, None)
         if placement is not None:
-            placement.pool.finished(now_s, placement.call, outcome)
+            placement.pool.outcomes.finished(now_s, placement.call, outcome)
 
     def batch_room(self, now_s: float) -> int:
         """Return how many more batch items would be admitted now, over all services."""
--- a/emberring/admission/pool.py
+++ b/emberring/admission/pool.py
@@ -9,18 +9,16 @@
 from emberring.admission import eligibility
 from emberring.admission.job_pressure import JobPressure
 from emberring.admission.known_calls import KnownCalls, own_calls, slots
-from emberring.admission.load_meter import LoadMeter
+from emberring.admission.outcomes import OutcomeRecorder
 from emberring.admission.placement import choose_server, place_call
 from emberring.admission.ranking import RankingContext
-from emberring.admission.server import PlacedCall, ServerView
-from emberring.admission.service_rate import ServiceRateEstimator
+from emberring.admission.server import ServerView
 from emberring.admission.suspicion import SuspicionChange, SuspicionTable
 from emberring.admission.threshold_table import ThresholdTable
 from emberring.admission.types import (
     AdmissionSettings,
     Admitted,
     CallInfo,
-    CallOutcome,
     Decision,
     NoServer,
     Refused,
@@ -31,11 +29,8 @@
 LIVE_FLOOR_SHARE = 0.75  # of the slots; below it the table refuses no live call
 MAX_CATCH_UP_PERIODS = 50  # periods closed at once after a time without calls
 MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 0.1, 1.0
-EVENT_GAP_GAIN = 0.02  # smoothing of the usual time between events, over all servers
 BATCH_PROMPTS_PER_SERVER = 3.0  # items of all gateways that may wait for prefill at a server
 BATCH_CLAIM_SHARE = 1.0  # of its part of the free slots a gateway may fill before the next load report
-SERVER_FAILURES = frozenset({CallOutcome.CONNECT_FAILED, CallOutcome.BROKEN, CallOutcome.SILENT})
-FAILURE_OUTCOMES = SERVER_FAILURES | {CallOutcome.FAILED}
 
 
 class Pool:
@@ -50,10 +45,8 @@
     def __init__(self, settings: AdmissionSettings, random: Random, connected: Callable[[str], bool]) -> None:
         self.gateways = 1
         self.table = ThresholdTable()
-        self.meter = LoadMeter()
-        self.service_rate = ServiceRateEstimator(settings.start_prefill_tokens_per_ms, settings.start_hold_s)
+        self.outcomes = OutcomeRecorder(settings, random)
         self.pressure = JobPressure()
-        self.usual_event_gap_ms = 0.0
         self.suspicions = SuspicionTable()
         self._settings = settings
         self._random = random
@@ -88,7 +81,7 @@
 
     def check_servers(self, now_s: float) -> list[SuspicionChange]:
         """Return the servers that became suspected, or were reinstated, since the last check."""
-        return self.suspicions.check(now_s, self.servers.values(), self.usual_event_gap_ms)
+        return self.suspicions.check(now_s, self.servers.values(), self.outcomes.usual_event_gap_ms)
 
     def advance(self, now_s: float) -> None:
         """Close the measurement periods that have passed, and move the table's cursor for each."""
@@ -98,10 +91,10 @@
         for _ in range(MAX_CATCH_UP_PERIODS):
             if now_s < self._period_end_s:
                 return
-            load = self.meter.close_period(quiet=self.table.cursor == 0)
+            load = self.outcomes.meter.close_period(quiet=self.table.cursor == 0)
             if load <= 1.0:
                 self.table.move(False)
-            elif self.meter.may_step_right():
+            elif self.outcomes.meter.may_step_right():
                 self.table.move(True)
             self._period_end_s += period_s
         self._period_end_s = now_s + period_s
@@ -122,7 +115,7 @@
 
     def _eligible(self, now_s: float, servers: list[ServerView]) -> list[ServerView]:
         """Return those of these servers that nothing speaks against now."""
-        return [one for one in servers if eligibility.eligible(now_s, one, self.usual_event_gap_ms)]
+        return [one for one in servers if eligibility.eligible(now_s, one, self.outcomes.usual_event_gap_ms)]
 
     # ------------------------------------------------------------- decisions
 
@@ -228,8 +221,8 @@
     def _place(self, now_s: float, call: CallInfo, servers: list[ServerView]) -> Decision:
         context = RankingContext(
             now_s,
-            self.service_rate,
-            self.usual_event_gap_ms,
+            self.outcomes.service_rate,
+            self.outcomes.usual_event_gap_ms,
             self.calls.other_calls_at(servers) / len(servers),
             self._waiting_tokens_per_call(now_s),
             self.gateways,
@@ -251,7 +244,8 @@
         if not calls:
             return 0.0
         mine = sum(
-            server.waiting_tokens(now_s, self.service_rate.ms_per_token) for server in self.servers.values()
+            server.waiting_tokens(now_s, self.outcomes.service_rate.ms_per_token)
+            for server in self.servers.values()
         )
         return mine / (calls + 1.0)
 
@@ -270,53 +264,3 @@
             room, self._batch_threshold(now_s, servers) - own, self._prompt_capacity(len(servers), eligible)
         )
         return max(0, math.ceil(most))
-
-    # ------------------------------------------------------------- outcomes
-
-    def started(self, now_s: float, placed: PlacedCall) -> None:
-        """Record that the request of a call has been sent."""
-        placed.sent_s = now_s
-
-    def first_event(self, now_s: float, placed: PlacedCall) -> None:
-        """Record the first event of an answer: it updates the server's state and all estimates of the pool."""
-        server = placed.server
-        server.record_event(now_s)
-        server.consecutive_failures = 0
-        sent_s = placed.placed_s if placed.sent_s is None else placed.sent_s
-        wait_ms = (now_s - sent_s) * 1000.0
-        placed.first_event_s = now_s
-        if placed.had_free_slot:
-            self.service_rate.record_first_event(placed.tokens_ahead + placed.expected_miss_tokens, wait_ms)
-        server.record_wait_ratio(now_s, (wait_ms + 20.0) / (placed.predicted_wait_ms + 20.0))
-        own_ms = placed.expected_miss_tokens * self.service_rate.ms_per_token
-        self.meter.record_wait((wait_ms - own_ms) / max(1.0, placed.call.latency_target_ms))
-
-    def progress(self, now_s: float, placed: PlacedCall) -> None:
-        """Record a later event of an answer."""
-        last_s = placed.first_event_s if placed.latest_event_s is None else placed.latest_event_s
-        event_gap_ms = (now_s - last_s) * 1000.0 if last_s is not None else 0.0
-        placed.latest_event_s = now_s
-        placed.server.record_event(now_s)
-        placed.server.record_event_gap(now_s, event_gap_ms)
-        self.usual_event_gap_ms += EVENT_GAP_GAIN * (event_gap_ms - self.usual_event_gap_ms)
-
-    def finished(self, now_s: float, placed: PlacedCall, outcome: CallOutcome) -> None:
-        """Record how an attempt ended, and release its slot."""
-        server = placed.server
-        server.calls.pop(placed.call.id, None)
-        if outcome in FAILURE_OUTCOMES or outcome is CallOutcome.COMPLETED:
-            server.failure_rate.record(now_s, outcome in FAILURE_OUTCOMES)
-        if outcome in SERVER_FAILURES:
-            eligibility.record_failure(now_s, server, outcome, self._random)
-            server.prefix_cache.clear()
-        elif outcome is CallOutcome.FULL:
-            eligibility.record_full(now_s, server, self._random)
-        elif outcome is CallOutcome.WRONG_SERVER:
-            server.replaced = True
-        elif outcome in (CallOutcome.COMPLETED, CallOutcome.FAILED):
-            server.consecutive_failures = 0
-            server.record_event(now_s)
-            if placed.sent_s is not None:
-                self.service_rate.record_completion(now_s - placed.sent_s)
-        if outcome is not CallOutcome.NOT_SENT:
-            self.meter.record_outcome(full=outcome is CallOutcome.FULL)
--- a/emberring/gateway/app.py
+++ b/emberring/gateway/app.py
@@ -39,30 +39,30 @@
         task = asyncio.current_task()
         if task is not None:
             connection.on_disconnected = lambda: _cancel(task)
-        answer = ClientResponse(send, connection, _header(scope, b"request-id"), scope["method"] == "HEAD")
+        response = ClientResponse(send, connection, _header(scope, b"request-id"), scope["method"] == "HEAD")
         try:
-            await self._handle(scope, receive, answer)
+            await self._handle(scope, receive, response)
         except asyncio.CancelledError:
             connection.cycle.disconnected = True
         except Exception:  # outermost loop: a programming error fails this request alone, not the process
             logger.exception("event=request_failed target=%r", scope["state"]["target"])
-            if answer.started:
-                answer.abort_response()
+            if response.started:
+                response.abort_response()
             else:
-                await answer.send_local(GatewayResponse(500, "internal error", close=True))
+                await response.send_local(GatewayResponse(500, "internal error", close=True))
         finally:
             connection.on_disconnected = None
 
-    async def _handle(self, scope: Scope, receive: Receive, answer: ClientResponse) -> None:
+    async def _handle(self, scope: Scope, receive: Receive, response: ClientResponse) -> None:
         try:
-            final = await self._carry_out(scope, receive, answer)
+            final = await self._carry_out(scope, receive, response)
         except EmberringError as error:
             final = response_to_error(error)
         if final is not None:
-            await answer.send_local(final)
+            await response.send_local(final)
 
     async def _carry_out(
-        self, scope: Scope, receive: Receive, answer: ClientResponse
+        self, scope: Scope, receive: Receive, response: ClientResponse
     ) -> GatewayResponse | None:
         if scope["http_version"] != "1.1":
             return GatewayResponse(505, "HTTP/1.1 is wanted", close=True)
@@ -81,17 +81,17 @@
         # The configuration in force once the request is complete decides.
         route = _route_of(self._directory.configuration or configuration, request)
         if self._jobs.handles(request, route):
-            return await self._jobs.answer(request, route, answer)
-        return await self._forward(request, route, answer)
+            return await self._jobs.answer(request, route, response)
+        return await self._forward(request, route, response)
 
     async def _forward(
-        self, request: ClientRequest, route: Route | None, answer: ClientResponse
+        self, request: ClientRequest, route: Route | None, response: ClientResponse
     ) -> GatewayResponse | None:
         if route is None:
             return GatewayResponse(404, "no route")
         if route.type is RouteType.BATCH:
             return GatewayResponse(405, "lots are submitted by POST")
-        return await self._executor.run_live(request, route, answer)
+        return await self._executor.run_live(request, route, response)
 
 
 def _header(scope: Scope, name: bytes) -> bytes:
--- a/emberring/gateway/client_response.py
+++ b/emberring/gateway/client_response.py
@@ -46,12 +46,12 @@
             await self._start(head.status, headers)
         await self._write(data, False)
 
-    async def send_local(self, answer: GatewayResponse) -> None:
+    async def send_local(self, response: GatewayResponse) -> None:
         """Write a response of the gateway's own."""
-        if answer.close:
-            self._connection.close_after_answer()
-        await self._start(answer.status, answer.headers(self._request_id))
-        await self._write(answer.body, False)
+        if response.close:
+            self._connection.close_after_response()
+        await self._start(response.status, response.headers(self._request_id))
+        await self._write(response.body, False)
 
     async def send_complete(self, status: int, content_type: bytes, body: bytes) -> None:
         """Write a successful response of the tier itself, with a body."""
@@ -70,7 +70,7 @@
         self._started = True
         self._connection.listener.responses[str(status)] += 1
         if self._connection.listener.shutting_down:
-            self._connection.close_after_answer()
+            self._connection.close_after_response()
         await self._send({"type": "http.response.start", "status": status, "headers": headers})
 
     async def _write(self, data: bytes, more: bool) -> None:
--- a/emberring/gateway/clients.py
+++ b/emberring/gateway/clients.py
@@ -123,7 +123,7 @@
             or (self.cycle is not None and not self.cycle.response_complete)
         )
 
-    def close_after_answer(self) -> None:
+    def close_after_response(self) -> None:
         """Make the response that is about to begin the last one here, with `Connection: close`."""
         if not self.pipeline:
             self.cycle.keep_alive = False
--- a/emberring/gateway/graceful_shutdown.py
+++ b/emberring/gateway/graceful_shutdown.py
@@ -1,6 +1,6 @@
 """The graceful shutdown of a gateway: not ready at once, all that still arrives is answered, out within the grace.
 
-Sans-I/O: `step(now_s, seen)` says what to do; the current time is an argument (seconds of the event loop's clock).
+Sans-I/O: `step` says what to do; the current time is an argument (seconds of the event loop's clock).
 """
 
 from __future__ import annotations
@@ -49,16 +49,16 @@
         self._end_s = began_s + max(0.0, grace_s - END_BEFORE_S)
         self._listening = True
 
-    def step(self, now_s: float, seen: OpenConnections) -> Stage:
+    def step(self, now_s: float, open_connections: OpenConnections) -> Stage:
         """Return what to do at this moment; each of `STOP_LISTENING` and `END` comes once."""
         if now_s >= self._end_s:
             return Stage.END
         if self._listening:
-            quiet = now_s - seen.last_accepted_s >= QUIET_S
+            quiet = now_s - open_connections.last_accepted_s >= QUIET_S
             if now_s < self._listen_until_s or not (quiet or now_s >= self._listen_at_most_s):
                 return Stage.SERVE
             self._listening = False
             return Stage.STOP_LISTENING
-        if not seen.connections:
+        if not open_connections.connections:
             return Stage.END
         return Stage.FINISH
--- a/emberring/gateway/jobs_api.py
+++ b/emberring/gateway/jobs_api.py
@@ -64,7 +64,7 @@
         return own and (route is None or not route.path_prefix.startswith(OWN_PATHS))
 
     async def answer(
-        self, request: ClientRequest, route: Route | None, answer: ClientResponse
+        self, request: ClientRequest, route: Route | None, response: ClientResponse
     ) -> GatewayResponse | None:
         """Execute a request and answer it.
 
@@ -77,13 +77,13 @@
         try:
             if route is not None and route.type is RouteType.BATCH and request.method == b"POST":
                 await self._submit(request, route)
-                await answer.send_complete(202, JSON, b"{}")
+                await response.send_complete(202, JSON, b"{}")
             elif request.path.startswith(JOBS_PATH) and request.method == b"DELETE":
                 await self._end(request)
-                await answer.send_complete(200, JSON, b"{}")
+                await response.send_complete(200, JSON, b"{}")
             elif request.method == b"GET":
                 kind, body = await self._look_up(request)
-                await answer.send_complete(200, kind, body)
+                await response.send_complete(200, kind, body)
             else:
                 return GatewayResponse(405, "GET or DELETE is wanted")
         except TimeoutError:
--- a/emberring/gateway/readiness.py
+++ b/emberring/gateway/readiness.py
@@ -39,11 +39,11 @@
         return self._was_ready and not self._isolated()
 
 
-def render_metrics(figures: Mapping[str, float]) -> bytes:
+def render_metrics(metrics: Mapping[str, float]) -> bytes:
     """Return metrics in the text format of Prometheus; those that end in `_total` are counters."""
     lines = []
     typed = set()
-    for name, value in figures.items():
+    for name, value in metrics.items():
         family = name.partition("{")[0]
         if family not in typed:
             typed.add(family)
@@ -57,9 +57,9 @@
 class ReadinessPages:
     """An ASGI application with the pages of readiness and metrics."""
 
-    def __init__(self, ready: Callable[[], bool], figures: Callable[[], Mapping[str, float]]) -> None:
+    def __init__(self, ready: Callable[[], bool], metrics: Callable[[], Mapping[str, float]]) -> None:
         self._ready = ready
-        self._metrics = figures
+        self._metrics = metrics
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one request."""
--- a/emberring/gateway/role.py
+++ b/emberring/gateway/role.py
@@ -145,7 +145,7 @@
 
     def _metrics(self) -> dict[str, float]:
         configuration = self.follower.configuration
-        figures = {
+        metrics = {
             "ready": float(self._ready()),
             "configuration_version": float(configuration.version if configuration else 0),
             "servers": float(len(self.follower.servers)),
@@ -158,13 +158,13 @@
             "server_connections_total": float(self.pool.opened_total),
         }
         admission_status = self.admission.status(self._loop.time())
-        figures["admission_cursor"] = float(admission_status.cursor)
-        figures["admission_lot_share"] = admission_status.batch_slot_share
-        figures["admission_word_age_seconds"] = admission_status.load_report_age_s
-        figures.update(self._suspicions.metrics())
+        metrics["admission_cursor"] = float(admission_status.cursor)
+        metrics["admission_lot_share"] = admission_status.batch_slot_share
+        metrics["admission_word_age_seconds"] = admission_status.load_report_age_s
+        metrics.update(self._suspicions.metrics())
         for status, count in sorted(self.clients.responses.items()):
-            figures[f'answers_total{{status="{status}"}}'] = float(count)
-        return figures
+            metrics[f'answers_total{{status="{status}"}}'] = float(count)
+        return metrics
 
     async def shut_down_gracefully(self) -> None:
         """Finish all that is open and all that still arrives, within the grace."""
@@ -176,8 +176,8 @@
         returning_items = self._loop.create_task(self.runner.leave(grace_s * ITEM_GRACE_SHARE))
         while True:
             open_now = len(self.clients.connections) + self.runner.running
-            seen = OpenConnections(self.clients.accepted_s, open_now, self.clients.busy)
-            stage = shutdown.step(self._loop.time(), seen)
+            open_connections = OpenConnections(self.clients.accepted_s, open_now, self.clients.busy)
+            stage = shutdown.step(self._loop.time(), open_connections)
             if stage is Stage.END:
                 break
             if stage is Stage.STOP_LISTENING:
--- a/emberring/gateway/suspicion_report.py
+++ b/emberring/gateway/suspicion_report.py
@@ -52,9 +52,9 @@
 
     def metrics(self) -> dict[str, float]:
         """Return the metrics of suspected servers."""
-        figures = {"servers_suspected": float(len(self._admission.suspected_servers()))}
+        metrics = {"servers_suspected": float(len(self._admission.suspected_servers()))}
         for fault in Fault:
-            figures[f'server_suspicions_total{{trouble="{fault.value}"}}'] = float(
+            metrics[f'server_suspicions_total{{trouble="{fault.value}"}}'] = float(
                 self._suspicion_counts[fault]
             )
-        return figures
+        return metrics
--- a/emberring/simulation/admission/traffic.py
+++ b/emberring/simulation/admission/traffic.py
@@ -98,11 +98,11 @@
         tokens_out = _draw_length(self._random, kind.output_events) * self._site.engine.stride
         batch = kind.items_per_job is not None
         size = float(sum(part.tokens for part in parts) + OUTPUT_TOKEN_WEIGHT * tokens_out)
-        asked = RequestRecord(kind.name, batch, size, now_ms, kind.value, kind.late_value)
-        world.record.requests.append(asked)
+        record = RequestRecord(kind.name, batch, size, now_ms, kind.value, kind.late_value)
+        world.record.requests.append(record)
         deadline_ms = now_ms + (kind.completion_target_s * 1000.0 if batch else kind.timeout_ms)
         budget = AttemptBudget(kind.max_attempts, kind.resumable)
-        request = Request(kind, asked, tuple(parts), tokens_out, now_ms, deadline_ms, 1, budget)
+        request = Request(kind, record, tuple(parts), tokens_out, now_ms, deadline_ms, 1, budget)
         shares = self._site.gateway_shares
         gateway = self._random.choices(range(len(shares)), weights=shares)[0]
         if batch:
--- a/emberring/simulation/admission/trial.py
+++ b/emberring/simulation/admission/trial.py
@@ -91,8 +91,8 @@
     )
 
 
-def _share(asked: Iterable[RequestRecord], fits: Callable[[RequestRecord], bool]) -> float:
-    results = [fits(one) for one in asked]
+def _share(requests: Iterable[RequestRecord], fits: Callable[[RequestRecord], bool]) -> float:
+    results = [fits(one) for one in requests]
     return sum(results) / len(results) if results else 1.0
 
 
@@ -100,14 +100,14 @@
     return values[min(len(values) - 1, int(share * len(values)))] if values else 0.0
 
 
-def _earned_value(asked: list[RequestRecord]) -> float:
+def _earned_value(requests: list[RequestRecord]) -> float:
     """Return the earned over the possible value, by relative size within each kind."""
     means: dict[str, float] = {}
-    for kind in {one.kind for one in asked}:
-        sizes = [one.size for one in asked if one.kind == kind]
+    for kind in {one.kind for one in requests}:
+        sizes = [one.size for one in requests if one.kind == kind]
         means[kind] = sum(sizes) / len(sizes)
     possible = earned = 0.0
-    for one in asked:
+    for one in requests:
         factor = min(VALUE_MAX, VALUE_BASE + VALUE_PER_RELATIVE_SIZE * one.size / means[one.kind])
         possible += factor * one.value
         if one.served:
