--- a/emberring/admission/load_meter.py
+++ b/emberring/admission/load_meter.py
@@ -21,7 +21,6 @@
     def __init__(self) -> None:
         self.smoothed_wait = 0.0  # as a share of the latency target
         self.baseline: float | None = None  # the smoothed wait without load
-        self.load = 0.0
         self._period_waits: list[float] = []
         self._first_waits: list[float] = []
         self._outcomes_since_step = 0  # outcomes since the last step right
@@ -65,7 +64,6 @@
             load = self.smoothed_wait / (self.baseline + SLACK_ROOM * (1.0 - self.baseline))
         if self._period_outcomes:
             load = max(load, self._period_full / self._period_outcomes / FULL_TARGET)
-        self.load = load
         self._period_waits, self._period_outcomes, self._period_full = [], 0, 0
         return load
 
