--- a/emberring/cli/config_commands.py
+++ b/emberring/cli/config_commands.py
@@ -10,7 +10,7 @@
 import typer
 
 from emberring.cli.config_diff import differences
-from emberring.cli.control_plane import order
+from emberring.cli.control_plane import send_request
 from emberring.cli.places import ControlOption, JsonOption, TimeoutOption, control_addresses
 from emberring.cli.printing import EXIT_CODES_TEXT, ExitCode, complain, leave, print_json, print_line
 from emberring.configuration.checks import find_configuration_errors
@@ -84,7 +84,7 @@
 
 
 def _live(control: list[str] | None, timeout_s: float) -> dict[str, Any]:
-    found = order(control_addresses(control), "GET", "/v1/config", within_s=timeout_s)
+    found = send_request(control_addresses(control), "GET", "/v1/config", within_s=timeout_s)
     if not isinstance(found, dict):
         raise BadRequestError("the control node's answer is no configuration")
     return found
@@ -156,7 +156,7 @@
     controls = control_addresses(control)
     base = if_match if if_match is not None else int(_live(control, timeout_s).get("Version") or 0)
     headers = {"If-Match": str(base)}
-    order(controls, method, "/v1/config", content=content, headers=headers, within_s=timeout_s)
+    send_request(controls, method, "/v1/config", content=content, headers=headers, within_s=timeout_s)
     version = parse_object_strictly(content).get("Version")
     if as_json:
         print_json({"Taken": True, "Version": version, "BuiltOn": base})
--- a/emberring/cli/control_plane.py
+++ b/emberring/cli/control_plane.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from emberring.emulator.operator import Operator, OrderOutcome
+from emberring.emulator.operator import Operator, RequestOutcome
 from emberring.errors import EmberringError, PeerUnavailableError, UnknownOutcomeError, error_from_wire
 
 _KIND_OF_STATUS = {
@@ -21,7 +21,7 @@
 }
 
 
-def order(
+def send_request(
     controls: Sequence[str],
     method: str,
     path: str,
@@ -32,17 +32,17 @@
 ) -> Any:
     """The answer's JSON to an order that was taken; otherwise the error that fits."""
     operator = Operator(controls)
-    outcome = asyncio.run(operator.order(method, path, content, headers or {}, within_s))
+    outcome = asyncio.run(operator.send_request(method, path, content, headers or {}, within_s))
     if outcome.acknowledged:
         return orjson.loads(outcome.body or b"{}")
     raise _error(outcome, controls, method)
 
 
-def _error(outcome: OrderOutcome, controls: Sequence[str], method: str) -> EmberringError:
+def _error(outcome: RequestOutcome, controls: Sequence[str], method: str) -> EmberringError:
     told = _told(outcome.body)
     if outcome.status == 0:
         where = ", ".join(controls)
-        detail = f"no clear answer from {where} after {outcome.tries} tries in {outcome.took_s:.1f} s"
+        detail = f"no clear answer from {where} after {outcome.attempts} tries in {outcome.took_s:.1f} s"
         last = f" (last: {told.get('Detail')})" if told.get("Detail") else ""
         if method == "GET":
             return PeerUnavailableError(detail + last)
--- a/emberring/cli/retire_command.py
+++ b/emberring/cli/retire_command.py
@@ -8,7 +8,7 @@
 import orjson
 import typer
 
-from emberring.cli.control_plane import order
+from emberring.cli.control_plane import send_request
 from emberring.cli.places import ControlOption, JsonOption, TimeoutOption, control_addresses
 from emberring.cli.printing import ExitCode, leave, print_json, print_line
 
@@ -32,7 +32,7 @@
     path = f"/v1/retire/{node}"
     if not look:
         body = orjson.dumps({"DurationS": duration})
-        order(controls, "POST", path, content=body, within_s=timeout)
+        send_request(controls, "POST", path, content=body, within_s=timeout)
     give_up_at = time.monotonic() + wait
     state = _state(controls, path, timeout)
     while state != COMPLETED and time.monotonic() < give_up_at:
@@ -47,4 +47,4 @@
 
 
 def _state(controls: list[str], path: str, timeout_s: float) -> str:
-    return str(order(controls, "GET", path, within_s=timeout_s).get("State", "unknown"))
+    return str(send_request(controls, "GET", path, within_s=timeout_s).get("State", "unknown"))
--- a/emberring/cli/status_commands.py
+++ b/emberring/cli/status_commands.py
@@ -6,7 +6,7 @@
 
 import typer
 
-from emberring.cli.control_plane import order
+from emberring.cli.control_plane import send_request
 from emberring.cli.places import ControlOption, JsonOption, TimeoutOption, control_addresses
 from emberring.cli.printing import ExitCode, complain, leave, print_json, print_line, print_table
 from emberring.errors import EmberringError, PeerUnavailableError
@@ -17,7 +17,7 @@
 
 def ask_status(control: str, timeout_s: float) -> dict[str, Any]:
     """The status page of one control node; an error where it does not come."""
-    found = order([control], "GET", "/v1/status", within_s=timeout_s)
+    found = send_request([control], "GET", "/v1/status", within_s=timeout_s)
     if not isinstance(found, dict):
         raise PeerUnavailableError(f"{control}: its answer is no status")
     return found
--- a/emberring/cli/trial_command.py
+++ b/emberring/cli/trial_command.py
@@ -7,7 +7,6 @@
 from pathlib import Path
 from typing import Annotated, Any
 
-import attrs
 import typer
 
 from emberring.cli.places import JsonOption
@@ -60,20 +59,20 @@
 def show(report: TrialReport) -> None:
     """The report as tables."""
     print_line("")
-    rows = [(item.what, item.who, _seconds(item.back_s)) for item in report.troubles]
+    rows = [(item.what, item.node, _seconds(item.recovery_s)) for item in report.faults]
     print_table(("trouble", "who", "back after"), rows)
     print_line("")
     print_table(("streams", "asked", "served", "not served", "p50 ms", "p99 ms"), _stream_rows(report))
     print_line("")
     print_table(("lots", "taken", "items", "completed", "dead", "slowest s"), [_job_row(report.jobs)])
     print_line("")
-    for breach in report.breaches[:MOST_SHOWN]:
-        print_line(f"broken: {breach.rule} {breach.id}: {breach.detail}")
+    for violation in report.violations[:MOST_SHOWN]:
+        print_line(f"broken: {violation.rule} {violation.id}: {violation.detail}")
     for name, lines in report.logs.items():
         print_line(f"{name} ended with {report.exit_codes[name]}:")
         for line in lines:
             print_line(f"    {line}")
-    print_line(f"rules broken: {len(report.breaches)}; {'all well' if report.clean else 'NOT all well'}")
+    print_line(f"rules broken: {len(report.violations)}; {'all well' if report.clean else 'NOT all well'}")
 
 
 def _seconds(value: float | None) -> str:
@@ -83,9 +82,9 @@
 def _stream_rows(report: TrialReport) -> list[tuple[object, ...]]:
     rows: list[tuple[object, ...]] = []
     for name, tally in report.tallies.items():
-        ends = ", ".join(f"{count} {end}" for end, count in tally.ends.most_common()) or "0"
-        p50, p99 = (f"{1000 * tally.wait_s(share):.0f}" for share in (0.5, 0.99))
-        rows.append((name, tally.asked, tally.served, ends, p50, p99))
+        failures = ", ".join(f"{count} {end}" for end, count in tally.failures.most_common()) or "0"
+        p50, p99 = (f"{1000 * tally.delay_s(share):.0f}" for share in (0.5, 0.99))
+        rows.append((name, tally.sent, tally.served, failures, p50, p99))
     return rows
 
 
@@ -102,11 +101,11 @@
     """The report for programs."""
     streams = {
         name: {
-            "Asked": tally.asked,
+            "Asked": tally.sent,
             "Served": tally.served,
-            "NotServed": dict(tally.ends),
-            "FirstEventP50Ms": round(1000 * tally.wait_s(0.5), 1),
-            "FirstEventP99Ms": round(1000 * tally.wait_s(0.99), 1),
+            "NotServed": dict(tally.failures),
+            "FirstEventP50Ms": round(1000 * tally.delay_s(0.5), 1),
+            "FirstEventP99Ms": round(1000 * tally.delay_s(0.99), 1),
         }
         for name, tally in report.tallies.items()
     }
@@ -114,7 +113,9 @@
     return {
         "Clean": report.clean,
         "StartedAfterS": round(report.started_s, 2),
-        "Troubles": [attrs.asdict(item) for item in report.troubles],
+        "Troubles": [
+            {"what": fault.what, "who": fault.node, "back_s": fault.recovery_s} for fault in report.faults
+        ],
         "Streams": streams,
         "Lots": {
             "Sent": jobs,
@@ -124,6 +125,9 @@
             "DeadLetter": dead,
             "SlowestS": slowest,
         },
-        "Broken": [attrs.asdict(item) for item in report.breaches],
+        "Broken": [
+            {"rule": violation.rule, "id": violation.id, "detail": violation.detail}
+            for violation in report.violations
+        ],
         "ExitCodes": report.exit_codes,
     }
--- a/emberring/emulator/configurations.py
+++ b/emberring/emulator/configurations.py
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen
-class TrialTerms:
+class TrialLimits:
     """The terms of a trial's routes and of its servers."""
 
     capacity: int = 16
@@ -28,16 +28,16 @@
     retention_s: int = 60
 
 
-def _route(name: str, prefix: str, kind: str, terms: TrialTerms, **more: Any) -> dict[str, Any]:
+def _route(name: str, prefix: str, kind: str, terms: TrialLimits, **more: Any) -> dict[str, Any]:
     common: dict[str, Any] = {"Name": name, "Host": HOST, "PathPrefix": prefix, "Type": kind}
     common["Service"] = SERVICE
     common |= {"TimeoutMs": terms.timeout_ms, "Priority": 0, "Sticky": True}
     return common | more
 
 
-def trial_configuration(version: int = 1, terms: TrialTerms | None = None) -> dict[str, Any]:
+def trial_configuration(version: int = 1, terms: TrialLimits | None = None) -> dict[str, Any]:
     """A whole configuration as the operator sends it."""
-    terms = terms or TrialTerms()
+    terms = terms or TrialLimits()
     stream = {"TargetLatencyMs": 300, "gap_aim_ms": 250}
     batch = {
         "TargetLatencyMs": 400,
@@ -69,13 +69,13 @@
     return {"Version": version, "Routes": routes, "Services": [service], "Limits": limits}
 
 
-def added_route(version: int, terms: TrialTerms | None = None) -> dict[str, Any]:
+def added_route(version: int, terms: TrialLimits | None = None) -> dict[str, Any]:
     """A patch that adds one streaming route."""
     route = _route(
         f"added-{version}",
         ADDED_PREFIX,
         "streaming",
-        terms or TrialTerms(),
+        terms or TrialLimits(),
         MaxAttempts=2,
         TargetLatencyMs=300,
         gap_aim_ms=250,
--- a/emberring/emulator/connection.py
+++ b/emberring/emulator/connection.py
@@ -1,4 +1,4 @@
-"""A stand-in model server's end of a connection: one request at a time, dropped when the caller leaves."""
+"""An emulated model server's end of a connection: one request at a time, dropped when the caller disconnects."""
 
 from __future__ import annotations
 
@@ -13,38 +13,38 @@
 
 from emberring.emulator.wire import ServerRequest
 
-RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # linger for no time
+RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with no time: closing sends a reset
 
 
-class RequestTaker(Protocol):
-    """Who answers the requests of connections."""
+class RequestHandler(Protocol):
+    """Handles the requests of connections."""
 
-    def opened(self, connection: ServerConnection) -> bool:
+    def on_connection_opened(self, connection: ServerConnection) -> bool:
         """Whether a new connection may stay."""
 
-    def take(self, connection: ServerConnection, request: ServerRequest) -> None:
-        """Answer a request by `write` and, at its end, `finish`."""
+    def handle_request(self, connection: ServerConnection, request: ServerRequest) -> None:
+        """Respond to a request by `write` and, at the end, `finish`."""
 
-    def left(self, connection: ServerConnection) -> None:
+    def on_connection_closed(self, connection: ServerConnection) -> None:
         """The connection has ended."""
 
 
 class ServerConnection(asyncio.Protocol):
-    """Reads requests and hands them over one after another."""
+    """Parses requests and passes them to its handler one after another."""
 
-    def __init__(self, taker: RequestTaker) -> None:
-        self._taker = taker
+    def __init__(self, handler: RequestHandler) -> None:
+        self._handler = handler
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._path = b""
         self._headers: dict[str, str] = {}
         self._body = bytearray()
-        self._waiting: deque[ServerRequest] = deque()
+        self._pending: deque[ServerRequest] = deque()
         self._busy = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        if not self._taker.opened(self):
+        if not self._handler.on_connection_opened(self):
             self.abort()
 
     def data_received(self, data: bytes) -> None:
@@ -68,26 +68,26 @@
     def on_message_complete(self) -> None:
         method = self._parser.get_method().decode("ascii")
         path = self._path.decode("latin-1")
-        self._waiting.append(ServerRequest(method, path, self._headers, bytes(self._body)))
-        self._next()
+        self._pending.append(ServerRequest(method, path, self._headers, bytes(self._body)))
+        self._handle_next()
 
-    def _next(self) -> None:
-        if self._waiting and not self._busy:
+    def _handle_next(self) -> None:
+        if self._pending and not self._busy:
             self._busy = True
-            self._taker.take(self, self._waiting.popleft())
+            self._handler.handle_request(self, self._pending.popleft())
 
     def write(self, data: bytes) -> None:
-        """Send bytes of the answer."""
+        """Send bytes of the response."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
 
     def finish(self, *, close: bool = False) -> None:
-        """The answer is whole; go on with the next request, or end the connection in order."""
+        """The response is complete; handle the next request, or close the connection."""
         self._busy = False
         if close and self._transport is not None:
             self._transport.close()
         else:
-            self._next()
+            self._handle_next()
 
     def abort(self) -> None:
         """End the connection with a reset."""
@@ -100,9 +100,9 @@
         self._transport.abort()
 
     def pause(self) -> None:
-        """Read nothing more."""
+        """Stop reading."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.pause_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._taker.left(self)
+        self._handler.on_connection_closed(self)
--- a/emberring/emulator/engine.py
+++ b/emberring/emulator/engine.py
@@ -1,7 +1,7 @@
-"""An emulated engine, sans-I/O: requests run in a batch, prompts are read between the tokens of others.
+"""An emulated inference engine without I/O: requests run in a batch, with chunked prefill between decode steps.
 
-`submit` and `drop` change what is there, `step` makes one step and tells which events are done, `step_seconds`
-tells how long that step takes. Times are seconds.
+`submit` and `drop` change the set of requests, `step` executes one step and returns the events it produced, and
+`step_seconds` says how long that step takes. Times are seconds.
 """
 
 from __future__ import annotations
@@ -16,29 +16,33 @@
 
 @attrs.frozen
 class EngineSpec:
-    """How an engine works. Tokens of prompts are read at `prefill_tokens_per_s`, at most `prefill_chunk` a step."""
+    """The properties of an engine.
+
+    `capacity` requests run at once and `queue_limit` wait. `kv_tokens` is the size of the KV cache. An event carries
+    `stride` tokens. Prompts are read at `prefill_tokens_per_s`, at most `prefill_chunk` tokens in a step.
+    """
 
     capacity: int = 16
     queue_limit: int = 8
     kv_tokens: int = 120_000
     stride: int = 8
     step_s: float = 0.003
-    crowding: float = 0.5  # how much longer a step of a full batch is, as a share of `step_s`
+    batch_slowdown: float = 0.5  # how much longer a step of a full batch is, as a share of `step_s`
     prefill_tokens_per_s: float = 150_000.0
     prefill_chunk: int = 512
 
 
 @attrs.define(eq=False)
-class Job:
-    """A request in the engine. `skip_events` were made by an earlier run elsewhere."""
+class EngineRequest:
+    """A request in the engine; its first `skip_events` events were produced by another execution before."""
 
     id: str
     parts: tuple[PromptPart, ...]
     output_tokens: int
     skip_events: int = 0
     produced: int = 0
-    unread: int = 0
-    held: int = 0  # tokens in the cache beside the prompt's parts
+    unread_tokens: int = 0
+    generated_tokens: int = 0  # tokens in the KV cache besides the prompt
 
     @property
     def prompt_tokens(self) -> int:
@@ -47,17 +51,17 @@
 
 
 @attrs.frozen
-class Produced:
-    """An event of a job is whole; `index` counts from 0, `last` ends the job."""
+class EventProduced:
+    """An event of a request is complete; `index` counts from 0, `last` is the end of the response."""
 
-    job: Job
+    request: EngineRequest
     index: int
     last: bool
 
 
 @attrs.frozen
 class EngineReport:
-    """What an engine tells of itself."""
+    """The load of an engine; KV figures are tokens."""
 
     queued: int
     active: int
@@ -66,14 +70,14 @@
 
 
 class Engine:
-    """A batch of running jobs, a short queue, and the memory that they share."""
+    """A batch of running requests, a short queue, and the KV cache that they share."""
 
     def __init__(self, spec: EngineSpec) -> None:
         self.spec = spec
         self.cache = KvCache(spec.kv_tokens)
-        self.running: list[Job] = []
-        self.queue: deque[Job] = deque()
-        self.slow = 1.0  # times the length of each step
+        self.running: list[EngineRequest] = []
+        self.queue: deque[EngineRequest] = deque()
+        self.step_factor = 1.0  # multiplies the duration of each step
 
     @property
     def idle(self) -> bool:
@@ -84,86 +88,88 @@
         """The figures of this moment."""
         return EngineReport(len(self.queue), len(self.running), self.cache.used, self.spec.kv_tokens)
 
-    def submit(self, job: Job) -> bool:
-        """Take a job; False, with nothing done, if the engine is full or the job larger than its memory."""
-        if job.prompt_tokens + job.output_tokens > self.spec.kv_tokens:
+    def submit(self, request: EngineRequest) -> bool:
+        """Queue a request; False, with nothing done, if the engine is full or the request larger than its KV cache."""
+        if request.prompt_tokens + request.output_tokens > self.spec.kv_tokens:
             return False
         if len(self.running) + len(self.queue) >= self.spec.capacity + self.spec.queue_limit:
             return False
-        job.produced = min(job.output_tokens - 1, job.skip_events * self.spec.stride)
-        self.queue.append(job)
+        request.produced = min(request.output_tokens - 1, request.skip_events * self.spec.stride)
+        self.queue.append(request)
         return True
 
-    def is_queued(self, job: Job) -> bool:
-        """Whether a job has not begun yet."""
-        return job in self.queue
+    def is_queued(self, request: EngineRequest) -> bool:
+        """Whether a request has not started yet."""
+        return request in self.queue
 
-    def drop(self, job: Job) -> None:
-        """Forget a job whose caller has gone."""
-        if job in self.queue:
-            self.queue.remove(job)
-        elif job in self.running:
-            self._stop(job)
+    def drop(self, request: EngineRequest) -> None:
+        """Remove a request whose caller has disconnected."""
+        if request in self.queue:
+            self.queue.remove(request)
+        elif request in self.running:
+            self._stop(request)
 
     def step_seconds(self) -> float:
         """How long the next step takes."""
         spec = self.spec
-        unread = min(spec.prefill_chunk, sum(job.unread for job in self.running))
-        crowded = 1.0 + spec.crowding * len(self.running) / spec.capacity
-        return self.slow * (spec.step_s * crowded + unread / spec.prefill_tokens_per_s)
+        unread_tokens = min(spec.prefill_chunk, sum(request.unread_tokens for request in self.running))
+        slowdown = 1.0 + spec.batch_slowdown * len(self.running) / spec.capacity
+        return self.step_factor * (spec.step_s * slowdown + unread_tokens / spec.prefill_tokens_per_s)
 
-    def step(self) -> list[Produced]:
-        """Start what fits, read a chunk of prompts, make a token of every job that has been read."""
-        self._start_jobs()
+    def step(self) -> list[EventProduced]:
+        """Start the requests that fit, prefill a chunk, and decode a token of every request after its prefill."""
+        self._start_requests()
         self._read_prompts()
-        done: list[Produced] = []
-        for job in list(self.running):
-            if job.unread == 0 and job in self.running:
-                done.extend(self._make_token(job))
-        return done
+        produced_events: list[EventProduced] = []
+        for request in list(self.running):
+            if request.unread_tokens == 0 and request in self.running:
+                produced_events.extend(self._make_token(request))
+        return produced_events
 
-    def _start_jobs(self) -> None:
+    def _start_requests(self) -> None:
         while self.queue and len(self.running) < self.spec.capacity:
-            job = self.queue[0]
-            if not self.cache.fits(job.parts, job.produced + 1):
+            request = self.queue[0]
+            if not self.cache.fits(request.parts, request.produced + 1):
                 return
             self.queue.popleft()
-            job.unread = job.prompt_tokens - self.cache.known_tokens(job.parts) + job.produced
-            self.cache.pin(job.parts)
-            self._hold(job, job.produced)
-            self.running.append(job)
+            request.unread_tokens = (
+                request.prompt_tokens - self.cache.known_tokens(request.parts) + request.produced
+            )
+            self.cache.pin(request.parts)
+            self._add_generated(request, request.produced)
+            self.running.append(request)
 
     def _read_prompts(self) -> None:
         left = self.spec.prefill_chunk
-        for job in self.running:
-            read = min(left, job.unread)
-            job.unread -= read
+        for request in self.running:
+            read = min(left, request.unread_tokens)
+            request.unread_tokens -= read
             left -= read
 
-    def _make_token(self, job: Job) -> list[Produced]:
-        self._hold(job, 1)
-        while not self.cache.make_room():
+    def _make_token(self, request: EngineRequest) -> list[EventProduced]:
+        self._add_generated(request, 1)
+        while not self.cache.evict_unused():
             newest = self.running[-1]
             self._preempt(newest)
-            if newest is job:
+            if newest is request:
                 return []
-        job.produced += 1
-        last = job.produced >= job.output_tokens
-        if not last and job.produced % self.spec.stride:
+        request.produced += 1
+        last = request.produced >= request.output_tokens
+        if not last and request.produced % self.spec.stride:
             return []
         if last:
-            self._stop(job)
-        return [Produced(job, event_count(job.produced, self.spec.stride) - 1, last)]
+            self._stop(request)
+        return [EventProduced(request, event_count(request.produced, self.spec.stride) - 1, last)]
 
-    def _hold(self, job: Job, tokens: int) -> None:
-        job.held += tokens
+    def _add_generated(self, request: EngineRequest, tokens: int) -> None:
+        request.generated_tokens += tokens
         self.cache.generated += tokens
 
-    def _stop(self, job: Job) -> None:
-        self.running.remove(job)
-        self.cache.release(job.parts, job.held)
-        job.held = 0
+    def _stop(self, request: EngineRequest) -> None:
+        self.running.remove(request)
+        self.cache.release(request.parts, request.generated_tokens)
+        request.generated_tokens = 0
 
-    def _preempt(self, job: Job) -> None:
-        self._stop(job)
-        self.queue.appendleft(job)
+    def _preempt(self, request: EngineRequest) -> None:
+        self._stop(request)
+        self.queue.appendleft(request)
--- /dev/null
+++ b/emberring/emulator/exchange.py
@@ -0,0 +1,27 @@
+"""A generation request in progress at an emulated model server."""
+
+from __future__ import annotations
+
+import asyncio
+
+import attrs
+
+from emberring.emulator.connection import ServerConnection
+from emberring.emulator.engine import EngineRequest
+from emberring.emulator.wire import ServerRequest
+
+
+@attrs.define(eq=False)
+class Exchange:
+    """A request with its counterpart in the engine and its caller's connection.
+
+    `started`: the engine has begun to execute it. `signature` is empty until the head of the response was sent. `timer`
+    ends the request at its deadline.
+    """
+
+    connection: ServerConnection
+    request: ServerRequest
+    engine_request: EngineRequest
+    started: bool = False
+    signature: str = ""
+    timer: asyncio.TimerHandle | None = None
--- a/emberring/emulator/faults.py
+++ b/emberring/emulator/faults.py
@@ -1,4 +1,4 @@
-"""The troubles that a stand-in model server can be put into, changed while it runs."""
+"""The faults that can be injected into an emulated model server while it runs."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 @attrs.define
 class Faults:
-    """What goes wrong from now on. The counts are of next answers that go wrong in that way."""
+    """The injected faults. A count is the number of next responses that have the fault."""
 
-    dark: bool = False  # reads nothing, says nothing, sends no heartbeat
-    hang: bool = False  # takes requests and answers none; heartbeats go on
-    shed: bool = False  # refuses all, as a full server does
-    slow: float = 1.0  # times the length of each step of the engine
-    spoilt_answers: int = 0  # bytes that are no answer, then the connection ends
-    extra_answers: int = 0  # a surplus answer, with another request's id, after a whole one
-    cut_answers: int = 0  # the stream ends inside an event
-    failed_answers: int = 0  # 500, after the request ran
+    unresponsive: bool = False  # reads nothing, sends nothing, no heartbeats either
+    hanging: bool = False  # accepts requests and responds to none; heartbeats go on
+    overloaded: bool = False  # rejects all requests, as a full server does
+    step_factor: float = 1.0  # multiplies the duration of each step of the engine
+    corrupt_responses: int = 0  # bytes that are no HTTP response, then the connection ends
+    surplus_responses: int = 0  # a surplus response, with another request's id, after a complete one
+    truncated_responses: int = 0  # the stream ends inside an event
+    failed_responses: int = 0  # 500, after the request ran
 
     def take(self, name: str) -> bool:
-        """Whether the next answer has the trouble that this count names; counts it down."""
+        """Whether the next response has the fault that this count names; counts it down."""
         left: int = getattr(self, name)
         if left <= 0:
             return False
--- a/emberring/emulator/heartbeats.py
+++ b/emberring/emulator/heartbeats.py
@@ -1,4 +1,4 @@
-"""A stand-in model server's heartbeats to the control nodes, its drain and its goodbye."""
+"""An emulated model server's heartbeats to the control nodes, its drain and its deregistration."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from emberring.emulator.http_calls import CALL_ERRORS, call_once
 from emberring.emulator.model_server import ModelServer
 
-ACKNOWLEDGE_WITHIN_S = 1.0
-MAX_ANSWER_BYTES = 4096
+ACKNOWLEDGE_TIMEOUT_S = 1.0
+MAX_RESPONSE_BYTES = 4096
 
 
 class Heartbeats:
-    """Tells the control nodes about a server until it is stopped; a failed node gives way to the next."""
+    """Registers a server at a control node by heartbeats; after a failure it uses another control node."""
 
     def __init__(
         self, server: ModelServer, controls: Callable[[], Sequence[str]], every_s: float, seed: int = 0
@@ -32,7 +32,7 @@
         self.acknowledged = 0
 
     def start(self) -> None:
-        """Begin to send."""
+        """Begin to send heartbeats."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def stop(self) -> None:
@@ -42,39 +42,39 @@
             with contextlib.suppress(asyncio.CancelledError):
                 await self._task
 
-    async def drain(self, tries: int = 8) -> bool:
-        """Say that the server is leaving; whether that was acknowledged."""
+    async def drain(self, attempts: int = 8) -> bool:
+        """Report that the server is draining; whether that was acknowledged."""
         self._server.draining = True
-        return await self._tell("PUT", tries)
+        return await self._send("PUT", attempts)
 
-    async def leave(self, tries: int = 8) -> bool:
-        """Say goodbye; whether that was acknowledged. No heartbeat follows."""
+    async def deregister(self, attempts: int = 8) -> bool:
+        """Deregister the server; whether that was acknowledged. No heartbeat follows."""
         await self.stop()
-        return await self._tell("DELETE", tries)
+        return await self._send("DELETE", attempts)
 
     async def _run(self) -> None:
         while True:
-            if not self._server.faults.dark:
-                await self._tell("PUT", 4)
+            if not self._server.faults.unresponsive:
+                await self._send("PUT", 4)
             await asyncio.sleep(self._every_s * self._random.uniform(0.9, 1.1))
 
-    async def _tell(self, method: str, tries: int) -> bool:
-        for _ in range(tries):
+    async def _send(self, method: str, attempts: int) -> bool:
+        for _ in range(attempts):
             if not self._address:
                 self._address = self._random.choice(list(self._controls()))
-            if await self._tell_one(method):
+            if await self._send_once(method):
                 return True
             self._address = ""
         return False
 
-    async def _tell_one(self, method: str) -> bool:
+    async def _send_once(self, method: str) -> bool:
         url = f"http://{self._address}/v1/instances/{self._server.id}"
         content = orjson.dumps(self._body()) if method == "PUT" else b""
         try:
-            answer = await call_once(method, url, content=content, timeout_s=ACKNOWLEDGE_WITHIN_S)
+            answer = await call_once(method, url, content=content, timeout_s=ACKNOWLEDGE_TIMEOUT_S)
         except CALL_ERRORS:
             return False
-        if not 200 <= answer.status < 300 or len(answer.body) > MAX_ANSWER_BYTES:
+        if not 200 <= answer.status < 300 or len(answer.body) > MAX_RESPONSE_BYTES:
             return False
         self.acknowledged += 1
         with contextlib.suppress(ValueError, AttributeError):
--- a/emberring/emulator/http_calls.py
+++ b/emberring/emulator/http_calls.py
@@ -9,7 +9,7 @@
 
 
 @attrs.frozen
-class HttpAnswer:
+class HttpResponse:
     """A whole answer; names of headers are in lower case."""
 
     status: int
@@ -34,7 +34,7 @@
     headers: Mapping[str, str] | None = None,
     content: bytes = b"",
     timeout_s: float = 1.0,
-) -> HttpAnswer:
+) -> HttpResponse:
     """One call and its whole answer; errors are those of `httpcore`, a silence of `timeout_s` among them."""
     sent = [("Connection", "close"), *(headers or {}).items()]
     if content and "Content-Type" not in (headers or {}):
@@ -43,7 +43,7 @@
         answer = await pool.request(
             method, url, headers=sent, content=content, extensions=timeouts(timeout_s)
         )
-        return HttpAnswer(answer.status, plain_headers(answer.headers), answer.content)
+        return HttpResponse(answer.status, plain_headers(answer.headers), answer.content)
 
 
 CALL_ERRORS = (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError)
--- a/emberring/emulator/job_client.py
+++ b/emberring/emulator/job_client.py
@@ -14,10 +14,10 @@
 import orjson
 
 from emberring.emulator.configurations import HOST, JOB_PREFIX
-from emberring.emulator.http_calls import CALL_ERRORS, HttpAnswer, call_once
+from emberring.emulator.http_calls import CALL_ERRORS, HttpResponse, call_once
 
-ANSWER_WITHIN_S = 2.5
-READ_EVERY_S = 0.5
+RESPONSE_TIMEOUT_S = 2.5
+READ_INTERVAL_S = 0.5
 WAIT_MS = 1000
 
 
@@ -82,8 +82,8 @@
     total: int = 0
     results: list[JobResult] = attrs.field(factory=list)
     changed: list[int] = attrs.field(factory=list)
-    wrong_totals: int = 0
-    unreadable: int = 0  # reads that were answered 404 or 410 after the 202
+    wrong_total_count: int = 0
+    failed_reads: int = 0  # reads that were answered 404 or 410 after the 202
 
     @property
     def accepted(self) -> bool:
@@ -143,7 +143,7 @@
             known = len(history.results)
             await self.read(history, at)
             if len(history.results) == known:
-                await asyncio.sleep(READ_EVERY_S / 5)
+                await asyncio.sleep(READ_INTERVAL_S / 5)
         history.done_s = history.accepted_s + loop.time() - began
         return history
 
@@ -154,12 +154,12 @@
         if answer is None:
             return False
         if answer.status != 200:
-            history.unreadable += answer.status in (404, 410)
+            history.failed_reads += answer.status in (404, 410)
             return False
-        _note_page(history, start_after, orjson.loads(answer.body))
+        _record_page(history, start_after, orjson.loads(answer.body))
         return True
 
-    async def body_of(self, job: BatchJob, item_id: str) -> HttpAnswer | None:
+    async def body_of(self, job: BatchJob, item_id: str) -> HttpResponse | None:
         """The body of an item that is not listed yet."""
         return await self._call("GET", f"/v1/items/{job.id}?Id={quote(item_id)}", b"", {})
 
@@ -176,22 +176,22 @@
 
     async def _call(
         self, method: str, path: str, content: bytes, headers: dict[str, str]
-    ) -> HttpAnswer | None:
+    ) -> HttpResponse | None:
         places = self._frontends()
         if not places:
             return None
         url = f"http://{self._random.choice(list(places))}{path}"
         try:
             return await call_once(
-                method, url, headers={"Host": HOST, **headers}, content=content, timeout_s=ANSWER_WITHIN_S
+                method, url, headers={"Host": HOST, **headers}, content=content, timeout_s=RESPONSE_TIMEOUT_S
             )
         except CALL_ERRORS:
             return None
 
 
-def _note_page(history: JobHistory, start_after: int, page: dict[str, Any]) -> None:
+def _record_page(history: JobHistory, start_after: int, page: dict[str, Any]) -> None:
     history.total = page["Total"]
-    history.wrong_totals += history.total != len(history.job.items)
+    history.wrong_total_count += history.total != len(history.job.items)
     for offset, row in enumerate(page["Results"]):
         result = JobResult(row["Id"], row["State"], row.get("Message", ""))
         position = start_after + offset
--- a/emberring/emulator/kv_cache.py
+++ b/emberring/emulator/kv_cache.py
@@ -56,7 +56,7 @@
             if not self._users[part.id]:
                 self._pinned += self._parts[part.id]
             self._users[part.id] += 1
-        self.make_room()
+        self.evict_unused()
 
     def release(self, parts: Sequence[PromptPart], generated: int) -> None:
         """A request has ended or was preempted; its parts stay while there is room."""
@@ -67,7 +67,7 @@
                 del self._users[part.id]
                 self._pinned -= self._parts[part.id]
 
-    def make_room(self) -> bool:
+    def evict_unused(self) -> bool:
         """Let the parts unused longest give way; whether what is left fits."""
         if self._kept + self.generated <= self.capacity:
             return True
--- a/emberring/emulator/live_client.py
+++ b/emberring/emulator/live_client.py
@@ -15,9 +15,9 @@
 from emberring.emulator.events import EventReader, StreamEvent
 from emberring.emulator.http_calls import plain_headers, timeouts
 
-PROMISES = frozenset({408, 421, 429, 503})
-CONNECT_S = 1.0
-SILENCE_S = 2.0
+NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
+CONNECT_TIMEOUT_S = 1.0
+READ_TIMEOUT_S = 2.0
 
 
 class StreamEnd(Enum):
@@ -28,11 +28,11 @@
     FAILED = "failed"  # no promise: 502, 504, 500
     DENIED = "denied"  # another 4xx
     BROKEN = "broken"  # the connection ended early
-    SILENT = "silent"
+    TIMED_OUT = "silent"
     NOT_REACHED = "not reached"  # no connection came up
 
 
-MAY_TRY_AGAIN = frozenset({StreamEnd.REFUSED, StreamEnd.NOT_REACHED})
+RETRYABLE_ENDS = frozenset({StreamEnd.REFUSED, StreamEnd.NOT_REACHED})
 
 
 @attrs.frozen
@@ -59,7 +59,7 @@
     began_s: float
     first_s: float
     gap_s: float
-    whole_s: float
+    duration_s: float
     retry_after_s: float = 0.0
     detail: str = ""
 
@@ -77,7 +77,7 @@
     ]
 
 
-class _Reading:
+class _ResponseState:
     """The state of one try while its answer comes in."""
 
     def __init__(self, request_id: str, now: float) -> None:
@@ -115,7 +115,7 @@
             began_s=self.began,
             first_s=self.first_s,
             gap_s=self.gap_s,
-            whole_s=now - self.began,
+            duration_s=now - self.began,
             retry_after_s=float(retry_after or 0),
             detail=detail,
         )
@@ -124,33 +124,33 @@
 def _end_of(status: int) -> StreamEnd:
     if 200 <= status < 300:
         return StreamEnd.SERVED
-    if status in PROMISES:
+    if status in NOT_EXECUTED_STATUSES:
         return StreamEnd.REFUSED
     return StreamEnd.DENIED if 400 <= status < 500 else StreamEnd.FAILED
 
 
-async def try_once(frontend: str, call: StreamCall, left_s: float) -> StreamResult:
+async def attempt_stream(frontend: str, call: StreamCall, left_s: float) -> StreamResult:
     """One try on a connection of its own."""
     loop = asyncio.get_running_loop()
-    reading = _Reading(secrets.token_hex(8), loop.time())
+    reading = _ResponseState(secrets.token_hex(8), loop.time())
     try:
         async with asyncio.timeout(left_s):
             await _read_answer(frontend, call, left_s, reading)
     except TimeoutError:
-        return reading.result(StreamEnd.SILENT, loop.time(), "deadline")
+        return reading.result(StreamEnd.TIMED_OUT, loop.time(), "deadline")
     except (httpcore.ConnectError, httpcore.ConnectTimeout) as error:
         return reading.result(StreamEnd.NOT_REACHED, loop.time(), str(error))
     except httpcore.TimeoutException as error:
-        return reading.result(StreamEnd.SILENT, loop.time(), type(error).__name__)
+        return reading.result(StreamEnd.TIMED_OUT, loop.time(), type(error).__name__)
     except (httpcore.NetworkError, httpcore.ProtocolError, ValueError) as error:
         return reading.result(StreamEnd.BROKEN, loop.time(), f"{type(error).__name__}: {error}")
     return reading.result(_end_of(reading.status), loop.time())
 
 
-async def _read_answer(frontend: str, call: StreamCall, left_s: float, reading: _Reading) -> None:
+async def _read_answer(frontend: str, call: StreamCall, left_s: float, reading: _ResponseState) -> None:
     loop = asyncio.get_running_loop()
-    limits = timeouts(SILENCE_S)
-    limits["timeout"]["connect"] = CONNECT_S
+    limits = timeouts(READ_TIMEOUT_S)
+    limits["timeout"]["connect"] = CONNECT_TIMEOUT_S
     async with (
         httpcore.AsyncConnectionPool(max_keepalive_connections=0, retries=0) as pool,
         pool.stream(
@@ -185,9 +185,9 @@
             places = self._frontends()
             if not places or loop.time() >= give_up_at:
                 break
-            result = await try_once(self._random.choice(places), call, give_up_at - loop.time())
+            result = await attempt_stream(self._random.choice(places), call, give_up_at - loop.time())
             results.append(result)
-            if result.end not in MAY_TRY_AGAIN or at == self._retries:
+            if result.end not in RETRYABLE_ENDS or at == self._retries:
                 break
             pause_s = min(result.retry_after_s, (give_up_at - loop.time()) / 3)
             await asyncio.sleep(max(0.0, pause_s))
--- a/emberring/emulator/local_tier.py
+++ b/emberring/emulator/local_tier.py
@@ -25,10 +25,10 @@
 from emberring.errors import NotReadyError
 
 PORTS = range(20_000, 30_000, 16)  # below those that systems give to callers
-LOOK_EVERY_S = 0.1
-MISSES_TO_LEAVE = 2  # looks in a row that find a gateway not ready before it gets no new connections
-PROBE_S = 0.5
-MOST_TRIES = 50
+POLL_INTERVAL_S = 0.1
+FAILED_PROBES_TO_REMOVE = 2  # looks in a row that find a gateway not ready before it gets no new connections
+PROBE_TIMEOUT_S = 0.5
+MAX_ATTEMPTS = 50
 INTERNAL_OF_ROLE = {"gateway": FIRST_INTERNAL, "control": LAST_INTERNAL, "store": LAST_INTERNAL + 1}
 
 
@@ -44,7 +44,7 @@
 
 def choose_places(size: TierSize, rng: random.Random) -> list[NodePlace]:
     """Free addresses on loopback; `NotReadyError` where none are found."""
-    for _ in range(MOST_TRIES):
+    for _ in range(MAX_ATTEMPTS):
         net = f"127.{rng.randint(1, 250)}.{rng.randint(1, 250)}"
         base = rng.choice(PORTS)
         places = _places(size, net, base)
@@ -82,7 +82,7 @@
         seeds = [place.address(CONTROL_PLANE) for place in places if place.role == "control"][:3]
         self.nodes = {place.name: LocalNode(place, seeds, folder, self.size.grace_s) for place in places}
         self._in: set[str] = set()
-        self._misses: dict[str, int] = {}
+        self._failed_probes: dict[str, int] = {}
         self._prober: asyncio.Task[None] | None = None
 
     def of_role(self, role: str) -> list[LocalNode]:
@@ -109,16 +109,16 @@
             gateways = self.of_role("gateway")
             ready = await asyncio.gather(*(self.is_up(node) for node in gateways))
             for node, up in zip(gateways, ready, strict=True):
-                self._note_look(node, up)
-            await asyncio.sleep(LOOK_EVERY_S)
+                self._record_probe(node, up)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    def _note_look(self, node: LocalNode, up: bool) -> None:
+    def _record_probe(self, node: LocalNode, up: bool) -> None:
         """As the platform does: one look that found it not ready takes a gateway out as little as a late one."""
         address = node.place.address(FRONTEND)
-        self._misses[address] = 0 if up else self._misses.get(address, 0) + 1
+        self._failed_probes[address] = 0 if up else self._failed_probes.get(address, 0) + 1
         if up:
             self._in.add(address)
-        elif self._misses[address] >= MISSES_TO_LEAVE:
+        elif self._failed_probes[address] >= FAILED_PROBES_TO_REMOVE:
             self._in.discard(address)
 
     async def is_up(self, node: LocalNode) -> bool:
@@ -140,7 +140,7 @@
         while loop.time() - began < within_s:
             if all(await asyncio.gather(*(self.is_up(node) for node in nodes))):
                 return loop.time() - began
-            await asyncio.sleep(LOOK_EVERY_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return None
 
     async def wait_frontends(self, count: int, within_s: float) -> bool:
@@ -167,7 +167,7 @@
 
 async def _answers(url: str) -> bool:
     try:
-        return (await call_once("GET", url, timeout_s=PROBE_S)).status == 200
+        return (await call_once("GET", url, timeout_s=PROBE_TIMEOUT_S)).status == 200
     except CALL_ERRORS:
         return False
 
@@ -175,7 +175,7 @@
 async def _accepts(address: str) -> bool:
     host, _, port = address.rpartition(":")
     try:
-        async with asyncio.timeout(PROBE_S):
+        async with asyncio.timeout(PROBE_TIMEOUT_S):
             _, writer = await asyncio.open_connection(host, int(port))
     except (OSError, TimeoutError):
         return False
--- a/emberring/emulator/model_server.py
+++ b/emberring/emulator/model_server.py
@@ -1,4 +1,4 @@
-"""A stand-in model server: HTTP/1.1 before an emulated engine, in real time, with faults to switch on."""
+"""An emulated model server: HTTP/1.1 in front of an emulated engine, in real time, with faults to inject."""
 
 from __future__ import annotations
 
@@ -6,23 +6,30 @@
 import secrets
 
 import attrs
-import orjson
 
 from emberring.emulator.connection import ServerConnection
-from emberring.emulator.engine import Engine, EngineSpec, Job, Produced
+from emberring.emulator.engine import Engine, EngineRequest, EngineSpec, EventProduced
+from emberring.emulator.exchange import Exchange
 from emberring.emulator.faults import Faults
+from emberring.emulator.load_report import LoadReportPage
 from emberring.emulator.observations import Observations, Run
 from emberring.emulator.output import FIRST_EVENT_ID, event_bytes, event_text
-from emberring.emulator.wire import LAST_CHUNK, NOT_AN_ANSWER, ServerRequest, chunk, head, whole_answer
+from emberring.emulator.wire import (
+    CORRUPT_RESPONSE,
+    LAST_CHUNK,
+    ServerRequest,
+    chunk,
+    complete_response,
+    head,
+)
 
-NOT_EXECUTED = {"Not-Executed": "1"}
-IMPOSSIBLE = "/impossible/"  # items with this in their path get 422
-REPORT_LAG_S = 0.2
+NOT_EXECUTED = {"Not-Executed": "1"}  # the header that promises that a request did not run
+INVALID_PATH_PART = "/impossible/"  # requests with this in their path get 422
 
 
 @attrs.frozen
 class ServerSpec:
-    """What a server is: `address` is `ip:port`, port 0 for any."""
+    """The properties of a server; `address` is `ip:port`, port 0 for any free one."""
 
     service: str
     address: str = "127.0.0.1:0"
@@ -32,18 +39,6 @@
     engine: EngineSpec = attrs.field(factory=EngineSpec)
 
 
-@attrs.define(eq=False)
-class _Exchange:
-    """A request at work: the job in the engine and the caller's connection."""
-
-    connection: ServerConnection
-    request: ServerRequest
-    job: Job
-    began: bool = False
-    signature: str = ""
-    timer: asyncio.TimerHandle | None = None
-
-
 class ModelServer:
     """One incarnation of a server, with an id of its own. All methods belong to one event loop."""
 
@@ -56,26 +51,26 @@
         self.engine = Engine(spec.engine)
         self._observations = observations
         self._connections: set[ServerConnection] = set()
-        self._exchanges: dict[ServerConnection, _Exchange] = {}
+        self._exchanges: dict[ServerConnection, Exchange] = {}
         self._server: asyncio.Server | None = None
         self._next_step: asyncio.TimerHandle | None = None
         self._step_at = 0.0
-        self._report: tuple[float, bytes] = (-REPORT_LAG_S, b"")
+        self._load_report = LoadReportPage()
 
     @property
     def in_flight(self) -> int:
-        """Requests at work."""
+        """The number of requests in progress."""
         return len(self._exchanges)
 
     async def start(self) -> None:
-        """Listen; the address is known from then on."""
+        """Listen; `address` has the port from then on."""
         host, _, port = self.spec.address.rpartition(":")
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: ServerConnection(self), host, int(port))
         self.address = f"{host}:{self._server.sockets[0].getsockname()[1]}"
 
     def stop(self, *, crash: bool = False) -> None:
-        """End at once: every connection is reset. A crash is noted as such."""
+        """Stop at once: every connection is reset. `crash` records the server as crashed."""
         if crash:
             self._observations.crashed.add(self.id)
         if self._server is not None:
@@ -85,75 +80,83 @@
         for connection in list(self._connections):
             connection.abort()
 
-    def go_dark(self) -> None:
-        """Read nothing and say nothing from now on."""
-        self.faults.dark = True
+    def become_unresponsive(self) -> None:
+        """Read and send nothing from now on."""
+        self.faults.unresponsive = True
         for connection in self._connections:
             connection.pause()
 
-    # What connections say
+    # Requests
 
-    def opened(self, connection: ServerConnection) -> bool:
-        """Take a new connection unless there are too many."""
+    def on_connection_opened(self, connection: ServerConnection) -> bool:
+        """Accept a new connection unless there are too many."""
         if len(self._connections) >= self.spec.max_connections:
             return False
         self._connections.add(connection)
-        if self.faults.dark:
+        if self.faults.unresponsive:
             connection.pause()
         return True
 
-    def left(self, connection: ServerConnection) -> None:
-        """A caller has gone: its request is dropped."""
+    def on_connection_closed(self, connection: ServerConnection) -> None:
+        """A caller has disconnected: its request is dropped."""
         self._connections.discard(connection)
         exchange = self._exchanges.pop(connection, None)
         if exchange is not None:
-            self._forget(exchange)
+            self._drop_from_engine(exchange)
 
-    def take(self, connection: ServerConnection, request: ServerRequest) -> None:
-        """Answer a request, or put it into the engine."""
-        if self.faults.hang or self.faults.dark:
+    def handle_request(self, connection: ServerConnection, request: ServerRequest) -> None:
+        """Respond to a request, or submit it to the engine."""
+        if self.faults.hanging or self.faults.unresponsive:
             return
         if request.method == "GET" and request.path == "/v1/report":
-            self._answer(connection, request, 200, self._report_body(), {"Content-Type": "application/json"})
+            self._respond(
+                connection,
+                request,
+                200,
+                self._load_report.body(self.engine, asyncio.get_running_loop().time()),
+                {"Content-Type": "application/json"},
+            )
         elif request.method == "GET" and request.path == "/healthz":
-            healthy = not (self.draining or self.faults.shed)
-            self._answer(connection, request, 200 if healthy else 503, b"", {"Instance-Id": self.id})
+            healthy = not (self.draining or self.faults.overloaded)
+            self._respond(connection, request, 200 if healthy else 503, b"", {"Instance-Id": self.id})
         else:
-            self._take_generation(connection, request)
+            self._handle_generation(connection, request)
 
-    def _take_generation(self, connection: ServerConnection, request: ServerRequest) -> None:
+    def _handle_generation(self, connection: ServerConnection, request: ServerRequest) -> None:
         expected = request.headers.get("expected-instance", self.id)
         if expected != self.id:
-            self._answer(connection, request, 421, b"", {"Instance-Id": self.id, **NOT_EXECUTED})
+            self._respond(connection, request, 421, b"", {"Instance-Id": self.id, **NOT_EXECUTED})
             return
         try:
-            job = Job(request.id, request.parts, request.output_tokens, _events_had(request))
+            engine_request = EngineRequest(
+                request.id, request.parts, request.output_tokens, _received_events(request)
+            )
         except ValueError:
-            job = None
-        if job is None or not request.id:
-            self._answer(connection, request, 400, b"", NOT_EXECUTED)
-        elif IMPOSSIBLE in request.path:
-            self._note_run(request)
-            self._answer(connection, request, 422, b"", self._sign(request))
-        elif self.faults.shed or not self.engine.submit(job):
-            self._answer(connection, request, 503, b"", NOT_EXECUTED)
+            engine_request = None
+        if engine_request is None or not request.id:
+            self._respond(connection, request, 400, b"", NOT_EXECUTED)
+        elif INVALID_PATH_PART in request.path:
+            self._record_run(request)
+            self._respond(connection, request, 422, b"", self._sign(request))
+        elif self.faults.overloaded or not self.engine.submit(engine_request):
+            self._respond(connection, request, 503, b"", NOT_EXECUTED)
         else:
-            self._begin(_Exchange(connection, request, job))
+            self._start_exchange(Exchange(connection, request, engine_request))
 
-    def _begin(self, exchange: _Exchange) -> None:
+    def _start_exchange(self, exchange: Exchange) -> None:
         self._exchanges[exchange.connection] = exchange
         deadline_s = exchange.request.deadline_s
         loop = asyncio.get_running_loop()
         if deadline_s is not None:
-            exchange.timer = loop.call_later(max(0.0, deadline_s), self._deadline, exchange)
+            exchange.timer = loop.call_later(max(0.0, deadline_s), self._on_deadline, exchange)
         if self._next_step is None:
             self._step_at = loop.time()
-            self._plan_step()
+            self._schedule_step()
 
     # The engine's time
 
-    def _plan_step(self) -> None:
-        self.engine.slow = self.faults.slow
+    def _schedule_step(self) -> None:
+        self.engine.step_factor = self.faults.step_factor
         self._step_at += self.engine.step_seconds()
         self._next_step = asyncio.get_running_loop().call_at(self._step_at, self._step)
 
@@ -161,17 +164,17 @@
         self._next_step = None
         produced = self.engine.step()
         for exchange in list(self._exchanges.values()):
-            if not exchange.began and not self.engine.is_queued(exchange.job):
-                exchange.began = True
-                self._note_run(exchange.request)
-        by_job = {id(exchange.job): exchange for exchange in self._exchanges.values()}
+            if not exchange.started and not self.engine.is_queued(exchange.engine_request):
+                exchange.started = True
+                self._record_run(exchange.request)
+        by_engine_request = {id(exchange.engine_request): exchange for exchange in self._exchanges.values()}
         for item in produced:
-            if id(item.job) in by_job:
-                self._send(by_job[id(item.job)], item)
+            if id(item.request) in by_engine_request:
+                self._send(by_engine_request[id(item.request)], item)
         if not self.engine.idle:
-            self._plan_step()
+            self._schedule_step()
 
-    def _send(self, exchange: _Exchange, item: Produced) -> None:
+    def _send(self, exchange: Exchange, item: EventProduced) -> None:
         if exchange.connection not in self._exchanges:
             return
         if not exchange.signature and not self._send_head(exchange):
@@ -179,82 +182,82 @@
         event_id = FIRST_EVENT_ID + item.index
         request = exchange.request
         data = event_bytes(event_id, event_text(request.path, request.body, event_id))
-        if self.faults.take("cut_answers"):
+        if self.faults.take("truncated_responses"):
             exchange.connection.write(chunk(data[: len(data) // 2]))
-            self._end(exchange, abort=True)
+            self._end_exchange(exchange, abort=True)
             return
         exchange.connection.write(chunk(data))
         if item.last:
-            self._end(exchange)
+            self._end_exchange(exchange)
 
-    def _send_head(self, exchange: _Exchange) -> bool:
-        if self.faults.take("spoilt_answers"):
-            exchange.connection.write(NOT_AN_ANSWER)
-            self._end(exchange, close=True)
+    def _send_head(self, exchange: Exchange) -> bool:
+        if self.faults.take("corrupt_responses"):
+            exchange.connection.write(CORRUPT_RESPONSE)
+            self._end_exchange(exchange, close=True)
             return False
-        if self.faults.take("failed_answers"):
+        if self.faults.take("failed_responses"):
             self._forget_exchange(exchange)
-            self._answer(exchange.connection, exchange.request, 500, b"", self._sign(exchange.request))
+            self._respond(exchange.connection, exchange.request, 500, b"", self._sign(exchange.request))
             return False
         headers = {**self._sign(exchange.request), "Content-Type": "text/event-stream"}
         exchange.signature = headers["Response-Signature"]
         headers["Transfer-Encoding"] = "chunked"
-        exchange.connection.write(head(200, self._common(exchange.request, headers)))
+        exchange.connection.write(head(200, self._common_headers(exchange.request, headers)))
         return True
 
-    def _end(self, exchange: _Exchange, *, abort: bool = False, close: bool = False) -> None:
+    def _end_exchange(self, exchange: Exchange, *, abort: bool = False, close: bool = False) -> None:
         self._forget_exchange(exchange)
         if abort:
             exchange.connection.abort()
             return
         if not close:
             exchange.connection.write(LAST_CHUNK)
-        if self.faults.take("extra_answers"):
+        if self.faults.take("surplus_responses"):
             other = {"Request-Id": secrets.token_hex(8)}
-            exchange.connection.write(whole_answer(200, other, b"surplus"))
+            exchange.connection.write(complete_response(200, other, b"surplus"))
         exchange.connection.finish(close=close or self.draining)
 
-    def _deadline(self, exchange: _Exchange) -> None:
+    def _on_deadline(self, exchange: Exchange) -> None:
         if exchange.connection not in self._exchanges:
             return
         if exchange.signature:
-            self._end(exchange, abort=True)
+            self._end_exchange(exchange, abort=True)
             return
-        began = exchange.began
+        started = exchange.started
         self._forget_exchange(exchange)
-        status, headers = (504, self._sign(exchange.request)) if began else (503, NOT_EXECUTED)
-        self._answer(exchange.connection, exchange.request, status, b"", headers)
+        status, headers = (504, self._sign(exchange.request)) if started else (503, NOT_EXECUTED)
+        self._respond(exchange.connection, exchange.request, status, b"", headers)
 
-    def _forget_exchange(self, exchange: _Exchange) -> None:
+    def _forget_exchange(self, exchange: Exchange) -> None:
         self._exchanges.pop(exchange.connection, None)
-        self._forget(exchange)
+        self._drop_from_engine(exchange)
 
-    def _forget(self, exchange: _Exchange) -> None:
+    def _drop_from_engine(self, exchange: Exchange) -> None:
         if exchange.timer is not None:
             exchange.timer.cancel()
-        self.engine.drop(exchange.job)
+        self.engine.drop(exchange.engine_request)
 
-    # Answers
+    # Responses
 
-    def _note_run(self, request: ServerRequest) -> None:
+    def _record_run(self, request: ServerRequest) -> None:
         at_s = asyncio.get_running_loop().time()
         resumed = request.resume_after
-        self._observations.ran(
+        self._observations.record_run(
             Run(request.id, self.id, self.spec.service, request.path, at_s, resumed, self.draining)
         )
 
     def _sign(self, request: ServerRequest) -> dict[str, str]:
         signature = f"{self.id}.{secrets.token_hex(6)}"
-        self._observations.signed(signature, request.id)
+        self._observations.record_signature(signature, request.id)
         return {"Response-Signature": signature}
 
-    def _common(self, request: ServerRequest, headers: dict[str, str]) -> dict[str, str]:
+    def _common_headers(self, request: ServerRequest, headers: dict[str, str]) -> dict[str, str]:
         common = {"Request-Id": request.id} if request.id else {}
         if self.draining:
             common["Connection"] = "close"
         return {**common, **headers}
 
-    def _answer(
+    def _respond(
         self,
         connection: ServerConnection,
         request: ServerRequest,
@@ -262,29 +265,11 @@
         body: bytes,
         headers: dict[str, str],
     ) -> None:
-        connection.write(whole_answer(status, self._common(request, headers), body))
+        connection.write(complete_response(status, self._common_headers(request, headers), body))
         connection.finish(close=self.draining)
 
-    def _report_body(self) -> bytes:
-        now = asyncio.get_running_loop().time()
-        if now - self._report[0] >= REPORT_LAG_S:
-            figures = self.engine.report()
-            body = {
-                "Phase": "both",
-                "Models": [{"Name": "m", "Version": 1, "LoraAdapters": []}],
-                "Utilization": False,
-                "Sequence": 1,
-                "Queued": figures.queued,
-                "Active": figures.active,
-                "KvUsed": figures.kv_used,
-                "KvCapacity": figures.kv_capacity,
-                "Sessions": 0,
-            }
-            self._report = (now, orjson.dumps(body))
-        return self._report[1]
-
-
-def _events_had(request: ServerRequest) -> int:
-    """How many events the caller has already."""
+
+def _received_events(request: ServerRequest) -> int:
+    """How many events the caller has received already."""
     after = request.resume_after
     return 0 if after is None else max(0, after - FIRST_EVENT_ID + 1)
--- a/emberring/emulator/observations.py
+++ b/emberring/emulator/observations.py
@@ -28,10 +28,10 @@
         self.signatures: dict[str, str] = {}  # signature -> request id
         self.crashed: set[str] = set()  # ids of servers
 
-    def ran(self, run: Run) -> None:
+    def record_run(self, run: Run) -> None:
         """A server began work."""
         self.runs[run.request_id].append(run)
 
-    def signed(self, signature: str, request_id: str) -> None:
+    def record_signature(self, signature: str, request_id: str) -> None:
         """A server put this signature under its answer to this request."""
         self.signatures[signature] = request_id
--- a/emberring/emulator/operator.py
+++ b/emberring/emulator/operator.py
@@ -10,23 +10,23 @@
 import attrs
 import orjson
 
-from emberring.emulator.http_calls import CALL_ERRORS, HttpAnswer, call_once
+from emberring.emulator.http_calls import CALL_ERRORS, HttpResponse, call_once
 
-SILENCE_S = 1.0
+READ_TIMEOUT_S = 1.0
 FIRST_PAUSE_S = 0.05
-MOST_PAUSE_S = 1.0
+MAX_PAUSE_S = 1.0
 REDIRECTS = 2
 FINAL = frozenset({400, 409, 412, 413, 422})
 GO_ON = frozenset({408, 429})
 
 
 @attrs.frozen
-class OrderOutcome:
+class RequestOutcome:
     """How an order ended. `status` is 0 where no answer was clear; `took_s` counts from its first try."""
 
     status: int
     body: bytes
-    tries: int
+    attempts: int
     took_s: float
     node: str = ""
 
@@ -45,67 +45,69 @@
 
     async def put_configuration(
         self, document: Mapping[str, Any], builds_on: int, within_s: float = 10.0
-    ) -> OrderOutcome:
+    ) -> RequestOutcome:
         """Bring a whole configuration; `builds_on` is 0 for the first one."""
         return await self._configure("PUT", document, builds_on, within_s)
 
     async def patch_configuration(
         self, document: Mapping[str, Any], builds_on: int, within_s: float = 10.0
-    ) -> OrderOutcome:
+    ) -> RequestOutcome:
         """Change named items."""
         return await self._configure("PATCH", document, builds_on, within_s)
 
     async def _configure(
         self, method: str, document: Mapping[str, Any], builds_on: int, within_s: float
-    ) -> OrderOutcome:
+    ) -> RequestOutcome:
         headers = {"If-Match": str(builds_on)}
-        return await self.order(method, "/v1/config", orjson.dumps(document), headers, within_s)
+        return await self.send_request(method, "/v1/config", orjson.dumps(document), headers, within_s)
 
     async def read_configuration(self, within_s: float = 5.0) -> dict[str, Any] | None:
         """The newest configuration, or None where nobody told it in time."""
-        outcome = await self.order("GET", "/v1/config", b"", {}, within_s)
+        outcome = await self.send_request("GET", "/v1/config", b"", {}, within_s)
         if not outcome.acknowledged:
             return None
         found = orjson.loads(outcome.body)
         return found if isinstance(found, dict) else None
 
-    async def retire(self, node: str, duration_s: float, within_s: float = 4.0) -> OrderOutcome:
+    async def retire(self, node: str, duration_s: float, within_s: float = 4.0) -> RequestOutcome:
         """Ask that a store machine be emptied."""
         body = orjson.dumps({"DurationS": duration_s})
-        return await self.order("POST", f"/v1/retire/{node}", body, {}, within_s)
+        return await self.send_request("POST", f"/v1/retire/{node}", body, {}, within_s)
 
-    async def retire_state(self, node: str, within_s: float = 4.0) -> OrderOutcome:
+    async def retire_state(self, node: str, within_s: float = 4.0) -> RequestOutcome:
         """How far the emptying of a store machine is."""
-        return await self.order("GET", f"/v1/retire/{node}", b"", {}, within_s)
+        return await self.send_request("GET", f"/v1/retire/{node}", b"", {}, within_s)
 
-    async def order(
+    async def send_request(
         self, method: str, path: str, content: bytes, headers: Mapping[str, str], within_s: float
-    ) -> OrderOutcome:
+    ) -> RequestOutcome:
         """Send an order until a clear answer or the end of its time."""
         loop = asyncio.get_running_loop()
         began = loop.time()
-        pause_s, tries, other_refusals = FIRST_PAUSE_S, 0, 0
-        last = HttpAnswer(0, {}, b"")
+        pause_s, attempts, other_refusals = FIRST_PAUSE_S, 0, 0
+        last = HttpResponse(0, {}, b"")
         while loop.time() - began < within_s:
             node = self._controls[next(self._turn) % len(self._controls)]
-            tries += 1
+            attempts += 1
             answer = await self._try(method, node, path, content, headers)
             if answer is not None:
                 last = answer
                 other_refusals += _is_other_refusal(answer.status)
                 if _is_clear(answer.status) or other_refusals >= 3:
-                    return OrderOutcome(answer.status, answer.body, tries, loop.time() - began, node)
+                    return RequestOutcome(answer.status, answer.body, attempts, loop.time() - began, node)
             await asyncio.sleep(min(pause_s, max(0.0, began + within_s - loop.time())))
-            pause_s = min(MOST_PAUSE_S, 2 * pause_s)
-        return OrderOutcome(0, last.body, tries, loop.time() - began)
+            pause_s = min(MAX_PAUSE_S, 2 * pause_s)
+        return RequestOutcome(0, last.body, attempts, loop.time() - began)
 
     async def _try(
         self, method: str, node: str, path: str, content: bytes, headers: Mapping[str, str]
-    ) -> HttpAnswer | None:
+    ) -> HttpResponse | None:
         url = f"http://{node}{path}"
         try:
             for _ in range(REDIRECTS + 1):
-                answer = await call_once(method, url, headers=headers, content=content, timeout_s=SILENCE_S)
+                answer = await call_once(
+                    method, url, headers=headers, content=content, timeout_s=READ_TIMEOUT_S
+                )
                 if answer.status != 307 or "location" not in answer.headers:
                     return answer
                 url = answer.headers["location"]
--- a/emberring/emulator/output.py
+++ b/emberring/emulator/output.py
@@ -21,7 +21,7 @@
     return f"{event_id}:{digest.hexdigest()}"
 
 
-def whole_output(path: str, body: bytes, events: int) -> tuple[str, ...]:
+def complete_output(path: str, body: bytes, events: int) -> tuple[str, ...]:
     """The data of all events of an answer, in order."""
     return tuple(event_text(path, body, FIRST_EVENT_ID + at) for at in range(events))
 
--- a/emberring/emulator/server_fleet.py
+++ b/emberring/emulator/server_fleet.py
@@ -11,7 +11,9 @@
 from emberring.emulator.observations import Observations
 from emberring.emulator.waiting import wait_until
 
-SERVE_ON_S = 2.5  # after a drain was acknowledged; longer than gateways may take to hear of it
+SERVE_AFTER_DRAIN_S = (
+    2.5  # after the acknowledgement of a drain; longer than gateways may take to learn of it
+)
 
 
 class ServerFleet:
@@ -37,30 +39,30 @@
         spec = ServerSpec(self._service, zone=f"zone-{'abc'[len(self.servers) % 3]}", engine=self._engine)
         server = ModelServer(spec, self._seen)
         await server.start()
-        beats = Heartbeats(server, self._controls, self._heartbeat_s)
-        beats.start()
-        self.servers[server.id] = (server, beats)
+        heartbeats = Heartbeats(server, self._controls, self._heartbeat_s)
+        heartbeats.start()
+        self.servers[server.id] = (server, heartbeats)
         return server
 
     async def crash(self, server_id: str) -> None:
-        """A server ends without a word."""
-        server, beats = self.servers.pop(server_id)
+        """A server ends without a notification."""
+        server, heartbeats = self.servers.pop(server_id)
         server.stop(crash=True)
-        await beats.stop()
+        await heartbeats.stop()
 
     async def release(self, server_id: str) -> bool:
-        """A server drains, says goodbye and ends; whether both were acknowledged."""
-        server, beats = self.servers.pop(server_id)
-        drained = await beats.drain()
-        await asyncio.sleep(SERVE_ON_S)
-        await wait_until(lambda: server.in_flight == 0, SERVE_ON_S)
-        left = await beats.leave()
+        """A server drains, deregisters and ends; whether both were acknowledged."""
+        server, heartbeats = self.servers.pop(server_id)
+        drained = await heartbeats.drain()
+        await asyncio.sleep(SERVE_AFTER_DRAIN_S)
+        await wait_until(lambda: server.in_flight == 0, SERVE_AFTER_DRAIN_S)
+        left = await heartbeats.deregister()
         server.stop()
         return drained and left
 
     async def stop(self) -> None:
         """End all servers."""
-        for server, beats in self.servers.values():
+        for server, heartbeats in self.servers.values():
             server.stop()
-            await beats.stop()
+            await heartbeats.stop()
         self.servers.clear()
--- a/emberring/emulator/store_scan.py
+++ b/emberring/emulator/store_scan.py
@@ -12,7 +12,7 @@
 ANSWER_S = 1.0
 
 
-async def survey_stores(tier: LocalTier) -> dict[str, StoreStatus]:
+async def scan_stores(tier: LocalTier) -> dict[str, StoreStatus]:
     """The status of each store that answers, by name."""
     network = Network()
 
@@ -33,7 +33,7 @@
     """The store that owns the most lots; None where no store owns any."""
     jobs = {
         name: sum(shard.jobs for shard in status.shards if shard.owner)
-        for name, status in (await survey_stores(tier)).items()
+        for name, status in (await scan_stores(tier)).items()
     }
     best = max(jobs, key=lambda name: jobs[name], default=None)
     return best if best is not None and jobs[best] else None
--- a/emberring/emulator/traffic.py
+++ b/emberring/emulator/traffic.py
@@ -11,7 +11,7 @@
 import attrs
 
 from emberring.emulator.configurations import ADDED_PREFIX, EXPLAIN_PREFIX, REVIEW_PREFIX
-from emberring.emulator.invariant_checker import Breach, judge_job, judge_stream, judge_unasked
+from emberring.emulator.invariant_checker import Violation, check_job, check_stream, check_unsent
 from emberring.emulator.job_client import JobClient, JobHistory, make_job
 from emberring.emulator.live_client import LiveClient, StreamCall, StreamEnd
 from emberring.emulator.observations import Observations
@@ -28,7 +28,7 @@
 
     streams_per_s: float = 20.0
     job_every_s: float = 3.0
-    job_patience_s: float = 30.0
+    job_timeout_s: float = 30.0
     stride: int = 8
 
 
@@ -36,29 +36,29 @@
 class Tally:
     """What came of the calls of one route. Waits are seconds to the first event, from the first try."""
 
-    asked: int = 0
+    sent: int = 0
     served: int = 0
-    tries: int = 0
-    ends: Counter[str] = attrs.field(factory=Counter)  # of calls that were not served
-    waits_s: list[float] = attrs.field(factory=list)
+    attempts: int = 0
+    failures: Counter[str] = attrs.field(factory=Counter)  # of calls that were not served
+    first_event_delays_s: list[float] = attrs.field(factory=list)
 
-    def wait_s(self, share: float) -> float:
+    def delay_s(self, share: float) -> float:
         """The wait that this share of the served calls did not exceed."""
-        if not self.waits_s:
+        if not self.first_event_delays_s:
             return 0.0
-        ordered = sorted(self.waits_s)
+        ordered = sorted(self.first_event_delays_s)
         return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
 class Traffic:
-    """Asks until it is stopped; then `breaches` has all broken rules that it can see."""
+    """Asks until it is stopped; then `violations` has all broken rules that it can see."""
 
     def __init__(
         self, frontends: Callable[[], list[str]], seen: Observations, plan: TrafficPlan, seed: int = 1
     ) -> None:
         self.tallies: dict[str, Tally] = {"explain": Tally(), "review": Tally()}
         self.jobs: list[JobHistory] = []
-        self.breaches: list[Breach] = []
+        self.violations: list[Violation] = []
         self.added_route = False
         self._seen = seen
         self._plan = plan
@@ -85,8 +85,8 @@
         for call in self._calls:
             call.cancel()
         for history in self.jobs:
-            self.breaches += judge_job(history, self._seen, self._plan.stride)
-        self.breaches += judge_unasked(self._asked_ids, self._seen)
+            self.violations += check_job(history, self._seen, self._plan.stride)
+        self.violations += check_unsent(self._asked_ids, self._seen)
 
     def _spawn(self, task: asyncio.Task[None]) -> None:
         self._calls.add(task)
@@ -118,19 +118,19 @@
     async def _one_stream(self) -> None:
         name, call = self._make_call()
         tally = self.tallies.setdefault(name, Tally())
-        tally.asked += 1
+        tally.sent += 1
         results = await self._client.ask(call)
-        tally.tries += len(results)
+        tally.attempts += len(results)
         for result in results:
             self._asked_ids.add(result.request_id)
-            self.breaches += judge_stream(
+            self.violations += check_stream(
                 call, result, self._seen, self._plan.stride, may_repeat=name == "review"
             )
         if results and results[-1].end is StreamEnd.SERVED:
             tally.served += 1
-            tally.waits_s.append(results[-1].began_s - results[0].began_s + results[-1].first_s)
+            tally.first_event_delays_s.append(results[-1].began_s - results[0].began_s + results[-1].first_s)
         else:
-            tally.ends[results[-1].end.value if results else "no gateway"] += 1
+            tally.failures[results[-1].end.value if results else "no gateway"] += 1
 
     async def _one_job(self) -> None:
         job = make_job(JOB_ITEMS, self._random.getrandbits(32), OUTPUT_TOKENS)
@@ -138,4 +138,4 @@
         history = await self._job_client.submit(job)
         self.jobs.append(history)
         if history.accepted:
-            await self._job_client.follow(history, self._plan.job_patience_s)
+            await self._job_client.follow(history, self._plan.job_timeout_s)
--- a/emberring/emulator/trial.py
+++ b/emberring/emulator/trial.py
@@ -8,9 +8,9 @@
 
 import attrs
 
-from emberring.emulator.configurations import SERVICE, TrialTerms, added_route, trial_configuration
+from emberring.emulator.configurations import SERVICE, TrialLimits, added_route, trial_configuration
 from emberring.emulator.engine import EngineSpec
-from emberring.emulator.invariant_checker import Breach
+from emberring.emulator.invariant_checker import Violation
 from emberring.emulator.job_client import JobHistory
 from emberring.emulator.local_tier import LocalTier, TierSize
 from emberring.emulator.observations import Observations
@@ -20,24 +20,26 @@
 from emberring.emulator.traffic import Tally, Traffic, TrafficPlan
 from emberring.errors import NotReadyError
 
-START_S = 15.0
-BACK_S = 15.0
+START_TIMEOUT_S = 15.0
+RECOVERY_TIMEOUT_S = 15.0
 
 
 @attrs.frozen
 class TrialPlan:
-    """What happens and when; times in seconds. `apart_s` is the calm between two troubles of machines that count
-    for a quorum."""
+    """What happens and when; times in seconds.
+
+    `pause_between_faults_s` lies between two faults of machines that count for a quorum.
+    """
 
     size: TierSize = attrs.field(factory=TierSize)
     traffic: TrafficPlan = attrs.field(factory=TrafficPlan)
     servers: int = 3
     calm_s: float = 2.0
-    down_s: float = 1.0
-    apart_s: float = 4.0
+    downtime_s: float = 1.0
+    pause_between_faults_s: float = 4.0
     finish_s: float = 10.0
     kill_roles: tuple[str, ...] = ("gateway", "store", "control")
-    server_troubles: bool = True
+    server_faults: bool = True
 
 
 @attrs.frozen
@@ -45,8 +47,8 @@
     """A trouble and how long the way back took from the restart (seconds); None where there was none."""
 
     what: str
-    who: str
-    back_s: float | None
+    node: str
+    recovery_s: float | None
 
 
 @attrs.frozen
@@ -54,23 +56,23 @@
     """What came of a trial."""
 
     started_s: float
-    troubles: tuple[Fault, ...]
+    faults: tuple[Fault, ...]
     tallies: dict[str, Tally]
     jobs: tuple[JobHistory, ...]
-    breaches: tuple[Breach, ...]
+    violations: tuple[Violation, ...]
     exit_codes: dict[str, int | None]
     logs: dict[str, tuple[str, ...]]  # the last lines of nodes that did not end in order
 
     @property
     def clean(self) -> bool:
         """Whether no rule was broken, every lot that was taken is whole and every node came back and ended."""
-        back = all(trouble.back_s is not None for trouble in self.troubles)
+        back = all(trouble.recovery_s is not None for trouble in self.faults)
         taken = [history for history in self.jobs if history.accepted]
         jobs = bool(taken) and all(history.complete for history in taken)
         ended = all(code == 0 for code in self.exit_codes.values())
-        asked = sum(tally.asked for tally in self.tallies.values())
+        sent = sum(tally.sent for tally in self.tallies.values())
         served = sum(tally.served for tally in self.tallies.values())
-        return not self.breaches and back and jobs and ended and served * 2 > asked
+        return not self.violations and back and jobs and ended and served * 2 > sent
 
 
 class Trial:
@@ -85,7 +87,7 @@
         engine = EngineSpec(stride=plan.traffic.stride)
         self._fleet = ServerFleet(SERVICE, engine, self._tier.controls, self._seen)
         self._traffic = Traffic(self._tier.frontends, self._seen, plan.traffic, seed)
-        self._troubles: list[Fault] = []
+        self._faults: list[Fault] = []
 
     async def play(self) -> TrialReport:
         """The whole trial; `NotReadyError` where the tier does not come up."""
@@ -93,7 +95,7 @@
             started_s = await self._start()
             self._traffic.start()
             await asyncio.sleep(self._plan.calm_s)
-            await self._make_trouble()
+            await self._inject_faults()
             self._say("traffic ends; waiting for open streams and lots")
             await self._traffic.stop(self._plan.finish_s)
             self._say("asking every node to end")
@@ -111,27 +113,27 @@
         self._tier.start()
         for _ in range(self._plan.servers):
             await self._fleet.add()
-        outcome = await self._operator.put_configuration(self._configuration(), 0, START_S)
+        outcome = await self._operator.put_configuration(self._configuration(), 0, START_TIMEOUT_S)
         if not outcome.acknowledged:
             raise NotReadyError(f"no control node took the first configuration ({self._first_log()})")
         self._say(f"version 1 taken after {loop.time() - began:.1f} s")
-        if await self._tier.wait_up(self._tier.nodes, START_S) is None:
+        if await self._tier.wait_up(self._tier.nodes, START_TIMEOUT_S) is None:
             raise NotReadyError(f"not every node came up ({self._first_log()})")
-        await self._tier.wait_frontends(size.gateways, START_S)
+        await self._tier.wait_frontends(size.gateways, START_TIMEOUT_S)
         self._say(f"EMBERRING_CONTROL={','.join(self._tier.controls())}")
         self._say(f"all nodes up after {loop.time() - began:.1f} s")
         return loop.time() - began
 
     def _configuration(self) -> dict[str, object]:
-        return trial_configuration(1, TrialTerms(stride=self._plan.traffic.stride))
+        return trial_configuration(1, TrialLimits(stride=self._plan.traffic.stride))
 
-    async def _make_trouble(self) -> None:
+    async def _inject_faults(self) -> None:
         for role in self._plan.kill_roles:
             await self._kill_one(role)
-            if role == "gateway" and self._plan.server_troubles:
-                await self._trouble_servers()
+            if role == "gateway" and self._plan.server_faults:
+                await self._replace_servers()
             elif role != "gateway":
-                await asyncio.sleep(self._plan.apart_s)
+                await asyncio.sleep(self._plan.pause_between_faults_s)
 
     async def _kill_one(self, role: str) -> None:
         node = self._tier.of_role(role)[0]
@@ -139,14 +141,14 @@
             node = self._tier.nodes[await busiest_store(self._tier) or node.place.name]
         self._say(f"kill -9 {node.pid} ({node.place.name})")
         node.kill()
-        await asyncio.sleep(self._plan.down_s)
+        await asyncio.sleep(self._plan.downtime_s)
         node.start(bootstrap=False)
-        back_s = await self._tier.wait_up([node.place.name], BACK_S)
-        told = "did not come back" if back_s is None else f"back {back_s:.1f} s after its restart"
+        recovery_s = await self._tier.wait_up([node.place.name], RECOVERY_TIMEOUT_S)
+        told = "did not come back" if recovery_s is None else f"back {recovery_s:.1f} s after its restart"
         self._say(f"{node.place.name} {told}")
-        self._troubles.append(Fault(f"{role} killed", node.place.name, back_s))
+        self._faults.append(Fault(f"{role} killed", node.place.name, recovery_s))
 
-    async def _trouble_servers(self) -> None:
+    async def _replace_servers(self) -> None:
         first, second, *_ = self._fleet.servers
         self._say(f"model server {first} crashes, {second} drains, two new ones come")
         loop = asyncio.get_running_loop()
@@ -155,14 +157,14 @@
         await self._fleet.add()
         await self._fleet.add()
         released = await self._fleet.release(second)
-        self._troubles.append(Fault("server released", second, loop.time() - began if released else None))
+        self._faults.append(Fault("server released", second, loop.time() - began if released else None))
         await self._change_configuration()
 
     async def _change_configuration(self) -> None:
         outcome = await self._operator.patch_configuration(added_route(2), 1)
         took_s = outcome.took_s if outcome.acknowledged else None
         self._say(f"version 2 adds a route: status {outcome.status}")
-        self._troubles.append(Fault("route added", "version 2", took_s))
+        self._faults.append(Fault("route added", "version 2", took_s))
         self._traffic.added_route = outcome.acknowledged
 
     def _first_log(self) -> str:
@@ -175,10 +177,10 @@
         bad = [name for name, code in codes.items() if code != 0]
         return TrialReport(
             started_s=started_s,
-            troubles=tuple(self._troubles),
+            faults=tuple(self._faults),
             tallies=self._traffic.tallies,
             jobs=tuple(self._traffic.jobs),
-            breaches=tuple(self._traffic.breaches),
+            violations=tuple(self._traffic.violations),
             exit_codes=codes,
             logs={name: tuple(self._tier.nodes[name].log_tail(8)) for name in bad},
         )
--- a/emberring/emulator/waiting.py
+++ b/emberring/emulator/waiting.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-LOOK_EVERY_S = 0.01
+POLL_INTERVAL_S = 0.01
 
 
 async def wait_until(condition: Callable[[], bool], within_s: float) -> bool:
@@ -15,5 +15,5 @@
     while not condition():
         if loop.time() >= give_up_at:
             return False
-        await asyncio.sleep(LOOK_EVERY_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     return True
--- a/emberring/emulator/wire.py
+++ b/emberring/emulator/wire.py
@@ -10,7 +10,7 @@
 from emberring.emulator.kv_cache import PromptPart
 
 LAST_CHUNK = b"0\r\n\r\n"
-NOT_AN_ANSWER = b"\x00\x01 these bytes are no answer\r\n\r\n"
+CORRUPT_RESPONSE = b"\x00\x01 these bytes are no answer\r\n\r\n"
 
 
 @attrs.frozen
@@ -60,7 +60,7 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
 
-def whole_answer(status: int, headers: Mapping[str, str], body: bytes = b"") -> bytes:
+def complete_response(status: int, headers: Mapping[str, str], body: bytes = b"") -> bytes:
     """An answer with a length."""
     return head(status, {**headers, "Content-Length": str(len(body))}) + body
 
--- a/tests/emberring/emulator/test_tier_local_tier.py
+++ b/tests/emberring/emulator/test_tier_local_tier.py
@@ -32,5 +32,5 @@
     monkeypatch.setattr(type(gateways[0]), "running", property(lambda node: True))
     for look in looks:
         for node, up in zip(gateways, look, strict=True):
-            tier._note_look(node, up)
+            tier._record_probe(node, up)
     assert tier.frontends() == sorted(gateways[at].place.address(FRONTEND) for at in reached)
--- a/tests/emberring/emulator/test_tier_standin_clients.py
+++ b/tests/emberring/emulator/test_tier_standin_clients.py
@@ -15,7 +15,7 @@
 from emberring.emulator.observations import Observations
 from emberring.emulator.operator import Operator
 from emberring.emulator.waiting import wait_until
-from emberring.emulator.wire import ServerRequest, whole_answer
+from emberring.emulator.wire import ServerRequest, complete_response
 
 
 class ScriptedControl:
@@ -32,13 +32,13 @@
         self.server = await loop.create_server(lambda: ServerConnection(self), "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
-    def opened(self, connection: ServerConnection) -> bool:
+    def on_connection_opened(self, connection: ServerConnection) -> bool:
         return True
 
-    def left(self, connection: ServerConnection) -> None:
+    def on_connection_closed(self, connection: ServerConnection) -> None:
         pass
 
-    def take(self, connection: ServerConnection, request: ServerRequest) -> None:
+    def handle_request(self, connection: ServerConnection, request: ServerRequest) -> None:
         self.seen.append(request)
         self.asked.set()
         answer = self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
@@ -46,7 +46,7 @@
             connection.abort()
         else:
             status, headers, body = answer
-            connection.write(whole_answer(status, headers, body))
+            connection.write(complete_response(status, headers, body))
             connection.finish()
 
 
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answers", "status", "tries"),
+    ("answers", "status", "attempts"),
     [
         ([plain(200)], 200, 1),
         ([plain(503), plain(200)], 200, 2),
@@ -79,12 +79,12 @@
         ([plain(404)], 404, 3),
     ],
 )
-def test_an_order_goes_again_until_its_answer_is_clear(answers, status, tries):
+def test_a_request_is_retried_until_its_outcome_is_known(answers, status, attempts):
     async def run() -> None:
         control = ScriptedControl(*answers)
         await control.start()
         outcome = await Operator([control.address]).put_configuration({"Version": 3}, 2, within_s=5.0)
-        assert (outcome.status, outcome.tries) == (status, tries)
+        assert (outcome.status, outcome.attempts) == (status, attempts)
         assert {request.headers["if-match"] for request in control.seen} == {"2"}
         assert {request.body for request in control.seen} == {b'{"Version":3}'}
         control.server.close()
@@ -92,7 +92,7 @@
     asyncio.run(run())
 
 
-def test_an_order_without_a_clear_answer_ends_with_its_time():
+def test_a_request_without_a_known_outcome_ends_at_its_time_limit():
     async def run() -> None:
         control = ScriptedControl(plain(503))
         await control.start()
@@ -104,7 +104,7 @@
     asyncio.run(run())
 
 
-def test_an_order_follows_redirects_to_another_node():
+def test_a_request_follows_redirects_to_another_node():
     async def run() -> None:
         there = ScriptedControl(plain(200))
         await there.start()
@@ -124,13 +124,13 @@
     return server, Heartbeats(server, lambda: [control.address], every_s=30.0)
 
 
-def test_a_drain_and_a_goodbye_are_told_until_they_are_acknowledged():
+def test_a_drain_and_a_deregistration_are_sent_until_they_are_acknowledged():
     async def run() -> None:
         control = ScriptedControl(plain(503), plain(200))
         await control.start()
         server, beats = heartbeats_of(control)
         assert await beats.drain()
-        assert await beats.leave()
+        assert await beats.deregister()
         said = [(request.method, request.path) for request in control.seen]
         path = f"/v1/instances/{server.id}"
         assert said == [("PUT", path), ("PUT", path), ("DELETE", path)]
--- a/tests/emberring/emulator/test_tier_standin_engine.py
+++ b/tests/emberring/emulator/test_tier_standin_engine.py
@@ -6,18 +6,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from emberring.emulator.engine import Engine, EngineSpec, Job, Produced
+from emberring.emulator.engine import Engine, EngineRequest, EngineSpec, EventProduced
 from emberring.emulator.kv_cache import KvCache, PromptPart
 
 SPEC = EngineSpec(capacity=2, queue_limit=1, kv_tokens=1000, stride=4, prefill_chunk=100)
 
 
-def job(name: str, tokens: int = 100, output: int = 10, shared: str = "", skip: int = 0) -> Job:
-    return Job(name, (PromptPart(shared or name, tokens),), output, skip_events=skip)
+def job(name: str, tokens: int = 100, output: int = 10, shared: str = "", skip: int = 0) -> EngineRequest:
+    return EngineRequest(name, (PromptPart(shared or name, tokens),), output, skip_events=skip)
 
 
-def run_until_idle(engine: Engine, most: int = 10_000) -> list[Produced]:
-    produced: list[Produced] = []
+def run_until_idle(engine: Engine, most: int = 10_000) -> list[EventProduced]:
+    produced: list[EventProduced] = []
     for _ in range(most):
         if engine.idle:
             return produced
@@ -82,10 +82,10 @@
     engine.submit(job("old", tokens=100, output=40))
     engine.submit(job("new", tokens=100, output=40))
     produced = run_until_idle(engine)
-    ends = [item.job.id for item in produced if item.last]
+    ends = [item.request.id for item in produced if item.last]
     assert ends == ["old", "new"]
     for name in ends:
-        assert [item.index for item in produced if item.job.id == name] == list(range(10))
+        assert [item.index for item in produced if item.request.id == name] == list(range(10))
 
 
 PARTS = st.lists(st.tuples(st.sampled_from("abcdef"), st.integers(1, 40)), min_size=1, max_size=4)
@@ -98,7 +98,7 @@
     taken = []
     for number, (parts, output) in enumerate(jobs):
         unique = {name: sizes.setdefault(name, tokens) for name, tokens in parts}
-        made = Job(str(number), tuple(PromptPart(*pair) for pair in unique.items()), output)
+        made = EngineRequest(str(number), tuple(PromptPart(*pair) for pair in unique.items()), output)
         if engine.submit(made):
             taken.append(made.id)
     ended = []
@@ -107,7 +107,7 @@
             break
         for item in engine.step():
             if item.last:
-                ended.append(item.job.id)
+                ended.append(item.request.id)
         assert engine.cache.used <= engine.cache.capacity
     assert sorted(ended) == sorted(taken)
     assert engine.cache.used == 0
--- a/tests/emberring/emulator/test_tier_standin_server.py
+++ b/tests/emberring/emulator/test_tier_standin_server.py
@@ -1,4 +1,4 @@
-"""The stand-in model server as its callers see it, and what the judge makes of it."""
+"""The emulated model server as its callers see it, and the invariant checker on its streams."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from emberring.emulator.engine import EngineSpec
 from emberring.emulator.http_calls import CALL_ERRORS, call_once
-from emberring.emulator.invariant_checker import judge_stream
-from emberring.emulator.live_client import StreamCall, StreamEnd, try_once
+from emberring.emulator.invariant_checker import check_stream
+from emberring.emulator.live_client import StreamCall, StreamEnd, attempt_stream
 from emberring.emulator.model_server import ModelServer, ServerSpec
 from emberring.emulator.observations import Observations
-from emberring.emulator.output import event_bytes, event_text, whole_output
+from emberring.emulator.output import complete_output, event_bytes, event_text
 from emberring.emulator.waiting import wait_until
 
 STRIDE = 4
@@ -36,13 +36,13 @@
     asyncio.run(run())
 
 
-def test_a_stream_is_whole_signed_and_judged_clean():
+def test_a_stream_is_complete_signed_and_without_violations():
     async def play(server: ModelServer, seen: Observations) -> None:
-        result = await try_once(server.address, CALL, 5.0)
+        result = await attempt_stream(server.address, CALL, 5.0)
         assert result.end is StreamEnd.SERVED
         assert [event.id for event in result.events] == [1, 2, 3]
         assert seen.signatures[result.signature] == result.request_id
-        assert judge_stream(CALL, result, seen, STRIDE, may_repeat=False) == []
+        assert check_stream(CALL, result, seen, STRIDE, may_repeat=False) == []
 
     with_server(play)
 
@@ -63,13 +63,13 @@
         ({}, "/p", None, 400, True),
         ({"Request-Id": "r", "Prefix-Hash": "ab"}, "/p", None, 400, True),
         ({"Request-Id": "r", "Expected-Instance": "i-other"}, "/p", None, 421, True),
-        (GENERATION, "/p", "shed", 503, True),
+        (GENERATION, "/p", "overloaded", 503, True),
         ({"Request-Id": "r", "Token-Count": "9000,1", "Prefix-Hash": "ab:9000"}, "/p", None, 503, True),
         (GENERATION, "/impossible/1", None, 422, False),
-        (GENERATION, "/p", "failed_answers", 500, False),
+        (GENERATION, "/p", "failed_responses", 500, False),
     ],
 )
-def test_refusals_say_whether_the_request_ran(headers, path, fault, status, not_run):
+def test_rejections_say_whether_the_request_was_executed(headers, path, fault, status, not_run):
     async def play(server: ModelServer, seen: Observations) -> None:
         if fault is not None:
             setattr(server.faults, fault, 1)
@@ -86,30 +86,30 @@
 @pytest.mark.parametrize(
     ("fault", "end"),
     [
-        ("spoilt_answers", StreamEnd.BROKEN),
-        ("cut_answers", StreamEnd.BROKEN),
-        ("failed_answers", StreamEnd.FAILED),
-        ("extra_answers", StreamEnd.SERVED),
+        ("corrupt_responses", StreamEnd.BROKEN),
+        ("truncated_responses", StreamEnd.BROKEN),
+        ("failed_responses", StreamEnd.FAILED),
+        ("surplus_responses", StreamEnd.SERVED),
     ],
 )
-def test_a_fault_spoils_one_answer(fault, end):
+def test_a_fault_affects_one_response(fault, end):
     async def play(server: ModelServer, seen: Observations) -> None:
         setattr(server.faults, fault, 1)
-        assert (await try_once(server.address, CALL, 5.0)).end is end
-        assert (await try_once(server.address, CALL, 5.0)).end is StreamEnd.SERVED
+        assert (await attempt_stream(server.address, CALL, 5.0)).end is end
+        assert (await attempt_stream(server.address, CALL, 5.0)).end is StreamEnd.SERVED
 
     with_server(play)
 
 
-@pytest.mark.parametrize("how", ["hang", "dark"])
+@pytest.mark.parametrize("how", ["hanging", "unresponsive"])
 def test_a_server_that_hangs_says_nothing(how):
     async def play(server: ModelServer, seen: Observations) -> None:
-        if how == "dark":
-            server.go_dark()
+        if how == "unresponsive":
+            server.become_unresponsive()
         else:
-            server.faults.hang = True
-        result = await try_once(server.address, CALL, 0.1)
-        assert result.end is StreamEnd.SILENT
+            server.faults.hanging = True
+        result = await attempt_stream(server.address, CALL, 0.1)
+        assert result.end is StreamEnd.TIMED_OUT
         assert seen.runs == {}
 
     with_server(play)
@@ -117,7 +117,7 @@
 
 def test_work_stops_at_the_deadline_that_is_handed_over():
     async def play(server: ModelServer, seen: Observations) -> None:
-        server.faults.slow = 10_000.0
+        server.faults.step_factor = 10_000.0
         headers = {**GENERATION, "Deadline-Ms": "50"}
         answer = await call_once("POST", f"http://{server.address}/p", headers=headers, content=b"x")
         assert answer.status == 503
@@ -129,7 +129,7 @@
 
 def test_a_request_is_dropped_once_its_connection_closes():
     async def play(server: ModelServer, seen: Observations) -> None:
-        server.faults.slow = 10_000.0
+        server.faults.step_factor = 10_000.0
         with pytest.raises(CALL_ERRORS):
             await call_once(
                 "POST", f"http://{server.address}/p", headers=GENERATION, content=b"x", timeout_s=0.1
@@ -167,6 +167,10 @@
 
 
 def test_the_output_depends_on_path_and_body_alone():
-    assert whole_output("/a", b"x", 3) == whole_output("/a", b"x", 3)
-    different = {whole_output("/a", b"x", 3), whole_output("/b", b"x", 3), whole_output("/a", b"y", 3)}
+    assert complete_output("/a", b"x", 3) == complete_output("/a", b"x", 3)
+    different = {
+        complete_output("/a", b"x", 3),
+        complete_output("/b", b"x", 3),
+        complete_output("/a", b"y", 3),
+    }
     assert len(different) == 3
--- a/tests/emberring/test_tier_whole.py
+++ b/tests/emberring/test_tier_whole.py
@@ -7,7 +7,7 @@
 
 from emberring.emulator.configurations import EXPLAIN_PREFIX, SERVICE, added_route, trial_configuration
 from emberring.emulator.engine import EngineSpec
-from emberring.emulator.invariant_checker import judge_job, judge_stream
+from emberring.emulator.invariant_checker import check_job, check_stream
 from emberring.emulator.job_client import JobClient, make_job
 from emberring.emulator.live_client import LiveClient, StreamCall, StreamEnd
 from emberring.emulator.local_tier import LocalTier
@@ -55,7 +55,7 @@
             call = StreamCall(f"{EXPLAIN_PREFIX}{self.asked}", b"question", parts, 40)
             results = await self.live.ask(call)
             for result in results:
-                assert judge_stream(call, result, self.seen, STRIDE, may_repeat=False) == []
+                assert check_stream(call, result, self.seen, STRIDE, may_repeat=False) == []
             ends.append(results[-1].end)
         return ends
 
@@ -75,7 +75,7 @@
     world.tier.nodes[owner].kill()
     await world.jobs.follow(job, JOB_S)
     assert job.complete, (len(job.results), world.logs())
-    assert judge_job(job, world.seen, STRIDE) == []
+    assert check_job(job, world.seen, STRIDE) == []
     assert {result.state for result in job.results} == {"completed"}
     await world.restart(owner)
     # A gateway is killed: the other one serves.
--- a/tests/golden/test_golden_commands.py
+++ b/tests/golden/test_golden_commands.py
@@ -25,7 +25,7 @@
 from emberring.cli.trial_command import document as trial_document
 from emberring.configuration.state import ControlState
 from emberring.distribution.records import NodeRole
-from emberring.emulator.invariant_checker import Breach
+from emberring.emulator.invariant_checker import Violation
 from emberring.emulator.traffic import Tally
 from emberring.emulator.trial import Fault, TrialReport
 from emberring.journal.folder import DiskFile
@@ -372,12 +372,18 @@
 def test_the_report_of_a_trial_has_the_recorded_form() -> None:
     trial = TrialReport(
         started_s=1.234,
-        troubles=(Fault("killed", "core-1", 2.5), Fault("killed", "store-1", None)),
+        faults=(Fault("killed", "core-1", 2.5), Fault("killed", "store-1", None)),
         tallies={
-            "explain": Tally(asked=3, served=2, tries=4, ends=Counter({"refused": 1}), waits_s=[0.25, 0.5])
+            "explain": Tally(
+                sent=3,
+                served=2,
+                attempts=4,
+                failures=Counter({"refused": 1}),
+                first_event_delays_s=[0.25, 0.5],
+            )
         },
         jobs=(),
-        breaches=(Breach("rule", "id-1", "what was seen"),),
+        violations=(Violation("rule", "id-1", "what was seen"),),
         exit_codes={"core-1": 0, "store-1": None},
         logs={},
     )
--- a/tests/versions/test_two_versions.py
+++ b/tests/versions/test_two_versions.py
@@ -103,14 +103,14 @@
 
 def check_traffic(world: World, traffic: Traffic) -> None:
     """Every batch job was accepted and every result is listed once; streams were served, or ran nowhere."""
-    assert world.own_breaches(traffic) == [], world.logs()
+    assert world.own_violations(traffic) == [], world.logs()
     assert traffic.jobs
     for job in traffic.jobs:
         assert job.accepted, (job.statuses, world.logs())
         world.check_job(job)
     for name, tally in traffic.tallies.items():
-        assert tally.asked, name
-        assert tally.served >= SERVED_SHARE * tally.asked, (name, tally, world.logs())
+        assert tally.sent, name
+        assert tally.served >= SERVED_SHARE * tally.sent, (name, tally, world.logs())
 
 
 def test_a_tier_is_replaced_node_by_node_and_loses_nothing(old_program, tmp_path):
--- a/tests/versions/versioned_tier.py
+++ b/tests/versions/versioned_tier.py
@@ -24,14 +24,14 @@
     ADDED_PREFIX,
     EXPLAIN_PREFIX,
     SERVICE,
-    TrialTerms,
+    TrialLimits,
     added_route,
     trial_configuration,
 )
 from emberring.emulator.engine import EngineSpec
 from emberring.emulator.heartbeats import Heartbeats
 from emberring.emulator.http_calls import CALL_ERRORS, call_once
-from emberring.emulator.invariant_checker import judge_job, judge_stream
+from emberring.emulator.invariant_checker import check_job, check_stream
 from emberring.emulator.job_client import JobClient, JobHistory, make_job
 from emberring.emulator.live_client import LiveClient, StreamCall, StreamEnd
 from emberring.emulator.local_node import CONTROL_PLANE, FRONTEND, READINESS, LocalNode, settings_text
@@ -40,9 +40,9 @@
 from emberring.emulator.observations import Observations
 from emberring.emulator.operator import Operator
 from emberring.emulator.server_fleet import ServerFleet
-from emberring.emulator.store_scan import survey_stores
+from emberring.emulator.store_scan import scan_stores
 from emberring.emulator.traffic import Traffic, TrafficPlan
-from emberring.emulator.waiting import LOOK_EVERY_S
+from emberring.emulator.waiting import POLL_INTERVAL_S
 from emberring.errors import EmberringError
 from emberring.settings import SETTINGS_VARIABLE
 
@@ -62,7 +62,7 @@
 SIGNS_OF_FAULTS = ("protocol_violation", "Traceback", "level=ERROR")
 STRIDE = 8
 SERVERS = 3
-TERMS = TrialTerms(stride=STRIDE, retention_s=600)
+TERMS = TrialLimits(stride=STRIDE, retention_s=600)
 
 
 def _git(*words: str) -> subprocess.CompletedProcess[str]:
@@ -172,7 +172,7 @@
     while not await check():
         if loop.time() >= give_up_at:
             return False
-        await asyncio.sleep(LOOK_EVERY_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     return True
 
 
@@ -293,7 +293,7 @@
             if page is not None:
                 views.gateways[node.place.name] = _figures(page)
         try:
-            views.stores = await survey_stores(self.tier)
+            views.stores = await scan_stores(self.tier)
         except EmberringError:
             views.stores = {}
         return views
@@ -321,7 +321,7 @@
         results = await LiveClient(lambda: [address], seed=self._asked, retries=3).ask(call)
         for result in results:
             self._own_ids.add(result.request_id)
-            assert judge_stream(call, result, self.seen, STRIDE, may_repeat=False) == []
+            assert check_stream(call, result, self.seen, STRIDE, may_repeat=False) == []
         assert [result.end for result in results][-1:] == [StreamEnd.SERVED], (address, results, self.logs())
         return {run.server_id for result in results for run in self.seen.runs.get(result.request_id, [])}
 
@@ -343,7 +343,7 @@
         """Every item of the batch job is listed once, as completed, with its own text."""
         known = (len(history.results), len(history.job.items))
         assert history.complete, (known, self.logs())
-        assert judge_job(history, self.seen, STRIDE) == []
+        assert check_job(history, self.seen, STRIDE) == []
         ids = [result.item_id for result in history.results]
         assert sorted(ids) == sorted(item.id for item in history.job.items)
         assert {result.state for result in history.results} == {"completed"}
@@ -421,7 +421,7 @@
 
     def start_traffic(self, streams_per_s: float, job_every_s: float) -> None:
         """Begin to ask for streams and to submit batch jobs, on all routes."""
-        plan = TrafficPlan(streams_per_s, job_every_s, job_patience_s=JOBS_S, stride=STRIDE)
+        plan = TrafficPlan(streams_per_s, job_every_s, job_timeout_s=JOBS_S, stride=STRIDE)
         self.traffic = Traffic(self.tier.frontends, self.seen, plan)
         self.traffic.added_route = True
         self.traffic.start()
@@ -432,12 +432,12 @@
         await self.traffic.stop(JOBS_S)
         return self.traffic
 
-    def own_breaches(self, traffic: Traffic) -> list[Any]:
+    def own_violations(self, traffic: Traffic) -> list[Any]:
         """The rules that the traffic found broken; what this world asked for beside it is no breach."""
         return [
-            breach
-            for breach in traffic.breaches
-            if not (breach.rule == "UNASKED" and breach.id in self._own_ids)
+            violation
+            for violation in traffic.violations
+            if not (violation.rule == "UNASKED" and violation.id in self._own_ids)
         ]
 
 
