--- a/emberring/cli/ablation_command.py
+++ b/emberring/cli/ablation_command.py
@@ -9,7 +9,7 @@
 import attrs
 import typer
 
-from emberring.cli.places import JsonOption
+from emberring.cli.options import JsonOption
 from emberring.cli.printing import print_json, print_line, print_table
 from emberring.errors import BadRequestError
 from emberring.simulation.admission.ablation import Case, Mechanism, Worth, play, worth_of
--- a/emberring/cli/app.py
+++ b/emberring/cli/app.py
@@ -14,7 +14,7 @@
     status_commands,
     trial_command,
 )
-from emberring.cli.printing import EXIT_CODES_TEXT, ExitCode, complain, exit_code_of
+from emberring.cli.printing import EXIT_CODES_TEXT, ExitCode, exit_code_of, print_error
 from emberring.errors import EmberringError
 
 ROLES = "Roles"
@@ -47,6 +47,6 @@
     except SystemExit as end:
         return end.code if isinstance(end.code, int) else int(ExitCode.DONE)
     except EmberringError as error:
-        complain(error.detail or error.kind.value)
+        print_error(error.detail or error.kind.value)
         return int(exit_code_of(error))
     return int(ExitCode.DONE)
--- a/emberring/cli/check_commands.py
+++ b/emberring/cli/check_commands.py
@@ -10,9 +10,9 @@
 import typer
 
 from emberring.cli.disk_reports import DiskReport, report_register, report_store
-from emberring.cli.places import JsonOption
-from emberring.cli.printing import EXIT_CODES_TEXT, ExitCode, complain, leave, print_json, print_line
-from emberring.cli.simulator_checks import played, run_check
+from emberring.cli.options import JsonOption
+from emberring.cli.printing import EXIT_CODES_TEXT, ExitCode, exit_with, print_error, print_json, print_line
+from emberring.cli.simulator_checks import play_seeds, run_check
 from emberring.errors import SettingsError
 from emberring.settings import load_settings
 
@@ -37,8 +37,8 @@
     except SettingsError as error:
         if as_json:
             print_json({"File": str(file), "Valid": False, "Mistakes": error.detail})
-        complain(error.detail)
-        leave(ExitCode.UNUSABLE)
+        print_error(error.detail)
+        exit_with(ExitCode.UNUSABLE_INPUT)
         return
     if as_json:
         print_json({"File": str(file), "Valid": True, "Settings": attrs.asdict(found)})
@@ -69,7 +69,7 @@
 ) -> None:
     """Verify every record of a control node's register (DIR), or play the register in a simulator (--seeds)."""
     if directory is not None:
-        _tell(report_register(directory), as_json)
+        _print_report(report_register(directory), as_json)
         return
     _play("register", seeds, first, show, jobs, as_json)
 
@@ -77,13 +77,13 @@
 @app.command(epilog=EXIT_CODES_TEXT)
 def store(directory: DirectoryArgument, as_json: JsonOption = False) -> None:
     """Verify every record of a store and say what is lost. Best while the node is stopped."""
-    _tell(report_store(directory), as_json)
+    _print_report(report_store(directory), as_json)
 
 
 def _play(what: str, seeds: int, first: int, show: int, jobs: int, as_json: bool) -> None:
     """Play schedules in the simulator of this name."""
     simulator = importlib.import_module(SIMULATORS[what])
-    verdicts = played(simulator.play_seed, first, seeds, jobs)
+    verdicts = play_seeds(simulator.play_seed, first, seeds, jobs)
     run_check(what, verdicts, simulator.shorten, simulator.describe, show, as_json)
 
 
@@ -124,8 +124,8 @@
 
     parts = ballots.split(",")
     if len(parts) != 2 or not all(part.strip().isdigit() for part in parts):
-        complain("--ballots wants two whole numbers, as in 2,1")
-        leave(ExitCode.UNUSABLE)
+        print_error("--ballots wants two whole numbers, as in 2,1")
+        exit_with(ExitCode.UNUSABLE_INPUT)
         return
     found = search(Bounds(depth, states, (int(parts[0]), int(parts[1])), losses, restarts))
     if as_json:
@@ -136,11 +136,11 @@
         for event in found.way:
             print_line(f"  {event}")
     if found.wrong:
-        complain(found.wrong)
-        leave(ExitCode.REFUSED)
+        print_error(found.wrong)
+        exit_with(ExitCode.REFUSED)
 
 
-def _tell(report: DiskReport, as_json: bool) -> None:
+def _print_report(report: DiskReport, as_json: bool) -> None:
     if as_json:
         print_json(attrs.asdict(report))
     else:
@@ -150,9 +150,9 @@
             for item in value if isinstance(value, list) else [value]:
                 print_line(f"{name}: {_text(item)}")
     for damage in report.damages:
-        complain(f"{report.directory}: {damage}")
+        print_error(f"{report.directory}: {damage}")
     if report.damages:
-        leave(ExitCode.REFUSED)
+        exit_with(ExitCode.REFUSED)
 
 
 def _text(item: object) -> str:
--- a/emberring/cli/config_commands.py
+++ b/emberring/cli/config_commands.py
@@ -9,15 +9,15 @@
 import orjson
 import typer
 
-from emberring.cli.config_diff import differences
+from emberring.cli.config_diff import find_differences
 from emberring.cli.control_plane import send_request
-from emberring.cli.places import ControlOption, JsonOption, TimeoutOption, control_addresses
-from emberring.cli.printing import EXIT_CODES_TEXT, ExitCode, complain, leave, print_json, print_line
+from emberring.cli.options import ControlOption, JsonOption, TimeoutOption, control_addresses
+from emberring.cli.printing import EXIT_CODES_TEXT, ExitCode, exit_with, print_error, print_json, print_line
 from emberring.configuration.checks import find_configuration_errors
 from emberring.configuration.reading import parse_object_strictly
 from emberring.errors import BadRequestError, InvalidConfigurationError
 
-LIVE = "live"  # stands for the configuration that is in force
+LIVE = "live"  # in place of a file name: the configuration in force
 DEFAULT_TIMEOUT_S = 10.0
 
 app = typer.Typer(no_args_is_help=True, epilog=EXIT_CODES_TEXT)
@@ -33,8 +33,8 @@
         raise BadRequestError(f"{path}: {error.strerror or error}") from error
 
 
-def mistakes_of(content: bytes) -> tuple[str, ...]:
-    """Every mistake in a whole configuration."""
+def configuration_errors(content: bytes) -> tuple[str, ...]:
+    """Every error in a complete configuration."""
     try:
         return find_configuration_errors(parse_object_strictly(content))
     except InvalidConfigurationError as error:
@@ -44,15 +44,15 @@
 @app.command(epilog=EXIT_CODES_TEXT)
 def check(file: FileArgument, as_json: JsonOption = False) -> None:
     """Check a whole configuration without sending it; every mistake is named."""
-    mistakes = mistakes_of(read_file(file))
+    mistakes = configuration_errors(read_file(file))
     if as_json:
         print_json({"File": str(file), "Valid": not mistakes, "Mistakes": mistakes})
     elif not mistakes:
         print_line(f"{file}: valid")
     for mistake in mistakes if not as_json else ():
-        complain(f"{file}: {mistake}")
+        print_error(f"{file}: {mistake}")
     if mistakes:
-        leave(ExitCode.REFUSED)
+        exit_with(ExitCode.REFUSED)
 
 
 @app.command(epilog=EXIT_CODES_TEXT)
@@ -64,26 +64,28 @@
     as_json: JsonOption = False,
 ) -> None:
     """Show what differs between two configurations. Exit code 1 where something does."""
-    found = differences(_load(before, control, timeout), _load(after, control, timeout))
+    found = find_differences(
+        _load_configuration(before, control, timeout), _load_configuration(after, control, timeout)
+    )
     if as_json:
         print_json([attrs.asdict(item) for item in found])
     else:
         for item in found:
             print_line(item.text())
     if found:
-        leave(ExitCode.REFUSED)
+        exit_with(ExitCode.REFUSED)
 
 
-def _load(place: str, control: list[str] | None, timeout_s: float) -> dict[str, Any]:
+def _load_configuration(place: str, control: list[str] | None, timeout_s: float) -> dict[str, Any]:
     if place == LIVE:
-        return _live(control, timeout_s)
+        return _read_live(control, timeout_s)
     try:
         return parse_object_strictly(read_file(Path(place)))
     except InvalidConfigurationError as error:
         raise BadRequestError(f"{place}: {error.detail}") from error
 
 
-def _live(control: list[str] | None, timeout_s: float) -> dict[str, Any]:
+def _read_live(control: list[str] | None, timeout_s: float) -> dict[str, Any]:
     found = send_request(control_addresses(control), "GET", "/v1/config", within_s=timeout_s)
     if not isinstance(found, dict):
         raise BadRequestError("the control node's answer is no configuration")
@@ -98,7 +100,7 @@
     as_json: JsonOption = False,
 ) -> None:
     """Read the configuration in force; it is JSON in any case."""
-    found = _live(control, timeout)
+    found = _read_live(control, timeout)
     if output is None:
         print_json(found)
         return
@@ -125,7 +127,7 @@
 ) -> None:
     """Bring a whole configuration into force; it is checked before it is sent."""
     content = read_file(file)
-    mistakes = mistakes_of(content)
+    mistakes = configuration_errors(content)
     if mistakes:
         raise InvalidConfigurationError(mistakes)
     _send("PUT", content, control, if_match, timeout, as_json)
@@ -154,7 +156,7 @@
     as_json: bool,
 ) -> None:
     controls = control_addresses(control)
-    base = if_match if if_match is not None else int(_live(control, timeout_s).get("Version") or 0)
+    base = if_match if if_match is not None else int(_read_live(control, timeout_s).get("Version") or 0)
     headers = {"If-Match": str(base)}
     send_request(controls, method, "/v1/config", content=content, headers=headers, within_s=timeout_s)
     version = parse_object_strictly(content).get("Version")
--- a/emberring/cli/config_diff.py
+++ b/emberring/cli/config_diff.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations, item by item and key by key."""
+"""The differences between two configurations, item by item and key by key."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 import attrs
 
-LISTS = ("Routes", "Services")
-TABLES = ("Limits",)
+ITEM_LISTS = ("Routes", "Services")
+OBJECTS = ("Limits",)
 
 
 @attrs.frozen
 class Difference:
-    """One thing that differs: `what` is `added`, `removed` or `changed`; a missing value is None."""
+    """One difference: `what` is `added`, `removed` or `changed`; a missing value is None."""
 
     what: str
     item: str
@@ -28,37 +28,39 @@
         return f"changed {self.item} {self.key}: {self.before!r} -> {self.after!r}"
 
 
-def differences(before: Mapping[str, Any], after: Mapping[str, Any]) -> list[Difference]:
+def find_differences(before: Mapping[str, Any], after: Mapping[str, Any]) -> list[Difference]:
     """All differences, in the order of the documents."""
-    return list(_all(before, after))
+    return list(_differences(before, after))
 
 
-def _all(before: Mapping[str, Any], after: Mapping[str, Any]) -> Iterator[Difference]:
+def _differences(before: Mapping[str, Any], after: Mapping[str, Any]) -> Iterator[Difference]:
     if before.get("Version") != after.get("Version"):
         yield Difference("changed", "configuration", "Version", before.get("Version"), after.get("Version"))
-    for kind in LISTS:
-        yield from _lists(kind[:-1].lower(), _by_name(before.get(kind)), _by_name(after.get(kind)))
-    for kind in TABLES:
-        yield from _keys(kind.lower(), before.get(kind) or {}, after.get(kind) or {})
+    for kind in ITEM_LISTS:
+        yield from _list_differences(kind[:-1].lower(), _by_name(before.get(kind)), _by_name(after.get(kind)))
+    for kind in OBJECTS:
+        yield from _object_differences(kind.lower(), before.get(kind) or {}, after.get(kind) or {})
 
 
-def _by_name(items: Any) -> dict[str, Mapping[str, Any]]:
+def _by_name(items: list[object] | None) -> dict[str, Mapping[str, Any]]:
     return {str(item.get("Name")): item for item in items or () if isinstance(item, Mapping)}
 
 
-def _lists(
+def _list_differences(
     kind: str, before: Mapping[str, Mapping[str, Any]], after: Mapping[str, Mapping[str, Any]]
 ) -> Iterator[Difference]:
     for name in before.keys() - after.keys():
         yield Difference("removed", f"{kind} {name}")
     for name, item in after.items():
         if name in before:
-            yield from _keys(f"{kind} {name}", before[name], item)
+            yield from _object_differences(f"{kind} {name}", before[name], item)
         else:
             yield Difference("added", f"{kind} {name}")
 
 
-def _keys(item: str, before: Mapping[str, Any], after: Mapping[str, Any]) -> Iterator[Difference]:
+def _object_differences(
+    item: str, before: Mapping[str, Any], after: Mapping[str, Any]
+) -> Iterator[Difference]:
     for key in sorted(before.keys() | after.keys()):
         if before.get(key) != after.get(key):
             yield Difference("changed", item, key, before.get(key), after.get(key))
--- a/emberring/cli/control_plane.py
+++ b/emberring/cli/control_plane.py
@@ -1,4 +1,4 @@
-"""Calls of the tools to the control plane's HTTP interface."""
+"""Requests of the tools to the control plane's HTTP interface."""
 
 from __future__ import annotations
 
@@ -30,7 +30,11 @@
     headers: Mapping[str, str] | None = None,
     within_s: float,
 ) -> Any:
-    """The answer's JSON to an order that was taken; otherwise the error that fits."""
+    """The JSON of the response to a request that was acknowledged, tried for `within_s` seconds.
+
+    Raises the error that the control node reports, `PeerUnavailableError` where no control node responds to a read, and
+    `UnknownOutcomeError` where a change may or may not have taken effect.
+    """
     operator = Operator(controls)
     outcome = asyncio.run(operator.send_request(method, path, content, headers or {}, within_s))
     if outcome.acknowledged:
@@ -39,19 +43,19 @@
 
 
 def _error(outcome: RequestOutcome, controls: Sequence[str], method: str) -> EmberringError:
-    told = _told(outcome.body)
+    reported = _parse_object(outcome.body)
     if outcome.status == 0:
         where = ", ".join(controls)
         detail = f"no clear answer from {where} after {outcome.attempts} tries in {outcome.took_s:.1f} s"
-        last = f" (last: {told.get('Detail')})" if told.get("Detail") else ""
+        last = f" (last: {reported.get('Detail')})" if reported.get("Detail") else ""
         if method == "GET":
             return PeerUnavailableError(detail + last)
         return UnknownOutcomeError(f"{detail}{last}: the order may or may not have been taken")
-    kind = told.get("Error") or _KIND_OF_STATUS.get(outcome.status, "internal")
-    return error_from_wire(str(kind), str(told.get("Detail") or f"answered {outcome.status}"))
+    kind = reported.get("Error") or _KIND_OF_STATUS.get(outcome.status, "internal")
+    return error_from_wire(str(kind), str(reported.get("Detail") or f"answered {outcome.status}"))
 
 
-def _told(body: bytes) -> dict[str, Any]:
+def _parse_object(body: bytes) -> dict[str, Any]:
     try:
         found = orjson.loads(body)
     except orjson.JSONDecodeError:
--- a/emberring/cli/disk_reports.py
+++ b/emberring/cli/disk_reports.py
@@ -1,4 +1,4 @@
-"""What the offline checks find on a node's disk: every record read and decoded, nothing written."""
+"""The offline checks of a node's disk: every record is read and decoded, nothing is written."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 from emberring.journal.layout import Record
 from emberring.journal.scan import JournalScan, scan_journal
 from emberring.register.acceptor import Acceptor
+from emberring.register.model import ProposalNumber
 from emberring.store.disk import JOURNAL_FOLDER, restore
 from emberring.store.identity import FILE_NAME, read_identity
 
@@ -24,7 +25,7 @@
 
 @attrs.frozen
 class DiskReport:
-    """What was found. `damages` has a line for each thing that is lost or not to be trusted."""
+    """The findings. `damages` has a line for each thing that is lost or cannot be trusted; `bytes` are in use."""
 
     directory: str
     identity: str
@@ -38,19 +39,19 @@
 def report_register(directory: Path) -> DiskReport:
     """A control node's disk: its `DataDir`, or the folder of the register in it."""
     folder = directory / REGISTER_FOLDER if (directory / REGISTER_FOLDER).is_dir() else directory
-    survey = _survey(folder)
+    scan = _scan(folder)
     acceptor = Acceptor("")
-    damages = [*survey.damages, *_each(survey.records, acceptor.restore)]
-    if survey.records and not acceptor.identity:
+    damages = [*scan.damages, *_decode_errors(scan.records, acceptor.restore)]
+    if scan.records and not acceptor.identity:
         damages.append("no record names the replica's identity")
-    facts: dict[str, Any] = {"Promised": _ballot(acceptor.promised)}
+    facts: dict[str, Any] = {"Promised": _ballot_text(acceptor.promised)}
     if acceptor.accepted is not None:
-        facts["Accepted"] = _ballot(acceptor.accepted.ballot)
+        facts["Accepted"] = _ballot_text(acceptor.accepted.ballot)
         replicas = acceptor.accepted.state.replicas
         facts["Replicas"] = [f"{member.identity} at {member.address}" for member in replicas.members]
         facts["Joining"] = [f"{member.identity} at {member.address}" for member in replicas.joining]
         facts |= _state_facts(acceptor.accepted.state.payload, damages)
-    return _report(folder, acceptor.identity, survey, facts, damages)
+    return _report(folder, acceptor.identity, scan, facts, damages)
 
 
 def _state_facts(payload: bytes | None, damages: list[str]) -> dict[str, Any]:
@@ -67,22 +68,22 @@
     }
 
 
-def _ballot(ballot: Any) -> str | None:
+def _ballot_text(ballot: ProposalNumber | None) -> str | None:
     return None if ballot is None else f"{ballot.counter} by {ballot.proposer or 'nobody'}"
 
 
 def report_store(directory: Path) -> DiskReport:
     """A store's disk: its `DataDir`."""
-    survey = _survey(directory / JOURNAL_FOLDER)
-    readable = [record for record in survey.records if not _each([record], decode_entry)]
-    damages = [*survey.damages, *_each(survey.records, decode_entry)]
+    scan = _scan(directory / JOURNAL_FOLDER)
+    readable = [record for record in scan.records if not _decode_errors([record], decode_entry)]
+    damages = [*scan.damages, *_decode_errors(scan.records, decode_entry)]
     identity = read_identity(directory)
     if identity is None:
         there = (directory / FILE_NAME).exists()
         damages.append(f"the file {FILE_NAME} is {'damaged' if there else 'missing'}: it will start anew")
     replicas = restore(readable, 0.0)
     facts = {"Shards": [_shard_facts(replica) for replica in replicas.values() if replica.jobs]}
-    return _report(directory, identity or "", survey, facts, damages)
+    return _report(directory, identity or "", scan, facts, damages)
 
 
 def _shard_facts(replica: Replica) -> dict[str, Any]:
@@ -98,15 +99,15 @@
     }
 
 
-def _survey(folder: Path) -> JournalScan:
+def _scan(folder: Path) -> JournalScan:
     try:
         return scan_journal(folder)
     except OSError as error:
         raise BadRequestError(f"{folder}: {error.strerror or error}") from error
 
 
-def _each(records: Sequence[Record], read: Callable[[bytes], object]) -> list[str]:
-    """Read every record; a line for each that is whole on disk and yet can't be understood."""
+def _decode_errors(records: Sequence[Record], read: Callable[[bytes], object]) -> list[str]:
+    """Decode every record; a line for each that is complete on disk and cannot be decoded."""
     damages = []
     for record in records:
         try:
@@ -118,16 +119,16 @@
 
 
 def _report(
-    folder: Path, identity: str, survey: JournalScan, facts: dict[str, Any], damages: list[str]
+    folder: Path, identity: str, scan: JournalScan, facts: dict[str, Any], damages: list[str]
 ) -> DiskReport:
-    if not survey.segments:
+    if not scan.segments:
         facts = {**facts, "Empty": True}
     return DiskReport(
         directory=str(folder),
         identity=identity,
-        segments=len(survey.segments),
-        records=len(survey.records),
-        bytes=survey.used_bytes,
+        segments=len(scan.segments),
+        records=len(scan.records),
+        bytes=scan.used_bytes,
         facts=facts,
         damages=tuple(damages),
     )
--- a/emberring/cli/job_commands.py
+++ b/emberring/cli/job_commands.py
@@ -1,4 +1,4 @@
-"""`emberring jobs`: what stores hold of lots, by shard and by lot."""
+"""`emberring lots`: what stores hold of batch jobs, by shard and by job."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 import attrs
 import typer
 
-from emberring.cli.places import ControlOption, JsonOption, TimeoutOption, control_addresses
-from emberring.cli.printing import EXIT_CODES_TEXT, complain, print_json, print_table
+from emberring.cli.options import ControlOption, JsonOption, TimeoutOption, control_addresses
+from emberring.cli.printing import EXIT_CODES_TEXT, print_error, print_json, print_table
 from emberring.cli.status_commands import first_status
 from emberring.distribution.records import NodeRole
 from emberring.errors import EmberringError, PeerUnavailableError
@@ -22,14 +22,14 @@
 
 
 async def ask_stores(addresses: dict[str, str], jobs: bool, timeout_s: float) -> dict[str, StoreStatus]:
-    """The answers of stores by name; those that did not come are told on standard error."""
+    """The status of stores by name; a store that does not respond is reported on standard error."""
     network = Network()
 
     async def ask(name: str, address: str) -> tuple[str, StoreStatus | None]:
         try:
             return name, await network.call(address, StoreStatusRequest(jobs), StoreStatus, timeout_s)
         except EmberringError as error:
-            complain(f"{name}: {error.detail}")
+            print_error(f"{name}: {error.detail}")
             return name, None
 
     found = await asyncio.gather(*(ask(name, address) for name, address in addresses.items()))
@@ -69,16 +69,16 @@
 def _shard_row(number: int, found: dict[str, StoreStatus]) -> dict[str, Any]:
     held = {name: shard for name, status in found.items() for shard in status.shards if shard.shard == number}
     owner = next((name for name, shard in held.items() if shard.owner), "")
-    told = held[owner] if owner else next(iter(held.values()))
+    reported = held[owner] if owner else next(iter(held.values()))
     return {
         "Shard": number,
         "Owner": owner or "none",
         "Replicas": " ".join(sorted(held)),
-        "Epoch": told.epoch,
-        "Term": told.term,
-        "Lots": told.jobs,
-        "WaitingItems": told.waiting_items,
-        "WaitingTokens": told.waiting_tokens,
+        "Epoch": reported.epoch,
+        "Term": reported.term,
+        "Lots": reported.jobs,
+        "WaitingItems": reported.waiting_items,
+        "WaitingTokens": reported.waiting_tokens,
     }
 
 
--- a/emberring/cli/places.py
+++ b/emberring/cli/options.py
@@ -1,4 +1,4 @@
-"""Where a tool finds the control nodes: its option, a variable, or the settings file of a node."""
+"""Options that several tools share, and how a tool finds the control nodes."""
 
 from __future__ import annotations
 
@@ -30,7 +30,10 @@
 
 
 def control_addresses(given: Sequence[str] | None) -> list[str]:
-    """The control plane's addresses; `BadRequestError` where none is known."""
+    """The control plane's addresses: those given, else the environment's, else the seeds in a node's settings file.
+
+    `BadRequestError` where none is known, `SettingsError` where one is no `ip:port`.
+    """
     found = list(given or ())
     if not found and os.environ.get(CONTROL_VARIABLE):
         found = [item.strip() for item in os.environ[CONTROL_VARIABLE].split(",") if item.strip()]
--- a/emberring/cli/printing.py
+++ b/emberring/cli/printing.py
@@ -1,11 +1,10 @@
-"""What tools print: aligned tables for people, JSON for programs; errors as one line on standard error."""
+"""Output of the tools: aligned tables for people, JSON for programs; errors as one line on standard error."""
 
 from __future__ import annotations
 
 import sys
 from collections.abc import Sequence
 from enum import IntEnum
-from typing import Any
 
 import orjson
 import typer
@@ -17,17 +16,17 @@
     """How a tool ended, for scripts."""
 
     DONE = 0
-    REFUSED = 1  # a check found mistakes, or the order was refused
-    UNUSABLE = 2  # the call, a file or the settings can't be used
-    NO_ANSWER = 3  # nobody answered clearly: the effect may or may not have taken place
+    REFUSED = 1  # a check found errors, or the request was rejected
+    UNUSABLE_INPUT = 2  # the call, a file or the settings cannot be used
+    UNKNOWN_OUTCOME = 3  # no clear response: the request may or may not have taken effect
 
 
 EXIT_CODES_TEXT = (
     "Exit codes: 0 done; 1 refused, or mistakes found; 2 the call or a file can't be used; "
     "3 no clear answer (an order may or may not have been taken)."
 )
-_UNUSABLE = frozenset({ErrorKind.BAD_SETTINGS, ErrorKind.BAD_REQUEST})
-_NO_ANSWER = frozenset(
+_UNUSABLE_INPUT_KINDS = frozenset({ErrorKind.BAD_SETTINGS, ErrorKind.BAD_REQUEST})
+_UNKNOWN_OUTCOME_KINDS = frozenset(
     {
         ErrorKind.IN_DOUBT,
         ErrorKind.NO_QUORUM,
@@ -38,38 +37,38 @@
 )
 
 
-def print_json(value: Any) -> None:
-    """One JSON document on standard output."""
+def print_json(value: object) -> None:
+    """Print one JSON document on standard output."""
     sys.stdout.write(orjson.dumps(value, option=orjson.OPT_INDENT_2).decode() + "\n")
 
 
 def print_table(head: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
-    """Columns as wide as what stands in them."""
+    """Print a table; each column is as wide as its widest cell."""
     table = [list(head), *([str(cell) for cell in row] for row in rows)]
-    widths = [max(len(row[at]) for row in table) for at in range(len(head))]
+    widths = [max(len(row[column]) for row in table) for column in range(len(head))]
     for row in table:
         line = "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True))
         sys.stdout.write(line.rstrip() + "\n")
 
 
 def print_line(text: str) -> None:
-    """A line for people."""
+    """Print a line for people."""
     sys.stdout.write(text + "\n")
     sys.stdout.flush()
 
 
-def complain(text: str) -> None:
-    """A line about what went wrong."""
+def print_error(text: str) -> None:
+    """Print an error as one line on standard error."""
     sys.stderr.write(f"emberring: {text}\n")
 
 
 def exit_code_of(error: EmberringError) -> ExitCode:
     """The exit code for an error."""
-    if error.kind in _UNUSABLE:
-        return ExitCode.UNUSABLE
-    return ExitCode.NO_ANSWER if error.kind in _NO_ANSWER else ExitCode.REFUSED
+    if error.kind in _UNUSABLE_INPUT_KINDS:
+        return ExitCode.UNUSABLE_INPUT
+    return ExitCode.UNKNOWN_OUTCOME if error.kind in _UNKNOWN_OUTCOME_KINDS else ExitCode.REFUSED
 
 
-def leave(code: ExitCode) -> None:
-    """End the tool with this code."""
+def exit_with(code: ExitCode) -> None:
+    """End the tool with this exit code."""
     raise typer.Exit(int(code))
--- a/emberring/cli/retire_command.py
+++ b/emberring/cli/retire_command.py
@@ -9,10 +9,10 @@
 import typer
 
 from emberring.cli.control_plane import send_request
-from emberring.cli.places import ControlOption, JsonOption, TimeoutOption, control_addresses
-from emberring.cli.printing import ExitCode, leave, print_json, print_line
+from emberring.cli.options import ControlOption, JsonOption, TimeoutOption, control_addresses
+from emberring.cli.printing import ExitCode, exit_with, print_json, print_line
 
-LOOK_EVERY_S = 0.5
+POLL_INTERVAL_S = 0.5
 COMPLETED = "completed"
 
 
@@ -36,14 +36,14 @@
     give_up_at = time.monotonic() + wait
     state = _state(controls, path, timeout)
     while state != COMPLETED and time.monotonic() < give_up_at:
-        time.sleep(LOOK_EVERY_S)
+        time.sleep(POLL_INTERVAL_S)
         state = _state(controls, path, timeout)
     if as_json:
         print_json({"Node": node, "State": state})
     else:
         print_line(f"{node}: {state}")
     if wait and state != COMPLETED:
-        leave(ExitCode.REFUSED)
+        exit_with(ExitCode.REFUSED)
 
 
 def _state(controls: list[str], path: str, timeout_s: float) -> str:
--- a/emberring/cli/simulation_commands.py
+++ b/emberring/cli/simulation_commands.py
@@ -10,7 +10,7 @@
 import typer
 
 from emberring.cli.ablation_command import ablation
-from emberring.cli.places import JsonOption
+from emberring.cli.options import JsonOption
 from emberring.cli.printing import EXIT_CODES_TEXT, print_json, print_line, print_table
 from emberring.errors import BadRequestError
 from emberring.simulation.admission.ablation import SEED_STEP, whole_admission
--- a/emberring/cli/simulator_checks.py
+++ b/emberring/cli/simulator_checks.py
@@ -1,4 +1,4 @@
-"""Plays seeded schedules of troubles in a simulator and prints what fails, shortest schedule first."""
+"""Runs seeded fault schedules in a simulator and prints the failing ones, the shortest first."""
 
 from __future__ import annotations
 
@@ -7,14 +7,16 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any, Protocol, TypeVar
 
-from emberring.cli.printing import ExitCode, complain, leave, print_json, print_line
+import attrs
 
-TELL_EVERY_S = 10.0
-SEEDS_AT_ONCE = 4  # that a process gets
+from emberring.cli.printing import ExitCode, exit_with, print_error, print_json, print_line
+
+PROGRESS_INTERVAL_S = 10.0
+SEEDS_PER_BATCH = 4  # handed to a process at once
 
 
 class SomeVerdict(Protocol):
-    """What this module needs of a simulator's verdict."""
+    """The attributes of a simulator's verdict that this module uses."""
 
     @property
     def mistakes(self) -> tuple[str, ...]: ...
@@ -27,14 +29,23 @@
 Verdict = TypeVar("Verdict", bound=SomeVerdict)
 
 
-def played(play_seed: Callable[[int], Verdict], first: int, seeds: int, jobs: int) -> Iterator[Verdict]:
-    """The verdicts of so many seeds, in their order, played by so many processes."""
-    wanted = range(first, first + seeds)
+def play_seeds(play_seed: Callable[[int], Verdict], first: int, seeds: int, jobs: int) -> Iterator[Verdict]:
+    """The verdicts of `seeds` seeds from `first` on, in their order, computed by `jobs` processes."""
+    all_seeds = range(first, first + seeds)
     if jobs == 1:
-        yield from map(play_seed, wanted)
+        yield from map(play_seed, all_seeds)
         return
     with ProcessPoolExecutor(jobs) as pool:
-        yield from pool.map(play_seed, wanted, chunksize=SEEDS_AT_ONCE)
+        yield from pool.map(play_seed, all_seeds, chunksize=SEEDS_PER_BATCH)
+
+
+@attrs.define
+class _Tally:
+    """What the verdicts so far add up to."""
+
+    schedules: int = 0
+    events: int = 0
+    failing: list[Any] = attrs.field(factory=list)  # verdicts
 
 
 def run_check(
@@ -45,38 +56,57 @@
     most_shown: int,
     as_json: bool,
 ) -> None:
-    """Go through the verdicts; ends with exit code 1 where a schedule was wrong."""
-    began = told = time.monotonic()
-    count = events = 0
-    failing: list[Verdict] = []
-    for verdict in verdicts:
-        count += 1
-        events += verdict.events
-        if verdict.mistakes:
-            failing.append(verdict)
-            complain(f"seed {verdict.schedule.seed}: {verdict.mistakes[0]}")
-        if time.monotonic() - told > TELL_EVERY_S and not as_json:
-            told = time.monotonic()
-            print_line(f"{count} schedules played, {len(failing)} wrong")
-    took_s = time.monotonic() - began
-    shown = sorted((shorten(verdict) for verdict in failing[:most_shown]), key=_length)
+    """Go through the verdicts and print the summary; ends with exit code 1 where a schedule failed.
+
+    `most_shown` failing schedules are shortened by `shorten` and printed by `describe`, the shortest first.
+    """
+    started_s = time.monotonic()
+    tally = _play_all(verdicts, show_progress=not as_json)
+    took_s = time.monotonic() - started_s
+    shown = sorted((shorten(verdict) for verdict in tally.failing[:most_shown]), key=_length)
+    descriptions = [describe(verdict) for verdict in shown]
     if as_json:
-        print_json(
-            {
-                "Checked": what,
-                "Schedules": count,
-                "Events": events,
-                "Seconds": round(took_s, 1),
-                "WrongSeeds": [verdict.schedule.seed for verdict in failing],
-                "Shortest": [describe(verdict) for verdict in shown],
-            }
-        )
+        _print_json_summary(what, tally, took_s, descriptions)
     else:
-        for verdict in shown:
-            print_line(describe(verdict))
-        print_line(f"{what}: {count} schedules, {events} events, {len(failing)} wrong, in {took_s:.1f} s")
-    if failing:
-        leave(ExitCode.REFUSED)
+        _print_summary(what, tally, took_s, descriptions)
+    if tally.failing:
+        exit_with(ExitCode.REFUSED)
+
+
+def _play_all(verdicts: Iterable[SomeVerdict], *, show_progress: bool) -> _Tally:
+    tally = _Tally()
+    last_progress_s = time.monotonic()
+    for verdict in verdicts:
+        tally.schedules += 1
+        tally.events += verdict.events
+        if verdict.mistakes:
+            tally.failing.append(verdict)
+            print_error(f"seed {verdict.schedule.seed}: {verdict.mistakes[0]}")
+        if show_progress and time.monotonic() - last_progress_s > PROGRESS_INTERVAL_S:
+            last_progress_s = time.monotonic()
+            print_line(f"{tally.schedules} schedules played, {len(tally.failing)} wrong")
+    return tally
+
+
+def _print_json_summary(what: str, tally: _Tally, took_s: float, descriptions: list[str]) -> None:
+    print_json(
+        {
+            "Checked": what,
+            "Schedules": tally.schedules,
+            "Events": tally.events,
+            "Seconds": round(took_s, 1),
+            "WrongSeeds": [verdict.schedule.seed for verdict in tally.failing],
+            "Shortest": descriptions,
+        }
+    )
+
+
+def _print_summary(what: str, tally: _Tally, took_s: float, descriptions: list[str]) -> None:
+    for description in descriptions:
+        print_line(description)
+    print_line(
+        f"{what}: {tally.schedules} schedules, {tally.events} events, {len(tally.failing)} wrong, in {took_s:.1f} s"
+    )
 
 
 def _length(verdict: SomeVerdict) -> int:
--- a/emberring/cli/status_commands.py
+++ b/emberring/cli/status_commands.py
@@ -7,12 +7,12 @@
 import typer
 
 from emberring.cli.control_plane import send_request
-from emberring.cli.places import ControlOption, JsonOption, TimeoutOption, control_addresses
-from emberring.cli.printing import ExitCode, complain, leave, print_json, print_line, print_table
+from emberring.cli.options import ControlOption, JsonOption, TimeoutOption, control_addresses
+from emberring.cli.printing import ExitCode, exit_with, print_error, print_json, print_line, print_table
 from emberring.errors import EmberringError, PeerUnavailableError
 
 DEFAULT_TIMEOUT_S = 2.0
-FRESH_S = 1.0  # a control node whose majority was heard of longer ago is cut off
+MAX_MAJORITY_AGE_S = 1.0  # a control node that has heard from a majority longer ago counts as partitioned
 
 
 def ask_status(control: str, timeout_s: float) -> dict[str, Any]:
@@ -38,14 +38,14 @@
         fallback = fallback or found
     if fallback is None:
         raise PeerUnavailableError("; ".join(errors))
-    complain(f"{fallback['Node']} has no majority: what it tells may be old")
+    print_error(f"{fallback['Node']} has no majority: what it tells may be old")
     return fallback
 
 
 def in_contact(page: dict[str, Any]) -> bool:
-    """Whether the control node that told this has heard from a majority lately."""
+    """Whether the control node of this status page has heard from a majority lately."""
     age_s = page.get("MajorityAgeS")
-    return age_s is not None and age_s <= FRESH_S
+    return age_s is not None and age_s <= MAX_MAJORITY_AGE_S
 
 
 def status(
@@ -60,7 +60,7 @@
             pages[address] = ask_status(address, timeout)
         except EmberringError as error:
             pages[address] = None
-            complain(error.detail)
+            print_error(error.detail)
     if not any(pages.values()):
         raise PeerUnavailableError("no control node answers")
     if as_json:
@@ -68,7 +68,7 @@
     else:
         _show(pages)
     if not _healthy(pages):
-        leave(ExitCode.REFUSED)
+        exit_with(ExitCode.REFUSED)
 
 
 def _healthy(pages: dict[str, dict[str, Any] | None]) -> bool:
@@ -88,8 +88,8 @@
     print_line("nodes: " + ", ".join(f"{count} {role}" for role, count in roles.items()))
     states = sorted({server["State"] for server in servers})
     counts = [f"{sum(item['State'] == state for item in servers)} {state}" for state in states]
-    flying = sum(server["InFlight"] for server in servers)
-    print_line(f"model servers: {', '.join(counts) or 'none'}; {flying} calls in flight")
+    in_flight = sum(server["InFlight"] for server in servers)
+    print_line(f"model servers: {', '.join(counts) or 'none'}; {in_flight} calls in flight")
     print_line(f"shards: {_shards(page['Placement'])}")
 
 
@@ -143,16 +143,16 @@
         print_json(found)
         return
     keys = ("Id", "Service", "Zone", "Address", "State", "InFlight", "Capacity", "Version")
-    rows = [(*(server[key] for key in keys), _troubles(server)) for server in found]
+    rows = [(*(server[key] for key in keys), _faults_text(server)) for server in found]
     print_table(
         ("id", "service", "zone", "address", "state", "in flight", "capacity", "version", "troubles"), rows
     )
 
 
-def _troubles(server: dict[str, Any]) -> str:
-    """What gateways hold the server to suffer from, how many of them, and for how long already."""
-    troubles = server.get("Troubles") or {}
-    if not troubles:
+def _faults_text(server: dict[str, Any]) -> str:
+    """The faults that gateways see at the server, by how many gateways, and for how long already."""
+    faults = server.get("Troubles") or {}
+    if not faults:
         return ""
-    named = ", ".join(f"{name} ({count})" for name, count in sorted(troubles.items()))
+    named = ", ".join(f"{name} ({count})" for name, count in sorted(faults.items()))
     return f"{named} for {server['FailingForS']:.0f} s"
--- a/emberring/cli/trial_command.py
+++ b/emberring/cli/trial_command.py
@@ -9,13 +9,13 @@
 
 import typer
 
-from emberring.cli.places import JsonOption
-from emberring.cli.printing import ExitCode, leave, print_json, print_line, print_table
+from emberring.cli.options import JsonOption
+from emberring.cli.printing import ExitCode, exit_with, print_json, print_line, print_table
 from emberring.emulator.job_client import JobHistory
 from emberring.emulator.traffic import TrafficPlan
 from emberring.emulator.trial import Trial, TrialPlan, TrialReport
 
-MOST_SHOWN = 10
+MAX_SHOWN_VIOLATIONS = 10
 
 
 def try_out(
@@ -42,7 +42,7 @@
     else:
         show(report)
     if not report.clean:
-        leave(ExitCode.REFUSED)
+        exit_with(ExitCode.REFUSED)
 
 
 def _play(folder: Path, plan: TrialPlan, seed: int, quiet: bool) -> TrialReport:
@@ -66,7 +66,7 @@
     print_line("")
     print_table(("lots", "taken", "items", "completed", "dead", "slowest s"), [_job_row(report.jobs)])
     print_line("")
-    for violation in report.violations[:MOST_SHOWN]:
+    for violation in report.violations[:MAX_SHOWN_VIOLATIONS]:
         print_line(f"broken: {violation.rule} {violation.id}: {violation.detail}")
     for name, lines in report.logs.items():
         print_line(f"{name} ended with {report.exit_codes[name]}:")
--- a/tests/emberring/cli/test_tier_cli.py
+++ b/tests/emberring/cli/test_tier_cli.py
@@ -9,7 +9,7 @@
 
 from emberring.cli import status_commands
 from emberring.cli.app import main
-from emberring.cli.config_diff import differences
+from emberring.cli.config_diff import find_differences
 from emberring.emulator.configurations import trial_configuration
 from emberring.errors import PeerUnavailableError
 
@@ -138,7 +138,7 @@
     ],
 )
 def test_differences(after, texts):
-    assert [item.text() for item in differences(trial_configuration(), after)] == texts
+    assert [item.text() for item in find_differences(trial_configuration(), after)] == texts
 
 
 def test_diff_ends_with_1_where_something_differs(files, capsys):
