--- a/emberring/emulator/__init__.py
+++ b/emberring/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of our own for model servers, the operator and clients, for trying the tier out and for its tests."""
+"""Emulated model servers, operator and clients, for `emberring try` and for tests of the tier."""
--- a/emberring/emulator/configurations.py
+++ b/emberring/emulator/configurations.py
@@ -8,7 +8,7 @@
 
 HOST = "desk.example"
 SERVICE = "ledger-llm"
-EXPLAIN_PREFIX = "/explain/"  # streams that run once at most
+EXPLAIN_PREFIX = "/explain/"  # streams that are executed at most once
 REVIEW_PREFIX = "/review/"  # streams that may be resumed
 JOB_PREFIX = "/lots-in/"
 ADDED_PREFIX = "/added/"  # of a route that a later version adds
@@ -36,7 +36,7 @@
 
 
 def trial_configuration(version: int = 1, terms: TrialLimits | None = None) -> dict[str, Any]:
-    """A whole configuration as the operator sends it."""
+    """A complete configuration as the operator sends it."""
     terms = terms or TrialLimits()
     stream = {"TargetLatencyMs": 300, "gap_aim_ms": 250}
     batch = {
--- a/emberring/emulator/events.py
+++ b/emberring/emulator/events.py
@@ -1,4 +1,4 @@
-"""Cuts a `text/event-stream` into events, however its bytes arrive."""
+"""Parses a `text/event-stream` incrementally."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 
 @attrs.frozen
 class StreamEvent:
-    """One whole event; `id` is None where the event has none."""
+    """One complete event; `id` is None where the event has none."""
 
     id: int | None
     data: str
 
 
 class EventReader:
-    """Feed it bytes; it gives the events that have become whole."""
+    """Splits the bytes of a stream into events."""
 
     def __init__(self) -> None:
         self._rest = b""
 
     @property
     def rest(self) -> bytes:
-        """Bytes of an event that is not whole yet."""
+        """The bytes of an event that is not complete yet."""
         return self._rest
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """The events that these bytes complete; ValueError where an id is no number."""
-        *whole, self._rest = (self._rest + data).split(END_OF_EVENT)
-        return [_parse(block) for block in whole]
+        *blocks, self._rest = (self._rest + data).split(END_OF_EVENT)
+        return [_parse(block) for block in blocks]
 
 
 def _parse(block: bytes) -> StreamEvent:
--- a/emberring/emulator/http_calls.py
+++ b/emberring/emulator/http_calls.py
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class HttpResponse:
-    """A whole answer; names of headers are in lower case."""
+    """A complete response; names of headers are in lower case."""
 
     status: int
     headers: Mapping[str, str]
@@ -35,7 +35,10 @@
     content: bytes = b"",
     timeout_s: float = 1.0,
 ) -> HttpResponse:
-    """One call and its whole answer; errors are those of `httpcore`, a silence of `timeout_s` among them."""
+    """One call and its complete response.
+
+    Raises `CALL_ERRORS`; each wait is limited to `timeout_s` seconds.
+    """
     sent = [("Connection", "close"), *(headers or {}).items()]
     if content and "Content-Type" not in (headers or {}):
         sent.append(("Content-Type", "application/json"))
--- a/emberring/emulator/invariant_checker.py
+++ b/emberring/emulator/invariant_checker.py
@@ -1,4 +1,4 @@
-"""Judges what clients were told by what servers saw: the rules that a trial on loopback can check."""
+"""Checks the responses that clients received against the requests that servers executed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class Violation:
-    """A broken rule, by its name in the pages, the id concerned and what was seen."""
+    """A broken rule: its name, the id of the request or job, and what was observed."""
 
     rule: str
     id: str
@@ -22,29 +22,29 @@
 
 
 def check_stream(
-    call: StreamCall, result: StreamResult, seen: Observations, stride: int, *, may_repeat: bool
+    call: StreamCall, result: StreamResult, seen: Observations, stride: int, *, retryable: bool
 ) -> list[Violation]:
-    """The rules broken by one try of a client."""
+    """The rules broken by one attempt of a client."""
     found: list[Violation] = []
     runs = seen.runs.get(result.request_id, [])
-    if not may_repeat and len(runs) > 1:
+    if not retryable and len(runs) > 1:
         found.append(Violation("TWICE", result.request_id, f"ran on {[run.server_id for run in runs]}"))
-    if result.end is StreamEnd.REFUSED and runs and not may_repeat:
+    if result.end is StreamEnd.REJECTED and runs and not retryable:
         found.append(Violation("REFUSED", result.request_id, f"{result.status}, yet it ran"))
     texts = tuple(event.data for event in result.events)
-    wanted = complete_output(call.path, call.body, event_count(call.output_tokens, stride))
-    if texts != wanted[: len(texts)]:
-        found.append(Violation("ORDER", result.request_id, f"events {texts[:3]}, not {wanted[:3]}"))
+    expected = complete_output(call.path, call.body, event_count(call.output_tokens, stride))
+    if texts != expected[: len(texts)]:
+        found.append(Violation("ORDER", result.request_id, f"events {texts[:3]}, not {expected[:3]}"))
     if result.end is StreamEnd.SERVED:
-        if len(texts) < len(wanted):
-            found.append(Violation("ORDER", result.request_id, f"{len(texts)} of {len(wanted)} events"))
+        if len(texts) < len(expected):
+            found.append(Violation("ORDER", result.request_id, f"{len(texts)} of {len(expected)} events"))
         if seen.signatures.get(result.signature) != result.request_id:
             found.append(Violation("MIXED", result.request_id, f"signature {result.signature!r}"))
     return found
 
 
 def check_job(history: JobHistory, seen: Observations, stride: int) -> list[Violation]:
-    """The rules broken by what was read of a lot."""
+    """The rules broken by the results that a client read of a batch job."""
     job = history.job
     found = [Violation("TWICE", job.id, f"position {at} has changed") for at in history.changed]
     if history.wrong_total_count:
@@ -75,7 +75,7 @@
             yield Violation("MIXED", item.id, f"text {result.message[:60]!r}")
 
 
-def check_unsent(asked: Iterable[str], seen: Observations) -> list[Violation]:
-    """Requests that servers ran and no client sent."""
-    known = set(asked)
-    return [Violation("UNASKED", name, "no client sent it") for name in seen.runs if name not in known]
+def check_unsent(sent_ids: Iterable[str], seen: Observations) -> list[Violation]:
+    """Requests that servers executed and no client sent."""
+    sent = set(sent_ids)
+    return [Violation("UNASKED", name, "no client sent it") for name in seen.runs if name not in sent]
--- a/emberring/emulator/job_client.py
+++ b/emberring/emulator/job_client.py
@@ -1,4 +1,4 @@
-"""A stand-in client of lots: hands one in, reads its results from any gateway, and ends it."""
+"""An emulated client of batch jobs: submits a job, reads its results from any gateway, and ends it."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class JobItem:
-    """An item of a lot as the client made it."""
+    """An item of a batch job as the client made it."""
 
     id: str
     path: str
@@ -56,7 +56,7 @@
 
 @attrs.frozen
 class BatchJob:
-    """A lot by its id, with its items in order."""
+    """A batch job by its id, with its items in order."""
 
     id: str
     items: tuple[JobItem, ...]
@@ -73,7 +73,10 @@
 
 @attrs.define
 class JobHistory:
-    """What a client was told of a lot; `changed` has the positions that held two results."""
+    """The responses that a client received about a batch job.
+
+    `changed` has the positions that held two different results.
+    """
 
     job: BatchJob
     statuses: list[int] = attrs.field(factory=list)
@@ -87,7 +90,7 @@
 
     @property
     def accepted(self) -> bool:
-        """Whether the lot was taken."""
+        """Whether the job was accepted."""
         return 202 in self.statuses
 
     @property
@@ -97,7 +100,7 @@
 
 
 def make_job(items: int, seed: int, output_tokens: int = 40) -> BatchJob:
-    """A lot whose items share the first part of their prompts."""
+    """A batch job whose items share the first part of their prompts."""
     rng = random.Random(seed)
     made = []
     for _ in range(items):
@@ -109,14 +112,14 @@
 
 
 class JobClient:
-    """Hands lots in and follows them. `frontends` is asked at each call."""
+    """Submits batch jobs and follows them. `frontends` gives the gateways' addresses at each call."""
 
     def __init__(self, frontends: Callable[[], Sequence[str]], seed: int) -> None:
         self._frontends = frontends
         self._random = random.Random(seed)
 
     async def submit(self, job: BatchJob, within_s: float = 6.0) -> JobHistory:
-        """Hand a lot in, again at other gateways after anything but 202 and a plain mistake."""
+        """Submit a job, retried at other gateways until it is accepted, or rejected as wrong."""
         loop = asyncio.get_running_loop()
         history = JobHistory(job)
         began = loop.time()
@@ -164,7 +167,7 @@
         return await self._call("GET", f"/v1/items/{job.id}?Id={quote(item_id)}", b"", {})
 
     async def end(self, job: BatchJob, within_s: float = 6.0) -> bool:
-        """End a lot; whether that was acknowledged."""
+        """End a job; whether that was acknowledged."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         while loop.time() - began < within_s:
--- a/emberring/emulator/kv_cache.py
+++ b/emberring/emulator/kv_cache.py
@@ -1,4 +1,4 @@
-"""The memory of an emulated engine: parts of prompts, kept while they are used and as long as there is room."""
+"""The KV cache of an emulated engine: parts of prompts, cached while they are used and while there is capacity."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 
 class KvCache:
-    """Parts in the order of their last use. Parts in use cannot give way, nor can generated tokens."""
+    """An LRU cache of prompt parts. Parts in use and generated tokens cannot be evicted. `capacity` is in tokens."""
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
-        self.generated = 0  # tokens that running requests have made
+        self.generated = 0  # tokens that running requests have generated
         self._parts: OrderedDict[str, int] = OrderedDict()
         self._users: Counter[str] = Counter()
-        self._pinned = 0
-        self._kept = 0
+        self._pinned_tokens = 0
+        self._cached_tokens = 0
 
     @property
     def used(self) -> int:
-        """Tokens that cannot give way."""
-        return self._pinned + self.generated
+        """Tokens that cannot be evicted."""
+        return self._pinned_tokens + self.generated
 
     def known_tokens(self, parts: Sequence[PromptPart]) -> int:
-        """How much of a prompt need not be read again: its parts up to the first that is not kept."""
+        """The tokens of a prompt that need no prefill: its parts up to the first that is not cached."""
         known = 0
         for part in parts:
             if part.id not in self._parts:
@@ -42,37 +42,37 @@
         return known
 
     def fits(self, parts: Sequence[PromptPart], more_tokens: int) -> bool:
-        """Whether there is room for a request beside what is in use."""
+        """Whether a request fits besides what is in use."""
         new = sum(part.tokens for part in parts if not self._users[part.id])
         return self.used + new + more_tokens <= self.capacity
 
     def pin(self, parts: Sequence[PromptPart]) -> None:
-        """Keep these parts for a running request."""
+        """Cache these parts and protect them for a running request."""
         for part in parts:
             if part.id not in self._parts:
                 self._parts[part.id] = part.tokens
-                self._kept += part.tokens
+                self._cached_tokens += part.tokens
             self._parts.move_to_end(part.id)
             if not self._users[part.id]:
-                self._pinned += self._parts[part.id]
+                self._pinned_tokens += self._parts[part.id]
             self._users[part.id] += 1
         self.evict_unused()
 
     def release(self, parts: Sequence[PromptPart], generated: int) -> None:
-        """A request has ended or was preempted; its parts stay while there is room."""
+        """A request has ended or was preempted; its parts stay cached while there is capacity."""
         self.generated -= generated
         for part in parts:
             self._users[part.id] -= 1
             if not self._users[part.id]:
                 del self._users[part.id]
-                self._pinned -= self._parts[part.id]
+                self._pinned_tokens -= self._parts[part.id]
 
     def evict_unused(self) -> bool:
-        """Let the parts unused longest give way; whether what is left fits."""
-        if self._kept + self.generated <= self.capacity:
+        """Evict the least recently used parts until the rest fits; whether it does."""
+        if self._cached_tokens + self.generated <= self.capacity:
             return True
         for name in [name for name in self._parts if not self._users[name]]:
-            if self._kept + self.generated <= self.capacity:
+            if self._cached_tokens + self.generated <= self.capacity:
                 break
-            self._kept -= self._parts.pop(name)
-        return self._kept + self.generated <= self.capacity
+            self._cached_tokens -= self._parts.pop(name)
+        return self._cached_tokens + self.generated <= self.capacity
--- a/emberring/emulator/live_client.py
+++ b/emberring/emulator/live_client.py
@@ -1,4 +1,4 @@
-"""A stand-in client of live streams: it reads events as they arrive and tries again only where that is allowed."""
+"""An emulated client of live streams: it reads events as they arrive and retries only where that is safe."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
     """How a stream ended for its client."""
 
     SERVED = "served"
-    REFUSED = "refused"  # with a promise that it did not run
+    REJECTED = "refused"  # with the promise that it was not executed
     FAILED = "failed"  # no promise: 502, 504, 500
-    DENIED = "denied"  # another 4xx
+    CLIENT_ERROR = "denied"  # another 4xx
     BROKEN = "broken"  # the connection ended early
     TIMED_OUT = "silent"
     NOT_REACHED = "not reached"  # no connection came up
 
 
-RETRYABLE_ENDS = frozenset({StreamEnd.REFUSED, StreamEnd.NOT_REACHED})
+RETRYABLE_ENDS = frozenset({StreamEnd.REJECTED, StreamEnd.NOT_REACHED})
 
 
 @attrs.frozen
 class StreamCall:
-    """What a client asks for. The prompt's last part is its own."""
+    """A client's call. The last part of the prompt is unique to it."""
 
     path: str
     body: bytes
@@ -49,7 +49,7 @@
 
 @attrs.frozen
 class StreamResult:
-    """One try of a client: `first_s` is the wait for the first event, `gap_s` the longest pause after it."""
+    """One attempt of a client: `first_s` is the delay of the first event, `gap_s` the longest pause after it (s)."""
 
     request_id: str
     end: StreamEnd
@@ -78,7 +78,7 @@
 
 
 class _ResponseState:
-    """The state of one try while its answer comes in."""
+    """The state of one attempt while its response arrives."""
 
     def __init__(self, request_id: str, now: float) -> None:
         self.request_id = request_id
@@ -92,7 +92,7 @@
         self._last = now
 
     def feed(self, data: bytes, now: float) -> None:
-        """Bytes of a successful answer."""
+        """Add bytes of a successful response."""
         fresh = self.reader.feed(data)
         if not fresh:
             return
@@ -104,7 +104,7 @@
         self.events += fresh
 
     def result(self, end: StreamEnd, now: float, detail: str = "") -> StreamResult:
-        """What came of the try."""
+        """The result of the attempt."""
         retry_after = self.headers.get("retry-after", "0")
         return StreamResult(
             request_id=self.request_id,
@@ -125,12 +125,12 @@
     if 200 <= status < 300:
         return StreamEnd.SERVED
     if status in NOT_EXECUTED_STATUSES:
-        return StreamEnd.REFUSED
-    return StreamEnd.DENIED if 400 <= status < 500 else StreamEnd.FAILED
+        return StreamEnd.REJECTED
+    return StreamEnd.CLIENT_ERROR if 400 <= status < 500 else StreamEnd.FAILED
 
 
 async def attempt_stream(frontend: str, call: StreamCall, left_s: float) -> StreamResult:
-    """One try on a connection of its own."""
+    """One attempt on a connection of its own, for at most `left_s` seconds."""
     loop = asyncio.get_running_loop()
     reading = _ResponseState(secrets.token_hex(8), loop.time())
     try:
@@ -169,7 +169,7 @@
 
 
 class LiveClient:
-    """Asks for streams at the gateways that are in, as clients do. `frontends` is asked at each try."""
+    """Calls streams at the gateways in service, as clients do. `frontends` gives their addresses at each attempt."""
 
     def __init__(self, frontends: Callable[[], list[str]], seed: int, retries: int = 1) -> None:
         self._frontends = frontends
@@ -177,7 +177,7 @@
         self._retries = retries
 
     async def ask(self, call: StreamCall) -> tuple[StreamResult, ...]:
-        """All tries of a call; the last one says how it ended."""
+        """The results of all attempts of a call; the last one says how it ended."""
         loop = asyncio.get_running_loop()
         give_up_at = loop.time() + call.deadline_s
         results: list[StreamResult] = []
--- a/emberring/emulator/local_node.py
+++ b/emberring/emulator/local_node.py
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class NodePlace:
-    """Where a node lives: all nodes have the same ports, each an address of its own."""
+    """The address of a node: all nodes have the same ports, each an IP address of its own."""
 
     name: str
     role: str
@@ -31,7 +31,7 @@
     base_port: int
 
     def address(self, port: int) -> str:
-        """`ip:port` of one of its ports, by its place after the first."""
+        """`ip:port` of one of its ports, by its offset from the first."""
         return f"{self.ip}:{self.base_port + port}"
 
 
@@ -80,12 +80,12 @@
 
     @property
     def log_path(self) -> Path:
-        """Where the process writes its log."""
+        """The path of its log."""
         return self._folder / "log"
 
     @property
     def settings_path(self) -> Path:
-        """Where its settings lie."""
+        """The path of its settings file."""
         return self._folder / "local.toml"
 
     @property
@@ -99,7 +99,7 @@
         return self._process.pid if self._process is not None else 0
 
     def start(self, *, bootstrap: bool) -> None:
-        """Start the process; its log is continued."""
+        """Start the process; its log is appended to."""
         data_dir = self._folder / "data"
         data_dir.mkdir(parents=True, exist_ok=True)
         text = settings_text(self.place, self._seeds, data_dir, bootstrap=bootstrap, grace_s=self._grace_s)
@@ -125,7 +125,7 @@
             self._process.wait()
 
     async def stop(self, within_s: float) -> int | None:
-        """Ask the process to end; its exit code, or None where it had to be killed."""
+        """Stop the process by SIGTERM; its exit code, or None where it had to be killed after `within_s` seconds."""
         if self._process is None:
             return None
         if self._process.poll() is None:
--- a/emberring/emulator/local_tier.py
+++ b/emberring/emulator/local_tier.py
@@ -1,4 +1,4 @@
-"""A whole tier on loopback: three control nodes, three stores, two gateways, each a process with its own address."""
+"""A complete tier on loopback: each node is a process with an address of its own."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 from emberring.emulator.waiting import wait_until
 from emberring.errors import NotReadyError
 
-PORTS = range(20_000, 30_000, 16)  # below those that systems give to callers
+PORTS = range(20_000, 30_000, 16)  # below the ephemeral ports
 POLL_INTERVAL_S = 0.1
-FAILED_PROBES_TO_REMOVE = 2  # looks in a row that find a gateway not ready before it gets no new connections
+FAILED_PROBES_TO_REMOVE = 2  # probes in a row that find a gateway not ready before it gets no new connections
 PROBE_TIMEOUT_S = 0.5
 MAX_ATTEMPTS = 50
 INTERNAL_OF_ROLE = {"gateway": FIRST_INTERNAL, "control": LAST_INTERNAL, "store": LAST_INTERNAL + 1}
@@ -74,14 +74,14 @@
 
 
 class LocalTier:
-    """The nodes' processes, and who of them is up."""
+    """The nodes' processes, and which gateways are in service."""
 
     def __init__(self, folder: Path, size: TierSize | None = None, seed: int | None = None) -> None:
         self.size = size or TierSize()
         places = choose_places(self.size, random.Random(seed))
         seeds = [place.address(CONTROL_PLANE) for place in places if place.role == "control"][:3]
         self.nodes = {place.name: LocalNode(place, seeds, folder, self.size.grace_s) for place in places}
-        self._in: set[str] = set()
+        self._in_service: set[str] = set()
         self._failed_probes: dict[str, int] = {}
         self._prober: asyncio.Task[None] | None = None
 
@@ -94,9 +94,9 @@
         return [node.place.address(CONTROL_PLANE) for node in self.of_role("control")]
 
     def frontends(self) -> list[str]:
-        """Addresses of the gateways that are in, as the platform sees it; all that run where none is."""
+        """Addresses of the gateways in service, as the platform sees it; all running ones where none is."""
         running = [node.place.address(FRONTEND) for node in self.of_role("gateway") if node.running]
-        return sorted(self._in) or sorted(running)
+        return sorted(self._in_service) or sorted(running)
 
     def start(self) -> None:
         """Start all nodes for the first time, and ask gateways from then on whether they are ready."""
@@ -113,13 +113,13 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def _record_probe(self, node: LocalNode, up: bool) -> None:
-        """As the platform does: one look that found it not ready takes a gateway out as little as a late one."""
+        """As the platform does: one failed probe, late or not ready, does not take a gateway out of service."""
         address = node.place.address(FRONTEND)
         self._failed_probes[address] = 0 if up else self._failed_probes.get(address, 0) + 1
         if up:
-            self._in.add(address)
+            self._in_service.add(address)
         elif self._failed_probes[address] >= FAILED_PROBES_TO_REMOVE:
-            self._in.discard(address)
+            self._in_service.discard(address)
 
     async def is_up(self, node: LocalNode) -> bool:
         """Whether a node answers for its role."""
@@ -144,8 +144,8 @@
         return None
 
     async def wait_frontends(self, count: int, within_s: float) -> bool:
-        """Wait until so many gateways are in."""
-        return await wait_until(lambda: len(self._in) >= count, within_s)
+        """Wait until `count` gateways are in service; whether they were within `within_s` seconds."""
+        return await wait_until(lambda: len(self._in_service) >= count, within_s)
 
     async def stop(self) -> dict[str, int | None]:
         """End all nodes in order; their exit codes by name, None for those that had to be killed."""
@@ -153,7 +153,7 @@
             self._prober.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await self._prober
-        self._in = set()
+        self._in_service = set()
         ends = (node.stop(self.size.grace_s) for node in self.nodes.values())
         codes = await asyncio.gather(*ends)
         return dict(zip(self.nodes, codes, strict=True))
--- a/emberring/emulator/observations.py
+++ b/emberring/emulator/observations.py
@@ -1,4 +1,4 @@
-"""What the stand-ins saw on their sockets: the material by which a trial or a test is judged."""
+"""What the emulated servers observed: the data for the invariant checker."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class Run:
-    """A server began work on a request. `resume_after` is the id of the event that it went on after, or None."""
+    """A server began to execute a request. `resume_after` is the id of the event that it resumed after, or None."""
 
     request_id: str
     server_id: str
@@ -21,7 +21,7 @@
 
 
 class Observations:
-    """All runs, by request id, and the signatures that servers gave."""
+    """All executions by request id, and the signatures of the servers' responses."""
 
     def __init__(self) -> None:
         self.runs: dict[str, list[Run]] = defaultdict(list)
@@ -29,9 +29,9 @@
         self.crashed: set[str] = set()  # ids of servers
 
     def record_run(self, run: Run) -> None:
-        """A server began work."""
+        """Record that a server began to execute a request."""
         self.runs[run.request_id].append(run)
 
     def record_signature(self, signature: str, request_id: str) -> None:
-        """A server put this signature under its answer to this request."""
+        """Record that a server signed its response to this request."""
         self.signatures[signature] = request_id
--- a/emberring/emulator/operator.py
+++ b/emberring/emulator/operator.py
@@ -1,4 +1,4 @@
-"""A stand-in operator: orders go to a control node, and again to the next one until the answer is clear."""
+"""An emulated operator: requests to a control node, retried at the next one until the outcome is known."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 READ_TIMEOUT_S = 1.0
 FIRST_PAUSE_S = 0.05
 MAX_PAUSE_S = 1.0
-REDIRECTS = 2
-FINAL = frozenset({400, 409, 412, 413, 422})
-GO_ON = frozenset({408, 429})
+MAX_REDIRECTS = 2
+FINAL_STATUSES = frozenset({400, 409, 412, 413, 422})
+RETRYABLE_STATUSES = frozenset({408, 429})
 
 
 @attrs.frozen
 class RequestOutcome:
-    """How an order ended. `status` is 0 where no answer was clear; `took_s` counts from its first try."""
+    """The outcome of a request. `status` is 0 where it is unknown; `took_s` counts from the first attempt (seconds)."""
 
     status: int
     body: bytes
@@ -32,12 +32,12 @@
 
     @property
     def acknowledged(self) -> bool:
-        """Whether the order was taken."""
+        """Whether the request was acknowledged."""
         return 200 <= self.status < 300
 
 
 class Operator:
-    """Sends orders as the operator's tool does. `controls` are `ip:port` of the control plane."""
+    """Sends requests as the operator's tool does. `controls` are the control plane's addresses (`ip:port`)."""
 
     def __init__(self, controls: Sequence[str]) -> None:
         self._controls = list(controls)
@@ -46,7 +46,7 @@
     async def put_configuration(
         self, document: Mapping[str, Any], builds_on: int, within_s: float = 10.0
     ) -> RequestOutcome:
-        """Bring a whole configuration; `builds_on` is 0 for the first one."""
+        """Send a complete configuration; `builds_on` is the version that it replaces, 0 for the first one."""
         return await self._configure("PUT", document, builds_on, within_s)
 
     async def patch_configuration(
@@ -62,7 +62,7 @@
         return await self.send_request(method, "/v1/config", orjson.dumps(document), headers, within_s)
 
     async def read_configuration(self, within_s: float = 5.0) -> dict[str, Any] | None:
-        """The newest configuration, or None where nobody told it in time."""
+        """The newest configuration, or None where no control node sent it in time."""
         outcome = await self.send_request("GET", "/v1/config", b"", {}, within_s)
         if not outcome.acknowledged:
             return None
@@ -70,21 +70,21 @@
         return found if isinstance(found, dict) else None
 
     async def retire(self, node: str, duration_s: float, within_s: float = 4.0) -> RequestOutcome:
-        """Ask that a store machine be emptied."""
+        """Request the retirement of a store."""
         body = orjson.dumps({"DurationS": duration_s})
         return await self.send_request("POST", f"/v1/retire/{node}", body, {}, within_s)
 
-    async def retire_state(self, node: str, within_s: float = 4.0) -> RequestOutcome:
-        """How far the emptying of a store machine is."""
+    async def retirement_state(self, node: str, within_s: float = 4.0) -> RequestOutcome:
+        """Read the state of a store's retirement."""
         return await self.send_request("GET", f"/v1/retire/{node}", b"", {}, within_s)
 
     async def send_request(
         self, method: str, path: str, content: bytes, headers: Mapping[str, str], within_s: float
     ) -> RequestOutcome:
-        """Send an order until a clear answer or the end of its time."""
+        """Send a request until its outcome is known or `within_s` seconds are over."""
         loop = asyncio.get_running_loop()
         began = loop.time()
-        pause_s, attempts, other_refusals = FIRST_PAUSE_S, 0, 0
+        pause_s, attempts, other_client_errors = FIRST_PAUSE_S, 0, 0
         last = HttpResponse(0, {}, b"")
         while loop.time() - began < within_s:
             node = self._controls[next(self._turn) % len(self._controls)]
@@ -92,8 +92,8 @@
             answer = await self._try(method, node, path, content, headers)
             if answer is not None:
                 last = answer
-                other_refusals += _is_other_refusal(answer.status)
-                if _is_clear(answer.status) or other_refusals >= 3:
+                other_client_errors += _is_other_client_error(answer.status)
+                if _is_final(answer.status) or other_client_errors >= 3:
                     return RequestOutcome(answer.status, answer.body, attempts, loop.time() - began, node)
             await asyncio.sleep(min(pause_s, max(0.0, began + within_s - loop.time())))
             pause_s = min(MAX_PAUSE_S, 2 * pause_s)
@@ -104,7 +104,7 @@
     ) -> HttpResponse | None:
         url = f"http://{node}{path}"
         try:
-            for _ in range(REDIRECTS + 1):
+            for _ in range(MAX_REDIRECTS + 1):
                 answer = await call_once(
                     method, url, headers=headers, content=content, timeout_s=READ_TIMEOUT_S
                 )
@@ -116,9 +116,9 @@
         return None
 
 
-def _is_clear(status: int) -> bool:
-    return 200 <= status < 300 or status in FINAL
+def _is_final(status: int) -> bool:
+    return 200 <= status < 300 or status in FINAL_STATUSES
 
 
-def _is_other_refusal(status: int) -> bool:
-    return 400 <= status < 500 and status not in FINAL and status not in GO_ON
+def _is_other_client_error(status: int) -> bool:
+    return 400 <= status < 500 and status not in FINAL_STATUSES and status not in RETRYABLE_STATUSES
--- a/emberring/emulator/output.py
+++ b/emberring/emulator/output.py
@@ -1,4 +1,4 @@
-"""What a stand-in model server says: a fixed function of path and body, so that anyone can check an answer."""
+"""The output of an emulated model server: a fixed function of path and body, so that any response can be checked."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import math
 
 FIRST_EVENT_ID = 1
-TEXT_BYTES = 8  # of the digest that stands in each event
+TEXT_BYTES = 8  # of the digest in each event
 
 
 def event_count(output_tokens: int, stride: int) -> int:
--- a/emberring/emulator/store_scan.py
+++ b/emberring/emulator/store_scan.py
@@ -1,4 +1,4 @@
-"""Asks the stores of a local tier what they own, so that a trial can kill the one that matters."""
+"""Reads from the stores of a local tier what they own, so that a trial can kill the busiest one."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
             return name, None
 
     places = [node.place for node in tier.of_role("store")]
-    asked = (ask(place.name, place.address(INTERNAL_OF_ROLE["store"])) for place in places)
-    found = await asyncio.gather(*asked)
+    calls = (ask(place.name, place.address(INTERNAL_OF_ROLE["store"])) for place in places)
+    found = await asyncio.gather(*calls)
     await network.close()
     return {name: status for name, status in found if status is not None}
 
 
 async def busiest_store(tier: LocalTier) -> str | None:
-    """The store that owns the most lots; None where no store owns any."""
+    """The store that owns the most batch jobs; None where no store owns any."""
     jobs = {
         name: sum(shard.jobs for shard in status.shards if shard.owner)
         for name, status in (await scan_stores(tier)).items()
--- a/emberring/emulator/traffic.py
+++ b/emberring/emulator/traffic.py
@@ -1,4 +1,4 @@
-"""Clients' traffic of a trial: streams at a steady rate and a lot now and then, counted and judged."""
+"""The client traffic of a trial: streams at a steady rate and batch jobs at intervals, counted and checked."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class TrafficPlan:
-    """How much is asked for: streams a second, seconds between lots, and how long a lot may take."""
+    """The amount of traffic: streams per second, seconds between batch jobs, and how long a job may take (seconds)."""
 
     streams_per_s: float = 20.0
     job_every_s: float = 3.0
@@ -34,7 +34,7 @@
 
 @attrs.define
 class Tally:
-    """What came of the calls of one route. Waits are seconds to the first event, from the first try."""
+    """The outcomes of the calls of one route. Delays are seconds from the first attempt to the first event."""
 
     sent: int = 0
     served: int = 0
@@ -43,7 +43,7 @@
     first_event_delays_s: list[float] = attrs.field(factory=list)
 
     def delay_s(self, share: float) -> float:
-        """The wait that this share of the served calls did not exceed."""
+        """The delay (seconds) that this share of the served calls did not exceed."""
         if not self.first_event_delays_s:
             return 0.0
         ordered = sorted(self.first_event_delays_s)
@@ -51,7 +51,7 @@
 
 
 class Traffic:
-    """Asks until it is stopped; then `violations` has all broken rules that it can see."""
+    """Sends calls until it is stopped; then `violations` has every violation that it found."""
 
     def __init__(
         self, frontends: Callable[[], list[str]], seen: Observations, plan: TrafficPlan, seed: int = 1
@@ -65,17 +65,17 @@
         self._random = random.Random(seed)
         self._client = LiveClient(frontends, seed, retries=2)
         self._job_client = JobClient(frontends, seed)
-        self._asked_ids: set[str] = set()
+        self._sent_ids: set[str] = set()
         self._calls: set[asyncio.Task[None]] = set()
         self._sources: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Begin to send."""
         loop = asyncio.get_running_loop()
         self._sources = [loop.create_task(self._streams()), loop.create_task(self._jobs())]
 
     async def stop(self, within_s: float) -> None:
-        """Ask nothing new, wait for what is open, and judge the lots."""
+        """Send nothing new, wait up to `within_s` for what is in progress, and check the batch jobs."""
         for source in self._sources:
             source.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -86,7 +86,7 @@
             call.cancel()
         for history in self.jobs:
             self.violations += check_job(history, self._seen, self._plan.stride)
-        self.violations += check_unsent(self._asked_ids, self._seen)
+        self.violations += check_unsent(self._sent_ids, self._seen)
 
     def _spawn(self, task: asyncio.Task[None]) -> None:
         self._calls.add(task)
@@ -122,9 +122,9 @@
         results = await self._client.ask(call)
         tally.attempts += len(results)
         for result in results:
-            self._asked_ids.add(result.request_id)
+            self._sent_ids.add(result.request_id)
             self.violations += check_stream(
-                call, result, self._seen, self._plan.stride, may_repeat=name == "review"
+                call, result, self._seen, self._plan.stride, retryable=name == "review"
             )
         if results and results[-1].end is StreamEnd.SERVED:
             tally.served += 1
@@ -134,7 +134,7 @@
 
     async def _one_job(self) -> None:
         job = make_job(JOB_ITEMS, self._random.getrandbits(32), OUTPUT_TOKENS)
-        self._asked_ids.update(item.id for item in job.items)
+        self._sent_ids.update(item.id for item in job.items)
         history = await self._job_client.submit(job)
         self.jobs.append(history)
         if history.accepted:
--- a/emberring/emulator/trial.py
+++ b/emberring/emulator/trial.py
@@ -1,4 +1,4 @@
-"""A trial of the whole tier on loopback: traffic, a node of each role killed once, servers lost and replaced."""
+"""A trial of a complete tier on loopback: traffic, one node of each role killed, servers lost and replaced."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class Fault:
-    """A trouble and how long the way back took from the restart (seconds); None where there was none."""
+    """An injected fault; `recovery_s` is the time from the restart to the recovery, None where there was none."""
 
     what: str
     node: str
@@ -53,7 +53,7 @@
 
 @attrs.frozen
 class TrialReport:
-    """What came of a trial."""
+    """The results of a trial."""
 
     started_s: float
     faults: tuple[Fault, ...]
@@ -65,18 +65,18 @@
 
     @property
     def clean(self) -> bool:
-        """Whether no rule was broken, every lot that was taken is whole and every node came back and ended."""
-        back = all(trouble.recovery_s is not None for trouble in self.faults)
+        """Whether no rule was broken, every accepted job is complete and every node recovered and ended normally."""
+        recovered = all(fault.recovery_s is not None for fault in self.faults)
         taken = [history for history in self.jobs if history.accepted]
         jobs = bool(taken) and all(history.complete for history in taken)
         ended = all(code == 0 for code in self.exit_codes.values())
         sent = sum(tally.sent for tally in self.tallies.values())
         served = sum(tally.served for tally in self.tallies.values())
-        return not self.violations and back and jobs and ended and served * 2 > sent
+        return not self.violations and recovered and jobs and ended and served * 2 > sent
 
 
 class Trial:
-    """Plays a plan; `say` is told each step."""
+    """Runs a trial by its plan; `say` is called with a line for each step."""
 
     def __init__(self, folder: Path, plan: TrialPlan, say: Callable[[str], None], seed: int = 1) -> None:
         self._plan = plan
@@ -90,7 +90,7 @@
         self._faults: list[Fault] = []
 
     async def play(self) -> TrialReport:
-        """The whole trial; `NotReadyError` where the tier does not come up."""
+        """Run the trial; `NotReadyError` where the tier does not start."""
         try:
             started_s = await self._start()
             self._traffic.start()
@@ -144,8 +144,8 @@
         await asyncio.sleep(self._plan.downtime_s)
         node.start(bootstrap=False)
         recovery_s = await self._tier.wait_up([node.place.name], RECOVERY_TIMEOUT_S)
-        told = "did not come back" if recovery_s is None else f"back {recovery_s:.1f} s after its restart"
-        self._say(f"{node.place.name} {told}")
+        result = "did not come back" if recovery_s is None else f"back {recovery_s:.1f} s after its restart"
+        self._say(f"{node.place.name} {result}")
         self._faults.append(Fault(f"{role} killed", node.place.name, recovery_s))
 
     async def _replace_servers(self) -> None:
--- a/emberring/emulator/waiting.py
+++ b/emberring/emulator/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting on a condition, within a time limit."""
+"""Waiting for a condition, within a time limit."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 async def wait_until(condition: Callable[[], bool], within_s: float) -> bool:
-    """Look again and again until the condition holds; whether it did within the time (seconds)."""
+    """Poll until the condition holds; whether it did within `within_s` seconds."""
     loop = asyncio.get_running_loop()
     give_up_at = loop.time() + within_s
     while not condition():
--- a/emberring/emulator/wire.py
+++ b/emberring/emulator/wire.py
@@ -1,4 +1,4 @@
-"""Requests as a stand-in model server reads them, and the bytes of its answers."""
+"""Requests as an emulated model server parses them, and the bytes of its responses."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class ServerRequest:
-    """A whole request; names of headers are in lower case."""
+    """A complete request; names of headers are in lower case."""
 
     method: str
     path: str
@@ -54,14 +54,14 @@
 
 
 def head(status: int, headers: Mapping[str, str]) -> bytes:
-    """The first line and the headers."""
+    """The status line and the headers."""
     lines = [f"HTTP/1.1 {status} {HTTPStatus(status).phrase}"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
 
 def complete_response(status: int, headers: Mapping[str, str], body: bytes = b"") -> bytes:
-    """An answer with a length."""
+    """A response with a Content-Length."""
     return head(status, {**headers, "Content-Length": str(len(body))}) + body
 
 
--- a/tests/emberring/emulator/test_tier_standin_server.py
+++ b/tests/emberring/emulator/test_tier_standin_server.py
@@ -42,7 +42,7 @@
         assert result.end is StreamEnd.SERVED
         assert [event.id for event in result.events] == [1, 2, 3]
         assert seen.signatures[result.signature] == result.request_id
-        assert check_stream(CALL, result, seen, STRIDE, may_repeat=False) == []
+        assert check_stream(CALL, result, seen, STRIDE, retryable=False) == []
 
     with_server(play)
 
--- a/tests/emberring/test_tier_whole.py
+++ b/tests/emberring/test_tier_whole.py
@@ -55,7 +55,7 @@
             call = StreamCall(f"{EXPLAIN_PREFIX}{self.asked}", b"question", parts, 40)
             results = await self.live.ask(call)
             for result in results:
-                assert check_stream(call, result, self.seen, STRIDE, may_repeat=False) == []
+                assert check_stream(call, result, self.seen, STRIDE, retryable=False) == []
             ends.append(results[-1].end)
         return ends
 
--- a/tests/versions/versioned_tier.py
+++ b/tests/versions/versioned_tier.py
@@ -321,7 +321,7 @@
         results = await LiveClient(lambda: [address], seed=self._asked, retries=3).ask(call)
         for result in results:
             self._own_ids.add(result.request_id)
-            assert check_stream(call, result, self.seen, STRIDE, may_repeat=False) == []
+            assert check_stream(call, result, self.seen, STRIDE, retryable=False) == []
         assert [result.end for result in results][-1:] == [StreamEnd.SERVED], (address, results, self.logs())
         return {run.server_id for result in results for run in self.seen.runs.get(result.request_id, [])}
 
