--- a/emberring/cli/retire_command.py
+++ b/emberring/cli/retire_command.py
@@ -27,7 +27,8 @@
 ) -> None:
     """Empty a store machine. Take it away only once its state is 'completed'.
 
-    Exit code 1 where it is unknown, where too few would be left, or where --wait ended before its end."""
+    Exit code 1 where it is unknown, where too few would be left, or where --wait ended before its end.
+    """
     controls = control_addresses(control)
     path = f"/v1/retire/{node}"
     if not look:
--- a/emberring/cli/simulator_checks.py
+++ b/emberring/cli/simulator_checks.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import time
-from collections.abc import Callable, Iterable, Iterator
+from collections.abc import Callable, Iterable, Iterator, Sized
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any, Protocol, TypeVar
 
@@ -15,15 +15,32 @@
 SEEDS_PER_BATCH = 4  # handed to a process at once
 
 
+class SomeSchedule(Protocol):
+    """The attributes of a simulator's fault schedule that this module uses."""
+
+    @property
+    def seed(self) -> int:
+        """The seed that the schedule was made from."""
+
+    @property
+    def steps(self) -> Sized:
+        """The steps of the schedule."""
+
+
 class SomeVerdict(Protocol):
     """The attributes of a simulator's verdict that this module uses."""
 
     @property
-    def mistakes(self) -> tuple[str, ...]: ...
+    def mistakes(self) -> tuple[str, ...]:
+        """The violated invariants."""
+
     @property
-    def schedule(self) -> Any: ...
+    def schedule(self) -> SomeSchedule:
+        """The fault schedule that was played."""
+
     @property
-    def events(self) -> int: ...
+    def events(self) -> int:
+        """The number of simulated events."""
 
 
 Verdict = TypeVar("Verdict", bound=SomeVerdict)
--- a/emberring/cli/status_commands.py
+++ b/emberring/cli/status_commands.py
@@ -53,7 +53,8 @@
 ) -> None:
     """Ask each control node given (or each seed) how it is, and sum up the tier.
 
-    Exit code 1 where one does not answer, has no majority, or differs in the configuration."""
+    Exit code 1 where one does not answer, has no majority, or differs in the configuration.
+    """
     pages: dict[str, dict[str, Any] | None] = {}
     for address in control_addresses(control):
         try:
@@ -136,7 +137,8 @@
     as_json: JsonOption = False,
 ) -> None:
     """List the model servers known, with the calls that gateways have in flight there and what speaks against them:
-    how many gateways find which trouble, and for how long already."""
+    how many gateways find which trouble, and for how long already.
+    """
     found = first_status(control_addresses(control), timeout)["Servers"]
     found = [server for server in found if service is None or server["Service"] == service]
     if as_json:
--- a/emberring/cli/trial_command.py
+++ b/emberring/cli/trial_command.py
@@ -29,7 +29,8 @@
 ) -> None:
     """Run the whole tier on loopback and kill a node of each role once; ends by itself in about half a minute.
 
-    Exit codes: 0 no rule was broken and every lot that was taken is whole; 1 otherwise; 3 it did not come up."""
+    Exit codes: 0 no rule was broken and every lot that was taken is whole; 1 otherwise; 3 it did not come up.
+    """
     plan = TrialPlan(traffic=TrafficPlan(streams_per_s=rate), servers=servers)
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
--- a/emberring/emulator/configurations.py
+++ b/emberring/emulator/configurations.py
@@ -28,7 +28,7 @@
     retention_s: int = 60
 
 
-def _route(name: str, prefix: str, kind: str, terms: TrialLimits, **more: Any) -> dict[str, Any]:
+def _route(name: str, prefix: str, kind: str, terms: TrialLimits, **more: object) -> dict[str, Any]:
     common: dict[str, Any] = {"Name": name, "Host": HOST, "PathPrefix": prefix, "Type": kind}
     common["Service"] = SERVICE
     common |= {"TimeoutMs": terms.timeout_ms, "Priority": 0, "Sticky": True}
--- a/emberring/emulator/connection.py
+++ b/emberring/emulator/connection.py
@@ -43,29 +43,36 @@
         self._busy = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is open; it is reset where the handler rejects it."""
         self._transport = cast(asyncio.Transport, transport)
         if not self._handler.on_connection_opened(self):
             self.abort()
 
     def data_received(self, data: bytes) -> None:
+        """Parse received bytes; bytes that are no HTTP reset the connection."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.abort()
 
     def on_message_begin(self) -> None:
+        """A request begins (callback of the parser)."""
         self._path, self._headers, self._body = b"", {}, bytearray()
 
     def on_url(self, url: bytes) -> None:
+        """A part of the URL (callback of the parser)."""
         self._path += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """A header (callback of the parser)."""
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
+        """A part of the body (callback of the parser)."""
         self._body += body
 
     def on_message_complete(self) -> None:
+        """The request is complete (callback of the parser)."""
         method = self._parser.get_method().decode("ascii")
         path = self._path.decode("latin-1")
         self._pending.append(ServerRequest(method, path, self._headers, bytes(self._body)))
@@ -105,4 +112,5 @@
             self._transport.pause_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection has ended."""
         self._handler.on_connection_closed(self)
--- a/emberring/logs.py
+++ b/emberring/logs.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import sys
-from typing import Any
 
 import picologging
 
@@ -12,7 +11,7 @@
 ROOT_LOGGER_NAME = "emberring"
 
 
-def get_logger(name: str) -> Any:
+def get_logger(name: str) -> picologging.Logger:
     """The logger of this part of the tier."""
     return picologging.getLogger(f"{ROOT_LOGGER_NAME}.{name}")
 
