--- a/emberring/emulator/invariant_checker.py
+++ b/emberring/emulator/invariant_checker.py
@@ -22,11 +22,11 @@
 
 
 def check_stream(
-    call: StreamCall, result: StreamResult, seen: Observations, stride: int, *, retryable: bool
+    call: StreamCall, result: StreamResult, observations: Observations, stride: int, *, retryable: bool
 ) -> list[Violation]:
     """The rules broken by one attempt of a client."""
     found: list[Violation] = []
-    runs = seen.runs.get(result.request_id, [])
+    runs = observations.runs.get(result.request_id, [])
     if not retryable and len(runs) > 1:
         found.append(Violation("TWICE", result.request_id, f"ran on {[run.server_id for run in runs]}"))
     if result.end is StreamEnd.REJECTED and runs and not retryable:
@@ -38,12 +38,12 @@
     if result.end is StreamEnd.SERVED:
         if len(texts) < len(expected):
             found.append(Violation("ORDER", result.request_id, f"{len(texts)} of {len(expected)} events"))
-        if seen.signatures.get(result.signature) != result.request_id:
+        if observations.signatures.get(result.signature) != result.request_id:
             found.append(Violation("MIXED", result.request_id, f"signature {result.signature!r}"))
     return found
 
 
-def check_job(history: JobHistory, seen: Observations, stride: int) -> list[Violation]:
+def check_job(history: JobHistory, observations: Observations, stride: int) -> list[Violation]:
     """The rules broken by the results that a client read of a batch job."""
     job = history.job
     found = [Violation("TWICE", job.id, f"position {at} has changed") for at in history.changed]
@@ -54,7 +54,7 @@
     found += _check_results(history, stride)
     refused = not history.accepted and history.statuses
     if refused and all(status in (429, 503, 408, 421) for status in history.statuses):
-        ran = [item.id for item in job.items if seen.runs.get(item.id)]
+        ran = [item.id for item in job.items if observations.runs.get(item.id)]
         found += [Violation("REFUSED", item_id, "ran though its lot was refused") for item_id in ran]
     return found
 
@@ -75,7 +75,7 @@
             yield Violation("MIXED", item.id, f"text {result.message[:60]!r}")
 
 
-def check_unsent(sent_ids: Iterable[str], seen: Observations) -> list[Violation]:
+def check_unsent(sent_ids: Iterable[str], observations: Observations) -> list[Violation]:
     """Requests that servers executed and no client sent."""
     sent = set(sent_ids)
-    return [Violation("UNASKED", name, "no client sent it") for name in seen.runs if name not in sent]
+    return [Violation("UNASKED", name, "no client sent it") for name in observations.runs if name not in sent]
--- a/emberring/emulator/server_fleet.py
+++ b/emberring/emulator/server_fleet.py
@@ -24,20 +24,20 @@
         service: str,
         engine: EngineSpec,
         controls: Callable[[], Sequence[str]],
-        seen: Observations,
+        observations: Observations,
         heartbeat_s: float = 0.5,
     ) -> None:
         self.servers: dict[str, tuple[ModelServer, Heartbeats]] = {}
         self._service = service
         self._engine = engine
         self._controls = controls
-        self._seen = seen
+        self._observations = observations
         self._heartbeat_s = heartbeat_s
 
     async def add(self) -> ModelServer:
         """Start a server at a free address."""
         spec = ServerSpec(self._service, zone=f"zone-{'abc'[len(self.servers) % 3]}", engine=self._engine)
-        server = ModelServer(spec, self._seen)
+        server = ModelServer(spec, self._observations)
         await server.start()
         heartbeats = Heartbeats(server, self._controls, self._heartbeat_s)
         heartbeats.start()
--- a/emberring/emulator/traffic.py
+++ b/emberring/emulator/traffic.py
@@ -54,13 +54,13 @@
     """Sends calls until it is stopped; then `violations` has every violation that it found."""
 
     def __init__(
-        self, frontends: Callable[[], list[str]], seen: Observations, plan: TrafficPlan, seed: int = 1
+        self, frontends: Callable[[], list[str]], observations: Observations, plan: TrafficPlan, seed: int = 1
     ) -> None:
         self.tallies: dict[str, Tally] = {"explain": Tally(), "review": Tally()}
         self.jobs: list[JobHistory] = []
         self.violations: list[Violation] = []
         self.added_route = False
-        self._seen = seen
+        self._observations = observations
         self._plan = plan
         self._random = random.Random(seed)
         self._client = LiveClient(frontends, seed, retries=2)
@@ -85,8 +85,8 @@
         for call in self._calls:
             call.cancel()
         for history in self.jobs:
-            self.violations += check_job(history, self._seen, self._plan.stride)
-        self.violations += check_unsent(self._sent_ids, self._seen)
+            self.violations += check_job(history, self._observations, self._plan.stride)
+        self.violations += check_unsent(self._sent_ids, self._observations)
 
     def _spawn(self, task: asyncio.Task[None]) -> None:
         self._calls.add(task)
@@ -124,7 +124,7 @@
         for result in results:
             self._sent_ids.add(result.request_id)
             self.violations += check_stream(
-                call, result, self._seen, self._plan.stride, retryable=name == "review"
+                call, result, self._observations, self._plan.stride, retryable=name == "review"
             )
         if results and results[-1].end is StreamEnd.SERVED:
             tally.served += 1
--- a/emberring/emulator/trial.py
+++ b/emberring/emulator/trial.py
@@ -81,12 +81,12 @@
     def __init__(self, folder: Path, plan: TrialPlan, say: Callable[[str], None], seed: int = 1) -> None:
         self._plan = plan
         self._say = say
-        self._seen = Observations()
+        self._observations = Observations()
         self._tier = LocalTier(folder, plan.size)
         self._operator = Operator(self._tier.controls())
         engine = EngineSpec(stride=plan.traffic.stride)
-        self._fleet = ServerFleet(SERVICE, engine, self._tier.controls, self._seen)
-        self._traffic = Traffic(self._tier.frontends, self._seen, plan.traffic, seed)
+        self._fleet = ServerFleet(SERVICE, engine, self._tier.controls, self._observations)
+        self._traffic = Traffic(self._tier.frontends, self._observations, plan.traffic, seed)
         self._faults: list[Fault] = []
 
     async def play(self) -> TrialReport:
--- a/tests/emberring/cli/test_tier_check_disk.py
+++ b/tests/emberring/cli/test_tier_check_disk.py
@@ -62,7 +62,7 @@
     return folder
 
 
-def test_a_whole_journal(journal):
+def test_an_undamaged_journal_has_no_damages(journal):
     survey = scan_journal(journal)
     assert [record.payload for record in survey.records] == PAYLOADS
     assert len(survey.segments) > 2
@@ -70,7 +70,7 @@
     assert survey.damages == ()
 
 
-def test_a_torn_tail_is_in_order(journal):
+def test_a_torn_tail_is_no_damage(journal):
     last = files(journal)[-1]
     end = scan_journal(journal).segments[-1].end
     flip(last, end - 1)
@@ -107,7 +107,7 @@
         (other_format, "format version 77"),
     ],
 )
-def test_damage_is_named_and_the_rest_is_read(damage: Callable[[Path], None], said, journal):
+def test_damage_is_reported_and_the_rest_is_read(damage: Callable[[Path], None], said, journal):
     damage(journal)
     before = {path.name: path.read_bytes() for path in journal.iterdir()}
     survey = scan_journal(journal)
@@ -134,7 +134,7 @@
     return directory
 
 
-def test_a_store_is_counted_by_shard(store, capsys):
+def test_a_store_is_reported_by_shard(store, capsys):
     report = report_store(store)
     assert report.damages == ()
     assert report.records == 6
@@ -189,7 +189,7 @@
 
 
 @pytest.mark.parametrize("kind", ["store", "register"])
-def test_a_folder_that_is_not_there(kind, tmp_path, capsys):
+def test_a_missing_folder_is_unusable_input(kind, tmp_path, capsys):
     assert main(["check", kind, str(tmp_path / "none")]) == 2
     assert "No such file" in capsys.readouterr().err
 
@@ -239,7 +239,7 @@
     assert json.loads(capsys.readouterr().out)["Schedules"] == 2
 
 
-def test_the_model_is_looked_at_from_the_command_line(capsys):
+def test_the_model_is_searched_from_the_command_line(capsys):
     small = ["check", "model", "--losses", "0", "--restarts", "0", "--depth", "4"]
     assert main([*small, "--json"]) == 0
     found = json.loads(capsys.readouterr().out)
--- a/tests/emberring/cli/test_tier_cli.py
+++ b/tests/emberring/cli/test_tier_cli.py
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize("words", [["nosuch"], ["config", "nosuch"], ["retire"], ["config", "put"]])
-def test_a_wrong_call_ends_with_2(words, capsys):
+def test_a_wrong_call_ends_with_exit_code_2(words, capsys):
     assert main(words) == 2
     assert "Usage: emberring" in capsys.readouterr().err
 
@@ -89,7 +89,7 @@
     assert json.loads(capsys.readouterr().out) == {"File": place, "Valid": True, "Mistakes": []}
 
 
-def test_every_mistake_of_a_configuration_is_named(files, capsys):
+def test_every_error_of_a_configuration_is_reported(files, capsys):
     wrong = trial_configuration()
     wrong["Routes"][0]["TimeoutMs"] = 0
     wrong["Routes"][1]["Service"] = "nobody"
@@ -166,7 +166,7 @@
         (["retire", "store-1"], "may or may not"),
     ],
 )
-def test_silence_ends_with_3(words, said, capsys):
+def test_no_response_ends_with_exit_code_3(words, said, capsys):
     assert main([*words, "--control", "127.0.0.1:9", "--timeout", "0.1"]) == 3
     assert said in capsys.readouterr().err
 
@@ -181,13 +181,13 @@
     assert main(["config", "get", "--control", "nonsense"]) == 2
 
 
-def test_a_configuration_with_mistakes_is_not_sent(files, capsys):
+def test_a_configuration_with_errors_is_not_sent(files, capsys):
     wrong = {**trial_configuration(), "Services": []}
     assert main(["config", "put", files("c.json", wrong), "--control", "127.0.0.1:9"]) == 1
     assert "unknown" in capsys.readouterr().err
 
 
-def test_settings_are_checked_whole(files, capsys):
+def test_all_errors_of_settings_are_reported(files, capsys):
     place = files("node.toml", NODE)
     assert main(["check", "settings", place]) == 0
     assert main(["check", "settings", place, "--json"]) == 0
@@ -265,7 +265,7 @@
     assert json.loads(capsys.readouterr().out)["Healthy"] is (code == 0)
 
 
-def test_status_without_any_answer_ends_with_3(pages, capsys):
+def test_status_without_any_response_ends_with_exit_code_3(pages, capsys):
     assert main(["status", *TWO]) == 3
     assert main(["nodes", *TWO]) == 3
 
@@ -299,6 +299,6 @@
 
 
 @pytest.mark.parametrize("more", [["--site", "nowhere"], ["--policy", "nobody"], ["--seconds", "0"]])
-def test_the_lab_says_what_it_does_not_know(more, capsys):
+def test_the_lab_rejects_unknown_names(more, capsys):
     assert main([*LAB, *more]) == 2
     assert capsys.readouterr().err
--- a/tests/emberring/emulator/test_tier_emulated_clients.py
+++ b/tests/emberring/emulator/test_tier_emulated_clients.py
@@ -1,4 +1,4 @@
-"""Stand-in operator, heartbeats and the reading of events, against a scripted control node."""
+"""The emulated operator, heartbeats and the parsing of events, against a scripted control node."""
 
 from __future__ import annotations
 
@@ -142,7 +142,7 @@
     asyncio.run(run())
 
 
-def test_later_heartbeats_go_where_the_answer_says():
+def test_later_heartbeats_go_to_the_address_in_the_response():
     async def run() -> None:
         there = ScriptedControl(plain(200))
         await there.start()
--- a/tests/emberring/emulator/test_tier_emulated_engine.py
+++ b/tests/emberring/emulator/test_tier_emulated_engine.py
@@ -1,4 +1,4 @@
-"""The emulated engine: batches, shared parts of prompts, memory that runs out."""
+"""The emulated engine: batches, shared parts of prompts, a full KV cache."""
 
 from __future__ import annotations
 
@@ -12,7 +12,9 @@
 SPEC = EngineSpec(capacity=2, queue_limit=1, kv_tokens=1000, stride=4, prefill_chunk=100)
 
 
-def job(name: str, tokens: int = 100, output: int = 10, shared: str = "", skip: int = 0) -> EngineRequest:
+def make_request(
+    name: str, tokens: int = 100, output: int = 10, shared: str = "", skip: int = 0
+) -> EngineRequest:
     return EngineRequest(name, (PromptPart(shared or name, tokens),), output, skip_events=skip)
 
 
@@ -37,28 +39,28 @@
         (10, 3, [2]),
     ],
 )
-def test_events_come_each_stride_and_go_on_where_they_are_resumed(output, skip, indexes):
+def test_events_come_each_stride_and_continue_where_they_are_resumed(output, skip, indexes):
     engine = Engine(SPEC)
-    assert engine.submit(job("a", output=output, skip=skip))
+    assert engine.submit(make_request("a", output=output, skip=skip))
     produced = run_until_idle(engine)
     assert [item.index for item in produced] == indexes
     assert [item.last for item in produced] == [False] * (len(indexes) - 1) + [True]
 
 
-def test_a_full_engine_refuses_and_a_drop_makes_room():
+def test_a_full_engine_rejects_until_a_request_is_dropped():
     engine = Engine(SPEC)
-    first = job("a")
+    first = make_request("a")
     assert engine.submit(first)
-    assert engine.submit(job("b"))
-    assert engine.submit(job("c"))
-    assert not engine.submit(job("d"))
+    assert engine.submit(make_request("b"))
+    assert engine.submit(make_request("c"))
+    assert not engine.submit(make_request("d"))
     engine.step()
     engine.drop(first)
-    assert engine.submit(job("d"))
+    assert engine.submit(make_request("d"))
 
 
-def test_a_job_larger_than_the_memory_is_refused():
-    assert not Engine(SPEC).submit(job("a", tokens=995, output=10))
+def test_a_request_larger_than_the_cache_is_rejected():
+    assert not Engine(SPEC).submit(make_request("a", tokens=995, output=10))
 
 
 def steps_until_idle(engine: Engine) -> int:
@@ -69,18 +71,18 @@
     return steps
 
 
-def test_a_prompt_is_read_piece_by_piece_and_a_shared_part_once():
+def test_a_prompt_is_prefilled_in_chunks_and_a_shared_part_once():
     engine = Engine(SPEC)
-    engine.submit(job("a", tokens=450, output=1, shared="s"))
+    engine.submit(make_request("a", tokens=450, output=1, shared="s"))
     assert steps_until_idle(engine) == 5
-    engine.submit(job("b", tokens=450, output=1, shared="s"))
+    engine.submit(make_request("b", tokens=450, output=1, shared="s"))
     assert steps_until_idle(engine) == 1
 
 
-def test_memory_that_runs_out_preempts_the_newest_which_goes_on_later():
+def test_a_full_cache_preempts_the_newest_request_which_continues_later():
     engine = Engine(EngineSpec(capacity=2, kv_tokens=230, stride=4, prefill_chunk=100))
-    engine.submit(job("old", tokens=100, output=40))
-    engine.submit(job("new", tokens=100, output=40))
+    engine.submit(make_request("old", tokens=100, output=40))
+    engine.submit(make_request("new", tokens=100, output=40))
     produced = run_until_idle(engine)
     ends = [item.request.id for item in produced if item.last]
     assert ends == ["old", "new"]
@@ -92,11 +94,11 @@
 
 
 @given(st.lists(st.tuples(PARTS, st.integers(1, 30)), max_size=12))
-def test_the_memory_is_never_overdrawn_and_every_job_ends_once(jobs):
+def test_the_cache_never_overflows_and_every_request_ends_once(requests):
     sizes: dict[str, int] = {}
     engine = Engine(EngineSpec(capacity=3, queue_limit=20, kv_tokens=200, stride=5, prefill_chunk=64))
     taken = []
-    for number, (parts, output) in enumerate(jobs):
+    for number, (parts, output) in enumerate(requests):
         unique = {name: sizes.setdefault(name, tokens) for name, tokens in parts}
         made = EngineRequest(str(number), tuple(PromptPart(*pair) for pair in unique.items()), output)
         if engine.submit(made):
@@ -113,7 +115,7 @@
     assert engine.cache.used == 0
 
 
-def test_parts_unused_longest_give_way():
+def test_the_least_recently_used_parts_are_evicted():
     cache = KvCache(100)
     one, two, three = (PromptPart(name, 40) for name in ("1", "2", "3"))
     cache.pin([one])
--- a/tests/emberring/emulator/test_tier_emulated_server.py
+++ b/tests/emberring/emulator/test_tier_emulated_server.py
@@ -47,7 +47,7 @@
     with_server(play)
 
 
-def test_a_stream_goes_on_after_the_last_event_the_caller_has():
+def test_a_stream_resumes_after_the_last_received_event():
     async def play(server: ModelServer, seen: Observations) -> None:
         headers = {**GENERATION, "Last-Event-Id": "2"}
         answer = await call_once("POST", f"http://{server.address}/p", headers=headers, content=b"x")
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("how", ["hanging", "unresponsive"])
-def test_a_server_that_hangs_says_nothing(how):
+def test_a_hanging_server_sends_nothing(how):
     async def play(server: ModelServer, seen: Observations) -> None:
         if how == "unresponsive":
             server.become_unresponsive()
@@ -115,7 +115,7 @@
     with_server(play)
 
 
-def test_work_stops_at_the_deadline_that_is_handed_over():
+def test_a_request_ends_at_its_deadline():
     async def play(server: ModelServer, seen: Observations) -> None:
         server.faults.step_factor = 10_000.0
         headers = {**GENERATION, "Deadline-Ms": "50"}
@@ -140,7 +140,7 @@
     with_server(play)
 
 
-def test_connections_beyond_the_most_are_reset():
+def test_connections_beyond_the_limit_are_reset():
     async def play(server: ModelServer, seen: Observations) -> None:
         host, _, port = server.address.rpartition(":")
         first_reader, first_writer = await asyncio.open_connection(host, int(port))
--- a/tests/emberring/placement/test_tier_placement.py
+++ b/tests/emberring/placement/test_tier_placement.py
@@ -59,7 +59,7 @@
         assert {placement.stores[identity].zone for identity in group.members} == {"x", "y", "z"}
 
 
-def test_nothing_changes_while_all_is_well() -> None:
+def test_nothing_changes_while_all_stores_are_live() -> None:
     memory = PlanMemory()
     live = stores("a", "b", "c", "d")
     placement = first_placement(live, memory)
@@ -67,7 +67,7 @@
         assert plan(placement, live, 1.0 + step, 1, memory) is placement
 
 
-def test_a_disk_that_is_lost_has_its_successor_at_once() -> None:
+def test_a_lost_disk_has_a_successor_at_once() -> None:
     memory = PlanMemory()
     placement = first_placement(stores("a", "b", "c"), memory)
     live = [store("a"), store("b"), store("c", identity="id-c2")]
@@ -90,9 +90,7 @@
         (False, MAX_ABSENCE_S, True),
     ],
 )
-def test_a_store_that_stays_away_gives_way_to_a_spare(
-    spare_is_new: bool, absent_s: float, replaced: bool
-) -> None:
+def test_an_absent_store_is_replaced_by_a_spare(spare_is_new: bool, absent_s: float, replaced: bool) -> None:
     memory = PlanMemory()
     names = ("a", "b", "c") if spare_is_new else ("a", "b", "c", "d")
     placement = first_placement(stores(*names), memory)
@@ -103,7 +101,7 @@
     assert (set(group.joining) == {"id-a", "id-b", "id-d"}) is replaced
 
 
-def test_a_move_is_called_off_when_the_absent_store_is_back() -> None:
+def test_a_move_is_cancelled_when_the_absent_store_returns() -> None:
     memory = PlanMemory()
     placement = first_placement(stores("a", "b", "c"), memory)
     away = plan(placement, stores("a", "b", "d"), 10.0, 1, memory)
@@ -114,13 +112,13 @@
     assert back.groups[0] == Group(0, away.groups[0].epoch + 1, placement.groups[0].members)
 
 
-def test_without_a_spare_a_store_that_is_away_keeps_its_place() -> None:
+def test_without_a_spare_an_absent_store_stays_a_member() -> None:
     memory = PlanMemory()
     placement = first_placement(stores("a", "b", "c"), memory)
     assert plan(placement, stores("a", "b"), 60.0, 1, memory) is placement
 
 
-def test_emptying_a_store() -> None:
+def test_a_store_is_retired_once_its_shards_have_moved() -> None:
     memory = PlanMemory()
     live = stores("a", "b", "c", "d")
     placement = first_placement(live, memory)
@@ -145,13 +143,13 @@
     assert begin_retire(done, "a", live) is done
 
 
-def test_too_few_stores_would_remain() -> None:
+def test_a_retirement_that_leaves_too_few_stores_is_rejected() -> None:
     live = stores("a", "b", "c")
     with pytest.raises(ConflictError):
         begin_retire(first_placement(live), "a", live)
 
 
-def test_a_machine_with_a_new_disk_under_an_emptied_name_is_an_ordinary_store() -> None:
+def test_a_machine_with_a_new_disk_under_a_retired_name_is_an_ordinary_store() -> None:
     memory = PlanMemory()
     live = stores("a", "b", "c", "d")
     placement = first_placement(live, memory)
@@ -164,7 +162,7 @@
     assert again.retired == ()
 
 
-def test_only_the_epoch_that_moved_is_finished() -> None:
+def test_a_move_is_finished_only_for_its_epoch() -> None:
     group = Group(0, 4, ("a", "b", "c"), ("a", "b", "d"))
     placement = Placement(9, {}, (group,))
     assert finish_move(placement, 0, 3) is placement
@@ -174,7 +172,7 @@
     assert finish_move(moved, 0, 5) is moved
 
 
-def test_hosts_are_sharded_without_regard_to_case_and_orders_agree() -> None:
+def test_shards_ignore_the_case_of_hosts_and_preference_is_the_same_everywhere() -> None:
     assert shard_of("Lots.Example") == shard_of("lots.example")
     assert len({shard_of(f"h{number}.example") for number in range(200)}) == SHARDS
     assert in_order(3, ["x", "y", "z"]) == in_order(3, ["z", "x", "y"])
@@ -192,7 +190,7 @@
 
 @settings(max_examples=150, deadline=None)
 @given(EVENTS)
-def test_tables_only_change_in_ways_that_keep_quorums(events: list[tuple[str, int, float]]) -> None:
+def test_every_change_of_placement_keeps_quorums(events: list[tuple[str, int, float]]) -> None:
     memory = PlanMemory()
     facts = {name: store(name) for name in ("a", "b", "c", "d")}
     away: set[str] = set()
--- a/tests/emberring/test_tier_deploy.py
+++ b/tests/emberring/test_tier_deploy.py
@@ -129,6 +129,6 @@
     assert {package for command in commands_of(line) for package in packages_of(command)} == packages
 
 
-def test_a_command_that_no_package_is_known_for_is_told() -> None:
+def test_a_command_without_a_known_package_is_reported() -> None:
     with pytest.raises(KeyError):
         packages_of(commands_of("cargo build")[0])
--- a/tests/emberring/test_tier_settings.py
+++ b/tests/emberring/test_tier_settings.py
@@ -64,7 +64,7 @@
 """
 
 
-def test_a_whole_file():
+def test_a_complete_file():
     found = parse_settings(WHOLE)
     assert found.node_name == "core-erl-a-1"
     assert found.port_range == (7720, 7735)
@@ -88,7 +88,7 @@
     assert found.internal_seeds() == (f"10.1.0.13:{port}", f"10.2.0.43:{port}")
 
 
-def test_what_is_not_given_has_a_default():
+def test_missing_keys_have_defaults():
     found = parse_settings(LEAST)
     assert found == Settings("n", "10.0.0.1", "z", (7720, 7735), ())
     assert not found.bootstrap
@@ -125,7 +125,7 @@
         ("SeedNodes = []", 'SeedNodes = []\n[FaultTolerance]\nMachines = "1"', "FaultTolerance.Machines"),
     ],
 )
-def test_a_mistake_is_named_by_file_and_key(line, instead, key):
+def test_an_error_is_reported_with_file_and_key(line, instead, key):
     assert line in LEAST
     with pytest.raises(SettingsError) as caught:
         parse_settings(LEAST.replace(line, instead), "/etc/x.toml")
@@ -134,7 +134,7 @@
     assert "\n" not in caught.value.detail
 
 
-def test_all_mistakes_are_named_at_once():
+def test_all_errors_are_reported_at_once():
     wrong = LEAST.replace('Zone = "z"', "Zone = 1").replace('Ip = "10.0.0.1"', "") + "Bootstrap = 0\n"
     with pytest.raises(SettingsError) as caught:
         parse_settings(wrong)
@@ -160,7 +160,7 @@
         ({"EMBERRING_NODE_FILE": "/x/y.toml"}, "/x/y.toml"),
     ],
 )
-def test_where_the_file_lies(variables, path):
+def test_the_path_of_the_file(variables, path):
     assert str(settings_path(variables)) == path
 
 
--- a/tests/emberring/transport/test_tier_messages.py
+++ b/tests/emberring/transport/test_tier_messages.py
@@ -105,7 +105,7 @@
         orjson.dumps({"i": 1, "k": "test.everything", "b": None}),
     ],
 )
-def test_what_is_no_message_is_refused(line):
+def test_bytes_that_are_no_message_are_rejected(line):
     with pytest.raises(ProtocolViolationError):
         decode(line)
 
--- a/tests/emberring/transport/test_tier_network.py
+++ b/tests/emberring/transport/test_tier_network.py
@@ -108,7 +108,7 @@
     play(test)
 
 
-def test_a_slow_call_does_not_hold_up_the_others():
+def test_a_slow_call_does_not_delay_the_others():
     async def test() -> None:
         async with Pair() as pair:
             free = asyncio.Event()
