--- a/emberring/cli/retire_command.py
+++ b/emberring/cli/retire_command.py
@@ -34,9 +34,9 @@
     if not look:
         body = orjson.dumps({"DurationS": duration})
         send_request(controls, "POST", path, content=body, within_s=timeout)
-    give_up_at = time.monotonic() + wait
+    deadline_s = time.monotonic() + wait
     state = _state(controls, path, timeout)
-    while state != COMPLETED and time.monotonic() < give_up_at:
+    while state != COMPLETED and time.monotonic() < deadline_s:
         time.sleep(POLL_INTERVAL_S)
         state = _state(controls, path, timeout)
     if as_json:
--- a/emberring/emulator/heartbeats.py
+++ b/emberring/emulator/heartbeats.py
@@ -71,14 +71,14 @@
         url = f"http://{self._address}/v1/instances/{self._server.id}"
         content = orjson.dumps(self._body()) if method == "PUT" else b""
         try:
-            answer = await call_once(method, url, content=content, timeout_s=ACKNOWLEDGE_TIMEOUT_S)
+            response = await call_once(method, url, content=content, timeout_s=ACKNOWLEDGE_TIMEOUT_S)
         except CALL_ERRORS:
             return False
-        if not 200 <= answer.status < 300 or len(answer.body) > MAX_RESPONSE_BYTES:
+        if not 200 <= response.status < 300 or len(response.body) > MAX_RESPONSE_BYTES:
             return False
         self.acknowledged += 1
         with contextlib.suppress(ValueError, AttributeError):
-            self._follow(orjson.loads(answer.body or b"{}").get("HeartbeatUrl"))
+            self._follow(orjson.loads(response.body or b"{}").get("HeartbeatUrl"))
         return True
 
     def _follow(self, url: str | None) -> None:
--- a/emberring/emulator/http_calls.py
+++ b/emberring/emulator/http_calls.py
@@ -43,10 +43,10 @@
     if content and "Content-Type" not in (headers or {}):
         sent.append(("Content-Type", "application/json"))
     async with httpcore.AsyncConnectionPool(max_keepalive_connections=0, retries=0) as pool:
-        answer = await pool.request(
+        response = await pool.request(
             method, url, headers=sent, content=content, extensions=timeouts(timeout_s)
         )
-        return HttpResponse(answer.status, plain_headers(answer.headers), answer.content)
+        return HttpResponse(response.status, plain_headers(response.headers), response.content)
 
 
 CALL_ERRORS = (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError)
--- a/emberring/emulator/job_client.py
+++ b/emberring/emulator/job_client.py
@@ -17,8 +17,10 @@
 from emberring.emulator.http_calls import CALL_ERRORS, HttpResponse, call_once
 
 RESPONSE_TIMEOUT_S = 2.5
-READ_INTERVAL_S = 0.5
-WAIT_MS = 1000
+READ_INTERVAL_S = 0.1  # between reads that brought nothing new
+RETRY_PAUSE_S = 0.1
+REREAD_SHARE = 0.2  # of the reads start at a known position, to check that its result is unchanged
+WAIT_MS = 1000  # for which a gateway may hold a read that has nothing new yet
 
 
 @attrs.frozen
@@ -33,7 +35,7 @@
 
     @property
     def tokens(self) -> int:
-        """The prompt's tokens and the most that may come out."""
+        """The tokens of the prompt and the most tokens of the output."""
         return sum(tokens for _, tokens in self.prompt_parts) + self.output_tokens
 
     def document(self) -> dict[str, Any]:
@@ -122,44 +124,44 @@
         """Submit a job, retried at other gateways until it is accepted, or rejected as wrong."""
         loop = asyncio.get_running_loop()
         history = JobHistory(job)
-        began = loop.time()
+        started_s = loop.time()
         content = orjson.dumps({"Requests": [item.document() for item in job.items]})
-        while loop.time() - began < within_s:
-            answer = await self._call("POST", f"{JOB_PREFIX}{job.id}", content, {"Request-Id": job.id})
-            history.statuses.append(answer.status if answer else 0)
-            if answer is not None and answer.status == 202:
-                history.accepted_s = loop.time() - began
+        while loop.time() - started_s < within_s:
+            response = await self._call("POST", f"{JOB_PREFIX}{job.id}", content, {"Request-Id": job.id})
+            history.statuses.append(response.status if response else 0)
+            if response is not None and response.status == 202:
+                history.accepted_s = loop.time() - started_s
                 break
-            if answer is not None and answer.status in (400, 404, 413):
+            if response is not None and response.status in (400, 404, 413):
                 break
-            await asyncio.sleep(0.1)
+            await asyncio.sleep(RETRY_PAUSE_S)
         return history
 
     async def follow(self, history: JobHistory, within_s: float) -> JobHistory:
         """Read results until all are there or the time is over."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        while not history.complete and loop.time() - began < within_s:
+        started_s = loop.time()
+        while not history.complete and loop.time() - started_s < within_s:
             at = len(history.results)
-            if at and self._random.random() < 0.2:
+            if at and self._random.random() < REREAD_SHARE:
                 at = self._random.randrange(at)
             known = len(history.results)
             await self.read(history, at)
             if len(history.results) == known:
-                await asyncio.sleep(READ_INTERVAL_S / 5)
-        history.done_s = history.accepted_s + loop.time() - began
+                await asyncio.sleep(READ_INTERVAL_S)
+        history.done_s = history.accepted_s + loop.time() - started_s
         return history
 
     async def read(self, history: JobHistory, start_after: int) -> bool:
         """Read one page into the history; whether it came."""
         path = f"/v1/lots/{history.job.id}?StartAfter={start_after}"
-        answer = await self._call("GET", path, b"", {"Wait-Ms": str(WAIT_MS)})
-        if answer is None:
+        response = await self._call("GET", path, b"", {"Wait-Ms": str(WAIT_MS)})
+        if response is None:
             return False
-        if answer.status != 200:
-            history.failed_reads += answer.status in (404, 410)
+        if response.status != 200:
+            history.failed_reads += response.status in (404, 410)
             return False
-        _record_page(history, start_after, orjson.loads(answer.body))
+        _record_page(history, start_after, orjson.loads(response.body))
         return True
 
     async def body_of(self, job: BatchJob, item_id: str) -> HttpResponse | None:
@@ -169,12 +171,12 @@
     async def end(self, job: BatchJob, within_s: float = 6.0) -> bool:
         """End a job; whether that was acknowledged."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        while loop.time() - began < within_s:
-            answer = await self._call("DELETE", f"/v1/lots/{job.id}", b"", {})
-            if answer is not None and answer.status == 200:
+        started_s = loop.time()
+        while loop.time() - started_s < within_s:
+            response = await self._call("DELETE", f"/v1/lots/{job.id}", b"", {})
+            if response is not None and response.status == 200:
                 return True
-            await asyncio.sleep(0.1)
+            await asyncio.sleep(RETRY_PAUSE_S)
         return False
 
     async def _call(
--- a/emberring/emulator/live_client.py
+++ b/emberring/emulator/live_client.py
@@ -56,7 +56,7 @@
     status: int
     signature: str
     events: tuple[StreamEvent, ...]
-    began_s: float
+    started_s: float
     first_s: float
     gap_s: float
     duration_s: float
@@ -64,7 +64,7 @@
     detail: str = ""
 
 
-def stream_headers(call: StreamCall, request_id: str, left_s: float) -> list[tuple[str, str]]:
+def stream_headers(call: StreamCall, request_id: str, remaining_s: float) -> list[tuple[str, str]]:
     """The headers of a request for tokens."""
     prompt = sum(tokens for _, tokens in call.prompt_parts)
     return [
@@ -73,7 +73,7 @@
         ("Model", "m"),
         ("Token-Count", f"{prompt},{call.output_tokens}"),
         ("Prefix-Hash", ",".join(f"{name}:{tokens}" for name, tokens in call.prompt_parts)),
-        ("Deadline-Ms", str(max(1, int(left_s * 1000)))),
+        ("Deadline-Ms", str(max(1, int(remaining_s * 1000)))),
     ]
 
 
@@ -82,7 +82,7 @@
 
     def __init__(self, request_id: str, now: float) -> None:
         self.request_id = request_id
-        self.began = now
+        self.started_s = now
         self.status = 0
         self.headers: dict[str, str] = {}
         self.reader = EventReader()
@@ -99,7 +99,7 @@
         if self.events:
             self.gap_s = max(self.gap_s, now - self._last)
         else:
-            self.first_s = now - self.began
+            self.first_s = now - self.started_s
         self._last = now
         self.events += fresh
 
@@ -112,10 +112,10 @@
             status=self.status,
             signature=self.headers.get("response-signature", ""),
             events=tuple(self.events),
-            began_s=self.began,
+            started_s=self.started_s,
             first_s=self.first_s,
             gap_s=self.gap_s,
-            duration_s=now - self.began,
+            duration_s=now - self.started_s,
             retry_after_s=float(retry_after or 0),
             detail=detail,
         )
@@ -129,13 +129,13 @@
     return StreamEnd.CLIENT_ERROR if 400 <= status < 500 else StreamEnd.FAILED
 
 
-async def attempt_stream(frontend: str, call: StreamCall, left_s: float) -> StreamResult:
-    """One attempt on a connection of its own, for at most `left_s` seconds."""
+async def attempt_stream(frontend: str, call: StreamCall, remaining_s: float) -> StreamResult:
+    """One attempt on a connection of its own, for at most `remaining_s` seconds."""
     loop = asyncio.get_running_loop()
     reading = _ResponseState(secrets.token_hex(8), loop.time())
     try:
-        async with asyncio.timeout(left_s):
-            await _read_answer(frontend, call, left_s, reading)
+        async with asyncio.timeout(remaining_s):
+            await _read_answer(frontend, call, remaining_s, reading)
     except TimeoutError:
         return reading.result(StreamEnd.TIMED_OUT, loop.time(), "deadline")
     except (httpcore.ConnectError, httpcore.ConnectTimeout) as error:
@@ -147,7 +147,7 @@
     return reading.result(_end_of(reading.status), loop.time())
 
 
-async def _read_answer(frontend: str, call: StreamCall, left_s: float, reading: _ResponseState) -> None:
+async def _read_answer(frontend: str, call: StreamCall, remaining_s: float, reading: _ResponseState) -> None:
     loop = asyncio.get_running_loop()
     limits = timeouts(READ_TIMEOUT_S)
     limits["timeout"]["connect"] = CONNECT_TIMEOUT_S
@@ -156,15 +156,15 @@
         pool.stream(
             "POST",
             f"http://{frontend}{call.path}",
-            headers=stream_headers(call, reading.request_id, left_s),
+            headers=stream_headers(call, reading.request_id, remaining_s),
             content=call.body,
             extensions=limits,
-        ) as answer,
+        ) as response,
     ):
-        reading.status = answer.status
-        reading.headers = plain_headers(answer.headers)
-        async for data in answer.aiter_stream():
-            if answer.status == 200:
+        reading.status = response.status
+        reading.headers = plain_headers(response.headers)
+        async for data in response.aiter_stream():
+            if response.status == 200:
                 reading.feed(data, loop.time())
 
 
@@ -179,16 +179,16 @@
     async def ask(self, call: StreamCall) -> tuple[StreamResult, ...]:
         """The results of all attempts of a call; the last one says how it ended."""
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + call.deadline_s
+        deadline_at_s = loop.time() + call.deadline_s
         results: list[StreamResult] = []
         for at in range(1 + self._retries):
             places = self._frontends()
-            if not places or loop.time() >= give_up_at:
+            if not places or loop.time() >= deadline_at_s:
                 break
-            result = await attempt_stream(self._random.choice(places), call, give_up_at - loop.time())
+            result = await attempt_stream(self._random.choice(places), call, deadline_at_s - loop.time())
             results.append(result)
             if result.end not in RETRYABLE_ENDS or at == self._retries:
                 break
-            pause_s = min(result.retry_after_s, (give_up_at - loop.time()) / 3)
+            pause_s = min(result.retry_after_s, (deadline_at_s - loop.time()) / 3)
             await asyncio.sleep(max(0.0, pause_s))
         return tuple(results)
--- a/emberring/emulator/local_tier.py
+++ b/emberring/emulator/local_tier.py
@@ -127,19 +127,19 @@
             return False
         place = node.place
         if place.role == "gateway":
-            return await _answers(f"http://{place.address(READINESS)}/v1/readyz")
+            return await _responds(f"http://{place.address(READINESS)}/v1/readyz")
         if place.role == "control":
-            return await _answers(f"http://{place.address(CONTROL_PLANE)}/v1/readyz")
+            return await _responds(f"http://{place.address(CONTROL_PLANE)}/v1/readyz")
         return await _accepts(place.address(INTERNAL_OF_ROLE[place.role]))
 
     async def wait_up(self, names: Iterable[str], within_s: float) -> float | None:
         """Wait until these nodes are up; how long it took (seconds), or None where it did not come to that."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_s = loop.time()
         nodes = [self.nodes[name] for name in names]
-        while loop.time() - began < within_s:
+        while loop.time() - started_s < within_s:
             if all(await asyncio.gather(*(self.is_up(node) for node in nodes))):
-                return loop.time() - began
+                return loop.time() - started_s
             await asyncio.sleep(POLL_INTERVAL_S)
         return None
 
@@ -165,7 +165,7 @@
                 node.kill()
 
 
-async def _answers(url: str) -> bool:
+async def _responds(url: str) -> bool:
     try:
         return (await call_once("GET", url, timeout_s=PROBE_TIMEOUT_S)).status == 200
     except CALL_ERRORS:
--- a/emberring/emulator/operator.py
+++ b/emberring/emulator/operator.py
@@ -83,21 +83,23 @@
     ) -> RequestOutcome:
         """Send a request until its outcome is known or `within_s` seconds are over."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_s = loop.time()
         pause_s, attempts, other_client_errors = FIRST_PAUSE_S, 0, 0
         last = HttpResponse(0, {}, b"")
-        while loop.time() - began < within_s:
+        while loop.time() - started_s < within_s:
             node = self._controls[next(self._turn) % len(self._controls)]
             attempts += 1
-            answer = await self._try(method, node, path, content, headers)
-            if answer is not None:
-                last = answer
-                other_client_errors += _is_other_client_error(answer.status)
-                if _is_final(answer.status) or other_client_errors >= 3:
-                    return RequestOutcome(answer.status, answer.body, attempts, loop.time() - began, node)
-            await asyncio.sleep(min(pause_s, max(0.0, began + within_s - loop.time())))
+            response = await self._try(method, node, path, content, headers)
+            if response is not None:
+                last = response
+                other_client_errors += _is_other_client_error(response.status)
+                if _is_final(response.status) or other_client_errors >= 3:
+                    return RequestOutcome(
+                        response.status, response.body, attempts, loop.time() - started_s, node
+                    )
+            await asyncio.sleep(min(pause_s, max(0.0, started_s + within_s - loop.time())))
             pause_s = min(MAX_PAUSE_S, 2 * pause_s)
-        return RequestOutcome(0, last.body, attempts, loop.time() - began)
+        return RequestOutcome(0, last.body, attempts, loop.time() - started_s)
 
     async def _try(
         self, method: str, node: str, path: str, content: bytes, headers: Mapping[str, str]
@@ -105,12 +107,12 @@
         url = f"http://{node}{path}"
         try:
             for _ in range(MAX_REDIRECTS + 1):
-                answer = await call_once(
+                response = await call_once(
                     method, url, headers=headers, content=content, timeout_s=READ_TIMEOUT_S
                 )
-                if answer.status != 307 or "location" not in answer.headers:
-                    return answer
-                url = answer.headers["location"]
+                if response.status != 307 or "location" not in response.headers:
+                    return response
+                url = response.headers["location"]
         except CALL_ERRORS:
             return None
         return None
--- a/emberring/emulator/traffic.py
+++ b/emberring/emulator/traffic.py
@@ -128,7 +128,9 @@
             )
         if results and results[-1].end is StreamEnd.SERVED:
             tally.served += 1
-            tally.first_event_delays_s.append(results[-1].began_s - results[0].began_s + results[-1].first_s)
+            tally.first_event_delays_s.append(
+                results[-1].started_s - results[0].started_s + results[-1].first_s
+            )
         else:
             tally.failures[results[-1].end.value if results else "no gateway"] += 1
 
--- a/emberring/emulator/trial.py
+++ b/emberring/emulator/trial.py
@@ -107,7 +107,7 @@
 
     async def _start(self) -> float:
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_s = loop.time()
         size = self._plan.size
         self._say(f"starting {size.controls} control nodes, {size.stores} stores, {size.gateways} gateways")
         self._tier.start()
@@ -116,13 +116,13 @@
         outcome = await self._operator.put_configuration(self._configuration(), 0, START_TIMEOUT_S)
         if not outcome.acknowledged:
             raise NotReadyError(f"no control node took the first configuration ({self._first_log()})")
-        self._say(f"version 1 taken after {loop.time() - began:.1f} s")
+        self._say(f"version 1 taken after {loop.time() - started_s:.1f} s")
         if await self._tier.wait_up(self._tier.nodes, START_TIMEOUT_S) is None:
             raise NotReadyError(f"not every node came up ({self._first_log()})")
         await self._tier.wait_frontends(size.gateways, START_TIMEOUT_S)
         self._say(f"EMBERRING_CONTROL={','.join(self._tier.controls())}")
-        self._say(f"all nodes up after {loop.time() - began:.1f} s")
-        return loop.time() - began
+        self._say(f"all nodes up after {loop.time() - started_s:.1f} s")
+        return loop.time() - started_s
 
     def _configuration(self) -> dict[str, object]:
         return trial_configuration(1, TrialLimits(stride=self._plan.traffic.stride))
@@ -152,12 +152,12 @@
         first, second, *_ = self._fleet.servers
         self._say(f"model server {first} crashes, {second} drains, two new ones come")
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_s = loop.time()
         await self._fleet.crash(first)
         await self._fleet.add()
         await self._fleet.add()
         released = await self._fleet.release(second)
-        self._faults.append(Fault("server released", second, loop.time() - began if released else None))
+        self._faults.append(Fault("server released", second, loop.time() - started_s if released else None))
         await self._change_configuration()
 
     async def _change_configuration(self) -> None:
--- a/emberring/emulator/waiting.py
+++ b/emberring/emulator/waiting.py
@@ -11,9 +11,9 @@
 async def wait_until(condition: Callable[[], bool], within_s: float) -> bool:
     """Poll until the condition holds; whether it did within `within_s` seconds."""
     loop = asyncio.get_running_loop()
-    give_up_at = loop.time() + within_s
+    deadline_at_s = loop.time() + within_s
     while not condition():
-        if loop.time() >= give_up_at:
+        if loop.time() >= deadline_at_s:
             return False
         await asyncio.sleep(POLL_INTERVAL_S)
     return True
