--- a/emberring/cli/retire_command.py
+++ b/emberring/cli/retire_command.py
@@ -8,11 +8,11 @@
 import orjson
 import typer
 
-from emberring.cli.control_plane import order
-from emberring.cli.places import ControlOption, JsonOption, TimeoutOption, control_addresses
-from emberring.cli.printing import ExitCode, leave, print_json, print_line
+from emberring.cli.control_plane import send_request
+from emberring.cli.options import ControlOption, JsonOption, TimeoutOption, control_addresses
+from emberring.cli.printing import ExitCode, exit_with, print_json, print_line
 
-LOOK_EVERY_S = 0.5
+POLL_INTERVAL_S = 0.5
 COMPLETED = "completed"
 
 
@@ -27,24 +27,25 @@
 ) -> None:
     """Empty a store machine. Take it away only once its state is 'completed'.
 
-    Exit code 1 where it is unknown, where too few would be left, or where --wait ended before its end."""
+    Exit code 1 where it is unknown, where too few would be left, or where --wait ended before its end.
+    """
     controls = control_addresses(control)
     path = f"/v1/retire/{node}"
     if not look:
         body = orjson.dumps({"DurationS": duration})
-        order(controls, "POST", path, content=body, within_s=timeout)
-    give_up_at = time.monotonic() + wait
+        send_request(controls, "POST", path, content=body, within_s=timeout)
+    deadline_s = time.monotonic() + wait
     state = _state(controls, path, timeout)
-    while state != COMPLETED and time.monotonic() < give_up_at:
-        time.sleep(LOOK_EVERY_S)
+    while state != COMPLETED and time.monotonic() < deadline_s:
+        time.sleep(POLL_INTERVAL_S)
         state = _state(controls, path, timeout)
     if as_json:
         print_json({"Node": node, "State": state})
     else:
         print_line(f"{node}: {state}")
     if wait and state != COMPLETED:
-        leave(ExitCode.REFUSED)
+        exit_with(ExitCode.REFUSED)
 
 
 def _state(controls: list[str], path: str, timeout_s: float) -> str:
-    return str(order(controls, "GET", path, within_s=timeout_s).get("State", "unknown"))
+    return str(send_request(controls, "GET", path, within_s=timeout_s).get("State", "unknown"))
--- a/emberring/emulator/http_calls.py
+++ b/emberring/emulator/http_calls.py
@@ -9,8 +9,8 @@
 
 
 @attrs.frozen
-class HttpAnswer:
-    """A whole answer; names of headers are in lower case."""
+class HttpResponse:
+    """A complete response; names of headers are in lower case."""
 
     status: int
     headers: Mapping[str, str]
@@ -34,16 +34,19 @@
     headers: Mapping[str, str] | None = None,
     content: bytes = b"",
     timeout_s: float = 1.0,
-) -> HttpAnswer:
-    """One call and its whole answer; errors are those of `httpcore`, a silence of `timeout_s` among them."""
+) -> HttpResponse:
+    """One call and its complete response.
+
+    Raises `CALL_ERRORS`; each wait is limited to `timeout_s` seconds.
+    """
     sent = [("Connection", "close"), *(headers or {}).items()]
     if content and "Content-Type" not in (headers or {}):
         sent.append(("Content-Type", "application/json"))
     async with httpcore.AsyncConnectionPool(max_keepalive_connections=0, retries=0) as pool:
-        answer = await pool.request(
+        response = await pool.request(
             method, url, headers=sent, content=content, extensions=timeouts(timeout_s)
         )
-        return HttpAnswer(answer.status, plain_headers(answer.headers), answer.content)
+        return HttpResponse(response.status, plain_headers(response.headers), response.content)
 
 
 CALL_ERRORS = (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError)
--- a/emberring/emulator/job_client.py
+++ b/emberring/emulator/job_client.py
@@ -1,4 +1,4 @@
-"""A stand-in client of lots: hands one in, reads its results from any gateway, and ends it."""
+"""An emulated client of batch jobs: submits a job, reads its results from any gateway, and ends it."""
 
 from __future__ import annotations
 
@@ -14,16 +14,18 @@
 import orjson
 
 from emberring.emulator.configurations import HOST, JOB_PREFIX
-from emberring.emulator.http_calls import CALL_ERRORS, HttpAnswer, call_once
+from emberring.emulator.http_calls import CALL_ERRORS, HttpResponse, call_once
 
-ANSWER_WITHIN_S = 2.5
-READ_EVERY_S = 0.5
-WAIT_MS = 1000
+RESPONSE_TIMEOUT_S = 2.5
+READ_INTERVAL_S = 0.1  # between reads that brought nothing new
+RETRY_PAUSE_S = 0.1
+REREAD_SHARE = 0.2  # of the reads start at a known position, to check that its result is unchanged
+WAIT_MS = 1000  # for which a gateway may hold a read that has nothing new yet
 
 
 @attrs.frozen
 class JobItem:
-    """An item of a lot as the client made it."""
+    """An item of a batch job as the client made it."""
 
     id: str
     path: str
@@ -33,7 +35,7 @@
 
     @property
     def tokens(self) -> int:
-        """The prompt's tokens and the most that may come out."""
+        """The tokens of the prompt and the most tokens of the output."""
         return sum(tokens for _, tokens in self.prompt_parts) + self.output_tokens
 
     def document(self) -> dict[str, Any]:
@@ -56,7 +58,7 @@
 
 @attrs.frozen
 class BatchJob:
-    """A lot by its id, with its items in order."""
+    """A batch job by its id, with its items in order."""
 
     id: str
     items: tuple[JobItem, ...]
@@ -73,7 +75,10 @@
 
 @attrs.define
 class JobHistory:
-    """What a client was told of a lot; `changed` has the positions that held two results."""
+    """The responses that a client received about a batch job.
+
+    `changed` has the positions that held two different results.
+    """
 
     job: BatchJob
     statuses: list[int] = attrs.field(factory=list)
@@ -82,12 +87,12 @@
     total: int = 0
     results: list[JobResult] = attrs.field(factory=list)
     changed: list[int] = attrs.field(factory=list)
-    wrong_totals: int = 0
-    unreadable: int = 0  # reads that were answered 404 or 410 after the 202
+    wrong_total_count: int = 0
+    failed_reads: int = 0  # reads that were answered 404 or 410 after the 202
 
     @property
     def accepted(self) -> bool:
-        """Whether the lot was taken."""
+        """Whether the job was accepted."""
         return 202 in self.statuses
 
     @property
@@ -97,7 +102,7 @@
 
 
 def make_job(items: int, seed: int, output_tokens: int = 40) -> BatchJob:
-    """A lot whose items share the first part of their prompts."""
+    """A batch job whose items share the first part of their prompts."""
     rng = random.Random(seed)
     made = []
     for _ in range(items):
@@ -109,89 +114,89 @@
 
 
 class JobClient:
-    """Hands lots in and follows them. `frontends` is asked at each call."""
+    """Submits batch jobs and follows them. `frontends` gives the gateways' addresses at each call."""
 
     def __init__(self, frontends: Callable[[], Sequence[str]], seed: int) -> None:
         self._frontends = frontends
         self._random = random.Random(seed)
 
     async def submit(self, job: BatchJob, within_s: float = 6.0) -> JobHistory:
-        """Hand a lot in, again at other gateways after anything but 202 and a plain mistake."""
+        """Submit a job, retried at other gateways until it is accepted, or rejected as wrong."""
         loop = asyncio.get_running_loop()
         history = JobHistory(job)
-        began = loop.time()
+        started_s = loop.time()
         content = orjson.dumps({"Requests": [item.document() for item in job.items]})
-        while loop.time() - began < within_s:
-            answer = await self._call("POST", f"{JOB_PREFIX}{job.id}", content, {"Request-Id": job.id})
-            history.statuses.append(answer.status if answer else 0)
-            if answer is not None and answer.status == 202:
-                history.accepted_s = loop.time() - began
+        while loop.time() - started_s < within_s:
+            response = await self._call("POST", f"{JOB_PREFIX}{job.id}", content, {"Request-Id": job.id})
+            history.statuses.append(response.status if response else 0)
+            if response is not None and response.status == 202:
+                history.accepted_s = loop.time() - started_s
                 break
-            if answer is not None and answer.status in (400, 404, 413):
+            if response is not None and response.status in (400, 404, 413):
                 break
-            await asyncio.sleep(0.1)
+            await asyncio.sleep(RETRY_PAUSE_S)
         return history
 
     async def follow(self, history: JobHistory, within_s: float) -> JobHistory:
         """Read results until all are there or the time is over."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        while not history.complete and loop.time() - began < within_s:
+        started_s = loop.time()
+        while not history.complete and loop.time() - started_s < within_s:
             at = len(history.results)
-            if at and self._random.random() < 0.2:
+            if at and self._random.random() < REREAD_SHARE:
                 at = self._random.randrange(at)
             known = len(history.results)
             await self.read(history, at)
             if len(history.results) == known:
-                await asyncio.sleep(READ_EVERY_S / 5)
-        history.done_s = history.accepted_s + loop.time() - began
+                await asyncio.sleep(READ_INTERVAL_S)
+        history.done_s = history.accepted_s + loop.time() - started_s
         return history
 
     async def read(self, history: JobHistory, start_after: int) -> bool:
         """Read one page into the history; whether it came."""
         path = f"/v1/lots/{history.job.id}?StartAfter={start_after}"
-        answer = await self._call("GET", path, b"", {"Wait-Ms": str(WAIT_MS)})
-        if answer is None:
+        response = await self._call("GET", path, b"", {"Wait-Ms": str(WAIT_MS)})
+        if response is None:
             return False
-        if answer.status != 200:
-            history.unreadable += answer.status in (404, 410)
+        if response.status != 200:
+            history.failed_reads += response.status in (404, 410)
             return False
-        _note_page(history, start_after, orjson.loads(answer.body))
+        _record_page(history, start_after, orjson.loads(response.body))
         return True
 
-    async def body_of(self, job: BatchJob, item_id: str) -> HttpAnswer | None:
+    async def body_of(self, job: BatchJob, item_id: str) -> HttpResponse | None:
         """The body of an item that is not listed yet."""
         return await self._call("GET", f"/v1/items/{job.id}?Id={quote(item_id)}", b"", {})
 
     async def end(self, job: BatchJob, within_s: float = 6.0) -> bool:
-        """End a lot; whether that was acknowledged."""
+        """End a job; whether that was acknowledged."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        while loop.time() - began < within_s:
-            answer = await self._call("DELETE", f"/v1/lots/{job.id}", b"", {})
-            if answer is not None and answer.status == 200:
+        started_s = loop.time()
+        while loop.time() - started_s < within_s:
+            response = await self._call("DELETE", f"/v1/lots/{job.id}", b"", {})
+            if response is not None and response.status == 200:
                 return True
-            await asyncio.sleep(0.1)
+            await asyncio.sleep(RETRY_PAUSE_S)
         return False
 
     async def _call(
         self, method: str, path: str, content: bytes, headers: dict[str, str]
-    ) -> HttpAnswer | None:
+    ) -> HttpResponse | None:
         places = self._frontends()
         if not places:
             return None
         url = f"http://{self._random.choice(list(places))}{path}"
         try:
             return await call_once(
-                method, url, headers={"Host": HOST, **headers}, content=content, timeout_s=ANSWER_WITHIN_S
+                method, url, headers={"Host": HOST, **headers}, content=content, timeout_s=RESPONSE_TIMEOUT_S
             )
         except CALL_ERRORS:
             return None
 
 
-def _note_page(history: JobHistory, start_after: int, page: dict[str, Any]) -> None:
+def _record_page(history: JobHistory, start_after: int, page: dict[str, Any]) -> None:
     history.total = page["Total"]
-    history.wrong_totals += history.total != len(history.job.items)
+    history.wrong_total_count += history.total != len(history.job.items)
     for offset, row in enumerate(page["Results"]):
         result = JobResult(row["Id"], row["State"], row.get("Message", ""))
         position = start_after + offset
--- a/emberring/emulator/live_client.py
+++ b/emberring/emulator/live_client.py
@@ -1,4 +1,4 @@
-"""A stand-in client of live streams: it reads events as they arrive and tries again only where that is allowed."""
+"""An emulated client of live streams: it reads events as they arrive and retries only where that is safe."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 from emberring.emulator.events import EventReader, StreamEvent
 from emberring.emulator.http_calls import plain_headers, timeouts
 
-PROMISES = frozenset({408, 421, 429, 503})
-CONNECT_S = 1.0
-SILENCE_S = 2.0
+NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
+CONNECT_TIMEOUT_S = 1.0
+READ_TIMEOUT_S = 2.0
 
 
 class StreamEnd(Enum):
     """How a stream ended for its client."""
 
     SERVED = "served"
-    REFUSED = "refused"  # with a promise that it did not run
+    REJECTED = "refused"  # with the promise that it was not executed
     FAILED = "failed"  # no promise: 502, 504, 500
-    DENIED = "denied"  # another 4xx
+    CLIENT_ERROR = "denied"  # another 4xx
     BROKEN = "broken"  # the connection ended early
-    SILENT = "silent"
+    TIMED_OUT = "silent"
     NOT_REACHED = "not reached"  # no connection came up
 
 
-MAY_TRY_AGAIN = frozenset({StreamEnd.REFUSED, StreamEnd.NOT_REACHED})
+RETRYABLE_ENDS = frozenset({StreamEnd.REJECTED, StreamEnd.NOT_REACHED})
 
 
 @attrs.frozen
 class StreamCall:
-    """What a client asks for. The prompt's last part is its own."""
+    """A client's call. The last part of the prompt is unique to it."""
 
     path: str
     body: bytes
@@ -49,22 +49,22 @@
 
 @attrs.frozen
 class StreamResult:
-    """One try of a client: `first_s` is the wait for the first event, `gap_s` the longest pause after it."""
+    """One attempt of a client: `first_s` is the delay of the first event, `gap_s` the longest pause after it (s)."""
 
     request_id: str
     end: StreamEnd
     status: int
     signature: str
     events: tuple[StreamEvent, ...]
-    began_s: float
+    started_s: float
     first_s: float
     gap_s: float
-    whole_s: float
+    duration_s: float
     retry_after_s: float = 0.0
     detail: str = ""
 
 
-def stream_headers(call: StreamCall, request_id: str, left_s: float) -> list[tuple[str, str]]:
+def stream_headers(call: StreamCall, request_id: str, remaining_s: float) -> list[tuple[str, str]]:
     """The headers of a request for tokens."""
     prompt = sum(tokens for _, tokens in call.prompt_parts)
     return [
@@ -73,16 +73,16 @@
         ("Model", "m"),
         ("Token-Count", f"{prompt},{call.output_tokens}"),
         ("Prefix-Hash", ",".join(f"{name}:{tokens}" for name, tokens in call.prompt_parts)),
-        ("Deadline-Ms", str(max(1, int(left_s * 1000)))),
+        ("Deadline-Ms", str(max(1, int(remaining_s * 1000)))),
     ]
 
 
-class _Reading:
-    """The state of one try while its answer comes in."""
+class _ResponseState:
+    """The state of one attempt while its response arrives."""
 
     def __init__(self, request_id: str, now: float) -> None:
         self.request_id = request_id
-        self.began = now
+        self.started_s = now
         self.status = 0
         self.headers: dict[str, str] = {}
         self.reader = EventReader()
@@ -92,19 +92,19 @@
         self._last = now
 
     def feed(self, data: bytes, now: float) -> None:
-        """Bytes of a successful answer."""
+        """Add bytes of a successful response."""
         fresh = self.reader.feed(data)
         if not fresh:
             return
         if self.events:
             self.gap_s = max(self.gap_s, now - self._last)
         else:
-            self.first_s = now - self.began
+            self.first_s = now - self.started_s
         self._last = now
         self.events += fresh
 
     def result(self, end: StreamEnd, now: float, detail: str = "") -> StreamResult:
-        """What came of the try."""
+        """The result of the attempt."""
         retry_after = self.headers.get("retry-after", "0")
         return StreamResult(
             request_id=self.request_id,
@@ -112,10 +112,10 @@
             status=self.status,
             signature=self.headers.get("response-signature", ""),
             events=tuple(self.events),
-            began_s=self.began,
+            started_s=self.started_s,
             first_s=self.first_s,
             gap_s=self.gap_s,
-            whole_s=now - self.began,
+            duration_s=now - self.started_s,
             retry_after_s=float(retry_after or 0),
             detail=detail,
         )
@@ -124,52 +124,52 @@
 def _end_of(status: int) -> StreamEnd:
     if 200 <= status < 300:
         return StreamEnd.SERVED
-    if status in PROMISES:
-        return StreamEnd.REFUSED
-    return StreamEnd.DENIED if 400 <= status < 500 else StreamEnd.FAILED
+    if status in NOT_EXECUTED_STATUSES:
+        return StreamEnd.REJECTED
+    return StreamEnd.CLIENT_ERROR if 400 <= status < 500 else StreamEnd.FAILED
 
 
-async def try_once(frontend: str, call: StreamCall, left_s: float) -> StreamResult:
-    """One try on a connection of its own."""
+async def attempt_stream(frontend: str, call: StreamCall, remaining_s: float) -> StreamResult:
+    """One attempt on a connection of its own, for at most `remaining_s` seconds."""
     loop = asyncio.get_running_loop()
-    reading = _Reading(secrets.token_hex(8), loop.time())
+    reading = _ResponseState(secrets.token_hex(8), loop.time())
     try:
-        async with asyncio.timeout(left_s):
-            await _read_answer(frontend, call, left_s, reading)
+        async with asyncio.timeout(remaining_s):
+            await _read_answer(frontend, call, remaining_s, reading)
     except TimeoutError:
-        return reading.result(StreamEnd.SILENT, loop.time(), "deadline")
+        return reading.result(StreamEnd.TIMED_OUT, loop.time(), "deadline")
     except (httpcore.ConnectError, httpcore.ConnectTimeout) as error:
         return reading.result(StreamEnd.NOT_REACHED, loop.time(), str(error))
     except httpcore.TimeoutException as error:
-        return reading.result(StreamEnd.SILENT, loop.time(), type(error).__name__)
+        return reading.result(StreamEnd.TIMED_OUT, loop.time(), type(error).__name__)
     except (httpcore.NetworkError, httpcore.ProtocolError, ValueError) as error:
         return reading.result(StreamEnd.BROKEN, loop.time(), f"{type(error).__name__}: {error}")
     return reading.result(_end_of(reading.status), loop.time())
 
 
-async def _read_answer(frontend: str, call: StreamCall, left_s: float, reading: _Reading) -> None:
+async def _read_answer(frontend: str, call: StreamCall, remaining_s: float, reading: _ResponseState) -> None:
     loop = asyncio.get_running_loop()
-    limits = timeouts(SILENCE_S)
-    limits["timeout"]["connect"] = CONNECT_S
+    limits = timeouts(READ_TIMEOUT_S)
+    limits["timeout"]["connect"] = CONNECT_TIMEOUT_S
     async with (
         httpcore.AsyncConnectionPool(max_keepalive_connections=0, retries=0) as pool,
         pool.stream(
             "POST",
             f"http://{frontend}{call.path}",
-            headers=stream_headers(call, reading.request_id, left_s),
+            headers=stream_headers(call, reading.request_id, remaining_s),
             content=call.body,
             extensions=limits,
-        ) as answer,
+        ) as response,
     ):
-        reading.status = answer.status
-        reading.headers = plain_headers(answer.headers)
-        async for data in answer.aiter_stream():
-            if answer.status == 200:
+        reading.status = response.status
+        reading.headers = plain_headers(response.headers)
+        async for data in response.aiter_stream():
+            if response.status == 200:
                 reading.feed(data, loop.time())
 
 
 class LiveClient:
-    """Asks for streams at the gateways that are in, as clients do. `frontends` is asked at each try."""
+    """Calls streams at the gateways in service, as clients do. `frontends` gives their addresses at each attempt."""
 
     def __init__(self, frontends: Callable[[], list[str]], seed: int, retries: int = 1) -> None:
         self._frontends = frontends
@@ -177,18 +177,18 @@
         self._retries = retries
 
     async def ask(self, call: StreamCall) -> tuple[StreamResult, ...]:
-        """All tries of a call; the last one says how it ended."""
+        """The results of all attempts of a call; the last one says how it ended."""
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + call.deadline_s
+        deadline_at_s = loop.time() + call.deadline_s
         results: list[StreamResult] = []
         for at in range(1 + self._retries):
             places = self._frontends()
-            if not places or loop.time() >= give_up_at:
+            if not places or loop.time() >= deadline_at_s:
                 break
-            result = await try_once(self._random.choice(places), call, give_up_at - loop.time())
+            result = await attempt_stream(self._random.choice(places), call, deadline_at_s - loop.time())
             results.append(result)
-            if result.end not in MAY_TRY_AGAIN or at == self._retries:
+            if result.end not in RETRYABLE_ENDS or at == self._retries:
                 break
-            pause_s = min(result.retry_after_s, (give_up_at - loop.time()) / 3)
+            pause_s = min(result.retry_after_s, (deadline_at_s - loop.time()) / 3)
             await asyncio.sleep(max(0.0, pause_s))
         return tuple(results)
--- a/emberring/emulator/local_tier.py
+++ b/emberring/emulator/local_tier.py
@@ -1,4 +1,4 @@
-"""A whole tier on loopback: three control nodes, three stores, two gateways, each a process with its own address."""
+"""A complete tier on loopback: each node is a process with an address of its own."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 from emberring.emulator.waiting import wait_until
 from emberring.errors import NotReadyError
 
-PORTS = range(20_000, 30_000, 16)  # below those that systems give to callers
-LOOK_EVERY_S = 0.1
-MISSES_TO_LEAVE = 2  # looks in a row that find a gateway not ready before it gets no new connections
-PROBE_S = 0.5
-MOST_TRIES = 50
+PORTS = range(20_000, 30_000, 16)  # below the ephemeral ports
+POLL_INTERVAL_S = 0.1
+FAILED_PROBES_TO_REMOVE = 2  # probes in a row that find a gateway not ready before it gets no new connections
+PROBE_TIMEOUT_S = 0.5
+MAX_ATTEMPTS = 50
 INTERNAL_OF_ROLE = {"gateway": FIRST_INTERNAL, "control": LAST_INTERNAL, "store": LAST_INTERNAL + 1}
 
 
@@ -44,7 +44,7 @@
 
 def choose_places(size: TierSize, rng: random.Random) -> list[NodePlace]:
     """Free addresses on loopback; `NotReadyError` where none are found."""
-    for _ in range(MOST_TRIES):
+    for _ in range(MAX_ATTEMPTS):
         net = f"127.{rng.randint(1, 250)}.{rng.randint(1, 250)}"
         base = rng.choice(PORTS)
         places = _places(size, net, base)
@@ -74,15 +74,15 @@
 
 
 class LocalTier:
-    """The nodes' processes, and who of them is up."""
+    """The nodes' processes, and which gateways are in service."""
 
     def __init__(self, folder: Path, size: TierSize | None = None, seed: int | None = None) -> None:
         self.size = size or TierSize()
         places = choose_places(self.size, random.Random(seed))
         seeds = [place.address(CONTROL_PLANE) for place in places if place.role == "control"][:3]
         self.nodes = {place.name: LocalNode(place, seeds, folder, self.size.grace_s) for place in places}
-        self._in: set[str] = set()
-        self._misses: dict[str, int] = {}
+        self._in_service: set[str] = set()
+        self._failed_probes: dict[str, int] = {}
         self._prober: asyncio.Task[None] | None = None
 
     def of_role(self, role: str) -> list[LocalNode]:
@@ -94,9 +94,9 @@
         return [node.place.address(CONTROL_PLANE) for node in self.of_role("control")]
 
     def frontends(self) -> list[str]:
-        """Addresses of the gateways that are in, as the platform sees it; all that run where none is."""
+        """Addresses of the gateways in service, as the platform sees it; all running ones where none is."""
         running = [node.place.address(FRONTEND) for node in self.of_role("gateway") if node.running]
-        return sorted(self._in) or sorted(running)
+        return sorted(self._in_service) or sorted(running)
 
     def start(self) -> None:
         """Start all nodes for the first time, and ask gateways from then on whether they are ready."""
@@ -109,17 +109,17 @@
             gateways = self.of_role("gateway")
             ready = await asyncio.gather(*(self.is_up(node) for node in gateways))
             for node, up in zip(gateways, ready, strict=True):
-                self._note_look(node, up)
-            await asyncio.sleep(LOOK_EVERY_S)
+                self._record_probe(node, up)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    def _note_look(self, node: LocalNode, up: bool) -> None:
-        """As the platform does: one look that found it not ready takes a gateway out as little as a late one."""
+    def _record_probe(self, node: LocalNode, up: bool) -> None:
+        """As the platform does: one failed probe, late or not ready, does not take a gateway out of service."""
         address = node.place.address(FRONTEND)
-        self._misses[address] = 0 if up else self._misses.get(address, 0) + 1
+        self._failed_probes[address] = 0 if up else self._failed_probes.get(address, 0) + 1
         if up:
-            self._in.add(address)
-        elif self._misses[address] >= MISSES_TO_LEAVE:
-            self._in.discard(address)
+            self._in_service.add(address)
+        elif self._failed_probes[address] >= FAILED_PROBES_TO_REMOVE:
+            self._in_service.discard(address)
 
     async def is_up(self, node: LocalNode) -> bool:
         """Whether a node answers for its role."""
@@ -127,25 +127,25 @@
             return False
         place = node.place
         if place.role == "gateway":
-            return await _answers(f"http://{place.address(READINESS)}/v1/readyz")
+            return await _responds(f"http://{place.address(READINESS)}/v1/readyz")
         if place.role == "control":
-            return await _answers(f"http://{place.address(CONTROL_PLANE)}/v1/readyz")
+            return await _responds(f"http://{place.address(CONTROL_PLANE)}/v1/readyz")
         return await _accepts(place.address(INTERNAL_OF_ROLE[place.role]))
 
     async def wait_up(self, names: Iterable[str], within_s: float) -> float | None:
         """Wait until these nodes are up; how long it took (seconds), or None where it did not come to that."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_s = loop.time()
         nodes = [self.nodes[name] for name in names]
-        while loop.time() - began < within_s:
+        while loop.time() - started_s < within_s:
             if all(await asyncio.gather(*(self.is_up(node) for node in nodes))):
-                return loop.time() - began
-            await asyncio.sleep(LOOK_EVERY_S)
+                return loop.time() - started_s
+            await asyncio.sleep(POLL_INTERVAL_S)
         return None
 
     async def wait_frontends(self, count: int, within_s: float) -> bool:
-        """Wait until so many gateways are in."""
-        return await wait_until(lambda: len(self._in) >= count, within_s)
+        """Wait until `count` gateways are in service; whether they were within `within_s` seconds."""
+        return await wait_until(lambda: len(self._in_service) >= count, within_s)
 
     async def stop(self) -> dict[str, int | None]:
         """End all nodes in order; their exit codes by name, None for those that had to be killed."""
@@ -153,7 +153,7 @@
             self._prober.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await self._prober
-        self._in = set()
+        self._in_service = set()
         ends = (node.stop(self.size.grace_s) for node in self.nodes.values())
         codes = await asyncio.gather(*ends)
         return dict(zip(self.nodes, codes, strict=True))
@@ -165,9 +165,9 @@
                 node.kill()
 
 
-async def _answers(url: str) -> bool:
+async def _responds(url: str) -> bool:
     try:
-        return (await call_once("GET", url, timeout_s=PROBE_S)).status == 200
+        return (await call_once("GET", url, timeout_s=PROBE_TIMEOUT_S)).status == 200
     except CALL_ERRORS:
         return False
 
@@ -175,7 +175,7 @@
 async def _accepts(address: str) -> bool:
     host, _, port = address.rpartition(":")
     try:
-        async with asyncio.timeout(PROBE_S):
+        async with asyncio.timeout(PROBE_TIMEOUT_S):
             _, writer = await asyncio.open_connection(host, int(port))
     except (OSError, TimeoutError):
         return False
--- a/emberring/emulator/output.py
+++ b/emberring/emulator/output.py
@@ -1,4 +1,4 @@
-"""What a stand-in model server says: a fixed function of path and body, so that anyone can check an answer."""
+"""The output of an emulated model server: a fixed function of path and body, so that any response can be checked."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import math
 
 FIRST_EVENT_ID = 1
-TEXT_BYTES = 8  # of the digest that stands in each event
+TEXT_BYTES = 8  # of the digest in each event
 
 
 def event_count(output_tokens: int, stride: int) -> int:
@@ -21,7 +21,7 @@
     return f"{event_id}:{digest.hexdigest()}"
 
 
-def whole_output(path: str, body: bytes, events: int) -> tuple[str, ...]:
+def complete_output(path: str, body: bytes, events: int) -> tuple[str, ...]:
     """The data of all events of an answer, in order."""
     return tuple(event_text(path, body, FIRST_EVENT_ID + at) for at in range(events))
 
