--- a/emberring/jobs/batch_job.py
+++ b/emberring/jobs/batch_job.py
@@ -1,4 +1,4 @@
-"""One batch job in its owner's memory: its items, who runs them, what is listed."""
+"""A batch job in its owner's memory: its items, their runs, their results."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ItemStatus(IntEnum):
-    """Where an item stands. `RESULT_PENDING`: its result has a position and is on its way to the disks."""
+    """Status of an item. `RESULT_PENDING`: its result has a position and is not committed yet."""
 
     WAITING = 0
     RUNNING = 1
@@ -20,8 +20,11 @@
 
 @attrs.define(eq=False)
 class Run:
-    """An item's run at a gateway: its ticket, until when the gateway holds it without a further word, and when it
-    began here."""
+    """An item's run at a gateway.
+
+    `expires_s`: when its lease expires without a further report; `started_s`: when the run started here.
+    Both in seconds of the monotonic clock.
+    """
 
     ticket: int
     gateway: str
@@ -31,7 +34,10 @@
 
 @attrs.define(eq=False)
 class Item:
-    """An item. `events` are what its newest run has given, `failures` the tickets answered with a 500."""
+    """An item of a batch job.
+
+    `events` are those of its newest run, `failures` the tickets of runs that ended with status 500.
+    """
 
     id: str
     tokens: int
@@ -49,7 +55,7 @@
 
 @attrs.define(eq=False)
 class BatchJob:
-    """A batch job. Positions that are shown are the committed ones from 0 on without a gap."""
+    """A batch job. The visible positions are the committed ones from 0 on without a gap."""
 
     key: str
     terms: JobTerms
@@ -70,7 +76,7 @@
 
     @property
     def due_s(self) -> float:
-        """When all its results are due (seconds of the monotonic clock)."""
+        """When all results are due, in seconds of the monotonic clock."""
         return self.accepted_s + self.terms.completion_ms / 1000
 
     @property
@@ -84,14 +90,14 @@
         return self.visible == len(self.items)
 
     def free_position(self) -> int:
-        """The first position without a result."""
+        """Return the first position without a result."""
         position = self.visible
         while position in self.positions:
             position += 1
         return position
 
     def mark_committed(self, position: int) -> None:
-        """A position's result lasts."""
+        """Mark a position's result as committed and show what follows without a gap."""
         self.committed.add(position)
         self.items[self.positions[position]].status = ItemStatus.LISTED
         while self.visible in self.committed:
--- a/emberring/jobs/definition.py
+++ b/emberring/jobs/definition.py
@@ -1,4 +1,4 @@
-"""A batch job as its client submitted it: checked on arrival, kept as bytes, read again when its items run."""
+"""The definition of a batch job: validated on submission, stored as bytes, decoded again when its items run."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
     tokens: int
 
     def decoded_body(self) -> bytes:
-        """The body's bytes."""
+        """Return the body's bytes."""
         return base64.b64decode(self.body)
 
 
 def parse_items(compressed: bytes) -> list[ItemSpec]:
-    """The items of a submitted batch job; `BadRequestError` says what is wrong with it."""
+    """Return the items of a submitted batch job; `BadRequestError` says what is wrong with it."""
     try:
         document = orjson.loads(decompress(compressed))
     except (orjson.JSONDecodeError, CorruptRecordError) as error:
@@ -83,12 +83,12 @@
 
 
 def encode_definition(terms: JobTerms, compressed: bytes) -> bytes:
-    """The value of a batch job's definition: its terms on one line, then the body, compressed."""
+    """Encode a definition: the terms on one line, then the compressed body."""
     return orjson.dumps(attrs.asdict(terms)) + _END_OF_TERMS + compressed
 
 
 def decode_terms(value: bytes) -> JobTerms:
-    """The terms in a definition's value."""
+    """Return the terms in a definition's value; `CorruptRecordError` where it is damaged."""
     try:
         return JobTerms(**orjson.loads(value[: value.index(_END_OF_TERMS)]))
     except (ValueError, TypeError) as error:
@@ -96,7 +96,7 @@
 
 
 def decode_items(value: bytes) -> list[ItemSpec]:
-    """The items in a definition's value, which were checked when it was taken."""
+    """Return the items in a definition's value; `CorruptRecordError` where it is damaged."""
     try:
         document = orjson.loads(decompress(memoryview(value)[value.index(_END_OF_TERMS) + 1 :]))
         return [_spec(entry) for entry in document["Requests"]]
--- a/emberring/jobs/items.py
+++ b/emberring/jobs/items.py
@@ -1,4 +1,4 @@
-"""What one item of a batch job is to the program that runs it: the call, its events, how the run ended."""
+"""Interface between the runner of items and the program that executes them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class ItemEvent:
-    """One whole event of an item's answer: its ascending id and its data (lines joined by line feeds)."""
+    """One complete event of an item's response: its ascending id and its data (lines joined by line feeds)."""
 
     id: int
     data: str
@@ -21,9 +21,13 @@
 
 @attrs.frozen
 class ItemCall:
-    """One item to be run once. `headers` are the item's own, names as submitted; `resume_after` is the id of the
-    last event already held (None for a run from the start); `due_s` is the loop's time by which the item is
-    due. `still_allowed()` is asked right before bytes are sent: False means that nothing may be sent any more."""
+    """One item to be executed once.
+
+    `headers` are the item's own, names as submitted; `resume_after` is the id of the last event already
+    received (None for a run from the start); `due_s` is the event loop's time by which the item is due.
+    `still_allowed()` is called right before bytes are sent: False means that nothing may be sent any
+    more.
+    """
 
     id: str
     host: str
@@ -38,7 +42,7 @@
 
 
 class OutcomeKind(Enum):
-    """How a run ended. `NOT_RUN`: no server began it. `BROKEN`: it may have begun and did not end whole."""
+    """Outcome of a run. `NOT_RUN`: no server started it. `BROKEN`: it may have started and is incomplete."""
 
     COMPLETED = "completed"
     FAILED_500 = "failed_500"
@@ -49,16 +53,16 @@
 
 @attrs.frozen
 class ItemOutcome:
-    """How a run ended; the events themselves were handed to `on_events` before."""
+    """Outcome of a run; its events were passed to `on_events` before."""
 
     kind: OutcomeKind
 
 
 class ItemExecutor(Protocol):
-    """Runs items against the servers under the admission of the batch row."""
+    """Executes items at the servers under the admission of batch traffic."""
 
     def batch_room(self) -> int:
-        """How many more items may be begun now."""
+        """Return how many more items may be started now."""
 
     async def run_item(self, item: ItemCall, on_events: Callable[[list[ItemEvent]], None]) -> ItemOutcome:
-        """Run an item once. Each event is handed over once, in order, after it arrived whole."""
+        """Execute an item once. Each event is passed on once, in order, after it has arrived completely."""
--- a/emberring/jobs/lease.py
+++ b/emberring/jobs/lease.py
@@ -1,4 +1,4 @@
-"""The lease under which an owner answers reads: a quorum was in contact a short while ago."""
+"""The lease under which an owner answers reads: a quorum renewed it a short while ago."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def has_quorum(group: Group, identities: set[str]) -> bool:
-    """Whether these are a majority of the members, and of those joining if there are any."""
+    """Whether these are a majority of the members, and of the joining members if there are any."""
     return all(
         len(identities.intersection(members)) >= quorum(members)
         for members in (group.members, group.joining)
@@ -21,21 +21,21 @@
 
 
 class OwnerLease:
-    """When each replica last granted the owner's lease, by the time at which it was asked."""
+    """Times at which the lease renewals were sent that each replica granted last."""
 
     def __init__(self) -> None:
         self._granted: dict[str, float] = {}
 
     def grant(self, identity: str, sent_s: float) -> None:
-        """A replica granted what was sent to it at this time."""
+        """Note that a replica granted a renewal that was sent at `sent_s`."""
         self._granted[identity] = max(sent_s, self._granted.get(identity, -math.inf))
 
     def clear(self) -> None:
-        """The term is another one now."""
+        """Drop all grants: a new term begins."""
         self._granted.clear()
 
     def until_s(self, group: Group) -> float:
-        """Until when reads may be answered."""
+        """Return until when reads may be answered, in seconds of the monotonic clock."""
         return OWNER_LEASE_S + min(
             self._quorum_time(members) for members in (group.members, group.joining) if members
         )
--- a/emberring/jobs/owned.py
+++ b/emberring/jobs/owned.py
@@ -1,4 +1,4 @@
-"""The records of a shard as its owner holds them."""
+"""Records of a shard in its owner's memory."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 @attrs.define(eq=False)
 class OwnedSlot:
-    """A value, and whether a quorum has it. `acks` are the replicas that confirmed it while it is not committed."""
+    """A value, and whether it is committed.
+
+    `acks` are the identities of the replicas that confirmed it, until it is committed.
+    """
 
     value: bytes
     checksum: int
@@ -26,7 +29,7 @@
 
 
 class OwnedRecords:
-    """All batch jobs of a shard."""
+    """All batch jobs of a shard. `uncommitted` counts slots; `digest` covers all slots."""
 
     def __init__(self) -> None:
         self.jobs: dict[str, OwnedJob] = {}
@@ -34,7 +37,7 @@
         self.digest = 0
 
     def replace(self, jobs: dict[str, OwnedJob]) -> None:
-        """Begin anew with these."""
+        """Replace all records."""
         self.jobs = jobs
         self.uncommitted = 0
         self.digest = 0
@@ -44,12 +47,12 @@
                 self.uncommitted += not owned.committed
 
     def find(self, key: str, slot: int) -> OwnedSlot | None:
-        """The slot, or None."""
+        """Return the slot, or None."""
         job = self.jobs.get(key)
         return job.slots.get(slot) if job else None
 
     def put(self, key: str, slot: int, value: bytes, accepted_s: float) -> None:
-        """A new value, not committed yet."""
+        """Store a new value, not committed yet."""
         job = self.jobs.get(key)
         if job is None:
             job = self.jobs[key] = OwnedJob(accepted_s)
@@ -60,7 +63,7 @@
         self.uncommitted += 1
 
     def erase(self, key: str, slot: int) -> None:
-        """Forget a slot; a batch job without slots is gone."""
+        """Erase a slot; a batch job without slots is erased too."""
         job = self.jobs.get(key)
         owned = job.slots.pop(slot, None) if job else None
         if job is None or owned is None:
@@ -71,7 +74,7 @@
             del self.jobs[key]
 
     def mark_committed(self, owned: OwnedSlot) -> None:
-        """A quorum has it."""
+        """Mark a slot as stored by a quorum."""
         owned.committed = True
         owned.acks = None
         self.uncommitted -= 1
--- a/emberring/jobs/owner.py
+++ b/emberring/jobs/owner.py
@@ -165,12 +165,12 @@
         elif renewal.granted and renewal.promised == self.term:
             self.lease.grant(identity, sent_s)
             if self.stage.writes_records:
-                self._check_replica(now_s, identity, sent_s, renewal.digest)
+                self._check_replica(now_s, identity, renewal.digest)
         return self._drain_actions()
 
-    def _check_replica(self, now_s: float, identity: str, sent_s: float, digest: int) -> None:
+    def _check_replica(self, now_s: float, identity: str, digest: int) -> None:
         """Ask a replica for its inventory where its contents are unknown or differ."""
-        if self._replication.wants_inventory(now_s, identity, sent_s, digest):
+        if self._replication.wants_inventory(now_s, identity, digest):
             self._send(identity, InventoryRequest(self._known_group.shard, identity, self.term))
 
     def on_reply(self, now_s: float, ticket: int, reply: ReplicaReply) -> list[OwnerAction]:
@@ -192,10 +192,10 @@
         """Handle a call that had no reply in time, or was rejected by the replica's disk."""
         call = self._calls.complete(ticket)
         if call is not None and isinstance(call.message, FetchRecords) and self._recovery is not None:
-            self._recovery.failed(call.target)
+            self._recovery.on_call_failed(call.target)
             self._continue_recovery(now_s)
         elif call is not None:
-            self._replication.failed(now_s, call.target, ticket)
+            self._replication.on_call_failed(now_s, call.target, ticket)
         return self._drain_actions()
 
     # Claim: from a claim to a quorum's grants.
@@ -250,16 +250,16 @@
         if recovery is None or self.stage is not OwnershipStage.RECOVERING:
             return
         shard = self._known_group.shard
-        for identity, records in recovery.wanted():
+        for identity, records in recovery.next_fetches():
             self._send(identity, FetchRecords(shard, identity, records))
         if recovery.stuck:
             self._transition_to_following(now_s)
-        elif recovery.done:
+        elif recovery.complete:
             self._transition_recovering_replicating(now_s, recovery)
 
     def _on_fetched(self, now_s: float, call: SendToReplica, reply: FetchRecordsReply) -> None:
         if self._recovery is not None and self.stage is OwnershipStage.RECOVERING:
-            self._recovery.fetched(call.target, unpack_records(reply.records))
+            self._recovery.on_fetched(call.target, unpack_records(reply.records))
             self._continue_recovery(now_s)
 
     def _transition_recovering_replicating(self, now_s: float, recovery: OwnerRecovery) -> None:
@@ -299,12 +299,12 @@
         elif reply.promised > self.term:
             self._on_higher_term(now_s, reply.promised)
         else:
-            self._replication.failed(now_s, call.target, call.ticket)
+            self._replication.on_call_failed(now_s, call.target, call.ticket)
 
     def _on_written(self, now_s: float, call: SendToReplica) -> None:
         if call.target == self.identity:
             self._share_values(call.ticket)
-        for key, slot in self._replication.answered(call.target, call.ticket):
+        for key, slot in self._replication.on_written(call.target, call.ticket):
             self._actions.append(SlotCommitted(key, slot))
             if slot == TOMBSTONE:
                 self._replication.drop_tombstoned(key)
--- a/emberring/jobs/owner_recovery.py
+++ b/emberring/jobs/owner_recovery.py
@@ -1,4 +1,4 @@
-"""How a new owner gathers the values of the records that it recovers: its own replica's, the rest fetched."""
+"""Recovery of a new owner: gathers the values of all records from its own replica and from others. No I/O."""
 
 from __future__ import annotations
 
@@ -6,100 +6,108 @@
 
 from emberring.jobs.merge import Inventories, MergedSlot, duplicate_positions, merge
 from emberring.jobs.owned import OwnedJob, OwnedSlot
-from emberring.jobs.peer import SlotRef
 from emberring.jobs.records import Record, Term, checksum, pack_records
 from emberring.jobs.replica import Replica
+from emberring.jobs.replica_progress import SlotRef
 from emberring.jobs.results import item_index
 from emberring.placement.model import Group
 
-MAX_FETCH_BYTES = 256 * 1024
+MAX_FETCH_BYTES = 256 * 1024  # of keys and values in one request
 
 
 class OwnerRecovery:
-    """From a quorum's inventories to the shard's records. Sans-I/O: `wanted` says what to fetch from whom."""
+    """From a quorum's inventories to the shard's records.
+
+    `next_fetches` says what to fetch from whom; records are complete once `complete` is true.
+    """
 
     def __init__(
-        self, now_s: float, inventories: Inventories, group: Group, me: str, replica: Replica
+        self, now_s: float, inventories: Inventories, group: Group, identity: str, replica: Replica
     ) -> None:
         self._merged = merge(inventories, group)
         self._values: dict[SlotRef, bytes] = {}
         self._missing: dict[SlotRef, list[str]] = {}
-        self._asked: dict[str, dict[SlotRef, None]] = {}
+        self._in_flight: dict[str, dict[SlotRef, None]] = {}
         self._now_s = now_s
         for key, job in self._merged.items():
-            held = replica.jobs.get(key)
-            for slot, found in job.slots.items():
-                mine = held.slots.get(slot) if held else None
-                if mine is not None and mine.checksum == found.state.checksum:
-                    self._values[(key, slot)] = mine.value
+            stored_job = replica.jobs.get(key)
+            for slot, merged_slot in job.slots.items():
+                stored = stored_job.slots.get(slot) if stored_job else None
+                if stored is not None and stored.checksum == merged_slot.state.checksum:
+                    self._values[(key, slot)] = stored.value
                 else:
-                    self._missing[(key, slot)] = [name for name in found.holders if name != me]
+                    self._missing[(key, slot)] = [name for name in merged_slot.holders if name != identity]
 
     @property
-    def done(self) -> bool:
-        """Whether all values are there."""
+    def complete(self) -> bool:
+        """Whether all values are known."""
         return not self._missing
 
     @property
     def stuck(self) -> bool:
-        """Whether nobody is left who could give a value."""
+        """Whether no replica is left to ask for one of the values."""
         return any(not sources for sources in self._missing.values())
 
-    def wanted(self) -> Iterator[tuple[str, bytes]]:
-        """What to ask of whom now: packed records with empty values; one question at a time for each replica."""
+    def next_fetches(self) -> Iterator[tuple[str, bytes]]:
+        """Yield the replicas to ask now, with packed records without values; one request at a time to each."""
         batches: dict[str, list[Record]] = {}
         sizes: dict[str, int] = {}
         for (key, slot), sources in self._missing.items():
             source = sources[0] if sources else ""
             size = sizes.get(source, 0)
-            if not source or source in self._asked or size > MAX_FETCH_BYTES:
+            if not source or source in self._in_flight or size > MAX_FETCH_BYTES:
                 continue
             sizes[source] = size + self._slot(key, slot).state.length + len(key)
             batches.setdefault(source, []).append(Record(key, slot, 0, b""))
         for source, records in batches.items():
-            self._asked[source] = {(record.key, record.slot): None for record in records}
+            self._in_flight[source] = {(record.key, record.slot): None for record in records}
             yield source, pack_records(records)
 
     def _slot(self, key: str, slot: int) -> MergedSlot:
         return self._merged[key].slots[slot]
 
-    def fetched(self, identity: str, records: list[Record]) -> None:
-        """A replica gave these values; for what it did not give, another one is asked."""
-        asked = self._asked.pop(identity, {})
+    def on_fetched(self, identity: str, records: list[Record]) -> None:
+        """Store fetched values; what the replica did not return is requested from another one."""
+        requested = self._in_flight.pop(identity, {})
         for record in records:
             ref = (record.key, record.slot)
-            if ref in asked and checksum(record.value) == self._slot(*ref).state.checksum:
+            if ref in requested and checksum(record.value) == self._slot(*ref).state.checksum:
                 self._values[ref] = record.value
                 self._missing.pop(ref, None)
-                del asked[ref]
-        self._give_up(identity, asked)
+                del requested[ref]
+        self._remove_source(identity, requested)
 
-    def failed(self, identity: str) -> None:
-        """A replica did not answer."""
-        self._asked.pop(identity, None)
-        self._give_up(identity, dict.fromkeys(self._missing))
+    def on_call_failed(self, identity: str) -> None:
+        """Handle a request that had no answer."""
+        self._in_flight.pop(identity, None)
+        self._remove_source(identity, dict.fromkeys(self._missing))
 
-    def _give_up(self, identity: str, refs: dict[SlotRef, None]) -> None:
+    def _remove_source(self, identity: str, refs: dict[SlotRef, None]) -> None:
         for ref in refs:
             sources = self._missing.get(ref)
             if sources and identity in sources:
                 sources.remove(identity)
 
     def jobs(self) -> dict[str, OwnedJob]:
-        """The records, once all values are there. Of one item at two positions the highest term's stays."""
+        """Return the records, once all values are known.
+
+        Of one item at two positions the one of the highest term stays.
+        """
         result: dict[str, OwnedJob] = {}
         for key, merged in self._merged.items():
             positions: dict[int, tuple[Term, int]] = {
-                slot: (found.state.term, item_index(self._values[(key, slot)]))
-                for slot, found in merged.slots.items()
+                slot: (merged_slot.state.term, item_index(self._values[(key, slot)]))
+                for slot, merged_slot in merged.slots.items()
                 if slot >= 0
             }
-            out = duplicate_positions(positions)
+            duplicates = duplicate_positions(positions)
             job = OwnedJob(self._now_s - merged.age_ms / 1000)
-            for slot, found in merged.slots.items():
-                if slot not in out:
+            for slot, merged_slot in merged.slots.items():
+                if slot not in duplicates:
                     value = self._values[(key, slot)]
-                    acks = None if found.committed else set[str]()
-                    job.slots[slot] = OwnedSlot(value, found.state.checksum, found.committed, acks)
+                    acks = None if merged_slot.committed else set[str]()
+                    job.slots[slot] = OwnedSlot(
+                        value, merged_slot.state.checksum, merged_slot.committed, acks
+                    )
             result[key] = job
         return result
--- a/emberring/jobs/packing.py
+++ b/emberring/jobs/packing.py
@@ -1,7 +1,7 @@
-"""Bodies, results and events in few bytes, on the links between nodes and on disk.
+"""Compression of bodies, results and events, on the links between nodes and on disk.
 
-What batch jobs hold is mostly random text, in which whole strings hardly come again: only the letters are coded
-(Huffman), which takes a third of the time of a search for strings and makes about as little of it.
+Batch jobs hold mostly random text, in which whole strings hardly repeat: only the letters are coded
+(Huffman), which takes a third of the time of a search for repeated strings and saves about as much.
 """
 
 from __future__ import annotations
@@ -16,36 +16,36 @@
 
 LEVEL = 1
 MEMORY_LEVEL = 8
-MAX_DECOMPRESSED_BYTES = 64 * 1024 * 1024  # that anything may expand to
+MAX_DECOMPRESSED_BYTES = 64 * 1024 * 1024  # that any data may expand to
 
 
 def compress(data: bytes) -> bytes:
-    """The data in fewer bytes."""
-    packer = zlib.compressobj(LEVEL, zlib.DEFLATED, zlib.MAX_WBITS, MEMORY_LEVEL, zlib.Z_HUFFMAN_ONLY)
-    return packer.compress(data) + packer.flush()
+    """Compress data."""
+    compressor = zlib.compressobj(LEVEL, zlib.DEFLATED, zlib.MAX_WBITS, MEMORY_LEVEL, zlib.Z_HUFFMAN_ONLY)
+    return compressor.compress(data) + compressor.flush()
 
 
 def decompress(data: bytes | memoryview) -> bytes:
-    """What was compressed; `CorruptRecordError` where the bytes are nothing that was."""
-    unpacker = zlib.decompressobj()
+    """Decompress data; `CorruptRecordError` where the bytes are damaged or expand to too much."""
+    decompressor = zlib.decompressobj()
     try:
-        found = unpacker.decompress(data, MAX_DECOMPRESSED_BYTES)
+        found = decompressor.decompress(data, MAX_DECOMPRESSED_BYTES)
     except zlib.error as error:
         raise CorruptRecordError(f"squeezed bytes: {error}") from error
-    if not unpacker.eof:
+    if not decompressor.eof:
         raise CorruptRecordError("squeezed bytes end early")
     return found
 
 
 def pack_events(events: Sequence[EventData]) -> bytes:
-    """Events for the wire; nothing where there are none."""
+    """Encode and compress events; no events are no bytes."""
     if not events:
         return b""
     return compress(orjson.dumps([(event.id, event.data) for event in events]))
 
 
 def unpack_events(packed: bytes) -> tuple[EventData, ...]:
-    """The reverse of `pack_events`."""
+    """Decode what `pack_events` encoded; `CorruptRecordError` where the bytes are damaged."""
     if not packed:
         return ()
     try:
--- a/emberring/jobs/replica_log.py
+++ b/emberring/jobs/replica_log.py
@@ -1,4 +1,4 @@
-"""What a replica writes to its journal, in binary form."""
+"""Entries that a replica writes to its journal, and their binary form."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class Written:
-    """Records taken under a term."""
+    """Records written under a term."""
 
     term: Term
     records: tuple[Record, ...]
@@ -24,14 +24,14 @@
 
 @attrs.frozen
 class Promised:
-    """No lower term is taken any more."""
+    """A promise to accept no lower term any more."""
 
     term: Term
 
 
 @attrs.frozen
 class Dropped:
-    """These slots are erased, unless a higher term has written them."""
+    """Slots that are erased, unless a higher term has written them."""
 
     term: Term
     records: tuple[Record, ...]
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class Emptied:
-    """The replica holds nothing any more; what it promised stands."""
+    """The replica's records are all erased; its promise stays."""
 
 
 @attrs.frozen
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class Started:
-    """The process started here: the clocks of entries before and after this have nothing to do with each other."""
+    """The process started here: the clocks of entries before and after this are unrelated."""
 
 
 Entry = Written | Promised | Dropped | Emptied | Copied | Started
@@ -60,7 +60,7 @@
 
 @attrs.frozen
 class Logged:
-    """An entry as found in the journal: its shard and the monotonic clock's time at which it was written."""
+    """An entry as found in the journal: its shard, and when it was written (seconds of the monotonic clock)."""
 
     shard: int
     clock_s: float
@@ -68,7 +68,7 @@
 
 
 def encode_entry(shard: int, clock_s: float, entry: Entry) -> bytes:
-    """The journal's payload for an entry."""
+    """Encode an entry as a payload of the journal."""
     if isinstance(entry, Promised):
         return _head(_PROMISED, shard, clock_s) + pack_term(entry.term)
     if isinstance(entry, Emptied | Started):
@@ -82,7 +82,7 @@
 
 
 def decode_entry(payload: bytes) -> Logged:
-    """The reverse of `encode_entry`; `CorruptRecordError` where the payload is none."""
+    """Decode a payload of the journal; `CorruptRecordError` where it is damaged."""
     try:
         kind, shard, clock_s = _HEAD.unpack_from(payload, 0)
         if kind in (_EMPTIED, _STARTED):
@@ -103,7 +103,7 @@
 
 
 def split_by_size(records: Sequence[Record], limit: int) -> list[tuple[Record, ...]]:
-    """The records in runs of about this many bytes of values at most."""
+    """Split records into runs with about `limit` bytes of values at most."""
     runs: list[tuple[Record, ...]] = []
     run: list[Record] = []
     size = 0
--- a/emberring/jobs/results.py
+++ b/emberring/jobs/results.py
@@ -1,4 +1,4 @@
-"""Results of items as they are kept, sent and listed."""
+"""Results of items: as stored, as sent between nodes, and as listed for clients."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 from emberring.jobs.packing import compress, decompress
 
 _HEAD = struct.Struct("<HII")  # the item's index, bytes of the JSON object, bytes of it compressed
-MAX_PAGE_BYTES = 1_000_000  # with some room below the 1 MB of the interface
+MAX_PAGE_BYTES = 1_000_000  # some margin below the interface's limit of 1 MB
 
 
 class ResultState(Enum):
-    """How an item ended; the value is what clients read."""
+    """Outcome of an item; the value is what clients read."""
 
     COMPLETED = "completed"
     DEAD_LETTER = "dead_letter"
 
 
 def encode_result(index: int, item_id: str, state: ResultState, message: str) -> bytes:
-    """The value of a result: a head, then the JSON object that is listed, compressed."""
+    """Encode a result: a header, then the JSON object that is listed, compressed."""
     listed = orjson.dumps({"Id": item_id, "State": state.value, "Message": message})
     compressed = compress(listed)
     return _HEAD.pack(index, len(listed), len(compressed)) + compressed
 
 
 def item_index(value: bytes) -> int:
-    """The index of the item that a result's value belongs to."""
+    """Return the index of the item that a result's value belongs to."""
     return int(_HEAD.unpack_from(value, 0)[0])
 
 
 def build_page(total: int, start: int, values: Iterable[bytes]) -> JobPage:
-    """A page with these results: at least one if there is one, and at most 1 MB of them."""
+    """Return a page with these results: at least one if there is one, and at most 1 MB of them."""
     parts: list[bytes] = []
     size = 0
     for value in values:
@@ -48,7 +48,7 @@
 
 
 def page_json(page: JobPage) -> bytes:
-    """The JSON answer for the client; `CorruptRecordError` where the page is none."""
+    """Return a page as JSON for the client; `CorruptRecordError` where the page is damaged."""
     found: list[bytes] = []
     offset = 0
     try:
--- a/emberring/jobs/schedule.py
+++ b/emberring/jobs/schedule.py
@@ -1,4 +1,4 @@
-"""The order in which items run: those that can still be done in time by their due time, then the late ones."""
+"""Order in which items run: those that can be completed by their due time first, then late ones."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 MIN_RUN_ESTIMATE_S, MAX_RUN_ESTIMATE_S = (
     0.3,
     4.0,
-)  # an item due sooner than a run takes is late; within these bounds
-RUN_ESTIMATE_GAIN = 0.05  # smoothing of what a run takes
-EXPIRY_URGENCY_S = 3.0  # a late item that is expired within this time goes first
+)  # bounds of the estimate; an item due sooner is late
+RUN_ESTIMATE_GAIN = 0.05  # weight of the newest run in the estimate
+EXPIRY_URGENCY_S = 3.0  # a late item that expires within this time goes first
 
 
 @attrs.frozen(order=True)
 class QueuedItem:
-    """An item that waits. Times are seconds of the monotonic clock."""
+    """An item that waits for a server. Times are seconds of the monotonic clock."""
 
     due_s: float
     expires_s: float
@@ -24,10 +24,10 @@
 
 
 class Schedule:
-    """Items that wait for a server."""
+    """Items that wait for a server. `run_estimate_s` is the smoothed duration of a run."""
 
     def __init__(self) -> None:
-        self.run_estimate_s = MIN_RUN_ESTIMATE_S  # what a run takes
+        self.run_estimate_s = MIN_RUN_ESTIMATE_S  # expected duration of a run
         self._on_time: SortedList = SortedList()
         self._late: SortedList = SortedList(key=lambda entry: (entry.expires_s, entry.key, entry.index))
 
@@ -35,18 +35,18 @@
         return len(self._on_time) + len(self._late)
 
     def add(self, entry: QueuedItem) -> None:
-        """An item waits."""
+        """Add an item."""
         self._on_time.add(entry)
 
     def record_run(self, seconds: float) -> None:
-        """A run was completed in this time."""
+        """Include the duration of a completed run in the estimate."""
         self.run_estimate_s += RUN_ESTIMATE_GAIN * (seconds - self.run_estimate_s)
 
     def pop(self, now_s: float) -> QueuedItem | None:
-        """The item to run next, or None. Items that no longer wait are the caller's to pass over.
+        """Return the item to run next, or None. The caller skips items that no longer wait.
 
-        Items that can't be done in time any more come after those that can. Where more came than can be done,
-        all were begun just before they were due, and all were late.
+        Items that can't be completed in time any more come after those that can: where more came than
+        could be run, all items were started just before they were due, and all were late.
         """
         estimate_s = min(MAX_RUN_ESTIMATE_S, max(MIN_RUN_ESTIMATE_S, self.run_estimate_s))
         while self._on_time and self._on_time[0].due_s < now_s + estimate_s:
--- a/emberring/jobs/status.py
+++ b/emberring/jobs/status.py
@@ -1,4 +1,4 @@
-"""Messages by which tools ask a store what it holds; asking changes nothing."""
+"""Messages by which tools read a store's status; reading changes nothing."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 @message("store.ask_status", wire_keys={"jobs": "lots"})
 @attrs.frozen
 class StoreStatusRequest:
-    """A tool asks a store what it holds. `jobs`: also list batch jobs of the shards that it owns."""
+    """Ask a store for its status. `jobs`: also list the batch jobs of the shards that it owns."""
 
     jobs: bool = False
 
@@ -18,7 +18,7 @@
 @wire_record({"jobs": "lots"})
 @attrs.frozen
 class ShardStatus:
-    """A shard on this store; the figures are those of its owner, and 0 on others."""
+    """A shard on this store; the numbers are those of its owner, and 0 on other stores."""
 
     shard: int
     owner: bool
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class JobStatus:
-    """A batch job: how many of its items are listed, and how long ago it was accepted (seconds)."""
+    """A batch job: how many of its items are listed, and how long ago it was accepted, in seconds."""
 
     shard: int
     host: str
@@ -45,7 +45,7 @@
 @message("store.status", wire_keys={"jobs": "lots"})
 @attrs.frozen
 class StoreStatus:
-    """The answer."""
+    """The status of a store."""
 
     identity: str
     disk_failed: bool
--- a/tests/emberring/jobs/test_tier_merge.py
+++ b/tests/emberring/jobs/test_tier_merge.py
@@ -113,43 +113,43 @@
 
 
 def test_values_come_from_the_own_replica_or_are_fetched_and_others_are_asked_after_a_failure() -> None:
-    mine = holding((ONE, 0, result(0)))
+    own_replica = holding((ONE, 0, result(0)))
     inventories = {
-        "a": mine.state(0.0),
+        "a": own_replica.state(0.0),
         "b": job({0: state(ONE, result(0)), 1: state(ONE, result(1))}),
         "c": job({1: state(ONE, result(1))}),
     }
-    adoption = OwnerRecovery(0.0, inventories, GROUP, "a", mine)
-    ((asked, packed),) = adoption.wanted()
+    recovery = OwnerRecovery(0.0, inventories, GROUP, "a", own_replica)
+    ((asked, packed),) = recovery.next_fetches()
     assert asked == "b"
     assert [record.slot for record in unpack_records(packed)] == [1]
-    assert list(adoption.wanted()) == []
-    adoption.failed("b")
-    ((asked, _),) = adoption.wanted()
+    assert list(recovery.next_fetches()) == []
+    recovery.on_call_failed("b")
+    ((asked, _),) = recovery.next_fetches()
     assert asked == "c"
-    assert not adoption.done
-    adoption.fetched("c", [Record("k", 1, 0, result(1))])
-    assert adoption.done
-    slots = adoption.jobs()["k"].slots
+    assert not recovery.complete
+    recovery.on_fetched("c", [Record("k", 1, 0, result(1))])
+    assert recovery.complete
+    slots = recovery.jobs()["k"].slots
     assert [slots[0].value, slots[1].value] == [result(0), result(1)]
     assert slots[0].committed
     assert slots[1].committed
 
 
 def test_without_a_source_the_adoption_is_stuck() -> None:
-    mine = holding((ONE, 0, result(0)))
-    adoption = OwnerRecovery(
-        0.0, {"a": mine.state(0.0), "b": job({1: state(ONE, result(1))})}, GROUP, "a", mine
+    own_replica = holding((ONE, 0, result(0)))
+    recovery = OwnerRecovery(
+        0.0, {"a": own_replica.state(0.0), "b": job({1: state(ONE, result(1))})}, GROUP, "a", own_replica
     )
-    list(adoption.wanted())
-    adoption.fetched("b", [Record("k", 1, 0, b"something else")])
-    assert adoption.stuck
+    list(recovery.next_fetches())
+    recovery.on_fetched("b", [Record("k", 1, 0, b"something else")])
+    assert recovery.stuck
 
 
 def test_the_lower_terms_position_of_an_item_is_left_out() -> None:
-    mine = holding((ONE, 3, result(7)), (TWO, 1, result(7)), (TWO, 0, result(2)))
-    adoption = OwnerRecovery(0.0, {"a": mine.state(0.0), "b": {}}, GROUP, "a", mine)
-    assert set(adoption.jobs()["k"].slots) == {0, 1}
+    own_replica = holding((ONE, 3, result(7)), (TWO, 1, result(7)), (TWO, 0, result(2)))
+    recovery = OwnerRecovery(0.0, {"a": own_replica.state(0.0), "b": {}}, GROUP, "a", own_replica)
+    assert set(recovery.jobs()["k"].slots) == {0, 1}
 
 
 def test_a_lease_counts_from_the_sending_to_a_quorum_of_both_sets() -> None:
