--- a/emberring/jobs/calls.py
+++ b/emberring/jobs/calls.py
@@ -1,4 +1,4 @@
-"""Messages between gateways and the owner of a shard. An owner that may not answer refuses with `NotOwnerError`."""
+"""Messages between gateways and a shard's owner. A store that is not the owner raises `NotOwnerError`."""
 
 from __future__ import annotations
 
@@ -9,8 +9,7 @@
 
 @attrs.frozen
 class JobTerms:
-    """What a batch job's route said when the batch job was submitted. `version` is the configuration's; times
-    as named."""
+    """Settings of a batch job's route at the time of its submission; `version` is the configuration's."""
 
     route: str
     path: str
@@ -24,7 +23,7 @@
 @message("lots.submit", wire_keys={"job": "lot"})
 @attrs.frozen
 class SubmitJob:
-    """A batch job is submitted: `body` as the client sent it, compressed."""
+    """Submit a batch job: `body` as the client sent it, compressed."""
 
     host: str
     job: str
@@ -35,7 +34,7 @@
 @message("lots.read", wire_keys={"job": "lot"})
 @attrs.frozen
 class ReadJob:
-    """Results from position `start_after` on; the answer may be held back up to `wait_ms` until there is one."""
+    """Read results from position `start_after` on; the answer may wait up to `wait_ms` for the first one."""
 
     host: str
     job: str
@@ -46,7 +45,7 @@
 @message("lots.page")
 @attrs.frozen
 class JobPage:
-    """Results from position `start` on, of a batch job of `total` items: their values one behind the other."""
+    """Results from position `start` on, of a batch job of `total` items: their values back to back."""
 
     total: int
     start: int
@@ -56,7 +55,7 @@
 @message("lots.item", wire_keys={"job": "lot"})
 @attrs.frozen
 class ReadItem:
-    """The decoded body of an item."""
+    """Read the decoded body of an item."""
 
     host: str
     job: str
@@ -74,7 +73,7 @@
 @message("lots.end", wire_keys={"job": "lot"})
 @attrs.frozen
 class EndJob:
-    """The client ends a batch job."""
+    """End a batch job on its client's request."""
 
     host: str
     job: str
@@ -82,7 +81,7 @@
 
 @attrs.frozen
 class EventData:
-    """One event of an item's answer."""
+    """One event of an item's response."""
 
     id: int
     data: str
@@ -91,8 +90,10 @@
 @message("lots.lease", wire_keys={"capacity": "room"})
 @attrs.frozen
 class LeaseItems:
-    """A gateway in this zone asks for up to `capacity` items of any shard that the store owns; held back up to
-    `wait_ms`."""
+    """Request up to `capacity` items of any shard that the store owns, for a gateway in this zone.
+
+    The answer may wait up to `wait_ms` for the first item.
+    """
 
     gateway: str
     capacity: int
@@ -103,7 +104,11 @@
 @wire_record({"job_path": "lot_path"})
 @attrs.frozen
 class Assignment:
-    """An item to run under a ticket. `events` (packed) are those already held: the run goes on after the last."""
+    """An item to run under a ticket.
+
+    `events` (packed) are those already received: the run continues after the last. `due_ms`: until it is
+    due.
+    """
 
     shard: int
     key: str
@@ -131,7 +136,7 @@
 
 @attrs.frozen
 class RunProgress:
-    """A run that goes on: its events (packed) from number `start` (counted from 0) on, which the owner lacks."""
+    """Progress of a run: its events (packed) from number `start` (counted from 0) on, which the owner lacks."""
 
     key: str
     index: int
@@ -143,7 +148,7 @@
 @message("lots.report")
 @attrs.frozen
 class ReportRuns:
-    """A gateway keeps the leases of its runs in a shard and tells how far they are."""
+    """Renew the leases of a gateway's runs in a shard and report their progress."""
 
     gateway: str
     shard: int
@@ -153,7 +158,10 @@
 @wire_record({"lease_renewed": "go_on", "events_received": "have"})
 @attrs.frozen
 class RunRenewal:
-    """`lease_renewed`: the lease is renewed. `events_received`: how many events of this run the owner holds."""
+    """Result of a run's report.
+
+    `lease_renewed`: the run may go on. `events_received`: how many events of this run the owner has.
+    """
 
     ticket: int
     lease_renewed: bool
@@ -163,7 +171,7 @@
 @message("lots.reported")
 @attrs.frozen
 class ReportRunsReply:
-    """An answer for each run."""
+    """The result for each run."""
 
     runs: tuple[RunRenewal, ...]
 
@@ -171,8 +179,10 @@
 @message("lots.finish")
 @attrs.frozen
 class FinishRun:
-    """A run has ended: `kind` is an `OutcomeKind`'s value. `events` (packed) from number `start` on, of
-    `total` in all."""
+    """Report the end of a run: `kind` is an `OutcomeKind`'s value.
+
+    `events` (packed) from number `start` on, of `total` in all.
+    """
 
     gateway: str
     shard: int
@@ -188,6 +198,6 @@
 @message("lots.finished", wire_keys={"acknowledged": "taken"})
 @attrs.frozen
 class FinishRunReply:
-    """`acknowledged`: nothing more is to be said of this run. Otherwise all its events are wanted again, from 0 on."""
+    """`acknowledged`: the run needs no further report. Otherwise send all its events again, from 0 on."""
 
     acknowledged: bool
--- a/emberring/jobs/client.py
+++ b/emberring/jobs/client.py
@@ -1,9 +1,10 @@
-"""The gateway's calls about batch jobs: finds the owner, tries again, and never promises what is not certain."""
+"""Client of the stores at a gateway: finds the owner, retries, and reports an unknown outcome as such."""
 
 from __future__ import annotations
 
 import asyncio
-from typing import Any, TypeVar
+from collections.abc import Callable
+from typing import TypeVar
 
 import attrs
 
@@ -40,14 +41,15 @@
 from emberring.transport.messages import Ok
 from emberring.transport.network import Network
 
-SUBMIT_TIMEOUT_S = 2.6
-END_TIMEOUT_S = 2.8
-READ_MARGIN_S = 1.1
-ITEM_TIMEOUT_S = 1.1
+SUBMIT_TIMEOUT_S = 2.6  # for all attempts
+END_TIMEOUT_S = 2.8  # for all attempts
+READ_MARGIN_S = 1.1  # for all attempts, beyond the wait that the client allows
+ITEM_TIMEOUT_S = 1.1  # for all attempts
 ATTEMPT_TIMEOUT_S = 0.8  # for one store's answer, beyond any wait that was allowed
-RETRY_PAUSE_S = 0.04
+RETRY_PAUSE_S = 0.04  # between two attempts
 
 Reply = TypeVar("Reply")
+JobRequest = SubmitJob | ReadJob | ReadItem | EndJob
 
 _OUTCOME_UNKNOWN = (
     PeerTimeoutError,
@@ -62,7 +64,10 @@
 
 @attrs.define
 class _OwnerLookup:
-    """One call on its way to the owner. `outcome_unknown`: an attempt may have been carried out."""
+    """Search for the owner of a shard for one call.
+
+    `outcome_unknown`: an attempt may have been carried out; `reason`: why the last attempt failed.
+    """
 
     shard: int
     until_s: float
@@ -82,8 +87,11 @@
         self._directory = directory or OwnerDirectory(knowledge)
 
     async def submit(self, host: str, route: Route, job: str, body: bytes) -> None:
-        """Have a batch job taken; returns once it is kept. `QuotaExceededError`, `OverloadedError` and
-        `NotReadyError` only where nothing was written; `UnknownOutcomeError` where that is not certain."""
+        """Submit a batch job; returns once it is durable.
+
+        `QuotaExceededError`, `OverloadedError` and `NotReadyError` are raised only where nothing was
+        written; `UnknownOutcomeError` where that is not certain.
+        """
         configuration = self._knowledge.configuration
         terms = JobTerms(
             route=route.name,
@@ -94,77 +102,87 @@
             max_attempts=route.max_attempts,
             max_queued_tokens=route.max_queued_tokens,
         )
-        search = self._lookup(host, min(SUBMIT_TIMEOUT_S, 0.8 * route.timeout_ms / 1000), ATTEMPT_TIMEOUT_S)
+        lookup = self._start_lookup(
+            host, min(SUBMIT_TIMEOUT_S, 0.8 * route.timeout_ms / 1000), ATTEMPT_TIMEOUT_S
+        )
         try:
-            await self._ask(search, SubmitJob(host, job, terms, compress(body)), Ok)
+            await self._call_owner(lookup, SubmitJob(host, job, terms, compress(body)), Ok)
         except (QuotaExceededError, OverloadedError, NotReadyError) as error:
-            if search.outcome_unknown:
-                raise UnknownOutcomeError(f"{search.reason}; then {error.detail}") from error
+            if lookup.outcome_unknown:
+                raise UnknownOutcomeError(f"{lookup.reason}; then {error.detail}") from error
             raise
 
     async def read(self, host: str, job: str, start_after: int, wait_ms: float) -> bytes:
-        """A page of results as JSON. `NotFoundError` where there is certainly no such batch job."""
+        """Return a page of results as JSON.
+
+        `NotFoundError` where there is certainly no such batch job.
+        """
         wait_s = wait_ms / 1000
-        search = self._lookup(host, wait_s + READ_MARGIN_S, wait_s + ATTEMPT_TIMEOUT_S)
+        lookup = self._start_lookup(host, wait_s + READ_MARGIN_S, wait_s + ATTEMPT_TIMEOUT_S)
         loop = asyncio.get_running_loop()
         wait_until_s = loop.time() + wait_s
 
         def message() -> ReadJob:
             return ReadJob(host, job, start_after, max(0, int((wait_until_s - loop.time()) * 1000)))
 
-        return page_json(await self._ask(search, message, JobPage))
+        return page_json(await self._call_owner(lookup, message, JobPage))
 
     async def item(self, host: str, job: str, item: str) -> bytes:
-        """The body of an item. `NotFoundError` where there is certainly no such batch job or item."""
-        search = self._lookup(host, ITEM_TIMEOUT_S, ATTEMPT_TIMEOUT_S)
-        return (await self._ask(search, ReadItem(host, job, item), ItemBody)).body
+        """Return the body of an item.
+
+        `NotFoundError` where there is certainly no such batch job or item.
+        """
+        lookup = self._start_lookup(host, ITEM_TIMEOUT_S, ATTEMPT_TIMEOUT_S)
+        return (await self._call_owner(lookup, ReadItem(host, job, item), ItemBody)).body
 
     async def end(self, host: str, job: str) -> None:
-        """End a batch job; returns once the end lasts."""
-        search = self._lookup(host, END_TIMEOUT_S, ATTEMPT_TIMEOUT_S)
+        """End a batch job; returns once the end is durable."""
+        lookup = self._start_lookup(host, END_TIMEOUT_S, ATTEMPT_TIMEOUT_S)
         try:
-            await self._ask(search, EndJob(host, job), Ok)
+            await self._call_owner(lookup, EndJob(host, job), Ok)
         except NotReadyError as error:
-            if search.outcome_unknown:
-                raise UnknownOutcomeError(search.reason) from error
+            if lookup.outcome_unknown:
+                raise UnknownOutcomeError(lookup.reason) from error
             raise
 
-    def _lookup(self, host: str, limit_s: float, attempt_s: float) -> _OwnerLookup:
+    def _start_lookup(self, host: str, timeout_s: float, attempt_s: float) -> _OwnerLookup:
         now_s = asyncio.get_running_loop().time()
-        return _OwnerLookup(shard_of(host), now_s + limit_s, attempt_s)
+        return _OwnerLookup(shard_of(host), now_s + timeout_s, attempt_s)
 
-    async def _ask(self, search: _OwnerLookup, message: Any, reply: type[Reply]) -> Reply:
-        """Ask the owner, wherever it is. `NotReadyError` where none answered in time."""
+    async def _call_owner(
+        self, lookup: _OwnerLookup, message: JobRequest | Callable[[], JobRequest], reply: type[Reply]
+    ) -> Reply:
+        """Call the owner, wherever it is. `NotReadyError` where none answered in time."""
         loop = asyncio.get_running_loop()
-        while (left_s := search.until_s - loop.time()) > 0:
-            address = self._directory.address(search.shard)
+        while (remaining_s := lookup.until_s - loop.time()) > 0:
+            address = self._directory.address(lookup.shard)
             if address is None:
-                search.reason = "no store is known"
+                lookup.reason = "no store is known"
                 await asyncio.sleep(RETRY_PAUSE_S)
                 continue
-            body = message() if callable(message) else message
+            request = message() if callable(message) else message
             try:
-                found = await self._network.call(address, body, reply, min(left_s, search.attempt_s))
+                found = await self._network.call(address, request, reply, min(remaining_s, lookup.attempt_s))
             except EmberringError as error:
-                self._note(search, address, error)
-                if search.until_s - loop.time() > RETRY_PAUSE_S:
+                self._on_failed_attempt(lookup, address, error)
+                if lookup.until_s - loop.time() > RETRY_PAUSE_S:
                     await asyncio.sleep(RETRY_PAUSE_S)
                 continue
-            self._directory.confirm(search.shard, address)
+            self._directory.confirm(lookup.shard, address)
             return found
-        raise NotReadyError(search.reason or "no owner answered in time")
+        raise NotReadyError(lookup.reason or "no owner answered in time")
 
-    def _note(self, search: _OwnerLookup, address: str, error: EmberringError) -> None:
-        """What a failed attempt means; an error that is an answer is raised."""
+    def _on_failed_attempt(self, lookup: _OwnerLookup, address: str, error: EmberringError) -> None:
+        """Note what a failed attempt means; raise an error that is an answer."""
         if isinstance(error, NotOwnerError):
-            self._directory.redirect(search.shard, address, error.detail)
+            self._directory.redirect(lookup.shard, address, error.detail)
         elif isinstance(error, _OUTCOME_UNKNOWN):
-            search.outcome_unknown = True
-            self._directory.forget(search.shard, address)
+            lookup.outcome_unknown = True
+            self._directory.forget(lookup.shard, address)
         elif isinstance(error, PeerUnavailableError):
-            self._directory.forget(search.shard, address)
+            self._directory.forget(lookup.shard, address)
         elif not isinstance(error, NotReadyError):
             if not isinstance(error, NotFoundError):
-                self._directory.confirm(search.shard, address)
+                self._directory.confirm(lookup.shard, address)
             raise error
-        search.reason = f"{address}: {error.kind.value} {error.detail}"
+        lookup.reason = f"{address}: {error.kind.value} {error.detail}"
--- a/emberring/jobs/definition.py
+++ b/emberring/jobs/definition.py
@@ -47,7 +47,7 @@
     return items
 
 
-def _parse_item(number: int, entry: Any) -> ItemSpec:
+def _parse_item(number: int, entry: object) -> ItemSpec:
     if not isinstance(entry, dict):
         raise BadRequestError(f"Requests[{number}]: not an object")
     headers = entry.get("Headers") or {}
@@ -72,7 +72,7 @@
     return True
 
 
-def _is_count(value: Any) -> bool:
+def _is_count(value: object) -> bool:
     return not isinstance(value, bool) and isinstance(value, int) and value >= 0
 
 
--- a/emberring/jobs/job_table.py
+++ b/emberring/jobs/job_table.py
@@ -1,5 +1,4 @@
-"""Batch jobs of one shard in its owner's memory, shared by the parts of the job manager; and what the job
-manager asks for."""
+"""Batch jobs of one shard in its owner's memory, and the actions that the job manager returns."""
 
 from __future__ import annotations
 
--- a/emberring/jobs/merge.py
+++ b/emberring/jobs/merge.py
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class MergedSlot:
-    """The record to recover, the replicas that hold it under its highest term, and whether those are a quorum."""
+    """The record to recover, the replicas with its highest term, and whether those are a quorum."""
 
     state: SlotState
     holders: tuple[str, ...]
--- a/emberring/jobs/messages.py
+++ b/emberring/jobs/messages.py
@@ -1,5 +1,6 @@
-"""Messages between stores: an owner of shards and the replicas. Each names the identity it is meant for;
-a store with another identity (another disk) refuses it.
+"""Messages between the owner of a shard and its replicas.
+
+Each names the identity (of a disk) that it is meant for; a store with another identity rejects it.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 @message("lots.claim")
 @attrs.frozen
 class ClaimOwnership:
-    """A store asks to own a shard under this term."""
+    """Claim a shard under this term."""
 
     shard: int
     target: str
@@ -23,8 +24,12 @@
 @message("lots.claimed", wire_keys={"lease_active": "held"})
 @attrs.frozen
 class ClaimOwnershipReply:
-    """`granted`: no lower term is taken from now on, and `inventory` is all that the replica holds. Otherwise
-    `promised` is the highest term seen, and `lease_active` tells that another owner's lease may still run."""
+    """Answer to a claim.
+
+    `granted`: no lower term is accepted from now on, and `inventory` is all that the replica stores.
+    Otherwise `promised` is the highest term seen, and `lease_active` tells that another owner's lease may
+    be active.
+    """
 
     granted: bool
     promised: Term = NO_TERM
@@ -35,7 +40,7 @@
 @message("lots.write")
 @attrs.frozen
 class WriteSlots:
-    """Records (packed) that the owner writes under its term."""
+    """Write records (packed) under the owner's term."""
 
     shard: int
     target: str
@@ -46,8 +51,10 @@
 @message("lots.drop")
 @attrs.frozen
 class DropSlots:
-    """Slots that the owner knows to be without a committed value, or of batch jobs that all replicas forget: the packed
-    records have empty values. A replica erases them."""
+    """Erase slots that have no committed value, or whose batch job is deleted everywhere.
+
+    The packed records have empty values.
+    """
 
     shard: int
     target: str
@@ -58,7 +65,10 @@
 @message("lots.written")
 @attrs.frozen
 class WriteSlotsReply:
-    """`written`: all of it lasts on this replica's disk. Otherwise `promised` is the term that forbids it."""
+    """Answer to a write.
+
+    `written`: everything is durable on this replica's disk. Otherwise `promised` is the term that forbids it.
+    """
 
     written: bool
     promised: Term = NO_TERM
@@ -75,7 +85,7 @@
 @message("lots.touch")
 @attrs.frozen
 class RenewLeases:
-    """An owner keeps its leases: the replica grants no other claim for a while after this."""
+    """Renew an owner's leases: the replica grants no other claim for a while after this."""
 
     sender: str
     target: str
@@ -84,7 +94,7 @@
 
 @attrs.frozen
 class LeaseRenewal:
-    """Whether the lease stands, the highest term seen, and the digest of what the replica holds."""
+    """Whether the lease is granted, the highest term seen, and the digest of all that the replica stores."""
 
     shard: int
     granted: bool
@@ -95,7 +105,7 @@
 @message("lots.touched")
 @attrs.frozen
 class RenewLeasesReply:
-    """The answers to a lease renewal, one for each lease."""
+    """The results of a lease renewal, one for each lease."""
 
     answers: tuple[LeaseRenewal, ...]
 
@@ -103,7 +113,7 @@
 @message("lots.release")
 @attrs.frozen
 class ReleaseOwnership:
-    """The owner of this term gives the shard up: another may claim it at once."""
+    """Release a shard owned under this term: another store may claim it at once."""
 
     shard: int
     target: str
@@ -113,7 +123,7 @@
 @message("lots.inventory")
 @attrs.frozen
 class InventoryRequest:
-    """The owner asks what the replica holds."""
+    """Request a replica's inventory."""
 
     shard: int
     target: str
@@ -123,7 +133,7 @@
 @message("lots.held")
 @attrs.frozen
 class InventoryReply:
-    """What the replica holds, packed; None where a higher term forbids the question."""
+    """A replica's inventory, packed; None where a higher term forbids the request."""
 
     inventory: bytes | None
     promised: Term = NO_TERM
@@ -132,7 +142,7 @@
 @message("lots.fetch")
 @attrs.frozen
 class FetchRecords:
-    """The owner asks for the values of slots (packed records with empty values)."""
+    """Request the values of slots (packed records with empty values)."""
 
     shard: int
     target: str
@@ -142,7 +152,7 @@
 @message("lots.fetched")
 @attrs.frozen
 class FetchRecordsReply:
-    """The records asked for, as far as the replica holds them, packed."""
+    """The requested records that the replica stores, packed."""
 
     records: bytes
 
--- a/emberring/jobs/replica_progress.py
+++ b/emberring/jobs/replica_progress.py
@@ -56,7 +56,7 @@
         return self.in_flight.pop(ticket, ())
 
     def on_call_failed(self, now_s: float, ticket: int) -> tuple[SlotRef, ...]:
-        """Remove a request without an answer and start the backoff; return the slots in it, to be sent again."""
+        """Remove a request without an answer and start the backoff; return its slots, to be sent again."""
         self.catching_up.discard(ticket)
         refs = self.in_flight.pop(ticket, ())
         self.retry_at_s = now_s + self.backoff_s
--- a/emberring/jobs/runner.py
+++ b/emberring/jobs/runner.py
@@ -1,4 +1,4 @@
-"""Runs items of batch jobs at this gateway: asks the owners for some, reports how far they are, hands the ends in."""
+"""Runs items of batch jobs at this gateway: leases items, reports their progress, delivers their results."""
 
 from __future__ import annotations
 
@@ -20,14 +20,15 @@
     ReportRuns,
     ReportRunsReply,
     RunProgress,
+    RunRenewal,
 )
 from emberring.jobs.directory import OwnerDirectory, TierKnowledge
 from emberring.jobs.items import ItemCall, ItemEvent, ItemExecutor, OutcomeKind
 from emberring.jobs.packing import pack_events, unpack_events
 from emberring.transport.network import Network
 
-ITEM_LEASE_S = 1.5  # from the sending of a report that the owner granted
-INITIAL_LEASE_S = 0.8  # from the arrival of an item, which may have been on its way for a while
+ITEM_LEASE_S = 1.5  # from the sending of a report that the owner acknowledged
+INITIAL_LEASE_S = 0.8  # from the arrival of an item, whose reply may have been in flight for a while
 REPORT_INTERVAL_S = 0.2
 MIN_REPORT_AGE_S = 0.1  # runs younger than this are not reported yet
 POLL_WAIT_MS = 800
@@ -36,26 +37,29 @@
 MAX_LEASE_BATCH = 32
 NO_CAPACITY_WAIT_S = 0.03
 NOT_RUN_PAUSE_S = 0.05
-DELIVERY_TIMEOUT_S = 20.0  # for so long a result is offered to owners
+DELIVERY_TIMEOUT_S = 20.0  # for all attempts to deliver a result
 DELIVERY_RETRY_PAUSE_S = 0.1
 
 
 @attrs.define(eq=False)
 class _Run:
-    """An item that this gateway runs, or whose end it has not handed in yet."""
+    """An item that this gateway runs, or whose result is not delivered yet."""
 
     assignment: Assignment
     started_s: float
     allowed_until_s: float
     events: list[EventData]
-    acked: int = 0  # how many of the events the owner holds
+    acked: int = 0  # how many of the events the owner has
     stopped: bool = False
     ended: bool = False
     task: asyncio.Task[None] | None = None
 
 
 class ItemRunner:
-    """The runner of one gateway. Used from one event loop."""
+    """The runner of one gateway. Used from one event loop.
+
+    `executor` sends the items to servers; `gateway` is the node's name; `zone` is its zone.
+    """
 
     def __init__(
         self,
@@ -81,16 +85,16 @@
 
     @property
     def running(self) -> int:
-        """How many runs are not handed in yet."""
+        """The number of runs whose results are not delivered yet."""
         return len(self._runs)
 
     async def start(self) -> None:
-        """Begin to ask for items; returns at once."""
-        self._spawn(self._report_on())
+        """Start to lease items; returns at once."""
+        self._spawn(self._report_all())
         self._spawn(self._poll_all())
 
     async def leave(self, limit_s: float) -> None:
-        """Take no more items, and wait for those that run; the rest is given back after the limit (seconds)."""
+        """Lease no more items and wait for running ones; give back those that still run after `limit_s` seconds."""
         self._shutting_down = True
         for poller in self._pollers.values():
             poller.cancel()
@@ -104,24 +108,24 @@
             await asyncio.sleep(0.05)
 
     async def stop(self) -> None:
-        """End at once."""
+        """Stop at once."""
         self._shutting_down = True
         for task in (*self._tasks, *self._pollers.values()):
             task.cancel()
 
-    # Asking for items.
+    # Leases.
 
     async def _poll_all(self) -> None:
-        """One poll for each live store."""
+        """Keep one poll for each live store."""
         while not self._shutting_down:
             wanted = set(self._directory.stores())
             for address in wanted - set(self._pollers):
-                self._pollers[address] = asyncio.get_running_loop().create_task(self._poll_on(address))
+                self._pollers[address] = asyncio.get_running_loop().create_task(self._poll_store(address))
             for address in set(self._pollers) - wanted:
                 self._pollers.pop(address).cancel()
             await asyncio.sleep(REPORT_INTERVAL_S)
 
-    async def _poll_on(self, address: str) -> None:
+    async def _poll_store(self, address: str) -> None:
         while not self._shutting_down:
             capacity = min(MAX_LEASE_BATCH, self._executor.batch_room())
             if capacity <= 0 or _now_s() < self._pause_until_s:
@@ -137,7 +141,7 @@
             for assignment in leased.items:
                 self._directory.confirm(assignment.shard, address)
                 self._begin(assignment)
-            await asyncio.sleep(0)  # those that were begun take their places before the next question
+            await asyncio.sleep(0)  # started runs take up capacity before the next request
 
     async def _wait_for_capacity(self) -> None:
         self._ended.clear()
@@ -145,7 +149,7 @@
             async with asyncio.timeout(NO_CAPACITY_WAIT_S):
                 await self._ended.wait()
 
-    # Running.
+    # Execution.
 
     def _begin(self, assignment: Assignment) -> None:
         now_s = _now_s()
@@ -196,23 +200,13 @@
         return (await self._executor.run_item(call, on_events)).kind
 
     async def _deliver(self, run: _Run, kind: OutcomeKind) -> None:
-        """Hand the end of a run in, until an owner has it for good."""
+        """Deliver the end of a run until an owner has acknowledged it."""
         item = run.assignment
         until_s = _now_s() + DELIVERY_TIMEOUT_S
         start = run.acked
         while _now_s() < until_s and not run.stopped:
             address = self._directory.address(item.shard)
-            message = FinishRun(
-                self._gateway,
-                item.shard,
-                item.key,
-                item.index,
-                item.ticket,
-                kind.value,
-                start,
-                len(run.events),
-                pack_events(run.events[start:]),
-            )
+            message = self._finish_message(run, kind, start)
             try:
                 if address is not None:
                     reply = await self._network.call(address, message, FinishRunReply, CALL_TIMEOUT_S)
@@ -221,18 +215,33 @@
                 start = 0
             except EmberringError as error:
                 start = 0
-                self._note(item.shard, address or "", error)
+                self._on_call_failed(item.shard, address or "", error)
             await asyncio.sleep(DELIVERY_RETRY_PAUSE_S)
 
-    # Reporting.
+    def _finish_message(self, run: _Run, kind: OutcomeKind, start: int) -> FinishRun:
+        """Return the message with the events from number `start` on."""
+        item = run.assignment
+        return FinishRun(
+            gateway=self._gateway,
+            shard=item.shard,
+            key=item.key,
+            index=item.index,
+            ticket=item.ticket,
+            kind=kind.value,
+            start=start,
+            total=len(run.events),
+            events=pack_events(run.events[start:]),
+        )
+
+    # Reports.
 
-    async def _report_on(self) -> None:
+    async def _report_all(self) -> None:
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
             by_shard: dict[int, list[_Run]] = {}
-            old_s = _now_s() - MIN_REPORT_AGE_S
+            started_before_s = _now_s() - MIN_REPORT_AGE_S
             for run in self._runs.values():
-                if run.started_s <= old_s:
+                if run.started_s <= started_before_s:
                     by_shard.setdefault(run.assignment.shard, []).append(run)
             for shard, runs in by_shard.items():
                 self._spawn(self._report(shard, runs))
@@ -241,37 +250,30 @@
         address = self._directory.address(shard)
         if address is None:
             return
-        told = tuple(
-            RunProgress(
-                run.assignment.key,
-                run.assignment.index,
-                run.assignment.ticket,
-                run.acked,
-                pack_events(run.events[run.acked :]),
-            )
-            for run in runs
-        )
+        message = ReportRuns(self._gateway, shard, tuple(_progress(run) for run in runs))
         sent_s = _now_s()
         try:
-            message = ReportRuns(self._gateway, shard, told)
             answer = await self._network.call(address, message, ReportRunsReply, CALL_TIMEOUT_S)
         except EmberringError as error:
-            self._note(shard, address, error)
+            self._on_call_failed(shard, address, error)
             return
         self._directory.confirm(shard, address)
-        for reply in answer.runs:
-            run = self._runs.get(reply.ticket)
-            if run is None:
-                continue
-            if reply.lease_renewed:
-                run.allowed_until_s = max(run.allowed_until_s, sent_s + ITEM_LEASE_S)
-                run.acked = min(reply.events_received, len(run.events))
-            elif not run.ended:
-                run.stopped = True
-                if run.task is not None:
-                    run.task.cancel()
-
-    def _note(self, shard: int, address: str, error: EmberringError) -> None:
+        for renewal in answer.runs:
+            self._on_run_renewal(sent_s, renewal)
+
+    def _on_run_renewal(self, sent_s: float, renewal: RunRenewal) -> None:
+        run = self._runs.get(renewal.ticket)
+        if run is None:
+            return
+        if renewal.lease_renewed:
+            run.allowed_until_s = max(run.allowed_until_s, sent_s + ITEM_LEASE_S)
+            run.acked = min(renewal.events_received, len(run.events))
+        elif not run.ended:
+            run.stopped = True
+            if run.task is not None:
+                run.task.cancel()
+
+    def _on_call_failed(self, shard: int, address: str, error: EmberringError) -> None:
         if isinstance(error, NotOwnerError):
             self._directory.redirect(shard, address, error.detail)
         elif isinstance(error, PeerError):
@@ -284,5 +286,11 @@
         return task
 
 
+def _progress(run: _Run) -> RunProgress:
+    item = run.assignment
+    events = pack_events(run.events[run.acked :])
+    return RunProgress(item.key, item.index, item.ticket, run.acked, events)
+
+
 def _now_s() -> float:
     return asyncio.get_running_loop().time()
