--- a/emberring/store/disk.py
+++ b/emberring/store/disk.py
@@ -1,4 +1,4 @@
-"""The store's disk: its identity, its journal, and the replicas as the journal left them."""
+"""The store's disk: its identity, its journal, and the replicas restored from the journal."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class StoreDisk:
-    """What was found on the disk."""
+    """The opened disk. `capacity_bytes`: for values, so that the journal never fills up with live records."""
 
     identity: str
     journal: Journal
@@ -39,8 +39,12 @@
 
 
 def open_disk(directory: Path, disk_mb: float, now_s: float) -> StoreDisk:
-    """Open the store's folder. A folder without a whole identity or with a damaged journal is reinitialized, under
-    another identity. `DiskFailedError` where the disk refuses. Blocks on the disk."""
+    """Open the store's folder. Blocks on the disk.
+
+    A folder without a valid identity or with a damaged journal is reinitialized under another identity.
+    `DiskFailedError` where the disk rejects it. `disk_mb`: size of the disk in MB, or 0; `now_s`: the
+    event loop's time.
+    """
     try:
         directory.mkdir(parents=True, exist_ok=True)
         identity = read_identity(directory)
@@ -63,13 +67,17 @@
 def _open(directory: Path, identity: str, disk_mb: float, now_s: float) -> StoreDisk:
     folder = directory / JOURNAL_FOLDER
     folder.mkdir(exist_ok=True)
-    most = int(min(MAX_JOURNAL_BYTES, disk_mb * 1024 * 1024 * DISK_SHARE)) if disk_mb else MAX_JOURNAL_BYTES
-    journal, records = Journal.open(folder, SEGMENT_BYTES, most, min(RECLAIM_ABOVE_BYTES, most // 2))
-    return StoreDisk(identity, journal, restore(records, now_s), int(most * VALUE_SHARE))
+    max_bytes = (
+        int(min(MAX_JOURNAL_BYTES, disk_mb * 1024 * 1024 * DISK_SHARE)) if disk_mb else MAX_JOURNAL_BYTES
+    )
+    journal, records = Journal.open(
+        folder, SEGMENT_BYTES, max_bytes, min(RECLAIM_ABOVE_BYTES, max_bytes // 2)
+    )
+    return StoreDisk(identity, journal, restore(records, now_s), int(max_bytes * VALUE_SHARE))
 
 
 def record_process_start(journal: Journal, now_s: float) -> None:
-    """Mark in the journal that the process starts; called on the event loop before anything else is appended."""
+    """Record in the journal that the process starts; called on the event loop before any other append."""
     journal.append(encode_entry(0, now_s, Started())).add_done_callback(_on_start_recorded)
 
 
@@ -79,10 +87,11 @@
 
 
 def restore(records: list[JournalRecord], now_s: float) -> dict[int, Replica]:
-    """The replicas after these entries.
+    """Return the replicas after these entries.
 
-    The monotonic clock begins anew, at any value, when a machine does. What is certain of a batch job's age is what
-    its record says and what passed since within incarnations of the process; never the difference over a start.
+    The monotonic clock starts anew, at any value, when a machine does. What is certain of a batch job's
+    age is what its record says and what elapsed since within incarnations of the process; never the
+    difference of clocks across a start.
     """
     replicas = {shard: Replica(shard) for shard in range(SHARDS)}
     entries = [(record.position.segment, decode_entry(record.payload)) for record in records]
@@ -96,7 +105,7 @@
 
 
 def _elapsed_since(entries: list[Logged]) -> list[float]:
-    """For each entry, the seconds that passed since it was written, as far as incarnations of the process tell."""
+    """Return for each entry the seconds that elapsed since it was written, as far as incarnations tell."""
     found: list[float] = []
     elapsed_s, later_s = 0.0, None
     for logged in reversed(entries):
--- a/emberring/store/dispatch.py
+++ b/emberring/store/dispatch.py
@@ -1,7 +1,8 @@
-"""Items that wait are given to the gateways that ask for some: shared evenly among those that ask.
+"""Dispatch of waiting items to the gateways that poll for some, in even shares.
 
-Gateways of this store's zone come first, as bodies and events between zones are paid for. Those of other zones are
-given what still waits a moment later, and all alike while something has been waiting for longer than that.
+Gateways of this store's zone come first, as traffic between zones costs money: bodies and events. Those of
+other zones get what still waits a moment later, and all are treated alike while something has been waiting
+for longer than that.
 """
 
 from __future__ import annotations
@@ -11,14 +12,14 @@
 import attrs
 
 from emberring.jobs.calls import Assignment, LeaseItems, LeaseItemsReply
-from emberring.store.shards import Shards
+from emberring.store.shard_manager import ShardManager
 
-REMOTE_ZONE_DELAY_S = 0.25  # items wait for gateways of this zone for so long
+REMOTE_ZONE_DELAY_S = 0.25  # items wait for so long for gateways of this zone
 
 
 @attrs.define(eq=False)
 class _Poll:
-    """A gateway's question that waits for items."""
+    """A gateway's poll that waits for items."""
 
     gateway: str
     capacity: int
@@ -29,7 +30,7 @@
 class Dispatch:
     """Long polls of gateways for items of any shard that this store owns."""
 
-    def __init__(self, shards: Shards, zone: str = "") -> None:
+    def __init__(self, shards: ShardManager, zone: str = "") -> None:
         self._shards = shards
         self._zone = zone
         self._waiting_since_s: float | None = None
@@ -38,7 +39,7 @@
         shards.on_items_waiting = self.schedule_assignment
 
     async def lease(self, message: LeaseItems) -> LeaseItemsReply:
-        """Items to run, at once if some wait, else within the wait allowed."""
+        """Return items to run: at once if some wait, otherwise within the allowed wait."""
         loop = asyncio.get_running_loop()
         poll = _Poll(message.gateway, message.capacity, message.zone == self._zone, loop.create_future())
         self._polls.append(poll)
@@ -47,15 +48,15 @@
             async with asyncio.timeout(message.wait_ms / 1000):
                 return await poll.future
         except TimeoutError:
-            # Items that were given just as the time was over are not lost.
-            given = poll.future.done() and not poll.future.cancelled()
-            return poll.future.result() if given else LeaseItemsReply()
+            # Items that were assigned just as the wait was over are leased already and would be lost.
+            assigned = poll.future.done() and not poll.future.cancelled()
+            return poll.future.result() if assigned else LeaseItemsReply()
         finally:
             if poll in self._polls:
                 self._polls.remove(poll)
 
     def schedule_assignment(self) -> None:
-        """Items or questions have come: look at them once what is being done now is done."""
+        """Schedule an assignment of items to polls after the current callback of the event loop."""
         if self._polls and not self._assignment_scheduled:
             self._assignment_scheduled = True
             asyncio.get_running_loop().call_soon(self._assign_waiting)
@@ -74,7 +75,7 @@
             asyncio.get_running_loop().call_later(REMOTE_ZONE_DELAY_S, self.schedule_assignment)
 
     def _waiting(self, now_s: float) -> int:
-        """How many items of the shards that this store owns wait, at most."""
+        """Return an upper bound of the number of items that wait in the shards that this store owns."""
         return sum(
             self._shards.job_managers[shard].waiting
             for shard, owner in self._shards.owners.items()
@@ -82,19 +83,19 @@
         )
 
     def _assign_evenly(self, now_s: float, polls: list[_Poll]) -> None:
-        """Give these polls even shares of what waits."""
+        """Assign even shares of what waits to these polls."""
         for number, poll in enumerate(polls):
             waiting = self._waiting(now_s)
             if not waiting:
                 return
             share = -(-waiting // (len(polls) - number))
-            items = self._take(now_s, poll, min(share, poll.capacity))
+            items = self._lease_for(now_s, poll, min(share, poll.capacity))
             if not items:
                 return
             self._polls.remove(poll)
             poll.future.set_result(LeaseItemsReply(tuple(items)))
 
-    def _take(self, now_s: float, poll: _Poll, capacity: int) -> list[Assignment]:
+    def _lease_for(self, now_s: float, poll: _Poll, capacity: int) -> list[Assignment]:
         items: list[Assignment] = []
         for shard, owner in self._shards.owners.items():
             if len(items) < capacity and owner.serving(now_s):
--- a/emberring/store/gateway_calls.py
+++ b/emberring/store/gateway_calls.py
@@ -3,59 +3,59 @@
 from __future__ import annotations
 
 import asyncio
-from typing import Any
 
 from emberring.errors import NotReadyError, OverloadedError
 from emberring.jobs.calls import EndJob, FinishRun, ReadItem, ReadJob, ReportRuns, ReportRunsReply, SubmitJob
+from emberring.jobs.job_table import JobReply
 from emberring.jobs.records import job_key
 from emberring.placement.model import shard_of
-from emberring.store.shards import Shards
+from emberring.store.shard_manager import ShardManager
 
 
 class GatewayCalls:
-    """The handlers of messages about batch jobs."""
+    """Handlers of messages about batch jobs."""
 
-    def __init__(self, shards: Shards) -> None:
+    def __init__(self, shards: ShardManager) -> None:
         self._shards = shards
 
-    async def submit(self, message: SubmitJob) -> Any:
-        """A batch job is submitted. `OverloadedError` where the disk has no room for more."""
+    async def submit(self, message: SubmitJob) -> JobReply:
+        """Submit a batch job. `OverloadedError` where the disk has no capacity for more."""
         shard = shard_of(message.host)
         known = job_key(message.host, message.job) in self._shards.serving(shard).jobs
         if not known and self._shards.host.overloaded:
             raise OverloadedError("the store is full")
-        return await self._shards.ask(
+        return await self._shards.call(
             shard, lambda job_manager, call: job_manager.submit(_now_s(), call, message)
         )
 
-    async def read(self, message: ReadJob) -> Any:
-        """Results are read. After a wait, this store must still be the owner."""
+    async def read(self, message: ReadJob) -> JobReply:
+        """Read results. `NotReadyError` where this store is no longer the owner after the wait."""
         shard = shard_of(message.host)
-        page = await self._shards.ask(
+        page = await self._shards.call(
             shard, lambda job_manager, call: job_manager.read(_now_s(), call, message)
         )
         if not self._shards.owners[shard].serving(_now_s()):
             raise NotReadyError("the owner may have changed")
         return page
 
-    async def item(self, message: ReadItem) -> Any:
-        """An item's body is read."""
+    async def item(self, message: ReadItem) -> JobReply:
+        """Read an item's body."""
         shard = shard_of(message.host)
-        return await self._shards.ask(shard, lambda job_manager, call: job_manager.read_item(call, message))
+        return await self._shards.call(shard, lambda job_manager, call: job_manager.read_item(call, message))
 
-    async def end(self, message: EndJob) -> Any:
-        """A batch job is ended."""
-        return await self._shards.ask(
+    async def end(self, message: EndJob) -> JobReply:
+        """End a batch job."""
+        return await self._shards.call(
             shard_of(message.host), lambda job_manager, call: job_manager.end(call, message)
         )
 
     async def report(self, message: ReportRuns) -> ReportRunsReply:
-        """Runs go on."""
+        """Renew the leases of runs."""
         return self._shards.serving(message.shard).report_runs(_now_s(), message)
 
-    async def finish(self, message: FinishRun) -> Any:
-        """A run has ended."""
-        return await self._shards.ask(
+    async def finish(self, message: FinishRun) -> JobReply:
+        """Finish a run."""
+        return await self._shards.call(
             message.shard, lambda job_manager, call: job_manager.finish_run(_now_s(), call, message)
         )
 
--- a/emberring/store/identity.py
+++ b/emberring/store/identity.py
@@ -1,4 +1,4 @@
-"""The identity of a disk: drawn at random when the disk is first used, gone when the disk is."""
+"""The identity of a disk: drawn at random when the disk is first used, and lost with the disk."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def read_identity(directory: Path) -> str | None:
-    """The identity kept in this folder; None where there is none that is whole."""
+    """Return the identity stored in this folder; None where the file is missing or damaged."""
     try:
         parts = (directory / FILE_NAME).read_text(encoding="ascii").split()
     except (OSError, UnicodeDecodeError):
@@ -23,7 +23,7 @@
 
 
 def create_identity(directory: Path) -> str:
-    """A new identity, synced into this folder. `OSError` where the disk refuses."""
+    """Create an identity and sync it into this folder. `OSError` where the disk rejects it."""
     identity = secrets.token_hex(IDENTITY_BYTES)
     with open(directory / FILE_NAME, "wb") as file:
         file.write(f"{identity} {_check(identity)}\n".encode("ascii"))
@@ -34,7 +34,7 @@
 
 
 def sync_folder(directory: Path) -> None:
-    """Make the names in a folder last."""
+    """Sync a folder, so that the names in it are durable."""
     handle = os.open(directory, os.O_RDONLY)
     try:
         os.fsync(handle)
--- a/emberring/store/peers.py
+++ b/emberring/store/replica_client.py
@@ -1,11 +1,10 @@
-"""Calls from this store's owners to the replicas, at home or at other stores, and the lease renewals that
-keep leases."""
+"""Calls of this store's owners to replicas, in this process or at other stores, and lease renewals."""
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Coroutine
+from typing import Any, TypeVar
 
 from emberring.errors import EmberringError, PeerUnavailableError
 from emberring.jobs.messages import (
@@ -19,16 +18,20 @@
     ReleaseOwnership,
     RenewLeases,
     RenewLeasesReply,
+    ReplicaReply,
+    ReplicaRequest,
     ShardLease,
     WriteSlots,
     WriteSlotsReply,
 )
-from emberring.store.replicas import ReplicaHost
+from emberring.store.replica_host import ReplicaHost
 from emberring.transport.messages import Ok
 from emberring.transport.network import Network
 
+Reply = TypeVar("Reply")
+
 LEASE_RENEWAL_TIMEOUT_S = 0.5
-MAX_LEASE_RENEWALS_IN_FLIGHT = 3
+MAX_LEASE_RENEWALS_IN_FLIGHT = 3  # to one replica
 
 REPLY_OF: dict[type[Any], type[Any]] = {
     ClaimOwnership: ClaimOwnershipReply,
@@ -47,12 +50,12 @@
     ReleaseOwnership: 0.5,
 }
 
-Done = Callable[[Any], None]  # gets the reply, or None
+Done = Callable[[ReplicaReply | None], None]
 RenewalCallback = Callable[[str, float, RenewLeasesReply], None]
 
 
-class Peers:
-    """Reaches replicas by identity. `addresses` says where each identity lives now."""
+class ReplicaClient:
+    """Calls replicas by the identity of their disk. `addresses` has the current address of each identity."""
 
     def __init__(self, network: Network, host: ReplicaHost) -> None:
         self.addresses: dict[str, str] = {}
@@ -61,27 +64,31 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._renewals_in_flight: dict[str, int] = {}
 
-    def call(self, target: str, message: Any, done: Done) -> None:
+    def call(self, target: str, message: ReplicaRequest, done: Done) -> None:
         """Call a replica; `done` gets its reply, or None where there was none."""
         if target == self._host.identity:
-            self._host.ask(message, lambda reply: done(None if isinstance(reply, EmberringError) else reply))
+            self._host.handle(
+                message, lambda reply: done(None if isinstance(reply, EmberringError) else reply)
+            )
             return
         self._spawn(self._call(target, message, done))
 
-    async def _call(self, target: str, message: Any, done: Done) -> None:
+    async def _call(self, target: str, message: ReplicaRequest, done: Done) -> None:
         try:
-            done(await self._ask(target, message, REPLY_OF[type(message)], TIMEOUT_S[type(message)]))
+            done(await self._send(target, message, REPLY_OF[type(message)], TIMEOUT_S[type(message)]))
         except EmberringError:
             done(None)
 
-    async def _ask(self, target: str, message: Any, reply: type[Any], timeout_s: float) -> Any:
+    async def _send(
+        self, target: str, message: ReplicaRequest | RenewLeases, reply: type[Reply], timeout_s: float
+    ) -> Reply:
         address = self.addresses.get(target)
         if address is None:
             raise PeerUnavailableError(f"nobody knows where {target} is")
         return await self._network.call(address, message, reply, timeout_s)
 
     def renew_lease(self, target: str, leases: list[ShardLease], done: RenewalCallback) -> None:
-        """Keep these leases at a replica."""
+        """Renew these leases at a replica; `done` gets its identity, the time of sending, and the reply."""
         message = RenewLeases(self._host.identity, target, tuple(leases))
         sent_s = asyncio.get_running_loop().time()
         if target == self._host.identity:
@@ -94,19 +101,19 @@
         self, target: str, message: RenewLeases, sent_s: float, done: RenewalCallback
     ) -> None:
         try:
-            reply = await self._ask(target, message, RenewLeasesReply, LEASE_RENEWAL_TIMEOUT_S)
+            reply = await self._send(target, message, RenewLeasesReply, LEASE_RENEWAL_TIMEOUT_S)
         except EmberringError:
             return
         finally:
             self._renewals_in_flight[target] -= 1
         done(target, sent_s, reply)
 
-    def _spawn(self, coroutine: Any) -> None:
+    def _spawn(self, coroutine: Coroutine[object, object, None]) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def close(self) -> None:
-        """End all calls."""
+        """Cancel all calls."""
         for task in self._tasks:
             task.cancel()
--- a/emberring/store/role.py
+++ b/emberring/store/role.py
@@ -1,4 +1,4 @@
-"""The store: replicas of shards on its disk, and the owners among them."""
+"""The store role: replicas of shards on its disk, and the owners among them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import random
 import secrets
 import signal
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Coroutine, Sequence
 from pathlib import Path
 from typing import Protocol
 
@@ -34,41 +34,41 @@
 from emberring.store.disk import open_disk, record_process_start
 from emberring.store.dispatch import Dispatch
 from emberring.store.gateway_calls import GatewayCalls
-from emberring.store.peers import Peers
-from emberring.store.replicas import ReplicaHost
-from emberring.store.shards import Shards
+from emberring.store.replica_client import ReplicaClient
+from emberring.store.replica_host import ReplicaHost
+from emberring.store.shard_manager import ShardManager
 from emberring.store.status import StoreStatusHandler
 from emberring.transport.messages import Ok
 from emberring.transport.network import Network
 
 TICK_INTERVAL_S = 0.05
 LEASE_RENEWAL_INTERVAL_S = 0.2
-DISK_STALL_TIMEOUT_S = 0.5  # a disk that has not answered for so long gives up what it owns
-OWNERSHIP_HANDOVER_S = 0.8  # between the word to end and the end
-MOVED_TIMEOUT_S = 1.0
+DISK_STALL_TIMEOUT_S = 0.5  # a store whose disk has not answered for so long releases its shards
+OWNERSHIP_HANDOVER_S = 0.8  # between the start of the shutdown and its end
+MIGRATION_REPORT_TIMEOUT_S = 1.0
 
 logger = get_logger("store")
 
 
 class StoreKnowledge(TierKnowledge, Protocol):
-    """What a store learns of the tier, and what it tells of itself; a follower is one."""
+    """The store's knowledge of the tier and its announcement of itself; `Follower` provides it."""
 
     me: NodeRecord
 
     async def start(self) -> None:
-        """Begin to learn."""
+        """Start to follow the tier's state."""
 
     async def stop(self) -> None:
-        """Stop learning."""
+        """Stop following."""
 
 
-Learn = Callable[[Network, NodeRecord, Sequence[str]], StoreKnowledge]
+MakeKnowledge = Callable[[Network, NodeRecord, Sequence[str]], StoreKnowledge]
 
 
 class Store:
-    """One store process. `learn` makes its source of knowledge."""
+    """One store process. `make_knowledge` creates its source of knowledge of the tier."""
 
-    def __init__(self, settings: Settings, learn: Learn = Follower) -> None:
+    def __init__(self, settings: Settings, make_knowledge: MakeKnowledge = Follower) -> None:
         loop = asyncio.get_running_loop()
         disk = open_disk(Path(settings.data_dir), settings.limits.disk_mb, loop.time())
         self.network = Network()
@@ -81,12 +81,14 @@
             identity=disk.identity,
             incarnation=secrets.token_hex(8),
         )
-        self.follower = learn(self.network, me, settings.internal_seeds())
+        self.follower = make_knowledge(self.network, me, settings.internal_seeds())
         self.journal = disk.journal
         record_process_start(disk.journal, loop.time())
         self.host = ReplicaHost(disk.identity, disk.replicas, disk.journal, disk.capacity_bytes)
-        self.peers = Peers(self.network, self.host)
-        self.shards = Shards(self.host, self.peers, settings.bounds.status_s, self._report_migration)
+        self.replica_client = ReplicaClient(self.network, self.host)
+        self.shards = ShardManager(
+            self.host, self.replica_client, settings.bounds.status_s, self._report_migration
+        )
         self._placement_epoch = 0
         self._configuration_version = 0
         self._shutting_down = False
@@ -112,69 +114,67 @@
         return self.host.renew_lease(message)
 
     async def start(self) -> None:
-        """Listen, learn, own."""
-        self.follower.subscribe(self._learn)
+        """Listen, follow the tier, and start to own shards."""
+        self.follower.subscribe(self._on_knowledge_changed)
         await self.network.listen(self.address)
         await self.follower.start()
         logger.info("event=store_started identity=%s address=%s", self.host.identity, self.address)
         self._spawn(self._repeat(TICK_INTERVAL_S, self._tick))
         self._spawn(self._repeat(LEASE_RENEWAL_INTERVAL_S, self.shards.renew_leases))
 
-    async def _repeat(self, every_s: float, action: object) -> None:
-        assert callable(action)
+    async def _repeat(self, interval_s: float, action: Callable[[], None]) -> None:
         while True:
             try:
                 action()
-            except Exception:
+            except Exception:  # outermost loop: one failed call must not end leases and ticks for good
                 logger.exception("event=tick_failed")
-            await asyncio.sleep(every_s)
+            await asyncio.sleep(interval_s)
 
-    def _learn(self) -> None:
+    def _on_knowledge_changed(self) -> None:
         placement = self.follower.placement
         configuration = self.follower.configuration
         if placement is not None:
             addresses = {identity: member.address for identity, member in placement.stores.items()}
-            addresses |= {fact.identity: fact.address for fact in self._stores()}
+            addresses |= {node.identity: node.address for node in self._live_stores()}
             addresses[self.host.identity] = self.address
-            self.peers.addresses = addresses
+            self.replica_client.addresses = addresses
             if placement.epoch > self._placement_epoch:
                 self._placement_epoch = placement.epoch
-                self.shards.place(placement)
+                self.shards.apply_placement(placement)
         if configuration is not None and configuration.version > self._configuration_version:
             self._configuration_version = configuration.version
             self.shards.configure(configuration)
 
-    def _stores(self) -> list[NodeRecord]:
+    def _live_stores(self) -> list[NodeRecord]:
         return [
-            fact for fact in self.follower.nodes.values() if fact.role is NodeRole.STORE and fact.identity
+            node for node in self.follower.nodes.values() if node.role is NodeRole.STORE and node.identity
         ]
 
     def _tick(self) -> None:
         healthy = (
             not self._shutting_down and not self.host.failed and self.host.stalled_s() < DISK_STALL_TIMEOUT_S
         )
-        live = {fact.identity for fact in self._stores() if not fact.leaving}
+        live = {node.identity for node in self._live_stores() if not node.leaving}
         self.shards.tick(healthy, live)
 
     def _report_migration(self, shard: int, epoch: int) -> None:
-        self._spawn(self._report_moved(PlacementMoved(shard, epoch)))
+        self._spawn(self._send_migration_report(PlacementMoved(shard, epoch)))
 
-    async def _report_moved(self, message: PlacementMoved) -> None:
-        controls = [fact for fact in self.follower.nodes.values() if fact.role is NodeRole.CONTROL]
+    async def _send_migration_report(self, message: PlacementMoved) -> None:
+        controls = [node for node in self.follower.nodes.values() if node.role is NodeRole.CONTROL]
         random.shuffle(controls)
-        for fact in controls:
+        for node in controls:
             with contextlib.suppress(EmberringError):
-                await self.network.call(fact.address, message, Ok, MOVED_TIMEOUT_S)
+                await self.network.call(node.address, message, Ok, MIGRATION_REPORT_TIMEOUT_S)
                 return
 
-    def _spawn(self, coroutine: object) -> None:
-        assert asyncio.iscoroutine(coroutine)
-        task: asyncio.Task[None] = asyncio.get_running_loop().create_task(coroutine)
+    def _spawn(self, coroutine: Coroutine[object, object, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def leave(self) -> None:
-        """Hand over what is owned, answer for a moment longer, end."""
+    async def shutdown(self) -> None:
+        """Shut down gracefully: release ownership, answer for a moment longer, stop."""
         logger.info("event=store_leaving")
         self._shutting_down = True
         self.follower.me = attrs.evolve(self.follower.me, leaving=True)
@@ -183,7 +183,7 @@
         for task in list(self._tasks):
             task.cancel()
         await self.follower.stop()
-        self.peers.close()
+        self.replica_client.close()
         await self.network.close()
         await self.journal.close()
 
@@ -198,4 +198,4 @@
     store = Store(settings)
     await store.start()
     await ended.wait()
-    await store.leave()
+    await store.shutdown()
--- a/emberring/store/shards.py
+++ b/emberring/store/shard_manager.py
@@ -5,13 +5,12 @@
 import asyncio
 import random
 from collections.abc import Callable
-from typing import Any
 
 from emberring.configuration.model import Configuration
-from emberring.errors import NotOwnerError, UnknownOutcomeError
+from emberring.errors import EmberringError, NotOwnerError, UnknownOutcomeError
 from emberring.jobs.job_manager import JobManager
-from emberring.jobs.job_table import AnswerCall, JobManagerAction, ProposeValue, RejectCall
-from emberring.jobs.messages import RenewLeasesReply
+from emberring.jobs.job_table import AnswerCall, JobManagerAction, JobReply, ProposeValue, RejectCall
+from emberring.jobs.messages import RenewLeasesReply, ReplicaReply
 from emberring.jobs.owner import ShardOwner
 from emberring.jobs.owner_actions import (
     MigrationCompleted,
@@ -23,27 +22,36 @@
 )
 from emberring.logs import get_logger
 from emberring.placement.model import SHARDS, Placement
-from emberring.store.peers import Peers
-from emberring.store.replicas import ReplicaHost
+from emberring.store.replica_client import ReplicaClient
+from emberring.store.replica_host import ReplicaHost
 
-CALL_TIMEOUT_S = 6.0  # no call of a gateway is waited for longer
+CALL_TIMEOUT_S = 6.0  # of a gateway's call
 
 logger = get_logger("store")
 
 
-class Shards:
-    """Owners and job managers of all shards. `on_moved(shard, epoch)` is told of groups that are complete."""
+class ShardManager:
+    """Owners and job managers of all shards.
+
+    `status_s`: for how many seconds after its submission an ended batch job can be read.
+    `on_migration_completed(shard, epoch)` is called for groups whose joining replicas are complete.
+    `on_items_waiting` may be replaced and is called when items may wait for gateways.
+    """
 
     def __init__(
-        self, host: ReplicaHost, peers: Peers, status_s: float, on_moved: Callable[[int, int], None]
+        self,
+        host: ReplicaHost,
+        replica_client: ReplicaClient,
+        status_s: float,
+        on_migration_completed: Callable[[int, int], None],
     ) -> None:
         self.host = host
         self.owners: dict[int, ShardOwner] = {}
         self.job_managers: dict[int, JobManager] = {}
         self.on_items_waiting: Callable[[], None] = lambda: None
-        self._peers = peers
-        self._on_moved = on_moved
-        self._calls: dict[int, asyncio.Future[Any]] = {}
+        self._replica_client = replica_client
+        self._on_migration_completed = on_migration_completed
+        self._calls: dict[int, asyncio.Future[JobReply]] = {}
         self._next_call = 1
         for shard in range(SHARDS):
             seed = random.getrandbits(64)
@@ -51,24 +59,28 @@
             self.owners[shard] = owner
             self.job_managers[shard] = JobManager(shard, owner.records, status_s, seed)
 
-    # What this store learns.
+    # Changes of the tier.
 
-    def place(self, placement: Placement) -> None:
-        """A newer placement."""
+    def apply_placement(self, placement: Placement) -> None:
+        """Apply a newer placement."""
         now_s = _now_s()
         for group in placement.groups:
             owner = self.owners[group.shard]
             self._perform(group.shard, owner.set_group(now_s, group))
             if owner.group is not None and self.host.identity not in owner.group.everyone:
-                self.host.leave(group.shard)
+                self.host.erase_shard(group.shard)
 
     def configure(self, configuration: Configuration) -> None:
-        """A newer configuration."""
+        """Use a newer configuration."""
         for job_manager in self.job_managers.values():
             job_manager.configure(configuration)
 
     def tick(self, healthy: bool, live: set[str]) -> None:
-        """Time goes on."""
+        """Carry out what is due now.
+
+        `healthy`: the disk works and the store is not shutting down; `live`: identities of stores in
+        contact.
+        """
         now_s = _now_s()
         for shard, owner in self.owners.items():
             self._perform(shard, owner.tick(now_s, healthy, live))
@@ -77,7 +89,7 @@
         self.on_items_waiting()
 
     def renew_leases(self) -> None:
-        """Keep the leases of the shards that this store owns."""
+        """Renew the leases of the shards that this store owns."""
         identities = {
             identity
             for owner in self.owners.values()
@@ -87,32 +99,43 @@
         for identity in identities:
             leases = [lease for owner in self.owners.values() for lease in owner.leases(identity)]
             if leases:
-                self._peers.renew_lease(identity, leases, self._on_lease_renewal)
+                self._replica_client.renew_lease(identity, leases, self._on_lease_renewal)
 
     def _on_lease_renewal(self, identity: str, sent_s: float, reply: RenewLeasesReply) -> None:
-        for answer in reply.answers:
-            owner = self.owners[answer.shard]
-            self._perform(answer.shard, owner.on_lease_renewal(_now_s(), identity, sent_s, answer))
+        for renewal in reply.answers:
+            owner = self.owners[renewal.shard]
+            self._perform(renewal.shard, owner.on_lease_renewal(_now_s(), identity, sent_s, renewal))
 
-    # What gateways ask.
+    # Calls of gateways.
 
     def serving(self, shard: int) -> JobManager:
-        """The job manager of a shard that this store may answer for; otherwise `NotOwnerError` with the owner's
-        address, if it is known."""
+        """Return the job manager of a shard that this store may answer for.
+
+        `NotOwnerError` otherwise, with the owner's address if it is known.
+        """
         owner = self.owners[shard]
         if not owner.serving(_now_s()):
-            known = self._peers.addresses.get(self.host.replicas[shard].owner, "")
-            raise NotOwnerError(known if known != self._peers.addresses.get(self.host.identity) else "")
+            known = self._replica_client.addresses.get(self.host.replicas[shard].owner, "")
+            raise NotOwnerError(
+                known if known != self._replica_client.addresses.get(self.host.identity) else ""
+            )
         return self.job_managers[shard]
 
-    async def ask(self, shard: int, question: Callable[[JobManager, int], list[JobManagerAction]]) -> Any:
-        """Ask the job manager of a shard and wait for the answer. Nothing was done where `NotOwnerError` is raised."""
+    async def call(
+        self, shard: int, request: Callable[[JobManager, int], list[JobManagerAction]]
+    ) -> JobReply:
+        """Call the job manager of a shard and wait for the answer.
+
+        Nothing was done where `NotOwnerError` is raised; `UnknownOutcomeError` where no quorum
+        answered in time.
+        """
         job_manager = self.serving(shard)
         call = self._next_call
         self._next_call += 1
-        future = self._calls[call] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[JobReply] = asyncio.get_running_loop().create_future()
+        self._calls[call] = future
         try:
-            self._perform_job_manager(shard, question(job_manager, call))
+            self._perform_job_manager(shard, request(job_manager, call))
             async with asyncio.timeout(CALL_TIMEOUT_S):
                 return await future
         except TimeoutError:
@@ -120,7 +143,7 @@
         finally:
             self._calls.pop(call, None)
 
-    # What owners and job managers want.
+    # Actions of owners and job managers.
 
     def _perform(self, shard: int, actions: list[OwnerAction]) -> None:
         for action in actions:
@@ -141,19 +164,19 @@
                 logger.info("event=owner_lost shard=%d", shard)
                 self._perform_job_manager(shard, self.job_managers[shard].on_ownership_lost())
             elif isinstance(action, MigrationCompleted):
-                self._on_moved(shard, action.epoch)
+                self._on_migration_completed(shard, action.epoch)
 
     def _send(self, shard: int, action: SendToReplica) -> None:
         owner = self.owners[shard]
 
-        def done(reply: Any) -> None:
+        def done(reply: ReplicaReply | None) -> None:
             now_s = _now_s()
             if reply is None:
                 self._perform(shard, owner.on_call_failed(now_s, action.ticket))
             else:
                 self._perform(shard, owner.on_reply(now_s, action.ticket, reply))
 
-        self._peers.call(action.target, action.message, done)
+        self._replica_client.call(action.target, action.message, done)
 
     def _perform_job_manager(self, shard: int, actions: list[JobManagerAction]) -> None:
         now_s = _now_s()
@@ -164,18 +187,18 @@
             elif isinstance(action, RejectCall):
                 self._resolve(action.call, action.error)
             elif isinstance(action, ProposeValue):
-                wanted = owner.propose(now_s, action.key, action.slot, action.value, action.accepted_s)
-                self._perform(shard, wanted)
+                owner_actions = owner.propose(now_s, action.key, action.slot, action.value, action.accepted_s)
+                self._perform(shard, owner_actions)
             else:
                 self._perform(shard, owner.forget(now_s, action.key))
         if self.job_managers[shard].waiting:
             self.on_items_waiting()
 
-    def _resolve(self, call: int, body: Any) -> None:
+    def _resolve(self, call: int, body: JobReply | EmberringError) -> None:
         future = self._calls.get(call)
         if future is None or future.done():
             return
-        if isinstance(body, Exception):
+        if isinstance(body, EmberringError):
             future.set_exception(body)
         else:
             future.set_result(body)
--- a/emberring/store/status.py
+++ b/emberring/store/status.py
@@ -1,4 +1,4 @@
-"""What a store tells tools about its shards and batch jobs; reading it changes nothing."""
+"""Status of a store's shards and batch jobs for tools; reading it changes nothing."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 from emberring.jobs.batch_job import BatchJob
 from emberring.jobs.records import Term
 from emberring.jobs.status import JobStatus, ShardStatus, StoreStatus, StoreStatusRequest
-from emberring.store.shards import Shards
+from emberring.store.shard_manager import ShardManager
 from emberring.transport.network import Caller
 
-MAX_LISTED_JOBS = 500  # that one answer lists
+MAX_LISTED_JOBS = 500  # in one answer
 
 
 class StoreStatusHandler:
-    """Answers tools."""
+    """Handler of status requests."""
 
-    def __init__(self, shards: Shards) -> None:
+    def __init__(self, shards: ShardManager) -> None:
         self._shards = shards
 
-    async def answer(self, asked: StoreStatusRequest, caller: Caller) -> StoreStatus:
-        """The status of this moment."""
+    async def answer(self, request: StoreStatusRequest, caller: Caller) -> StoreStatus:
+        """Return the current status."""
         now_s = asyncio.get_running_loop().time()
         host = self._shards.host
         owned = [shard for shard, owner in self._shards.owners.items() if owner.serving(now_s)]
         jobs = [
             _job_status(now_s, shard, job)
-            for shard in (owned if asked.jobs else ())
+            for shard in (owned if request.jobs else ())
             for job in self._shards.job_managers[shard].jobs.values()
         ]
         return StoreStatus(
@@ -45,14 +45,14 @@
         owner, job_manager = self._shards.owners[shard], self._shards.job_managers[shard]
         epoch = owner.group.epoch if owner.group is not None else 0
         if not owned:
-            return ShardStatus(shard, False, epoch, _text(owner.replica.promised))
+            return ShardStatus(shard, False, epoch, _term_text(owner.replica.promised))
         tokens = sum(job_manager.waiting_tokens.values())
         return ShardStatus(
-            shard, True, epoch, _text(owner.term), len(job_manager.jobs), job_manager.waiting, tokens
+            shard, True, epoch, _term_text(owner.term), len(job_manager.jobs), job_manager.waiting, tokens
         )
 
 
-def _text(term: Term) -> str:
+def _term_text(term: Term) -> str:
     return f"{term.epoch}.{term.counter}"
 
 
--- a/tests/emberring/store/test_tier_store_troubles.py
+++ b/tests/emberring/store/test_tier_store_troubles.py
@@ -92,7 +92,7 @@
         owner = cluster.owner_of(SHARD)
         assert owner is not None
         store = cluster.stores[owner]
-        leaving = asyncio.get_running_loop().create_task(store.leave())
+        leaving = asyncio.get_running_loop().create_task(store.shutdown())
         await until(lambda: cluster.owner_of(SHARD) not in (None, owner), 0.7)
         await leaving
         del cluster.stores[owner]
--- a/tests/emberring/store/tier_store_cluster.py
+++ b/tests/emberring/store/tier_store_cluster.py
@@ -241,7 +241,7 @@
         for task in list(store._tasks):
             task.cancel()
         await store.follower.stop()
-        store.peers.close()
+        store.replica_client.close()
         await store.network.close()
         await store.journal.close()
         self.world.facts.pop(name, None)
