--- a/emberring/journal/folder.py
+++ b/emberring/journal/folder.py
@@ -1,4 +1,4 @@
-"""Files as the journal sees them: the operating system's, or a simulator's that loses power."""
+"""Interface of the journal to files: those of the operating system, or a simulator's that lose power."""
 
 from __future__ import annotations
 
@@ -13,38 +13,38 @@
     """An open file; every call may raise `OSError`."""
 
     def size(self) -> int:
-        """Its length in bytes."""
+        """Return its length in bytes."""
 
     def resize(self, length: int) -> None:
-        """Cut it or fill it up with zeros to this length."""
+        """Truncate it or extend it with zeros to this length in bytes."""
 
     def read(self, offset: int, length: int) -> bytes:
-        """At most so many bytes from there; fewer at its end."""
+        """Read at most `length` bytes from `offset` on; fewer at the end of the file."""
 
     def write(self, offset: int, data: bytes) -> None:
-        """All these bytes there."""
+        """Write all these bytes at `offset`."""
 
     def sync(self) -> None:
-        """What was written lasts through a loss of power."""
+        """Make everything written durable through a loss of power."""
 
     def close(self) -> None:
-        """No more calls."""
+        """Close the file; no call may follow."""
 
 
 class Folder(Protocol):
     """A folder of files; every call may raise `OSError`."""
 
     def names(self) -> list[str]:
-        """The names in it."""
+        """Return the names in it."""
 
     def open(self, name: str) -> File:
-        """An existing file."""
+        """Open an existing file."""
 
     def create(self, name: str) -> File:
-        """A new, empty file."""
+        """Create an empty file."""
 
     def sync(self) -> None:
-        """Its names last through a loss of power."""
+        """Make the names in it durable through a loss of power."""
 
 
 class DiskFile:
@@ -54,53 +54,63 @@
         self._descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC | flags, PERMISSIONS)
 
     def size(self) -> int:
+        """Return its length in bytes."""
         return os.fstat(self._descriptor).st_size
 
     def resize(self, length: int) -> None:
+        """Truncate it or extend it with zeros to this length in bytes."""
         os.ftruncate(self._descriptor, length)
 
     def read(self, offset: int, length: int) -> bytes:
-        parts: list[bytes] = []
+        """Read at most `length` bytes from `offset` on; fewer at the end of the file."""
+        chunks: list[bytes] = []
         while length > 0:
-            part = os.pread(self._descriptor, length, offset)
-            if not part:
+            chunk = os.pread(self._descriptor, length, offset)
+            if not chunk:
                 break
-            parts.append(part)
-            offset += len(part)
-            length -= len(part)
-        return parts[0] if len(parts) == 1 else b"".join(parts)
+            chunks.append(chunk)
+            offset += len(chunk)
+            length -= len(chunk)
+        return chunks[0] if len(chunks) == 1 else b"".join(chunks)
 
     def write(self, offset: int, data: bytes) -> None:
-        left = memoryview(data)
-        while left:
-            written = os.pwrite(self._descriptor, left, offset)
+        """Write all these bytes at `offset`."""
+        remaining = memoryview(data)
+        while remaining:
+            written = os.pwrite(self._descriptor, remaining, offset)
             offset += written
-            left = left[written:]
+            remaining = remaining[written:]
 
     def sync(self) -> None:
+        """Make everything written durable."""
         os.fdatasync(self._descriptor)
 
     def close(self) -> None:
+        """Close the file."""
         os.close(self._descriptor)
 
 
 class DiskFolder:
-    """A folder of the operating system, made where it is missing."""
+    """A folder of the operating system, created where it is missing."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
         path.mkdir(parents=True, exist_ok=True)
 
     def names(self) -> list[str]:
+        """Return the sorted names in it."""
         return sorted(os.listdir(self._path))
 
     def open(self, name: str) -> DiskFile:
+        """Open an existing file."""
         return DiskFile(self._path / name, 0)
 
     def create(self, name: str) -> DiskFile:
+        """Create an empty file."""
         return DiskFile(self._path / name, os.O_CREAT | os.O_TRUNC)
 
     def sync(self) -> None:
+        """Make the names in it, and its own name, durable."""
         for path in (self._path, self._path.parent):
             descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
             try:
--- a/emberring/journal/journal.py
+++ b/emberring/journal/journal.py
@@ -1,4 +1,4 @@
-"""A journal of records on disk: appended from the event loop, written and synced by one thread in groups."""
+"""A journal of records on disk: appended on the event loop, written and synced by one thread in groups."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 import attrs
 
-from emberring.errors import DiskFailedError, EmberringError
+from emberring.errors import DiskFailedError, EmberringError, InternalError
 from emberring.journal.folder import DiskFolder
 from emberring.journal.layout import Position, Record
 from emberring.journal.ring import Ring
 from emberring.logs import get_logger
 
-MAX_PENDING_BYTES = 48 * 1024 * 1024  # waiting for the disk; more appends are refused
+MAX_PENDING_BYTES = 48 * 1024 * 1024  # waiting for the disk; more appends are rejected
 MAX_GROUP_BYTES = 4 * 1024 * 1024  # written and synced at once
-HEAL_EVERY_S = 0.25
-CLOSE_WAIT_S = 1.0
+HEAL_INTERVAL_S = 0.25  # between attempts to use a disk that failed, and to reclaim a full ring
+CLOSE_TIMEOUT_S = 1.0
 
 T = TypeVar("T")
 Rewriter = Callable[[int], Awaitable[None]]
@@ -42,7 +42,7 @@
 
 @attrs.frozen
 class _Outcome:
-    """How a group ended."""
+    """Outcome of a group."""
 
     group: tuple[_Append, ...]
     positions: tuple[Position, ...] = ()
@@ -51,7 +51,7 @@
 
 @attrs.define(eq=False)
 class _Release:
-    """A segment that the writer's thread is to release."""
+    """A segment for the writer's thread to release."""
 
     number: int
     future: asyncio.Future[None]
@@ -63,11 +63,11 @@
 
 
 class Journal:
-    """Records that last: `append` resolves once the record is on the disk. Used from one event loop.
+    """Durable records: `append` resolves once the record is synced. Used from one event loop.
 
-    A disk that refuses makes `failed` true and every append fails with `DiskFailedError` until it takes writes again;
-    a record whose append failed may still be found after a restart, or not. A disk that stalls leaves appends
-    pending: callers time out by themselves.
+    A disk that rejects writes sets `failed`, and every append fails with `DiskFailedError` until it
+    accepts writes again; a record whose append failed may still be found after a restart, or not. A disk
+    that stalls leaves appends pending: callers have their own time-outs.
     """
 
     def __init__(self, ring: Ring) -> None:
@@ -79,7 +79,7 @@
         self._condition = threading.Condition()
         self._stopping = False
         self._failed = False
-        self._full = False
+        self._ring_full = False
         self._loop: asyncio.AbstractEventLoop | None = None
         self._thread: threading.Thread | None = None
         self._reader: ThreadPoolExecutor | None = None
@@ -90,12 +90,14 @@
     def open(
         cls, directory: Path, segment_bytes: int, max_bytes: int, reclaim_above: int | None = None
     ) -> tuple[Journal, list[Record]]:
-        """Open or make the journal in a folder and read all records, oldest first. Blocks on the disk.
+        """Open or create the journal in a folder; return it and all its records, oldest first.
 
-        Segments are `segment_bytes` long, or as long as one record that is longer. The oldest is reclaimed while
-        more than `reclaim_above` bytes are in use; never are more than `max_bytes`.
-        `DiskFailedError` where the disk refuses; `CorruptRecordError` where records that were synced are damaged,
-        which no loss of power does: such a journal must not be trusted.
+        Blocks on the disk.
+
+        Segments are `segment_bytes` long, or as long as one record that is longer. The oldest is
+        reclaimed while more than `reclaim_above` bytes are in use; never are more than `max_bytes`.
+        `DiskFailedError` where the disk rejects it; `CorruptRecordError` where records that were
+        synced are damaged, which no loss of power does: such a journal must not be trusted.
         """
         nonce = int.from_bytes(os.urandom(4), "little")
         try:
@@ -106,7 +108,7 @@
 
     @property
     def failed(self) -> bool:
-        """Whether the disk refuses at present."""
+        """Whether the disk rejects writes at present."""
         return self._failed
 
     @property
@@ -115,36 +117,38 @@
         return self._pending_bytes
 
     def set_rewriter(self, rewriter: Rewriter) -> None:
-        """Say how the oldest segment is emptied when the ring fills up.
-
-        `await rewriter(number)` runs on the event loop. It appends anew, with `reclaiming=True`, whatever records of
-        that segment still count, waits for them, and returns; the segment's records are then gone. It raises an
-        `EmberringError` to leave the segment alone for now. Segments are emptied oldest first. A record appended
-        anew may come before or after ordinary ones under way: write the newest state, those included, and let a
-        start keep the newer of two by what stands in them. Ordinary appends wait while the ring is full.
+        """Set how the oldest segment is emptied when the ring fills up.
+
+        `await rewriter(number)` runs on the event loop. It appends again, with `reclaiming=True`,
+        whatever records of that segment still count, waits for them, and returns; the segment's
+        records are then gone. It raises an `EmberringError` to leave the segment alone for now.
+        Segments are emptied oldest first. A record appended again may come before or after ordinary
+        ones in flight: write the newest state, those included, and let a start keep the newer of two
+        by their contents. Ordinary appends wait while the ring is full.
         """
         self._rewriter = rewriter
 
     def append(self, payload: bytes, reclaiming: bool = False) -> asyncio.Future[Position]:
-        """Put a record at the end; the future has its position once it is synced, or `DiskFailedError`.
+        """Append a record; the future has its position once it is synced, or `DiskFailedError`.
 
-        Ordinary appends reach the disk in order. `reclaiming` is for a rewriter: it may use the room kept for it.
+        Ordinary appends reach the disk in order. `reclaiming` is for a rewriter: it may use the
+        reserve.
         """
         loop = asyncio.get_running_loop()
         future: asyncio.Future[Position] = loop.create_future()
         self._start(loop)
         with self._condition:
-            problem = self._problem(len(payload))
-            if not problem:
+            reason = self._rejection_reason(len(payload))
+            if not reason:
                 queue = self._reclaims if reclaiming else self._queue
                 queue.append(_Append(payload, reclaiming, future))
                 self._pending_bytes += len(payload)
                 self._condition.notify()
-        if problem:
-            future.set_exception(DiskFailedError(problem))
+        if reason:
+            future.set_exception(DiskFailedError(reason))
         return future
 
-    def _problem(self, length: int) -> str:
+    def _rejection_reason(self, length: int) -> str:
         if self._stopping:
             return "the journal is closed"
         if self._failed:
@@ -154,13 +158,16 @@
         return ""
 
     async def read(self, position: Position) -> bytes:
-        """The payload at a position; `CorruptRecordError` where it is not there (any more)."""
+        """Return the payload at a position; `CorruptRecordError` where it is not there (any more)."""
         if self._reader is None:
             self._reader = ThreadPoolExecutor(1, "journal-reader")
         return await asyncio.get_running_loop().run_in_executor(self._reader, self._ring.read, position)
 
     async def close(self) -> None:
-        """Write what waits, within a second, and stop. A disk that stalls keeps its thread, which ends by itself."""
+        """Write pending records, within `CLOSE_TIMEOUT_S`, and stop.
+
+        A disk that stalls keeps its thread, which ends by itself.
+        """
         with self._condition:
             self._stopping = True
             self._condition.notify()
@@ -169,7 +176,7 @@
         if self._reader is not None:
             self._reader.shutdown(wait=False)
         if self._thread is not None:
-            await asyncio.get_running_loop().run_in_executor(None, self._thread.join, CLOSE_WAIT_S)
+            await asyncio.get_running_loop().run_in_executor(None, self._thread.join, CLOSE_TIMEOUT_S)
         if self._thread is None or not self._thread.is_alive():
             self._ring.close()
 
@@ -186,13 +193,13 @@
             if group:
                 self._write(group)
             elif self._failed:
-                self._heal()
+                self._try_heal()
 
     def _next_group(self) -> tuple[_Append, ...] | None:
-        """What to write next; empty when it is time to look after the disk; None at the end."""
+        """Return what to write next; empty when it is time to check the disk; None at the end."""
         with self._condition:
             while not (self._ready or self._stopping or self._releases):
-                if not self._condition.wait(HEAL_EVERY_S if self._failed else None):
+                if not self._condition.wait(HEAL_INTERVAL_S if self._failed else None):
                     break
             self._release_all()
             if self._stopping and not self._ready:
@@ -201,17 +208,17 @@
 
     @property
     def _ready(self) -> bool:
-        return bool(self._reclaims or (self._queue and not self._full))
+        return bool(self._reclaims or (self._queue and not self._ring_full))
 
     def _release_all(self) -> None:
         while self._releases:
             release = self._releases.popleft()
             self._ring.release(release.number)
-            self._full = False
+            self._ring_full = False
             self._post(_resolve, release.future)
 
     def _take_group(self) -> tuple[_Append, ...]:
-        queue = self._queue if self._queue and not self._full else self._reclaims
+        queue = self._queue if self._queue and not self._ring_full else self._reclaims
         group: list[_Append] = []
         size = 0
         while queue and (not group or size + len(queue[0].payload) <= MAX_GROUP_BYTES):
@@ -234,29 +241,30 @@
             return
         self._post(self._finish, _Outcome(group[: len(positions)], positions))
         if len(positions) < len(group):
-            self._hold_back(group[len(positions) :])
+            self._requeue(group[len(positions) :])
         with contextlib.suppress(OSError):
             self._ring.prepare_ahead()
 
-    def _hold_back(self, group: tuple[_Append, ...]) -> None:
-        """The ring is full: ordinary records wait until a segment is released; others cannot be helped."""
+    def _requeue(self, group: tuple[_Append, ...]) -> None:
+        """Let ordinary records wait until a segment is released; fail others: the ring is full."""
         if group[0].reclaiming or self._rewriter is None:
             self._post(self._finish, _Outcome(group, error=DiskFailedError("the ring is full")))
             return
         with self._condition:
-            self._full = True
+            self._ring_full = True
             self._queue.extendleft(reversed(group))
         self._post(self._finish, _Outcome(()))
 
-    def _heal(self) -> None:
+    def _try_heal(self) -> None:
         with contextlib.suppress(DiskFailedError):
             self._ring.heal()
             self._failed = False
             logger.warning("event=disk_healed")
 
     def _post(self, callback: Callable[[T], None], argument: T) -> None:
-        assert self._loop is not None
-        with contextlib.suppress(RuntimeError):  # the loop is closed: nobody waits any more
+        if self._loop is None:
+            raise InternalError("the writer's thread runs without an event loop")
+        with contextlib.suppress(RuntimeError):  # the loop is closed: no future is awaited any more
             self._loop.call_soon_threadsafe(callback, argument)
 
     # The event loop.
@@ -271,19 +279,19 @@
                 item.future.set_exception(outcome.error)
             else:
                 item.future.set_result(outcome.positions[index])
-        self._reclaim_when_crowded()
+        self._reclaim_if_needed()
 
-    def _reclaim_when_crowded(self) -> None:
+    def _reclaim_if_needed(self) -> None:
         if self._rewriter is None or self._reclaiming is not None or not self._wants_reclaim:
             return
         self._reclaiming = asyncio.get_running_loop().create_task(self._reclaim(self._rewriter))
 
     @property
     def _wants_reclaim(self) -> bool:
-        return self._full or self._ring.crowded
+        return self._ring_full or self._ring.crowded
 
     async def _reclaim(self, rewriter: Rewriter) -> None:
-        """Empty the oldest segments until there is room again, each at most once."""
+        """Empty the oldest segments until there is capacity again, each at most once."""
         try:
             newest = max(self._ring.numbers, default=0)
             while self._wants_reclaim and not self._stopping:
@@ -296,11 +304,11 @@
             logger.warning("event=reclaim_failed detail=%r", error.detail)
         finally:
             self._reclaiming = None
-            if self._full and not self._stopping:
-                asyncio.get_running_loop().call_later(HEAL_EVERY_S, self._reclaim_when_crowded)
+            if self._ring_full and not self._stopping:
+                asyncio.get_running_loop().call_later(HEAL_INTERVAL_S, self._reclaim_if_needed)
 
     async def _release(self, number: int) -> None:
-        """Have the writer's thread release a segment, and wait for it."""
+        """Let the writer's thread release a segment, and wait for it."""
         released = asyncio.get_running_loop().create_future()
         with self._condition:
             self._releases.append(_Release(number, released))
--- a/emberring/journal/ring.py
+++ b/emberring/journal/ring.py
@@ -1,10 +1,9 @@
-"""The ring of files under a journal: records go to the newest segment, the oldest is released and its file used again.
+"""Ring of files under a journal: records go to the newest segment, the oldest one's file is reused.
 
 Every call blocks on the disk. One thread at a time may write; `read` may run beside it.
-
-Order on disk: a segment is whole and synced before the header of the next is written, and that header tells where
-the one before ends. Files are used again in the order in which their segments were released, so that the segments
-found at a start always follow one another without a gap.
+Order on disk: a segment is complete and synced before the header of the next is written, and that header
+tells where the previous one ends. Files are reused in the order in which their segments were released, so
+that the segments found at a start always follow one another without a gap.
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 
 import attrs
 
-from emberring.errors import CorruptRecordError, DiskFailedError
+from emberring.errors import CorruptRecordError, DiskFailedError, InternalError
 from emberring.journal.folder import File, Folder
 from emberring.journal.layout import (
     RECORD_HEADER_BYTES,
@@ -29,38 +28,39 @@
 )
 
 NAME_PREFIX = "ring-"
-RESERVED_SEGMENTS = 2  # kept for what a reclaim writes anew
-HEALING_SEGMENTS = 1  # beyond the most that is used otherwise, to leave a segment that the disk refused
+RESERVED_SEGMENTS = 2  # reserved for what a reclaim appends again
+EXTRA_HEALING_SEGMENTS = 1  # beyond `max_bytes`, to leave a segment at which the disk failed
 ERASE_BYTES = 1024 * 1024  # written at once
 
 
 @attrs.define(eq=False)
-class _Slot:
-    """A file of the ring and the length it has, in bytes."""
+class _SegmentFile:
+    """A file of the ring and its length in bytes."""
 
     file: File
     size: int
 
 
 @attrs.define
-class _Tail:
-    """The newest segment: where its next record goes, and what that links to."""
+class _NewestSegment:
+    """The newest segment: where its next record goes, and what that record links to."""
 
     number: int
-    slot: _Slot
+    segment_file: _SegmentFile
     end: int
     link: int
 
 
 def record_bytes(payload: bytes) -> int:
-    """What a payload takes up on disk."""
+    """Return how many bytes a payload takes up on disk."""
     return RECORD_HEADER_BYTES + len(payload)
 
 
 class Ring:
-    """The segments in use, the files that are free, and the end of the newest segment. Sizes are in bytes.
+    """The segments in use, the free files, and the end of the newest segment. Sizes are in bytes.
 
-    The oldest segment is to be reclaimed while more than `reclaim_above` is in use, by default all but a reserve.
+    The oldest segment is to be reclaimed while more than `reclaim_above` is in use, by default all but a
+    reserve. `nonce` marks the records of this start.
     """
 
     def __init__(
@@ -72,18 +72,21 @@
         reserve = self._max_bytes - RESERVED_SEGMENTS * segment_bytes
         self._reclaim_above = reserve if reclaim_above is None else min(reserve, reclaim_above)
         self._nonce = nonce
-        self._used: dict[int, _Slot] = {}
-        self._free: deque[_Slot] = deque()
+        self._segment_files: dict[int, _SegmentFile] = {}
+        self._free_files: deque[_SegmentFile] = deque()
         self._files: list[File] = []
-        self._names = 0
-        self._tail: _Tail | None = None
-        self._broken = False
+        self._next_file_number = 0
+        self._newest: _NewestSegment | None = None
+        self._failed = False
 
     @classmethod
     def open(
         cls, folder: Folder, segment_bytes: int, max_bytes: int, nonce: int, reclaim_above: int | None = None
     ) -> tuple[Ring, list[Record]]:
-        """The ring in this folder with all its records in order; `CorruptRecordError` where synced ones are damaged."""
+        """Open the ring in this folder; return it and all its records in order.
+
+        `CorruptRecordError` where synced records are damaged.
+        """
         ring = cls(folder, segment_bytes, max_bytes, nonce, reclaim_above)
         try:
             return ring, ring._recover()
@@ -92,54 +95,55 @@
             raise
 
     def _recover(self) -> list[Record]:
-        found: list[tuple[SegmentHeader, _Slot]] = []
+        found: list[tuple[SegmentHeader, _SegmentFile]] = []
         for name in self._folder.names():
             if not name.startswith(NAME_PREFIX):
                 continue
-            self._names = max(self._names, int(name[len(NAME_PREFIX) :]) + 1)
+            self._next_file_number = max(self._next_file_number, int(name[len(NAME_PREFIX) :]) + 1)
             file = self._folder.open(name)
             self._files.append(file)
-            slot = _Slot(file, file.size())
+            segment_file = _SegmentFile(file, file.size())
             header = decode_segment_header(file.read(0, SEGMENT_HEADER_BYTES))
             if header is None:
-                self._free.append(slot)
+                self._free_files.append(segment_file)
             else:
-                found.append((header, slot))
+                found.append((header, segment_file))
         found.sort(key=lambda item: item[0].number)
         return self._read_segments(found)
 
-    def _read_segments(self, found: list[tuple[SegmentHeader, _Slot]]) -> list[Record]:
+    def _read_segments(self, found: list[tuple[SegmentHeader, _SegmentFile]]) -> list[Record]:
         records: list[Record] = []
-        for index, (header, slot) in enumerate(found):
+        for index, (header, segment_file) in enumerate(found):
             following = found[index + 1][0] if index + 1 < len(found) else None
             if following is not None and following.number != header.number + 1:
                 raise CorruptRecordError(f"segment {header.number + 1} is missing")
             limit = None if following is None else following.previous_end
-            scan = scan_segment(header, slot.file.read(0, slot.size), limit)
+            scan = scan_segment(header, segment_file.file.read(0, segment_file.size), limit)
             if limit is not None and scan.end != limit:
                 raise CorruptRecordError(f"segment {header.number} ends at {scan.end}, not {limit}")
             records.extend(scan.records)
-            self._used[header.number] = slot
+            self._segment_files[header.number] = segment_file
             if following is None:
-                slot.file.sync()  # what a killed process left unsynced counts from here on, so it must last
-                self._tail = _Tail(header.number, slot, scan.end, scan.link)
+                # What a killed process left unsynced counts from here on, so it must be durable.
+                segment_file.file.sync()
+                self._newest = _NewestSegment(header.number, segment_file, scan.end, scan.link)
         return records
 
     @property
     def oldest(self) -> int | None:
         """The oldest segment that may be released, or None while there is but the newest."""
-        numbers = tuple(self._used)  # copied in one step: the writer's thread may add one meanwhile
+        numbers = tuple(self._segment_files)  # copied in one step: the writer's thread may add one meanwhile
         return min(numbers) if len(numbers) > 1 else None
 
     @property
     def numbers(self) -> tuple[int, ...]:
         """The segments in use."""
-        return tuple(self._used)
+        return tuple(self._segment_files)
 
     @property
     def used_bytes(self) -> int:
-        """The files of all segments in use together."""
-        return sum(slot.size for slot in tuple(self._used.values()))
+        """The size of the files of all segments in use."""
+        return sum(segment_file.size for segment_file in tuple(self._segment_files.values()))
 
     @property
     def crowded(self) -> bool:
@@ -147,62 +151,62 @@
         return self.used_bytes > self._reclaim_above
 
     def release(self, number: int) -> None:
-        """The records of the oldest segment are needed no longer; its file may be used again."""
+        """Release the oldest segment, whose records are not needed any more: its file may be reused."""
         if number != self.oldest:
             raise ValueError(f"segment {number} is not the oldest")
-        self._free.append(self._used.pop(number))
+        self._free_files.append(self._segment_files.pop(number))
 
     def commit(self, payloads: Sequence[bytes], reclaiming: bool = False) -> list[Position]:
-        """Write records and sync them; returns the positions of those that the ring had room for, the first ones.
+        """Write records and sync them; return the positions of those that fit, which are the first ones.
 
-        On `DiskFailedError` a start may find the first few of them or none, and `heal` must come before the next
-        commit.
+        After a `DiskFailedError` a start may find the first few of them or none, and `heal` must come
+        before the next commit.
         """
-        if self._broken:
+        if self._failed:
             raise DiskFailedError("the ring has not healed")
         positions: list[Position] = []
-        left = deque(payloads)
+        remaining = deque(payloads)
         try:
-            while left and self._make_room(record_bytes(left[0]), reclaiming):
-                positions += self._write_run(left)
+            while remaining and self._ensure_capacity(record_bytes(remaining[0]), reclaiming):
+                positions += self._write_run(remaining)
         except OSError as error:
-            self._broken = True
+            self._failed = True
             raise DiskFailedError(f"{type(error).__name__}: {error}") from error
         return positions
 
     def heal(self) -> None:
-        """After a failure: leave the newest segment at its last good record and begin another one.
+        """Recover after a failure: leave the newest segment at its last valid record and begin another one.
 
-        Where the ring is too full for another one, what lies behind the last good record is erased instead.
-        `DiskFailedError` where the disk still refuses.
+        Where the ring is too full for another one, what lies behind the last valid record is erased
+        instead. `DiskFailedError` where the disk still rejects writes.
         """
-        if not self._broken:
+        if not self._failed:
             return
         try:
-            # A new segment wherever there is room. If a header that failed to sync lasts all the same, it says
-            # where the newest segment ends, which must not grow on; and for that header there was room.
-            if self._has_room_to_heal:
-                self._roll(self._segment_bytes)
+            # A new segment wherever one fits. If a header that failed to sync is durable all the same, it says
+            # where the newest segment ends, which must not grow any more; and that segment did fit.
+            if self._may_begin_segment_to_heal:
+                self._begin_segment(self._segment_bytes)
             else:
-                self._erase_rest()
+                self._erase_after_newest()
         except OSError as error:
             raise DiskFailedError(f"{type(error).__name__}: {error}") from error
-        self._broken = False
+        self._failed = False
 
     def prepare_ahead(self) -> None:
-        """Make the file of the next segment while there is still room in this one. Failures show later."""
-        if self._free or self._tail is None or self._tail.end * 2 < self._tail.slot.size:
+        """Create the next segment's file while there is still capacity in this one. Failures show later."""
+        if self._free_files or self._newest is None or self._newest.end * 2 < self._newest.segment_file.size:
             return
         if self.used_bytes + self._segment_bytes <= self._max_bytes:
-            self._free.append(self._create(self._segment_bytes))
+            self._free_files.append(self._create(self._segment_bytes))
 
     def read(self, position: Position) -> bytes:
-        """The payload at this position; `CorruptRecordError` where it is not there (any more)."""
-        slot = self._used.get(position.segment)
-        if slot is None:
+        """Return the payload at this position; `CorruptRecordError` where it is not there (any more)."""
+        segment_file = self._segment_files.get(position.segment)
+        if segment_file is None:
             raise CorruptRecordError(f"segment {position.segment} is not in use")
         try:
-            data = slot.file.read(position.offset, RECORD_HEADER_BYTES + position.length)
+            data = segment_file.file.read(position.offset, RECORD_HEADER_BYTES + position.length)
         except OSError as error:
             raise DiskFailedError(f"{type(error).__name__}: {error}") from error
         payload = verify_record(position, data)
@@ -211,78 +215,82 @@
         return payload
 
     def close(self) -> None:
-        """Let go of all files."""
+        """Close all files."""
         for file in self._files:
             file.close()
 
-    def _make_room(self, needed: int, reclaiming: bool) -> bool:
-        """Whether the newest segment has, or a new one was begun with, room for so many bytes."""
-        if self._tail is not None and self._tail.end + needed <= self._tail.slot.size:
+    def _ensure_capacity(self, needed: int, reclaiming: bool) -> bool:
+        """Whether `needed` bytes fit into the newest segment or into a new one, which is begun for them."""
+        if self._newest is not None and self._newest.end + needed <= self._newest.segment_file.size:
             return True
         size = max(self._segment_bytes, SEGMENT_HEADER_BYTES + needed)
-        if not self._has_room(size, reclaiming):
+        if not self._fits(size, reclaiming):
             return False
-        self._roll(size)
+        self._begin_segment(size)
         return True
 
-    def _has_room(self, size: int, reclaiming: bool) -> bool:
-        room = self._max_bytes if reclaiming else self._max_bytes - self._segment_bytes
-        return not self._used or self.used_bytes + size <= room
+    def _fits(self, size: int, reclaiming: bool) -> bool:
+        limit_bytes = self._max_bytes if reclaiming else self._max_bytes - self._segment_bytes
+        return not self._segment_files or self.used_bytes + size <= limit_bytes
 
     @property
-    def _has_room_to_heal(self) -> bool:
-        room = self._max_bytes + HEALING_SEGMENTS * self._segment_bytes
-        return not self._used or self.used_bytes + self._segment_bytes <= room
-
-    def _erase_rest(self) -> None:
-        """Zeros from the end of the newest segment's last good record on, so that nothing behind it comes back."""
-        assert self._tail is not None
-        slot = self._tail.slot
-        for offset in range(self._tail.end, slot.size, ERASE_BYTES):
-            slot.file.write(offset, bytes(min(ERASE_BYTES, slot.size - offset)))
-        slot.file.sync()
-
-    def _write_run(self, left: deque[bytes]) -> list[Position]:
+    def _may_begin_segment_to_heal(self) -> bool:
+        limit_bytes = self._max_bytes + EXTRA_HEALING_SEGMENTS * self._segment_bytes
+        return not self._segment_files or self.used_bytes + self._segment_bytes <= limit_bytes
+
+    def _erase_after_newest(self) -> None:
+        """Write zeros behind the newest segment's last valid record, so that nothing behind it reappears."""
+        newest = self._require_newest()
+        segment_file = newest.segment_file
+        for offset in range(newest.end, segment_file.size, ERASE_BYTES):
+            segment_file.file.write(offset, bytes(min(ERASE_BYTES, segment_file.size - offset)))
+        segment_file.file.sync()
+
+    def _write_run(self, remaining: deque[bytes]) -> list[Position]:
         """Write as many records as fit into the newest segment, at once, and sync them."""
-        assert self._tail is not None
-        tail = self._tail
+        newest = self._require_newest()
         positions: list[Position] = []
-        parts: list[bytes] = []
-        end, link = tail.end, tail.link
-        while left and end + record_bytes(left[0]) <= tail.slot.size:
-            payload = left.popleft()
-            position = Position(tail.number, end, len(payload))
+        chunks: list[bytes] = []
+        end, link = newest.end, newest.link
+        while remaining and end + record_bytes(remaining[0]) <= newest.segment_file.size:
+            payload = remaining.popleft()
+            position = Position(newest.number, end, len(payload))
             data, link = encode_record(position, self._nonce, link, payload)
-            parts.append(data)
+            chunks.append(data)
             positions.append(position)
             end += len(data)
-        tail.slot.file.write(tail.end, b"".join(parts))
-        tail.slot.file.sync()
-        tail.end, tail.link = end, link
+        newest.segment_file.file.write(newest.end, b"".join(chunks))
+        newest.segment_file.file.sync()
+        newest.end, newest.link = end, link
         return positions
 
-    def _roll(self, size: int) -> None:
+    def _require_newest(self) -> _NewestSegment:
+        if self._newest is None:
+            raise InternalError("the ring has no segment")
+        return self._newest
+
+    def _begin_segment(self, size: int) -> None:
         """Begin a new segment of this size."""
-        if not self._free:
-            self._free.append(self._create(size))
-        slot = self._free[0]
-        # Never cut shorter. Until the new header lasts, a start reads the file as it was.
-        if slot.size < size:
-            slot.file.resize(size)
-            slot.size = size
-        number, previous_end = (0, 0) if self._tail is None else (self._tail.number + 1, self._tail.end)
+        if not self._free_files:
+            self._free_files.append(self._create(size))
+        segment_file = self._free_files[0]
+        # Never truncate it: until the new header is durable, a start reads the file as it was.
+        if segment_file.size < size:
+            segment_file.file.resize(size)
+            segment_file.size = size
+        number, previous_end = (0, 0) if self._newest is None else (self._newest.number + 1, self._newest.end)
         header = SegmentHeader(number, previous_end, self._nonce)
-        slot.file.write(0, header.encode())
-        slot.file.sync()
-        self._free.popleft()
-        self._used[number] = slot
-        self._tail = _Tail(number, slot, SEGMENT_HEADER_BYTES, header.link)
-
-    def _create(self, size: int) -> _Slot:
-        file = self._folder.create(f"{NAME_PREFIX}{self._names:06d}")
-        self._names += 1
+        segment_file.file.write(0, header.encode())
+        segment_file.file.sync()
+        self._free_files.popleft()
+        self._segment_files[number] = segment_file
+        self._newest = _NewestSegment(number, segment_file, SEGMENT_HEADER_BYTES, header.link)
+
+    def _create(self, size: int) -> _SegmentFile:
+        file = self._folder.create(f"{NAME_PREFIX}{self._next_file_number:06d}")
+        self._next_file_number += 1
         self._files.append(file)
         file.resize(size)
         file.sync()
         self._folder.sync()
-        return _Slot(file, size)
+        return _SegmentFile(file, size)
--- a/emberring/journal/scan.py
+++ b/emberring/journal/scan.py
@@ -1,4 +1,4 @@
-"""Reads a journal's folder without changing it and says what it holds and what is damaged. Blocks on the disk."""
+"""Read-only scan of a journal's folder: what it holds and what is damaged. Blocks on the disk."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 
 @attrs.frozen
-class SegmentSurvey:
-    """A segment in use: its file, its number, how many records are whole and where they end (bytes)."""
+class SegmentScan:
+    """A segment in use: file, number, count of valid records, where they end and its size (bytes)."""
 
     file: str
     number: int
@@ -31,23 +31,25 @@
 
 @attrs.frozen
 class JournalScan:
-    """All segments in order, their records, the files that are free, and one line for each damage."""
+    """All segments in order, their records, the number of free files, and one line for each damage."""
 
-    segments: tuple[SegmentSurvey, ...]
+    segments: tuple[SegmentScan, ...]
     records: tuple[Record, ...]
     free_files: int
     damages: tuple[str, ...]
 
     @property
     def used_bytes(self) -> int:
-        """The bytes of whole records and headers."""
+        """The bytes of valid records and headers."""
         return sum(segment.end for segment in self.segments)
 
 
 def scan_journal(directory: Path) -> JournalScan:
-    """The survey of a folder; `OSError` where it can't be read.
+    """Scan a journal's folder; `OSError` where it can't be read.
 
-    A last segment that ends in bytes which are no record is in order: a process or machine ended while it wrote."""
+    A last segment that ends in bytes which are no record is in order: a process or machine stopped while
+    it wrote.
+    """
     damages: list[str] = []
     found: list[tuple[SegmentHeader, str, bytes]] = []
     free_files = 0
@@ -65,14 +67,14 @@
             other = f"has format version {version}, not {FORMAT_VERSION}"
             damages.append(f"{path.name}: {other if version != FORMAT_VERSION else 'its header is damaged'}")
     found.sort(key=lambda item: item[0].number)
-    segments, records = _read(found, damages)
+    segments, records = _scan_segments(found, damages)
     return JournalScan(tuple(segments), tuple(records), free_files, tuple(damages))
 
 
-def _read(
+def _scan_segments(
     found: list[tuple[SegmentHeader, str, bytes]], damages: list[str]
-) -> tuple[list[SegmentSurvey], list[Record]]:
-    segments: list[SegmentSurvey] = []
+) -> tuple[list[SegmentScan], list[Record]]:
+    segments: list[SegmentScan] = []
     records: list[Record] = []
     for index, (header, name, data) in enumerate(found):
         following = found[index + 1][0] if index + 1 < len(found) else None
@@ -85,6 +87,6 @@
         if limit is not None and scan.end != limit:
             lost = max(0, limit - scan.end)
             damages.append(f"{name} (segment {header.number}): {lost} bytes from {scan.end} on are damaged")
-        segments.append(SegmentSurvey(name, header.number, len(scan.records), scan.end, len(data)))
+        segments.append(SegmentScan(name, header.number, len(scan.records), scan.end, len(data)))
         records += scan.records
     return segments, records
--- a/tests/emberring/journal/test_tier_journal.py
+++ b/tests/emberring/journal/test_tier_journal.py
@@ -144,7 +144,7 @@
 
 
 def test_a_rewriter_that_cannot_now_is_asked_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "HEAL_EVERY_S", 0.001)
+    monkeypatch.setattr(module, "HEAL_INTERVAL_S", 0.001)
     asked: list[int] = []
 
     async def run() -> None:
@@ -164,7 +164,7 @@
 
 
 def test_a_refusing_disk_fails_appends_until_it_takes_writes_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "HEAL_EVERY_S", 0.001)
+    monkeypatch.setattr(module, "HEAL_INTERVAL_S", 0.001)
     folder = SimulatedFolder()
 
     async def run() -> None:
