--- a/emberring/simulation/jobs/client.py
+++ b/emberring/simulation/jobs/client.py
@@ -12,7 +12,7 @@
 from emberring.jobs.packing import compress
 from emberring.jobs.results import page_json
 from emberring.simulation.jobs.gateway import GatewayMachine
-from emberring.simulation.jobs.history import History, ItemTruth, JobTruth, Try
+from emberring.simulation.jobs.history import History, ItemRecord, JobRecord, SubmissionOutcome
 from emberring.simulation.jobs.store import is_error
 from emberring.simulation.jobs.world import World
 
@@ -21,72 +21,74 @@
 MAX_ATTEMPTS = 2
 RETENTION_S = 60.0
 TERMS = JobTerms("r-lots", "/batch/", 1, 4000.0, RETENTION_S, MAX_ATTEMPTS, MAX_TOKENS)
-MOST_TRIES = 5
+MAX_ATTEMPTS_TO_SUBMIT = 5
 
 
 class Clients:
-    """All clients. `on_taken` is told of each 202."""
+    """All clients. `on_submitted` is told of each 202."""
 
     def __init__(self, world: World, history: History, gateways: list[GatewayMachine]) -> None:
         self.world = world
         self.history = history
         self.gateways = gateways
-        self.on_taken: Callable[[], None] = lambda: None
-        self.on_shown: Callable[[], None] = lambda: None
+        self.on_submitted: Callable[[], None] = lambda: None
+        self.on_result_read: Callable[[], None] = lambda: None
         self.ending = False
 
-    def hand_in(self) -> None:
+    def submit_job(self) -> None:
         """A new batch job."""
         rng = self.world.rng
         job_id = f"lot{len(self.history.jobs)}"
         items = {
-            f"{job_id}-{number}": ItemTruth(rng.randint(5, 15), rng.randint(1, 5), rng.random() < 0.04)
+            f"{job_id}-{number}": ItemRecord(rng.randint(5, 15), rng.randint(1, 5), rng.random() < 0.04)
             for number in range(rng.randint(1, 12))
         }
-        job = JobTruth(job_id, items, self.world.now_s)
-        self.history.sent(self.world.now_s, job)
+        job = JobRecord(job_id, items, self.world.now_s)
+        self.history.submitted(self.world.now_s, job)
         listed = [
             {"Id": name, "Path": "/batch/x", "Headers": {}, "Body": "", "Tokens": item.tokens}
             for name, item in items.items()
         ]
-        self._try(job, SubmitJob(HOST, job_id, TERMS, compress(orjson.dumps({"Requests": listed}))))
+        self._attempt_submission(
+            job, SubmitJob(HOST, job_id, TERMS, compress(orjson.dumps({"Requests": listed})))
+        )
 
     def _gateway(self) -> GatewayMachine:
         running = [gateway for gateway in self.gateways if gateway.running] or self.gateways
         return self.world.rng.choice(running)
 
-    def _try(self, job: JobTruth, message: SubmitJob) -> None:
+    def _attempt_submission(self, job: JobRecord, message: SubmitJob) -> None:
         gateway = self._gateway()
         over = [False]
 
-        def done(how: Try) -> None:
+        def done(how: SubmissionOutcome) -> None:
             if over[0]:
                 return
             over[0] = True
-            self.history.tried(self.world.now_s, job, how)
-            if how is Try.TAKEN:
-                self.on_taken()
+            self.history.submission_attempted(self.world.now_s, job, how)
+            if how is SubmissionOutcome.TAKEN:
+                self.on_submitted()
                 self._follow(job)
-            elif len(job.tries) < MOST_TRIES and not self.ending:
-                self.world.after(0.1 + self.world.rng.random() * 0.5, self._try, job, message)
+            elif len(job.attempts) < MAX_ATTEMPTS_TO_SUBMIT and not self.ending:
+                self.world.after(0.1 + self.world.rng.random() * 0.5, self._attempt_submission, job, message)
 
-        self.world.after(3.5, done, Try.UNCLEAR)  # the gateway died or froze
+        self.world.after(3.5, done, SubmissionOutcome.UNCLEAR)  # the gateway died or froze
         gateway.when_awake(gateway.incarnation, gateway.submit, message, done)
 
-    def _follow(self, job: JobTruth) -> None:
+    def _follow(self, job: JobRecord) -> None:
         self.world.after(0.2, self._read_on, job)
         if self.world.rng.random() < 0.2:
             self.world.after(self.world.rng.random() * 2.0, self._end, job)
 
-    def _read_on(self, job: JobTruth) -> None:
-        whole = len(job.visible) == len(job.items)
+    def _read_on(self, job: JobRecord) -> None:
+        complete = len(job.visible) == len(job.items)
         back = self.world.rng.random() < 0.2
-        start = self.world.rng.randint(0, len(job.visible)) if back or whole else len(job.visible)
+        start = self.world.rng.randint(0, len(job.visible)) if back or complete else len(job.visible)
         self.read(job, start, 400)
         if not self.ending:
             self.world.after(0.3 + self.world.rng.random() * 0.5, self._read_on, job)
 
-    def read(self, job: JobTruth, start: int, wait_ms: int) -> None:
+    def read(self, job: JobRecord, start: int, wait_ms: int) -> None:
         """Read a page; what was listed when the question left must be in the answer."""
         gateway, asked_s = self._gateway(), self.world.now_s
         known = dict(job.visible)
@@ -97,15 +99,15 @@
             elif isinstance(body, JobPage) and (start in known or body.results):
                 self.history.read(self.world.now_s, job, start, page_json(body))
                 if len(job.visible) > len(known):
-                    self.on_shown()
+                    self.on_result_read()
 
         message = ReadJob(HOST, job.id, start, wait_ms)
         limit_s = wait_ms / 1000 + 1.1
         gateway.when_awake(gateway.incarnation, gateway.ask, message, limit_s, wait_ms / 1000 + 0.8, done)
 
-    def _end(self, job: JobTruth) -> None:
-        if job.end_asked_s is None:
-            job.end_asked_s = self.world.now_s
+    def _end(self, job: JobRecord) -> None:
+        if job.end_requested_s is None:
+            job.end_requested_s = self.world.now_s
         gateway = self._gateway()
         over = [False]
 
@@ -116,8 +118,8 @@
             if isinstance(body, NotFoundError):
                 self.history.not_found(self.world.now_s, job, self.world.now_s)
             elif body is not None and not is_error(body):
-                if job.end_acked_s is None:
-                    job.end_acked_s = self.world.now_s
+                if job.end_acknowledged_s is None:
+                    job.end_acknowledged_s = self.world.now_s
             else:
                 self.world.after(0.3, self._end, job)
 
--- a/emberring/simulation/jobs/gateway.py
+++ b/emberring/simulation/jobs/gateway.py
@@ -26,7 +26,7 @@
 )
 from emberring.jobs.items import OutcomeKind
 from emberring.jobs.packing import pack_events, unpack_events
-from emberring.simulation.jobs.history import History, Try
+from emberring.simulation.jobs.history import History, SubmissionOutcome
 from emberring.simulation.jobs.store import StoreMachine, is_error
 from emberring.simulation.jobs.world import World
 
@@ -39,7 +39,7 @@
 DELIVERY_TIMEOUT_S = 12.0
 RETRY_PAUSE_S = 0.05
 
-Done = Callable[[Any], None]
+Callback = Callable[[Any], None]
 
 
 @attrs.define(eq=False)
@@ -65,9 +65,9 @@
         self.shard = shard
         self.stores = stores
         self.running = True
-        self.thaw_at_s = 0.0
+        self.frozen_until_s = 0.0
         self.incarnation = 0
-        self.guess = ""
+        self.assumed_owner = ""
         self.runs: dict[int, _Run] = {}
         self._loop(self.incarnation, POLL_S, self._poll)
         self._loop(self.incarnation, REPORT_INTERVAL_S, self._report)
@@ -88,7 +88,7 @@
     def _loop(self, incarnation: int, every_s: float, work: Callable[[], None]) -> None:
         if incarnation != self.incarnation or not self.running:
             return
-        if self.world.now_s >= self.thaw_at_s:
+        if self.world.now_s >= self.frozen_until_s:
             work()
         self.world.after(every_s, self._loop, incarnation, every_s, work)
 
@@ -96,19 +96,19 @@
         """Do this in that life, once it is not frozen."""
         if incarnation != self.incarnation or not self.running:
             return
-        if self.world.now_s < self.thaw_at_s:
-            self.world.at(self.thaw_at_s, self.when_awake, incarnation, work, *arguments)
+        if self.world.now_s < self.frozen_until_s:
+            self.world.at(self.frozen_until_s, self.when_awake, incarnation, work, *arguments)
         else:
             work(*arguments)
 
     # Calls to the owner.
 
-    def call(self, question: Any, wait_s: float, done: Done) -> None:
+    def call(self, request: Any, wait_s: float, done: Callback) -> None:
         """One attempt at the store that may own the shard; `done` gets the answer, an error, or None."""
         names = list(self.stores)
-        if self.guess not in self.stores or self.world.rng.random() < 0.05:
-            self.guess = self.world.rng.choice(names)
-        asked, incarnation = self.guess, self.incarnation
+        if self.assumed_owner not in self.stores or self.world.rng.random() < 0.05:
+            self.assumed_owner = self.world.rng.choice(names)
+        asked, incarnation = self.assumed_owner, self.incarnation
         open_call = [True]
 
         def finish(body: Any) -> None:
@@ -116,7 +116,7 @@
                 return
             open_call[0] = False
             if is_error(body) and not isinstance(body, NotFoundError | QuotaExceededError):
-                self.guess = self.world.rng.choice(names)
+                self.assumed_owner = self.world.rng.choice(names)
             self.when_awake(incarnation, done, body)
 
         self.world.after(wait_s, finish, None)
@@ -124,9 +124,9 @@
         if not store.running and self.world.reach(self.name, asked):
             self.world.after(0.001, finish, PeerUnavailableError())
             return
-        self.world.send(self.name, asked, store.ask, self.name, question, finish)
+        self.world.send(self.name, asked, store.ask, self.name, request, finish)
 
-    def ask(self, question: Any, limit_s: float, wait_s: float, done: Callable[[Any, bool], None]) -> None:
+    def ask(self, request: Any, limit_s: float, wait_s: float, done: Callable[[Any, bool], None]) -> None:
         """Ask until the owner answers or time is up: the answer (None for none), and whether it is in doubt."""
         until_s = self.world.now_s + limit_s
         outcome_unknown = [False]
@@ -149,22 +149,26 @@
                 self.world.after(RETRY_PAUSE_S, self.when_awake, self.incarnation, attempt)
 
         def attempt() -> None:
-            self.call(question, min(wait_s, max(0.01, until_s - self.world.now_s)), answered)
+            self.call(request, min(wait_s, max(0.01, until_s - self.world.now_s)), answered)
 
         attempt()
 
-    def submit(self, question: Any, done: Callable[[Try], None]) -> None:
+    def submit(self, request: Any, done: Callable[[SubmissionOutcome], None]) -> None:
         """A client submits a batch job."""
 
         def answered(body: Any, outcome_unknown: bool) -> None:
             if body is not None and not is_error(body):
-                done(Try.TAKEN)
+                done(SubmissionOutcome.TAKEN)
             elif outcome_unknown:
-                done(Try.UNCLEAR)
+                done(SubmissionOutcome.UNCLEAR)
             else:
-                done(Try.QUOTA if isinstance(body, QuotaExceededError) else Try.NOT_READY)
+                done(
+                    SubmissionOutcome.QUOTA
+                    if isinstance(body, QuotaExceededError)
+                    else SubmissionOutcome.NOT_READY
+                )
 
-        self.ask(question, 2.6, CALL_TIMEOUT_S, answered)
+        self.ask(request, 2.6, CALL_TIMEOUT_S, answered)
 
     # Items.
 
--- a/emberring/simulation/jobs/mutations.py
+++ b/emberring/simulation/jobs/mutations.py
@@ -1,4 +1,4 @@
-"""Known mutations to seed into the simulated stores, so that the checks can be shown to find them."""
+"""Known faults to seed into the simulated stores, which show that the checks find them."""
 
 from __future__ import annotations
 
@@ -17,12 +17,15 @@
 
 
 @attrs.frozen
-class Bugs:
-    """`tokenless`: replicas take writes and lease renewals of any term. `shows_early`: results are shown
-    before they last.
-    `unsynced`: replicas confirm before the disk has. `keeps_identity`: a lost disk's identity lives on.
-    `doubles`: a new owner keeps one item at two positions. `single_quorum`: a change of the group needs the next
-    members alone. `endless_lease`: an owner trusts its lease for ever."""
+class Mutations:
+    """Seeded mutations.
+
+    `tokenless`: replicas accept writes and lease renewals of any term. `shows_early`: results are shown
+    before they are committed. `unsynced`: replicas confirm before the disk has synced. `keeps_identity`:
+    a lost disk's identity is used again. `doubles`: a new owner keeps one item at two positions.
+    `single_quorum`: a change of the group needs a quorum of the next members alone. `endless_lease`: an
+    owner's lease never expires.
+    """
 
     tokenless: bool = False
     shows_early: bool = False
@@ -34,7 +37,7 @@
 
 
 class _TokenlessReplica(Replica):
-    """Whoever writes or lease renewals is believed, whatever was promised."""
+    """Accepts every write and lease renewal, whatever was promised."""
 
     def _on_write(self, now_s: float, call: int, message: WriteSlots) -> list[ReplicaAction]:
         promised, self.promised = self.promised, NO_TERM
@@ -51,14 +54,14 @@
         return super().serving(now_s) or (self._announced and self.group is not None)
 
 
-def make_replica(bugs: Bugs, shard: int) -> Replica:
-    """A replica, with its mutation if it has one."""
-    return _TokenlessReplica(shard) if bugs.tokenless else Replica(shard)
+def make_replica(mutations: Mutations, shard: int) -> Replica:
+    """Return a replica, with its mutation if it has one."""
+    return _TokenlessReplica(shard) if mutations.tokenless else Replica(shard)
 
 
-def make_owner(bugs: Bugs, me: str, replica: Replica, seed: int) -> ShardOwner:
-    """An owner, with its mutation if it has one."""
-    return _EndlessOwner(me, replica, seed) if bugs.endless_lease else ShardOwner(me, replica, seed)
+def make_owner(mutations: Mutations, me: str, replica: Replica, seed: int) -> ShardOwner:
+    """Return an owner, with its mutation if it has one."""
+    return _EndlessOwner(me, replica, seed) if mutations.endless_lease else ShardOwner(me, replica, seed)
 
 
 def _quorum_of_the_next(group: Group, identities: set[str]) -> bool:
@@ -67,12 +70,12 @@
 
 
 @contextlib.contextmanager
-def seeded(bugs: Bugs) -> Iterator[None]:
-    """The mutations that sit in functions, for as long as this lasts."""
+def seeded(mutations: Mutations) -> Iterator[None]:
+    """Patch the mutations of functions within this context."""
     with contextlib.ExitStack() as stack:
-        if bugs.doubles:
+        if mutations.doubles:
             stack.enter_context(mock.patch.object(owner_recovery, "duplicate_positions", return_value=set()))
-        if bugs.single_quorum:
+        if mutations.single_quorum:
             for module in (merge, owner, replication):
                 stack.enter_context(mock.patch.object(module, "has_quorum", _quorum_of_the_next))
         yield
--- a/emberring/simulation/jobs/schedule.py
+++ b/emberring/simulation/jobs/schedule.py
@@ -1,4 +1,4 @@
-"""Schedules of troubles for the check of batch jobs, each made from a seed, and what came of one."""
+"""Fault schedules of the simulator of batch jobs, each made from a seed, and verdicts."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 from emberring.simulation.common.scheduled_step import ScheduledStep
 
-TROUBLE_S = 12.0
-MOST_TROUBLES = 7
-MAX_LISTED_JOBS = 30
+FAULT_PERIOD_S = 12.0
+MAX_FAULTS = 7
+MAX_JOBS = 30
 
 
-class Kind(Enum):
-    """What may happen."""
+class StepKind(Enum):
+    """Kind of a step: a submission or a fault."""
 
     JOB = "lot"
     KILL = "kill"
@@ -43,15 +43,15 @@
     GATEWAY_CUT = "gateway_cut"
 
 
-_TROUBLES = tuple(kind for kind in Kind if kind is not Kind.JOB)
+_FAULT_KINDS = tuple(kind for kind in StepKind if kind is not StepKind.JOB)
 
 
-Step = ScheduledStep[Kind]
+Step = ScheduledStep[StepKind]
 
 
 @attrs.frozen
 class Schedule:
-    """A seed, from which all chance in the world comes, and what happens."""
+    """A seed, from which all randomness in the world comes, and the steps."""
 
     seed: int
     stores: int
@@ -71,14 +71,14 @@
 
 
 def make_schedule(seed: int) -> Schedule:
-    """The schedule of a seed."""
+    """Return the schedule of a seed."""
     rng = random.Random(f"lots {seed}")
     steps = []
-    for _ in range(rng.randint(1, MOST_TROUBLES)):
-        kind = rng.choice(_TROUBLES)
+    for _ in range(rng.randint(1, MAX_FAULTS)):
+        kind = rng.choice(_FAULT_KINDS)
         steps.append(
-            Step(1.0 + rng.random() * TROUBLE_S, kind, rng.randrange(6), 0.1 + rng.random() ** 2 * 3.5)
+            Step(1.0 + rng.random() * FAULT_PERIOD_S, kind, rng.randrange(6), 0.1 + rng.random() ** 2 * 3.5)
         )
-    for _ in range(rng.randint(4, MAX_LISTED_JOBS)):
-        steps.append(Step(0.8 + rng.random() * TROUBLE_S, Kind.JOB))
+    for _ in range(rng.randint(4, MAX_JOBS)):
+        steps.append(Step(0.8 + rng.random() * FAULT_PERIOD_S, StepKind.JOB))
     return Schedule(seed, rng.choice((3, 3, 4)), tuple(sorted(steps, key=lambda step: step.at_s)))
--- a/emberring/simulation/jobs/store.py
+++ b/emberring/simulation/jobs/store.py
@@ -33,7 +33,7 @@
 from emberring.jobs.replica import REPLICA_LEASE_S, FailCall, PersistEntry, Replica, ReplicaAction, SendReply
 from emberring.jobs.replica_log import decode_entry, encode_entry
 from emberring.placement.model import Placement
-from emberring.simulation.jobs.mutations import Bugs, make_owner, make_replica
+from emberring.simulation.jobs.mutations import Mutations, make_owner, make_replica
 from emberring.simulation.jobs.world import World
 
 TICK_INTERVAL_S = 0.05
@@ -42,7 +42,7 @@
 DISK_STALL_TIMEOUT_S = 0.5
 SYNC_S = 0.001
 
-Done = Callable[[Any], None]
+Callback = Callable[[Any], None]
 
 
 @attrs.define(eq=False)
@@ -60,26 +60,26 @@
 class StoreMachine:
     """One machine with a disk, and the process on it while it runs. Calls and replies pass through the world."""
 
-    def __init__(self, world: World, shard: int, name: str, bugs: Bugs) -> None:
+    def __init__(self, world: World, shard: int, name: str, mutations: Mutations) -> None:
         self.world = world
         self.shard = shard
         self.name = name
-        self.bugs = bugs
+        self.mutations = mutations
         usual_s = SYNC_S * 40 ** world.rng.random()
         self.disk = Disk(self._new_identity(), sync_s=usual_s, usual_sync_s=usual_s)
         self.running = False
-        self.thaw_at_s = 0.0
+        self.frozen_until_s = 0.0
         self.leaving = False
         self.incarnation = 0
         self.placement: Placement | None = None
         self.machines: dict[str, StoreMachine] = {}
-        self.on_moved: Callable[[str, int, int], None] = lambda name, shard, epoch: None
-        self.on_shown: Callable[[str], None] = lambda key: None
+        self.on_migration_completed: Callable[[str, int, int], None] = lambda name, shard, epoch: None
+        self.on_result_read: Callable[[str], None] = lambda key: None
         self.replica: Replica
         self.owner: ShardOwner
         self.job_manager: JobManager
-        self._calls: dict[int, Done] = {}
-        self._job_manager_calls: dict[int, Done] = {}
+        self._calls: dict[int, Callback] = {}
+        self._job_manager_calls: dict[int, Callback] = {}
         self._number = 0
         self._syncing = False
 
@@ -103,14 +103,14 @@
         self.incarnation += 1
         self._calls, self._job_manager_calls, self._syncing = {}, {}, False
         now_s = self.world.now_s
-        self.replica = make_replica(self.bugs, self.shard)
+        self.replica = make_replica(self.mutations, self.shard)
         logged = [decode_entry(payload) for payload in self.disk.entries]
         for entry in logged:
             since_s = max(0.0, now_s - entry.clock_s)
             self.replica.apply(now_s - since_s, entry.entry, 0)
         self.replica.restored(now_s + REPLICA_LEASE_S)
         seed = self.world.rng.getrandbits(32)
-        self.owner = make_owner(self.bugs, self.identity, self.replica, seed)
+        self.owner = make_owner(self.mutations, self.identity, self.replica, seed)
         self.job_manager = JobManager(self.shard, self.owner.records, 30.0, seed)
         self.learn(self.placement)
         self._tick(self.incarnation)
@@ -133,7 +133,7 @@
     def wipe(self) -> None:
         """The disk is lost."""
         self.running = False
-        identity = self.identity if self.bugs.keeps_identity else self._new_identity()
+        identity = self.identity if self.mutations.keeps_identity else self._new_identity()
         usual_s = self.disk.usual_sync_s
         self.disk = Disk(identity, sync_s=usual_s, usual_sync_s=usual_s)
 
@@ -141,8 +141,8 @@
         """Do this in that life of the process, once it is not frozen."""
         if not self.running or incarnation != self.incarnation:
             return
-        if self.world.now_s < self.thaw_at_s:
-            self.world.at(self.thaw_at_s, self.when_awake, incarnation, work, *arguments)
+        if self.world.now_s < self.frozen_until_s:
+            self.world.at(self.frozen_until_s, self.when_awake, incarnation, work, *arguments)
             return
         work(*arguments)
 
@@ -151,7 +151,7 @@
     def _tick(self, incarnation: int) -> None:
         if not self.running or incarnation != self.incarnation:
             return
-        if self.world.now_s >= self.thaw_at_s:
+        if self.world.now_s >= self.frozen_until_s:
             now_s = self.world.now_s
             stalled = self.replica.oldest_pending_s(now_s) > DISK_STALL_TIMEOUT_S
             healthy = not (self.leaving or stalled or self.disk.refusing)
@@ -167,7 +167,7 @@
     def _renew_leases(self, incarnation: int) -> None:
         if not self.running or incarnation != self.incarnation:
             return
-        if self.world.now_s >= self.thaw_at_s and self.owner.group is not None:
+        if self.world.now_s >= self.frozen_until_s and self.owner.group is not None:
             for identity in self.owner.group.everyone:
                 leases = self.owner.leases(identity)
                 if leases:
@@ -175,7 +175,7 @@
                     self._call(identity, message, self._on_lease_renewal(identity, self.world.now_s))
         self.world.after(LEASE_RENEWAL_INTERVAL_S, self._renew_leases, incarnation)
 
-    def _on_lease_renewal(self, identity: str, sent_s: float) -> Done:
+    def _on_lease_renewal(self, identity: str, sent_s: float) -> Callback:
         def done(reply: Any) -> None:
             if isinstance(reply, RenewLeasesReply):
                 for answer in reply.answers:
@@ -196,7 +196,7 @@
 
     # Calls to replicas.
 
-    def _call(self, target: str, message: Any, done: Done) -> None:
+    def _call(self, target: str, message: Any, done: Callback) -> None:
         """Call the machine with this identity; `done` gets the reply, or None after a while."""
         incarnation = self.incarnation
         open_call = [True]
@@ -211,11 +211,11 @@
         if machine is not None:
             self.world.send(self.name, machine.name, machine.receive, self.name, message, finish)
 
-    def receive(self, origin: str, message: Any, finish: Done) -> None:
+    def receive(self, origin: str, message: Any, finish: Callback) -> None:
         """A call of another store came in."""
         self.when_awake(self.incarnation, self._receive, origin, message, finish)
 
-    def _receive(self, origin: str, message: Any, finish: Done) -> None:
+    def _receive(self, origin: str, message: Any, finish: Callback) -> None:
         def reply(body: Any) -> None:
             self.world.send(self.name, origin, finish, body)
 
@@ -245,7 +245,7 @@
             self.world.after(0.0, self.when_awake, self.incarnation, self._refused, action.token)
             return
         self.disk.pending.append((payload, action.token))
-        if self.bugs.unsynced:
+        if self.mutations.unsynced:
             self._act(self.replica.persisted(self.world.now_s, action.token, 0))
         if not self._syncing:
             self._syncing = True
@@ -263,7 +263,7 @@
         self._syncing = bool(self.disk.pending)
         if self.disk.pending:
             self.world.after(self.disk.sync_s, self._synced, incarnation, len(self.disk.pending))
-        if not self.bugs.unsynced:
+        if not self.mutations.unsynced:
             for _, token in done:
                 self.when_awake(incarnation, self._lasting, token)
 
@@ -285,9 +285,9 @@
             elif isinstance(action, OwnershipLost):
                 self.perform_job_manager(self.job_manager.on_ownership_lost())
             elif isinstance(action, MigrationCompleted):
-                self.on_moved(self.name, self.shard, action.epoch)
+                self.on_migration_completed(self.name, self.shard, action.epoch)
 
-    def _answered(self, ticket: int) -> Done:
+    def _answered(self, ticket: int) -> Callback:
         def done(reply: Any) -> None:
             now_s = self.world.now_s
             if reply is None:
@@ -305,7 +305,7 @@
             elif isinstance(action, RejectCall):
                 self._resolve(action.call, action.error)
             elif isinstance(action, ProposeValue):
-                if self.bugs.shows_early:
+                if self.mutations.shows_early:
                     self.perform_job_manager(
                         self.job_manager.on_committed(self.world.now_s, action.key, action.slot)
                     )
@@ -324,11 +324,11 @@
 
     # Calls of gateways.
 
-    def ask(self, origin: str, question: Any, finish: Done) -> None:
+    def ask(self, origin: str, request: Any, finish: Callback) -> None:
         """A gateway's call came in; `finish` gets the answer or an error."""
-        self.when_awake(self.incarnation, self._ask, origin, question, finish)
+        self.when_awake(self.incarnation, self._ask, origin, request, finish)
 
-    def _ask(self, origin: str, question: Any, finish: Done) -> None:
+    def _ask(self, origin: str, request: Any, finish: Callback) -> None:
         now_s = self.world.now_s
 
         def reply(body: Any) -> None:
@@ -336,36 +336,34 @@
 
         if not self.owner.serving(now_s):
             reply(NotOwnerError())
-        elif isinstance(question, LeaseItems):
+        elif isinstance(request, LeaseItems):
             reply(
-                LeaseItemsReply(
-                    tuple(self.job_manager.lease_items(now_s, question.gateway, question.capacity))
-                )
+                LeaseItemsReply(tuple(self.job_manager.lease_items(now_s, request.gateway, request.capacity)))
             )
-        elif isinstance(question, ReportRuns):
-            reply(self.job_manager.report_runs(now_s, question))
+        elif isinstance(request, ReportRuns):
+            reply(self.job_manager.report_runs(now_s, request))
         else:
             self._number += 1
-            self._job_manager_calls[self._number] = self._checked(question, reply)
-            self.perform_job_manager(self._put(now_s, self._number, question))
-
-    def _put(self, now_s: float, call: int, question: Any) -> list[JobManagerAction]:
-        if isinstance(question, SubmitJob):
-            return self.job_manager.submit(now_s, call, question)
-        if isinstance(question, ReadJob):
-            return self.job_manager.read(now_s, call, question)
-        if isinstance(question, ReadItem):
-            return self.job_manager.read_item(call, question)
-        if isinstance(question, EndJob):
-            return self.job_manager.end(call, question)
-        assert isinstance(question, FinishRun)
-        return self.job_manager.finish_run(now_s, call, question)
-
-    def _checked(self, question: Any, reply: Done) -> Done:
+            self._job_manager_calls[self._number] = self._checked(request, reply)
+            self.perform_job_manager(self._put(now_s, self._number, request))
+
+    def _put(self, now_s: float, call: int, request: Any) -> list[JobManagerAction]:
+        if isinstance(request, SubmitJob):
+            return self.job_manager.submit(now_s, call, request)
+        if isinstance(request, ReadJob):
+            return self.job_manager.read(now_s, call, request)
+        if isinstance(request, ReadItem):
+            return self.job_manager.read_item(call, request)
+        if isinstance(request, EndJob):
+            return self.job_manager.end(call, request)
+        assert isinstance(request, FinishRun)
+        return self.job_manager.finish_run(now_s, call, request)
+
+    def _checked(self, request: Any, reply: Callback) -> Callback:
         """After a wait, reads are answered by an owner only."""
 
         def done(body: Any) -> None:
-            stale = isinstance(question, ReadJob) and not self.owner.serving(self.world.now_s)
+            stale = isinstance(request, ReadJob) and not self.owner.serving(self.world.now_s)
             reply(UnknownOutcomeError("the owner may have changed") if stale else body)
 
         return done
--- a/emberring/simulation/jobs/world.py
+++ b/emberring/simulation/jobs/world.py
@@ -1,4 +1,4 @@
-"""The simulated world of stores and gateways: clock, network, cuts, all from one seed."""
+"""Simulated world of stores and gateways: clock, network, partitions, all from one seed."""
 
 from __future__ import annotations
 
@@ -11,37 +11,37 @@
 
 
 @attrs.define
-class Weather:
-    """How the network treats messages: the share lost, and the longest delay in seconds."""
+class NetworkConditions:
+    """Conditions of the network: the share of lost messages, and the longest delay in seconds."""
 
-    lost: float = 0.0
-    slowest_s: float = 0.003
+    loss_share: float = 0.0
+    max_delay_s: float = 0.003
 
 
 class World:
-    """The clock and the network. Machines are told apart by name."""
+    """The clock and the network. Machines are identified by name."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.now_s = 0.0
-        self.weather = Weather()
-        self.cut: set[str] = set()  # names of machines that reach nobody
+        self.conditions = NetworkConditions()
+        self.cut: set[str] = set()  # names of partitioned machines
         self.cut_links: set[frozenset[str]] = set()
         self.handled = 0
         self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._order = 0
 
     def at(self, when_s: float, work: Callable[..., None], *arguments: Any) -> None:
-        """Do this at that time."""
+        """Call `work` at that time."""
         self._order += 1
         heapq.heappush(self._heap, (when_s, self._order, work, arguments))
 
     def after(self, wait_s: float, work: Callable[..., None], *arguments: Any) -> None:
-        """Do this later."""
+        """Call `work` after `wait_s` seconds."""
         self.at(self.now_s + wait_s, work, *arguments)
 
     def run(self, until_s: float) -> None:
-        """Let time pass."""
+        """Run until that time."""
         while self._heap and self._heap[0][0] <= until_s:
             self.now_s, _, work, arguments = heapq.heappop(self._heap)
             self.handled += 1
@@ -55,7 +55,10 @@
         return not (one in self.cut or other in self.cut or frozenset((one, other)) in self.cut_links)
 
     def send(self, origin: str, target: str, work: Callable[..., None], *arguments: Any) -> None:
-        """Carry a message, perhaps late or never; over a cut it is lost, or comes when the cut is over."""
+        """Carry a message, perhaps late or never.
+
+        Across a partition it is lost, or arrives after the partition.
+        """
         if origin == target:
             self.at(self.now_s, work, *arguments)
             return
@@ -63,6 +66,6 @@
             if self.rng.random() < 0.3:
                 self.after(0.3 + self.rng.random(), self.send, origin, target, work, *arguments)
             return
-        if self.weather.lost and self.rng.random() < self.weather.lost:
+        if self.conditions.loss_share and self.rng.random() < self.conditions.loss_share:
             return
-        self.after(0.0005 + self.rng.random() * self.weather.slowest_s, work, *arguments)
+        self.after(0.0005 + self.rng.random() * self.conditions.max_delay_s, work, *arguments)
--- a/tests/emberring/simulation/test_tier_jobs_simulator.py
+++ b/tests/emberring/simulation/test_tier_jobs_simulator.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from emberring.simulation.jobs.mutations import Bugs
+from emberring.simulation.jobs.mutations import Mutations
 from emberring.simulation.jobs.simulator import describe, make_schedule, play, play_seed
 
 
@@ -19,9 +19,9 @@
 
 
 @pytest.mark.parametrize(
-    ("bugs", "first_seed"),
-    [(Bugs(tokenless=True), 0), (Bugs(shows_early=True), 0), (Bugs(unsynced=True), 0)],
+    ("mutations", "first_seed"),
+    [(Mutations(tokenless=True), 0), (Mutations(shows_early=True), 0), (Mutations(unsynced=True), 0)],
     ids=["tokenless", "shows_early", "unsynced"],
 )
-def test_a_seeded_mistake_is_found(bugs: Bugs, first_seed: int) -> None:
-    assert any(play_seed(seed, bugs).mistakes for seed in range(first_seed, first_seed + 120))
+def test_a_seeded_mistake_is_found(mutations: Mutations, first_seed: int) -> None:
+    assert any(play_seed(seed, mutations).mistakes for seed in range(first_seed, first_seed + 120))
