--- a/emberring/jobs/directory.py
+++ b/emberring/jobs/directory.py
@@ -67,12 +67,12 @@
         """Note that this store answered as the owner."""
         self._owners[shard] = address
 
-    def redirect(self, shard: int, asked: str, owner: str) -> None:
-        """Note that the store at `asked` is not the owner; `owner` is what it knows of the owner's address."""
-        if owner and owner != asked:
+    def redirect(self, shard: int, address: str, owner: str) -> None:
+        """Note that the store at `address` is not the owner; `owner` is what it knows of the owner's address."""
+        if owner and owner != address:
             self._owners[shard] = owner
         else:
-            self.forget(shard, asked)
+            self.forget(shard, address)
 
     def forget(self, shard: int, address: str) -> None:
         """Note that this store did not answer."""
--- a/emberring/simulation/jobs/client.py
+++ b/emberring/simulation/jobs/client.py
@@ -25,7 +25,7 @@
 
 
 class Clients:
-    """All clients. `on_submitted` is told of each 202."""
+    """All clients. `on_submitted` is called after each accepted submission."""
 
     def __init__(self, world: World, history: History, gateways: list[GatewayMachine]) -> None:
         self.world = world
--- a/emberring/simulation/jobs/gateway.py
+++ b/emberring/simulation/jobs/gateway.py
@@ -259,7 +259,7 @@
         self.call(message, CALL_TIMEOUT_S, done)
 
     def _report(self) -> None:
-        told = tuple(
+        progress = tuple(
             RunProgress(
                 run.assignment.key,
                 run.assignment.index,
@@ -269,7 +269,7 @@
             )
             for ticket, run in self.runs.items()
         )
-        if not told:
+        if not progress:
             return
         sent_s = self.world.now_s
 
@@ -278,7 +278,7 @@
                 for answer in body.runs:
                     self._reported(answer.ticket, answer.lease_renewed, answer.events_received, sent_s)
 
-        self.call(ReportRuns(self.name, self.shard, told), CALL_TIMEOUT_S, done)
+        self.call(ReportRuns(self.name, self.shard, progress), CALL_TIMEOUT_S, done)
 
     def _reported(self, ticket: int, lease_renewed: bool, have: int, sent_s: float) -> None:
         run = self.runs.get(ticket)
--- a/tests/emberring/jobs/test_tier_job_client.py
+++ b/tests/emberring/jobs/test_tier_job_client.py
@@ -122,7 +122,7 @@
     "script",
     [(PeerTimeoutError(), Ok()), (PeerUnavailableError(), Ok()), (NotOwnerError("b:1"), Ok())],
 )
-def test_a_submission_that_is_taken_in_the_end_is_taken(script: tuple[Any, ...]) -> None:
+def test_a_submission_that_is_accepted_by_a_later_attempt_is_accepted(script: tuple[Any, ...]) -> None:
     assert len(submit(*script).asked) == 2
 
 
--- a/tests/emberring/jobs/test_tier_merge.py
+++ b/tests/emberring/jobs/test_tier_merge.py
@@ -80,7 +80,7 @@
     assert not merged.slots[1].committed
 
 
-def test_a_job_that_is_marked_anywhere_is_forgotten() -> None:
+def test_a_job_with_a_tombstone_at_any_replica_is_deleted() -> None:
     merged = merge(
         {"a": job({DEFINITION: state(ONE), 0: state(ONE)}), "b": job({TOMBSTONE: state(TWO, b"")})}, GROUP
     )
@@ -136,7 +136,7 @@
     assert slots[1].committed
 
 
-def test_without_a_source_the_adoption_is_stuck() -> None:
+def test_without_a_source_the_recovery_is_stuck() -> None:
     own_replica = holding((ONE, 0, result(0)))
     recovery = OwnerRecovery(
         0.0, {"a": own_replica.state(0.0), "b": job({1: state(ONE, result(1))})}, GROUP, "a", own_replica
--- a/tests/emberring/jobs/test_tier_packing.py
+++ b/tests/emberring/jobs/test_tier_packing.py
@@ -1,4 +1,4 @@
-"""Squeezed bytes, events and pages come out as they went in; others are named."""
+"""Compressed bytes, events and pages decode to what was encoded; damaged bytes are rejected."""
 
 from __future__ import annotations
 
@@ -53,6 +53,6 @@
         unpack_events(compress(b"[1]"))
 
 
-def test_text_takes_less_room() -> None:
+def test_text_is_compressed() -> None:
     text = orjson.dumps([f"{number * 7919:x}" for number in range(500)])
     assert len(compress(text)) < 0.75 * len(text)
--- a/tests/emberring/jobs/test_tier_replica.py
+++ b/tests/emberring/jobs/test_tier_replica.py
@@ -1,4 +1,4 @@
-"""A replica: what it takes, refuses, holds; what a start finds; what a reclaimed segment keeps."""
+"""A replica: what it accepts, rejects and stores; what a restart restores; what a reclaimed segment retains."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 def settle(
     replica: Replica, actions: list[ReplicaAction], now_s: float = 0.0, segment: int = 0
 ) -> list[ReplicaAction]:
-    """Let everything last; the replies."""
+    """Persist everything; return the replies."""
     replies: list[ReplicaAction] = []
     for action in actions:
         if isinstance(action, PersistEntry):
@@ -66,7 +66,7 @@
     settle(replica, replica.handle(0.0, 1, write(term, Record(key, slot, 0, value))), 0.0, segment)
 
 
-def test_a_write_is_confirmed_and_shown_only_once_it_lasts() -> None:
+def test_a_write_is_acknowledged_and_visible_only_once_durable() -> None:
     replica = Replica(0)
     (persist,) = replica.handle(0.0, 7, write(OLD, Record("k", 0, 250, b"v")))
     assert isinstance(persist, PersistEntry)
@@ -103,7 +103,7 @@
     assert not actions
 
 
-def test_a_promise_holds_from_the_moment_of_the_claim_and_is_told_once_it_lasts() -> None:
+def test_a_promise_holds_from_the_claim_on_and_is_acknowledged_once_durable() -> None:
     replica = Replica(0)
     put(replica, OLD, "k", 0, b"v")
     (persist,) = replica.handle(5.0, 2, ClaimOwnership(0, "me", NEW))
@@ -136,7 +136,7 @@
     return reply.body
 
 
-def test_while_a_lease_may_run_no_other_owner_is_granted_a_claim() -> None:
+def test_while_a_lease_may_be_active_no_other_owner_is_granted_a_claim() -> None:
     replica = Replica(0)
     assert claimed(replica, OLD, 0.0).granted
     answer, _ = replica.renew_lease(1.0, ShardLease(0, OLD))
@@ -147,7 +147,7 @@
     assert claimed(replica, Term(1, 6, "b"), 1.0 + REPLICA_LEASE_S + CLAIM_LEASE_S).granted
 
 
-def test_a_lease_under_a_new_term_counts_once_the_promise_lasts() -> None:
+def test_a_lease_under_a_new_term_is_granted_once_the_promise_is_durable() -> None:
     replica = Replica(0)
     answer, actions = replica.renew_lease(0.0, ShardLease(0, OLD))
     assert not answer.granted
@@ -156,7 +156,7 @@
     assert replica.renew_lease(0.2, ShardLease(0, OLD))[0].granted
 
 
-def test_others_are_refused_from_the_first_touch_on() -> None:
+def test_other_claims_are_rejected_from_the_first_lease_renewal_on() -> None:
     replica = Replica(0)
     answer, actions = replica.renew_lease(0.0, ShardLease(0, OLD))
     assert not answer.granted
@@ -198,7 +198,7 @@
     assert replica.value("k", 1) == b"good"
 
 
-def test_a_marked_job_is_erased_whole_and_the_mark_last() -> None:
+def test_a_job_with_a_tombstone_is_erased_and_the_tombstone_last() -> None:
     replica = Replica(0)
     empty = replica.digest
     put(replica, OLD, "k", DEFINITION, b"d")
--- a/tests/emberring/jobs/tier_jobs_trio.py
+++ b/tests/emberring/jobs/tier_jobs_cluster.py
@@ -1,4 +1,4 @@
-"""Owners and replicas of one shard that talk through a queue which a test empties as it likes."""
+"""Owners and replicas of one shard that communicate through a queue under a test's control."""
 
 from __future__ import annotations
 
@@ -30,7 +30,9 @@
     replica: Replica = attrs.field(factory=lambda: Replica(0))
     owner: ShardOwner | None = None
     incarnation: int = 0
-    truth: dict[tuple[str, int], bytes] = attrs.field(factory=dict)  # when it last became the owner
+    contents_at_takeover: dict[tuple[str, int], bytes] = attrs.field(
+        factory=dict
+    )  # when it last became the owner
     migration_complete: list[int] = attrs.field(factory=list)
     lost: int = 0
 
@@ -45,23 +47,23 @@
 
 
 @attrs.define(eq=False)
-class Trio:
+class ShardCluster:
     """Some stores. `committed` has what was ever committed, with the value."""
 
     nodes: dict[str, Node] = attrs.field(factory=dict)
     in_flight: list[InFlightCall] = attrs.field(factory=list)
     committed: dict[tuple[str, int], bytes] = attrs.field(factory=dict)
     now_s: float = 0.0
-    cut: set[str] = attrs.field(factory=set)
+    partitioned: set[str] = attrs.field(factory=set)
     group: Group | None = None
 
     @classmethod
-    def of(cls, names: str, group: Group) -> Trio:
-        trio = cls()
+    def of(cls, names: str, group: Group) -> ShardCluster:
+        cluster = cls()
         for name in names:
-            trio.start(name)
-        trio.place(group)
-        return trio
+            cluster.start(name)
+        cluster.place(group)
+        return cluster
 
     def start(self, name: str) -> None:
         """Start a store on what its disk holds."""
@@ -72,7 +74,7 @@
             node.replica.apply(self.now_s, entry, 0)
         node.replica.restored(self.now_s + REPLICA_LEASE_S)
         node.owner = ShardOwner(name, node.replica, node.incarnation)
-        node.truth = {}
+        node.contents_at_takeover = {}
         if self.group is not None:
             self.act(node, node.owner.set_group(self.now_s, self.group))
 
@@ -93,13 +95,13 @@
             elif isinstance(action, SlotCommitted):
                 self._check_chosen(node, action)
             elif isinstance(action, OwnershipGained):
-                node.truth = {
+                node.contents_at_takeover = {
                     (key, slot): owned.value
                     for key, job in action.jobs.items()
                     for slot, owned in job.slots.items()
                 }
                 for ref, value in self.committed.items():
-                    assert node.truth.get(ref) == value, f"{node.name} does not know {ref}"
+                    assert node.contents_at_takeover.get(ref) == value, f"{node.name} does not know {ref}"
             elif isinstance(action, OwnershipLost):
                 node.lost += 1
             elif isinstance(action, MigrationCompleted):
@@ -113,19 +115,23 @@
         assert self.committed.setdefault(ref, owned.value) == owned.value
 
     def deliver(self, index: int = 0, reply_lost: bool = False, refused: bool = False) -> None:
-        """Carry one call out and its reply back."""
+        """Deliver one call and its reply."""
         in_flight_call = self.in_flight.pop(index)
         target = self.nodes.get(in_flight_call.send.target)
-        if target is None or target.name in self.cut or in_flight_call.origin.name in self.cut:
-            self.back(in_flight_call, None)
+        if (
+            target is None
+            or target.name in self.partitioned
+            or in_flight_call.origin.name in self.partitioned
+        ):
+            self.return_reply(in_flight_call, None)
             return
         found = self.settle(
             target, target.replica.handle(self.now_s, 1, in_flight_call.send.message), refused
         )
-        self.back(in_flight_call, None if reply_lost else found)
+        self.return_reply(in_flight_call, None if reply_lost else found)
 
     def settle(self, node: Node, actions: list[ReplicaAction], refused: bool = False) -> Any:
-        """Let entries last, or have the disk refuse them; the reply."""
+        """Persist entries, or have the disk reject them; return the reply."""
         found = None
         for action in actions:
             if isinstance(action, PersistEntry) and refused:
@@ -139,7 +145,7 @@
                 assert isinstance(action, FailCall)
         return found
 
-    def back(self, in_flight_call: InFlightCall, reply: Any) -> None:
+    def return_reply(self, in_flight_call: InFlightCall, reply: Any) -> None:
         owner = in_flight_call.origin.owner
         if in_flight_call.incarnation != in_flight_call.origin.incarnation or owner is None:
             return
@@ -156,14 +162,14 @@
         raise AssertionError("calls without end")
 
     def renew_lease(self, name: str) -> None:
-        """An owner keeps its leases."""
+        """Renew an owner's leases."""
         node = self.nodes[name]
         assert node.owner is not None
-        if name in self.cut:
+        if name in self.partitioned:
             return
         for target in list(self.nodes.values()):
             leases = node.owner.leases(target.name)
-            if leases and target.name not in self.cut:
+            if leases and target.name not in self.partitioned:
                 message = RenewLeases(name, target.name, tuple(leases))
                 answer, actions = target.replica.renew_lease(self.now_s, message.leases[0])
                 self.settle(target, actions)
@@ -172,10 +178,10 @@
     def tick(self, name: str, healthy: bool = True) -> None:
         node = self.nodes[name]
         assert node.owner is not None
-        self.act(node, node.owner.tick(self.now_s, healthy, set(self.nodes) - self.cut))
+        self.act(node, node.owner.tick(self.now_s, healthy, set(self.nodes) - self.partitioned))
 
     def pass_time(self, seconds: float, step_s: float = 0.1) -> None:
-        """Everybody lives on, and all calls arrive."""
+        """Advance the time of all stores; all calls arrive."""
         until_s = self.now_s + seconds
         while self.now_s < until_s:
             self.now_s += step_s
--- a/tests/emberring/journal/test_tier_journal_ring.py
+++ b/tests/emberring/journal/test_tier_journal_ring.py
@@ -202,7 +202,7 @@
         ring.release(1)
 
 
-def test_a_full_ring_takes_no_more_but_from_a_reclaim() -> None:
+def test_a_full_ring_accepts_appends_only_from_a_reclaim() -> None:
     folder = SimulatedFolder()
     ring, _ = open_ring(folder)
     written = ring.commit([b"x" * 400] * 100)
@@ -230,7 +230,7 @@
     assert open_ring(folder, 2)[1] == [b"before", b"after"]
 
 
-def test_damage_to_what_was_synced_is_told() -> None:
+def test_damage_to_synced_records_is_reported() -> None:
     folder = SimulatedFolder()
     ring, _ = open_ring(folder)
     commit(ring, folder, [b"a" * 400, b"b" * 400, b"c" * 400])
@@ -239,7 +239,7 @@
         open_ring(folder, 2)
 
 
-def test_a_missing_segment_is_told() -> None:
+def test_a_missing_segment_is_reported() -> None:
     folder = SimulatedFolder()
     ring, _ = open_ring(folder)
     commit(ring, folder, [b"a" * 400, b"b" * 400, b"c" * 400])
--- a/tests/emberring/store/test_tier_store_disk.py
+++ b/tests/emberring/store/test_tier_store_disk.py
@@ -41,7 +41,7 @@
     assert replica.jobs["lot"].accepted_s == pytest.approx(restored_s - 0.7)
 
 
-def test_within_a_life_of_the_process_time_passes_and_over_a_start_it_does_not() -> None:
+def test_ages_count_within_an_incarnation_and_not_across_a_start() -> None:
     records = [
         journal_record(100.0, 0),
         later_record(103.0),
--- a/tests/emberring/store/test_tier_store_dispatch.py
+++ b/tests/emberring/store/test_tier_store_dispatch.py
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class Asked:
-    """A gateway's question: its zone, its room, how many items it got and when (seconds)."""
+    """A gateway's poll: its zone, its capacity, how many items it got and when (seconds)."""
 
     zone: str
     capacity: int
--- a/tests/emberring/store/test_tier_store_troubles.py
+++ b/tests/emberring/store/test_tier_store_faults.py
@@ -56,7 +56,7 @@
     run(play())
 
 
-def test_a_store_is_emptied_and_taken_away(tmp_path: Path) -> None:
+def test_a_store_is_emptied_and_removed(tmp_path: Path) -> None:
     async def play() -> None:
         cluster = await Cluster.begin(tmp_path, ("s1", "s2", "s3", "s4"))
         world = cluster.world
@@ -84,7 +84,7 @@
     run(play())
 
 
-def test_a_store_that_is_told_to_end_hands_over_first(tmp_path: Path) -> None:
+def test_a_store_that_shuts_down_releases_ownership_first(tmp_path: Path) -> None:
     async def play() -> None:
         cluster = await Cluster.begin(tmp_path)
         gateway = cluster.gateway(FakeExecutor())
@@ -106,7 +106,7 @@
 
 
 class StalledJournal:
-    """A disk that takes writes and never says that they last."""
+    """A disk that accepts writes and never completes them."""
 
     failed = False
 
@@ -118,7 +118,9 @@
         return asyncio.get_running_loop().create_future()
 
 
-def test_an_owner_whose_disk_stalls_hands_over_and_jobs_are_taken_meanwhile(tmp_path: Path) -> None:
+def test_an_owner_whose_disk_stalls_releases_ownership_and_jobs_are_accepted_meanwhile(
+    tmp_path: Path,
+) -> None:
     async def play() -> None:
         cluster = await Cluster.begin(tmp_path)
         gateway = cluster.gateway(FakeExecutor())
--- a/tests/emberring/store/test_tier_store_path.py
+++ b/tests/emberring/store/test_tier_store_path.py
@@ -1,4 +1,4 @@
-"""Batch jobs on three stores: taken, run, read, ended."""
+"""Batch jobs on three stores: submitted, run, read, ended."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from emberring.placement.model import shard_of
 
 
-def test_a_job_is_taken_run_and_read(tmp_path: Path) -> None:
+def test_a_job_is_submitted_run_and_read(tmp_path: Path) -> None:
     async def play() -> None:
         cluster = await Cluster.begin(tmp_path)
         executor = FakeExecutor()
@@ -37,7 +37,7 @@
     run(play())
 
 
-def test_a_taken_job_stands_on_two_disks(tmp_path: Path) -> None:
+def test_an_accepted_job_is_on_two_disks(tmp_path: Path) -> None:
     async def play() -> None:
         cluster = await Cluster.begin(tmp_path)
         gateway = cluster.gateway()
--- a/tests/emberring/store/tier_store_cluster.py
+++ b/tests/emberring/store/tier_store_cluster.py
@@ -236,7 +236,7 @@
         return store
 
     async def kill(self, name: str) -> None:
-        """End a store without a word."""
+        """Kill a store."""
         store = self.stores.pop(name)
         for task in list(store._tasks):
             task.cancel()
