--- a/emberring/simulation/jobs/client.py
+++ b/emberring/simulation/jobs/client.py
@@ -11,7 +11,7 @@
 from emberring.jobs.calls import EndJob, JobPage, JobTerms, ReadJob, SubmitJob
 from emberring.jobs.packing import compress
 from emberring.jobs.results import page_json
-from emberring.simulation.jobs.gateway import GatewayMachine
+from emberring.simulation.jobs.gateway import SimulatedGateway
 from emberring.simulation.jobs.history import History, ItemRecord, JobRecord, SubmissionOutcome
 from emberring.simulation.jobs.store import is_error
 from emberring.simulation.jobs.world import World
@@ -27,7 +27,7 @@
 class Clients:
     """All clients. `on_submitted` is called after each accepted submission."""
 
-    def __init__(self, world: World, history: History, gateways: list[GatewayMachine]) -> None:
+    def __init__(self, world: World, history: History, gateways: list[SimulatedGateway]) -> None:
         self.world = world
         self.history = history
         self.gateways = gateways
@@ -36,7 +36,7 @@
         self.ending = False
 
     def submit_job(self) -> None:
-        """A new batch job."""
+        """Submit a new batch job."""
         rng = self.world.rng
         job_id = f"lot{len(self.history.jobs)}"
         items = {
@@ -53,7 +53,7 @@
             job, SubmitJob(HOST, job_id, TERMS, compress(orjson.dumps({"Requests": listed})))
         )
 
-    def _gateway(self) -> GatewayMachine:
+    def _gateway(self) -> SimulatedGateway:
         running = [gateway for gateway in self.gateways if gateway.running] or self.gateways
         return self.world.rng.choice(running)
 
--- a/emberring/simulation/jobs/gateway.py
+++ b/emberring/simulation/jobs/gateway.py
@@ -1,4 +1,4 @@
-"""A simulated gateway: it runs items at made-up servers and carries its clients' calls to the owner."""
+"""Simulated gateway: it runs items at simulated servers and carries its clients' calls to the owner."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from emberring.jobs.items import OutcomeKind
 from emberring.jobs.packing import pack_events, unpack_events
 from emberring.simulation.jobs.history import History, SubmissionOutcome
-from emberring.simulation.jobs.store import StoreMachine, is_error
+from emberring.simulation.jobs.store import SimulatedStore, is_error
 from emberring.simulation.jobs.world import World
 
 ITEM_LEASE_S = 1.5
@@ -53,11 +53,11 @@
     deliver_until_s: float = 0.0
 
 
-class GatewayMachine:
-    """One gateway. Its runs die with it."""
+class SimulatedGateway:
+    """A simulated gateway. Its runs end with it."""
 
     def __init__(
-        self, world: World, history: History, name: str, shard: int, stores: dict[str, StoreMachine]
+        self, world: World, history: History, name: str, shard: int, stores: dict[str, SimulatedStore]
     ) -> None:
         self.world = world
         self.history = history
@@ -73,7 +73,7 @@
         self._loop(self.incarnation, REPORT_INTERVAL_S, self._report)
 
     def kill(self, lasts_s: float) -> None:
-        """It dies and comes back empty."""
+        """Kill the gateway; it comes back empty."""
         self.running = False
         self.incarnation += 1
         self.runs = {}
@@ -93,7 +93,7 @@
         self.world.after(every_s, self._loop, incarnation, every_s, work)
 
     def when_awake(self, incarnation: int, work: Callable[..., None], *arguments: Any) -> None:
-        """Do this in that life, once it is not frozen."""
+        """Call `work` in that incarnation, once it is not frozen."""
         if incarnation != self.incarnation or not self.running:
             return
         if self.world.now_s < self.frozen_until_s:
@@ -104,7 +104,7 @@
     # Calls to the owner.
 
     def call(self, request: Any, wait_s: float, done: Callback) -> None:
-        """One attempt at the store that may own the shard; `done` gets the answer, an error, or None."""
+        """Make one attempt at the store that may own the shard; `done` gets the answer, an error, or None."""
         names = list(self.stores)
         if self.assumed_owner not in self.stores or self.world.rng.random() < 0.05:
             self.assumed_owner = self.world.rng.choice(names)
@@ -127,7 +127,10 @@
         self.world.send(self.name, asked, store.ask, self.name, request, finish)
 
     def ask(self, request: Any, limit_s: float, wait_s: float, done: Callable[[Any, bool], None]) -> None:
-        """Ask until the owner answers or time is up: the answer (None for none), and whether it is in doubt."""
+        """Retry until the owner answers or time is up.
+
+        `done` gets the answer (None for none), and whether the outcome is unknown.
+        """
         until_s = self.world.now_s + limit_s
         outcome_unknown = [False]
 
@@ -154,7 +157,7 @@
         attempt()
 
     def submit(self, request: Any, done: Callable[[SubmissionOutcome], None]) -> None:
-        """A client submits a batch job."""
+        """Submit a client's batch job."""
 
         def answered(body: Any, outcome_unknown: bool) -> None:
             if body is not None and not is_error(body):
@@ -210,7 +213,7 @@
             self._next(ticket, number, 0 if resume is None else resume + 1, item)
 
     def _next(self, ticket: int, number: int, event: int, item: Any) -> None:
-        """The server goes on by itself; the gateway takes what reaches it while it runs."""
+        """Let the server produce the next event; the gateway receives it while it runs."""
         run = self.runs.get(ticket)
         if run is None or run.stopped:
             return
--- a/emberring/simulation/jobs/simulator.py
+++ b/emberring/simulation/jobs/simulator.py
@@ -15,7 +15,7 @@
 from emberring.placement.retirement import begin_retire, retire_state
 from emberring.simulation.common.shrinking import shortened
 from emberring.simulation.jobs.client import HOST, MAX_ATTEMPTS, MAX_TOKENS, RETENTION_S, Clients
-from emberring.simulation.jobs.gateway import GatewayMachine
+from emberring.simulation.jobs.gateway import SimulatedGateway
 from emberring.simulation.jobs.history import History
 from emberring.simulation.jobs.mutations import Mutations, seeded
 from emberring.simulation.jobs.schedule import (
@@ -26,7 +26,7 @@
     Verdict,
     make_schedule,
 )
-from emberring.simulation.jobs.store import SYNC_S, StoreMachine
+from emberring.simulation.jobs.store import SYNC_S, Disk, SimulatedStore
 from emberring.simulation.jobs.world import NetworkConditions, World
 
 RECOVERY_PERIOD_S = 8.0
@@ -60,7 +60,7 @@
         self.world = World(schedule.seed)
         self.history = History(MAX_TOKENS, MAX_ATTEMPTS, RETENTION_S)
         self.shard = shard_of(HOST)
-        self.stores: dict[str, StoreMachine] = {}
+        self.stores: dict[str, SimulatedStore] = {}
         self.removed: set[str] = set()
         self.placement: Placement | None = None
         self.memory = PlanMemory()
@@ -74,7 +74,7 @@
         for number in range(schedule.stores):
             self._add(f"store-{number}").start()
         self.gateways = [
-            GatewayMachine(self.world, self.history, f"gateway-{number}", self.shard, self.stores)
+            SimulatedGateway(self.world, self.history, f"gateway-{number}", self.shard, self.stores)
             for number in range(2)
         ]
         self.clients = Clients(self.world, self.history, self.gateways)
@@ -145,7 +145,7 @@
             if (changed or store.placement != placement) and name not in self.world.cut:
                 self.world.after(self.world.rng.random() * 0.3, self._notify_store, store, placement)
 
-    def _notify_store(self, store: StoreMachine, placement: Placement) -> None:
+    def _notify_store(self, store: SimulatedStore, placement: Placement) -> None:
         if store.name not in self.world.cut and store.running:
             store.when_awake(store.incarnation, store.learn, placement)
 
@@ -203,14 +203,14 @@
 
     # Faults.
 
-    def _add(self, name: str) -> StoreMachine:
-        store = StoreMachine(self.world, self.shard, name, self.mutations)
+    def _add(self, name: str) -> SimulatedStore:
+        store = SimulatedStore(self.world, self.shard, name, self.mutations)
         store.machines = self.stores
         store.on_migration_completed = self._on_migration_completed
         self.stores[name] = store
         return store
 
-    def _present_stores(self) -> list[StoreMachine]:
+    def _present_stores(self) -> list[SimulatedStore]:
         return [store for name, store in self.stores.items() if name not in self.removed]
 
     def _on_submitted(self) -> None:
@@ -234,7 +234,7 @@
             if found.running and found.owner.serving(now_s):
                 self._take_down(found, found.lose_power, lasts_s)
 
-    def _loss_is_tolerable(self, store: StoreMachine) -> bool:
+    def _loss_is_tolerable(self, store: SimulatedStore) -> bool:
         """Whether the loss of this disk must be tolerated: all others were healthy for a while."""
         now_s = self.world.now_s
         if self.placement is None or self.ended:
@@ -245,16 +245,16 @@
         )
         return well and not self.placement.groups[self.shard].joining
 
-    def _note_fault(self, store: StoreMachine, lasts_s: float) -> None:
+    def _note_fault(self, store: SimulatedStore, lasts_s: float) -> None:
         until_s = self.world.now_s + lasts_s
         self._faulty_until[store.name] = max(until_s, self._faulty_until.get(store.name, 0.0))
 
-    def _take_down(self, store: StoreMachine, how: Callable[[], None], lasts_s: float) -> None:
+    def _take_down(self, store: SimulatedStore, how: Callable[[], None], lasts_s: float) -> None:
         self._note_fault(store, lasts_s)
         how()
         self.world.after(lasts_s, self._bring_up, store)
 
-    def _bring_up(self, store: StoreMachine) -> None:
+    def _bring_up(self, store: SimulatedStore) -> None:
         if store.name not in self.removed:
             store.start()
 
@@ -276,7 +276,7 @@
             self._note_fault(store, step.lasts_s)
             self._disturb_store(store, step)
 
-    def _stop_stores(self, store: StoreMachine, step: Step) -> None:
+    def _stop_stores(self, store: SimulatedStore, step: Step) -> None:
         match step.kind:
             case StepKind.KILL:
                 self._take_down(store, store.kill, step.lasts_s)
@@ -292,7 +292,7 @@
             case StepKind.REPLACE:
                 self._replace(store, step.lasts_s)
 
-    def _schedule_fault(self, store: StoreMachine, step: Step) -> None:
+    def _schedule_fault(self, store: SimulatedStore, step: Step) -> None:
         """Let a fault follow the next acknowledged submission or the next result that a client reads."""
         match step.kind:
             case StepKind.POWER_AFTER_ACK:
@@ -306,7 +306,7 @@
             case StepKind.WIPE_ONE_POWER_REST:
                 self._after_ack.append(lambda: self._wipe_one_power_rest(store, step.lasts_s))
 
-    def _disturb_gateway(self, gateway: GatewayMachine, step: Step) -> None:
+    def _disturb_gateway(self, gateway: SimulatedGateway, step: Step) -> None:
         match step.kind:
             case StepKind.GATEWAY_KILL:
                 gateway.kill(step.lasts_s)
@@ -319,7 +319,7 @@
         self.world.cut.add(name)
         self.world.after(lasts_s, self.world.cut.discard, name)
 
-    def _disturb_store(self, store: StoreMachine, step: Step) -> None:
+    def _disturb_store(self, store: SimulatedStore, step: Step) -> None:
         match step.kind:
             case StepKind.FREEZE:
                 store.frozen_until_s = self.world.now_s + step.lasts_s
@@ -327,14 +327,23 @@
                 self._cut_off(store.name, step.lasts_s)
             case StepKind.CUT_LINK:
                 self._cut_link(store, step.lasts_s)
-            case StepKind.SLOW_DISK:
-                store.disk.sync_s = step.lasts_s
-                self.world.after(step.lasts_s, setattr, store.disk, "sync_s", store.disk.usual_sync_s)
-            case StepKind.REFUSING_DISK:
-                store.disk.refusing = True
-                self.world.after(step.lasts_s, setattr, store.disk, "refusing", False)
+            case StepKind.SLOW_DISK | StepKind.REFUSING_DISK:
+                self._disturb_disk(store.disk, step)
             case StepKind.WEATHER:
                 self._degrade_network(step.lasts_s)
+            case _:
+                self._change_stores(store, step)
+
+    def _disturb_disk(self, disk: Disk, step: Step) -> None:
+        if step.kind is StepKind.SLOW_DISK:
+            disk.sync_s = step.lasts_s
+            self.world.after(step.lasts_s, setattr, disk, "sync_s", disk.usual_sync_s)
+        else:
+            disk.refusing = True
+            self.world.after(step.lasts_s, setattr, disk, "refusing", False)
+
+    def _change_stores(self, store: SimulatedStore, step: Step) -> None:
+        match step.kind:
             case StepKind.ADD:
                 self._add(f"store-new-{len(self.stores)}").start()
             case StepKind.TERM:
@@ -343,7 +352,7 @@
             case StepKind.RETIRE:
                 self._retire(store)
 
-    def _cut_link(self, store: StoreMachine, lasts_s: float) -> None:
+    def _cut_link(self, store: SimulatedStore, lasts_s: float) -> None:
         others = [other for other in self._present_stores() if other is not store]
         link = frozenset((store.name, self.world.rng.choice(others).name))
         self.world.cut_links.add(link)
@@ -355,7 +364,7 @@
         self.world.conditions = NetworkConditions(0.1, lasts_s * 0.2)
         self.world.after(lasts_s, setattr, self.world, "conditions", self._usual_conditions())
 
-    def _retire(self, store: StoreMachine) -> None:
+    def _retire(self, store: SimulatedStore) -> None:
         live = [
             NodeRecord(found.name, NodeRole.STORE, found.name, "", found.identity)
             for found in self._present_stores()
@@ -373,18 +382,18 @@
         for found in self._present_stores():
             self._take_down(found, found.lose_power, lasts_s * self.world.rng.random())
 
-    def _wipe(self, store: StoreMachine, lasts_s: float) -> None:
+    def _wipe(self, store: SimulatedStore, lasts_s: float) -> None:
         if store.name not in self.removed and self._loss_is_tolerable(store):
             self._take_down(store, store.wipe, lasts_s)
 
-    def _wipe_one_power_rest(self, store: StoreMachine, lasts_s: float) -> None:
+    def _wipe_one_power_rest(self, store: SimulatedStore, lasts_s: float) -> None:
         if store.name in self.removed or not self._loss_is_tolerable(store):
             return
         for found in self._present_stores():
             how = found.wipe if found is store else found.lose_power
             self._take_down(found, how, lasts_s * self.world.rng.random())
 
-    def _replace(self, store: StoreMachine, lasts_s: float) -> None:
+    def _replace(self, store: SimulatedStore, lasts_s: float) -> None:
         """Remove a machine for good, with its disk; an empty one comes at another address."""
         if store.name == self.retiring or not self._loss_is_tolerable(store):
             return
--- a/emberring/simulation/jobs/store.py
+++ b/emberring/simulation/jobs/store.py
@@ -1,4 +1,4 @@
-"""A simulated store: the real replica, owner and job manager of one shard on a disk that loses what was not synced."""
+"""Simulated store: the real replica, owner and job manager of one shard on a disk that loses unsynced data."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 @attrs.define(eq=False)
 class Disk:
-    """What lasts. `pending` entries are written and not synced."""
+    """Durable contents. `pending` entries are written and not synced."""
 
     identity: str
     entries: list[bytes] = attrs.field(factory=list)
@@ -57,7 +57,7 @@
     refusing: bool = False
 
 
-class StoreMachine:
+class SimulatedStore:
     """One machine with a disk, and the process on it while it runs. Calls and replies pass through the world."""
 
     def __init__(self, world: World, shard: int, name: str, mutations: Mutations) -> None:
@@ -72,7 +72,7 @@
         self.leaving = False
         self.incarnation = 0
         self.placement: Placement | None = None
-        self.machines: dict[str, StoreMachine] = {}
+        self.machines: dict[str, SimulatedStore] = {}
         self.on_migration_completed: Callable[[str, int, int], None] = lambda name, shard, epoch: None
         self.on_result_read: Callable[[str], None] = lambda key: None
         self.replica: Replica
@@ -91,7 +91,7 @@
         """The identity of its disk."""
         return self.disk.identity
 
-    # Life and death.
+    # Lifecycle.
 
     def start(self) -> None:
         """Start the process on what its disk holds."""
@@ -117,28 +117,28 @@
         self._renew_leases(self.incarnation)
 
     def kill(self) -> None:
-        """The process dies; what it had written stays."""
+        """Kill the process; what it had written stays."""
         if self.running:
             self.running = False
             self.disk.entries += [payload for payload, _ in self.disk.pending]
             self.disk.pending = []
 
     def lose_power(self) -> None:
-        """What was not synced may be lost: the journal keeps a beginning of it."""
+        """Lose power: what was not synced may be lost; the journal keeps a beginning of it."""
         self.running = False
         kept = self.world.rng.randint(0, len(self.disk.pending))
         self.disk.entries += [payload for payload, _ in self.disk.pending[:kept]]
         self.disk.pending = []
 
     def wipe(self) -> None:
-        """The disk is lost."""
+        """Lose the disk."""
         self.running = False
         identity = self.identity if self.mutations.keeps_identity else self._new_identity()
         usual_s = self.disk.usual_sync_s
         self.disk = Disk(identity, sync_s=usual_s, usual_sync_s=usual_s)
 
     def when_awake(self, incarnation: int, work: Callable[..., None], *arguments: Any) -> None:
-        """Do this in that life of the process, once it is not frozen."""
+        """Call `work` in that incarnation of the process, once it is not frozen."""
         if not self.running or incarnation != self.incarnation:
             return
         if self.world.now_s < self.frozen_until_s:
@@ -161,7 +161,7 @@
                 self.perform_job_manager(self.job_manager.tick(now_s))
         self.world.after(TICK_INTERVAL_S, self._tick, incarnation)
 
-    def _seems_live(self, machine: StoreMachine) -> bool:
+    def _seems_live(self, machine: SimulatedStore) -> bool:
         return machine.running and self.world.reach(self.name, machine.name)
 
     def _renew_leases(self, incarnation: int) -> None:
@@ -184,7 +184,7 @@
         return done
 
     def learn(self, placement: Placement | None) -> None:
-        """A newer placement reached this machine."""
+        """Apply a newer placement, which reached this machine."""
         if placement is None:
             return
         if self.placement is None or placement.epoch >= self.placement.epoch:
@@ -212,7 +212,7 @@
             self.world.send(self.name, machine.name, machine.receive, self.name, message, finish)
 
     def receive(self, origin: str, message: Any, finish: Callback) -> None:
-        """A call of another store came in."""
+        """Receive a call of another store."""
         self.when_awake(self.incarnation, self._receive, origin, message, finish)
 
     def _receive(self, origin: str, message: Any, finish: Callback) -> None:
@@ -255,7 +255,7 @@
         self._act(self.replica.persist_failed(token))
 
     def _synced(self, incarnation: int, count: int) -> None:
-        """The disk goes on while the process is frozen; the process hears of it later."""
+        """Complete a sync. The disk works while the process is frozen; the process is notified later."""
         if not self.running or incarnation != self.incarnation:
             return
         done, self.disk.pending = self.disk.pending[:count], self.disk.pending[count:]
@@ -273,7 +273,7 @@
     # Owner and job manager.
 
     def perform(self, actions: list[OwnerAction]) -> None:
-        """Carry out what the owner wants."""
+        """Carry out the owner's actions."""
         now_s = self.world.now_s
         for action in actions:
             if isinstance(action, SendToReplica):
@@ -298,7 +298,7 @@
         return done
 
     def perform_job_manager(self, actions: list[JobManagerAction]) -> None:
-        """Carry out what the job manager wants."""
+        """Carry out the job manager's actions."""
         for action in actions:
             if isinstance(action, AnswerCall):
                 self._resolve(action.call, action.body)
@@ -325,7 +325,7 @@
     # Calls of gateways.
 
     def ask(self, origin: str, request: Any, finish: Callback) -> None:
-        """A gateway's call came in; `finish` gets the answer or an error."""
+        """Receive a gateway's call; `finish` gets the answer or an error."""
         self.when_awake(self.incarnation, self._ask, origin, request, finish)
 
     def _ask(self, origin: str, request: Any, finish: Callback) -> None:
@@ -360,7 +360,7 @@
         return self.job_manager.finish_run(now_s, call, request)
 
     def _checked(self, request: Any, reply: Callback) -> Callback:
-        """After a wait, reads are answered by an owner only."""
+        """Wrap `reply` so that after a wait only an owner answers reads."""
 
         def done(body: Any) -> None:
             stale = isinstance(request, ReadJob) and not self.owner.serving(self.world.now_s)
