--- a/emberring/simulation/jobs/gateway.py
+++ b/emberring/simulation/jobs/gateway.py
@@ -1,4 +1,4 @@
-"""A simulated gateway: it runs items at made-up servers and carries its clients' calls to the owner."""
+"""Simulated gateway: it runs items at simulated servers and carries its clients' calls to the owner."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 )
 from emberring.jobs.items import OutcomeKind
 from emberring.jobs.packing import pack_events, unpack_events
-from emberring.simulation.jobs.history import History, Try
-from emberring.simulation.jobs.store import StoreMachine, is_error
+from emberring.simulation.jobs.history import History, SubmissionOutcome
+from emberring.simulation.jobs.store import SimulatedStore, is_error
 from emberring.simulation.jobs.world import World
 
 ITEM_LEASE_S = 1.5
@@ -39,7 +39,7 @@
 DELIVERY_TIMEOUT_S = 12.0
 RETRY_PAUSE_S = 0.05
 
-Done = Callable[[Any], None]
+Callback = Callable[[Any], None]
 
 
 @attrs.define(eq=False)
@@ -53,11 +53,11 @@
     deliver_until_s: float = 0.0
 
 
-class GatewayMachine:
-    """One gateway. Its runs die with it."""
+class SimulatedGateway:
+    """A simulated gateway. Its runs end with it."""
 
     def __init__(
-        self, world: World, history: History, name: str, shard: int, stores: dict[str, StoreMachine]
+        self, world: World, history: History, name: str, shard: int, stores: dict[str, SimulatedStore]
     ) -> None:
         self.world = world
         self.history = history
@@ -65,15 +65,15 @@
         self.shard = shard
         self.stores = stores
         self.running = True
-        self.thaw_at_s = 0.0
+        self.frozen_until_s = 0.0
         self.incarnation = 0
-        self.guess = ""
+        self.assumed_owner = ""
         self.runs: dict[int, _Run] = {}
         self._loop(self.incarnation, POLL_S, self._poll)
         self._loop(self.incarnation, REPORT_INTERVAL_S, self._report)
 
     def kill(self, lasts_s: float) -> None:
-        """It dies and comes back empty."""
+        """Kill the gateway; it comes back empty."""
         self.running = False
         self.incarnation += 1
         self.runs = {}
@@ -88,27 +88,27 @@
     def _loop(self, incarnation: int, every_s: float, work: Callable[[], None]) -> None:
         if incarnation != self.incarnation or not self.running:
             return
-        if self.world.now_s >= self.thaw_at_s:
+        if self.world.now_s >= self.frozen_until_s:
             work()
         self.world.after(every_s, self._loop, incarnation, every_s, work)
 
     def when_awake(self, incarnation: int, work: Callable[..., None], *arguments: Any) -> None:
-        """Do this in that life, once it is not frozen."""
+        """Call `work` in that incarnation, once it is not frozen."""
         if incarnation != self.incarnation or not self.running:
             return
-        if self.world.now_s < self.thaw_at_s:
-            self.world.at(self.thaw_at_s, self.when_awake, incarnation, work, *arguments)
+        if self.world.now_s < self.frozen_until_s:
+            self.world.at(self.frozen_until_s, self.when_awake, incarnation, work, *arguments)
         else:
             work(*arguments)
 
     # Calls to the owner.
 
-    def call(self, question: Any, wait_s: float, done: Done) -> None:
-        """One attempt at the store that may own the shard; `done` gets the answer, an error, or None."""
+    def call(self, request: Any, wait_s: float, done: Callback) -> None:
+        """Make one attempt at the store that may own the shard; `done` gets the answer, an error, or None."""
         names = list(self.stores)
-        if self.guess not in self.stores or self.world.rng.random() < 0.05:
-            self.guess = self.world.rng.choice(names)
-        asked, incarnation = self.guess, self.incarnation
+        if self.assumed_owner not in self.stores or self.world.rng.random() < 0.05:
+            self.assumed_owner = self.world.rng.choice(names)
+        asked, incarnation = self.assumed_owner, self.incarnation
         open_call = [True]
 
         def finish(body: Any) -> None:
@@ -116,7 +116,7 @@
                 return
             open_call[0] = False
             if is_error(body) and not isinstance(body, NotFoundError | QuotaExceededError):
-                self.guess = self.world.rng.choice(names)
+                self.assumed_owner = self.world.rng.choice(names)
             self.when_awake(incarnation, done, body)
 
         self.world.after(wait_s, finish, None)
@@ -124,10 +124,13 @@
         if not store.running and self.world.reach(self.name, asked):
             self.world.after(0.001, finish, PeerUnavailableError())
             return
-        self.world.send(self.name, asked, store.ask, self.name, question, finish)
+        self.world.send(self.name, asked, store.ask, self.name, request, finish)
 
-    def ask(self, question: Any, limit_s: float, wait_s: float, done: Callable[[Any, bool], None]) -> None:
-        """Ask until the owner answers or time is up: the answer (None for none), and whether it is in doubt."""
+    def ask(self, request: Any, limit_s: float, wait_s: float, done: Callable[[Any, bool], None]) -> None:
+        """Retry until the owner answers or time is up.
+
+        `done` gets the answer (None for none), and whether the outcome is unknown.
+        """
         until_s = self.world.now_s + limit_s
         outcome_unknown = [False]
 
@@ -149,22 +152,26 @@
                 self.world.after(RETRY_PAUSE_S, self.when_awake, self.incarnation, attempt)
 
         def attempt() -> None:
-            self.call(question, min(wait_s, max(0.01, until_s - self.world.now_s)), answered)
+            self.call(request, min(wait_s, max(0.01, until_s - self.world.now_s)), answered)
 
         attempt()
 
-    def submit(self, question: Any, done: Callable[[Try], None]) -> None:
-        """A client submits a batch job."""
+    def submit(self, request: Any, done: Callable[[SubmissionOutcome], None]) -> None:
+        """Submit a client's batch job."""
 
         def answered(body: Any, outcome_unknown: bool) -> None:
             if body is not None and not is_error(body):
-                done(Try.TAKEN)
+                done(SubmissionOutcome.TAKEN)
             elif outcome_unknown:
-                done(Try.UNCLEAR)
+                done(SubmissionOutcome.UNCLEAR)
             else:
-                done(Try.QUOTA if isinstance(body, QuotaExceededError) else Try.NOT_READY)
+                done(
+                    SubmissionOutcome.QUOTA
+                    if isinstance(body, QuotaExceededError)
+                    else SubmissionOutcome.NOT_READY
+                )
 
-        self.ask(question, 2.6, CALL_TIMEOUT_S, answered)
+        self.ask(request, 2.6, CALL_TIMEOUT_S, answered)
 
     # Items.
 
@@ -206,7 +213,7 @@
             self._next(ticket, number, 0 if resume is None else resume + 1, item)
 
     def _next(self, ticket: int, number: int, event: int, item: Any) -> None:
-        """The server goes on by itself; the gateway takes what reaches it while it runs."""
+        """Let the server produce the next event; the gateway receives it while it runs."""
         run = self.runs.get(ticket)
         if run is None or run.stopped:
             return
@@ -255,7 +262,7 @@
         self.call(message, CALL_TIMEOUT_S, done)
 
     def _report(self) -> None:
-        told = tuple(
+        progress = tuple(
             RunProgress(
                 run.assignment.key,
                 run.assignment.index,
@@ -265,7 +272,7 @@
             )
             for ticket, run in self.runs.items()
         )
-        if not told:
+        if not progress:
             return
         sent_s = self.world.now_s
 
@@ -274,7 +281,7 @@
                 for answer in body.runs:
                     self._reported(answer.ticket, answer.lease_renewed, answer.events_received, sent_s)
 
-        self.call(ReportRuns(self.name, self.shard, told), CALL_TIMEOUT_S, done)
+        self.call(ReportRuns(self.name, self.shard, progress), CALL_TIMEOUT_S, done)
 
     def _reported(self, ticket: int, lease_renewed: bool, have: int, sent_s: float) -> None:
         run = self.runs.get(ticket)
--- a/tests/emberring/store/tier_store_cluster.py
+++ b/tests/emberring/store/tier_store_cluster.py
@@ -236,12 +236,12 @@
         return store
 
     async def kill(self, name: str) -> None:
-        """End a store without a word."""
+        """Kill a store."""
         store = self.stores.pop(name)
         for task in list(store._tasks):
             task.cancel()
         await store.follower.stop()
-        store.peers.close()
+        store.replica_client.close()
         await store.network.close()
         await store.journal.close()
         self.world.facts.pop(name, None)
