--- a/emberring/control/exchanger.py
+++ b/emberring/control/exchanger.py
@@ -1,4 +1,4 @@
-"""Carries out the exchanges with other control nodes, and lets the board's time pass."""
+"""Sends and answers the exchanges between control nodes, and ticks the cluster state."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from emberring.logs import get_logger
 from emberring.transport.network import Caller, Network
 
-TICK_S = 0.1
-EXCHANGE_TIMEOUT_S = 0.6
+TICK_INTERVAL_S = 0.1
+EXCHANGE_TIMEOUT_S = 0.6  # of one call
 
 logger = get_logger("control")
 
 
 class Exchanger:
-    """Runs the exchanges that are due, each in a task of its own, so that a silent node holds up no other."""
+    """Runs the exchanges that are due, each in a task of its own, so that a silent node delays no other."""
 
     def __init__(self, network: Network, cluster_state: ClusterState) -> None:
         self._network = network
@@ -28,7 +28,7 @@
 
     async def _on_exchange(self, exchange: Exchange, caller: Caller) -> Exchanged:
         reply = self._cluster_state.on_exchange(asyncio.get_running_loop().time(), exchange)
-        self._cluster_state.notify_exchange_ended()
+        self._cluster_state.ended_exchanges.notify_all()
         return reply
 
     async def run(self) -> None:
@@ -37,11 +37,11 @@
         next_tick_s = loop.time()
         while True:
             if loop.time() >= next_tick_s:
-                next_tick_s = loop.time() + TICK_S
+                next_tick_s = loop.time() + TICK_INTERVAL_S
                 self._cluster_state.tick(loop.time())
             for peer in self._cluster_state.peers.due(loop.time()):
                 self._start_exchange(peer)
-            await self._cluster_state.wait_for_expedite(max(0.0, next_tick_s - loop.time()))
+            await self._cluster_state.expedite_requests.wait(max(0.0, next_tick_s - loop.time()))
 
     def _start_exchange(self, peer: Peer) -> None:
         self._cluster_state.peers.exchange_began(asyncio.get_running_loop().time(), peer)
@@ -61,9 +61,9 @@
             logger.debug("event=exchange_failed address=%s error=%s", peer.address, error.detail)
         finally:
             self._cluster_state.peers.exchange_ended(loop.time(), peer, answered)
-            self._cluster_state.notify_exchange_ended()
+            self._cluster_state.ended_exchanges.notify_all()
 
     async def stop(self) -> None:
-        """End the exchanges under way."""
+        """Cancel the exchanges under way."""
         for task in list(self._tasks):
             task.cancel()
--- a/emberring/control/heartbeat_handler.py
+++ b/emberring/control/heartbeat_handler.py
@@ -53,7 +53,7 @@
             if remaining_s <= 0:
                 raise NotReadyError(f"no other control node knows yet that {server_id} ends")
             self._cluster_state.expedite_exchanges(loop.time())
-            await self._cluster_state.wait_for_exchange(remaining_s)
+            await self._cluster_state.ended_exchanges.wait(remaining_s)
 
     def _is_replicated(self, now_s: float, server_id: str) -> bool:
         own_record = self._cluster_state.me
--- a/emberring/control/node.py
+++ b/emberring/control/node.py
@@ -1,4 +1,4 @@
-"""A control node put together: register, board, exchanges, feed, placement and the HTTP interface."""
+"""A control node: its cluster state, exchanges, update stream, placement loop and HTTP application, and their tasks."""
 
 from __future__ import annotations
 
@@ -8,8 +8,6 @@
 from collections.abc import Callable, Coroutine, Sequence
 from typing import Any
 
-import attrs
-
 from emberring.configuration.state import ControlState
 from emberring.control.app import ControlApp
 from emberring.control.cluster_state import ClusterState
@@ -36,13 +34,15 @@
 
 
 def new_incarnation() -> str:
-    """A name for this start of the process."""
+    """A new identifier for this start of the process."""
     return uuid.uuid4().hex[:12]
 
 
 class ControlNode:
-    """All parts of a control node but its HTTP listener. `seeds` are internal addresses of control nodes, the
-    settings' if left out; `peer_cache` keeps those met before; `incarnation` names this start, anew if left out."""
+    """All components of a control node but its HTTP listener.
+
+    Parameters: `seeds` are internal addresses of control nodes, by default those of the settings; `peer_cache` keeps
+    the addresses of the control nodes seen before; `incarnation` identifies this start, by default a new one."""
 
     def __init__(
         self,
@@ -63,9 +63,9 @@
             incarnation=incarnation or new_incarnation(),
         )
         tolerance = max_simultaneous_failures(settings.fault_tolerance)
-        known = settings.internal_seeds() if seeds is None else tuple(seeds)
-        others = len(set(known) - {me.address})
-        self.cluster_state = ClusterState(loop.time(), me, known, settings.heartbeat_ms / 1000)
+        seed_addresses = settings.internal_seeds() if seeds is None else tuple(seeds)
+        other_control_nodes = len(set(seed_addresses) - {me.address})
+        self.cluster_state = ClusterState(loop.time(), me, seed_addresses, settings.heartbeat_ms / 1000)
         self.cluster_state.quorum_age_s = register.majority_age_s
         self._peer_cache = peer_cache
         self._save_task: asyncio.Task[None] | None = None
@@ -77,7 +77,7 @@
         self._operator_requests = OperatorRequests(register, self.cluster_state, tolerance)
         self._placement = PlacementLoop(register, self.cluster_state, tolerance)
         heartbeat_handler = HeartbeatHandler(
-            self.cluster_state, replication_policy(settings, others), register.is_quorum
+            self.cluster_state, replication_policy(settings, other_control_nodes), register.is_quorum
         )
         self.app = ControlApp(self._operator_requests, heartbeat_handler, StatusPage(self.cluster_state))
         self._tasks: list[asyncio.Task[None]] = []
@@ -96,7 +96,7 @@
         return Ok()
 
     def start(self) -> None:
-        """Begin to exchange, plan and tell the register who lives."""
+        """Start the tasks: exchanges, placement, and reports of live peers to the register."""
         self._spawn(self._exchanger.run)
         self._spawn(self._placement.run)
         self._spawn(self._report_live_peers)
@@ -105,38 +105,34 @@
         self._tasks.append(asyncio.get_running_loop().create_task(run()))
 
     async def _report_live_peers(self) -> None:
-        told: list[NodeRecord] = []
+        reported: list[NodeRecord] = []
         while True:
             now_s = asyncio.get_running_loop().time()
             live = [
                 record for record in self.cluster_state.live_nodes(now_s) if record.role is NodeRole.CONTROL
             ]
             others = sorted(
-                (record for record in live if record.name != self.cluster_state.me.name), key=lambda f: f.name
+                (record for record in live if record.name != self.cluster_state.me.name),
+                key=lambda record: record.name,
             )
-            if others != told:
-                told = others
+            if others != reported:
+                reported = others
                 self._register.note_peers(others)
                 self._cache_peers(others)
             await asyncio.sleep(PEER_REPORT_INTERVAL_S)
 
     def _cache_peers(self, others: list[NodeRecord]) -> None:
-        """Keep the others' addresses in the background: the disk may stall."""
+        """Save the others' addresses in the background, as the disk may stall."""
         if self._peer_cache is not None and (self._save_task is None or self._save_task.done()):
             saving = self._peer_cache.save([record.address for record in others])
             self._save_task = asyncio.get_running_loop().create_task(saving)
 
     def announce_shutdown(self) -> None:
-        """Say that this node is about to end."""
-        now_s = asyncio.get_running_loop().time()
-        self.cluster_state.me = attrs.evolve(self.cluster_state.me, leaving=True)
-        self.cluster_state.peers.me = self.cluster_state.me
-        self.cluster_state.status_table.write_node(self.cluster_state.me, present=True)
-        self.cluster_state.expedite_exchanges(now_s)
-        self.cluster_state.notify_changed()
+        """Tell the other nodes that this one shuts down."""
+        self.cluster_state.announce_shutdown(asyncio.get_running_loop().time())
 
     async def stop(self) -> None:
-        """End the work in the background."""
+        """Cancel the tasks and wait for their end."""
         for task in self._tasks:
             task.cancel()
         for task in self._tasks:
--- a/emberring/control/update_stream.py
+++ b/emberring/control/update_stream.py
@@ -1,4 +1,4 @@
-"""Answers the pulls of gateways and stores: at once where they lack something, otherwise when something changes."""
+"""Answers the pulls of gateways and stores: at once where they lack an update, otherwise at the next change."""
 
 from __future__ import annotations
 
@@ -11,35 +11,34 @@
 from emberring.distribution.records import NodeRole
 from emberring.transport.network import Caller
 
-MAX_WAIT_S = 2.0
-NO_MAJORITY_AGE_MS = 1e9  # stands for "no majority since the start"
-BATCH_DELAY_S = 0.004  # changes that come together are told together
-BATCH_DELAY_PER_WAITER_S = 0.0005  # with many followers, more of them
+MAX_WAIT_S = 2.0  # the longest time for which a reply is held back
+NO_MAJORITY_AGE_MS = 1e9  # reported where no majority was in contact since the start
+BATCH_DELAY_S = 0.004  # after a change, so that changes at nearly the same time go into one reply
+BATCH_DELAY_PER_WAITER_S = 0.0005  # the same, in addition, for each follower that waits
 MAX_BATCH_DELAY_S = 0.1
 
 
 class UpdateStream:
-    """Tells followers what they lack."""
+    """Sends followers the updates that they lack."""
 
     def __init__(self, cluster_state: ClusterState) -> None:
         self._cluster_state = cluster_state
 
     async def on_pull(self, pull: Pull, caller: Caller) -> Update:
-        """The answer to a pull."""
+        """The reply to a pull, when there is an update or its waiting time is over."""
         loop = asyncio.get_running_loop()
         self._cluster_state.on_node_contact(loop.time(), pull.sender, _load_report_of(pull))
-        give_up_at = loop.time() + min(MAX_WAIT_S, pull.wait_ms / 1000)
+        deadline_s = loop.time() + min(MAX_WAIT_S, pull.wait_ms / 1000)
         while True:
-            left_s = give_up_at - loop.time()
-            if left_s <= 0 or self._has_updates(pull):
+            remaining_s = deadline_s - loop.time()
+            if remaining_s <= 0 or self._has_updates(pull):
                 return self._update(loop.time(), pull)
-            await self._cluster_state.wait_for_change(left_s)
-            await asyncio.sleep(
-                min(MAX_BATCH_DELAY_S, BATCH_DELAY_S + BATCH_DELAY_PER_WAITER_S * self._cluster_state.waiters)
-            )
+            await self._cluster_state.changes.wait(remaining_s)
+            waiters = self._cluster_state.changes.waiters
+            await asyncio.sleep(min(MAX_BATCH_DELAY_S, BATCH_DELAY_S + BATCH_DELAY_PER_WAITER_S * waiters))
 
     def _has_updates(self, pull: Pull) -> bool:
-        """Whether the asker lacks something that it should have at once."""
+        """Whether the sender lacks an update that it should have at once."""
         state = self._cluster_state.state
         return (
             state.version > pull.configuration_version
@@ -52,7 +51,7 @@
         state = cluster_state.state
         placement = state.placement
         newer_placement = placement is not None and placement.epoch > pull.placement_epoch
-        routing = pull.sender.role is NodeRole.GATEWAY
+        is_gateway = pull.sender.role is NodeRole.GATEWAY
         return Update(
             writer_incarnation=cluster_state.me.incarnation,
             quorum_age_ms=min(NO_MAJORITY_AGE_MS, cluster_state.quorum_age_s() * 1000),
@@ -67,12 +66,12 @@
             smoothed_load=cluster_state.load.smoothed(now_s, pull.load)
             if pull.load_detail is LoadReportDetail.SERVERS_IN_USE
             else {},
-            service_load=cluster_state.load.totals(now_s) if routing else {},
-            load_age_ms=round(cluster_state.load.age_s(now_s) * 1000.0) if routing else 0.0,
+            service_load=cluster_state.load.totals(now_s) if is_gateway else {},
+            load_age_ms=round(cluster_state.load.age_s(now_s) * 1000.0) if is_gateway else 0.0,
         )
 
     def _server_load(self, now_s: float, pull: Pull) -> dict[str, int]:
-        """The calls in flight at each server, as far as they are asked for."""
+        """The calls in flight at each server, as far as requested."""
         if pull.sender.role is not NodeRole.GATEWAY or pull.load_detail is LoadReportDetail.TOTALS:
             return {}
         calls = self._cluster_state.load.calls(now_s)
@@ -82,6 +81,6 @@
 
 
 def _load_report_of(pull: Pull) -> LoadReport | None:
-    """What the asker told of its calls; None where it told another control node. Calls without the word that they are
-    told come from a node of an older version."""
+    """The sender's load report; None where it reports to another control node. A load without `reports_load` comes
+    from a node of an older version."""
     return LoadReport(pull.load, pull.suspects) if pull.reports_load or pull.load else None
