--- a/emberring/control/http_server.py
+++ b/emberring/control/http_server.py
@@ -1,4 +1,4 @@
-"""uvicorn inside a role's own loop, without handlers for signals of its own."""
+"""Serves HTTP with uvicorn inside a role's own event loop, without signal handlers of uvicorn's."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 import uvicorn
 
-KEEP_ALIVE_S = 30
-GRACE_S = 2
-BACKLOG = 1024
+KEEP_ALIVE_S = 30  # of idle connections
+SHUTDOWN_GRACE_S = 2  # for open requests at the end
+BACKLOG = 1024  # connections not yet accepted
 START_POLL_S = 0.005
 
 
 class _QuietServer(uvicorn.Server):
     @contextlib.contextmanager
     def capture_signals(self) -> Generator[None, None, None]:
-        """Signals belong to the role."""
+        """Leave signals to the role."""
         yield
 
 
 class HttpServer:
-    """Serves an ASGI program at one address."""
+    """Serves the ASGI application `app` at `address` (`host:port`)."""
 
     def __init__(self, app: Any, address: str) -> None:
         host, _, port = address.rpartition(":")
@@ -42,20 +42,20 @@
             date_header=False,
             proxy_headers=False,
             timeout_keep_alive=KEEP_ALIVE_S,
-            timeout_graceful_shutdown=GRACE_S,
+            timeout_graceful_shutdown=SHUTDOWN_GRACE_S,
             backlog=BACKLOG,
         )
         self._server = _QuietServer(config)
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begin to listen; returns when connections are taken."""
+        """Begin to listen; returns when connections are accepted."""
         self._task = asyncio.get_running_loop().create_task(self._server.serve())
         while not self._server.started and not self._task.done():
             await asyncio.sleep(START_POLL_S)
 
     async def stop(self) -> None:
-        """Take no more connections, finish the calls that are open, and end."""
+        """Accept no more connections, finish the open requests, and end."""
         self._server.should_exit = True
         if self._task is not None:
             await self._task
--- a/emberring/control/load_aggregator.py
+++ b/emberring/control/load_aggregator.py
@@ -1,7 +1,7 @@
-"""The sums of calls in flight that a control node tells: by server, smoothed, and by service. No sockets.
+"""Sums of the calls in flight over all gateways: by server, smoothed, and by service. No sockets.
 
-Every gateway asks some times a second, and each sum is over all servers: they are made once for all who ask within a
-short time, which grows with the number of servers.
+Every gateway requests them several times a second, and each sum is over all servers: sums are cached for a short time,
+which grows with the number of servers.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 from emberring.distribution.records import ServerRecord
 from emberring.registry.known_load import USUAL_S
 
-CACHE_S = 0.02  # the least time for which sums hold,
+CACHE_S = 0.02  # the least time for which sums are cached
 CACHE_PER_SERVER_S = (
-    25e-6  # and more for each server with calls, so that summing takes a few hundredths of a core
+    25e-6  # more for each server with calls, so that summing takes a few hundredths of a core
 )
-NEGLIGIBLE_CALLS = 0.05  # smoothed calls that are as good as none
+NEGLIGIBLE_CALLS = 0.05  # smoothed calls below this are dropped
 
 LoadSource = Callable[[float], Iterable[Mapping[str, int]]]
-"""At a time, what the sources have told: calls in flight by server id."""
+"""At a time: the reported calls in flight by server id, one mapping for each source."""
 LoadAgeSource = Callable[[float], float]
-"""At a time, how long ago (seconds) the sources told that in the mean."""
+"""At a time: how long ago (s), in the mean over all calls, they were reported."""
 
 
 class LoadAggregator:
-    """Sums over what `loads` gives, which is as old as `age` says; `servers` are the known servers by id."""
+    """Sums over what `loads` gives, which is as old as `age` says; `servers` gives the known servers by id."""
 
     def __init__(
         self, loads: LoadSource, age: LoadAgeSource, servers: Callable[[], Mapping[str, ServerRecord]]
@@ -47,10 +47,10 @@
         self._refresh(now_s)
         return self._calls
 
-    def smoothed(self, now_s: float, wanted: Iterable[str]) -> dict[str, float]:
-        """The same, smoothed, to tenths, for these servers."""
+    def smoothed(self, now_s: float, server_ids: Iterable[str]) -> dict[str, float]:
+        """Smoothed calls in flight at these servers, rounded to tenths."""
         self._smooth(now_s)
-        return {server_id: round(self._smoothed.get(server_id, 0.0), 1) for server_id in wanted}
+        return {server_id: round(self._smoothed.get(server_id, 0.0), 1) for server_id in server_ids}
 
     def totals(self, now_s: float) -> dict[str, int]:
         """Calls in flight by service."""
@@ -58,7 +58,7 @@
         return self._totals
 
     def age_s(self, now_s: float) -> float:
-        """How old the sums are, in the mean over all calls."""
+        """The age of the sums (s), in the mean over all calls."""
         self._refresh(now_s)
         return self._age_s + now_s - self._at_s
 
@@ -73,17 +73,17 @@
         self._totals = self._by_service()
 
     def _smooth(self, now_s: float) -> None:
-        """Only where somebody asks for what is usual: small tiers never do."""
+        """Bring the smoothed calls up to date. Done on request only: small tiers never request them."""
         self._refresh(now_s)
         if self._smoothed_s == self._at_s:
             return
-        kept = math.exp((self._smoothed_s - self._at_s) / USUAL_S)
+        decay = math.exp((self._smoothed_s - self._at_s) / USUAL_S)
         self._smoothed_s = self._at_s
-        smoothed = {server_id: kept * usual for server_id, usual in self._smoothed.items()}
+        smoothed = {server_id: decay * calls for server_id, calls in self._smoothed.items()}
         for server_id, count in self._calls.items():
-            smoothed[server_id] = smoothed.get(server_id, 0.0) + (1.0 - kept) * count
+            smoothed[server_id] = smoothed.get(server_id, 0.0) + (1.0 - decay) * count
         self._smoothed = {
-            server_id: usual for server_id, usual in smoothed.items() if usual >= NEGLIGIBLE_CALLS
+            server_id: calls for server_id, calls in smoothed.items() if calls >= NEGLIGIBLE_CALLS
         }
 
     def _by_service(self) -> dict[str, int]:
--- a/emberring/control/operator_requests.py
+++ b/emberring/control/operator_requests.py
@@ -1,5 +1,8 @@
-"""The operator's orders: configurations taken, read back, stores emptied. Each ends inside the operator's patience
-of one second; where the outcome is not known, the error makes no promise and the order comes again."""
+"""Requests of operators: configurations accepted and read back, stores retired.
+
+Each ends within the operator's time-out of one second. Where the outcome is not known, the error says so, and the
+operator sends the request again.
+"""
 
 from __future__ import annotations
 
@@ -26,17 +29,17 @@
 from emberring.placement.retirement import begin_retire, retire_state
 
 REQUEST_TIMEOUT_S = 0.8
-NO_MAJORITY_TIMEOUT_S = 0.25  # while no majority is in contact: the operator had better ask another node soon
-MAJORITY_LOST_AFTER_S = 1.2
+NO_MAJORITY_TIMEOUT_S = 0.25  # while no majority is in contact, so that the operator soon asks another node
+MAJORITY_LOST_AFTER_S = 1.2  # without contact to a majority for so long, `NO_MAJORITY_TIMEOUT_S` holds
 LARGE_BODY_BYTES = 256 * 1024
-LARGE_TIMEOUT_S = 1.6  # the operator waits longer for large bodies
-STABLE_S = 3.0  # a node started, cut off or frozen less long ago may not know all stores
+LARGE_TIMEOUT_S = 1.6  # operators wait longer for large bodies
+STABLE_S = 3.0  # a node started, partitioned or frozen less long ago may not know all stores
 
 logger = get_logger("control")
 
 
 class OperatorRequests:
-    """Carries out orders on the register."""
+    """Carries out operators' requests on the register. `tolerance` is how many stores may be lost at once."""
 
     def __init__(self, register: Register, cluster_state: ClusterState, tolerance: int) -> None:
         self._register = register
@@ -49,12 +52,14 @@
         return LARGE_TIMEOUT_S if body_bytes > LARGE_BODY_BYTES else REQUEST_TIMEOUT_S
 
     async def configure(self, kind: ChangeRequestKind, if_match: str | None, body: bytes) -> int:
-        """Take a configuration or a patch; the version that it made current, now or before."""
+        """Accept a configuration or a patch; the version that it made current, now or before.
+
+        Raises the error of a rejected request, `NoQuorumError`, or `UnknownOutcomeError`."""
         request = read_change_request(kind, if_match, body)
         state = await self._compare_and_swap(
             lambda state: _accepted_state(state, request), self._timeout_s(len(body))
         )
-        outcome = judge(state, request)  # on a value that a quorum holds: a refusal is certain
+        outcome = judge(state, request)  # on a value that a quorum holds, so a rejection is certain
         if isinstance(outcome, Refused):
             raise outcome.error
         logger.info("event=configuration_taken version=%d current=%d", request.version, state.version)
@@ -70,19 +75,19 @@
         return ControlState.decode(await self._register.change(decide, timeout_s))
 
     async def current(self) -> bytes:
-        """The newest configuration, whole; `NotFoundError` before the first one."""
+        """The newest configuration's complete document. Raises `NotFoundError` before the first one."""
         state = ControlState.decode(await self._register.read(self._timeout_s()))
         if not state.packed:
             raise NotFoundError("no configuration has been taken yet")
         return state.document
 
     async def retire(self, name: str) -> str:
-        """Have a store emptied; its state."""
+        """Begin to retire a store; its state. Raises `NotFoundError`, `ConflictError`, or `NotReadyError`."""
         loop = asyncio.get_running_loop()
-        refusal: list[NotFoundError | ConflictError] = []
+        rejection: list[NotFoundError | ConflictError] = []
 
         def next_state(state: ControlState) -> ControlState | None:
-            refusal.clear()
+            rejection.clear()
             live = [
                 record
                 for record in self._cluster_state.live_nodes(loop.time())
@@ -91,29 +96,30 @@
             try:
                 placement = begin_retire(state.placement, name, live, self._tolerance)
             except (NotFoundError, ConflictError) as error:
-                refusal.append(error)
+                rejection.append(error)
                 return None
             return None if placement == state.placement else attrs.evolve(state, placement=placement)
 
         state = await self._compare_and_swap(next_state, self._timeout_s())
-        if refusal:
+        if rejection:
             self._require_stable_view(state)
-            raise refusal[0]
+            raise rejection[0]
         return retire_state(state.placement, name)
 
     def _require_stable_view(self, state: ControlState) -> None:
-        """A node that has just started, or was cut off or frozen until now, doesn't know all stores."""
-        settled = self._cluster_state.stable_for_s(asyncio.get_running_loop().time()) > STABLE_S
-        if state.placement is None or not settled:
+        """Raise `NotReadyError` on a node that just started, or was partitioned or frozen until now: it may not
+        know all stores, so its rejection is not certain."""
+        is_stable = self._cluster_state.stable_for_s(asyncio.get_running_loop().time()) > STABLE_S
+        if state.placement is None or not is_stable:
             raise NotReadyError("the stores are not all known yet")
 
     async def retirement(self, name: str) -> str:
-        """`active` or `completed`."""
+        """The state of a store's retirement: `active` or `completed`."""
         state = ControlState.decode(await self._register.read(self._timeout_s()))
         return retire_state(state.placement, name)
 
     async def on_placement_moved(self, shard: int, epoch: int) -> None:
-        """An owner says that a shard's records stand on its joining group."""
+        """The owner of a shard reports that its joining group holds all records."""
 
         def next_state(state: ControlState) -> ControlState | None:
             if state.placement is None:
--- a/emberring/control/peer_cache.py
+++ b/emberring/control/peer_cache.py
@@ -1,5 +1,8 @@
-"""The control nodes that this one has met, kept on disk: after a restart it finds them although the seeds of its
-settings are down, cut off or replaced. Only a hint: a file that is lost or torn costs nothing else."""
+"""Addresses of the control nodes seen by this one, cached on disk.
+
+After a restart it finds them although the seeds of its settings are down, partitioned or replaced. The file is only a
+hint: where it is lost or torn, nothing else is.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 
 from emberring.logs import get_logger
 
-MOST = 16  # addresses kept, the newest first
+MAX_ADDRESSES = 16  # the newest first
 
 _ADDRESS = re.compile(r"[0-9A-Za-z.\-]+:[0-9]{1,5}")
 
@@ -19,25 +22,25 @@
 
 
 class PeerCache:
-    """Addresses in a small file, one a line."""
+    """Addresses in a small file, one a line. `path` is the file; its folder is created where it is missing."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
         self._known: list[str] = []
 
     def load(self) -> list[str]:
-        """What was kept; nothing where the file can't be read. Lines that are no address are skipped."""
+        """The cached addresses; none where the file can't be read. Lines that are no address are skipped."""
         try:
             lines = self._path.read_text(encoding="utf-8", errors="replace").splitlines()
         except OSError:
             return []
-        self._known = [line for line in lines if _ADDRESS.fullmatch(line)][:MOST]
+        self._known = [line for line in lines if _ADDRESS.fullmatch(line)][:MAX_ADDRESSES]
         return list(self._known)
 
     async def save(self, addresses: Iterable[str]) -> None:
-        """Keep these beside the older ones. A disk that refuses is told in the log and does no harm."""
+        """Add these addresses before the older ones. An error of the disk is logged and not raised."""
         fresh = list(addresses)
-        known = [*fresh, *(address for address in self._known if address not in fresh)][:MOST]
+        known = [*fresh, *(address for address in self._known if address not in fresh)][:MAX_ADDRESSES]
         if set(known) == set(self._known):
             return
         self._known = known
--- a/emberring/control/placement_loop.py
+++ b/emberring/control/placement_loop.py
@@ -1,5 +1,7 @@
-"""One control node at a time plans the placement of shards: of those that live, the one with the lowest name. Two
-that take each other for dead do no harm, as every plan goes through the register."""
+"""Plans the placement of shards on one control node at a time: of the live ones, the one with the lowest name.
+
+Two that take each other for dead do no harm, as every plan is committed by compare-and-swap on the register.
+"""
 
 from __future__ import annotations
 
@@ -18,14 +20,15 @@
 PLAN_INTERVAL_S = 0.3
 CHANGE_TIMEOUT_S = 1.0
 MAJORITY_LOST_AFTER_S = (
-    1.0  # without a majority for longer, or not run for longer, this node knows nothing of absences
+    1.0  # after longer without a majority or without running, what this node knows of absences is stale
 )
 
 logger = get_logger("control")
 
 
 class PlacementLoop:
-    """Compares the placement with the stores that live, and changes it where they differ."""
+    """Compares the placement with the live stores, and changes it where they differ. `tolerance` is how many stores may
+    be lost at once."""
 
     def __init__(self, register: Register, cluster_state: ClusterState, tolerance: int) -> None:
         self._register = register
@@ -68,7 +71,7 @@
         logger.info("event=placement_changed epoch=%d stores=%d", wanted.epoch, len(wanted.stores))
 
     def _is_planner(self, now_s: float) -> bool:
-        """Whether this node plans now: no live control node has a lower name."""
+        """Whether this node plans now: no live control node that stays has a lower name."""
         live = self._cluster_state.live_nodes(now_s)
         names = [record.name for record in live if record.role is NodeRole.CONTROL and not record.leaving]
         return not names or self._cluster_state.me.name <= min(names)
--- a/emberring/control/register_port.py
+++ b/emberring/control/register_port.py
@@ -1,4 +1,4 @@
-"""What the control role needs of the register."""
+"""The interface of the register that the control role needs."""
 
 from __future__ import annotations
 
@@ -13,30 +13,29 @@
 
     @property
     def identity(self) -> str:
-        """The identity of this node's replica."""
+        """The identity of this node's replica, kept on its disk."""
 
     async def start(self) -> None:
-        """Read what the disk holds and begin to answer the other replicas."""
+        """Recover from the disk and begin to answer the other replicas."""
 
     async def stop(self) -> None:
-        """End."""
+        """Stop answering and release the disk."""
 
     async def change(self, decide: Callable[[bytes | None], bytes | None], timeout_s: float) -> bytes | None:
-        """Swap the value for `decide(value)`, or confirm it where that is None; the value that holds then, None
-        or nothing where there is none yet.
-        `NoQuorumError` or `UnknownOutcomeError` where the outcome is not known."""
+        """Replace the value by `decide(value)`, or confirm it where that is None; the value committed then, None or
+        empty before the first one. Raises `NoQuorumError`, or `UnknownOutcomeError` where the outcome is not known."""
 
     async def read(self, timeout_s: float) -> bytes | None:
-        """The value that a quorum holds."""
+        """The value that a quorum holds. Raises `NoQuorumError`."""
 
     def subscribe(self, callback: Callable[[bytes], None]) -> None:
-        """Tell every chosen value that this node learns of, none older than one told before."""
+        """Call this with the committed values that this node learns of, never an older one after a newer one."""
 
     def majority_age_s(self) -> float:
-        """How long ago a majority was in contact (seconds)."""
+        """How long ago (s) a majority was in contact."""
 
     def is_quorum(self, identities: frozenset[str]) -> bool:
         """Whether these replicas are a quorum of the replica set in force, as far as this node knows."""
 
     def note_peers(self, records: Sequence[NodeRecord]) -> None:
-        """The other control nodes that live."""
+        """Report the other live control nodes."""
--- a/emberring/control/replication_policy.py
+++ b/emberring/control/replication_policy.py
@@ -1,4 +1,4 @@
-"""Where a fact must be kept before it is acknowledged, so that it outlives what may be lost at once."""
+"""On how many nodes, zones and regions a record must be replicated before it is acknowledged."""
 
 from __future__ import annotations
 
@@ -12,36 +12,40 @@
 
 @attrs.frozen
 class ReplicationPolicy:
-    """How many control nodes, in how many zones and regions, must have a fact besides its first. `others` is how
-    many other control nodes there are from the start; `regions` gives the region of a zone."""
+    """The number of control nodes, zones and regions that must hold a record so that it survives the losses of
+    `tolerance`. `other_control_nodes` is how many there are from the start beside this one; `regions` gives the region
+    of a zone."""
 
-    others: int
+    other_control_nodes: int
     tolerance: FaultTolerance
     regions: Mapping[str, str]
 
-    def is_satisfied(self, me: NodeRecord, holders: Iterable[NodeRecord], met: Iterable[NodeRecord]) -> bool:
-        """Whether these others are enough. No more zones are asked for than those of the nodes met so far."""
-        have = [me, *holders]
-        exist = [me, *met]
-        if len(have) - 1 < min(self.others, self._machines()):
+    def is_satisfied(
+        self, own_record: NodeRecord, peers: Iterable[NodeRecord], seen: Iterable[NodeRecord]
+    ) -> bool:
+        """Whether this node and these peers are enough. No more zones and regions are required than those of
+        the control nodes seen so far."""
+        have = [own_record, *peers]
+        exist = [own_record, *seen]
+        if len(have) - 1 < min(self.other_control_nodes, self._required_peers()):
             return False
         zones = {record.zone for record in have}
         if len(zones) < min(self.tolerance.zones + 1, len({record.zone for record in exist})):
             return False
         return len(self._regions(have)) >= min(self.tolerance.regions + 1, len(self._regions(exist)))
 
-    def _machines(self) -> int:
+    def _required_peers(self) -> int:
         return max(1, self.tolerance.machines)
 
     def _regions(self, records: Iterable[NodeRecord]) -> set[str]:
         return {self.regions.get(record.zone, record.zone) for record in records}
 
 
-def replication_policy(settings: Settings, others: int) -> ReplicationPolicy:
-    """The rule of a deployment with so many other control nodes from the start."""
-    return ReplicationPolicy(others, settings.fault_tolerance, settings.zones)
+def replication_policy(settings: Settings, other_control_nodes: int) -> ReplicationPolicy:
+    """The policy of a deployment with so many other control nodes from the start."""
+    return ReplicationPolicy(other_control_nodes, settings.fault_tolerance, settings.zones)
 
 
 def max_simultaneous_failures(tolerance: FaultTolerance) -> int:
-    """How many replicas in different places may be lost at once."""
+    """How many replicas on different machines, zones or regions may be lost at once."""
     return max(tolerance.machines, tolerance.zones, tolerance.regions)
--- a/emberring/control/role.py
+++ b/emberring/control/role.py
@@ -1,4 +1,4 @@
-"""The control role: a replica of the register, the operator's interface, and the servers' heartbeats."""
+"""The control role: a replica of the register, the operators' interface, and the servers' heartbeats."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from emberring.settings import CONTROL_PORT_OFFSET, Settings
 from emberring.transport.network import Network
 
-SHUTDOWN_NOTICE_S = 0.3  # between the word that this node ends and its end
+SHUTDOWN_NOTICE_S = 0.3  # between the announcement of the shutdown and its start
 
 logger = get_logger("control")
 
@@ -22,9 +22,9 @@
 async def run(settings: Settings) -> None:
     """Run until SIGTERM."""
     loop = asyncio.get_running_loop()
-    ended = asyncio.Event()
-    loop.add_signal_handler(signal.SIGTERM, ended.set)
-    loop.add_signal_handler(signal.SIGINT, ended.set)
+    shutdown_requested = asyncio.Event()
+    loop.add_signal_handler(signal.SIGTERM, shutdown_requested.set)
+    loop.add_signal_handler(signal.SIGINT, shutdown_requested.set)
     loop.add_signal_handler(signal.SIGHUP, lambda: None)  # no setting of this role changes while it runs
     network = Network()
     register = RegisterService(settings, network, Path(settings.data_dir) / "register")
@@ -36,7 +36,7 @@
     http = HttpServer(node.app, settings.listen.control_plane)
     await http.start()
     logger.info("event=control_started identity=%s", register.identity)
-    await ended.wait()
+    await shutdown_requested.wait()
     node.announce_shutdown()
     await asyncio.sleep(SHUTDOWN_NOTICE_S)
     await http.stop()
--- a/emberring/control/status_page.py
+++ b/emberring/control/status_page.py
@@ -1,4 +1,4 @@
-"""What a control node tells tools: nodes, model servers, configuration and placement as it knows them."""
+"""The status of the tier as one control node knows it: nodes, model servers, configuration, placement."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class StatusPage:
-    """Answers `GET /v1/status`; reading it changes nothing and asks no other node."""
+    """Renders the body of `GET /v1/status` without asking any other node."""
 
     def __init__(self, cluster_state: ClusterState) -> None:
         self._cluster_state = cluster_state
@@ -24,7 +24,7 @@
         cluster_state = self._cluster_state
         age_s = cluster_state.quorum_age_s()
         load = cluster_state.load.calls(now_s)
-        shown = {
+        page = {
             "Node": cluster_state.me.name,
             "MajorityAgeS": round(age_s, 3) if age_s < float("inf") else None,
             "ConfigurationVersion": cluster_state.state.version,
@@ -44,7 +44,7 @@
             ],
             "Placement": _placement(cluster_state.state.placement),
         }
-        return orjson.dumps(shown)
+        return orjson.dumps(page)
 
 
 def _node(record: NodeRecord) -> dict[str, Any]:
--- a/tests/emberring/control/test_tier_peer_cache.py
+++ b/tests/emberring/control/test_tier_peer_cache.py
@@ -8,7 +8,7 @@
 import pytest
 from tier_control_fixture import AFollower, Cluster, eventually, now
 
-from emberring.control.peer_cache import MOST, PeerCache
+from emberring.control.peer_cache import MAX_ADDRESSES, PeerCache
 
 
 def test_addresses_are_kept_the_newest_first(tmp_path: Path) -> None:
@@ -19,7 +19,7 @@
     again = PeerCache(tmp_path / "data" / "nodes")
     assert again.load() == ["10.0.0.3:70", "10.0.0.1:70", "10.0.0.2:70"]
     asyncio.run(again.save([f"10.0.1.{number}:70" for number in range(40)]))
-    assert len(again.load()) == MOST
+    assert len(again.load()) == MAX_ADDRESSES
 
 
 TORN = [(b"", []), (b"10.0.0.1:70\n10.0.0", ["10.0.0.1:70"]), (b"\xff\x00\n10.0.0.1:70", ["10.0.0.1:70"])]
--- a/tests/emberring/simulation/test_tier_control_scale.py
+++ b/tests/emberring/simulation/test_tier_control_scale.py
@@ -9,7 +9,7 @@
 from typer.testing import CliRunner
 
 from emberring.cli.simulation_commands import app
-from emberring.distribution.follower import REPORT_WAIT_S, DETAIL_WAIT_S
+from emberring.distribution.follower import DETAIL_WAIT_S, REPORT_WAIT_S
 from emberring.errors import PeerTimeoutError, PeerUnavailableError
 from emberring.simulation.common.task_owner import own_tasks
 from emberring.simulation.common.virtual_time import run_virtually
