--- a/emberring/control/cluster_state.py
+++ b/emberring/control/cluster_state.py
@@ -27,8 +27,9 @@
 
 
 class ClusterState:
-    """Owner of all that one control node knows. No call waits; every call takes the time in seconds of the monotonic
-    clock.
+    """Owner of all that one control node knows.
+
+    No call waits; every call takes the time in seconds of the monotonic clock.
 
     Parameters: `me` is this node's record, `seeds` are internal addresses of control nodes, `heartbeat_s` is the
     interval of the servers' heartbeats.
@@ -104,8 +105,10 @@
         return self._node_records.gateway_count(now_s)
 
     def stable_for_s(self, now_s: float) -> float:
-        """For how long (s) this node has run without a freeze, in contact with a quorum and another control node: what
-        it does not know after some time of that does not exist."""
+        """For how long (s) this node has run without a freeze, in contact with a quorum and another control node.
+
+        What it does not know after some time of that does not exist.
+        """
         return self._liveness.stable_for_s(now_s)
 
     def on_node_contact(self, now_s: float, record: NodeRecord, report: LoadReport | None = None) -> None:
--- a/emberring/control/heartbeat_handler.py
+++ b/emberring/control/heartbeat_handler.py
@@ -19,8 +19,11 @@
 
 
 class HeartbeatHandler:
-    """Handles heartbeats and goodbyes. `policy` says on which control nodes a drain must be replicated, `is_quorum`
-    whether the replicas of the register with these identities are a quorum."""
+    """Handles heartbeats and goodbyes.
+
+    `policy` says on which control nodes a drain must be replicated, `is_quorum` whether the replicas of the register
+    with these identities are a quorum.
+    """
 
     def __init__(
         self,
@@ -33,8 +36,11 @@
         self._is_quorum = is_quorum
 
     async def heartbeat(self, server_id: str, body: bytes) -> None:
-        """Handle a heartbeat. Raises `BadRequestError` for a malformed one, and `NotReadyError` where a drain was not
-        replicated within `REPLICATION_TIMEOUT_S`."""
+        """Handle a heartbeat.
+
+        Raises `BadRequestError` for a malformed one, and `NotReadyError` where a drain was not replicated within
+        `REPLICATION_TIMEOUT_S`.
+        """
         heartbeat = read_heartbeat(server_id, body)
         self._cluster_state.on_heartbeat(asyncio.get_running_loop().time(), heartbeat)
         if heartbeat.draining:
--- a/emberring/control/liveness.py
+++ b/emberring/control/liveness.py
@@ -12,11 +12,13 @@
 
 
 class LivenessTracker:
-    """Freezes of this node, and since when it has run in contact with the others. Times are seconds of the monotonic
-    clock.
+    """Freezes of this node, and since when it has run in contact with the others.
+
+    Times are seconds of the monotonic clock.
 
     Attributes: `frozen` is whether this node was frozen before the last tick, `in_grace` whether the silence of
-    others doesn't count yet."""
+    others doesn't count yet.
+    """
 
     def __init__(self, now_s: float) -> None:
         self.frozen = False
--- a/emberring/control/node.py
+++ b/emberring/control/node.py
@@ -42,7 +42,8 @@
     """All components of a control node but its HTTP listener.
 
     Parameters: `seeds` are internal addresses of control nodes, by default those of the settings; `peer_cache` keeps
-    the addresses of the control nodes seen before; `incarnation` identifies this start, by default a new one."""
+    the addresses of the control nodes seen before; `incarnation` identifies this start, by default a new one.
+    """
 
     def __init__(
         self,
--- a/emberring/control/node_records.py
+++ b/emberring/control/node_records.py
@@ -14,8 +14,10 @@
 
 
 class NodeRecordManager:
-    """Writes node records into the status table, and answers which nodes live. `on_change` is called with the time
-    after each record that followers or other control nodes should have at once."""
+    """Writes node records into the status table, and answers which nodes live.
+
+    `on_change` is called with the time after each record that followers or other control nodes should have at once.
+    """
 
     def __init__(
         self,
@@ -95,8 +97,10 @@
                 self.write(now_s, record, present=False)
 
     def _other_incarnation_elsewhere(self, live_writers: set[str], record: NodeRecord) -> bool:
-        """Whether another live control node is in contact with another incarnation. The last entry of a control node
-        that has ended is of its own time and contradicts nothing that came after it."""
+        """Whether another live control node is in contact with another incarnation.
+
+        The last entry of a control node that has ended is of its own time and contradicts nothing that came after it.
+        """
         return any(
             entry.present
             and entry.writer_incarnation != self._status_table.writer_incarnation
--- a/emberring/control/operator_requests.py
+++ b/emberring/control/operator_requests.py
@@ -54,7 +54,8 @@
     async def configure(self, kind: ChangeRequestKind, if_match: str | None, body: bytes) -> int:
         """Accept a configuration or a patch; the version that it made current, now or before.
 
-        Raises the error of a rejected request, `NoQuorumError`, or `UnknownOutcomeError`."""
+        Raises the error of a rejected request, `NoQuorumError`, or `UnknownOutcomeError`.
+        """
         request = read_change_request(kind, if_match, body)
         state = await self._compare_and_swap(
             lambda state: _accepted_state(state, request), self._timeout_s(len(body))
@@ -107,8 +108,10 @@
         return retire_state(state.placement, name)
 
     def _require_stable_view(self, state: ControlState) -> None:
-        """Raise `NotReadyError` on a node that just started, or was partitioned or frozen until now: it may not
-        know all stores, so its rejection is not certain."""
+        """Raise `NotReadyError` on a node that just started, or was partitioned or frozen until now.
+
+        It may not know all stores, so its rejection is not certain.
+        """
         is_stable = self._cluster_state.stable_for_s(asyncio.get_running_loop().time()) > STABLE_S
         if state.placement is None or not is_stable:
             raise NotReadyError("the stores are not all known yet")
--- a/emberring/control/placement_loop.py
+++ b/emberring/control/placement_loop.py
@@ -27,8 +27,10 @@
 
 
 class PlacementLoop:
-    """Compares the placement with the live stores, and changes it where they differ. `tolerance` is how many stores may
-    be lost at once."""
+    """Compares the placement with the live stores, and changes it where they differ.
+
+    `tolerance` is how many stores may be lost at once.
+    """
 
     def __init__(self, register: Register, cluster_state: ClusterState, tolerance: int) -> None:
         self._register = register
--- a/emberring/control/register_port.py
+++ b/emberring/control/register_port.py
@@ -22,8 +22,11 @@
         """Stop answering and release the disk."""
 
     async def change(self, decide: Callable[[bytes | None], bytes | None], timeout_s: float) -> bytes | None:
-        """Replace the value by `decide(value)`, or confirm it where that is None; the value committed then, None or
-        empty before the first one. Raises `NoQuorumError`, or `UnknownOutcomeError` where the outcome is not known."""
+        """Replace the value by `decide(value)`, or confirm it where that is None.
+
+        The value committed then, None or empty before the first one. Raises `NoQuorumError`, or `UnknownOutcomeError`
+        where the outcome is not known.
+        """
 
     async def read(self, timeout_s: float) -> bytes | None:
         """The value that a quorum holds. Raises `NoQuorumError`."""
--- a/emberring/control/replication_policy.py
+++ b/emberring/control/replication_policy.py
@@ -23,8 +23,10 @@
     def is_satisfied(
         self, own_record: NodeRecord, peers: Iterable[NodeRecord], seen: Iterable[NodeRecord]
     ) -> bool:
-        """Whether this node and these peers are enough. No more zones and regions are required than those of
-        the control nodes seen so far."""
+        """Whether this node and these peers are enough.
+
+        No more zones and regions are required than those of the control nodes seen so far.
+        """
         have = [own_record, *peers]
         exist = [own_record, *seen]
         if len(have) - 1 < min(self.other_control_nodes, self._required_peers()):
--- a/emberring/control/server_records.py
+++ b/emberring/control/server_records.py
@@ -14,8 +14,11 @@
 
 
 class ServerRecordManager:
-    """Writes server records into the status table. `on_change` is called with the time after each write;
-    `live_writers` gives the incarnations of the live control nodes at a time."""
+    """Writes server records into the status table.
+
+    `on_change` is called with the time after each write; `live_writers` gives the incarnations of the live control
+    nodes at a time.
+    """
 
     def __init__(
         self,
@@ -49,8 +52,10 @@
                 self.write(now_s, self._registry.on_record_changed(now_s, known[server_id]))
 
     def tick(self, now_s: float, trusted: bool) -> None:
-        """Write the servers that have timed out, and drop those that ended long ago. `trusted` is whether silence
-        means absence now."""
+        """Write the servers that have timed out, and drop those that ended long ago.
+
+        `trusted` is whether silence means absence now.
+        """
         known = self._status_table.servers()
         live_writers = self._live_writers(now_s)
         timed_out = self._registry.on_tick(
--- a/emberring/control/status_page.py
+++ b/emberring/control/status_page.py
@@ -19,8 +19,10 @@
         self._cluster_state = cluster_state
 
     def render(self, now_s: float) -> bytes:
-        """The page in JSON. `MajorityAgeS` is how long ago a majority of the register was in contact; null
-        where it never was."""
+        """The page in JSON.
+
+        `MajorityAgeS` is how long ago a majority of the register was in contact; null where it never was.
+        """
         cluster_state = self._cluster_state
         age_s = cluster_state.quorum_age_s()
         load = cluster_state.load.calls(now_s)
--- a/emberring/control/suspicion_table.py
+++ b/emberring/control/suspicion_table.py
@@ -23,8 +23,11 @@
 
 @attrs.define
 class FailingServer:
-    """A server that enough gateways suspect. Times are seconds of the monotonic clock; `faults` has how many gateways
-    report which fault; `warned` is whether it was logged as failing already, and not only as slow."""
+    """A server that enough gateways suspect.
+
+    Times are seconds of the monotonic clock; `faults` has how many gateways report which fault; `warned` is whether
+    it was logged as failing already, and not only as slow.
+    """
 
     since_s: float
     last_suspected_s: float
@@ -34,7 +37,9 @@
 
 class SuspicionTable:
     """The failing servers by id, brought up to date at each check; logs where a server begins to fail or recovers.
-    `servers` gives the known servers by id."""
+
+    `servers` gives the known servers by id.
+    """
 
     def __init__(self, servers: Callable[[], Mapping[str, ServerRecord]]) -> None:
         self._servers = servers
--- a/emberring/control/update_stream.py
+++ b/emberring/control/update_stream.py
@@ -81,6 +81,8 @@
 
 
 def _load_report_of(pull: Pull) -> LoadReport | None:
-    """The sender's load report; None where it reports to another control node. A load without `reports_load` comes
-    from a node of an older version."""
+    """The sender's load report; None where it reports to another control node.
+
+    A load without `reports_load` comes from a node of an older version.
+    """
     return LoadReport(pull.load, pull.suspects) if pull.reports_load or pull.load else None
--- a/emberring/distribution/follower.py
+++ b/emberring/distribution/follower.py
@@ -1,4 +1,4 @@
-"""How gateways and stores learn the configuration, the servers and the nodes: they pull from two control nodes."""
+"""Keeps a gateway or store up to date: it pulls configuration, servers and nodes from two control nodes."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from emberring.registry.known_load import NO_LOAD, KnownLoad
 from emberring.transport.network import Network
 
-PULLERS = 2
-WAIT_S = 0.5  # how long a control node may hold an answer back
-REPORT_WAIT_S = 0.3  # the same while this node reports calls in flight,
-DETAIL_WAIT_S = 0.1  # and, at the least, where the answer to that report brings the calls at every server:
-DETAIL_WAIT_PER_SERVER_S = 0.001  # for each of them, so that what is told in a second is bounded
-REPLY_SLACK_S = 0.5  # beyond that wait, an answer that has not come is not waited for
-MIN_PULL_INTERVAL_S = 0.02  # many changes in a row are taken in bundles of this length
+PULLERS = 2  # control nodes asked at the same time
+WAIT_S = 0.5  # how long a control node may hold back a reply
+REPORT_WAIT_S = 0.3  # the same where this node reports load
+DETAIL_WAIT_S = 0.1  # the least where the reply to a report has the calls at every server
+DETAIL_WAIT_PER_SERVER_S = 0.001  # more for each of them, so that the bytes in a second are bounded
+REPLY_SLACK_S = 0.5  # after that wait the pull times out
+MIN_PULL_INTERVAL_S = 0.02  # after a faster pull a puller pauses so long, to batch changes
 
 logger = get_logger("distribution")
 
@@ -33,12 +33,12 @@
 class Follower:
     """This node's knowledge of the tier, kept up to date in the background.
 
-    `configuration` never goes back to an older version and is None until one chosen by a quorum is known;
-    `servers` has those that serve or drain, `nodes` the live stores and control nodes by name. All of it stays as
-    it is while no control node answers. `report` may return the calls in flight by server id, and is told whether
-    the next word of each server's calls will hold them; `load` is their sum over all gateways. `suspects` may
-    return the servers that this node holds to be in trouble. `me` may be replaced at any time, e.g. to say that this
-    node is leaving.
+    `configuration` never goes back to an older version and is None until one committed by a quorum is known;
+    `servers` has those that are ready or drain, `nodes` the live stores and control nodes by name. All of it stays as
+    it is while no control node replies. `report`, where it is set, returns this node's calls in flight by server id;
+    its argument is whether the reply will have the load of single servers, these calls among it. `load` is the sum
+    over all gateways. `suspects`, where it is set, returns the value of the fault suspected by server id. `me` may be
+    replaced at any time, for instance to announce a shutdown.
     """
 
     def __init__(self, network: Network, me: NodeRecord, seeds: Sequence[str]) -> None:
@@ -54,7 +54,7 @@
         self._load_report_schedule = LoadReportSchedule()
 
     async def start(self) -> None:
-        """Begin to pull; returns at once."""
+        """Start to pull; returns at once."""
         loop = asyncio.get_running_loop()
         self._view = view = FollowerView(loop.time())
         self._tasks = [loop.create_task(self._pull_repeatedly(slot, view)) for slot in range(PULLERS)]
@@ -75,7 +75,7 @@
 
     @property
     def servers(self) -> dict[str, ServerRecord]:
-        """Servers that serve or drain, by id."""
+        """Servers that are ready or drain, by id."""
         return self._view.servers if self._view is not None else {}
 
     @property
@@ -90,29 +90,29 @@
 
     @property
     def placement(self) -> Placement | None:
-        """Which stores keep which shard; None until known."""
+        """Which stores hold which shard; None until known."""
         return self._view.placement if self._view is not None else None
 
     @property
     def load(self) -> KnownLoad:
-        """Calls in flight over all gateways, as last told."""
+        """Calls in flight over all gateways, as last reported."""
         return self._view.load if self._view is not None else NO_LOAD
 
     @property
     def in_contact(self) -> bool:
-        """Whether a control node with a majority answered within the last second or so."""
+        """Whether a control node with a majority answered lately (`sources.CONTACT_S`)."""
         return self._sources.in_contact(asyncio.get_running_loop().time())
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Call this after any change of what is known, other than the load."""
+        """Call this after any change other than of the load."""
         self._callbacks.append(callback)
 
     def subscribe_load(self, callback: Callable[[], None]) -> None:
-        """Call this after each answer that told the calls in flight at servers."""
+        """Call this after each reply that has calls in flight at single servers."""
         self._load_callbacks.append(callback)
 
     def note_controls(self, addresses: Iterable[str]) -> None:
-        """Other control nodes (internal addresses) that this node has heard of by other ways."""
+        """Add internal addresses of control nodes found in other ways."""
         self._sources.add(addresses)
 
     async def _pull_repeatedly(self, slot: int, view: FollowerView) -> None:
@@ -132,7 +132,9 @@
         requested_s = loop.time()
         load_detail = self._load_detail(requested_s, view, slot)
         wait_s = self._wait_s(load_detail, len(view.servers), slot)
-        pull = self._pull_request(view, slot, load_detail, wait_s if self._sources.settled(address) else 0.0)
+        pull = self._pull_request(
+            view, slot, load_detail, wait_s if self._sources.has_answered(address) else 0.0
+        )
         try:
             update = await self._network.call(address, pull, Update, wait_s + REPLY_SLACK_S)
         except EmberringError as error:
@@ -149,7 +151,7 @@
             _call_all(self._load_callbacks)
 
     def _controls_of_this_zone(self, view: FollowerView) -> list[str]:
-        """Addresses of the live control nodes of this node's own zone."""
+        """Addresses of the live control nodes of this node's zone."""
         return [
             record.address
             for record in view.nodes.values()
@@ -157,8 +159,10 @@
         ]
 
     def _wait_s(self, load_detail: LoadReportDetail, servers: int, slot: int) -> float:
-        """How long the answer to a pull may be held back. Word of every server is worth little once it is old: a call
-        holds its place for about a second."""
+        """How long the reply to a pull may be held back.
+
+        The load of every server is of little use once it is old, as a call occupies its slot for about a second.
+        """
         if self.report is None:
             return WAIT_S
         if load_detail is not LoadReportDetail.EVERY_SERVER or slot != 0:
@@ -166,7 +170,7 @@
         return min(REPORT_WAIT_S, max(DETAIL_WAIT_S, DETAIL_WAIT_PER_SERVER_S * servers))
 
     def _load_detail(self, now_s: float, view: FollowerView, slot: int) -> LoadReportDetail:
-        """What to ask for of calls in flight."""
+        """The load detail to request."""
         if self.report is None:
             return LoadReportDetail.TOTALS
         return self._load_report_schedule.next(now_s, view.gateways, len(view.servers), reporting=slot == 0)
@@ -174,10 +178,13 @@
     def _pull_request(
         self, view: FollowerView, slot: int, load_detail: LoadReportDetail, wait_s: float
     ) -> Pull:
-        """What to ask a control node. The first of the two is told this node's calls, and asked for all others'
-        where these are asked for seldom; an answer of the other would be counted against another report."""
+        """The pull to send.
+
+        Only the first of the two control nodes receives this node's load, and is asked for that of single servers
+        where it is requested rarely: a reply of the other would not match that report.
+        """
         report = self.report
-        told = (
+        reported_load = (
             report(load_detail is not LoadReportDetail.TOTALS) if report is not None and slot == 0 else None
         )
         return Pull(
@@ -186,10 +193,10 @@
             configuration_version=view.configuration_version,
             placement_epoch=view.placement_epoch,
             wait_ms=int(wait_s * 1000),
-            load=told or {},
-            reports_load=told is not None,
+            load=reported_load or {},
+            reports_load=reported_load is not None,
             load_detail=load_detail,
-            suspects=self.suspects() if self.suspects is not None and told is not None else {},
+            suspects=self.suspects() if self.suspects is not None and reported_load is not None else {},
         )
 
 
--- a/emberring/distribution/messages.py
+++ b/emberring/distribution/messages.py
@@ -62,7 +62,8 @@
     The reply is held back up to `wait_ms` until there is an update. `load` is the sender's calls in flight by server
     id; only one control node receives it (`reports_load`), and with it which servers the sender suspects (`suspects`:
     the value of a `Fault` by server id). `load_detail` is the detail requested of the load of all gateways; the servers
-    in use are those in `load`, also those where the sender has no calls at the moment."""
+    in use are those in `load`, also those where the sender has no calls at the moment.
+    """
 
     sender: NodeRecord
     vector: dict[str, int]
@@ -94,7 +95,8 @@
     all control nodes that this one has heard of, also those it can't reach. Calls in flight over all gateways:
     `service_load` by service, and as far as requested by server `server_load` and, smoothed, `smoothed_load`; entries
     of 0 are left out, unless they were requested by name. `load_age_ms` is how long ago, in the mean, the gateways
-    reported them."""
+    reported them.
+    """
 
     writer_incarnation: str
     quorum_age_ms: float
@@ -122,7 +124,8 @@
     `receiver_incarnation` is the incarnation for which `delta` was made; any other applies nothing of it.
     `last_seen_sequences` has, by server id, the newest sequence of the heartbeats received here lately; `load` the
     calls in flight that nodes reported to the sender (`load_age_ms` ago in the mean); `suspects` how many of them
-    suspect a server of which fault (by server id and value of a `Fault`)."""
+    suspect a server of which fault (by server id and value of a `Fault`).
+    """
 
     sender: NodeRecord
     receiver_incarnation: str
--- a/emberring/distribution/peers.py
+++ b/emberring/distribution/peers.py
@@ -1,4 +1,4 @@
-"""What a control node knows of the other control nodes: who lives, what each has, when to talk next. No sockets."""
+"""The other control nodes as one knows them: which live, what each has, when to exchange next. No sockets."""
 
 from __future__ import annotations
 
@@ -9,18 +9,22 @@
 from emberring.distribution.messages import Exchange, Exchanged
 from emberring.distribution.records import NodeRecord
 
-MAX_EXCHANGE_INTERVAL_S = 0.3  # among many control nodes; among few as often as these allow:
-EXCHANGE_INTERVAL_PER_PEER_S = 0.025  # for each other control node, and
-MIN_EXCHANGE_INTERVAL_S = 0.1
-RETRY_S = 0.8  # an address that does not answer is tried again after so long
-LIVE_S = 1.3  # a control node that was not heard for so long counts as absent
-FORGET_S = 60.0  # an address that is no seed is forgotten after so long without a word
-LOAD_FRESH_S = 1.6  # loads told longer ago do not count
+MAX_EXCHANGE_INTERVAL_S = 0.3  # among many control nodes; among few it is shorter:
+EXCHANGE_INTERVAL_PER_PEER_S = 0.025  # so much for each other control node,
+MIN_EXCHANGE_INTERVAL_S = 0.1  # but no less than this
+RETRY_S = 0.8  # an address that does not answer is retried after so long
+LIVE_S = 1.3  # a control node not seen for so long counts as absent
+FORGET_S = 60.0  # an address that is no seed is forgotten after so long without contact
+LOAD_FRESH_S = 1.6  # load reported longer ago does not count
 
 
 @attrs.define
 class Peer:
-    """Another control node, by its address."""
+    """Another control node.
+
+    Times are seconds of the monotonic clock; `answered_s` is when the last exchange that it answered began, `repeat`
+    whether another exchange is to follow the one in flight at once.
+    """
 
     address: str
     is_seed: bool
@@ -29,7 +33,7 @@
     vector: dict[str, int] = attrs.field(factory=dict)
     load: dict[str, int] = attrs.field(factory=dict)
     load_reported_s: float = -1e9
-    load_age_s: float = 0.0  # how old that load was when it was told
+    load_age_s: float = 0.0  # of that load when it was reported
     suspects: dict[str, dict[str, int]] = attrs.field(factory=dict)
     last_seen_s: float = -1e9
     answered_s: float = -1e9
@@ -40,12 +44,12 @@
 
     @property
     def incarnation(self) -> str:
-        """The incarnation last heard; empty before the first word."""
+        """The incarnation last seen; empty before the first."""
         return self.record.incarnation if self.record is not None else ""
 
 
 class PeerTable:
-    """The other control nodes by address."""
+    """The other control nodes by address. `me` is the record of this one; `seeds` are addresses never forgotten."""
 
     def __init__(self, me: NodeRecord, seeds: Iterable[str]) -> None:
         self.me = me
@@ -55,13 +59,13 @@
                 self._peers[address] = Peer(address, True, 0.0)
 
     def add(self, now_s: float, addresses: Iterable[str]) -> None:
-        """Control nodes that may exist."""
+        """Add addresses of control nodes that may exist."""
         for address in addresses:
             if address != self.me.address and address not in self._peers:
                 self._peers[address] = Peer(address, False, now_s, next_exchange_s=now_s)
 
     def on_exchange(self, now_s: float, exchange: Exchange | Exchanged) -> Peer | None:
-        """A control node exchange this; None if it is this very node."""
+        """Note an exchange, or the reply to one; its sender, None if that is this very node."""
         if exchange.sender.incarnation == self.me.incarnation:
             return None
         self.add(now_s, [exchange.sender.address])
@@ -79,37 +83,37 @@
         return peer
 
     def live(self, now_s: float) -> list[Peer]:
-        """Those heard lately."""
+        """The peers seen lately."""
         return [peer for peer in self._peers.values() if now_s - peer.last_seen_s < LIVE_S]
 
     def addresses(self) -> tuple[str, ...]:
-        """All control nodes heard of, this one too."""
+        """Addresses of all known control nodes, of this one too."""
         return (self.me.address, *self._peers)
 
     def seen_records(self) -> list[NodeRecord]:
-        """The other control nodes that were heard at any time."""
+        """The records of the peers seen at any time."""
         return [peer.record for peer in self._peers.values() if peer.record is not None]
 
     def others_exist(self) -> bool:
-        """Whether there is any other control node as far as is known."""
+        """Whether any other control node is known."""
         return bool(self._peers)
 
     def due(self, now_s: float) -> list[Peer]:
-        """Those to exchange with now."""
+        """The peers to exchange with now."""
         return [peer for peer in self._peers.values() if not peer.in_flight and peer.next_exchange_s <= now_s]
 
     def expedite(self, now_s: float) -> None:
-        """Something changed that all live ones should have at once."""
+        """Make exchanges with all live peers due, as something changed."""
         for peer in self.live(now_s):
             peer.next_exchange_s = now_s
             peer.repeat = peer.in_flight
 
     def exchange_began(self, now_s: float, peer: Peer) -> None:
-        """An exchange with this one is under way."""
+        """An exchange with this peer began."""
         peer.in_flight, peer.repeat, peer.exchange_began_s = True, False, now_s
 
     def exchange_ended(self, now_s: float, peer: Peer, answered: bool) -> None:
-        """The exchange ended."""
+        """An exchange with this peer ended; `answered` is whether it replied."""
         peer.in_flight = False
         if answered:
             peer.answered_s = peer.exchange_began_s
@@ -119,19 +123,21 @@
             peer.next_exchange_s = now_s + (self._interval_s() if answered else RETRY_S)
 
     def _interval_s(self) -> float:
-        """The pause between exchanges with one control node: word of calls in flight is the fresher the shorter it is,
-        and the exchanges of a node stay as many."""
+        """The time between exchanges with one peer.
+
+        The shorter it is, the fresher is the load reported; the number of exchanges of a node in a second is bounded.
+        """
         return min(
             MAX_EXCHANGE_INTERVAL_S,
             max(MIN_EXCHANGE_INTERVAL_S, EXCHANGE_INTERVAL_PER_PEER_S * len(self._peers)),
         )
 
     def loads(self, now_s: float) -> Iterable[Mapping[str, int]]:
-        """The loads that the live ones told."""
+        """The loads that peers reported lately."""
         return [peer.load for peer in self._peers.values() if now_s - peer.load_reported_s < LOAD_FRESH_S]
 
     def load_ages(self, now_s: float) -> Iterable[tuple[int, float]]:
-        """For each of those that told loads: how many calls, and how old that word is now (seconds)."""
+        """For each of these loads: the number of calls, and its age (s)."""
         return [
             (sum(peer.load.values()), now_s - peer.load_reported_s + peer.load_age_s)
             for peer in self._peers.values()
@@ -139,11 +145,11 @@
         ]
 
     def suspects(self, now_s: float) -> Iterable[Mapping[str, Mapping[str, int]]]:
-        """Which servers the live ones were told to be in trouble."""
+        """Which servers are suspected by how many of the nodes that report to these peers."""
         return [peer.suspects for peer in self._peers.values() if now_s - peer.load_reported_s < LOAD_FRESH_S]
 
     def forget(self, now_s: float) -> None:
-        """Drop addresses that stayed silent."""
+        """Drop addresses that were not seen for long."""
         for address, peer in list(self._peers.items()):
             silent_s = now_s - max(peer.last_seen_s, peer.known_since_s)
             if not peer.is_seed and not peer.in_flight and silent_s > FORGET_S:
--- a/emberring/distribution/records.py
+++ b/emberring/distribution/records.py
@@ -1,4 +1,4 @@
-"""What nodes tell one another about nodes and model servers."""
+"""Status records of nodes and model servers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class NodeRole(Enum):
-    """The programs of the tier."""
+    """The role of a node in the tier."""
 
     GATEWAY = "gateway"
     CONTROL = "control"
@@ -16,7 +16,7 @@
 
 
 class ServerState(Enum):
-    """What is known of a model server; `GONE` said goodbye, `LOST` fell silent."""
+    """The state of a model server; `GONE` after its goodbye, `LOST` after missed heartbeats."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -26,7 +26,11 @@
 
 @attrs.frozen
 class NodeRecord:
-    """A node of the tier. `identity` is kept on its disk ("" without one), `incarnation` is new at each start."""
+    """A node of the tier.
+
+    `address` is its internal address, `identity` is kept on its disk ("" without one), `incarnation` is new at each
+    start, `leaving` is whether it shuts down.
+    """
 
     name: str
     role: NodeRole
@@ -39,7 +43,10 @@
 
 @attrs.frozen
 class ServerRecord:
-    """A model server's incarnation, as its newest heartbeat said. `cold_ms` is how much longer it is slow."""
+    """One incarnation of a model server, as its newest heartbeat reported.
+
+    `capacity` is in calls, `sequence` rises with each call of the server, `cold_ms` is how much longer it warms up.
+    """
 
     id: str
     service: str
--- a/emberring/distribution/sources.py
+++ b/emberring/distribution/sources.py
@@ -1,7 +1,7 @@
-"""Which control nodes a follower pulls from: two that answer and have a majority, if there are such. No sockets.
+"""Selects the control nodes that a follower pulls from: two that answer and have a majority, if possible. No sockets.
 
 The first of the two is asked most often, so it is one of the follower's own zone where one answers: bytes between zones
-are paid for. The second is any other, so that a zone's trouble leaves one.
+are paid for. The second is any other, so that one is left where a zone fails.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 
 import attrs
 
-QUORUM_FRESH_S = 1.0  # a control node without a majority for longer is left for another
+QUORUM_FRESH_S = 1.0  # a control node without a majority for longer is replaced by another
 CONTACT_S = 1.2  # an answer of a node with a majority within this time counts as contact
-FIRST_BACKOFF_S = 0.1
+FIRST_BACKOFF_S = 0.1  # after the first failure; it doubles with each further one in a row
 MAX_BACKOFF_S = 1.5
 NO_QUORUM_RETRY_S = 0.5  # a node without a majority is asked again after so long, if there is none better
-SAME_ZONE_RETRY_S = 5.0  # a near one that failed is tried again after so long, though others answer
-SAME_ZONE_SLOT = 0  # the puller that prefers near ones
+SAME_ZONE_RETRY_S = 5.0  # one of the same zone that failed is retried after so long, though others answer
+SAME_ZONE_SLOT = 0  # the puller that prefers control nodes of the same zone
 FORGET_FAILURES = 20  # a node that is no seed and failed so often in a row is forgotten
 
 
 @attrs.define
 class _Source:
     address: str
-    seed: bool
+    is_seed: bool
     failures: int = 0
     not_before_s: float = 0.0
     without_quorum: bool = False
@@ -32,14 +32,17 @@
     answered_s: float = -1e9
     failed_s: float = -1e9  # when it last failed, or answered without a majority
 
-    def returnable(self, now_s: float) -> bool:
-        """Whether it is worth leaving another one for this one."""
-        sound = self.failures == 0 and not self.without_quorum
-        return (sound or now_s - self.failed_s >= SAME_ZONE_RETRY_S) and self.not_before_s <= now_s
+    def is_preferable(self, now_s: float) -> bool:
+        """Whether to replace a current source of another zone by this one."""
+        healthy = self.failures == 0 and not self.without_quorum
+        return (healthy or now_s - self.failed_s >= SAME_ZONE_RETRY_S) and self.not_before_s <= now_s
 
 
 class SourceSelector:
-    """Chooses a control node for each puller, so that two pullers have two different ones."""
+    """Selects a control node for each puller, a different one for each. Times are seconds of the monotonic clock.
+
+    `seeds` are addresses never forgotten; `rng` makes the random choices.
+    """
 
     def __init__(self, seeds: Sequence[str], rng: random.Random) -> None:
         self._random = rng
@@ -47,20 +50,20 @@
         self._current: dict[int, str] = {}
         self._same_zone: frozenset[str] = frozenset()
         for address in seeds:
-            self._sources[address] = _Source(address, seed=True)
+            self._sources[address] = _Source(address, is_seed=True)
 
     def add(self, addresses: Iterable[str]) -> None:
-        """Control nodes that may exist."""
+        """Add addresses of control nodes that may exist."""
         for address in addresses:
             if address not in self._sources:
-                self._sources[address] = _Source(address, seed=False)
+                self._sources[address] = _Source(address, is_seed=False)
 
     def set_same_zone(self, addresses: Iterable[str]) -> None:
-        """Control nodes of this node's own zone."""
+        """Set the addresses of the control nodes of this node's own zone."""
         self._same_zone = frozenset(addresses)
 
-    def settled(self, address: str) -> bool:
-        """Whether this node answered already, so that its answers may be held back until something changes."""
+    def has_answered(self, address: str) -> bool:
+        """Whether this node has answered, and not failed since, so that its replies may be held back."""
         source = self._sources.get(address)
         return source is not None and source.answers > 0 and source.failures == 0
 
@@ -72,7 +75,7 @@
         )
 
     def answered(self, now_s: float, address: str, quorum_age_s: float) -> None:
-        """This node answered a pull."""
+        """A node answered a pull; `quorum_age_s` is how long ago it was in contact with a majority."""
         source = self._sources.get(address)
         if source is None:
             return
@@ -86,16 +89,16 @@
             self._release(address)
 
     def failed(self, now_s: float, address: str) -> None:
-        """This node did not answer."""
+        """A node did not answer a pull."""
         source = self._sources.get(address)
         if source is None:
             return
         source.failures += 1
         source.failed_s = now_s
-        pause_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2 ** min(source.failures - 1, 8))
-        source.not_before_s = now_s + pause_s * self._random.uniform(0.5, 1.0)
+        backoff_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2 ** min(source.failures - 1, 8))
+        source.not_before_s = now_s + backoff_s * self._random.uniform(0.5, 1.0)
         self._release(address)
-        if not source.seed and source.failures >= FORGET_FAILURES:
+        if not source.is_seed and source.failures >= FORGET_FAILURES:
             del self._sources[address]
 
     def _release(self, address: str) -> None:
@@ -103,12 +106,12 @@
             del self._current[slot]
 
     def pick(self, now_s: float, slot: int) -> str | None:
-        """The node to pull from now; None if none may be asked yet."""
+        """The address to pull from now; None if none may be asked yet."""
         current = self._current.get(slot)
         if current is not None and current in self._sources:
-            nearer = self._same_zone_instead(now_s, slot, current)
-            self._current[slot] = nearer
-            return nearer
+            selected = self._same_zone_instead(now_s, slot, current)
+            self._current[slot] = selected
+            return selected
         taken = {address for other, address in self._current.items() if other != slot}
         free = [
             source
@@ -123,28 +126,28 @@
         return chosen
 
     def _rank(self, slot: int, source: _Source) -> tuple[bool, int, bool]:
-        far = slot == SAME_ZONE_SLOT and source.address not in self._same_zone
-        return source.without_quorum, min(source.failures, 3), far
+        other_zone = slot == SAME_ZONE_SLOT and source.address not in self._same_zone
+        return source.without_quorum, min(source.failures, 3), other_zone
 
     def _same_zone_instead(self, now_s: float, slot: int, current: str) -> str:
-        """The node that is asked now, or one of this zone that can be asked instead."""
+        """The current address, or one of this zone that can be asked instead."""
         if slot != SAME_ZONE_SLOT or current in self._same_zone:
             return current
-        near = [
+        candidates = [
             source.address
             for source in self._sources.values()
-            if source.address in self._same_zone and source.returnable(now_s)
+            if source.address in self._same_zone and source.is_preferable(now_s)
         ]
-        if not near:
+        if not candidates:
             return current
-        chosen = self._random.choice(near)
+        chosen = self._random.choice(candidates)
         for other, address in self._current.items():
-            if address == chosen:  # the other puller goes on with the one that is left
+            if address == chosen:  # the other puller takes the one released here
                 self._current[other] = current
         return chosen
 
     def pause_s(self, now_s: float) -> float:
-        """How long until a node may be asked again."""
+        """How long (s) until a node may be asked again."""
         taken = set(self._current.values())
         waits = [
             source.not_before_s - now_s for source in self._sources.values() if source.address not in taken
--- a/emberring/distribution/status_table.py
+++ b/emberring/distribution/status_table.py
@@ -1,4 +1,4 @@
-"""All statements that a node holds about servers and nodes, and what of them another node lacks. No sockets."""
+"""Replicated status records of servers and nodes, and the entries that another node lacks. No sockets."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from emberring.distribution.records import NodeRecord, NodeRole, ServerRecord
 from emberring.registry.merge import dominates, merged
 
-MAX_CACHED_LIVE_SETS = 8  # answers about who lives, each for a set of origins
+MAX_CACHED_LIVE_SETS = 8  # results of `live_nodes`, each for a set of writers and roles
 
 
 @attrs.frozen
 class TableChanges:
-    """What taking in a delta changed: ids of servers and names of nodes."""
+    """What applying a delta changed: ids of servers and names of nodes."""
 
     servers: frozenset[str] = frozenset()
     nodes: frozenset[str] = frozenset()
@@ -26,7 +26,11 @@
 
 
 class StatusTable:
-    """Statements by origin and number. Those of an ended origin are dropped where another says as much."""
+    """Entries by writer and number. `writer` is the incarnation of this node; empty where it writes none.
+
+    `vector` holds, for each writer, the number up to which every entry is known. Entries of a writer that has ended
+    are dropped where those of another one include them.
+    """
 
     def __init__(self, writer: str = "") -> None:
         self.writer_incarnation = writer
@@ -36,10 +40,10 @@
         self._nodes: dict[str, dict[str, NodeEntry]] = {}
         self._arrivals: dict[tuple[str, str], int] = {}
         self._arrival_count = 0
-        self._entries_by_number: dict[str, SortedDict] = {}  # by origin: the kept statements by their numbers
+        self._entries_by_number: dict[str, SortedDict] = {}  # of each writer
         self._live_nodes: dict[tuple[frozenset[str], tuple[NodeRole, ...]], dict[str, NodeRecord]] = {}
 
-    # -- statements of this node
+    # -- entries of this node
 
     def _next_number(self) -> int:
         number = self.vector.get(self.writer_incarnation, 0) + 1
@@ -47,48 +51,53 @@
         return number
 
     def write_server(self, record: ServerRecord) -> ServerEntry:
-        """State this about a server in this node's own name, joined with what is known: a statement replaces the
-        older ones of its origin, and must say all that they did."""
+        """Write a server record, merged with what is known.
+
+        An entry replaces the older ones of its writer about the server, and must include all that they did.
+        """
         known = self._merged.get(record.id)
-        whole = merged(known, record) if known is not None else record
-        entry = ServerEntry(self.writer_incarnation, self._next_number(), whole)
+        complete = merged(known, record) if known is not None else record
+        entry = ServerEntry(self.writer_incarnation, self._next_number(), complete)
         self._apply_server_entry(entry)
         return entry
 
     def write_node(self, record: NodeRecord, present: bool) -> NodeEntry:
-        """State in this node's own name whether a node is in contact with it."""
+        """Write whether a node is in contact with this one."""
         entry = NodeEntry(self.writer_incarnation, self._next_number(), record, present)
         self._apply_node_entry(entry)
         return entry
 
-    # -- what is held
+    # -- reading
 
     def servers(self) -> Mapping[str, ServerRecord]:
-        """The join of all statements, by server id, in every state."""
+        """The merged record of each server, by id, in every state."""
         return self._merged
 
     def server_entries(self, server_id: str) -> Iterable[ServerEntry]:
-        """The statements about this server that are kept."""
+        """Each writer's newest entry about this server."""
         return self._servers.get(server_id, {}).values()
 
     def node_entries(self) -> Iterable[NodeEntry]:
-        """Every origin's newest statement about every node."""
+        """Each writer's newest entry about each node."""
         for by_writer in self._nodes.values():
             yield from by_writer.values()
 
     def entry_of(self, name: str, writer: str) -> NodeEntry | None:
-        """What this origin stated last about a node."""
+        """This writer's newest entry about a node."""
         return self._nodes.get(name, {}).get(writer)
 
     def live_nodes(self, live: Collection[str], roles: Collection[NodeRole]) -> Mapping[str, NodeRecord]:
-        """Nodes of these roles in contact with an origin that lives; of two incarnations the one told last."""
+        """Nodes of these roles in contact with a live writer, by name.
+
+        Of two incarnations the one that arrived last.
+        """
         key = (frozenset(live), tuple(roles))
-        known = self._live_nodes.get(key)
-        if known is None:
+        cached = self._live_nodes.get(key)
+        if cached is None:
             if len(self._live_nodes) >= MAX_CACHED_LIVE_SETS:
                 self._live_nodes.clear()
-            known = self._live_nodes[key] = self._find_live(live, roles)
-        return known
+            cached = self._live_nodes[key] = self._find_live(live, roles)
+        return cached
 
     def _find_live(self, live: Collection[str], roles: Collection[NodeRole]) -> dict[str, NodeRecord]:
         found: dict[str, NodeEntry] = {}
@@ -101,13 +110,13 @@
         return {name: entry.record for name, entry in found.items()}
 
     def arrival_order(self, entry: NodeEntry) -> int:
-        """When a statement about a node arrived here, as a number that rises."""
+        """The position of an entry about a node in the order of arrival here."""
         return self._arrivals.get((entry.record.name, entry.writer_incarnation), 0)
 
     # -- exchange
 
     def newer_than(self, vector: Mapping[str, int], gateways: bool = True) -> Delta:
-        """What a node with this vector lacks; without gateways' entries where it does not need them."""
+        """The entries that a node with this vector lacks; without those of gateways where it does not need them."""
         if all(vector.get(writer, 0) >= number for writer, number in self.vector.items()):
             return Delta(vector=dict(self.vector))
         servers: list[ServerEntry] = []
@@ -122,7 +131,7 @@
         return Delta(dict(self.vector), tuple(servers), tuple(nodes))
 
     def has_newer_than(self, vector: Mapping[str, int]) -> bool:
-        """Whether there is anything for a node with this vector that does not need gateways' entries."""
+        """Whether a node with this vector, which does not need entries of gateways, lacks any."""
         for writer, numbered in self._entries_by_number.items():
             known = vector.get(writer, 0)
             if self.vector.get(writer, 0) <= known:
@@ -147,7 +156,7 @@
                 del self._entries_by_number[entry.writer_incarnation]
 
     def apply(self, delta: Delta) -> TableChanges:
-        """Take in what another node sent; its vector holds from now on here as well."""
+        """Apply what another node sent, and advance this table's vector to its."""
         servers = {
             entry.record.id
             for entry in delta.servers
@@ -167,7 +176,7 @@
         return entry.number > self.vector.get(entry.writer_incarnation, 0)
 
     def _apply_server_entry(self, entry: ServerEntry) -> bool:
-        """Keep an origin's newest statement; whether what is known of the server changed."""
+        """Keep a writer's newest entry; whether the merged record of the server changed."""
         by_writer = self._servers.setdefault(entry.record.id, {})
         self._index(entry, by_writer.get(entry.writer_incarnation))
         by_writer[entry.writer_incarnation] = entry
@@ -189,14 +198,16 @@
     # -- forgetting
 
     def forget_server(self, server_id: str) -> None:
-        """Drop all that is known of a server."""
+        """Drop all entries of a server."""
         for entry in self._servers.pop(server_id, {}).values():
             self._unindex(entry)
         self._merged.pop(server_id, None)
 
     def forget_writer(self, writer: str) -> None:
-        """Drop an ended origin's statements about nodes, and those about servers that others say as well; its place
-        in the vector too if nothing of it is kept."""
+        """Drop an ended writer's entries about nodes, and those about servers that entries of others include.
+
+        Its position in the vector too if nothing of it is kept.
+        """
         self._live_nodes.clear()
         for name in list(self._nodes):
             entry = self._nodes[name].pop(writer, None)
@@ -209,7 +220,7 @@
             self.vector.pop(writer, None)
 
     def _prune_server_entries(self, writer: str) -> bool:
-        """Drop an ended origin's statements about servers that others say as well; whether any is left."""
+        """Drop an ended writer's entries about servers that entries of others include; whether any is left."""
         left = False
         for by_writer in self._servers.values():
             entry = by_writer.get(writer)
--- a/emberring/distribution/view.py
+++ b/emberring/distribution/view.py
@@ -1,4 +1,7 @@
-"""What a follower knows, and how the answers of control nodes change it. No sockets; time is an argument (seconds)."""
+"""A follower's view of the tier, and how the replies of control nodes change it.
+
+No sockets; time is an argument (s).
+"""
 
 from __future__ import annotations
 
@@ -17,21 +20,24 @@
 from emberring.registry.known_load import NO_LOAD, KnownLoad
 from emberring.registry.merge import merged
 
-ORPHAN_S = 10.0  # a server that no live control node lists for so long is dropped
+ORPHAN_S = 10.0  # a server that no live control node has a record of for so long is dropped
 QUORUM_FRESH_S = 1.0  # a control node that had no majority for longer may hold an old configuration
 FIRST_CONFIGURATION_TIMEOUT_S = (
-    3.0  # without any configuration, one from a control node without a majority is taken after so long
+    3.0  # after this the first one may come from a control node without a majority
 )
-FORGET_WRITER_S = 60.0  # statements about nodes by an origin that has ended are dropped after so long
-ANSWER_VALID_S = 2.0  # what a control node told holds for so long after its last answer
-MAX_STEP_S = 1.0  # time that passes between two answers counts up to this: nothing ages while nobody answers
+FORGET_WRITER_S = 60.0  # entries about nodes by a writer that has ended are dropped after so long
+ANSWER_VALID_S = 2.0  # for so long after a control node's last reply what it sent counts
+MAX_STEP_S = 1.0  # time between two replies counts up to this: nothing expires while no control node replies
 
 _USABLE_STATES = (ServerState.READY, ServerState.DRAINING)
 _LISTED_ROLES = (NodeRole.STORE, NodeRole.CONTROL)
 
 
 class FollowerView:
-    """The configuration, servers and nodes as the last answers told them."""
+    """The configuration, servers and nodes by the last replies. `now_s` is the time of the start.
+
+    Expiry goes by the contact clock, which advances with replies: nothing expires while no control node replies.
+    """
 
     def __init__(self, now_s: float) -> None:
         self.status_table = StatusTable()
@@ -48,9 +54,7 @@
         self._contact_clock_s = 0.0
         self._writers_seen_s: dict[str, float] = {}
         self._answers: dict[str, tuple[float, tuple[str, ...]]] = {}
-        self._listing_writers: frozenset[str] = (
-            frozenset()
-        )  # the control nodes whose word for a server's life counts
+        self._listing_writers: frozenset[str] = frozenset()  # whose entries keep a server listed
 
     @property
     def placement_epoch(self) -> int:
@@ -60,7 +64,7 @@
     def apply_update(
         self, now_s: float, update: Update, load_detail: LoadReportDetail = LoadReportDetail.EVERY_SERVER
     ) -> bool:
-        """Take in an answer; whether anything but the load changed. `load_detail` as the pull said."""
+        """Apply a reply; whether anything but the load changed. `load_detail` is what the pull requested."""
         self._advance_contact_clock(now_s)
         self._answers[update.writer_incarnation] = (self._contact_clock_s, update.live_writers)
         for writer in (update.writer_incarnation, *update.live_writers):
@@ -75,15 +79,18 @@
         return self._refresh_nodes() or changed
 
     def _apply_load(self, now_s: float, update: Update, load_detail: LoadReportDetail) -> None:
-        """A control node that has just started, or is cut off, knows no load; that is not taken for none."""
+        """Apply the load.
+
+        A control node that has just started, or is partitioned, knows none, which does not mean that there is none.
+        """
         if not (update.server_load or update.service_load) and update.quorum_age_ms >= QUORUM_FRESH_S * 1000:
             return
         if load_detail is LoadReportDetail.TOTALS:
             self.load = attrs.evolve(self.load, totals=update.service_load)
         else:
-            usual = update.smoothed_load if load_detail is LoadReportDetail.SERVERS_IN_USE else None
-            true_s = now_s - update.load_age_ms / 1000.0
-            self.load = KnownLoad(update.server_load, usual, update.service_load, true_s)
+            smoothed = update.smoothed_load if load_detail is LoadReportDetail.SERVERS_IN_USE else None
+            as_of_s = now_s - update.load_age_ms / 1000.0
+            self.load = KnownLoad(update.server_load, smoothed, update.service_load, as_of_s)
 
     def _advance_contact_clock(self, now_s: float) -> None:
         self._contact_clock_s += min(MAX_STEP_S, max(0.0, now_s - self._last_answer_s))
@@ -110,12 +117,15 @@
         return True
 
     def _apply_gateways(self, update: Update) -> bool:
-        """The most that a control node told lately: a share that is too small costs less than one too large."""
+        """Apply the largest number of gateways reported lately.
+
+        A quota share that is too small costs less than one that is too large.
+        """
         self._gateway_counts[update.writer_incarnation] = (self._contact_clock_s, update.gateways)
         recent = [
             count
-            for at_s, count in self._gateway_counts.values()
-            if self._contact_clock_s - at_s < ANSWER_VALID_S
+            for received_s, count in self._gateway_counts.values()
+            if self._contact_clock_s - received_s < ANSWER_VALID_S
         ]
         before, self.gateways = self.gateways, max(1, *recent)
         return before != self.gateways
@@ -132,23 +142,23 @@
                 self._gateway_counts.pop(writer, None)
                 self.status_table.forget_writer(writer)
 
-    def _refresh_servers(self, told: Iterable[str]) -> bool:
-        """Look again at the servers that were told of; at all where other control nodes live than before."""
+    def _refresh_servers(self, changed_ids: Iterable[str]) -> bool:
+        """Recompute these servers, or all of them where other control nodes live than before; whether any changed."""
         listing = frozenset(writer for writer in self._writers_seen_s if self._live(writer, ORPHAN_S))
         if listing != self._listing_writers:
-            self._listing_writers, told = listing, list(self.status_table.servers())
+            self._listing_writers, changed_ids = listing, list(self.status_table.servers())
         changed: dict[str, ServerRecord | None] = {}
-        for server_id in told:
-            shown = self._usable_server(server_id)
-            if shown != self.servers.get(server_id):
-                changed[server_id] = shown
+        for server_id in changed_ids:
+            usable = self._usable_server(server_id)
+            if usable != self.servers.get(server_id):
+                changed[server_id] = usable
         if changed:
             merged_view: dict[str, ServerRecord | None] = {**self.servers, **changed}
             self.servers = {name: record for name, record in merged_view.items() if record is not None}
         return bool(changed)
 
     def _usable_server(self, server_id: str) -> ServerRecord | None:
-        """The server as it may be used; None where it may not."""
+        """The record of a server that may be used; None where it may not."""
         known = self.status_table.servers().get(server_id)
         record = self._live_record(server_id)
         if (
@@ -161,17 +171,19 @@
         return attrs.evolve(record, state=known.state)
 
     def _live_record(self, server_id: str) -> ServerRecord | None:
-        """What origins that live, or did a short while ago, say of a server together. An ended origin's word for
-        a server's life must not outlast it; its word for a drain does."""
-        listed = [
+        """The merged record of a server over the writers that live or did a short while ago.
+
+        An ended writer's entry must not keep a server listed; its record of a drain still counts.
+        """
+        records = [
             entry.record
             for entry in self.status_table.server_entries(server_id)
             if self._live(entry.writer_incarnation, ORPHAN_S)
         ]
-        return functools.reduce(merged, listed) if listed else None
+        return functools.reduce(merged, records) if records else None
 
     def _refresh_nodes(self) -> bool:
-        """Nodes that a live control node has contact with; of two incarnations the one told last."""
+        """Recompute the nodes in contact with a live control node; whether any changed."""
         live = {
             writer for writer, (_, writers) in self._answers.items() if self._live(writer, ANSWER_VALID_S)
         }
--- a/emberring/membership/sampler.py
+++ b/emberring/membership/sampler.py
@@ -1,4 +1,4 @@
-"""Runs a node's partial view: a shuffle with one peer every so often."""
+"""Runs a node's partial view: shuffles it with one peer at regular intervals."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from emberring.transport.network import Caller, Network
 
 SHUFFLE_INTERVAL_S = 2.0
-FIRST_INTERVAL_S = 0.5  # while few nodes are known
-SHUFFLE_TIMEOUT_S = 0.8
+FIRST_INTERVAL_S = 0.5  # while fewer than `FEW_NODES` are known
+SHUFFLE_TIMEOUT_S = 0.8  # of one call
 FEW_NODES = 4
 
 
@@ -32,32 +32,35 @@
 @message("membership.shuffled")
 @attrs.frozen
 class Shuffled:
-    """The peer's descriptors in return."""
+    """Reply to a shuffle: the peer's descriptors."""
 
     descriptors: tuple[Descriptor, ...]
 
 
 class Sampler:
-    """The process's part in peer sampling. `seeds` are addresses asked while the view is empty."""
+    """Peer sampling of one process.
+
+    `seeds` are addresses asked while the view is empty; `seed` is that of the random choices.
+    """
 
     def __init__(self, network: Network, me: NodeRecord, seeds: Sequence[str], seed: int) -> None:
         self._network = network
         self._seeds = tuple(address for address in seeds if address != me.address)
-        self._asked = 0
+        self._seed_index = 0
         self._task: asyncio.Task[None] | None = None
         self.view = PartialView(me, seed)
         network.handle(Shuffle, self._on_shuffle)
 
     def controls(self) -> list[NodeRecord]:
-        """The control nodes known from sampling, the most recently heard of first."""
+        """The control nodes known from sampling, the most recently seen first."""
         return self.view.controls()
 
     def start(self) -> None:
-        """Begin to shuffle."""
+        """Start to shuffle."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def stop(self) -> None:
-        """End."""
+        """Stop shuffling."""
         if self._task is not None:
             self._task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -91,5 +94,5 @@
     def _next_seed(self) -> str:
         if not self._seeds:
             return ""
-        self._asked += 1
-        return self._seeds[self._asked % len(self._seeds)]
+        self._seed_index += 1
+        return self._seeds[self._seed_index % len(self._seeds)]
--- a/emberring/registry/faults.py
+++ b/emberring/registry/faults.py
@@ -1,4 +1,4 @@
-"""What may be wrong with a model server, as gateways find it in its answers."""
+"""Faults of a model server that gateways detect in its answers."""
 
 from __future__ import annotations
 
@@ -7,13 +7,16 @@
 from enum import Enum
 
 FaultCounts = Mapping[str, Mapping[str, int]]
-"""By server id and a trouble's value: how many gateways find it. Values and not members, as nodes of another version
-may name troubles that this one does not know."""
+"""By server id and the value of a `Fault`: how many gateways suspect it. Values and not members, as nodes of another
+version may know faults that this one does not."""
 
 
 class Fault(Enum):
-    """What speaks against a server: its connections don't come up, it owes events, it breaks answers off, it fails
-    a part of its calls, its first events come late."""
+    """What is wrong with a server.
+
+    Its connections aren't established, it sends no events, it breaks off answers, it fails a part of its calls, its
+    first events come late.
+    """
 
     UNREACHABLE = "unreachable"
     SILENT = "silent"
@@ -23,9 +26,9 @@
 
 
 def sum_suspicions(parts: Iterable[FaultCounts]) -> dict[str, dict[str, int]]:
-    """The sum by server and trouble."""
+    """Sum the counts by server and fault."""
     total: dict[str, Counter[str]] = {}
     for part in parts:
-        for server_id, troubles in part.items():
-            total.setdefault(server_id, Counter()).update(troubles)
-    return {server_id: dict(troubles) for server_id, troubles in total.items()}
+        for server_id, faults in part.items():
+            total.setdefault(server_id, Counter()).update(faults)
+    return {server_id: dict(faults) for server_id, faults in total.items()}
--- a/emberring/registry/heartbeats.py
+++ b/emberring/registry/heartbeats.py
@@ -1,4 +1,4 @@
-"""A model server's heartbeat, read from its call."""
+"""Parses the heartbeats of model servers."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 @attrs.frozen
 class Heartbeat:
-    """What a server says of itself; `record.sequence` rises with each call of the server."""
+    """A server's report of itself; `record.sequence` rises with each call of the server."""
 
     record: ServerRecord
 
     @property
     def draining(self) -> bool:
-        """Whether the server is about to end."""
+        """Whether the server drains."""
         return self.record.state is ServerState.DRAINING
 
 
 def read_heartbeat(server_id: str, body: bytes) -> Heartbeat:
-    """The heartbeat in a call; `BadRequestError` where it is none. Fields that are not known are skipped."""
+    """Parse the JSON body of a heartbeat; unknown fields are skipped. Raises `BadRequestError` for a malformed one."""
     try:
         table = orjson.loads(body)
         record = ServerRecord(
--- a/emberring/registry/servers.py
+++ b/emberring/registry/servers.py
@@ -1,7 +1,7 @@
-"""Which statements about model servers a control node makes: on heartbeats, goodbyes and silence. No sockets.
+"""Decides which server records a control node writes: on heartbeats, goodbyes and time-outs. No sockets.
 
-The caller keeps the statements of all control nodes joined; this object decides what has to be added to them.
-Heartbeats that bring nothing new are only remembered, so that silence can be known.
+The caller keeps the records of all control nodes merged; this module decides what has to be added to them. Of
+heartbeats without changes only the time is kept, for the time-out.
 """
 
 from __future__ import annotations
@@ -14,24 +14,30 @@
 from emberring.registry.heartbeats import Heartbeat
 from emberring.registry.merge import merged
 
-MISSED_HEARTBEATS = 4  # so many in a row, and a little more, are silence
+MISSED_HEARTBEATS = 4  # so many missed in a row, and the slack, are a time-out
 TIMEOUT_SLACK_S = 0.6
 ORPHAN_TIMEOUT_SLACK_S = (
-    6.0  # more patience with servers whose control node can't be asked: they may beat to it still
+    6.0  # more for servers whose control node can't be asked: it may get heartbeats still
 )
-ADDRESS_REUSE_TIMEOUT_S = 1.0  # a server silent for so long has ended if another one beats from its address
-LONGEST_GAP_S = 1.0  # between ticks; after a longer one this node was frozen and has heard nobody
-FORGET_S = 120.0  # a server that is gone is forgotten after so long
+ADDRESS_REUSE_TIMEOUT_S = (
+    1.0  # a server without heartbeats for so long has ended if another one reports its address
+)
+MAX_TICK_GAP_S = 1.0  # after a longer time between two ticks this node was frozen and received nothing
+FORGET_S = 120.0  # a server that is gone or lost is dropped after so long
 
 
 @attrs.define
 class _LastSeen:
     sequence: int
-    at_s: float
+    received_s: float
 
 
 class ServerRegistry:
-    """What this control node heard of servers, itself or through the others."""
+    """When this control node, or another one, last received a heartbeat of each server.
+
+    Times are seconds of the monotonic clock; `heartbeat_s` is the interval of heartbeats; `timeout_s` is how long a
+    server may miss them.
+    """
 
     def __init__(self, now_s: float, heartbeat_s: float) -> None:
         self._last_tick_s = now_s
@@ -40,20 +46,24 @@
         self._gone_since: dict[str, float] = {}
 
     def sequences_since(self, since_s: float) -> dict[str, int]:
-        """The newest sequence of servers heard at or after this time, by id."""
-        return {server: heard.sequence for server, heard in self._last_seen.items() if heard.at_s >= since_s}
+        """The newest sequence of each server seen at or after this time, by id."""
+        return {
+            server: last_seen.sequence
+            for server, last_seen in self._last_seen.items()
+            if last_seen.received_s >= since_s
+        }
 
     def on_sequences(self, now_s: float, sequences: Mapping[str, int]) -> None:
-        """Another control node took heartbeats of these servers."""
+        """Another control node received heartbeats of these servers with these sequences."""
         for server, sequence in sequences.items():
             self._note(now_s, server, sequence)
 
     def _note(self, now_s: float, server: str, sequence: int) -> bool:
-        heard = self._last_seen.get(server)
-        if heard is None:
+        last_seen = self._last_seen.get(server)
+        if last_seen is None:
             self._last_seen[server] = _LastSeen(sequence, now_s)
-        elif sequence > heard.sequence:
-            heard.sequence, heard.at_s = sequence, now_s
+        elif sequence > last_seen.sequence:
+            last_seen.sequence, last_seen.received_s = sequence, now_s
         else:
             return False
         return True
@@ -63,37 +73,40 @@
         now_s: float,
         heartbeat: Heartbeat,
         known: Mapping[str, ServerRecord],
-        listed: ServerRecord | None,
+        live_record: ServerRecord | None,
     ) -> list[ServerRecord]:
-        """What to state after a heartbeat. `known` is the join of all statements; `listed` that of the control
-        nodes that live about this server, which is what other nodes go by."""
+        """The records to write after a heartbeat.
+
+        `known` has the merged records by server id; `live_record` is that of the live control nodes about this
+        server, which other nodes go by.
+        """
         record = heartbeat.record
         self._note(now_s, record.id, record.sequence)
         before = known.get(record.id)
         if before is None:
-            return [record, *self._ended_at(now_s, record, known)]
+            return [record, *self._replaced_at(now_s, record, known)]
         if record.sequence < before.sequence and not heartbeat.draining:
             return []
         after = merged(before, record)
-        if before.state is ServerState.GONE or (listed is not None and _equivalent(listed, after)):
+        if before.state is ServerState.GONE or (live_record is not None and _equivalent(live_record, after)):
             return []
         return [after]
 
-    def _ended_at(
+    def _replaced_at(
         self, now_s: float, record: ServerRecord, known: Mapping[str, ServerRecord]
     ) -> list[ServerRecord]:
-        """Older servers at the address of a new one: they have ended."""
-        ended = []
+        """Records of older servers at the address of a new one: they have ended."""
+        replaced = []
         for other in known.values():
             if other.address != record.address or other.id == record.id or other.state is ServerState.GONE:
                 continue
-            heard = self._last_seen.get(other.id)
-            if heard is not None and now_s - heard.at_s > ADDRESS_REUSE_TIMEOUT_S:
-                ended.append(attrs.evolve(other, state=ServerState.GONE))
-        return ended
+            last_seen = self._last_seen.get(other.id)
+            if last_seen is not None and now_s - last_seen.received_s > ADDRESS_REUSE_TIMEOUT_S:
+                replaced.append(attrs.evolve(other, state=ServerState.GONE))
+        return replaced
 
     def on_goodbye(self, server_id: str, known: Mapping[str, ServerRecord]) -> list[ServerRecord]:
-        """What to state after a server said that it ends; a server never heard of is stated as well."""
+        """The records to write after a goodbye, also of a server not known before."""
         before = known.get(server_id)
         if before is None:
             return [ServerRecord(server_id, "", "", "", 0, ServerState.GONE, 0)]
@@ -102,51 +115,58 @@
         return [attrs.evolve(before, state=ServerState.GONE)]
 
     def on_record_changed(self, now_s: float, record: ServerRecord) -> list[ServerRecord]:
-        """What to state after others stated something: that a server lives which they took for lost."""
-        heard = self._last_seen.get(record.id)
-        if record.state is not ServerState.LOST or heard is None or heard.sequence <= record.sequence:
+        """The records to write after another control node wrote one: that a server lives which it took for lost."""
+        last_seen = self._last_seen.get(record.id)
+        if record.state is not ServerState.LOST or last_seen is None or last_seen.sequence <= record.sequence:
             return []
-        if now_s - heard.at_s > self.timeout_s:
+        if now_s - last_seen.received_s > self.timeout_s:
             return []
-        return [attrs.evolve(record, state=ServerState.READY, sequence=heard.sequence)]
+        return [attrs.evolve(record, state=ServerState.READY, sequence=last_seen.sequence)]
 
     def on_tick(
         self,
         now_s: float,
         known: Mapping[str, ServerRecord],
-        listed: Callable[[str], bool],
+        is_listed: Callable[[str], bool],
         trusted: bool,
     ) -> list[ServerRecord]:
-        """What to state of servers that fell silent. Where silence proves nothing, as this node is cut off or was
-        frozen, `trusted` is false, and every server gets its patience anew."""
+        """The records to write of servers that have timed out.
+
+        `is_listed` is whether a live control node has a record of a server. `trusted` is false where silence proves
+        nothing, as this node is partitioned or was frozen; then every time-out starts again.
+        """
         gap_s, self._last_tick_s = now_s - self._last_tick_s, now_s
-        if not trusted or gap_s > LONGEST_GAP_S:
-            for heard in self._last_seen.values():
-                heard.at_s = now_s
+        if not trusted or gap_s > MAX_TICK_GAP_S:
+            for last_seen in self._last_seen.values():
+                last_seen.received_s = now_s
             return []
         return [
-            lost for record in known.values() if (lost := self._timed_out(now_s, record, listed)) is not None
+            lost
+            for record in known.values()
+            if (lost := self._timed_out(now_s, record, is_listed)) is not None
         ]
 
     def _timed_out(
-        self, now_s: float, record: ServerRecord, listed: Callable[[str], bool]
+        self, now_s: float, record: ServerRecord, is_listed: Callable[[str], bool]
     ) -> ServerRecord | None:
         if record.state not in (ServerState.READY, ServerState.DRAINING):
             return None
-        heard = self._last_seen.setdefault(record.id, _LastSeen(record.sequence, now_s))
-        timeout_s = self.timeout_s if listed(record.id) else self.timeout_s + ORPHAN_TIMEOUT_SLACK_S
-        if now_s - heard.at_s <= timeout_s:
+        last_seen = self._last_seen.setdefault(record.id, _LastSeen(record.sequence, now_s))
+        timeout_s = self.timeout_s if is_listed(record.id) else self.timeout_s + ORPHAN_TIMEOUT_SLACK_S
+        if now_s - last_seen.received_s <= timeout_s:
             return None
         state = ServerState.GONE if record.state is ServerState.DRAINING else ServerState.LOST
-        return attrs.evolve(record, state=state, sequence=max(record.sequence, heard.sequence))
+        return attrs.evolve(record, state=state, sequence=max(record.sequence, last_seen.sequence))
 
     def expired(self, now_s: float, known: Mapping[str, ServerRecord]) -> list[str]:
-        """Servers gone or lost for long, of which nothing needs to be kept."""
-        out = {record.id for record in known.values() if record.state in (ServerState.GONE, ServerState.LOST)}
+        """Ids of the servers gone or lost for `FORGET_S`, of which nothing needs to be kept."""
+        ended = {
+            record.id for record in known.values() if record.state in (ServerState.GONE, ServerState.LOST)
+        }
         for server in list(self._gone_since):
-            if server not in out:
+            if server not in ended:
                 del self._gone_since[server]
-        for server in out:
+        for server in ended:
             self._gone_since.setdefault(server, now_s)
         old = [server for server, since_s in self._gone_since.items() if now_s - since_s > FORGET_S]
         for server in old:
@@ -156,7 +176,7 @@
 
 
 def _equivalent(first: ServerRecord, second: ServerRecord) -> bool:
-    """Whether two facts differ in nothing that other nodes need: of the cold time, whether it is over."""
+    """Whether two records differ in nothing that other nodes need: of the warm-up time only whether it is over."""
     return _without_progress(first) == _without_progress(second)
 
 
--- a/tests/emberring/distribution/test_tier_follower_view.py
+++ b/tests/emberring/distribution/test_tier_follower_view.py
@@ -278,9 +278,9 @@
     sources.answered(1.0, "c1", 0.1)
     assert sources.in_contact(2.0)
     assert not sources.in_contact(3.0)
-    assert sources.settled("c1")
+    assert sources.has_answered("c1")
     sources.failed(3.0, "c1")
-    assert not sources.settled("c1")
+    assert not sources.has_answered("c1")
 
 
 @pytest.mark.parametrize("seed", range(8))
