--- a/emberring/control/node_records.py
+++ b/emberring/control/node_records.py
@@ -87,8 +87,7 @@
             self._on_change(now_s)
 
     def drop_replaced_contacts(self, now_s: float, names: Iterable[str]) -> None:
-        """Where another control node is in contact with another incarnation of a node, this one's contact is with
-        one that has ended."""
+        """Drop contacts with incarnations that have ended: those of which another control node has another one."""
         live_writers = self.live_writers(now_s)
         for name in names:
             record = self._contacts.record_of(name)
--- a/emberring/control/replication_policy.py
+++ b/emberring/control/replication_policy.py
@@ -12,9 +12,11 @@
 
 @attrs.frozen
 class ReplicationPolicy:
-    """The number of control nodes, zones and regions that must hold a record so that it survives the losses of
-    `tolerance`. `other_control_nodes` is how many there are from the start beside this one; `regions` gives the region
-    of a zone."""
+    """On how many control nodes, zones and regions a record must be held to survive the losses to be tolerated.
+
+    `tolerance` is what may be lost at once; `other_control_nodes` is how many there are from the start beside this one;
+    `regions` gives the region of a zone.
+    """
 
     other_control_nodes: int
     tolerance: FaultTolerance
