--- a/emberring/cli/simulation_commands.py
+++ b/emberring/cli/simulation_commands.py
@@ -24,7 +24,7 @@
 from emberring.simulation.admission.site import SITES
 from emberring.simulation.admission.trial import Figures, figures_of
 from emberring.simulation.scale.control_plane import RoleFigures, ScaleFigures, Size, measure, power
-from emberring.simulation.scale.partition import CutFigures, measure_cut
+from emberring.simulation.scale.partition import PartitionFigures, measure_partition
 
 app = typer.Typer(no_args_is_help=True, epilog=EXIT_CODES_TEXT)
 app.command(epilog=EXIT_CODES_TEXT)(ablation)
@@ -139,7 +139,7 @@
     as_json: JsonOption = False,
 ) -> None:
     """Part one control node with its gateways and servers from the rest; what each side knows when, and the cost."""
-    found = measure_cut(_size(gateways, servers_each, controls), seconds)
+    found = measure_partition(_size(gateways, servers_each, controls), seconds)
     if as_json:
         print_json(attrs.asdict(found))
         return
@@ -154,7 +154,7 @@
     return f"{cpu} % of a core, {size} kB/s"
 
 
-CUT_ROWS: tuple[tuple[str, Callable[[CutFigures], str]], ...] = (
+CUT_ROWS: tuple[tuple[str, Callable[[PartitionFigures], str]], ...] = (
     ("larger side counts its own gateways alone, s", lambda one: f"{one.absent_s:.2f}"),
     ("drain known on the larger side, s", lambda one: f"{one.drain_s:.2f}"),
     ("configuration known on the larger side, s", lambda one: f"{one.configuration_s:.2f}"),
--- a/emberring/simulation/control_plane/__init__.py
+++ b/emberring/simulation/control_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The whole control plane in simulated time: real register, board, orders, placement, followers."""
+"""The whole control plane in simulated time: real register, cluster state, operator requests, placement, followers."""
--- a/emberring/simulation/control_plane/client_steps.py
+++ b/emberring/simulation/control_plane/client_steps.py
@@ -1,4 +1,4 @@
-"""The steps of a schedule that operators and model servers take."""
+"""The steps of a schedule that operators and model servers carry out."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from emberring.simulation.control_plane.clients import ModelServer
 from emberring.simulation.control_plane.control_machine import ControlMachine
 from emberring.simulation.control_plane.deployment import Deployment
-from emberring.simulation.control_plane.history import TAKEN, OrderSeen
+from emberring.simulation.control_plane.history import ACCEPTED, ObservedRequest
 from emberring.simulation.control_plane.schedule import Step
 
-MANY = 40  # orders in a row
+MANY = 40  # requests in a row
 ANSWERS_LOST = 0.7  # share of the answers to operators, while they are lost
 
 
 class ClientSteps:
-    """What clients do; nothing more once `_ended`."""
+    """The steps of clients; none is carried out once `_ended`."""
 
     def __init__(self, deployment: Deployment) -> None:
         self._deployment = deployment
         self._world = deployment.world
         self._ended = False
         self._tasks: set[asyncio.Task[None]] = set()
-        self._orders: list[tuple[OrderSeen, ChangeRequestKind]] = []
+        self._accepted_requests: list[tuple[ObservedRequest, ChangeRequestKind]] = []
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -35,9 +35,9 @@
     def _later(self, wait_s: float, work: Callable[..., None], *arguments: Any) -> None:
         self._world.at(self._world.now_s + wait_s, work, *arguments)
 
-    def _core(self, step: Step) -> ControlMachine:
-        cores = self._deployment.cores
-        return cores[step.slot % len(cores)]
+    def _control_machine(self, step: Step) -> ControlMachine:
+        control_machines = self._deployment.control_machines
+        return control_machines[step.slot % len(control_machines)]
 
     # Operators.
 
@@ -45,21 +45,21 @@
         patch = self._deployment.operators.known > 0 and self._world.rng.random() < 0.5
         return ChangeRequestKind.PATCH if patch else ChangeRequestKind.WHOLE
 
-    def _order(self, step: Step, version: int | None = None) -> None:
+    def _request(self, step: Step, version: int | None = None) -> None:
         operators = self._deployment.operators
         known = operators.known
         kind = self._kind()
-        order = operators.order(known, version or known + self._world.rng.randint(1, 3), kind)
-        self._spawn(self._send(order, kind, self._core(step)))
+        request = operators.request(known, version or known + self._world.rng.randint(1, 3), kind)
+        self._spawn(self._send(request, kind, self._control_machine(step)))
 
-    async def _send(self, order: OrderSeen, kind: ChangeRequestKind, machine: ControlMachine) -> None:
-        if await self._deployment.operators.send(order, kind, machine) == TAKEN:
-            self._orders.append((order, kind))
+    async def _send(self, request: ObservedRequest, kind: ChangeRequestKind, machine: ControlMachine) -> None:
+        if await self._deployment.operators.send(request, kind, machine) == ACCEPTED:
+            self._accepted_requests.append((request, kind))
 
     def _race(self, step: Step) -> None:
         version = self._deployment.operators.known + self._world.rng.randint(1, 3)
-        self._order(step, version)
-        self._order(Step(step.at_s, step.kind, step.slot + 1), version)
+        self._request(step, version)
+        self._request(Step(step.at_s, step.kind, step.slot + 1), version)
 
     def _many(self, step: Step) -> None:
         self._spawn(self._send_many())
@@ -70,17 +70,17 @@
             if self._ended:
                 return
             kind = self._kind()
-            order = operators.order(operators.known, operators.known + 1, kind)
-            if await operators.send(order, kind) == TAKEN:
-                self._orders.append((order, kind))
+            request = operators.request(operators.known, operators.known + 1, kind)
+            if await operators.send(request, kind) == ACCEPTED:
+                self._accepted_requests.append((request, kind))
 
     def _repeat(self, step: Step) -> None:
-        if self._orders:
-            order, kind = self._orders[step.slot % len(self._orders)]
-            self._spawn(self._deployment.operators.repeat(order, kind, self._core(step)))
+        if self._accepted_requests:
+            request, kind = self._accepted_requests[step.slot % len(self._accepted_requests)]
+            self._spawn(self._deployment.operators.repeat(request, kind, self._control_machine(step)))
 
     def _read(self, step: Step) -> None:
-        self._spawn(self._read_at(self._core(step)))
+        self._spawn(self._read_at(self._control_machine(step)))
 
     async def _read_at(self, machine: ControlMachine) -> None:
         await self._deployment.operators.read(machine)
--- a/emberring/simulation/control_plane/control_machine.py
+++ b/emberring/simulation/control_plane/control_machine.py
@@ -36,20 +36,24 @@
 
 
 def internal_address(ip: str) -> str:
-    """Where the control node of a machine is reached by others."""
+    """The internal address of the control node on a machine."""
     return f"{ip}:{INTERNAL_PORT}"
 
 
 @attrs.frozen
 class Answer:
-    """An HTTP answer of a control node."""
+    """An HTTP response of a control node."""
 
     status: int
     body: bytes
 
 
 class ControlMachine(Machine):
-    """One machine of the core. `founders` are the addresses of the machines that start the system."""
+    """One control machine.
+
+    `founders` are the addresses of the machines that bootstrap the register, `bootstrap` is whether this is one of
+    them.
+    """
 
     world: ControlWorld
 
@@ -65,20 +69,20 @@
         self.ip = ip
         self.process: Process | None = None
         self.control: ControlNode | None = None
-        self.told_version = 0
+        self.learned_version = 0
         self._hub = hub
         self._futures: dict[int, asyncio.Future[bytes | None]] = {}
         self._callbacks: list[Callable[[bytes], None]] = []
         self._last_learned: bytes | None = None
 
-    # Life and death.
+    # Starts and ends.
 
     def start(self) -> None:
         """Start the replica on what the disk holds, and the control node on it."""
         if self.node is not None:
             return
         self._futures, self._callbacks, self._last_learned = {}, [], None
-        self.told_version = 0
+        self.learned_version = 0
         super().start()
         if self.node is not None:
             self._boot()
@@ -111,12 +115,12 @@
         control.start()
 
     def leave(self) -> None:
-        """SIGTERM: say that this node is about to end."""
+        """SIGTERM: the node announces its shutdown."""
         if self.process is not None and self.control is not None:
             self.process.call(self.control.announce_shutdown)
 
     def freeze(self, until_s: float) -> None:
-        """Stand still until then."""
+        """Freeze the process until then (s)."""
         self.thaw_at_s = max(self.thaw_at_s, until_s)
         if self.process is not None:
             self.process.freeze(until_s)
@@ -139,10 +143,10 @@
     # The register's host.
 
     def note_peers(self) -> None:
-        """The control node tells the register itself who lives."""
+        """Nothing: the control node reports the live peers itself."""
 
     async def job(self, event: Callable[[int, float], Event], timeout_s: float) -> bytes | None:
-        """A change or a read; its result, or its error."""
+        """Carry out a change or a read on the register; its result. Raises its error."""
         now_s = self.world.sync()
         self._requests += 1
         number = self._requests
@@ -151,8 +155,8 @@
         self._handle(self.life, event(number, now_s + timeout_s))
         return await future
 
-    def peers_noted(self, records: Sequence[NodeRecord]) -> None:
-        """The control node names the others that live."""
+    def on_live_peers(self, records: Sequence[NodeRecord]) -> None:
+        """The control node reports the other live ones."""
         self.world.sync()
         peers = tuple(
             Peer(record.name, Member(record.identity, record.address), record.zone, record.leaving)
@@ -161,7 +165,7 @@
         self._handle(self.life, PeersChanged(peers))
 
     def subscribe(self, callback: Callable[[bytes], None]) -> None:
-        """Tell each value known to be chosen."""
+        """Call this with each committed value that the replica learns of."""
         self._callbacks.append(callback)
         if self._last_learned is not None:
             callback(self._last_learned)
@@ -177,8 +181,8 @@
 
     def _learn_value(self, payload: bytes) -> None:
         state = ControlState.decode(payload)
-        self.world.seen.state_learned(self.world.now_s, self.name, state, self.told_version)
-        self.told_version = state.version
+        self.world.seen.state_learned(self.world.now_s, self.name, state, self.learned_version)
+        self.learned_version = state.version
         self._last_learned = payload
         for callback in list(self._callbacks):
             assert self.process is not None
@@ -187,7 +191,7 @@
     # Calls from outside.
 
     async def http(self, method: str, path: str, body: bytes, if_match: str) -> Answer | None:
-        """What a call gets that has reached this machine; None where the process is, or ends, away."""
+        """The response to a request that reached this machine; None where the process does not run or ends before."""
         if self.process is None or self.control is None:
             return None
         answering = self.process.start(self._respond(self.control, method, path, body, if_match))
@@ -213,7 +217,7 @@
 
 
 class HostedRegister:
-    """A machine's replica as the control node sees it."""
+    """The register as the control node sees it: the machine's replica."""
 
     def __init__(self, machine: ControlMachine) -> None:
         self._machine = machine
@@ -224,13 +228,13 @@
         return self._machine.identity
 
     async def start(self) -> None:
-        """The machine has started it."""
+        """Nothing: the machine has started the replica."""
 
     async def stop(self) -> None:
-        """It ends with the machine."""
+        """Nothing: the replica ends with the machine."""
 
     async def change(self, decide: Callable[[bytes | None], bytes | None], timeout_s: float) -> bytes | None:
-        """Swap the value."""
+        """Replace the value."""
         return await self._machine.job(lambda job, until_s: ChangeRequested(job, decide, until_s), timeout_s)
 
     async def read(self, timeout_s: float) -> bytes | None:
@@ -238,19 +242,19 @@
         return await self._machine.job(lambda job, until_s: ReadRequested(job, until_s), timeout_s)
 
     def subscribe(self, callback: Callable[[bytes], None]) -> None:
-        """Tell every chosen value."""
+        """Call this with every committed value."""
         self._machine.subscribe(callback)
 
     def majority_age_s(self) -> float:
-        """How long ago a majority was in contact (seconds)."""
+        """How long ago (s) a majority was in contact."""
         node = self._machine.node
         return float("inf") if node is None else node.majority_age_s(self._machine.world.sync())
 
     def is_quorum(self, identities: frozenset[str]) -> bool:
-        """Whether these replicas are a quorum of the set in force."""
+        """Whether these replicas are a quorum of the current replica set."""
         node = self._machine.node
         return node is not None and node.is_quorum(identities)
 
     def note_peers(self, records: Sequence[NodeRecord]) -> None:
-        """The other control nodes that live."""
-        self._machine.peers_noted(records)
+        """Report the other live control nodes."""
+        self._machine.on_live_peers(records)
--- a/emberring/simulation/control_plane/deployment.py
+++ b/emberring/simulation/control_plane/deployment.py
@@ -10,7 +10,7 @@
 from emberring.simulation.control_plane.clients import DRAIN_MS, ModelServer, Operators, Platform
 from emberring.simulation.control_plane.control_machine import ControlMachine, internal_address
 from emberring.simulation.control_plane.follower_process import FollowerMachine, ShardCopies
-from emberring.simulation.control_plane.mutations import Mistake
+from emberring.simulation.control_plane.mutations import Mutation
 from emberring.simulation.control_plane.network import SimulatedNetwork
 from emberring.simulation.control_plane.schedule import Schedule
 from emberring.simulation.control_plane.world import ControlWorld
@@ -20,9 +20,9 @@
 GATEWAYS = 3
 STORES = 6
 SERVERS = 3
-CONTACT_S = 3.0
-APPLY_S = 2.0
-STRIKE_S = 0.004  # after an acknowledgement
+CONTACT_S = 3.0  # after a fault, until machines count as in contact again
+APPLY_S = 2.0  # from the acknowledgement of a version until gateways in contact have it
+STRIKE_S = 0.004  # at most so long after an acknowledgement the fault that waits for it begins
 
 
 def ip_of(number: int) -> str:
@@ -31,27 +31,29 @@
 
 
 class Deployment:
-    """All machines, by class. What happens to them is `Troubles`' matter."""
+    """All machines, by role. `FaultInjector` carries out what happens to them."""
 
-    def __init__(self, schedule: Schedule, mistake: Mistake | None) -> None:
+    def __init__(self, schedule: Schedule, mutation: Mutation | None) -> None:
         bugs = Bugs(
-            amnesiac=mistake is Mistake.KEEPS_IDENTITY,
-            unsynced=mistake is Mistake.UNSYNCED,
+            amnesiac=mutation is Mutation.KEEPS_IDENTITY,
+            unsynced=mutation is Mutation.UNSYNCED,
         )
         self.schedule = schedule
         self.world = ControlWorld(schedule.seed, bugs)
         self.hub: dict[str, SimulatedNetwork] = {}
         self.founders = tuple(internal_address(ip_of(number)) for number in range(1, FOUNDERS + 1))
-        self.cores: list[ControlMachine] = []
-        self.core_event_s = 0.0  # when the core was last disturbed
-        self.unsettled_until_s = 0.0  # slow links or disks until then
+        self.control_machines: list[ControlMachine] = []
+        self.last_fault_s = 0.0  # the last fault of a control machine or store
+        self.unsettled_until_s = 0.0  # links or disks are slow until then
         self._added = 0
         for _ in range(FOUNDERS):
-            self.add_core(bootstrap=True)
+            self.add_control_machine(bootstrap=True)
         self.gateways = [self._follower(f"edge-{number}", NodeRole.GATEWAY) for number in range(GATEWAYS)]
         self.stores = [self._follower(f"store-{number}", NodeRole.STORE) for number in range(STORES)]
-        self.copies = ShardCopies(self.world, self.stores, hasty=mistake is Mistake.MOVES_WITHOUT_COPY)
-        self.platform = Platform(self.world, lambda: self.cores)
+        self.copies = ShardCopies(
+            self.world, self.stores, reports_early=mutation is Mutation.MOVES_WITHOUT_COPY
+        )
+        self.platform = Platform(self.world, lambda: self.control_machines)
         self.after_acknowledgement: list[Callable[[], None]] = []
         self.operators = Operators(self.platform, self.acknowledged)
         self.servers: list[ModelServer] = []
@@ -65,20 +67,20 @@
     def _follower(self, name: str, role: NodeRole) -> FollowerMachine:
         return FollowerMachine(self.world, self.hub, name, role, self.founders)
 
-    def add_core(self, bootstrap: bool = False) -> ControlMachine:
+    def add_control_machine(self, bootstrap: bool = False) -> ControlMachine:
         """Another control machine, not started yet."""
         self._added += 1
         machine = ControlMachine(self.world, self.hub, ip_of(self._added), self.founders, bootstrap)
         machine.sync_s = self.schedule.sync_s
         self.world.machines[machine.name] = machine
-        self.cores.append(machine)
+        self.control_machines.append(machine)
         return machine
 
-    def remove_core(self, machine: ControlMachine) -> None:
-        """It is gone for good."""
-        if machine in self.cores:
+    def remove_control_machine(self, machine: ControlMachine) -> None:
+        """Remove a control machine for good."""
+        if machine in self.control_machines:
             machine.wipe()
-            self.cores.remove(machine)
+            self.control_machines.remove(machine)
 
     def add_store(self) -> FollowerMachine:
         """Another store, started."""
@@ -88,67 +90,68 @@
         return store
 
     def add_server(self) -> ModelServer:
-        """Another model server, which begins to call."""
-        server = ModelServer(self.platform, f"server-{len(self.servers)}", self._left)
+        """Another model server, started."""
+        server = ModelServer(self.platform, f"server-{len(self.servers)}", self._on_left)
         self.servers.append(server)
         return server
 
     async def start(self) -> None:
-        """Start everything and let the first configuration come."""
+        """Start everything and send the first configuration."""
         world = self.world
         self.fair()
-        for machine in self.cores:
+        for machine in self.control_machines:
             world.at(world.rng.random() * 0.3, machine.start)
         for follower in self.followers:
             world.at(world.rng.random() * 0.3, follower.start)
         await asyncio.sleep(0.4)
         for _ in range(self.schedule.spares):
-            self.add_core().start()
+            self.add_control_machine().start()
         for _ in range(SERVERS):
             self.add_server()
         self._tasks.append(asyncio.get_running_loop().create_task(self.copies.run()))
-        order = self.operators.order(0, 1, ChangeRequestKind.WHOLE)
-        await self.operators.send(order, ChangeRequestKind.WHOLE)
+        request = self.operators.request(0, 1, ChangeRequestKind.WHOLE)
+        await self.operators.send(request, ChangeRequestKind.WHOLE)
         await asyncio.sleep(1.0)
 
     def fair(self) -> None:
-        """The schedule's weather."""
+        """Set the weather that the schedule has without faults."""
         self.world.weather = Weather(slowest_s=self.schedule.slowest_s, slow_share=self.schedule.slow_share)
 
-    # Who is in touch.
+    # Who is in contact.
 
-    def disturbed(self, lasts_s: float = 0.0) -> None:
-        """The core, or a store, is in trouble now."""
+    def on_fault(self, lasts_s: float = 0.0) -> None:
+        """A control machine or store is faulty now; links or disks are slow for `lasts_s`."""
         now_s = self.world.sync()
-        self.core_event_s = max(self.core_event_s, now_s)
+        self.last_fault_s = max(self.last_fault_s, now_s)
         self.unsettled_until_s = max(self.unsettled_until_s, now_s + lasts_s)
 
-    def in_touch(self, gateway: FollowerMachine) -> bool:
-        """Whether the rules bound by time hold for this gateway now."""
+    def in_contact(self, gateway: FollowerMachine) -> bool:
+        """Whether what must be known in time must be known to this gateway now."""
         now_s = self.world.sync()
         if gateway.process is None or gateway.process.frozen_s > 0:
             return False
-        if now_s - gateway.troubled_s < CONTACT_S or now_s < self.unsettled_until_s + CONTACT_S:
+        if now_s - gateway.last_fault_s < CONTACT_S or now_s < self.unsettled_until_s + CONTACT_S:
             return False
         leading = self._majority()
         return bool(leading) and all(self.world.reach(gateway.address, machine.name) for machine in leading)
 
     def _majority(self) -> list[ControlMachine]:
-        """Running control machines that reach more than half of the core; none unless it has been stable."""
-        if self.world.now_s - self.core_event_s < CONTACT_S:
+        """Running control machines that reach more than half of all; none soon after a fault."""
+        if self.world.now_s - self.last_fault_s < CONTACT_S:
             return []
-        running = [machine for machine in self.cores if self._runs(machine)]
+        running = [machine for machine in self.control_machines if self._runs(machine)]
         return [
             machine
             for machine in running
-            if 2 * sum(self.world.reach(machine.name, other.name) for other in running) > len(self.cores)
+            if 2 * sum(self.world.reach(machine.name, other.name) for other in running)
+            > len(self.control_machines)
         ]
 
     @staticmethod
     def _runs(machine: ControlMachine) -> bool:
         return machine.process is not None and machine.process.frozen_s == 0
 
-    # What must be known in time to those in touch.
+    # What those in contact must know in time.
 
     def acknowledged(self, version: int) -> None:
         """A configuration was acknowledged to the operator."""
@@ -160,7 +163,7 @@
     def _check_applied(self, version: int, acknowledged_s: float) -> None:
         for gateway in self.gateways:
             follower = gateway.follower
-            if follower is None or not self.in_touch(gateway):
+            if follower is None or not self.in_contact(gateway):
                 continue
             known = 0 if follower.configuration is None else follower.configuration.version
             if known < version:
@@ -169,13 +172,13 @@
                     f"acknowledged at {acknowledged_s:.3f} s"
                 )
 
-    def _left(self, server: ModelServer) -> None:
+    def _on_left(self, server: ModelServer) -> None:
         now_s = self.world.sync()
-        self.world.at(now_s + DRAIN_MS / 1000, self._check_left, server)
+        self.world.at(now_s + DRAIN_MS / 1000, self._check_drained, server)
 
-    def _check_left(self, server: ModelServer) -> None:
+    def _check_drained(self, server: ModelServer) -> None:
         for gateway in self.gateways:
-            if self.in_touch(gateway) and self.uses(gateway, server):
+            if self.in_contact(gateway) and self.uses(gateway, server):
                 self.world.seen.wrong(
                     f"{gateway.name} uses {server.name} at {self.world.now_s:.3f} s, whose leaving was acknowledged "
                     f"at {server.acknowledged_s:.3f} s"
@@ -188,12 +191,12 @@
         return record is not None and record.state is ServerState.READY
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop everything."""
         for task in self._tasks:
             task.cancel()
         for server in self.servers:
             server.crash()
-        for machine in self.cores:
+        for machine in self.control_machines:
             if machine.process is not None:
                 machine.process.kill()
         for follower in self.followers:
--- a/emberring/simulation/control_plane/follower_process.py
+++ b/emberring/simulation/control_plane/follower_process.py
@@ -1,4 +1,4 @@
-"""Simulated gateways and stores, as far as they follow the control nodes; and the copies of shards on the stores."""
+"""Simulated gateways and stores as followers of the control nodes, and the replicas of shards on the stores."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from emberring.transport.messages import Ok
 
 MARK_PREFIX = "/mark-"
-COPY_EVERY_S = 0.25
-COPY_S = 0.5  # how long a store that lacks records takes to get them
+COPY_INTERVAL_S = 0.25
+COPY_S = 0.5  # how long a store that lacks records takes to copy them
 MOVE_TIMEOUT_S = 1.0
 
 
 def mark_of(configuration: Configuration) -> int:
-    """Which order made this configuration, as its mark says; 0 where it has none."""
+    """The number of the request that made this configuration; 0 where it has no mark."""
     for route in configuration.routes:
         if route.path_prefix.startswith(MARK_PREFIX):
             return int(route.path_prefix[len(MARK_PREFIX) :].strip("/"))
@@ -48,7 +48,7 @@
         self.follower: Follower | None = None
         self.network: SimulatedNetwork | None = None
         self.identity = ""
-        self.troubled_s = 0.0  # when its last trouble was over
+        self.last_fault_s = 0.0  # when it last started
         self.gone = False
         self._world = world
         self._hub = hub
@@ -78,7 +78,7 @@
         self.follower = Follower(self.network, me, self._seeds)
         self.follower.subscribe(self._changed)
         self.process.start(self.follower.start())
-        self.troubled_s = self._world.now_s
+        self.last_fault_s = self._world.now_s
 
     def stop(self, dark: bool) -> None:
         """The process is killed; `dark`: its machine has lost power."""
@@ -89,7 +89,7 @@
         self.process, self.follower, self.network = None, None, None
 
     def lose_disk(self) -> None:
-        """Off, and what it kept is gone."""
+        """Stop, and lose the disk."""
         self.stop(dark=True)
         self._new_disk()
 
@@ -106,14 +106,16 @@
 
 
 class ShardCopies:
-    """What the stores keep of each shard: numbered records, acknowledged once a quorum of all sets has them. Whoever
-    lacks records and is in contact gets them after a while; a move is reported once all who join have all."""
+    """What the stores keep of each shard: numbered records, acknowledged once a quorum of all sets has them.
 
-    def __init__(self, world: ControlWorld, stores: list[FollowerMachine], hasty: bool) -> None:
+    Whoever lacks records and is in contact gets them after a while; a move is reported once all who join have all.
+    """
+
+    def __init__(self, world: ControlWorld, stores: list[FollowerMachine], reports_early: bool) -> None:
         self._world = world
         self._stores = stores
-        self._hasty = hasty  # a seeded mistake: moves are reported before anything was copied
-        self._held: dict[tuple[int, str], set[int]] = {}
+        self._reports_early = reports_early  # a seeded mistake: moves are reported before anything was copied
+        self._records: dict[tuple[int, str], set[int]] = {}
         self._lacking_since: dict[tuple[int, str], float] = {}
         self._acknowledged: list[set[int]] = [set() for _ in range(SHARDS)]
         self._next = 0
@@ -121,7 +123,7 @@
     async def run(self) -> None:
         """Write, copy and report until cancelled."""
         while True:
-            await asyncio.sleep(COPY_EVERY_S)
+            await asyncio.sleep(COPY_INTERVAL_S)
             self._world.sync()
             placement = self._newest()
             if placement is None:
@@ -155,36 +157,36 @@
         if not all(len(here.intersection(members)) >= quorum(members) for members in sets):
             return
         self._write(group.shard, here)
-        whole = self._copy(group.shard, here)
+        complete = self._copy(group.shard, here)
         joining = set(group.joining) - set(group.members)
-        if group.joining and (joining <= whole or self._hasty):
+        if group.joining and (joining <= complete or self._reports_early):
             self._report(reached[0], group)
 
     def _write(self, shard: int, here: set[str]) -> None:
         self._next += 1
         for identity in here:
-            self._held.setdefault((shard, identity), set()).add(self._next)
+            self._records.setdefault((shard, identity), set()).add(self._next)
         self._acknowledged[shard].add(self._next)
 
     def _copy(self, shard: int, here: set[str]) -> set[str]:
         """Bring those who are here up to date, as far as they had the time; who has everything now."""
-        everything = set().union(*(self._held[(shard, identity)] for identity in here))
-        whole = set()
+        everything = set().union(*(self._records[(shard, identity)] for identity in here))
+        complete = set()
         for identity in here:
-            place = (shard, identity)
-            if self._held[place] == everything:
-                self._lacking_since.pop(place, None)
-                whole.add(identity)
-            elif self._world.now_s - self._lacking_since.setdefault(place, self._world.now_s) >= COPY_S:
-                self._held[place] = set(everything)
-                whole.add(identity)
-        return whole
+            replica = (shard, identity)
+            if self._records[replica] == everything:
+                self._lacking_since.pop(replica, None)
+                complete.add(identity)
+            elif self._world.now_s - self._lacking_since.setdefault(replica, self._world.now_s) >= COPY_S:
+                self._records[replica] = set(everything)
+                complete.add(identity)
+        return complete
 
     def _report(self, owner: FollowerMachine, group: Group) -> None:
         if owner.process is not None:
-            owner.process.start(self._tell(owner, PlacementMoved(group.shard, group.epoch)))
+            owner.process.start(self._send_moved(owner, PlacementMoved(group.shard, group.epoch)))
 
-    async def _tell(self, owner: FollowerMachine, moved: PlacementMoved) -> None:
+    async def _send_moved(self, owner: FollowerMachine, moved: PlacementMoved) -> None:
         follower, network = owner.follower, owner.network
         if follower is None or network is None:
             return
@@ -201,7 +203,7 @@
         """Some disk that is still there must have each record that was acknowledged."""
         disks = [store.identity for store in self._stores if not store.gone]
         for shard, acknowledged in enumerate(self._acknowledged):
-            kept = set().union(*(self._held.get((shard, identity), set()) for identity in disks))
+            kept = set().union(*(self._records.get((shard, identity), set()) for identity in disks))
             if not acknowledged <= kept:
                 self._world.seen.wrong(f"shard {shard}: {len(acknowledged - kept)} records are on no disk")
                 acknowledged &= kept
--- a/emberring/simulation/control_plane/history.py
+++ b/emberring/simulation/control_plane/history.py
@@ -1,4 +1,4 @@
-"""What operators and followers of a simulated control plane saw, and whether one register could have shown it."""
+"""What clients and followers of a simulated control plane observed, and whether a linearizable register allows it."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from emberring.configuration.state import ControlState
 from emberring.simulation.register.history import History
 
-TAKEN = 200
-REFUSED = frozenset({400, 409, 412})
+ACCEPTED = 200
+REJECTED = frozenset({400, 409, 412})
 
 
 @attrs.define(eq=False)
-class OrderSeen:
-    """One order of the operator, all its sends together. `digest` is what the register keeps of it. Times in s."""
+class ObservedRequest:
+    """One request of an operator, with all its retries. `digest` is what the register keeps of it. Times in s."""
 
     number: int
     base: int
@@ -23,15 +23,15 @@
     digest: bytes
     sent_s: float
     ended_s: float | None = None
-    status: int = 0  # of its last answer; 0: none, or none that was clear
+    status: int = 0  # of its last answer; 0 where the outcome is unknown
 
     def __str__(self) -> str:
         return f"order {self.number} (version {self.version} on {self.base})"
 
 
 @attrs.define(eq=False)
-class InForce:
-    """A version that was taken: by which digest, and when it was first proved to be in force."""
+class VersionInForce:
+    """An accepted version: the digest that made it, and when it was first proven to be in force (s)."""
 
     version: int
     digest: bytes
@@ -39,82 +39,82 @@
 
 
 class ControlHistory(History):
-    """All that was seen. `mistakes` has what no register could have shown."""
+    """All observations. `mistakes` has the violations found."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.orders: list[OrderSeen] = []
-        self.chain: dict[int, InForce] = {}
-        self._by_digest: dict[bytes, OrderSeen] = {}
+        self.requests: list[ObservedRequest] = []
+        self.chain: dict[int, VersionInForce] = {}
+        self._by_digest: dict[bytes, ObservedRequest] = {}
         self._newest_acknowledged: list[tuple[float, int]] = [
             (0.0, 0)
         ]  # when, and the newest version proved by then
 
     def wrong(self, text: str) -> None:
-        """Note a mistake, once."""
+        """Record a violation, once."""
         if text not in self.mistakes:
             self.mistakes.append(text)
 
     # The register's value.
 
     def state_learned(self, now_s: float, where: str, state: ControlState, before: int) -> None:
-        """A node was told this state after one of version `before` in the same life."""
+        """A node learned this state after one of version `before` in the same incarnation."""
         if state.version < before:
             self.wrong(f"{where} was told version {state.version} after {before}")
         for digest in state.taken:
-            order = self._by_digest.get(digest)
-            if order is None:
+            request = self._by_digest.get(digest)
+            if request is None:
                 self.wrong(f"{where} was told a state with a change that nobody ordered")
             else:
-                self._prove(now_s, where, order.version, digest)
+                self._prove(now_s, where, request.version, digest)
         newest = self._by_digest.get(state.taken[-1]) if state.taken else None
         if newest is not None and newest.version != state.version:
             self.wrong(f"{where} was told version {state.version}, whose last change made {newest.version}")
 
     def _prove(self, now_s: float, where: str, version: int, digest: bytes) -> None:
-        known = self.chain.setdefault(version, InForce(version, digest, now_s))
+        known = self.chain.setdefault(version, VersionInForce(version, digest, now_s))
         if known.digest != digest:
             self.wrong(f"{where}: version {version} is two configurations")
 
-    def _proved_before(self, at_s: float) -> int:
-        """The newest version that was acknowledged, or read, before this time."""
+    def _proven_before(self, at_s: float) -> int:
+        """The newest version that was acknowledged or read before this time."""
         return max(version for ended_s, version in self._newest_acknowledged if ended_s < at_s)
 
     def _note_proof(self, now_s: float, version: int) -> None:
         self._newest_acknowledged.append((now_s, max(version, self._newest_acknowledged[-1][1])))
 
-    # Orders.
+    # Requests.
 
-    def order_sent(self, order: OrderSeen) -> None:
-        """An order was sent for the first time."""
-        self.orders.append(order)
-        self._by_digest.setdefault(order.digest, order)
+    def request_sent(self, request: ObservedRequest) -> None:
+        """A request was sent for the first time."""
+        self.requests.append(request)
+        self._by_digest.setdefault(request.digest, request)
 
-    def order_taken(self, now_s: float, order: OrderSeen) -> None:
-        """It was answered 200."""
-        order.ended_s, order.status = now_s, TAKEN
-        for other in self.orders:
-            if other is order or other.status != TAKEN or other.digest == order.digest:
+    def request_accepted(self, now_s: float, request: ObservedRequest) -> None:
+        """A request was answered with 200."""
+        request.ended_s, request.status = now_s, ACCEPTED
+        for other in self.requests:
+            if other is request or other.status != ACCEPTED or other.digest == request.digest:
                 continue
-            if other.version == order.version or other.base == order.base:
-                self.wrong(f"{order} and {other} were both acknowledged")
-        self._prove(now_s, f"the answer to {order}", order.version, order.digest)
-        self._note_proof(now_s, order.version)
+            if other.version == request.version or other.base == request.base:
+                self.wrong(f"{request} and {other} were both acknowledged")
+        self._prove(now_s, f"the answer to {request}", request.version, request.digest)
+        self._note_proof(now_s, request.version)
 
-    def order_refused(self, now_s: float, order: OrderSeen, status: int) -> None:
-        """It was answered 400, 409 or 412."""
-        order.ended_s, order.status = now_s, status
+    def request_rejected(self, now_s: float, request: ObservedRequest, status: int) -> None:
+        """A request was answered with 400, 409 or 412."""
+        request.ended_s, request.status = now_s, status
 
     # Reads.
 
     def read(self, sent_s: float, now_s: float, where: str, version: int, mark: int) -> None:
         """A read that was sent at `sent_s` was answered with this version, and the mark of the order that made it."""
-        least = self._proved_before(sent_s)
+        least = self._proven_before(sent_s)
         if version < least:
             self.wrong(
                 f"{where}, asked at {sent_s:.3f} s, answered version {version} where {least} was proved"
             )
-        makers = {order.number for order in self.orders if order.version == version}
+        makers = {request.number for request in self.requests if request.version == version}
         if version and mark not in makers:
             self.wrong(f"{where} answered version {version} with what order {mark} said")
         self._note_proof(now_s, version)
@@ -125,31 +125,33 @@
         """A follower's configuration changed."""
         if version < before:
             self.wrong(f"{who} went back from version {before} to {version}")
-        makers = {order.number for order in self.orders if order.version == version}
+        makers = {request.number for request in self.requests if request.version == version}
         if mark not in makers:
             self.wrong(f"{who} has version {version} with what order {mark} said")
 
     # The end.
 
     def finish(self) -> list[str]:
-        """All mistakes, once nothing happens any more."""
+        """Check what can only be checked at the end; all violations."""
         taken = {entry.digest for entry in self.chain.values()}
-        for order in self.orders:
-            if order.status in REFUSED:
-                self._check_refusal(order, taken)
+        for request in self.requests:
+            if request.status in REJECTED:
+                self._check_refusal(request, taken)
         self._check_chain()
         return self.mistakes
 
-    def _check_refusal(self, order: OrderSeen, taken: set[bytes]) -> None:
-        if order.digest in taken:
-            self.wrong(f"{order} was refused with {order.status}, yet it was taken")
+    def _check_refusal(self, request: ObservedRequest, taken: set[bytes]) -> None:
+        if request.digest in taken:
+            self.wrong(f"{request} was refused with {request.status}, yet it was taken")
             return
-        assert order.ended_s is not None
-        if order.version <= order.base or self._could_differ(order.base, order.sent_s, order.ended_s):
+        assert request.ended_s is not None
+        if request.version <= request.base or self._could_differ(
+            request.base, request.sent_s, request.ended_s
+        ):
             return
         self.wrong(
-            f"{order} was refused with {order.status} while its base was in force, "
-            f"sent at {order.sent_s:.3f} s, answered at {order.ended_s:.3f} s"
+            f"{request} was refused with {request.status} while its base was in force, "
+            f"sent at {request.sent_s:.3f} s, answered at {request.ended_s:.3f} s"
         )
 
     def _could_differ(self, base: int, from_s: float, until_s: float) -> bool:
@@ -162,7 +164,7 @@
         for entry in ordered:
             if entry.version <= base:
                 continue
-            sent_s = min(order.sent_s for order in self.orders if order.digest == entry.digest)
+            sent_s = min(request.sent_s for request in self.requests if request.digest == entry.digest)
             if sent_s <= until_s:
                 return True
         return False
@@ -172,7 +174,7 @@
         before = 0
         for version in sorted(self.chain):
             digest = self.chain[version].digest
-            bases = {order.base for order in self.orders if order.digest == digest}
+            bases = {request.base for request in self.requests if request.digest == digest}
             if before not in bases:
                 self.wrong(f"version {version} was made on {sorted(bases)}, after {before}")
             before = version
--- a/emberring/simulation/control_plane/mutations.py
+++ b/emberring/simulation/control_plane/mutations.py
@@ -1,4 +1,4 @@
-"""Known mistakes to seed into the simulated control plane, so that its checks can be shown to find them."""
+"""Seeded mutations of the control plane, to show that the simulator's checks find them."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from emberring.simulation.control_plane.control_machine import ControlMachine, HostedRegister
 
 
-class Mistake(Enum):
-    """The letter's points 1 to 4, some mistakes for each."""
+class Mutation(Enum):
+    """A mutation; some for each of the first four guarantees."""
 
     READS_FROM_MEMORY = "reads-from-memory"
     LATE_JOBS = "late-jobs"
@@ -74,7 +74,7 @@
 
 def _apply_older(self: FollowerView, now_s: float, update: Any, *rest: Any) -> bool:
     if update.configuration_version < self.configuration_version:
-        self.configuration_version = 0  # so that what it is told next counts as newer
+        self.configuration_version = 0  # so that the next one received counts as newer
     return _apply_update(self, now_s, update, *rest)
 
 
@@ -89,11 +89,11 @@
 
 
 def _judge_without_comparison(
-    state: ControlState, order: change_requests.ChangeRequest
+    state: ControlState, request: change_requests.ChangeRequest
 ) -> change_requests.Taken | change_requests.Refused:
-    if order.digest not in state.taken and order.version > state.version:
-        order = attrs.evolve(order, base=state.version)
-    return _judge(state, order)
+    if request.digest not in state.taken and request.version > state.version:
+        request = attrs.evolve(request, base=state.version)
+    return _judge(state, request)
 
 
 _configure = operator_requests.OperatorRequests.configure
@@ -102,8 +102,8 @@
 async def _configure_by_memory(
     self: Any, kind: change_requests.ChangeRequestKind, if_match: str | None, body: bytes
 ) -> int:
-    order = change_requests.read_change_request(kind, if_match, body)
-    outcome = _judge(self._cluster_state.state, order)
+    request = change_requests.read_change_request(kind, if_match, body)
+    outcome = _judge(self._cluster_state.state, request)
     if isinstance(outcome, change_requests.Refused) and isinstance(outcome.error, VersionConflictError):
         raise outcome.error
     return await _configure(self, kind, if_match, body)
@@ -134,26 +134,26 @@
     self.promised = None if self.accepted is None else self.accepted.ballot
 
 
-_PATCHES: dict[Mistake, tuple[tuple[Any, str, Callable[..., Any]], ...]] = {
-    Mistake.READS_FROM_MEMORY: ((HostedRegister, "read", _read_from_memory),),
-    Mistake.LATE_JOBS: ((RegisterNode, "_decide", _decide_with_late_jobs),),
-    Mistake.LONE_DRAINS: ((HeartbeatHandler, "_is_replicated", _always_replicated),),
-    Mistake.KEEPS_WEAK_SOURCES: ((SourceSelector, "answered", _answered_whatever_its_quorum),),
-    Mistake.TAKES_OLDER_CONFIGURATION: ((FollowerView, "apply_update", _apply_older),),
-    Mistake.FORGETS_DIGESTS: ((ControlState, "with_configuration", _with_last_digest_alone),),
-    Mistake.NO_COMPARISON: ((operator_requests, "judge", _judge_without_comparison),),
-    Mistake.REFUSES_BY_MEMORY: ((operator_requests.OperatorRequests, "configure", _configure_by_memory),),
-    Mistake.OLD_SET_ALONE: ((ReplicaSet, "has_quorum", _quorum_of_members),),
-    Mistake.REWRITES_WITHOUT_SNAPSHOT: ((ControlMachine, "_reclaim", _reclaim_without_snapshot),),
-    Mistake.NEVER_FETCHES: ((RegisterNode, "_hear_of", _never_hears),),
-    Mistake.FORGETS_PROMISES: ((Acceptor, "restore", _restore_without_promise),),
+_PATCHES: dict[Mutation, tuple[tuple[Any, str, Callable[..., Any]], ...]] = {
+    Mutation.READS_FROM_MEMORY: ((HostedRegister, "read", _read_from_memory),),
+    Mutation.LATE_JOBS: ((RegisterNode, "_decide", _decide_with_late_jobs),),
+    Mutation.LONE_DRAINS: ((HeartbeatHandler, "_is_replicated", _always_replicated),),
+    Mutation.KEEPS_WEAK_SOURCES: ((SourceSelector, "answered", _answered_whatever_its_quorum),),
+    Mutation.TAKES_OLDER_CONFIGURATION: ((FollowerView, "apply_update", _apply_older),),
+    Mutation.FORGETS_DIGESTS: ((ControlState, "with_configuration", _with_last_digest_alone),),
+    Mutation.NO_COMPARISON: ((operator_requests, "judge", _judge_without_comparison),),
+    Mutation.REFUSES_BY_MEMORY: ((operator_requests.OperatorRequests, "configure", _configure_by_memory),),
+    Mutation.OLD_SET_ALONE: ((ReplicaSet, "has_quorum", _quorum_of_members),),
+    Mutation.REWRITES_WITHOUT_SNAPSHOT: ((ControlMachine, "_reclaim", _reclaim_without_snapshot),),
+    Mutation.NEVER_FETCHES: ((RegisterNode, "_hear_of", _never_hears),),
+    Mutation.FORGETS_PROMISES: ((Acceptor, "restore", _restore_without_promise),),
 }
 
 
 @contextlib.contextmanager
-def seeded(mistake: Mistake | None) -> Iterator[None]:
-    """The program with this mistake in it, for as long as this lasts."""
+def seeded(mutation: Mutation | None) -> Iterator[None]:
+    """Patch the program with this mutation inside the `with` block."""
     with contextlib.ExitStack() as stack:
-        for owner, name, wrong in _PATCHES.get(mistake, ()) if mistake is not None else ():
+        for owner, name, wrong in _PATCHES.get(mutation, ()) if mutation is not None else ():
             stack.enter_context(mock.patch.object(owner, name, wrong))
         yield
--- a/emberring/simulation/control_plane/network.py
+++ b/emberring/simulation/control_plane/network.py
@@ -1,4 +1,4 @@
-"""The network between simulated processes: messages as they are, late, lost, or held up by a cut or a dead process."""
+"""The network between simulated processes: messages are delayed, lost, or dropped by partitions and dead processes."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         hub[process.address] = self
 
     async def listen(self, address: str) -> None:
-        """Nothing to do: the hub knows the address."""
+        """Nothing: the hub knows the address."""
 
     async def call(self, address: str, body: Any, reply: type[Reply], timeout_s: float) -> Reply:
         """Send a call and wait for its reply, at most `timeout_s` in all."""
@@ -36,29 +36,29 @@
         return expected(reply, answer, address)
 
     async def tell(self, address: str, body: Any) -> None:
-        """Hints go by the register's own host."""
+        """Nothing: hints are sent by the register's simulated host."""
 
     async def _exchange(self, address: str, body: Any) -> Any:
         me = self.process.address
-        await self._way(me, address)
+        await self._transfer(me, address)
         peer = self._hub.get(address)
         if peer is None or not peer.process.alive:
-            await self._refused(address)
+            await self._report_dead_process(address)
             raise PeerUnavailableError(f"nobody at {address}")
         answering = peer.process.start(peer.dispatch(body, Caller(me)))
-        await asyncio.wait({answering})  # the caller's time may end, and the peer goes on with it
+        await asyncio.wait({answering})  # the caller may time out while the peer goes on
         if answering.cancelled():
-            await self._refused(address)
+            await self._report_dead_process(address)
             raise PeerTimeoutError(f"the connection to {address} ended")
-        await self._way(address, me)
+        await self._transfer(address, me)
         return answering.result()
 
-    async def _refused(self, address: str) -> None:
-        """A dead process is told by a reset; a machine without power says nothing."""
+    async def _report_dead_process(self, address: str) -> None:
+        """Wait for ever where the machine has no power: a dead process is reported by a reset, that is not."""
         if address in self._world.dark:
             await asyncio.sleep(FOREVER_S)
 
-    async def _way(self, origin: str, target: str) -> None:
+    async def _transfer(self, sender: str, target: str) -> None:
         self._world.sync()
-        lost = origin != target and (not self._world.passes(origin, target) or self._world.is_lost())
+        lost = sender != target and (not self._world.passes(sender, target) or self._world.is_lost())
         await asyncio.sleep(FOREVER_S if lost else self._world.way_s())
--- a/emberring/simulation/control_plane/process.py
+++ b/emberring/simulation/control_plane/process.py
@@ -1,4 +1,4 @@
-"""A simulated process: its tasks, which stand still while it is frozen and end with it."""
+"""A simulated process: its tasks, which pause while it is frozen and end with it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Process(TaskOwner):
-    """The tasks of one life of a program."""
+    """The tasks of one incarnation of a program."""
 
     def __init__(self, address: str) -> None:
         super().__init__()
@@ -20,19 +20,19 @@
         self._tasks: dict[asyncio.Task[Any], None] = {}  # in the order of their starts
 
     def freeze(self, until_s: float) -> None:
-        """Stand still until then."""
+        """Pause all tasks until then (s)."""
         self._frozen_until_s = max(self._frozen_until_s, until_s)
 
     @property
     def frozen_s(self) -> float:
-        """For how long it stands still yet."""
+        """For how long (s) it is still frozen."""
         return max(0.0, self._frozen_until_s - asyncio.get_running_loop().time())
 
     def pause(self) -> Awaitable[None] | None:
         return asyncio.sleep(self.frozen_s) if self.alive and self.frozen_s > 0 else None
 
     def kill(self) -> None:
-        """End at once: nothing of it runs on."""
+        """Cancel all tasks at once."""
         self.alive = False
         for task in list(self._tasks):
             task.cancel()
--- a/emberring/simulation/control_plane/schedule.py
+++ b/emberring/simulation/control_plane/schedule.py
@@ -1,4 +1,4 @@
-"""Schedules of a simulated control plane: what happens when, from a seed."""
+"""Schedules of a simulated control plane, made from seeds."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Kind(Enum):
-    """What may happen. A slot picks the machine, in ways that each kind has."""
+    """The kind of a step. Its slot selects the machine, in ways that each kind has."""
 
     ORDER = "order"
     RACE = "race"
@@ -82,7 +82,7 @@
 )
 STORES = (Kind.STORE_KILL, Kind.STORE_WIPE, Kind.STORE_ADD, Kind.RETIRE, Kind.RETIRE, Kind.CUT_IN_TWO)
 CROWDS = (Kind.MANY, Kind.RACE, Kind.RACE, Kind.KILL, Kind.WEATHER, Kind.ANSWERS_LOST, Kind.READ, Kind.READ)
-TROUBLES = (
+FAULTS = (
     *CUTS,
     *LOSSES,
     *STORES,
@@ -101,14 +101,16 @@
 )
 SPAN_S = 14.0
 CUT_SPAN_S = 26.0
-MOST_TROUBLES = 7
+MAX_FAULTS = 7
 
 
 @attrs.frozen
 class Schedule:
-    """A seed, from which all chance in the world comes, what happens, and for how long (s). `spares` control nodes are
-    there beyond the founders; `slowest_s` is the longest way of the `slow_share` of messages that are slow; `sync_s` is
-    the time of a sync."""
+    """The steps of `span_s` seconds, and the seed of all random choices.
+
+    `spares` is the number of control nodes beyond the founders; `slowest_s` is the longest delay of the `slow_share`
+    of messages that are slow; `sync_s` is the time of a sync to disk.
+    """
 
     seed: int
     steps: tuple[Step, ...]
@@ -120,8 +122,11 @@
 
 
 def make_schedule(seed: int) -> Schedule:
-    """The schedule of a seed. One in four is about long cuts, one about losses, one about orders in a row at all nodes
-    over slow ways, one has anything."""
+    """The schedule of a seed.
+
+    One in four has long partitions, one losses, one many requests at all nodes over slow links, one has all kinds of
+    faults.
+    """
     rng = random.Random(f"control {seed}")
     theme = seed % 4
     span_s = CUT_SPAN_S if theme == 0 else SPAN_S
@@ -134,7 +139,7 @@
         steps += [Step(rng.random(), Kind.MANY, number) for number in range(3)]
         steps += _some(rng, CROWDS, span_s, 4)
     else:
-        steps += _some(rng, TROUBLES, span_s, MOST_TROUBLES)
+        steps += _some(rng, FAULTS, span_s, MAX_FAULTS)
     steps += _some(rng, CLIENTS, span_s, 26)
     return Schedule(
         seed,
@@ -148,10 +153,10 @@
 
 
 def _cuts(rng: random.Random) -> list[Step]:
-    """Cuts of 15 to 25 s, with orders and reads at either side, beside at most three other troubles."""
+    """A partition of 15 to 25 s, beside at most three other faults."""
     at_s = rng.random() * 2
     steps = [Step(at_s, rng.choice(CUTS), rng.randrange(6), 15 + rng.random() * 10)]
-    return steps + _some(rng, TROUBLES, CUT_SPAN_S, 3)
+    return steps + _some(rng, FAULTS, CUT_SPAN_S, 3)
 
 
 def _some(rng: random.Random, kinds: tuple[Kind, ...], span_s: float, most: int) -> list[Step]:
--- a/emberring/simulation/control_plane/simulator.py
+++ b/emberring/simulation/control_plane/simulator.py
@@ -1,4 +1,4 @@
-"""The check of the whole control plane: schedules from seeds in simulated time, histories and progress checked."""
+"""Plays the whole control plane in virtual time on schedules from seeds, and checks histories and progress."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from emberring.simulation.common.task_owner import own_tasks
 from emberring.simulation.common.virtual_time import run_virtually
 from emberring.simulation.control_plane.deployment import APPLY_S, CONTACT_S, Deployment
-from emberring.simulation.control_plane.fault_schedule import Troubles
-from emberring.simulation.control_plane.history import TAKEN
-from emberring.simulation.control_plane.mutations import Mistake, seeded
+from emberring.simulation.control_plane.fault_schedule import FaultInjector
+from emberring.simulation.control_plane.history import ACCEPTED
+from emberring.simulation.control_plane.mutations import Mutation, seeded
 from emberring.simulation.control_plane.schedule import Schedule, make_schedule
 
 ACK_S = 4.0
-# Inside the bound of 4.9 s, and before the change that is made in the calm could help a replica on.
+# Inside the bound of 4.9 s, and before the change that is made after the last fault could help a replica.
 CATCH_UP_S = 2.9
-WHOLE_S = 8.0  # from calm on, until the replica set is as wide as wanted
-SERVERS_KNOWN_S = 8.0  # from calm on, until every gateway knows every server
-LOOK_S = 0.02
+COMPLETE_S = 8.0  # from the last fault on, until the replica set is complete
+SERVERS_KNOWN_S = 8.0  # from the last fault on, until every gateway knows every server
+POLL_S = 0.02
 
 
 @attrs.frozen
 class Times:
-    """How long the last part of a schedule took, in seconds from calm on."""
+    """How long recovery took, in seconds from the end of the last fault."""
 
     order_s: float = 0.0
     followers_s: float = 0.0  # from the acknowledgement on
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class Verdict:
-    """What was wrong with a schedule (empty: nothing), and how much happened in it."""
+    """The violations found on a schedule, and how much happened in it."""
 
     schedule: Schedule
     mistakes: tuple[str, ...]
@@ -49,80 +49,83 @@
 class _Play:
     """One schedule in one deployment."""
 
-    def __init__(self, schedule: Schedule, mistake: Mistake | None) -> None:
+    def __init__(self, schedule: Schedule, mutation: Mutation | None) -> None:
         self._schedule = schedule
-        self._mistake = mistake
+        self._mutation = mutation
         self.verdict = Verdict(schedule, ())
 
     async def run(self) -> None:
-        """Play it; the verdict is kept."""
+        """Play the schedule and set `verdict`."""
         own_tasks(asyncio.get_running_loop())
-        deployment = Deployment(self._schedule, self._mistake)
+        deployment = Deployment(self._schedule, self._mutation)
         asyncio.get_running_loop().set_exception_handler(
             lambda _, context: deployment.world.seen.wrong(
                 f"fault: {context.get('exception', context['message'])!r}"
             )
         )
-        troubles = Troubles(deployment)
+        fault_injector = FaultInjector(deployment)
         await deployment.start()
         began_s = deployment.world.sync()
         for step in self._schedule.steps:
-            deployment.world.at(began_s + step.at_s, troubles.run, step)
+            deployment.world.at(began_s + step.at_s, fault_injector.run, step)
         await asyncio.sleep(self._schedule.span_s)
-        troubles.end()
+        fault_injector.end()
         times = await _Recovery(deployment).run()
         await deployment.stop()
         seen = deployment.world.seen
-        acknowledged = sum(1 for order in seen.orders if order.status == TAKEN)
+        acknowledged = sum(1 for request in seen.requests if request.status == ACCEPTED)
         self.verdict = Verdict(
             self._schedule, tuple(seen.finish()), acknowledged, deployment.world.handled, times
         )
 
 
 class _Recovery:
-    """What must come to hold once nothing is wrong any more, and in what time."""
+    """Checks what must hold in time after the last fault."""
 
     def __init__(self, deployment: Deployment) -> None:
         self._deployment = deployment
         self._world = deployment.world
 
     async def run(self) -> Times:
-        """Wait for each; what does not come in time is a mistake."""
-        whole, order = await asyncio.gather(
-            self._until(self._set_is_whole, WHOLE_S, "the replica set is not whole"), self._order()
+        """Wait for each condition; one that does not hold in time is a violation."""
+        whole, request = await asyncio.gather(
+            self._until(self._replica_set_is_complete, COMPLETE_S, "the replica set is not whole"),
+            self._request(),
         )
         await self._until(self._servers_known, SERVERS_KNOWN_S, "a gateway does not know all servers")
         await self._drain()
         await self._last_reads()
-        return Times(order[0], order[1], order[2], whole)
+        return Times(request[0], request[1], request[2], whole)
 
     async def _until(self, condition: Callable[[], bool], within_s: float, wrong: str) -> float:
         began_s = self._world.sync()
         while not condition():
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
             if self._world.sync() - began_s > within_s:
                 self._world.seen.wrong(f"{wrong} {within_s} s after it could be")
                 return within_s
         return self._world.now_s - began_s
 
-    async def _order(self) -> tuple[float, float, float]:
-        """A change on top of the newest version, from the moment at which machines are in touch again."""
+    async def _request(self) -> tuple[float, float, float]:
+        """Send a change of the newest version once machines are in contact again."""
         replicas = asyncio.get_running_loop().create_task(
             self._until(self._replicas_agree, CATCH_UP_S, "a replica has not caught up")
         )
         await asyncio.sleep(CONTACT_S)
         operators = self._deployment.operators
         began_s = self._world.sync()
-        base = max([operators.known, *(machine.told_version for machine in self._deployment.cores)])
-        order = operators.order(base, base + 1, ChangeRequestKind.WHOLE)
-        status = await operators.send(order, ChangeRequestKind.WHOLE)
+        base = max(
+            [operators.known, *(machine.learned_version for machine in self._deployment.control_machines)]
+        )
+        request = operators.request(base, base + 1, ChangeRequestKind.WHOLE)
+        status = await operators.send(request, ChangeRequestKind.WHOLE)
         took_s = self._world.sync() - began_s
-        if status != TAKEN:
-            self._world.seen.wrong(f"in the calm at the end, {order} was answered {status}")
+        if status != ACCEPTED:
+            self._world.seen.wrong(f"in the calm at the end, {request} was answered {status}")
         if took_s > ACK_S:
-            self._world.seen.wrong(f"in the calm at the end, {order} took {took_s:.1f} s")
+            self._world.seen.wrong(f"in the calm at the end, {request} took {took_s:.1f} s")
         followers_s = await self._until(
-            lambda: self._followers_have(order.version), APPLY_S, "a follower has not the newest version"
+            lambda: self._followers_have(request.version), APPLY_S, "a follower has not the newest version"
         )
         return took_s, followers_s, await replicas
 
@@ -138,13 +141,13 @@
     def _replicas_agree(self) -> bool:
         learned = [
             machine.node.learned.ballot if machine.node is not None and machine.node.learned else None
-            for machine in self._deployment.cores
+            for machine in self._deployment.control_machines
         ]
         return None not in learned and len(set(learned)) == 1
 
-    def _set_is_whole(self) -> bool:
-        here = {machine.identity for machine in self._deployment.cores if machine.node is not None}
-        for machine in self._deployment.cores:
+    def _replica_set_is_complete(self) -> bool:
+        here = {machine.identity for machine in self._deployment.control_machines if machine.node is not None}
+        for machine in self._deployment.control_machines:
             if machine.node is None or machine.node.learned is None:
                 return False
             replicas = machine.node.learned.state.replicas
@@ -163,40 +166,40 @@
         )
 
     async def _drain(self) -> None:
-        """A server that leaves in calm is acknowledged in time; `Deployment` checks that no gateway uses it then."""
+        """Check that a drain is acknowledged in time; `Deployment` checks that no gateway uses the server then."""
         server = self._deployment.add_server()
         await asyncio.sleep(APPLY_S)
         server.drain()
         await self._until(lambda: server.acknowledged_s is not None, ACK_S, "a drain was not acknowledged")
-        await asyncio.sleep(APPLY_S + LOOK_S)
+        await asyncio.sleep(APPLY_S + POLL_S)
 
     async def _last_reads(self) -> None:
-        """Every control machine answers with the newest version."""
-        for machine in self._deployment.cores:
+        """Check that every control machine answers with the newest version."""
+        for machine in self._deployment.control_machines:
             if await self._deployment.operators.read(machine) is None:
                 self._world.seen.wrong(f"the last read at {machine.name} had no answer")
 
 
-def play(schedule: Schedule, mistake: Mistake | None = None) -> Verdict:
+def play(schedule: Schedule, mutation: Mutation | None = None) -> Verdict:
     """Play a schedule; the same one gives the same verdict in the same process."""
-    playing = _Play(schedule, mistake)
-    with seeded(mistake):
+    playing = _Play(schedule, mutation)
+    with seeded(mutation):
         run_virtually(playing.run())
     return playing.verdict
 
 
-def play_seed(seed: int, mistake: Mistake | None = None) -> Verdict:
+def play_seed(seed: int, mutation: Mutation | None = None) -> Verdict:
     """Play the schedule of a seed."""
-    return play(make_schedule(seed), mistake)
+    return play(make_schedule(seed), mutation)
 
 
-def shorten(verdict: Verdict, mistake: Mistake | None = None) -> Verdict:
-    """The verdict of the failing schedule with as few steps as may be."""
-    return shortened(verdict, lambda schedule: play(schedule, mistake))
+def shorten(verdict: Verdict, mutation: Mutation | None = None) -> Verdict:
+    """Shrink a failing schedule; the verdict of the one with the fewest steps found."""
+    return shortened(verdict, lambda schedule: play(schedule, mutation))
 
 
 def describe(verdict: Verdict) -> str:
-    """A failing schedule for a person: its seed, its steps as a test would write them, what was wrong."""
+    """Describe a failing schedule: its seed, its steps as a test would write them, the violations."""
     schedule = verdict.schedule
     lines = [
         f"seed {schedule.seed}: {len(schedule.steps)} steps in {schedule.span_s} s, {schedule.spares} spares, "
--- a/emberring/simulation/control_plane/world.py
+++ b/emberring/simulation/control_plane/world.py
@@ -1,4 +1,4 @@
-"""Clock, network and chance of a simulated control plane: the register's world on an event loop whose clock jumps."""
+"""Clock, network and random choices of a simulated control plane, on an event loop with virtual time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ControlWorld(World):
-    """`at` and `send` run on the event loop; cuts are told by direction."""
+    """A world whose `at` and `send` run on the event loop; partitions are kept by direction."""
 
     def __init__(self, seed: int, bugs: Bugs) -> None:
         super().__init__(seed, bugs, RECONFIGURATION_TIMEOUTS)
@@ -22,7 +22,7 @@
         self.blocked: dict[tuple[str, str], float] = {}  # (from, to): until when nothing passes (s)
 
     def sync(self) -> float:
-        """The time now; to be called where work begins that the loop started."""
+        """Bring `now_s` up to date; to be called where a task or callback of the loop begins."""
         self.now_s = asyncio.get_running_loop().time()
         return self.now_s
 
@@ -33,35 +33,35 @@
         self.sync()
         work(*arguments)
 
-    def passes(self, origin: str, target: str) -> bool:
+    def passes(self, sender: str, target: str) -> bool:
         """Whether a message from the one machine reaches the other."""
-        return self.blocked.get((origin, target), 0.0) <= self.now_s
+        return self.blocked.get((sender, target), 0.0) <= self.now_s
 
-    def block(self, origin: str, target: str, until_s: float) -> None:
-        """Let nothing pass in this direction until then."""
-        if origin != target:
-            self.blocked[(origin, target)] = max(until_s, self.blocked.get((origin, target), 0.0))
+    def block(self, sender: str, target: str, until_s: float) -> None:
+        """Drop all messages in this direction until then (s)."""
+        if sender != target:
+            self.blocked[(sender, target)] = max(until_s, self.blocked.get((sender, target), 0.0))
 
     def join(self) -> None:
-        """No cut any more."""
+        """End all partitions."""
         self.blocked.clear()
 
     def reach(self, one: str, other: str) -> bool:
         return self.passes(one, other) and self.passes(other, one)
 
     def way_s(self) -> float:
-        """How long a message takes now."""
+        """The delay (s) of a message sent now."""
         return self.weather.way_s(self.rng)
 
     def is_lost(self) -> bool:
-        """Whether the weather loses a message."""
+        """Whether a message sent now is lost."""
         return self.weather.lost > 0 and self.rng.random() < self.weather.lost
 
-    def send(self, origin: str, target: str, work: Callable[..., None], *arguments: Any) -> None:
-        if origin == target:
+    def send(self, sender: str, target: str, work: Callable[..., None], *arguments: Any) -> None:
+        if sender == target:
             self.at(self.now_s, work, *arguments)
             return
-        if not self.passes(origin, target) or self.is_lost():
+        if not self.passes(sender, target) or self.is_lost():
             return
         copies = 2 if self.weather.doubled and self.rng.random() < self.weather.doubled else 1
         for _ in range(copies):
--- a/emberring/simulation/scale/control_plane.py
+++ b/emberring/simulation/scale/control_plane.py
@@ -1,8 +1,8 @@
-"""The control plane at size: hollow control nodes, gateways and servers in one process, on a clock that jumps.
+"""The control plane at scale: hollow control nodes, gateways and servers in one process, in virtual time.
 
-The real code of exchanges, feeds, heartbeats and followers runs over `HollowNetwork`; not in it are the register, HTTP
-and sockets, and what gateways serve. `measure` plays a calm time, a drain and a new configuration, and tells what each
-role used and how long word took. Processor time is this machine's; the rest repeats.
+The real code of exchanges, update streams, heartbeats and followers runs over `HollowNetwork`; the register, HTTP,
+sockets and what gateways serve are left out. `measure` plays a time without changes, a drain and a new configuration,
+and gives what each role used and how long updates took. Processor time is this machine's; the rest is deterministic.
 """
 
 from __future__ import annotations
@@ -33,16 +33,16 @@
 from emberring.simulation.scale.metered_network import HollowNetwork, Meter
 
 HEARTBEAT_S = 1.2
-START_S = 4.0  # until all know one another,
-CONFIGURED_S = 1.0  # and the first configuration
-LOOK_S = 0.01
-GIVE_UP_S = 10.0  # for word to reach everybody
+START_S = 4.0  # until all nodes know one another
+CONFIGURED_S = 1.0  # until all have the first configuration
+POLL_S = 0.01
+TIMEOUT_S = 10.0  # of an update on its way to all gateways
 SERVICE = "llm"
 
 
 @attrs.frozen
 class Size:
-    """How many there are of each."""
+    """How many nodes there are of each kind."""
 
     gateways: int
     servers: int
@@ -53,8 +53,10 @@
 
 @attrs.frozen
 class RoleFigures:
-    """What the nodes of a role used in the calm time: the middle and the busiest. Per node and second: processor time
-    as a share of a core, bytes in and out, calls sent."""
+    """What the nodes of a role used without changes: the median and the busiest node.
+
+    Per node and second: processor time as a share of a core, bytes in and out, calls sent.
+    """
 
     cpu: float
     cpu_most: float
@@ -65,18 +67,18 @@
 
 @attrs.frozen
 class ScaleFigures:
-    """What came of a size. Times in seconds; infinite where word had not reached everybody when it was given up."""
+    """The result of one size. Times in seconds; infinite where an update did not reach all gateways in time."""
 
     size: Size
     control: RoleFigures
     gateway: RoleFigures
-    known: int  # servers that the least informed gateway knew at the end of the calm time
+    known: int  # servers that the gateway that knew the fewest knew before the changes
     drain_acknowledged_s: float
     drain_known_s: float
     configuration_known_s: float
 
 
-class HollowControl:
+class HollowControlNode:
     """A control node without register and HTTP."""
 
     def __init__(self, hub: dict[str, HollowNetwork], number: int, seeds: Sequence[str]) -> None:
@@ -93,7 +95,7 @@
         self.network.handle(Pull, UpdateStream(self.cluster_state).on_pull)
 
     def start(self) -> None:
-        """Begin to exchange."""
+        """Start to exchange."""
         self.network.start(self._exchanger.run())
 
 
@@ -108,26 +110,26 @@
         self._calls = calls
         self._random = random.Random(number)
 
-    def _report(self, word_follows: bool) -> dict[str, int]:
-        """As a gateway's admission tells it: its calls, each at a server drawn from those it knows."""
+    def _report(self, detail_follows: bool) -> dict[str, int]:
+        """The load that a gateway would report: its calls, each at a random one of the servers that it knows."""
         servers = list(self.follower.servers)
         return dict(Counter(self._random.choices(servers, k=self._calls))) if servers else {}
 
     def start(self) -> None:
-        """Begin to pull."""
+        """Start to pull."""
         self.network.start(self.follower.start())
 
 
 class World:
-    """Control nodes, gateways and servers of a size, started together."""
+    """The control nodes, gateways and servers of a size."""
 
     def __init__(self, size: Size) -> None:
         self.size = size
         hub: dict[str, HollowNetwork] = {}
         seeds = [f"core-{number}:1" for number in range(size.controls)]
-        self.controls = [HollowControl(hub, number, seeds) for number in range(size.controls)]
+        self.controls = [HollowControlNode(hub, number, seeds) for number in range(size.controls)]
         self.gateways = [HollowGateway(hub, number, seeds, size.calls) for number in range(size.gateways)]
-        self.draining = False  # whether the first server is about to end
+        self.draining = False  # whether the first server drains
         self._sequence = 0
 
     def start(self) -> None:
@@ -138,17 +140,17 @@
             gateway.start()
         for number in range(self.size.servers):
             control = self.controls[number % self.size.controls]
-            control.network.start(self._beat_on(control, number))
+            control.network.start(self._send_heartbeats(control, number))
 
-    async def _beat_on(self, control: HollowControl, number: int) -> None:
+    async def _send_heartbeats(self, control: HollowControlNode, number: int) -> None:
         await asyncio.sleep(HEARTBEAT_S * number / self.size.servers)
         while True:
             if number or not self.draining:
-                await self.beat(control, number, "ready")
+                await self.send_heartbeat(control, number, "ready")
             await asyncio.sleep(HEARTBEAT_S)
 
-    async def beat(self, control: HollowControl, number: int, state: str) -> None:
-        """A server's heartbeat."""
+    async def send_heartbeat(self, control: HollowControlNode, number: int, state: str) -> None:
+        """Send a server's heartbeat."""
         self._sequence += 1
         body = orjson.dumps(
             {
@@ -164,8 +166,8 @@
         )
         await control.heartbeat_handler.heartbeat(f"i-{number:08x}", body)
 
-    def configure(self, version: int, controls: Sequence[HollowControl] | None = None) -> None:
-        """A configuration is chosen: the registers of these control nodes, of all if left out, say so."""
+    def configure(self, version: int, controls: Sequence[HollowControlNode] | None = None) -> None:
+        """Commit a configuration: the registers of these control nodes, by default of all, report it."""
         routes = [
             {"Name": f"r{number}", "Host": f"h{number}.example", "PathPrefix": "/p/", "Type": "streaming"}
             | {"TimeoutMs": 5000, "TargetLatencyMs": 200, "Priority": 0, "Service": SERVICE, "MaxAttempts": 1}
@@ -178,7 +180,7 @@
 
 
 async def started(size: Size) -> World:
-    """A world of this size, whose tasks are metered, in which all know one another and the first configuration."""
+    """Start a world of this size, with metered tasks, and wait until all nodes have the first configuration."""
     own_tasks(asyncio.get_running_loop())
     world = World(size)
     world.start()
@@ -189,20 +191,20 @@
 
 
 async def time_until(
-    holds: Callable[[], bool], look_s: float = LOOK_S, give_up_s: float = GIVE_UP_S
+    holds: Callable[[], bool], poll_s: float = POLL_S, timeout_s: float = TIMEOUT_S
 ) -> float:
-    """Seconds until this holds; infinite where it is given up."""
+    """The seconds until this holds; infinite after the time-out."""
     loop = asyncio.get_running_loop()
     began_s = loop.time()
     while not holds():
-        if loop.time() - began_s > give_up_s:
+        if loop.time() - began_s > timeout_s:
             return math.inf
-        await asyncio.sleep(look_s)
+        await asyncio.sleep(poll_s)
     return loop.time() - began_s
 
 
 def all_have(has: Callable[[HollowGateway], bool], gateways: Sequence[HollowGateway]) -> Callable[[], bool]:
-    """Whether all gateways have it by now; one that had it is not asked again."""
+    """A condition that holds once each gateway had it at some time."""
     missing = list(gateways)
 
     def hold() -> bool:
@@ -213,7 +215,7 @@
 
 
 def figures_of(meters: Sequence[Meter], seconds: float) -> RoleFigures:
-    """What these nodes used in so many seconds."""
+    """What these nodes used in so many seconds, per node and second."""
     cpu = [meter.cpu_s / seconds for meter in meters]
     sizes = [(meter.sent_bytes + meter.received_bytes) / seconds for meter in meters]
     calls = [meter.calls / seconds for meter in meters]
@@ -238,7 +240,7 @@
     configured_s = await time_until(all_have(has_version_2, world.gateways))
     world.draining = True
     began_s = loop.time()
-    await world.beat(world.controls[0], 0, "draining")
+    await world.send_heartbeat(world.controls[0], 0, "draining")
     acknowledged_s = loop.time() - began_s
     drained_s = acknowledged_s + await time_until(all_have(knows_the_drain, world.gateways))
     found.append(
@@ -247,26 +249,29 @@
 
 
 def has_version_2(gateway: HollowGateway) -> bool:
-    """Whether it has the second configuration."""
+    """Whether this gateway has the second configuration."""
     configuration = gateway.follower.configuration
     return configuration is not None and configuration.version >= 2
 
 
 def knows_the_drain(gateway: HollowGateway) -> bool:
-    """Whether it sends nothing new to the first server."""
+    """Whether this gateway would send no request to the first server."""
     record = gateway.follower.servers.get(f"i-{0:08x}")
     return record is None or record.state is not ServerState.READY
 
 
 def measure(size: Size, seconds: float = 3.0) -> ScaleFigures:
-    """Play a size; `seconds` of calm time are measured."""
+    """Play a size; `seconds` without changes are measured."""
     found: list[ScaleFigures] = []
     run_virtually(_play(size, seconds, found))
     return found[0]
 
 
 def power(sizes: Sequence[float], values: Sequence[float]) -> float:
-    """The slope of the logarithms of values over those of sizes; not a number where a value is 0 or there is one."""
+    """The exponent of the power law of values over sizes, by least squares.
+
+    NaN where a value is 0 or there is one size.
+    """
     if len(set(sizes)) < 2 or any(value <= 0.0 or value == math.inf for value in values):
         return math.nan
     logs = [math.log(value) for value in values]
--- a/emberring/simulation/scale/partition.py
+++ b/emberring/simulation/scale/partition.py
@@ -1,8 +1,9 @@
-"""A cut in the control plane at size: a control node and its part of gateways and servers are parted from the rest.
+"""A partition of the control plane at scale: one control node with its gateways and servers, and the rest.
 
-The world of `control_scale`, without a register: the smaller side knows that it has no majority, and configurations are
-chosen on the other. Servers go on telling the control node of their own side. `measure_cut` tells how long each side
-takes to learn what it must, during the cut and after it, and what that costs the control nodes.
+The world of `scale.control_plane`, without a register: the smaller side knows that it has no majority, and
+configurations are committed on the other. Servers go on reporting to the control node of their own side.
+`measure_partition` gives how long each side takes to learn of the changes, during the partition and after it, and what
+that costs the control nodes.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 from emberring.simulation.common.virtual_time import run_virtually
 from emberring.simulation.scale.control_plane import (
-    HollowControl,
+    HollowControlNode,
     HollowGateway,
     RoleFigures,
     Size,
@@ -29,19 +30,19 @@
 from emberring.simulation.scale.metered_network import HollowNetwork
 
 PARTED = "parted"
-SETTLE_S = 5.0  # measured after the cut
-LOOK_S = 0.05
-GIVE_UP_S = 30.0
+SETTLE_S = 5.0  # measured after the partition
+POLL_S = 0.05
+TIMEOUT_S = 30.0
 
 
 @attrs.frozen
-class CutFigures:
-    """What came of a cut. Times in seconds, infinite where it did not come.
+class PartitionFigures:
+    """The result of a partition. Times in seconds, infinite where they were over the time-out.
 
-    During the cut: until the larger side counts its own gateways alone (`absent_s`), until a drain and a configuration
-    are known on all of that side's gateways. After it: until they are known on the other side's too, until all gateways
-    know all servers but the drained one, and until control counts all gateways. `kept` is the least number of servers
-    that a parted gateway knew at the end of the cut.
+    During the partition: until the larger side counts its own gateways alone (`absent_s`), until a drain and a
+    configuration are known on all of that side's gateways. After it: until they are known on the other side's too,
+    until all gateways know all servers but the drained one, and until control counts all gateways. `kept` is the
+    least number of servers that a parted gateway knew at the end of the partition.
     """
 
     size: Size
@@ -58,8 +59,8 @@
     counted_after_s: float
 
 
-class _Cut:
-    """The two sides of a world."""
+class _Partition:
+    """The two sides of a world, and the partition between them."""
 
     def __init__(self, world: World) -> None:
         count = len(world.controls)
@@ -84,7 +85,7 @@
         self.parted_control.cluster_state.quorum_age_s = lambda: 0.0
 
 
-def _counts(controls: Sequence[HollowControl], gateways: int) -> Callable[[], bool]:
+def _counts(controls: Sequence[HollowControlNode], gateways: int) -> Callable[[], bool]:
     loop = asyncio.get_running_loop()
     return lambda: all(one.cluster_state.gateways(loop.time()) == gateways for one in controls)
 
@@ -93,40 +94,40 @@
     return lambda: all(len(one.follower.servers) >= servers for one in gateways)
 
 
-async def _play(size: Size, cut_s: float, found: list[CutFigures]) -> None:
+async def _play(size: Size, partition_s: float, found: list[PartitionFigures]) -> None:
     loop = asyncio.get_running_loop()
     world = await started(size)
-    cut, meters = _Cut(world), [one.network.meter for one in world.controls]
+    partition, meters = _Partition(world), [one.network.meter for one in world.controls]
     for meter in meters:
         meter.clear()
-    cut.begin()
-    cut_began_s = loop.time()
-    absent_s = await time_until(_counts(cut.larger_controls, len(cut.larger)), LOOK_S, GIVE_UP_S)
+    partition.begin()
+    partition_began_s = loop.time()
+    absent_s = await time_until(_counts(partition.larger_controls, len(partition.larger)), POLL_S, TIMEOUT_S)
     world.draining = True
-    await world.beat(world.controls[0], 0, "draining")
-    drain_s = await time_until(all_have(knows_the_drain, cut.larger))
-    world.configure(2, cut.larger_controls)
-    configuration_s = await time_until(all_have(has_version_2, cut.larger))
-    await asyncio.sleep(max(0.0, cut_began_s + cut_s - loop.time()))
-    during = figures_of(meters, loop.time() - cut_began_s)
-    kept = min(len(one.follower.servers) for one in cut.parted)
+    await world.send_heartbeat(world.controls[0], 0, "draining")
+    drain_s = await time_until(all_have(knows_the_drain, partition.larger))
+    world.configure(2, partition.larger_controls)
+    configuration_s = await time_until(all_have(has_version_2, partition.larger))
+    await asyncio.sleep(max(0.0, partition_began_s + partition_s - loop.time()))
+    during = figures_of(meters, loop.time() - partition_began_s)
+    kept = min(len(one.follower.servers) for one in partition.parted)
     for meter in meters:
         meter.clear()
-    cut.end()
+    partition.end()
     healed_s = loop.time()
-    world.configure(2, [cut.parted_control])  # its register hears of it at once
+    world.configure(2, [partition.parted_control])  # its register hears of it at once
     drain_after, configuration_after, servers_after, counted_after = await asyncio.gather(
-        time_until(all_have(knows_the_drain, cut.parted)),
-        time_until(all_have(has_version_2, cut.parted)),
-        time_until(_know(world.gateways, size.servers - 1), LOOK_S, GIVE_UP_S),
-        time_until(_counts(world.controls, size.gateways), LOOK_S, GIVE_UP_S),
+        time_until(all_have(knows_the_drain, partition.parted)),
+        time_until(all_have(has_version_2, partition.parted)),
+        time_until(_know(world.gateways, size.servers - 1), POLL_S, TIMEOUT_S),
+        time_until(_counts(world.controls, size.gateways), POLL_S, TIMEOUT_S),
     )
     await asyncio.sleep(max(0.0, healed_s + SETTLE_S - loop.time()))
     after = figures_of(meters, loop.time() - healed_s)
     found.append(
-        CutFigures(
+        PartitionFigures(
             size,
-            len(cut.parted),
+            len(partition.parted),
             during,
             after,
             absent_s,
@@ -141,8 +142,8 @@
     )
 
 
-def measure_cut(size: Size, cut_s: float) -> CutFigures:
-    """Play a cut of so many seconds."""
-    found: list[CutFigures] = []
-    run_virtually(_play(size, cut_s, found))
+def measure_partition(size: Size, partition_s: float) -> PartitionFigures:
+    """Play a partition of so many seconds."""
+    found: list[PartitionFigures] = []
+    run_virtually(_play(size, partition_s, found))
     return found[0]
--- a/tests/emberring/register/test_tier_register_model.py
+++ b/tests/emberring/register/test_tier_register_model.py
@@ -5,7 +5,7 @@
 import attrs
 import pytest
 
-from emberring.simulation.control_plane.mutations import Mistake, seeded
+from emberring.simulation.control_plane.mutations import Mutation, seeded
 from emberring.simulation.register.model import Bounds, Found, search
 
 SMALL = Bounds(ballots=(1, 1), losses=0, restarts=0)
@@ -30,7 +30,7 @@
 
 
 def test_a_replica_that_forgets_its_promises_is_found() -> None:
-    with seeded(Mistake.FORGETS_PROMISES):
+    with seeded(Mutation.FORGETS_PROMISES):
         found = search(attrs.evolve(SMALL, restarts=1))
     assert "starts again" in way_of(found)
 
--- a/tests/emberring/register/test_tier_register_simulator.py
+++ b/tests/emberring/register/test_tier_register_simulator.py
@@ -5,7 +5,7 @@
 import pytest
 
 from emberring.register.replica_set_manager import RECONFIGURATION_TIMEOUTS
-from emberring.simulation.control_plane.mutations import Mistake, seeded
+from emberring.simulation.control_plane.mutations import Mutation, seeded
 from emberring.simulation.register.history import History, add_number, parse_value
 from emberring.simulation.register.simulator import (
     FOUNDERS,
@@ -154,13 +154,13 @@
 
 
 def test_a_ballot_that_takes_in_late_jobs_is_found() -> None:
-    with seeded(Mistake.LATE_JOBS):
+    with seeded(Mutation.LATE_JOBS):
         wrong = a_burst(0)
     assert any("had been acknowledged" in mistake for mistake in wrong)
 
 
 def test_a_change_of_the_set_by_the_old_set_alone_is_found() -> None:
-    with seeded(Mistake.OLD_SET_ALONE):
+    with seeded(Mutation.OLD_SET_ALONE):
         assert any(play_seed(seed).mistakes for seed in range(OLD_SET_SEED, OLD_SET_SEED + 40))
 
 
--- a/tests/emberring/simulation/test_tier_control_cut.py
+++ b/tests/emberring/simulation/test_tier_control_cut.py
@@ -14,7 +14,7 @@
 from emberring.simulation.common.virtual_time import run_virtually
 from emberring.simulation.scale.control_plane import Size
 from emberring.simulation.scale.metered_network import HollowNetwork
-from emberring.simulation.scale.partition import measure_cut
+from emberring.simulation.scale.partition import measure_partition
 from emberring.transport.messages import Ok
 
 
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("size", [Size(6, 9, 3), Size(10, 20, 5)])
 def test_each_side_learns_in_time_what_it_must(size: Size) -> None:
-    found = measure_cut(size, ORPHAN_S - 2.0)
+    found = measure_partition(size, ORPHAN_S - 2.0)
     assert found.parted == size.gateways // size.controls
     assert found.absent_s < 2.0
     assert found.drain_s < 0.5
--- a/tests/emberring/simulation/test_tier_control_simulator.py
+++ b/tests/emberring/simulation/test_tier_control_simulator.py
@@ -9,8 +9,8 @@
 from emberring.configuration.state import ControlState
 from emberring.simulation.common.task_owner import own_tasks
 from emberring.simulation.common.virtual_time import run_virtually
-from emberring.simulation.control_plane.history import ControlHistory, OrderSeen
-from emberring.simulation.control_plane.mutations import Mistake, seeded
+from emberring.simulation.control_plane.history import ControlHistory, ObservedRequest
+from emberring.simulation.control_plane.mutations import Mutation, seeded
 from emberring.simulation.control_plane.process import Process
 from emberring.simulation.control_plane.schedule import Kind, Schedule, Step
 from emberring.simulation.control_plane.simulator import describe, play, play_seed, shorten
@@ -27,8 +27,8 @@
     assert play_seed(4) == play_seed(4)
 
 
-def test_a_mistake_is_found_and_its_schedule_made_short() -> None:
-    mistake = Mistake.READS_FROM_MEMORY
+def test_a_mutation_is_found_and_its_schedule_shortened() -> None:
+    mutation = Mutation.READS_FROM_MEMORY
     steps = (
         Step(0.3, Kind.CUT_OFF, 0, 7.0),
         Step(1.5, Kind.ORDER, 1),
@@ -37,17 +37,17 @@
         Step(5.0, Kind.READ, 0),
     )
     schedule = Schedule(3, steps, 8.0)
-    verdict = play(schedule, mistake)
+    verdict = play(schedule, mutation)
     assert verdict.mistakes
-    short = shorten(verdict, mistake)
+    short = shorten(verdict, mutation)
     assert short.mistakes
     assert len(short.schedule.steps) < len(schedule.steps)
     assert "wrong:" in describe(short)
     assert "Kind.READ" in describe(verdict)
 
 
-def test_mistakes_are_out_of_the_program_again() -> None:
-    with seeded(Mistake.FORGETS_DIGESTS):
+def test_mutations_are_undone_afterwards() -> None:
+    with seeded(Mutation.FORGETS_DIGESTS):
         assert (
             len(
                 ControlState()
@@ -68,45 +68,45 @@
 # The history by itself.
 
 
-def an_order(number: int, base: int, version: int, sent_s: float) -> OrderSeen:
-    return OrderSeen(number, base, version, b"%16d" % number, sent_s)
+def a_request(number: int, base: int, version: int, sent_s: float) -> ObservedRequest:
+    return ObservedRequest(number, base, version, b"%16d" % number, sent_s)
 
 
-def a_state(*orders: OrderSeen) -> ControlState:
-    return ControlState(orders[-1].version, b"", tuple(order.digest for order in orders))
+def a_state(*requests: ObservedRequest) -> ControlState:
+    return ControlState(requests[-1].version, b"", tuple(request.digest for request in requests))
 
 
 def test_a_good_history_is_good() -> None:
     history = ControlHistory()
-    first, second, late = an_order(1, 0, 1, 0.0), an_order(2, 1, 5, 1.0), an_order(3, 1, 5, 1.1)
-    for order in (first, second, late):
-        history.order_sent(order)
+    first, second, late = a_request(1, 0, 1, 0.0), a_request(2, 1, 5, 1.0), a_request(3, 1, 5, 1.1)
+    for request in (first, second, late):
+        history.request_sent(request)
     history.state_learned(0.5, "a", a_state(first), 0)
-    history.order_taken(0.6, first)
+    history.request_accepted(0.6, first)
     history.state_learned(1.5, "a", a_state(first, second), 1)
-    history.order_refused(1.6, late, 412)
-    history.order_taken(1.7, second)
+    history.request_rejected(1.6, late, 412)
+    history.request_accepted(1.7, second)
     history.read(1.8, 1.9, "b", 5, 2)
     history.followed(1.9, "edge", 1, 5, 2)
     assert history.finish() == []
 
 
-def test_bad_histories_are_told() -> None:
-    first, second, third = an_order(1, 0, 1, 0.0), an_order(2, 1, 5, 1.0), an_order(3, 1, 6, 1.0)
+def test_bad_histories_are_reported() -> None:
+    first, second, third = a_request(1, 0, 1, 0.0), a_request(2, 1, 5, 1.0), a_request(3, 1, 6, 1.0)
 
     def wrong(*acts: str) -> str:
         history = ControlHistory()
-        for order in (first, second, third):
-            order.ended_s, order.status = None, 0
-            history.order_sent(order)
+        for request in (first, second, third):
+            request.ended_s, request.status = None, 0
+            history.request_sent(request)
         history.state_learned(0.5, "a", a_state(first), 0)
-        history.order_taken(0.6, first)
+        history.request_accepted(0.6, first)
         for act in acts:
             if act == "both":
-                history.order_taken(1.5, second)
-                history.order_taken(1.6, third)
+                history.request_accepted(1.5, second)
+                history.request_accepted(1.6, third)
             elif act == "older read":
-                history.order_taken(1.5, second)
+                history.request_accepted(1.5, second)
                 history.read(2.0, 2.1, "b", 1, 1)
             elif act == "wrong content":
                 history.read(2.0, 2.1, "b", 1, 2)
@@ -115,13 +115,13 @@
             elif act == "older told":
                 history.state_learned(2.0, "a", a_state(first), 5)
             elif act == "refused though taken":
-                history.order_refused(1.5, second, 412)
+                history.request_rejected(1.5, second, 412)
                 history.state_learned(2.0, "a", a_state(first, second), 1)
             elif act == "refused for nothing":
-                history.order_refused(1.5, second, 412)
+                history.request_rejected(1.5, second, 412)
             elif act == "skips":
-                other = an_order(4, 5, 7, 1.0)
-                history.order_sent(other)
+                other = a_request(4, 5, 7, 1.0)
+                history.request_sent(other)
                 history.state_learned(2.0, "a", a_state(first, other), 1)
         return "; ".join(history.finish())
 
