--- a/emberring/simulation/control_plane/clients.py
+++ b/emberring/simulation/control_plane/clients.py
@@ -210,16 +210,15 @@
         self.state = state
         self.leaving_s = self._world.sync()
         self._task.cancel()
-        self._task = asyncio.get_running_loop().create_task(self._shut_down())
+        self._task = asyncio.get_running_loop().create_task(self._shut_down(self.leaving_s))
 
     async def _send_heartbeats(self) -> None:
         while True:
             await self._report_state()
             await asyncio.sleep(HEARTBEAT_MS / 1000)
 
-    async def _shut_down(self) -> None:
-        assert self.leaving_s is not None
-        while self._world.sync() < self.leaving_s + UNACKNOWLEDGED_S:
+    async def _shut_down(self, since_s: float) -> None:
+        while self._world.sync() < since_s + UNACKNOWLEDGED_S:
             if await self._report_state():
                 self.acknowledged_s = self._world.sync()
                 self._on_left(self)
--- a/emberring/simulation/control_plane/history.py
+++ b/emberring/simulation/control_plane/history.py
@@ -133,21 +133,18 @@
 
     def finish(self) -> list[str]:
         """Check what can only be checked at the end; all violations."""
-        taken = {entry.digest for entry in self.chain.values()}
+        accepted = {entry.digest for entry in self.chain.values()}
         for request in self.requests:
-            if request.status in REJECTED:
-                self._check_refusal(request, taken)
+            if request.status in REJECTED and request.ended_s is not None:
+                self._check_rejection(request, request.ended_s, accepted)
         self._check_chain()
         return self.mistakes
 
-    def _check_refusal(self, request: ObservedRequest, taken: set[bytes]) -> None:
-        if request.digest in taken:
+    def _check_rejection(self, request: ObservedRequest, ended_s: float, accepted: set[bytes]) -> None:
+        if request.digest in accepted:
             self.wrong(f"{request} was refused with {request.status}, yet it was taken")
             return
-        assert request.ended_s is not None
-        if request.version <= request.base or self._could_differ(
-            request.base, request.sent_s, request.ended_s
-        ):
+        if request.version <= request.base or self._could_differ(request.base, request.sent_s, ended_s):
             return
         self.wrong(
             f"{request} was refused with {request.status} while its base was in force, "
--- a/emberring/simulation/control_plane/simulator.py
+++ b/emberring/simulation/control_plane/simulator.py
@@ -12,7 +12,7 @@
 from emberring.simulation.common.task_owner import own_tasks
 from emberring.simulation.common.virtual_time import run_virtually
 from emberring.simulation.control_plane.deployment import APPLY_S, CONTACT_S, Deployment
-from emberring.simulation.control_plane.fault_schedule import FaultInjector
+from emberring.simulation.control_plane.fault_injector import FaultInjector
 from emberring.simulation.control_plane.history import ACCEPTED
 from emberring.simulation.control_plane.mutations import Mutation, seeded
 from emberring.simulation.control_plane.schedule import Schedule, make_schedule
--- a/tests/emberring/control/test_tier_cluster_state_simulation.py
+++ b/tests/emberring/control/test_tier_cluster_state_simulation.py
@@ -19,7 +19,7 @@
 from emberring.registry.heartbeats import Heartbeat
 
 STEP_S = 0.05
-BEAT_S = 1.2
+HEARTBEAT_S = 1.2
 DRAIN_SEEN_S = 1.0
 CONTACT_S = 3.0
 
@@ -31,10 +31,10 @@
     sequence: int = 0
     state: ServerState = ServerState.READY
     alive: bool = True
-    next_beat_s: float = 0.0
+    next_heartbeat_s: float = 0.0
     drained_s: float | None = None
 
-    def beat(self) -> Heartbeat:
+    def send_heartbeat(self) -> Heartbeat:
         self.sequence += 1
         return Heartbeat(
             ServerRecord(self.name, "engine", self.address, "zone", 48, self.state, self.sequence)
@@ -76,7 +76,7 @@
             for name, role in (("e0", NodeRole.GATEWAY), ("e1", NodeRole.GATEWAY), ("s0", NodeRole.STORE))
         ]
         self.servers = [AServer(f"i{number}", f"10.0.0.{number}:80") for number in range(4)]
-        self.core_trouble_s = -CONTACT_S
+        self.last_control_fault_s = -CONTACT_S
         self.is_calm = False
 
     def _new_cluster_state(self, address: str) -> ClusterState:
@@ -84,7 +84,7 @@
         me = NodeRecord(
             f"core-{address}", NodeRole.CONTROL, address, "zone", address, f"{address}.{self.starts}"
         )
-        cluster_state = ClusterState(self.now_s, me, self.seeds, BEAT_S)
+        cluster_state = ClusterState(self.now_s, me, self.seeds, HEARTBEAT_S)
         cluster_state.quorum_age_s = lambda: 0.0 if self._has_majority(address) else 5.0
         return cluster_state
 
@@ -104,7 +104,7 @@
             if control.answers:
                 control.cluster_state.tick(self.now_s)
         self.exchange()
-        self.beat()
+        self.send_heartbeat()
         for follower in self.followers:
             if follower.next_s <= self.now_s:
                 self.pull(follower)
@@ -135,17 +135,17 @@
         control.cluster_state.apply_exchange(self.now_s, answer)
         return True
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         for server in self.servers:
-            if not server.alive or server.next_beat_s > self.now_s:
+            if not server.alive or server.next_heartbeat_s > self.now_s:
                 continue
-            server.next_beat_s = self.now_s + BEAT_S * self.random.uniform(0.9, 1.1)
+            server.next_heartbeat_s = self.now_s + HEARTBEAT_S * self.random.uniform(0.9, 1.1)
             ready = [control for control in self.controls if control.answers]
             if not ready:
-                server.next_beat_s = self.now_s + 0.2
+                server.next_heartbeat_s = self.now_s + 0.2
                 continue
             control = self.random.choice(ready)
-            control.cluster_state.on_heartbeat(self.now_s, server.beat())
+            control.cluster_state.on_heartbeat(self.now_s, server.send_heartbeat())
             if server.state is ServerState.DRAINING and server.drained_s is None:
                 self.exchange()
                 if control.cluster_state.peers_knowing_end(self.now_s, server.name) and self._stable():
@@ -178,18 +178,18 @@
 
     def kill(self, control: AControl) -> None:
         control.up = False
-        self.core_trouble_s = self.now_s
+        self.last_control_fault_s = self.now_s
 
     def restart(self, control: AControl) -> None:
         if not control.up:
             control.up, control.frozen = True, False
             control.cluster_state = self._new_cluster_state(control.address)
 
-    def trouble(self) -> None:
+    def fault(self) -> None:
         control = self.random.choice(self.controls)
         kind = self.random.randrange(8)
         if kind < 6:
-            self.core_trouble_s = self.now_s
+            self.last_control_fault_s = self.now_s
         if kind == 0:
             self.kill(control)
         elif kind == 1:
@@ -205,17 +205,17 @@
         elif kind == 6:
             self.random.choice(self.followers).cut_until_s = self.now_s + self.random.uniform(0.5, 8)
         else:
-            self.server_trouble()
+            self.server_fault()
 
-    def server_trouble(self) -> None:
+    def server_fault(self) -> None:
         server = self.random.choice(self.servers)
         if server.alive and self.random.random() < 0.5:
             server.state = ServerState.DRAINING
-            server.next_beat_s = self.now_s
+            server.next_heartbeat_s = self.now_s
         elif server.alive:
             server.alive = False
         else:
-            fresh = AServer(f"{server.name}x", server.address, next_beat_s=self.now_s + 2.0)
+            fresh = AServer(f"{server.name}x", server.address, next_heartbeat_s=self.now_s + 2.0)
             self.servers[self.servers.index(server)] = fresh
 
     def calm(self) -> None:
@@ -244,7 +244,7 @@
 
     def _stable(self) -> bool:
         """Whether most of the core has been up and connected, and left alone, for a while."""
-        return self.now_s - self.core_trouble_s >= CONTACT_S and all(
+        return self.now_s - self.last_control_fault_s >= CONTACT_S and all(
             self._has_majority(control.address) for control in self.controls if control.answers
         )
 
@@ -260,22 +260,22 @@
             assert live == {"core-c0", "core-c1", "core-c2", "s0", "e0", "e1"}
 
 
-def play(seed: int, troubles_s: float, calm_s: float) -> World:
+def play(seed: int, faults_s: float, calm_s: float) -> World:
     world = World(seed)
-    next_trouble_s = 3.0
-    while world.now_s < troubles_s:
+    next_fault_s = 3.0
+    while world.now_s < faults_s:
         world.step()
-        if world.now_s >= next_trouble_s:
-            next_trouble_s = world.now_s + world.random.choice((0.05, 0.5, 1.5, 4.0))
-            world.trouble()
+        if world.now_s >= next_fault_s:
+            next_fault_s = world.now_s + world.random.choice((0.05, 0.5, 1.5, 4.0))
+            world.fault()
     world.calm()
-    while world.now_s < troubles_s + calm_s:
+    while world.now_s < faults_s + calm_s:
         world.step()
     return world
 
 
 @pytest.mark.parametrize("seed", [*range(40), 700])  # 700: the others took a server for lost
-def test_all_agree_with_the_truth_after_any_troubles(seed: int) -> None:
+def test_all_agree_with_the_truth_after_any_faults(seed: int) -> None:
     play(seed, 30.0, 20.0).check_truth()
 
 
@@ -284,7 +284,7 @@
     world.check_truth()
 
 
-def test_a_delta_for_another_incarnation_is_not_taken() -> None:
+def test_a_delta_for_another_incarnation_is_not_applied() -> None:
     world = World(1)
     for _ in range(20):
         world.step()
--- a/tests/emberring/control/test_tier_control_hard.py
+++ b/tests/emberring/control/test_tier_control_hard.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("took", [True, False])
-def test_an_order_without_a_clear_answer_comes_again_and_is_acknowledged(took: bool) -> None:
+def test_a_request_with_unknown_outcome_is_retried_and_acknowledged(took: bool) -> None:
     async def scenario(cluster: Cluster) -> None:
         assert await put(cluster, 0, 2, 0) == 200
         cluster.registers[1].doubts.append(took)
@@ -56,7 +56,7 @@
     on_cluster(scenario)
 
 
-def test_a_doubtful_order_that_another_overtook_is_refused_and_never_in_force() -> None:
+def test_a_request_with_unknown_outcome_that_another_overtook_is_rejected_and_never_in_force() -> None:
     async def scenario(cluster: Cluster) -> None:
         assert await put(cluster, 0, 2, 0) == 200
         cluster.registers[1].doubts.append(False)
@@ -68,7 +68,7 @@
     on_cluster(scenario)
 
 
-def test_of_eight_orders_at_once_on_one_version_one_is_taken() -> None:
+def test_of_eight_concurrent_requests_on_one_version_one_is_accepted() -> None:
     async def scenario(cluster: Cluster) -> None:
         assert await put(cluster, 0, 1, 0) == 200
         orders = [put(cluster, number % 3, 10 + number // 2, 1, Mark=number) for number in range(8)]
@@ -84,7 +84,7 @@
     on_cluster(scenario)
 
 
-def test_an_order_is_known_hundreds_of_changes_later_and_after_all_were_restarted() -> None:
+def test_a_request_is_recognized_hundreds_of_changes_later_and_after_restarts_of_all() -> None:
     async def scenario(cluster: Cluster) -> None:
         assert await put(cluster, 0, 3, 0) == 200
         for number in range(1, 301):
@@ -116,7 +116,7 @@
 ]
 
 
-def test_invalid_configurations_are_refused_and_change_nothing() -> None:
+def test_invalid_configurations_are_rejected_and_change_nothing() -> None:
     async def scenario(cluster: Cluster) -> None:
         assert await put(cluster, 0, 2, 0) == 200
         for number, (method, body, base) in enumerate(INVALID):
@@ -128,7 +128,7 @@
     on_cluster(scenario)
 
 
-def test_a_node_without_a_majority_refuses_nothing_and_answers_in_time() -> None:
+def test_a_node_without_a_majority_rejects_nothing_and_answers_in_time() -> None:
     async def scenario(cluster: Cluster) -> None:
         assert await put(cluster, 0, 2, 0) == 200
         cluster.shared.up.discard("identity-0")
@@ -142,7 +142,7 @@
     on_cluster(scenario)
 
 
-def test_a_large_configuration_is_taken_and_followed() -> None:
+def test_a_large_configuration_is_accepted_and_reaches_followers() -> None:
     async def scenario(cluster: Cluster) -> None:
         route = a_document()["Routes"][0]
         routes = [{**route, "Name": f"r-{number}", "PathPrefix": f"/{number}/"} for number in range(13500)]
@@ -195,7 +195,7 @@
     on_cluster(scenario, count=4)
 
 
-def test_a_node_whose_cut_has_just_ended_refuses_no_retirement() -> None:
+def test_a_node_whose_partition_has_just_ended_rejects_no_retirement() -> None:
     async def scenario(cluster: Cluster) -> None:
         async with (
             AFollower(cluster.seeds, "store-1", NodeRole.STORE) as first,
@@ -219,7 +219,7 @@
     on_cluster(scenario)
 
 
-def test_a_drain_outlives_the_node_that_acknowledged_it() -> None:
+def test_a_drain_survives_the_node_that_acknowledged_it() -> None:
     async def scenario(cluster: Cluster) -> None:
         async with AFollower(cluster.seeds) as follower:
             assert (await cluster.http(0, "PUT", "/v1/instances/i-1", a_heartbeat(1))).status == 200
@@ -265,7 +265,7 @@
     on_cluster(scenario)
 
 
-def test_a_follower_leaves_a_control_node_that_was_cut_off() -> None:
+def test_a_follower_leaves_a_control_node_that_is_partitioned() -> None:
     async def scenario(cluster: Cluster) -> None:
         async with AFollower(cluster.seeds) as follower:
             assert await put(cluster, 0, 2, 0) == 200
@@ -280,7 +280,7 @@
     on_cluster(scenario)
 
 
-def test_a_follower_with_cut_off_control_nodes_alone_keeps_its_configuration() -> None:
+def test_a_follower_with_partitioned_control_nodes_alone_keeps_its_configuration() -> None:
     async def scenario(cluster: Cluster) -> None:
         async with AFollower(cluster.seeds) as follower:
             assert await put(cluster, 0, 2, 0) == 200
@@ -297,7 +297,7 @@
     on_cluster(scenario)
 
 
-def test_stores_are_placed_moved_and_emptied() -> None:
+def test_stores_are_placed_moved_and_retired() -> None:
     async def scenario(cluster: Cluster) -> None:
         def placement() -> Placement | None:
             return ControlState.decode(cluster.shared.value).placement
@@ -359,7 +359,7 @@
     on_cluster(scenario)
 
 
-def test_a_node_that_ends_says_so() -> None:
+def test_a_node_announces_its_shutdown() -> None:
     async def scenario(cluster: Cluster) -> None:
         async with AFollower(cluster.seeds) as follower:
             await eventually(lambda: len(follower.nodes) == 3)
--- a/tests/emberring/control/test_tier_control_register.py
+++ b/tests/emberring/control/test_tier_control_register.py
@@ -140,7 +140,7 @@
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
-def test_what_was_acknowledged_outlives_a_kill_of_all(tmp_path: Path) -> None:
+def test_what_was_acknowledged_survives_a_kill_of_all(tmp_path: Path) -> None:
     async def scenario(core: Core) -> None:
         assert await core.put(1, 7, 1, Mark="kept") == 200
         async with AFollower(core.seeds()) as follower:
@@ -217,7 +217,7 @@
     on_core(tmp_path, scenario)
 
 
-def test_eight_orders_at_once_end_clearly_when_sent_again(tmp_path: Path) -> None:
+def test_eight_concurrent_requests_have_known_outcomes_after_retries(tmp_path: Path) -> None:
     async def scenario(core: Core) -> None:
         orders = [core.put_until_clear_at(number % 3, 5 + number, 1, Mark=number) for number in range(8)]
         answers = await asyncio.gather(*orders)
@@ -226,7 +226,7 @@
     on_core(tmp_path, scenario)
 
 
-def test_an_order_whose_acknowledgement_is_lost_is_taken_once(tmp_path: Path) -> None:
+def test_a_request_whose_acknowledgement_is_lost_is_accepted_once(tmp_path: Path) -> None:
     async def scenario(core: Core) -> None:
         body = json.dumps(a_document(5)).encode()
         _, writer = await asyncio.open_connection(core.ip(0), core.port + 10)
@@ -243,7 +243,7 @@
     on_core(tmp_path, scenario)
 
 
-def test_a_killed_node_costs_no_order_and_no_drain(tmp_path: Path) -> None:
+def test_a_killed_node_loses_no_request_and_no_drain(tmp_path: Path) -> None:
     async def scenario(core: Core) -> None:
         async with AFollower(core.seeds()) as follower:
             await eventually(lambda: follower.in_contact)
--- a/tests/emberring/control/test_tier_peer_cache.py
+++ b/tests/emberring/control/test_tier_peer_cache.py
@@ -11,7 +11,7 @@
 from emberring.control.peer_cache import MAX_ADDRESSES, PeerCache
 
 
-def test_addresses_are_kept_the_newest_first(tmp_path: Path) -> None:
+def test_addresses_are_cached_the_newest_first(tmp_path: Path) -> None:
     nodes = PeerCache(tmp_path / "data" / "nodes")
     assert nodes.load() == []
     asyncio.run(nodes.save(["10.0.0.1:70", "10.0.0.2:70"]))
@@ -31,14 +31,14 @@
     assert PeerCache(tmp_path / "nodes").load() == wanted
 
 
-def test_a_disk_that_refuses_does_no_harm(tmp_path: Path) -> None:
+def test_an_error_of_the_disk_is_not_raised(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
     nodes = PeerCache(tmp_path / "file" / "nodes")
     asyncio.run(nodes.save(["10.0.0.1:70"]))
     assert nodes.load() == []
 
 
-def test_a_follower_whose_seeds_are_cut_off_finds_the_others_through_them() -> None:
+def test_a_follower_whose_seeds_are_partitioned_finds_the_others_through_them() -> None:
     """Its only seed was restarted while it was cut off from the others, and remembers them."""
 
     async def scenario(cluster: Cluster) -> None:
--- a/tests/emberring/control/test_tier_replication_policy.py
+++ b/tests/emberring/control/test_tier_replication_policy.py
@@ -37,12 +37,12 @@
 
 
 @pytest.mark.parametrize(("tolerance", "others", "holders", "met", "enough"), CASES)
-def test_a_fact_outlives_what_may_be_lost_at_once(
+def test_a_record_survives_the_losses_to_be_tolerated(
     tolerance: FaultTolerance, others: int, holders: list[str], met: list[str], enough: bool
 ) -> None:
     policy = ReplicationPolicy(others, tolerance, REGIONS)
     assert policy.is_satisfied(at("a1")[0], at(*holders), at(*met)) is enough
 
 
-def test_the_replicas_that_may_be_lost() -> None:
+def test_max_simultaneous_failures() -> None:
     assert [max_simultaneous_failures(tolerance) for tolerance in (ONE, TWO, ZONE, REGION)] == [1, 2, 1, 1]
--- a/tests/emberring/control/test_tier_suspicion_table.py
+++ b/tests/emberring/control/test_tier_suspicion_table.py
@@ -48,7 +48,9 @@
         ({"silent": 1}, 1, True),  # there is no other
     ],
 )
-def test_who_must_agree(faults: dict[str, int], gateways: int, failing: bool) -> None:
+def test_how_many_gateways_must_suspect_a_server(
+    faults: dict[str, int], gateways: int, failing: bool
+) -> None:
     table = SuspicionTable(lambda: {SERVER.id: SERVER})
     table.check(1.0, {SERVER.id: faults} if faults else {}, gateways)
     assert (SERVER.id in table.failing) is failing
@@ -77,7 +79,7 @@
     assert all(SERVER.address in line for line in lines.warnings)
 
 
-def test_it_lasts_until_nobody_has_said_so_for_a_while() -> None:
+def test_a_server_recovers_when_it_was_not_suspected_for_a_while() -> None:
     table = SuspicionTable(dict)
     table.check(1.0, {"i-1": {"silent": 2}}, 5)
     table.check(3.0, {"i-1": {"failing": 3}}, 5)
@@ -88,7 +90,7 @@
     assert table.failing == {}
 
 
-def test_gateways_word_is_counted_by_trouble_and_grows_old() -> None:
+def test_suspicions_are_counted_by_fault_and_expire() -> None:
     contacts = Contacts()
     contacts.on_contact(0.0, gateway(1), LoadReport({}, {"i-1": "silent"}))
     contacts.on_contact(0.0, gateway(2), LoadReport({}, {"i-1": "silent", "i-2": "slow"}))
@@ -99,12 +101,12 @@
     assert contacts.suspects(LOAD_FRESH_S + 0.1) == {}
 
 
-def test_sums_over_control_nodes() -> None:
+def test_suspicions_are_summed_over_control_nodes() -> None:
     parts = [{"a": {"silent": 1}}, {"a": {"silent": 2, "slow": 1}, "b": {"slow": 1}}]
     assert sum_suspicions(parts) == {"a": {"silent": 3, "slow": 1}, "b": {"slow": 1}}
 
 
-def test_control_nodes_add_up_what_their_gateways_say_and_show_it() -> None:
+def test_control_nodes_sum_the_suspicions_of_their_gateways_and_show_them() -> None:
     first, second = cluster_state(0), cluster_state(1)
     first.write_servers(0.0, [SERVER])
     first.on_node_contact(0.1, gateway(1), LoadReport({}, {SERVER.id: "silent"}))
--- a/tests/emberring/control/test_tier_update_stream.py
+++ b/tests/emberring/control/test_tier_update_stream.py
@@ -56,7 +56,7 @@
         (LoadReportDetail.SERVERS_IN_USE, {}, {}, {}),
     ],
 )
-def test_what_is_told(
+def test_the_load_in_an_update_has_the_requested_detail(
     load_detail: LoadReportDetail, load: dict[str, int], calls: dict[str, int], usual: dict[str, float]
 ) -> None:
     update = answer_to(Pull(gateway(2), {}, load=load, reports_load=True, load_detail=load_detail))
@@ -68,7 +68,7 @@
     assert update.service_load == {"llm": 5 + load.get("a", 0)}
 
 
-def test_stores_are_told_none() -> None:
+def test_stores_receive_no_load() -> None:
     update = answer_to(Pull(gateway(2, NodeRole.STORE), {}))
     assert (update.server_load, update.smoothed_load, update.service_load) == ({}, {}, {})
 
@@ -82,5 +82,5 @@
         (Pull(gateway(1), {}, load={"a": 1}), {"a": 1}),  # of a version that does not say that it tells
     ],
 )
-def test_what_a_gateway_told_last_counts(pull: Pull, calls: dict[str, int]) -> None:
+def test_the_last_load_report_of_a_gateway_counts(pull: Pull, calls: dict[str, int]) -> None:
     assert answer_to(pull).server_load == calls
--- a/tests/emberring/control/tier_control_fixture.py
+++ b/tests/emberring/control/tier_control_fixture.py
@@ -304,7 +304,7 @@
 
 def a_heartbeat(sequence: int, state: str = "ready", **changes: Any) -> dict[str, Any]:
     """What a model server says."""
-    beat = {
+    send_heartbeat = {
         "Service": "engine",
         "Address": "10.0.0.9:8080",
         "Zone": "zone-0",
@@ -314,4 +314,4 @@
         "ColdRemainingMs": 0,
         "Sequence": sequence,
     }
-    return {**beat, **changes}
+    return {**send_heartbeat, **changes}
--- a/tests/emberring/distribution/test_tier_calls_in_flight.py
+++ b/tests/emberring/distribution/test_tier_calls_in_flight.py
@@ -48,13 +48,13 @@
         return self.loads
 
 
-def test_sums_by_server_and_service_leave_out_what_has_none() -> None:
+def test_sums_by_server_and_service_leave_out_zeros() -> None:
     sources = Sources({"a": 2, "b": 0}, {"a": 1, "c": 4, "unknown": 7})
     assert sources.aggregator.calls(1.0) == {"a": 3, "c": 4, "unknown": 7}
     assert sources.aggregator.totals(1.0) == {"x": 3, "y": 4}
 
 
-def test_all_who_ask_within_a_short_time_get_the_same_sums() -> None:
+def test_sums_are_cached_for_a_short_time() -> None:
     sources = Sources({"a": 2})
     for _ in range(5):
         sources.aggregator.calls(1.0)
@@ -74,7 +74,7 @@
     assert sources.asked == 2
 
 
-def test_usual_calls_follow_over_seconds_and_end() -> None:
+def test_smoothed_calls_follow_over_seconds_and_end() -> None:
     sources = Sources({"a": 8})
     for step in range(200):
         sources.aggregator.smoothed(step * 0.1, ())
@@ -86,7 +86,7 @@
     assert NEGLIGIBLE_CALLS < 0.1
 
 
-def test_an_empty_load_counts_only_from_who_tells_loads() -> None:
+def test_an_empty_load_counts_only_in_a_load_report() -> None:
     contacts = Contacts()
     record = NodeRecord("edge-1", NodeRole.GATEWAY, "10.0.0.2:70", "zone")
     contacts.on_contact(0.0, record, LoadReport({"i": 1}))
@@ -106,7 +106,7 @@
         (410, 12_000, 3.0),
     ],
 )
-def test_each_servers_calls_are_asked_for_less_often_by_many(
+def test_many_gateways_request_the_load_of_single_servers_less_often(
     gateways: int, servers: int, every_s: float
 ) -> None:
     schedule = LoadReportSchedule()
@@ -127,7 +127,7 @@
     )
 
 
-def test_word_of_each_server_stays_where_only_the_totals_were_asked_for() -> None:
+def test_the_load_of_single_servers_stays_where_only_totals_were_requested() -> None:
     view = FollowerView(0.0)
     view.apply_update(0.1, update({"i": 3}, {"x": 3}), load_detail=LoadReportDetail.EVERY_SERVER)
     view.apply_update(0.2, update({}, {"x": 5}), load_detail=LoadReportDetail.TOTALS)
@@ -136,7 +136,7 @@
     assert view.load == KnownLoad({}, None, {}, pytest.approx(0.25))
 
 
-def test_a_control_node_that_is_cut_off_knows_no_load_and_is_not_taken_for_none() -> None:
+def test_an_empty_load_of_a_partitioned_control_node_is_not_applied() -> None:
     view = FollowerView(0.0)
     view.apply_update(0.1, update({"i": 3}, {"x": 3}))
     for word in LoadReportDetail:
@@ -197,14 +197,14 @@
     return telling, reports
 
 
-def test_few_gateways_get_word_with_every_answer() -> None:
+def test_few_gateways_get_the_load_of_every_server_with_every_reply() -> None:
     telling, reports = asked_for(3, 20)
     assert all(pull.load_detail is LoadReportDetail.EVERY_SERVER for pull in telling.pulls)
     assert all(pull.load == {"i": 1} for pull in telling.pulls if pull.reports_load)
     assert all(reports)
 
 
-def test_many_gateways_get_word_of_each_server_seldom_and_of_what_is_usual() -> None:
+def test_many_gateways_get_the_load_of_single_servers_rarely_and_smoothed() -> None:
     telling, reports = asked_for(400, 100)
     later = telling.pulls[5:]
     wanted = [pull for pull in later if pull.load_detail is not LoadReportDetail.TOTALS]
@@ -214,7 +214,7 @@
     assert sum(reports) < 15
 
 
-def test_word_of_every_server_is_waited_for_briefly_by_the_puller_that_reports() -> None:
+def test_the_puller_that_reports_waits_briefly_for_the_load_of_every_server() -> None:
     """A call holds its place for about a second: word that is as old is worth little."""
     for servers, wait_ms in ((100, 100), (200, 200), (1000, 300)):
         telling, _ = asked_for(10, 20, servers)
@@ -225,7 +225,7 @@
     assert {pull.wait_ms for pull in settled} == {300}
 
 
-def test_whoever_wants_to_hear_of_calls_is_told_with_each_word_of_servers() -> None:
+def test_load_subscribers_are_called_after_each_reply_with_the_load_of_servers() -> None:
     hub: dict[str, HollowNetwork] = {}
     controls = [OneControl(hub, f"core-{number}:1", 3) for number in range(2)]
     heard: list[int] = []
@@ -251,14 +251,14 @@
     assert sum(len(control.pulls) for control in controls) >= 10
 
 
-def test_the_age_of_sums_goes_on_while_they_are_kept() -> None:
+def test_the_age_of_sums_grows_while_they_are_cached() -> None:
     sources = Sources({"a": 2})
     assert sources.aggregator.age_s(1.0) == pytest.approx(0.25)
     assert sources.aggregator.age_s(1.01) == pytest.approx(0.26)
     assert sources.aggregator.age_s(1.5) == pytest.approx(0.25)  # made anew
 
 
-def test_the_age_of_word_counts_from_the_gateways_reports() -> None:
+def test_the_age_of_the_load_counts_from_the_gateways_reports() -> None:
     contacts = Contacts()
     assert contacts.load_age_s(1.0) == 0.0
     contacts.on_contact(1.0, gateway(1), LoadReport({"a": 2}))
@@ -267,7 +267,7 @@
     assert contacts.load_age_s(1.0 + LOAD_FRESH_S + 0.1) == pytest.approx(LOAD_FRESH_S - 0.1)
 
 
-def test_a_control_node_weighs_the_age_of_others_word_by_the_calls_it_tells_of() -> None:
+def test_the_age_of_the_load_is_weighted_by_calls() -> None:
     me = NodeRecord("core-0", NodeRole.CONTROL, "c0", "z", "", "x0")
     cluster_state = ClusterState(0.0, me, ["c0", "c1"], 1.2)
     assert cluster_state.load_age_s(1.0) == 0.0
--- a/tests/emberring/distribution/test_tier_follower_view.py
+++ b/tests/emberring/distribution/test_tier_follower_view.py
@@ -76,14 +76,14 @@
 
 
 @pytest.mark.parametrize(("quorum_age_ms", "at_s", "taken"), FIRST_CONFIGURATION)
-def test_the_first_configuration_is_a_quorum_s(quorum_age_ms: float, at_s: float, taken: bool) -> None:
+def test_the_first_configuration_needs_a_quorum(quorum_age_ms: float, at_s: float, taken: bool) -> None:
     view, control = FollowerView(0.0), AControl()
     told = {"configuration": configured(7), "configuration_version": 7, "quorum_age_ms": quorum_age_ms}
     control.tell(view, at_s, **told)
     assert (view.configuration is not None) is taken
 
 
-def test_a_newer_configuration_is_taken_from_a_control_node_that_was_cut_off() -> None:
+def test_a_newer_configuration_is_applied_from_a_partitioned_control_node() -> None:
     view, control = FollowerView(0.0), AControl()
     control.tell(view, 0.1, configuration=configured(7), configuration_version=7)
     control.tell(view, 0.2, configuration=configured(9), configuration_version=9, quorum_age_ms=9000.0)
@@ -97,7 +97,7 @@
     assert view.placement_epoch == 4
 
 
-def test_servers_that_serve_or_drain_are_shown() -> None:
+def test_servers_that_are_ready_or_drain_are_listed() -> None:
     view, control = FollowerView(0.0), AControl()
     for name, state in (("r", READY), ("d", DRAINING), ("g", GONE), ("l", LOST)):
         control.status_table.write_server(server(name, state))
@@ -112,7 +112,7 @@
     assert set(view.servers) == {"r", "d"}
 
 
-def test_a_drain_told_by_one_holds_against_another_that_has_not_heard_of_it() -> None:
+def test_a_drain_known_to_one_control_node_holds_against_another_that_lacks_it() -> None:
     view, first, second = FollowerView(0.0), AControl("a"), AControl("b")
     first.status_table.write_server(server("i", DRAINING, 5))
     second.status_table.write_server(server("i", READY, 6))
@@ -121,7 +121,7 @@
     assert view.servers["i"].state is DRAINING
 
 
-def test_servers_outlast_all_control_nodes_and_go_when_new_ones_do_not_list_them() -> None:
+def test_servers_stay_without_control_nodes_and_go_when_new_ones_do_not_list_them() -> None:
     view, old, new = FollowerView(0.0), AControl("old"), AControl("new")
     old.status_table.write_server(server("stays"))
     old.status_table.write_server(server("ended"))
@@ -140,7 +140,7 @@
     assert set(view.servers) == {"stays"}
 
 
-def test_an_ended_origin_s_newer_word_neither_hides_nor_holds_a_server() -> None:
+def test_an_ended_writer_s_newer_record_neither_hides_nor_keeps_a_server() -> None:
     """It heard the last heartbeats and told nobody else; others go on with what they heard."""
     view, ended, lives = FollowerView(0.0), AControl("ended"), AControl("lives")
     for name in ("lives", "dies"):
@@ -178,7 +178,7 @@
     assert view.nodes == {}
 
 
-def test_the_number_of_gateways_is_the_most_told_lately() -> None:
+def test_the_number_of_gateways_is_the_largest_reported_lately() -> None:
     view, first, second = FollowerView(0.0), AControl("a"), AControl("b")
     assert first.tell(view, 0.1, gateways=7)
     second.tell(view, 0.2, gateways=2)  # has just started
@@ -190,7 +190,7 @@
     assert view.gateways >= 1
 
 
-def test_loads_are_taken_without_waking_anybody() -> None:
+def test_a_change_of_load_alone_notifies_nobody() -> None:
     view, control = FollowerView(0.0), AControl()
     assert not control.tell(view, 0.1, server_load={"i": 3})
     assert view.load.calls == {"i": 3}
@@ -199,7 +199,7 @@
 # -- contacts
 
 
-def test_contacts_end_with_silence() -> None:
+def test_contacts_time_out() -> None:
     contacts = Contacts()
     record = NodeRecord("edge-1", NodeRole.GATEWAY, "10.0.0.2:70", "zone")
     assert contacts.on_contact(0.0, record, LoadReport({"i": 1}))
@@ -212,7 +212,7 @@
     assert contacts.on_contact(2.2, record)
 
 
-def test_loads_are_added_up() -> None:
+def test_loads_are_summed() -> None:
     assert sum_by_server([{"i": 1, "j": 2}, {}, {"i": 4}]) == {"i": 5, "j": 2}
 
 
@@ -232,7 +232,7 @@
     assert lonely.pick(0.0, 1) is None
 
 
-def test_a_source_that_fails_is_left_and_tried_again_later() -> None:
+def test_a_source_that_fails_is_replaced_and_retried_later() -> None:
     sources = choice(2)
     first = sources.pick(0.0, 0)
     assert first is not None
@@ -244,7 +244,7 @@
     assert sources.pick(0.2, 1) == first
 
 
-def test_pauses_grow_up_to_a_bound() -> None:
+def test_the_backoff_grows_up_to_a_limit() -> None:
     sources = choice(1)
     for _ in range(30):
         sources.failed(100.0, "c0")
@@ -252,7 +252,7 @@
     assert sources.pick(101.6, 0) == "c0"
 
 
-def test_a_source_without_a_majority_is_left_for_another() -> None:
+def test_a_source_without_a_majority_is_replaced_by_another() -> None:
     sources = choice(3)
     without_quorum = sources.pick(0.0, 0)
     assert without_quorum is not None
@@ -294,7 +294,7 @@
     assert sources.pick(0.2, 0) == "c2"
 
 
-def test_a_near_node_that_fails_is_left_and_returned_to() -> None:
+def test_a_node_of_the_same_zone_that_fails_is_left_and_returned_to() -> None:
     sources = choice(3)
     sources.set_same_zone(["c2"])
     assert sources.pick(0.0, 0) == "c2"
@@ -308,7 +308,7 @@
     assert sources.pick(SAME_ZONE_RETRY_S + 0.3, 0) == "c2"
 
 
-def test_a_near_node_without_a_majority_is_left_and_looked_at_again() -> None:
+def test_a_node_of_the_same_zone_without_a_majority_is_left_and_retried() -> None:
     sources = choice(3)
     sources.set_same_zone(["c2"])
     assert sources.pick(0.0, 0) == "c2"
@@ -320,7 +320,7 @@
     assert sources.pick(SAME_ZONE_RETRY_S + 0.2, 0) in ("c0", "c1")
 
 
-def test_nodes_heard_of_are_asked_and_forgotten_when_they_stay_silent() -> None:
+def test_added_nodes_are_asked_and_forgotten_after_failures() -> None:
     sources = choice(1)
     sources.add(["new"])
     assert {sources.pick(0.0, 0), sources.pick(0.0, 1)} == {"c0", "new"}
@@ -333,13 +333,13 @@
     assert sources.pick(20.0, 0) == "c0"
 
 
-def test_delta_of_another_origin_needs_no_order() -> None:
+def test_deltas_of_different_writers_need_no_order() -> None:
     view = FollowerView(0.0)
     assert view.apply_update(0.1, Update("a", 1.0, Delta(), ("a",))) is False
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_what_is_shown_is_always_what_a_look_at_all_servers_would_show(seed: int) -> None:
+def test_listed_servers_are_always_what_a_complete_recomputation_lists(seed: int) -> None:
     """Only servers that were told of are looked at again; origins die, come back and contradict one another."""
     rng = random.Random(seed)
     view, controls, now_s = FollowerView(0.0), [AControl(name) for name in "abc"], 0.0
--- a/tests/emberring/distribution/test_tier_peers.py
+++ b/tests/emberring/distribution/test_tier_peers.py
@@ -36,7 +36,7 @@
     assert not PeerTable(control(0), ["c0"]).others_exist()
 
 
-def test_exchanges_recur_and_silent_nodes_are_tried_less_often() -> None:
+def test_exchanges_recur_and_silent_nodes_are_retried_less_often() -> None:
     peers = table()
     first, second = peers.due(0.0)
     for peer in (first, second):
@@ -60,14 +60,14 @@
     assert first.next_exchange_s == pytest.approx(every_s)
 
 
-def test_word_of_calls_is_as_old_as_the_other_node_said_and_ages() -> None:
+def test_the_age_of_a_peer_s_load_starts_as_reported_and_grows() -> None:
     peers = table()
     peers.on_exchange(1.0, attrs.evolve(said(control(1)), load_age_ms=150.0))
     assert list(peers.load_ages(1.1)) == [(2, pytest.approx(0.25))]
     assert list(peers.load_ages(10.0)) == []
 
 
-def test_news_hurry_the_live_ones_also_while_an_exchange_is_under_way() -> None:
+def test_changes_expedite_exchanges_with_live_peers_also_while_one_is_in_flight() -> None:
     peers = table()
     first, second = peers.due(0.0)
     peers.on_exchange(0.0, said(control(1)))
@@ -82,7 +82,7 @@
     assert peers.due(0.03) == [first]
 
 
-def test_a_node_lives_while_it_is_heard() -> None:
+def test_a_peer_lives_while_it_is_seen() -> None:
     peers = table()
     peers.on_exchange(1.0, said(control(1), {"x1": 4}))
     assert [peer.incarnation for peer in peers.live(1.0 + LIVE_S / 2)] == ["x1"]
@@ -113,7 +113,7 @@
     assert len(peers.due(0.0)) == 2
 
 
-def test_nodes_that_call_are_known_and_forgotten_when_silent() -> None:
+def test_nodes_that_exchange_are_known_and_forgotten_when_silent() -> None:
     peers = table()
     peers.on_exchange(1.0, said(control(3)))
     assert len(peers.due(10.0)) == 3
--- a/tests/emberring/distribution/test_tier_status_table.py
+++ b/tests/emberring/distribution/test_tier_status_table.py
@@ -29,7 +29,7 @@
     receiver.apply(sender.newer_than(receiver.vector))
 
 
-def test_a_statement_reaches_a_third_node_through_a_second() -> None:
+def test_an_entry_reaches_a_third_node_through_a_second() -> None:
     first, second, third = (StatusTable(writer) for writer in WRITERS)
     first.write_server(server("i-1"))
     first.write_node(node("store-1"), present=True)
@@ -63,7 +63,7 @@
     assert delta.vector == {"a": 2}
 
 
-def test_an_end_and_a_later_word_of_another_origin_are_both_kept_until_joined() -> None:
+def test_a_drain_and_a_later_record_of_another_writer_are_both_kept_until_merged() -> None:
     first, second, third = (StatusTable(writer) for writer in WRITERS)
     first.write_server(server("i-1", ServerState.DRAINING, 10))
     second.write_server(server("i-1", ServerState.READY, 11))
@@ -75,7 +75,7 @@
     assert fresh.servers()["i-1"].sequence == 11
 
 
-def test_of_two_incarnations_the_one_told_last_counts() -> None:
+def test_of_two_incarnations_the_one_that_arrived_last_counts() -> None:
     store = StatusTable("c")
     store.apply(Delta({"a": 1}, (), (NodeEntry("a", 1, node("store-1", "old"), True),)))
     store.apply(Delta({"b": 1}, (), (NodeEntry("b", 1, node("store-1", "new"), True),)))
@@ -83,7 +83,7 @@
     assert store.live_nodes(["a"], [NodeRole.STORE])["store-1"].incarnation == "old"
 
 
-def test_an_ended_origin_leaves_nothing_of_nodes() -> None:
+def test_nothing_about_nodes_is_kept_of_an_ended_writer() -> None:
     store = StatusTable("c")
     store.apply(Delta({"a": 2}, (), (NodeEntry("a", 1, node("store-1"), True),)))
     store.forget_writer("a")
@@ -95,7 +95,7 @@
     assert "i-1" in store.servers()
 
 
-def test_messages_survive_the_wire() -> None:
+def test_messages_are_the_same_after_encoding_and_decoding() -> None:
     store = StatusTable("a")
     store.write_server(server("i-1", ServerState.DRAINING))
     store.write_node(node("store-1"), present=False)
@@ -182,7 +182,7 @@
 TestExchanges.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
 
 
-def test_statements_of_ended_origins_do_not_pile_up() -> None:
+def test_entries_of_ended_writers_do_not_accumulate() -> None:
     store = StatusTable("a")
     for sequence in range(200):
         writer = f"origin-{sequence}"
@@ -193,7 +193,7 @@
     assert list(store.vector) == ["origin-199"]
 
 
-def test_the_word_of_an_origin_that_lives_is_kept_beside_a_newer_one() -> None:
+def test_the_entry_of_a_live_writer_is_kept_beside_a_newer_one() -> None:
     store = StatusTable("a")
     store.apply(Delta({"b": 1}, (ServerEntry("b", 1, server("i-1", sequence=1)),)))
     store.apply(Delta({"c": 1}, (ServerEntry("c", 1, server("i-1", sequence=5)),)))
--- a/tests/emberring/membership/test_tier_view.py
+++ b/tests/emberring/membership/test_tier_view.py
@@ -92,7 +92,7 @@
     assert view.next_shuffle(FORGET_AGE_S + 1.0) is None
 
 
-def test_the_younger_word_for_a_node_wins() -> None:
+def test_the_younger_descriptor_of_a_node_wins() -> None:
     view = PartialView(node(1), 1)
     moved = NodeRecord("gateway-2", NodeRole.GATEWAY, "10.9.9.9:77", "a")
     view.on_shuffle(10.0, "x", (Descriptor(moved, 1.0),))
--- a/tests/emberring/registry/test_tier_registry.py
+++ b/tests/emberring/registry/test_tier_registry.py
@@ -17,7 +17,7 @@
 from emberring.registry.servers import FORGET_S, ServerRegistry
 
 READY, DRAINING, GONE, LOST = ServerState.READY, ServerState.DRAINING, ServerState.GONE, ServerState.LOST
-BEAT_S = 1.2
+HEARTBEAT_S = 1.2
 
 
 def record(state: ServerState = READY, sequence: int = 1, **changes: Any) -> ServerRecord:
@@ -31,7 +31,7 @@
 
 
 @given(records, records, records)
-def test_the_join_does_not_depend_on_order_or_repeats(
+def test_merging_does_not_depend_on_order_or_repeats(
     a: ServerRecord, b: ServerRecord, c: ServerRecord
 ) -> None:
     assert merged(a, a) == a
@@ -41,16 +41,16 @@
 
 
 @given(st.lists(records, min_size=1, max_size=6))
-def test_dropping_what_another_statement_says_loses_nothing(statements: list[ServerRecord]) -> None:
+def test_dropping_a_dominated_record_loses_nothing(records_to_merge: list[ServerRecord]) -> None:
     kept: list[ServerRecord] = []
-    whole = statements[0]
-    for statement in statements:
-        whole = merged(whole, statement)
-        if not any(dominates(other, statement) for other in kept):
-            kept = [other for other in kept if not dominates(statement, other)] + [statement]
+    whole = records_to_merge[0]
+    for live_record in records_to_merge:
+        whole = merged(whole, live_record)
+        if not any(dominates(other, live_record) for other in kept):
+            kept = [other for other in kept if not dominates(live_record, other)] + [live_record]
     joined = kept[0]
-    for statement in kept[1:]:
-        joined = merged(joined, statement)
+    for live_record in kept[1:]:
+        joined = merged(joined, live_record)
     assert joined == whole
 
 
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(("first", "second", "state", "sequence"), JOINS)
-def test_what_two_statements_say_together(
+def test_what_two_records_merge_to(
     first: ServerRecord, second: ServerRecord, state: ServerState, sequence: int
 ) -> None:
     joined = merged(first, second)
@@ -76,7 +76,7 @@
 
 # -- heartbeats
 
-BEAT = {
+HEARTBEAT = {
     "Service": "huvo11a",
     "Address": "10.128.0.9:8080",
     "Zone": "erl-a",
@@ -90,13 +90,13 @@
 }
 
 
-def test_a_heartbeat_is_read() -> None:
-    beat = read_heartbeat("i-7", json.dumps(BEAT).encode())
-    assert beat.record == ServerRecord(
+def test_a_heartbeat_is_parsed() -> None:
+    heartbeat = read_heartbeat("i-7", json.dumps(HEARTBEAT).encode())
+    assert heartbeat.record == ServerRecord(
         "i-7", "huvo11a", "10.128.0.9:8080", "erl-a", 48, READY, 4, 120.0, "v1"
     )
-    assert not beat.draining
-    assert read_heartbeat("i-7", json.dumps({**BEAT, "State": "draining"}).encode()).draining
+    assert not heartbeat.draining
+    assert read_heartbeat("i-7", json.dumps({**HEARTBEAT, "State": "draining"}).encode()).draining
 
 
 @pytest.mark.parametrize(
@@ -110,9 +110,12 @@
         b'{"Service":"","Address":"a:1"}',
         b'{"Service":1,"Address":"a:1"}',
     ]
-    + [json.dumps({**BEAT, key: value}).encode() for key, value in (("Sequence", "x"), ("Capacity", [1]))],
+    + [
+        json.dumps({**HEARTBEAT, key: value}).encode()
+        for key, value in (("Sequence", "x"), ("Capacity", [1]))
+    ],
 )
-def test_what_is_no_heartbeat_is_refused(body: bytes) -> None:
+def test_a_malformed_heartbeat_is_rejected(body: bytes) -> None:
     with pytest.raises(BadRequestError):
         read_heartbeat("i-7", body)
 
@@ -124,7 +127,7 @@
     """A registry with the statements that it made, joined."""
 
     def __init__(self) -> None:
-        self.registry = ServerRegistry(0.0, BEAT_S)
+        self.registry = ServerRegistry(0.0, HEARTBEAT_S)
         self.known: dict[str, ServerRecord] = {}
         self.live = True
 
@@ -134,9 +137,9 @@
             self.known[one.id] = merged(before, one) if before is not None else one
         return stated
 
-    def beat(self, now_s: float, beat: ServerRecord, listed: bool = True) -> list[ServerRecord]:
-        statement = self.known.get(beat.id) if listed else None
-        return self.take(self.registry.on_heartbeat(now_s, Heartbeat(beat), self.known, statement))
+    def send_heartbeat(self, now_s: float, record: ServerRecord, listed: bool = True) -> list[ServerRecord]:
+        live_record = self.known.get(record.id) if listed else None
+        return self.take(self.registry.on_heartbeat(now_s, Heartbeat(record), self.known, live_record))
 
     def tick(self, now_s: float, trusted: bool = True) -> list[ServerRecord]:
         return self.take(self.registry.on_tick(now_s, self.known, lambda _: self.live, trusted))
@@ -149,79 +152,81 @@
         return stated
 
 
-def test_only_what_is_new_is_stated() -> None:
+def test_only_changes_are_written() -> None:
     node = ANode()
-    assert node.beat(0.0, record(READY, 1)) == [record(READY, 1)]
-    assert node.beat(1.2, record(READY, 2)) == []
-    assert node.beat(2.4, record(READY, 3, capacity=20)) == [record(READY, 3, capacity=20)]
-    assert node.beat(2.5, record(READY, 3, capacity=20), listed=False) == [record(READY, 3, capacity=20)]
+    assert node.send_heartbeat(0.0, record(READY, 1)) == [record(READY, 1)]
+    assert node.send_heartbeat(1.2, record(READY, 2)) == []
+    assert node.send_heartbeat(2.4, record(READY, 3, capacity=20)) == [record(READY, 3, capacity=20)]
+    assert node.send_heartbeat(2.5, record(READY, 3, capacity=20), listed=False) == [
+        record(READY, 3, capacity=20)
+    ]
 
 
-def test_the_end_of_a_cold_start_is_stated_once() -> None:
+def test_the_end_of_a_warm_up_is_written_once() -> None:
     node = ANode()
-    assert node.beat(0.0, record(READY, 1, cold_ms=3000.0)) != []
-    assert node.beat(1.2, record(READY, 2, cold_ms=1800.0)) == []
-    assert node.beat(2.4, record(READY, 3, cold_ms=0.0)) != []
-    assert node.beat(3.6, record(READY, 4, cold_ms=0.0)) == []
+    assert node.send_heartbeat(0.0, record(READY, 1, cold_ms=3000.0)) != []
+    assert node.send_heartbeat(1.2, record(READY, 2, cold_ms=1800.0)) == []
+    assert node.send_heartbeat(2.4, record(READY, 3, cold_ms=0.0)) != []
+    assert node.send_heartbeat(3.6, record(READY, 4, cold_ms=0.0)) == []
 
 
-def test_what_control_nodes_that_live_state_is_set_right() -> None:
+def test_wrong_records_of_live_control_nodes_are_corrected() -> None:
     """An ended control node heard more than the others, who took the server for lost."""
     node = ANode()
     node.take([record(READY, 13), record(LOST, 6)])
-    beat = Heartbeat(record(READY, 41))
-    assert node.registry.on_heartbeat(0.0, beat, node.known, record(LOST, 6)) == [record(READY, 41)]
-    assert node.registry.on_heartbeat(0.0, beat, node.known, record(READY, 6)) == []
+    heartbeat = Heartbeat(record(READY, 41))
+    assert node.registry.on_heartbeat(0.0, heartbeat, node.known, record(LOST, 6)) == [record(READY, 41)]
+    assert node.registry.on_heartbeat(0.0, heartbeat, node.known, record(READY, 6)) == []
 
 
 def test_a_drain_sticks_and_a_late_heartbeat_revives_nothing() -> None:
     node = ANode()
-    node.beat(0.0, record(READY, 5))
-    assert node.beat(1.0, record(DRAINING, 6)) == [record(DRAINING, 6)]
-    assert node.beat(1.1, record(READY, 5)) == []
-    assert node.beat(1.2, record(READY, 7)) == []
+    node.send_heartbeat(0.0, record(READY, 5))
+    assert node.send_heartbeat(1.0, record(DRAINING, 6)) == [record(DRAINING, 6)]
+    assert node.send_heartbeat(1.1, record(READY, 5)) == []
+    assert node.send_heartbeat(1.2, record(READY, 7)) == []
     assert node.known["i-1"].state is DRAINING
     assert node.take(node.registry.on_goodbye("i-1", node.known))[0].state is GONE
-    assert node.beat(1.3, record(READY, 8)) == []
-    assert node.beat(1.3, record(DRAINING, 9)) == []
+    assert node.send_heartbeat(1.3, record(READY, 8)) == []
+    assert node.send_heartbeat(1.3, record(DRAINING, 9)) == []
     assert node.registry.on_goodbye("i-1", node.known) == []
     assert node.known["i-1"].state is GONE
 
 
 def test_a_drain_that_overtook_a_heartbeat_counts() -> None:
     node = ANode()
-    node.beat(0.0, record(READY, 7))
-    assert node.beat(0.1, record(DRAINING, 6)) != []
+    node.send_heartbeat(0.0, record(READY, 7))
+    assert node.send_heartbeat(0.1, record(DRAINING, 6)) != []
     assert node.known["i-1"].state is DRAINING
 
 
-def test_a_goodbye_of_an_unknown_server_is_stated() -> None:
+def test_a_goodbye_of_an_unknown_server_is_written() -> None:
     node = ANode()
     stated = node.take(node.registry.on_goodbye("i-9", node.known))
     assert [(one.id, one.state) for one in stated] == [("i-9", GONE)]
-    assert node.beat(0.1, record(READY, 3, id="i-9")) == []
+    assert node.send_heartbeat(0.1, record(READY, 3, id="i-9")) == []
 
 
-def test_silence_is_stated_after_four_missed_heartbeats_and_ends_with_the_next_one() -> None:
+def test_a_server_is_lost_after_four_missed_heartbeats_until_the_next_one() -> None:
     node = ANode()
-    node.beat(0.0, record(READY, 1))
-    node.beat(1.2, record(READY, 2))
+    node.send_heartbeat(0.0, record(READY, 1))
+    node.send_heartbeat(1.2, record(READY, 2))
     assert node.pass_time(1.2, 6.5) == []
     stated = node.pass_time(6.6, 8.0)
     assert [(one.state, one.sequence) for one in stated] == [(LOST, 2)]
-    assert node.beat(8.1, record(READY, 2)) == []
-    assert [one.state for one in node.beat(8.2, record(READY, 3))] == [READY]
+    assert node.send_heartbeat(8.1, record(READY, 2)) == []
+    assert [one.state for one in node.send_heartbeat(8.2, record(READY, 3))] == [READY]
 
 
-def test_a_draining_server_that_falls_silent_is_gone() -> None:
+def test_a_draining_server_that_times_out_is_gone() -> None:
     node = ANode()
-    node.beat(0.0, record(DRAINING, 1))
+    node.send_heartbeat(0.0, record(DRAINING, 1))
     assert [one.state for one in node.pass_time(0.0, 7.0)] == [GONE]
 
 
-def test_a_node_that_was_frozen_or_cut_off_gives_everybody_time() -> None:
+def test_a_node_that_was_frozen_or_partitioned_restarts_all_timeouts() -> None:
     node = ANode()
-    node.beat(0.0, record(READY, 1))
+    node.send_heartbeat(0.0, record(READY, 1))
     node.pass_time(0.0, 3.0)
     assert node.pass_time(20.0, 25.0) == []  # no tick for 17 s: it was frozen
     assert node.pass_time(25.1, 40.0, trusted=False) == []
@@ -231,25 +236,25 @@
 
 def test_servers_of_a_control_node_that_cannot_be_asked_get_more_time() -> None:
     node = ANode()
-    node.beat(0.0, record(READY, 1))
+    node.send_heartbeat(0.0, record(READY, 1))
     node.live = False
     assert node.pass_time(0.0, 11.0) == []
     assert [one.state for one in node.pass_time(11.1, 13.0)] == [LOST]
 
 
-def test_heartbeats_taken_elsewhere_count() -> None:
+def test_heartbeats_received_elsewhere_count() -> None:
     node = ANode()
-    node.beat(0.0, record(READY, 1))
+    node.send_heartbeat(0.0, record(READY, 1))
     for step in range(1, 20):
         node.registry.on_sequences(step * 1.2, {"i-1": step + 1})
         assert node.pass_time(step * 1.2, step * 1.2 + 1.1) == []
     assert node.registry.sequences_since(19 * 1.2) == {"i-1": 20}
 
 
-def test_others_who_take_a_living_server_for_lost_are_told() -> None:
+def test_a_live_server_that_others_take_for_lost_is_written_as_ready() -> None:
     node = ANode()
-    node.beat(0.0, record(READY, 1))
-    node.beat(1.2, record(READY, 2))
+    node.send_heartbeat(0.0, record(READY, 1))
+    node.send_heartbeat(1.2, record(READY, 2))
     node.take([record(LOST, 1)])
     stated = node.registry.on_record_changed(1.3, node.known["i-1"])
     assert [(one.state, one.sequence) for one in stated] == [(READY, 2)]
@@ -267,15 +272,15 @@
 @pytest.mark.parametrize(("after_s", "ended"), REUSE)
 def test_an_address_used_again_ends_the_older_server(after_s: float, ended: bool) -> None:
     node = ANode()
-    node.beat(0.0, record(READY, 9))
-    node.beat(after_s, record(READY, 1, id="i-2"))
+    node.send_heartbeat(0.0, record(READY, 9))
+    node.send_heartbeat(after_s, record(READY, 1, id="i-2"))
     assert (node.known["i-1"].state is GONE) is ended
     assert node.known["i-2"].state is READY
 
 
 def test_what_is_gone_for_long_is_forgotten() -> None:
     node = ANode()
-    node.beat(0.0, record(READY, 1))
+    node.send_heartbeat(0.0, record(READY, 1))
     node.take(node.registry.on_goodbye("i-1", node.known))
     assert node.registry.expired(1.0, node.known) == []
     assert node.registry.expired(FORGET_S, node.known) == []
--- a/tests/emberring/simulation/test_tier_control_cut.py
+++ b/tests/emberring/simulation/test_tier_control_cut.py
@@ -18,7 +18,7 @@
 from emberring.transport.messages import Ok
 
 
-def test_calls_between_two_sides_are_lost_on_either_way() -> None:
+def test_calls_between_two_sides_are_lost_in_both_directions() -> None:
     async def play() -> None:
         own_tasks(asyncio.get_running_loop())
         hub: dict[str, HollowNetwork] = {}
--- a/tests/emberring/simulation/test_tier_control_scale.py
+++ b/tests/emberring/simulation/test_tier_control_scale.py
@@ -47,7 +47,7 @@
     run_virtually(play())
 
 
-def test_a_silent_peer_and_an_absent_one_are_told_apart() -> None:
+def test_a_silent_peer_and_an_absent_one_are_distinguished() -> None:
     async def play() -> None:
         own_tasks(asyncio.get_running_loop())
         hub: dict[str, HollowNetwork] = {}
@@ -80,7 +80,7 @@
         (Size(gateways=3, servers=320), SELDOM_CALLS),
     ],
 )
-def test_everybody_knows_and_word_is_quick(size: Size, most_calls: float) -> None:
+def test_all_nodes_are_up_to_date_and_updates_are_fast(size: Size, most_calls: float) -> None:
     found = measure(size, seconds=1.0)
     assert found.known == size.servers
     assert 0.0 < found.drain_acknowledged_s < 0.1
@@ -92,7 +92,7 @@
     assert found.gateway.calls <= most_calls  # it grows with nothing, and shrinks where each word is large
 
 
-def test_bytes_repeat() -> None:
+def test_bytes_are_deterministic() -> None:
     first, second = (measure(Size(gateways=4, servers=6), seconds=1.0) for _ in range(2))
     assert first.gateway.calls == second.gateway.calls
     assert first.gateway.bytes == pytest.approx(second.gateway.bytes, rel=0.02)
--- a/tests/emberring/simulation/test_tier_control_simulator.py
+++ b/tests/emberring/simulation/test_tier_control_simulator.py
@@ -136,7 +136,7 @@
     assert wrong() == ""
 
 
-def test_a_frozen_process_stands_still_and_goes_on() -> None:
+def test_a_frozen_process_pauses_and_goes_on() -> None:
     """Something happens each half second, on a clock that jumps; the process notes when it sees that."""
     seen: list[float] = []
 
