--- a/emberring/control/app.py
+++ b/emberring/control/app.py
@@ -4,7 +4,7 @@
 
 import asyncio
 import re
-from collections.abc import Awaitable, Callable, Iterable
+from collections.abc import Awaitable, Callable, Iterable, MutableMapping
 from typing import Any
 
 import attrs
@@ -21,8 +21,12 @@
 
 logger = get_logger("control")
 
-Receive = Callable[[], Awaitable[Any]]
-Send = Callable[[Any], Awaitable[None]]
+Scope = MutableMapping[str, Any]
+"""The `scope` of the ASGI specification."""
+Event = MutableMapping[str, Any]
+"""An event of the ASGI specification."""
+Receive = Callable[[], Awaitable[Event]]
+Send = Callable[[Event], Awaitable[None]]
 
 
 @attrs.frozen
@@ -69,7 +73,7 @@
             ("GET", re.compile(r"/v1/(status)"), self._status),
         )
 
-    async def __call__(self, scope: Any, receive: Receive, send: Send) -> None:
+    async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one request."""
         if scope["type"] != "http":
             return
@@ -128,7 +132,7 @@
     return Response(error.answer.status, orjson.dumps({"Error": error.kind.value, "Detail": error.detail}))
 
 
-async def _read_request(scope: Any, receive: Receive) -> Request:
+async def _read_request(scope: Scope, receive: Receive) -> Request:
     chunks: list[bytes] = []
     size = 0
     while True:
--- a/emberring/control/http_server.py
+++ b/emberring/control/http_server.py
@@ -4,7 +4,7 @@
 
 import asyncio
 import contextlib
-from collections.abc import Generator
+from collections.abc import Awaitable, Callable, Generator, MutableMapping
 from typing import Any
 
 import uvicorn
@@ -15,6 +15,13 @@
 START_POLL_S = 0.005
 
 
+Event = MutableMapping[str, Any]
+AsgiApplication = Callable[
+    [Event, Callable[[], Awaitable[Event]], Callable[[Event], Awaitable[None]]], Awaitable[None]
+]
+"""`app(scope, receive, send)` of the ASGI specification."""
+
+
 class _QuietServer(uvicorn.Server):
     @contextlib.contextmanager
     def capture_signals(self) -> Generator[None, None, None]:
@@ -25,7 +32,7 @@
 class HttpServer:
     """Serves the ASGI application `app` at `address` (`host:port`)."""
 
-    def __init__(self, app: Any, address: str) -> None:
+    def __init__(self, app: AsgiApplication, address: str) -> None:
         host, _, port = address.rpartition(":")
         config = uvicorn.Config(
             app,
