--- a/emberring/cli/disk_reports.py
+++ b/emberring/cli/disk_reports.py
@@ -45,7 +45,7 @@
         damages.append("no record names the replica's identity")
     facts: dict[str, Any] = {"Promised": _ballot(acceptor.promised)}
     if acceptor.accepted is not None:
-        facts["Accepted"] = _ballot(acceptor.accepted.ballot)
+        facts["Accepted"] = _ballot(acceptor.accepted.number)
         replicas = acceptor.accepted.state.replicas
         facts["Replicas"] = [f"{member.identity} at {member.address}" for member in replicas.members]
         facts["Joining"] = [f"{member.identity} at {member.address}" for member in replicas.joining]
--- a/emberring/register/acceptor.py
+++ b/emberring/register/acceptor.py
@@ -9,24 +9,33 @@
 import orjson
 
 from emberring.errors import CorruptRecordError
-from emberring.register.messages import Accept, Accepted, Held, Prepare, Promise, Query, Refuse, Stranger
+from emberring.register.messages import (
+    Accept,
+    Accepted,
+    Prepare,
+    Promise,
+    Query,
+    Rejected,
+    StateReport,
+    UnknownReplica,
+)
 from emberring.register.model import Proposal, ProposalNumber, State
 from emberring.transport.messages import converter
 
-Judgement = Promise | Accepted | Refuse | Stranger | Held
+AcceptorReply = Promise | Accepted | Rejected | UnknownReplica | StateReport
 
 
 @attrs.frozen
-class Verdict:
+class AcceptorResponse:
     """The reply, the record to write first (None: none), and whether the reply must wait for the disk."""
 
-    reply: Judgement
+    reply: AcceptorReply
     record: bytes | None = None
     durable: bool = False
 
 
 @attrs.frozen
-class _Head:
+class _RecordHeader:
     """The head of a record: what is not bytes of the value. A field that is None says nothing."""
 
     identity: str | None = None
@@ -41,54 +50,54 @@
 
     def __init__(self, identity: str, accepted: Proposal | None = None) -> None:
         self.identity = identity
-        self.promised: ProposalNumber | None = None if accepted is None else accepted.ballot
+        self.promised: ProposalNumber | None = None if accepted is None else accepted.number
         self.accepted = accepted
 
     @property
-    def accepted_ballot(self) -> ProposalNumber | None:
+    def accepted_number(self) -> ProposalNumber | None:
         """The ballot of what was accepted last."""
-        return None if self.accepted is None else self.accepted.ballot
+        return None if self.accepted is None else self.accepted.number
 
-    def prepare(self, call: Prepare) -> Verdict:
+    def prepare(self, message: Prepare) -> AcceptorResponse:
         """Promise, unless a newer ballot has been promised."""
-        if call.target != self.identity:
-            return Verdict(Stranger(self.identity))
-        if self.promised is not None and call.ballot < self.promised:
-            return Verdict(Refuse(self.identity, self.promised))
+        if message.target != self.identity:
+            return AcceptorResponse(UnknownReplica(self.identity))
+        if self.promised is not None and message.number < self.promised:
+            return AcceptorResponse(Rejected(self.identity, self.promised))
         record = None
-        if self.promised != call.ballot:
-            self.promised = call.ballot
-            record = _encode(_Head(promised=call.ballot))
-        ballot, state = self._report(call.known)
-        return Verdict(Promise(self.identity, call.ballot, ballot, state), record, durable=True)
+        if self.promised != message.number:
+            self.promised = message.number
+            record = _encode(_RecordHeader(promised=message.number))
+        number, state = self._report(message.known)
+        return AcceptorResponse(Promise(self.identity, message.number, number, state), record, durable=True)
 
-    def accept(self, call: Accept) -> Verdict:
+    def accept(self, message: Accept) -> AcceptorResponse:
         """Accept, unless a newer ballot has been promised."""
-        if call.target != self.identity:
-            return Verdict(Stranger(self.identity))
-        if self.promised is not None and call.ballot < self.promised:
-            return Verdict(Refuse(self.identity, self.promised))
+        if message.target != self.identity:
+            return AcceptorResponse(UnknownReplica(self.identity))
+        if self.promised is not None and message.number < self.promised:
+            return AcceptorResponse(Rejected(self.identity, self.promised))
         record = None
-        if self.accepted_ballot != call.ballot:
-            record = self._take(Proposal(call.ballot, call.state))
-        return Verdict(Accepted(self.identity, call.ballot), record, durable=True)
+        if self.accepted_number != message.number:
+            record = self._accept_proposal(Proposal(message.number, message.state))
+        return AcceptorResponse(Accepted(self.identity, message.number), record, durable=True)
 
-    def query(self, call: Query) -> Verdict:
+    def query(self, message: Query) -> AcceptorResponse:
         """What was accepted."""
-        if call.target != self.identity:
-            return Verdict(Stranger(self.identity))
-        ballot, state = self._report(call.known)
-        return Verdict(Held(self.identity, ballot, state), durable=True)
+        if message.target != self.identity:
+            return AcceptorResponse(UnknownReplica(self.identity))
+        number, state = self._report(message.known)
+        return AcceptorResponse(StateReport(self.identity, number, state), durable=True)
 
-    def install(self, chosen: Proposal) -> bytes | None:
+    def install(self, committed: Proposal) -> bytes | None:
         """Take over a proposal that is known to be chosen; the record to write, or None where nothing changes.
 
         This is safe whatever was promised since: it is chosen without this replica, and a replica may always report
         a newer proposal than the one it accepted.
         """
-        if self.accepted_ballot is not None and chosen.ballot <= self.accepted_ballot:
+        if self.accepted_number is not None and committed.number <= self.accepted_number:
             return None
-        return self._take(chosen)
+        return self._accept_proposal(committed)
 
     def snapshot(self) -> bytes:
         """A record of everything."""
@@ -96,53 +105,53 @@
 
     def restore(self, payload: bytes) -> None:
         """Take in a record found at a start, in any order; `CorruptRecordError` where it is none."""
-        head, value = _decode(payload)
-        if head.identity is not None:
-            self.identity = head.identity
-        if head.promised is not None and (self.promised is None or head.promised > self.promised):
-            self.promised = head.promised
-        newer = self.accepted_ballot is None or (
-            head.accepted is not None and head.accepted > self.accepted_ballot
+        header, value = _decode(payload)
+        if header.identity is not None:
+            self.identity = header.identity
+        if header.promised is not None and (self.promised is None or header.promised > self.promised):
+            self.promised = header.promised
+        newer = self.accepted_number is None or (
+            header.accepted is not None and header.accepted > self.accepted_number
         )
-        if head.accepted is not None and head.state is not None and newer:
-            state = attrs.evolve(head.state, payload=value if head.has_payload else None)
-            self.accepted = Proposal(head.accepted, state)
+        if header.accepted is not None and header.state is not None and newer:
+            state = attrs.evolve(header.state, payload=value if header.has_payload else None)
+            self.accepted = Proposal(header.accepted, state)
 
     def _report(self, known: ProposalNumber | None) -> tuple[ProposalNumber | None, State | None]:
         if self.accepted is None:
             return None, None
-        return self.accepted.ballot, None if self.accepted.ballot == known else self.accepted.state
+        return self.accepted.number, None if self.accepted.number == known else self.accepted.state
 
-    def _take(self, proposal: Proposal) -> bytes:
+    def _accept_proposal(self, proposal: Proposal) -> bytes:
         self.accepted = proposal
-        if self.promised is None or proposal.ballot > self.promised:
-            self.promised = proposal.ballot
+        if self.promised is None or proposal.number > self.promised:
+            self.promised = proposal.number
         return self._record(None, proposal)
 
     def _record(self, identity: str | None, proposal: Proposal | None) -> bytes:
         if proposal is None:
-            return _encode(_Head(identity=identity, promised=self.promised))
+            return _encode(_RecordHeader(identity=identity, promised=self.promised))
         payload = proposal.state.payload
-        head = _Head(
+        header = _RecordHeader(
             identity=identity,
             promised=self.promised,
-            accepted=proposal.ballot,
+            accepted=proposal.number,
             state=attrs.evolve(proposal.state, payload=None),
             has_payload=payload is not None,
         )
-        return _encode(head, payload or b"")
+        return _encode(header, payload or b"")
 
 
-def _encode(head: _Head, payload: bytes = b"") -> bytes:
-    return orjson.dumps(converter.unstructure(head)) + b"\n" + payload
+def _encode(header: _RecordHeader, payload: bytes = b"") -> bytes:
+    return orjson.dumps(converter.unstructure(header)) + b"\n" + payload
 
 
-def _decode(record: bytes) -> tuple[_Head, bytes]:
+def _decode(record: bytes) -> tuple[_RecordHeader, bytes]:
     line, _, payload = record.partition(b"\n")
     try:
         fields = orjson.loads(line)
         if not isinstance(fields, dict):
             raise TypeError("no object")
-        return converter.structure(fields, _Head), payload
+        return converter.structure(fields, _RecordHeader), payload
     except Exception as error:
         raise CorruptRecordError(f"{type(error).__name__}: {error}"[:200]) from error
--- a/emberring/register/catch_up.py
+++ b/emberring/register/catch_up.py
@@ -7,7 +7,7 @@
 from emberring.register.acceptor import Acceptor
 from emberring.register.action_queue import ActionQueue
 from emberring.register.events import Learned
-from emberring.register.messages import Fetch, Fetched
+from emberring.register.messages import CommittedProposal, FetchCommitted
 from emberring.register.model import Proposal, ProposalNumber
 from emberring.register.outgoing_calls import OutgoingCalls
 from emberring.register.persistence import Persistence
@@ -48,21 +48,21 @@
         self._fetching = False
         self._notified_payload: bytes | None = None
         self._scrub_at_s: float | None = float("-inf")  # due at the first event
-        if acceptor.accepted is not None and acceptor.accepted.ballot.counter == 0:
+        if acceptor.accepted is not None and acceptor.accepted.number.counter == 0:
             self.learned = acceptor.accepted
 
     @property
     def known(self) -> Proposal | None:
         """The newest proposal that this node has, committed or not."""
         accepted = self._acceptor.accepted
-        if accepted is None or (self.learned is not None and self.learned.ballot > accepted.ballot):
+        if accepted is None or (self.learned is not None and self.learned.number > accepted.number):
             return self.learned
         return accepted
 
     @property
     def learned_number(self) -> ProposalNumber | None:
         """The number of the newest proposal known to be committed."""
-        return None if self.learned is None else self.learned.ballot
+        return None if self.learned is None else self.learned.number
 
     @property
     def promised(self) -> ProposalNumber | None:
@@ -75,7 +75,7 @@
         accepted = self._acceptor.accepted
         if accepted is None:
             return False
-        return self.learned is None or accepted.ballot > self.learned.ballot
+        return self.learned is None or accepted.number > self.learned.number
 
     @property
     def next_wake_s(self) -> float:
@@ -84,23 +84,23 @@
 
     def on_announced(self, now_s: float, number: ProposalNumber | None, address: str) -> None:
         """The node at this address knows the proposal of this number to be committed: learn or fetch it."""
-        if number is None or (self.learned is not None and number <= self.learned.ballot):
+        if number is None or (self.learned is not None and number <= self.learned.number):
             return
         accepted = self._acceptor.accepted
-        if accepted is not None and accepted.ballot == number:
+        if accepted is not None and accepted.number == number:
             self.learn(now_s, accepted)
         elif not self._fetching:
             self._fetching = True
-            self._calls.send(address, Fetch(), FETCH_TIMEOUT_S, self._on_fetched)
+            self._calls.send(address, FetchCommitted(), FETCH_TIMEOUT_S, self._on_fetched)
 
     def _on_fetched(self, now_s: float, reply: object | None) -> None:
         self._fetching = False
-        if isinstance(reply, Fetched) and reply.proposal is not None:
+        if isinstance(reply, CommittedProposal) and reply.proposal is not None:
             self.learn(now_s, reply.proposal)
 
     def learn(self, now_s: float, committed: Proposal) -> None:
         """Take over a committed proposal, write it down, and notify of its value where that is new."""
-        if self.learned is not None and committed.ballot <= self.learned.ballot:
+        if self.learned is not None and committed.number <= self.learned.number:
             return
         self.learned = committed
         record = self._acceptor.install(committed)
--- a/emberring/register/events.py
+++ b/emberring/register/events.py
@@ -7,7 +7,7 @@
 import attrs
 
 from emberring.errors import EmberringError
-from emberring.register.messages import Answer, Chosen, Request
+from emberring.register.messages import Answer, CommittedNotice, Request
 from emberring.register.model import Member
 
 Change = Callable[[bytes | None], bytes | None]
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class Received:
-    """A message from another node (or this one). A `Reply` with this number is wanted, except to `Chosen`."""
+    """A message from another node (or this one). A `Reply` with this number is wanted, except to `CommittedNotice`."""
 
     request: int
     message: Request
@@ -44,14 +44,14 @@
 
 
 @attrs.frozen
-class Synced:
+class AppendSynced:
     """A record is on the disk, and all before it."""
 
     append: int
 
 
 @attrs.frozen
-class DiskRefused:
+class AppendFailed:
     """A record is not, or perhaps not, on the disk."""
 
     append: int
@@ -61,7 +61,7 @@
 class ChangeRequested:
     """A change of the value is wanted."""
 
-    job: int
+    operation: int
     change: Change
     deadline_s: float
 
@@ -70,7 +70,7 @@
 class ReadRequested:
     """The value is wanted, as a quorum has it from now on."""
 
-    job: int
+    operation: int
     deadline_s: float
 
 
@@ -86,7 +86,9 @@
     """Time has passed."""
 
 
-Event = Received | Replied | Synced | DiskRefused | ChangeRequested | ReadRequested | PeersChanged | Tick
+Event = (
+    Received | Replied | AppendSynced | AppendFailed | ChangeRequested | ReadRequested | PeersChanged | Tick
+)
 
 
 @attrs.frozen
@@ -104,12 +106,12 @@
     """Send a hint."""
 
     address: str
-    message: Chosen
+    message: CommittedNotice
 
 
 @attrs.frozen
 class Append:
-    """Write a record, in order; report `Synced` or `DiskRefused`."""
+    """Write a record, in order; report `AppendSynced` or `AppendFailed`."""
 
     append: int
     record: bytes
@@ -128,7 +130,7 @@
 class Resolve:
     """A job is done: with the value, or with an error."""
 
-    job: int
+    operation: int
     payload: bytes | None = None
     error: EmberringError | None = None
 
--- a/emberring/register/messages.py
+++ b/emberring/register/messages.py
@@ -1,6 +1,7 @@
-"""What replicas and proposers of the register say to one another.
+"""Messages between replicas and proposers of the register.
 
-Calls to a replica name the identity that they mean; a replica with another identity answers `Stranger`.
+A message to a replica names the identity that it is meant for; a replica with another identity answers
+`UnknownReplica`. A reply that would carry a state leaves it out where the caller named its number in `known`.
 """
 
 from __future__ import annotations
@@ -10,51 +11,54 @@
 from emberring.register.model import Proposal, ProposalNumber, State
 from emberring.transport.messages import message
 
+_NUMBER_KEY = {"number": "ballot"}
+"""The JSON key under which nodes of every version read and write the proposal number of a message."""
 
-@message("register.prepare")
+
+@message("register.prepare", wire_keys=_NUMBER_KEY)
 @attrs.frozen
 class Prepare:
-    """Promise to take no older ballot, and say what was accepted. `known` is a ballot whose state the caller has."""
+    """Ask for a promise to accept no lower proposal number, and for the proposal accepted last."""
 
     target: str
-    ballot: ProposalNumber
+    number: ProposalNumber
     known: ProposalNumber | None = None
 
 
-@message("register.promise")
+@message("register.promise", wire_keys=_NUMBER_KEY)
 @attrs.frozen
 class Promise:
-    """The promise, with the newest ballot accepted; its state is left out where the caller has it."""
+    """Promise, with the number and the state of the proposal accepted last."""
 
     identity: str
-    ballot: ProposalNumber
+    number: ProposalNumber
     accepted: ProposalNumber | None = None
     state: State | None = None
 
 
-@message("register.accept")
+@message("register.accept", wire_keys=_NUMBER_KEY)
 @attrs.frozen
 class Accept:
-    """Accept this state under this ballot."""
+    """Ask to accept this state under this proposal number."""
 
     target: str
-    ballot: ProposalNumber
+    number: ProposalNumber
     state: State
 
 
-@message("register.accepted")
+@message("register.accepted", wire_keys=_NUMBER_KEY)
 @attrs.frozen
 class Accepted:
-    """It lies on this replica's disk."""
+    """Confirm that the proposal is accepted and on this replica's disk."""
 
     identity: str
-    ballot: ProposalNumber
+    number: ProposalNumber
 
 
 @message("register.refuse")
 @attrs.frozen
-class Refuse:
-    """A newer ballot has been promised here."""
+class Rejected:
+    """Reject a prepare or an accept: this replica has promised a higher proposal number."""
 
     identity: str
     promised: ProposalNumber
@@ -62,8 +66,8 @@
 
 @message("register.stranger")
 @attrs.frozen
-class Stranger:
-    """The replica that was meant is not the one at this address."""
+class UnknownReplica:
+    """Answer that the replica at this address has another identity than the one that was meant."""
 
     identity: str
 
@@ -71,7 +75,7 @@
 @message("register.query")
 @attrs.frozen
 class Query:
-    """Say what was accepted, without a promise."""
+    """Ask for the proposal accepted last, without a promise."""
 
     target: str
     known: ProposalNumber | None = None
@@ -79,8 +83,8 @@
 
 @message("register.held")
 @attrs.frozen
-class Held:
-    """What a replica's disk holds; its state is left out where the caller has it."""
+class StateReport:
+    """Answer a query: the number and the state of the proposal that the replica's disk holds."""
 
     identity: str
     accepted: ProposalNumber | None = None
@@ -90,7 +94,7 @@
 @message("register.ping")
 @attrs.frozen
 class Ping:
-    """Are you there? `learned` is the newest ballot that the caller knows to be chosen."""
+    """Ask whether a node is alive. `learned` is the newest proposal number that the caller knows to be committed."""
 
     identity: str
     address: str
@@ -100,7 +104,7 @@
 @message("register.pong")
 @attrs.frozen
 class Pong:
-    """Yes. `voting` is false while the disk refuses or stalls."""
+    """Answer a ping. `voting` is false while the disk fails or stalls."""
 
     identity: str
     learned: ProposalNumber | None = None
@@ -109,26 +113,29 @@
 
 @message("register.fetch")
 @attrs.frozen
-class Fetch:
-    """Send the newest proposal that you know to be chosen."""
+class FetchCommitted:
+    """Ask for the newest proposal that the other node knows to be committed."""
 
 
 @message("register.fetched")
 @attrs.frozen
-class Fetched:
-    """That proposal, or None."""
+class CommittedProposal:
+    """Answer `FetchCommitted`; None where the node knows of no committed proposal."""
 
     proposal: Proposal | None = None
 
 
-@message("register.chosen")
+@message("register.chosen", wire_keys=_NUMBER_KEY)
 @attrs.frozen
-class Chosen:
-    """A hint that the proposal of this ballot is chosen; the sender's internal address has it."""
+class CommittedNotice:
+    """Announce that the proposal of this number is committed; the node at `address` can send it."""
 
-    ballot: ProposalNumber
+    number: ProposalNumber
     address: str
 
 
-Request = Prepare | Accept | Query | Ping | Fetch | Chosen
-Answer = Promise | Accepted | Refuse | Stranger | Held | Pong | Fetched
+Request = Prepare | Accept | Query | Ping | FetchCommitted | CommittedNotice
+"""What a node of the register may be sent."""
+
+Answer = Promise | Accepted | Rejected | UnknownReplica | StateReport | Pong | CommittedProposal
+"""What it may answer; a `CommittedNotice` has no answer."""
--- a/emberring/register/model.py
+++ b/emberring/register/model.py
@@ -1,13 +1,18 @@
-"""What the register is made of: ballots, replicas by identity, sets of replicas, the state that they keep."""
+"""The register's data: proposal numbers, replicas by identity, replica sets, and the replicated state."""
 
 from __future__ import annotations
 
 import attrs
 
+from emberring.transport.messages import wire_record
+
 
 @attrs.frozen(order=False)
 class ProposalNumber:
-    """A proposer's attempt. Counters order them; a proposer's name, new at each start, makes each one unique."""
+    """The number of one attempt of a proposer.
+
+    Counters order the numbers; the proposer's name, which is new at each start, makes each one unique.
+    """
 
     counter: int
     proposer: str
@@ -27,12 +32,13 @@
         return not self < other
 
 
-GENESIS = ProposalNumber(0, "")
+INITIAL_NUMBER = ProposalNumber(0, "")
+"""The number of the initial proposal, lower than that of any attempt."""
 
 
 @attrs.frozen
 class Member:
-    """A replica by the identity that was born with its disk, and the internal address where it was last known."""
+    """A replica: the identity created with its disk, and the internal address at which it was last known."""
 
     identity: str
     address: str
@@ -40,8 +46,11 @@
 
 @attrs.frozen
 class ReplicaSet:
-    """Who keeps the register. While `joining` is not empty, a change to that set is under way, and every quorum is
-    a majority of `members` and one of `joining` too. The epoch rises with each step of a change."""
+    """The replicas of the register.
+
+    While `joining` is not empty, a reconfiguration to that set is in progress, and every quorum is a majority of
+    `members` and a majority of `joining`. The epoch rises with each step of a reconfiguration.
+    """
 
     epoch: int
     members: tuple[Member, ...]
@@ -56,14 +65,14 @@
         return tuple(sets)
 
     @property
-    def everyone(self) -> tuple[Member, ...]:
-        """All replicas, those joining too, each once."""
+    def all_members(self) -> tuple[Member, ...]:
+        """All replicas, the joining ones included, each once."""
         found = {member.identity: member for member in (*self.members, *self.joining)}
         return tuple(found.values())
 
-    def names(self, identity: str) -> bool:
-        """Whether this replica is one of them."""
-        return any(member.identity == identity for member in self.everyone)
+    def includes(self, identity: str) -> bool:
+        """Whether a replica with this identity is a member or joining."""
+        return any(member.identity == identity for member in self.all_members)
 
     def has_quorum(self, identities: frozenset[str]) -> bool:
         """Whether these replicas are a quorum."""
@@ -72,26 +81,27 @@
 
 @attrs.frozen
 class State:
-    """What a replica accepts as a whole: who keeps the register, and its value (None before the first change)."""
+    """What a replica accepts as one unit: the replica set and the value (None before the first change)."""
 
     replicas: ReplicaSet
     payload: bytes | None = None
 
 
+@wire_record({"number": "ballot"})
 @attrs.frozen
 class Proposal:
-    """A state under the ballot of its proposer. No two proposals share a ballot."""
+    """A state under the number of the attempt that proposed it. No two proposals share a number."""
 
-    ballot: ProposalNumber
+    number: ProposalNumber
     state: State
 
 
-def founding_identity(address: str) -> str:
-    """The identity of the founder at an internal address."""
+def initial_identity(address: str) -> str:
+    """Return the identity of the initial replica at an internal address. Its text is part of records on disk."""
     return f"founder:{address}"
 
 
-def founding_proposal(addresses: tuple[str, ...]) -> Proposal:
-    """The first proposal, which every founder holds from the start and which therefore counts as chosen."""
-    members = tuple(Member(founding_identity(address), address) for address in dict.fromkeys(addresses))
-    return Proposal(GENESIS, State(ReplicaSet(0, members)))
+def initial_proposal(addresses: tuple[str, ...]) -> Proposal:
+    """Return the first proposal: all initial replicas have it from the start, so it is committed."""
+    members = tuple(Member(initial_identity(address), address) for address in dict.fromkeys(addresses))
+    return Proposal(INITIAL_NUMBER, State(ReplicaSet(0, members)))
--- a/emberring/register/node.py
+++ b/emberring/register/node.py
@@ -8,24 +8,34 @@
 import random
 from functools import partial
 
-from emberring.register.acceptor import Acceptor, Verdict
+from emberring.register.acceptor import Acceptor, AcceptorResponse
 from emberring.register.action_queue import ActionQueue
 from emberring.register.catch_up import CatchUp
 from emberring.register.contacts import PING_TIMEOUT_S, Contacts
 from emberring.register.events import (
     Action,
+    AppendFailed,
+    AppendSynced,
     ChangeRequested,
-    DiskRefused,
     Event,
     PeersChanged,
     ReadRequested,
     Received,
     Replied,
     Reply,
-    Synced,
     Tick,
 )
-from emberring.register.messages import Accept, Chosen, Fetch, Fetched, Ping, Pong, Prepare, Query, Request
+from emberring.register.messages import (
+    Accept,
+    CommittedNotice,
+    CommittedProposal,
+    FetchCommitted,
+    Ping,
+    Pong,
+    Prepare,
+    Query,
+    Request,
+)
 from emberring.register.model import Member, Proposal
 from emberring.register.outgoing_calls import OutgoingCalls
 from emberring.register.pending_operations import PendingOperation
@@ -129,7 +139,7 @@
     def handle(self, now_s: float, event: Event) -> list[Action]:
         """Take in an event; the actions to execute now, in order."""
         self._actions.clear()
-        self.contacts.look(now_s)
+        self.contacts.note_time(now_s)
         self._dispatch(now_s, event)
         self._advance(now_s)
         return self._actions.collected()
@@ -140,16 +150,16 @@
                 self._on_message(now_s, event.request, event.message)
             case Replied():
                 self._calls.on_replied(now_s, event.call, event.reply)
-            case Synced():
-                self._disk.synced(event.append)
-            case DiskRefused():
-                self._disk.refused(event.append)
+            case AppendSynced():
+                self._disk.on_synced(event.append)
+            case AppendFailed():
+                self._disk.on_failed(event.append)
             case ChangeRequested():
-                self._proposals.enqueue(PendingOperation(event.job, event.deadline_s, event.change))
+                self._proposals.enqueue(PendingOperation(event.operation, event.deadline_s, event.change))
             case ReadRequested():
-                self._reads.enqueue(PendingOperation(event.job, event.deadline_s))
+                self._reads.enqueue(PendingOperation(event.operation, event.deadline_s))
             case PeersChanged():
-                self.contacts.note(event.peers)
+                self.contacts.set_peers(event.peers)
             case Tick():
                 pass
 
@@ -166,19 +176,19 @@
                 pong = Pong(self.me.identity, self._catch_up.learned_number, self.contacts.voting)
                 self._actions.add(Reply(request, pong))
                 self._catch_up.on_announced(now_s, message.learned, message.address)
-            case Fetch():
-                self._actions.add(Reply(request, Fetched(self.learned)))
-            case Chosen():
-                self._catch_up.on_announced(now_s, message.ballot, message.address)
+            case FetchCommitted():
+                self._actions.add(Reply(request, CommittedProposal(self.learned)))
+            case CommittedNotice():
+                self._catch_up.on_announced(now_s, message.number, message.address)
 
-    def _respond(self, now_s: float, request: int, verdict: Verdict) -> None:
-        if verdict.durable:
-            self._actions.extend(self._disk.append(now_s, verdict.record))
-        self._actions.add(Reply(request, verdict.reply, verdict.durable))
+    def _respond(self, now_s: float, request: int, response: AcceptorResponse) -> None:
+        if response.durable:
+            self._actions.extend(self._disk.append(now_s, response.record))
+        self._actions.add(Reply(request, response.reply, response.durable))
 
     def _advance(self, now_s: float) -> None:
         """Do what is due, after every event."""
-        self.contacts.voting = self._disk.voting(now_s)
+        self.contacts.voting = self._disk.takes_records(now_s)
         self._proposals.expire_waiting(now_s)
         self._reads.expire(now_s)
         self._proposals.expire_proposed(now_s)
@@ -198,12 +208,12 @@
 
     def _send_pings(self, now_s: float) -> None:
         replicas = None if self.known is None else self.known.state.replicas
-        for address in self.contacts.due(now_s, replicas):
+        for address in self.contacts.take_due_pings(now_s, replicas):
             message = Ping(self.me.identity, self.me.address, self._catch_up.learned_number)
             self._calls.send(address, message, PING_TIMEOUT_S, partial(self._on_pong, address))
 
     def _on_pong(self, address: str, now_s: float, reply: object | None) -> None:
         pong = reply if isinstance(reply, Pong) else None
-        self.contacts.answered(address, pong)
+        self.contacts.on_pong(address, pong)
         if pong is not None:
             self._catch_up.on_announced(now_s, pong.learned, address)
--- a/emberring/register/pending_operations.py
+++ b/emberring/register/pending_operations.py
@@ -9,7 +9,7 @@
 from emberring.errors import EmberringError, InternalError, NoQuorumError, UnknownOutcomeError
 from emberring.register.events import Change, Resolve
 
-IN_DOUBT = "the change may or may not have been taken"
+OUTCOME_UNKNOWN = "the change may or may not have been taken"
 
 
 @attrs.define(eq=False)
@@ -19,14 +19,14 @@
     number: int
     deadline_s: float
     change: Change | None = None
-    in_doubt: bool = False
+    outcome_unknown: bool = False
 
 
 @attrs.frozen
-class _Judgement:
+class _Outcome:
     """What comes of a job if the ballot is chosen."""
 
-    job: PendingOperation
+    operation: PendingOperation
     payload: bytes | None = None
     error: EmberringError | None = None
     changed: bool = False
@@ -35,53 +35,57 @@
 class Batch:
     """Jobs applied one after another to the value that a ballot found."""
 
-    def __init__(self, jobs: tuple[PendingOperation, ...], payload: bytes | None) -> None:
+    def __init__(self, operations: tuple[PendingOperation, ...], payload: bytes | None) -> None:
         self.payload = payload
-        self._judgements = [self._apply(job) for job in jobs]
+        self._outcomes = [self._apply(operation) for operation in operations]
 
-    def _apply(self, job: PendingOperation) -> _Judgement:
+    def _apply(self, operation: PendingOperation) -> _Outcome:
         try:
-            changed = None if job.change is None else job.change(self.payload)
+            changed = None if operation.change is None else operation.change(self.payload)
         except EmberringError as error:
-            return _Judgement(job, error=_certain(job, error))
+            return _Outcome(operation, error=_rejection(operation, error))
         except Exception as error:  # a fault in the caller's function must not stop the register
-            return _Judgement(job, error=InternalError(f"{type(error).__name__}: {error}"))
+            return _Outcome(operation, error=InternalError(f"{type(error).__name__}: {error}"))
         if changed is not None:
             self.payload = changed
-        return _Judgement(job, self.payload, changed=changed is not None)
+        return _Outcome(operation, self.payload, changed=changed is not None)
 
-    def doubt(self) -> None:
+    def mark_outcome_unknown(self) -> None:
         """The value made may be accepted somewhere from here on."""
-        for judgement in self._judgements:
-            judgement.job.in_doubt = judgement.job.in_doubt or judgement.changed
+        for outcome in self._outcomes:
+            outcome.operation.outcome_unknown = outcome.operation.outcome_unknown or outcome.changed
 
     def expire(self, now_s: float) -> list[Resolve]:
         """Take out the jobs whose time has run out; what to tell their callers."""
-        late = [found for found in self._judgements if found.job.deadline_s <= now_s]
-        self._judgements = [found for found in self._judgements if found.job.deadline_s > now_s]
-        return [give_up(found.job) for found in late]
+        late = [found for found in self._outcomes if found.operation.deadline_s <= now_s]
+        self._outcomes = [found for found in self._outcomes if found.operation.deadline_s > now_s]
+        return [timed_out(found.operation) for found in late]
 
     @property
-    def jobs(self) -> tuple[PendingOperation, ...]:
+    def operations(self) -> tuple[PendingOperation, ...]:
         """The jobs in it."""
-        return tuple(judgement.job for judgement in self._judgements)
+        return tuple(outcome.operation for outcome in self._outcomes)
 
     def resolve(self) -> list[Resolve]:
         """It is chosen: what to tell the callers."""
-        return [Resolve(found.job.number, found.payload, found.error) for found in self._judgements]
+        return [Resolve(found.operation.number, found.payload, found.error) for found in self._outcomes]
 
 
-def _certain(job: PendingOperation, refusal: EmberringError) -> EmberringError:
+def _rejection(operation: PendingOperation, refusal: EmberringError) -> EmberringError:
     """A refusal says that nothing was changed. A job in doubt may have refused its own effect, which another
     proposer finished."""
-    return UnknownOutcomeError(f"{IN_DOUBT}; now: {refusal.detail}") if job.in_doubt else refusal
+    return (
+        UnknownOutcomeError(f"{OUTCOME_UNKNOWN}; now: {refusal.detail}")
+        if operation.outcome_unknown
+        else refusal
+    )
 
 
-def give_up(job: PendingOperation) -> Resolve:
+def timed_out(operation: PendingOperation) -> Resolve:
     """Its time has run out."""
-    if job.in_doubt:
-        return Resolve(job.number, error=UnknownOutcomeError(IN_DOUBT))
-    return Resolve(job.number, error=NoQuorumError("too few replicas answered in time"))
+    if operation.outcome_unknown:
+        return Resolve(operation.number, error=UnknownOutcomeError(OUTCOME_UNKNOWN))
+    return Resolve(operation.number, error=NoQuorumError("too few replicas answered in time"))
 
 
 def expire_queue(queue: deque[PendingOperation], now_s: float) -> list[Resolve]:
@@ -89,4 +93,4 @@
     late = [operation for operation in queue if operation.deadline_s <= now_s]
     for operation in late:
         queue.remove(operation)
-    return [give_up(operation) for operation in late]
+    return [timed_out(operation) for operation in late]
--- a/emberring/register/persistence.py
+++ b/emberring/register/persistence.py
@@ -1,4 +1,4 @@
-"""The disk as a replica sees it: records under way, a disk that refuses or stalls, the snapshot after a refusal."""
+"""The replica's view of its disk: records in flight, a disk that fails or stalls, the snapshot after a failure."""
 
 from __future__ import annotations
 
@@ -6,50 +6,53 @@
 from emberring.register.events import Append
 
 STALLED_AFTER_S = 1.0
-PROBE_EVERY_S = 0.5
+"""How long a record may be in flight before the disk counts as stalled and this replica as not voting, in seconds."""
+
+PROBE_INTERVAL_S = 0.5
+"""How often a failed disk is tried again, in seconds."""
 
 
 class Persistence:
-    """Numbers the records. After a refusal the next record is a snapshot, since what failed may be missing."""
+    """Numbers the records. After a failure the next record is a snapshot, as the failed one may be missing."""
 
     def __init__(self, acceptor: Acceptor) -> None:
         self._acceptor = acceptor
-        self._waiting: dict[int, float] = {}
-        self._next = 0
-        self._refusing = False
-        self._dirty = False
-        self._probed_at = float("-inf")
+        self._in_flight_since_s: dict[int, float] = {}
+        self._last_number = 0
+        self._failing = False
+        self._snapshot_needed = False
+        self._probed_at_s = float("-inf")
 
     def append(self, now_s: float, record: bytes | None) -> list[Append]:
-        """Write a record, or only make sure that what is held is on the disk (None)."""
-        records = [self._acceptor.snapshot()] if self._dirty else [] if record is None else [record]
-        self._dirty = False
+        """Write a record; None: nothing new, but after a failure the snapshot is written all the same."""
+        records = [self._acceptor.snapshot()] if self._snapshot_needed else [] if record is None else [record]
+        self._snapshot_needed = False
         return [self._number(now_s, found) for found in records]
 
     def _number(self, now_s: float, record: bytes) -> Append:
-        self._next += 1
-        self._waiting[self._next] = now_s
-        return Append(self._next, record)
+        self._last_number += 1
+        self._in_flight_since_s[self._last_number] = now_s
+        return Append(self._last_number, record)
 
-    def synced(self, append: int) -> None:
-        """A record is on the disk."""
-        self._waiting.pop(append, None)
-        self._refusing = False
+    def on_synced(self, append: int) -> None:
+        """Take note that a record is on the disk."""
+        self._in_flight_since_s.pop(append, None)
+        self._failing = False
 
-    def refused(self, append: int) -> None:
-        """A record is not, or perhaps not, on the disk."""
-        self._waiting.pop(append, None)
-        self._refusing = True
-        self._dirty = True
+    def on_failed(self, append: int) -> None:
+        """Take note that a record is not, or perhaps not, on the disk."""
+        self._in_flight_since_s.pop(append, None)
+        self._failing = True
+        self._snapshot_needed = True
 
     def probe(self, now_s: float) -> list[Append]:
-        """While the disk refuses, try it now and then."""
-        if not self._dirty or now_s - self._probed_at < PROBE_EVERY_S:
+        """After a failure, write a snapshot every `PROBE_INTERVAL_S` until the disk takes it."""
+        if not self._snapshot_needed or now_s - self._probed_at_s < PROBE_INTERVAL_S:
             return []
-        self._probed_at = now_s
+        self._probed_at_s = now_s
         return self.append(now_s, None)
 
-    def voting(self, now_s: float) -> bool:
-        """Whether the disk takes records in time."""
-        oldest = min(self._waiting.values(), default=now_s)
-        return not self._refusing and now_s - oldest < STALLED_AFTER_S
+    def takes_records(self, now_s: float) -> bool:
+        """Return whether the disk takes records in time, so that this replica can vote."""
+        oldest = min(self._in_flight_since_s.values(), default=now_s)
+        return not self._failing and now_s - oldest < STALLED_AFTER_S
--- a/emberring/register/proposal_loop.py
+++ b/emberring/register/proposal_loop.py
@@ -11,7 +11,7 @@
 from emberring.register.catch_up import CatchUp
 from emberring.register.contacts import Contacts
 from emberring.register.events import NotifyLearned
-from emberring.register.messages import Chosen
+from emberring.register.messages import CommittedNotice
 from emberring.register.model import Member, Proposal, ProposalNumber, State
 from emberring.register.outgoing_calls import OutgoingCalls
 from emberring.register.pending_operations import Batch, PendingOperation, expire_queue
@@ -126,7 +126,7 @@
 
     def _begin(self, now_s: float, known: Proposal) -> None:
         self.observe(self._catch_up.promised)
-        self.observe(known.ballot)
+        self.observe(known.number)
         self._counter += 1
         number = ProposalNumber(self._counter, self._proposer)
         attempt = ProposalAttempt(number, known, self._decide)
@@ -134,7 +134,7 @@
         # An operation that comes while promises are on their way waits for the next attempt. What those promises show
         # may be older than a change that was acknowledged elsewhere before the operation was requested.
         self._in_attempt, self._queued = self._queued, deque()
-        self._send(attempt, attempt.start(known.state.replicas.everyone))
+        self._send(attempt, attempt.start(known.state.replicas.all_members))
 
     def _decide(self, found: Proposal, committed: bool) -> State:
         """What this attempt proposes on top of the proposal that it found."""
@@ -146,7 +146,7 @@
             replicas = step.following
         state = State(replicas, self._batch.payload)
         if not (committed and state == found.state):
-            self._batch.doubt()
+            self._batch.mark_outcome_unknown()
         return state
 
     def _send(self, attempt: ProposalAttempt, sends: list[Send]) -> None:
@@ -166,9 +166,9 @@
 
     def _fail(self, now_s: float, attempt: ProposalAttempt) -> None:
         """Put the operations back in front of the queue, and wait before the next attempt."""
-        self.observe(attempt.refused_by)
+        self.observe(attempt.rejected_by)
         self._attempt = None
-        operations = self._batch.jobs if self._batch is not None else tuple(self._in_attempt)
+        operations = self._batch.operations if self._batch is not None else tuple(self._in_attempt)
         self._batch = None
         self._in_attempt.clear()
         self._queued.extendleft(reversed(operations))
@@ -183,12 +183,12 @@
         if self._batch is not None:
             self._actions.extend(self._batch.resolve())
             self._batch = None
-        if attempt.sent_accept:
+        if attempt.accept_sent:
             self._announce(committed)
 
     def _announce(self, committed: Proposal) -> None:
         """Notify all replicas and all other control nodes that this proposal is committed."""
-        addresses = {self._contacts.address(member) for member in committed.state.replicas.everyone}
+        addresses = {self._contacts.address(member) for member in committed.state.replicas.all_members}
         addresses |= {peer.member.address for peer in self._contacts.peers}
         for address in sorted(addresses - {self._me.address}):
-            self._actions.add(NotifyLearned(address, Chosen(committed.ballot, self._me.address)))
+            self._actions.add(NotifyLearned(address, CommittedNotice(committed.number, self._me.address)))
--- a/emberring/register/quorum_reads.py
+++ b/emberring/register/quorum_reads.py
@@ -72,7 +72,7 @@
             return
         self._read, self._began_s = QuorumRead(known), now_s
         self._in_read, self._queued = self._queued, deque()
-        self._send(self._read, self._read.start(known.state.replicas.everyone))
+        self._send(self._read, self._read.start(known.state.replicas.all_members))
 
     def _send(self, read: QuorumRead, sends: list[Send]) -> None:
         for send in sends:
@@ -87,12 +87,12 @@
         self._send(read, read.on_reply(member, reply))
         if not read.finished:
             return
-        if read.chosen is None:
+        if read.committed is None:
             self._fail(read)
             return
         self._read = None
-        self._catch_up.learn(now_s, read.chosen)
-        self._actions.extend(Batch(tuple(self._in_read), read.chosen.state.payload).resolve())
+        self._catch_up.learn(now_s, read.committed)
+        self._actions.extend(Batch(tuple(self._in_read), read.committed.state.payload).resolve())
         self._in_read = deque()
 
     def _fail(self, read: QuorumRead) -> None:
--- a/emberring/register/replica_set_manager.py
+++ b/emberring/register/replica_set_manager.py
@@ -4,11 +4,11 @@
 
 import attrs
 
-from emberring.register.changes import Candidate, View, next_set
+from emberring.register.changes import Candidate, ReplicaSetView, next_replica_set
 from emberring.register.contacts import Contacts
 from emberring.register.model import Member, Proposal, ReplicaSet
 
-IN_TOUCH_S = 1.0
+RECENT_CONTACT_S = 1.0
 
 
 @attrs.frozen
@@ -66,15 +66,15 @@
 
     def _following(self, now_s: float, learned: Proposal) -> ReplicaSet | None:
         current = learned.state.replicas
-        if not self._contacts.voting or not current.names(self._me.identity):
+        if not self._contacts.voting or not current.includes(self._me.identity):
             return None
-        if self._contacts.quorum_age_s(now_s, current) > IN_TOUCH_S:
+        if self._contacts.quorum_age_s(now_s, current) > RECENT_CONTACT_S:
             return None
-        if current.joining and not self._joiners_hold(now_s, learned):
+        if current.joining and not self._joiners_caught_up(now_s, learned):
             return None
-        return next_set(current, self._view(now_s, current), self._wanted)
+        return next_replica_set(current, self._view(now_s, current), self._wanted)
 
-    def _joiners_hold(self, now_s: float, learned: Proposal) -> bool:
+    def _joiners_caught_up(self, now_s: float, learned: Proposal) -> bool:
         """Whether the new replicas have the value, or have had their time."""
         current = learned.state.replicas
         if self._joint_epoch != current.epoch:
@@ -85,45 +85,45 @@
             if member in current.members or member.identity == self._me.identity:
                 continue
             held = self._contacts.learned(member)
-            if held is None or held < learned.ballot:
+            if held is None or held < learned.number:
                 return False
         return True
 
     def _rank(self, now_s: float, current: ReplicaSet) -> int:
         """How many replicas that are in touch come before this one."""
         rank = 0
-        for member in current.everyone:
+        for member in current.all_members:
             if member.identity == self._me.identity:
                 break
-            if self._contacts.silent_s(now_s, member) < IN_TOUCH_S:
+            if self._contacts.silent_s(now_s, member) < RECENT_CONTACT_S:
                 rank += 1
         return rank
 
-    def _view(self, now_s: float, current: ReplicaSet) -> View:
+    def _view(self, now_s: float, current: ReplicaSet) -> ReplicaSetView:
         contacts = self._contacts
         silent = {member.identity: contacts.silent_s(now_s, member) for member in current.members}
-        displaced: dict[str, str] = {}
-        replaced: dict[str, str] = {}
+        address_taken_by: dict[str, str] = {}
+        name_taken_by: dict[str, str] = {}
         candidates = {
             peer.member.identity: Candidate(peer.member, peer.zone)
             for peer in contacts.peers
-            if not peer.leaving and contacts.heard_s(now_s, peer.member) < IN_TOUCH_S
+            if not peer.leaving and contacts.last_heard_age_s(now_s, peer.member) < RECENT_CONTACT_S
         }
         for member in current.members:
-            other = contacts.displaced_by(member)
+            other = contacts.address_taken_by(member)
             if other is not None:
-                displaced[member.identity] = other.identity
-                if contacts.heard_s(now_s, other) < IN_TOUCH_S:
+                address_taken_by[member.identity] = other.identity
+                if contacts.last_heard_age_s(now_s, other) < RECENT_CONTACT_S:
                     candidates.setdefault(other.identity, Candidate(other))
-            namesake = contacts.namesake(member)
-            if namesake in candidates and silent[member.identity] > self.timeouts.name_silent_s:
-                replaced[member.identity] = namesake
-        return View(
+            successor = contacts.name_taken_by(member)
+            if successor in candidates and silent[member.identity] > self.timeouts.name_silent_s:
+                name_taken_by[member.identity] = successor
+        return ReplicaSetView(
             silent_s=silent,
             dead=frozenset(name for name, age_s in silent.items() if age_s > self.timeouts.dead_after_s),
-            displaced=displaced,
+            address_taken_by=address_taken_by,
             leaving=frozenset(peer.member.identity for peer in contacts.peers if peer.leaving),
-            replaced=replaced,
+            name_taken_by=name_taken_by,
             zones={peer.member.identity: peer.zone for peer in contacts.peers},
             candidates=tuple(candidates[name] for name in sorted(candidates)),
         )
--- a/emberring/register/service.py
+++ b/emberring/register/service.py
@@ -23,10 +23,11 @@
 from emberring.register.events import (
     Action,
     Append,
+    AppendFailed,
+    AppendSynced,
     Call,
     Change,
     ChangeRequested,
-    DiskRefused,
     Event,
     Learned,
     NotifyLearned,
@@ -37,11 +38,19 @@
     Replied,
     Reply,
     Resolve,
-    Synced,
     Tick,
 )
-from emberring.register.messages import Accept, Answer, Chosen, Fetch, Ping, Prepare, Query, Request
-from emberring.register.model import Member, founding_identity, founding_proposal
+from emberring.register.messages import (
+    Accept,
+    Answer,
+    CommittedNotice,
+    FetchCommitted,
+    Ping,
+    Prepare,
+    Query,
+    Request,
+)
+from emberring.register.model import Member, initial_identity, initial_proposal
 from emberring.register.node import RegisterNode
 from emberring.settings import CONTROL_PORT_OFFSET, Settings
 from emberring.transport.messages import Ok
@@ -50,12 +59,12 @@
 SEGMENT_BYTES = 1024 * 1024
 MAX_BYTES = 64 * 1024 * 1024
 RECLAIM_ABOVE_BYTES = 12 * 1024 * 1024
-OPEN_AGAIN_S = 0.3
+REOPEN_AFTER_S = 0.3
 
 logger = get_logger("register")
 
 
-def settle(future: asyncio.Future[bytes | None] | None, outcome: Resolve) -> None:
+def resolve_future(future: asyncio.Future[bytes | None] | None, outcome: Resolve) -> None:
     """Tell the caller of a job, if it still waits, what came of it."""
     if future is None or future.done():
         return
@@ -87,21 +96,21 @@
         self._settings = settings
         self._network = network
         self._directory = journal_dir
-        self._may_found = settings.bootstrap
+        self._may_create_initial = settings.bootstrap
         self._address = settings.internal_address(CONTROL_PORT_OFFSET)
         self._node: RegisterNode | None = None
         self._journal: Journal | None = None
         self._snapshot_segment = -1
         self._numbers = itertools.count(1)
         self._replies: dict[int, asyncio.Future[Answer]] = {}
-        self._jobs: dict[int, asyncio.Future[bytes | None]] = {}
+        self._operations: dict[int, asyncio.Future[bytes | None]] = {}
         self._appends: dict[int, asyncio.Future[Position]] = {}
         self._subscribers: list[Callable[[bytes], None]] = []
         self._last_learned: bytes | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
         self._peers: tuple[Peer, ...] = ()
-        for kind in (Prepare, Accept, Query, Ping, Fetch, Chosen):
+        for kind in (Prepare, Accept, Query, Ping, FetchCommitted, CommittedNotice):
             network.handle(kind, self._on_message)
 
     @property
@@ -113,7 +122,7 @@
         """Open the journal, be born where it is empty, and take part. Waits for a disk that refuses."""
         journal, acceptor = await self._open()
         self._journal = journal
-        journal.set_rewriter(self._rewrite)
+        journal.set_rewriter(self._write_snapshot)
         seeds = self._settings.internal_seeds()
         wanted = 2 * max(1, self._settings.fault_tolerance.machines) + 1
         proposer = f"{acceptor.identity}/{os.urandom(8).hex()}"
@@ -132,9 +141,9 @@
         for task in list(self._tasks):
             task.cancel()
         stopping = NotReadyError("the register is stopping")
-        for job in self._jobs.values():
-            if not job.done():
-                job.set_exception(stopping)
+        for operation in self._operations.values():
+            if not operation.done():
+                operation.set_exception(stopping)
         for reply in self._replies.values():
             if not reply.done():
                 reply.set_exception(stopping)
@@ -149,7 +158,9 @@
         `NoQuorumError`: not taken, as far as this node knows, for want of a quorum.
         `UnknownOutcomeError`: it may have been taken.
         """
-        payload = await self._job(lambda job, until: ChangeRequested(job, decide, until), timeout_s)
+        payload = await self._operation(
+            lambda operation, until: ChangeRequested(operation, decide, until), timeout_s
+        )
         return payload or b""
 
     async def read(self, timeout_s: float) -> bytes | None:
@@ -157,7 +168,7 @@
 
         `NoQuorumError` where too few replicas answer in time.
         """
-        return await self._job(lambda job, until: ReadRequested(job, until), timeout_s)
+        return await self._operation(lambda operation, until: ReadRequested(operation, until), timeout_s)
 
     def subscribe(self, callback: Callable[[bytes], None]) -> None:
         """Be told each value known to be chosen, the present one at once; never an older one after a newer."""
@@ -182,18 +193,18 @@
         )
         self._apply(PeersChanged(self._peers))
 
-    async def _job(self, event: Callable[[int, float], Event], timeout_s: float) -> bytes | None:
+    async def _operation(self, event: Callable[[int, float], Event], timeout_s: float) -> bytes | None:
         if self._node is None:
             raise NotReadyError("the register has not started")
         loop = asyncio.get_running_loop()
         number = next(self._numbers)
         future: asyncio.Future[bytes | None] = loop.create_future()
-        self._jobs[number] = future
+        self._operations[number] = future
         try:
             self._apply(event(number, loop.time() + timeout_s))
             return await future
         finally:
-            self._jobs.pop(number, None)
+            self._operations.pop(number, None)
 
     # Start.
 
@@ -202,10 +213,10 @@
         while True:
             try:
                 journal, records = await loop.run_in_executor(None, self._open_journal)
-                return journal, await self._born(journal, records)
+                return journal, await self._restore_replica(journal, records)
             except DiskFailedError as error:
                 logger.warning("event=journal_refused detail=%r", error.detail)
-            await asyncio.sleep(OPEN_AGAIN_S)
+            await asyncio.sleep(REOPEN_AFTER_S)
 
     def _open_journal(self) -> tuple[Journal, list[Record]]:
         """The journal and its records; one that is damaged is a lost disk, and whoever kept it must not come back."""
@@ -213,30 +224,30 @@
             return Journal.open(self._directory, SEGMENT_BYTES, MAX_BYTES, RECLAIM_ABOVE_BYTES)
         except CorruptRecordError as error:
             logger.error("event=journal_discarded detail=%r", error.detail)
-            self._may_found = False
+            self._may_create_initial = False
         try:
             shutil.rmtree(self._directory)
         except OSError as error:
             raise DiskFailedError(f"{type(error).__name__}: {error}") from error
         return Journal.open(self._directory, SEGMENT_BYTES, MAX_BYTES, RECLAIM_ABOVE_BYTES)
 
-    async def _born(self, journal: Journal, records: list[Record]) -> Acceptor:
+    async def _restore_replica(self, journal: Journal, records: list[Record]) -> Acceptor:
         """The replica that these records are; a new one, kept before it does anything, where they name none."""
         acceptor = Acceptor("")
         for record in records:
             acceptor.restore(record.payload)
         if not acceptor.identity:
-            acceptor = self._newborn()
+            acceptor = self._new_acceptor()
             await journal.append(acceptor.snapshot())
         return acceptor
 
-    def _newborn(self) -> Acceptor:
+    def _new_acceptor(self) -> Acceptor:
         seeds = self._settings.internal_seeds()
-        if self._may_found and self._address in seeds:
-            return Acceptor(founding_identity(self._address), founding_proposal(seeds))
+        if self._may_create_initial and self._address in seeds:
+            return Acceptor(initial_identity(self._address), initial_proposal(seeds))
         return Acceptor(f"replica:{os.urandom(16).hex()}")
 
-    async def _rewrite(self, segment: int) -> None:
+    async def _write_snapshot(self, segment: int) -> None:
         """Empty the oldest segment: nothing in it counts once a snapshot stands in a later one."""
         if self._snapshot_segment > segment:
             return
@@ -275,9 +286,9 @@
             case Reply():
                 self._reply(action)
             case Resolve():
-                settle(self._jobs.get(action.job), action)
+                resolve_future(self._operations.get(action.operation), action)
             case Learned():
-                self._tell_subscribers(action.payload)
+                self._notify_subscribers(action.payload)
 
     def _spawn(self, work: Coroutine[object, object, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -312,7 +323,7 @@
         self._appends.pop(append, None)
         if done.cancelled():
             return
-        self._apply(Synced(append) if done.exception() is None else DiskRefused(append))
+        self._apply(AppendSynced(append) if done.exception() is None else AppendFailed(append))
 
     def _reply(self, action: Reply) -> None:
         waiting = list(self._appends.values()) if action.durable else []
@@ -335,7 +346,7 @@
         if future is not None and not future.done():
             future.set_result(action.message)
 
-    def _tell_subscribers(self, payload: bytes) -> None:
+    def _notify_subscribers(self, payload: bytes) -> None:
         self._last_learned = payload
         for callback in list(self._subscribers):
             try:
@@ -348,7 +359,7 @@
     async def _on_message(self, message: Request, caller: Caller) -> object:
         if self._node is None:
             raise NotReadyError("the register has not started")
-        if isinstance(message, Chosen):
+        if isinstance(message, CommittedNotice):
             self._apply(Received(0, message))
             return Ok()
         return await self._serve(message)
--- a/emberring/simulation/control_plane/control_machine.py
+++ b/emberring/simulation/control_plane/control_machine.py
@@ -22,7 +22,7 @@
     Resolve,
 )
 from emberring.register.model import Member
-from emberring.register.service import settle
+from emberring.register.service import resolve_future
 from emberring.settings import FaultTolerance, Settings
 from emberring.simulation.control_plane.network import SimulatedNetwork
 from emberring.simulation.control_plane.process import Process
@@ -168,7 +168,7 @@
     def _execute(self, action: Action) -> None:
         match action:
             case Resolve():
-                settle(self._futures.pop(action.job, None), action)
+                resolve_future(self._futures.pop(action.operation, None), action)
             case Learned():
                 self._learn_value(action.payload)
             case _:
@@ -230,11 +230,15 @@
 
     async def change(self, decide: Callable[[bytes | None], bytes | None], timeout_s: float) -> bytes | None:
         """Swap the value."""
-        return await self._machine.job(lambda job, until_s: ChangeRequested(job, decide, until_s), timeout_s)
+        return await self._machine.job(
+            lambda operation, until_s: ChangeRequested(operation, decide, until_s), timeout_s
+        )
 
     async def read(self, timeout_s: float) -> bytes | None:
         """The value that a quorum holds."""
-        return await self._machine.job(lambda job, until_s: ReadRequested(job, until_s), timeout_s)
+        return await self._machine.job(
+            lambda operation, until_s: ReadRequested(operation, until_s), timeout_s
+        )
 
     def subscribe(self, callback: Callable[[bytes], None]) -> None:
         """Tell every chosen value."""
--- a/emberring/simulation/control_plane/mutations.py
+++ b/emberring/simulation/control_plane/mutations.py
@@ -132,7 +132,7 @@
 
 def _restore_without_promise(self: Acceptor, payload: bytes) -> None:
     _restore(self, payload)
-    self.promised = None if self.accepted is None else self.accepted.ballot
+    self.promised = None if self.accepted is None else self.accepted.number
 
 
 _PATCHES: dict[Mistake, tuple[tuple[Any, str, Callable[..., Any]], ...]] = {
--- a/emberring/simulation/control_plane/simulator.py
+++ b/emberring/simulation/control_plane/simulator.py
@@ -137,7 +137,7 @@
 
     def _replicas_agree(self) -> bool:
         learned = [
-            machine.node.learned.ballot if machine.node is not None and machine.node.learned else None
+            machine.node.learned.number if machine.node is not None and machine.node.learned else None
             for machine in self._deployment.cores
         ]
         return None not in learned and len(set(learned)) == 1
--- a/emberring/simulation/register/history.py
+++ b/emberring/simulation/register/history.py
@@ -27,7 +27,7 @@
     return tuple(int(part) for part in payload.split()) if payload else ()
 
 
-def add_number(payload: bytes | None, number: int) -> bytes | None:
+def append_number(payload: bytes | None, number: int) -> bytes | None:
     """The value with this number at its end, or None where it is in it already."""
     numbers = parse_value(payload)
     if number in numbers:
--- a/emberring/simulation/register/model.py
+++ b/emberring/simulation/register/model.py
@@ -19,13 +19,13 @@
 import attrs
 
 from emberring.register.acceptor import Acceptor
-from emberring.register.changes import Candidate, View, next_set
+from emberring.register.changes import Candidate, ReplicaSetView, next_replica_set
 from emberring.register.messages import Accept, Prepare, Promise
-from emberring.register.model import Member, Proposal, ProposalNumber, ReplicaSet, State, founding_proposal
+from emberring.register.model import Member, Proposal, ProposalNumber, ReplicaSet, State, initial_proposal
 from emberring.register.proposer import Phase, ProposalAttempt
 
 FOUNDERS = ("a", "b", "c")
-FOUNDING = founding_proposal(FOUNDERS)
+INITIAL = initial_proposal(FOUNDERS)
 SPARE = Member("d", "d")
 NAMES = ("founder:a", "founder:b", "founder:c", "d")  # the places of a state's acceptors
 MIRROR = (1, 0, 2, 3)  # the first two play the same part
@@ -33,7 +33,7 @@
 WANTED = 3
 PROPOSERS = 2
 
-Held = tuple[int, int]  # the counters of the ballots promised and accepted; -1: none
+AcceptorNumbers = tuple[int, int]  # the counters of the ballots promised and accepted; -1: none
 UNDECIDED = -1
 
 
@@ -65,7 +65,7 @@
 
     depth: int = 30
     states: int = 5_000_000
-    ballots: tuple[int, int] = (3, 2)
+    attempts: tuple[int, int] = (3, 2)
     losses: int = 1
     restarts: int = 1
 
@@ -87,12 +87,12 @@
 
 @attrs.frozen(cache_hash=True)
 class Model:
-    """A state. `acceptors` by place (None: its disk is lost); `attempts` by counter; `chosen` has counters;
+    """A state. `acceptors` by place (None: its disk is lost); `attempts` by counter; `committed` has counters;
     `known` is what each proposer knows to be chosen."""
 
-    acceptors: tuple[Held | None, ...]
+    acceptors: tuple[AcceptorNumbers | None, ...]
     attempts: tuple[tuple[int, Attempt], ...] = ()
-    chosen: tuple[int, ...] = (0,)
+    committed: tuple[int, ...] = (0,)
     known: tuple[int, ...] = (0,) * PROPOSERS
     losses: int = 0
     restarts: int = 0
@@ -104,7 +104,7 @@
     def proposal(self, counter: int) -> Proposal:
         """What was proposed under this counter."""
         if counter == 0:
-            return FOUNDING
+            return INITIAL
         attempt = self.attempt(counter)
         assert attempt is not None
         assert attempt.proposed is not None
@@ -115,7 +115,7 @@
         for both."""
         attempts = tuple((number, _mirrored(found)) for number, found in self.attempts)
         acceptors = tuple(self.acceptors[MIRROR[place]] for place in range(len(NAMES)))
-        return Model(acceptors, attempts, self.chosen, self.known, self.losses, self.restarts)
+        return Model(acceptors, attempts, self.committed, self.known, self.losses, self.restarts)
 
 
 @functools.lru_cache(maxsize=200_000)
@@ -137,7 +137,7 @@
 
 @functools.lru_cache
 def _ballot(counter: int) -> ProposalNumber:
-    return ProposalNumber(counter, f"p{(counter - 1) % PROPOSERS}") if counter else FOUNDING.ballot
+    return ProposalNumber(counter, f"p{(counter - 1) % PROPOSERS}") if counter else INITIAL.number
 
 
 def _proposer(counter: int) -> int:
@@ -154,20 +154,20 @@
     return acceptor
 
 
-def _held(acceptor: Acceptor) -> Held:
-    promised, accepted = acceptor.promised, acceptor.accepted_ballot
+def _numbers_of(acceptor: Acceptor) -> AcceptorNumbers:
+    promised, accepted = acceptor.promised, acceptor.accepted_number
     return (-1 if promised is None else promised.counter, -1 if accepted is None else accepted.counter)
 
 
-def _with_acceptor(model: Model, place: int, held: Held | None) -> Model:
+def _with_acceptor(model: Model, place: int, held: AcceptorNumbers | None) -> Model:
     acceptors = (*model.acceptors[:place], held, *model.acceptors[place + 1 :])
-    return Model(acceptors, model.attempts, model.chosen, model.known, model.losses, model.restarts)
+    return Model(acceptors, model.attempts, model.committed, model.known, model.losses, model.restarts)
 
 
 def _with_attempt(model: Model, counter: int, attempt: Attempt) -> Model:
     rest = [item for item in model.attempts if item[0] != counter]
     attempts = tuple(sorted([*rest, (counter, attempt)], key=lambda item: item[0]))
-    return Model(model.acceptors, attempts, model.chosen, model.known, model.losses, model.restarts)
+    return Model(model.acceptors, attempts, model.committed, model.known, model.losses, model.restarts)
 
 
 class _Decide:
@@ -177,17 +177,17 @@
     def __init__(self, counter: int) -> None:
         self._counter = counter
 
-    def __call__(self, found: Proposal, chosen: bool) -> State:
+    def __call__(self, found: Proposal, committed: bool) -> State:
         replicas = found.state.replicas
-        if _proposer(self._counter) == 0 and (chosen or not replicas.joining):
+        if _proposer(self._counter) == 0 and (committed or not replicas.joining):
             replicas = _step(replicas) or replicas
         return State(replicas, (found.state.payload or b"") + b"%d " % self._counter)
 
 
 def _step(replicas: ReplicaSet) -> ReplicaSet | None:
     dead = frozenset(member.identity for member in replicas.members if member.address == REPLACED)
-    view = View({}, dead, {}, frozenset(), {}, {}, (Candidate(SPARE),))
-    return next_set(replicas, view, WANTED)
+    view = ReplicaSetView({}, dead, {}, frozenset(), {}, {}, (Candidate(SPARE),))
+    return next_replica_set(replicas, view, WANTED)
 
 
 # Events.
@@ -196,10 +196,10 @@
 def _beginnings(model: Model, bounds: Bounds) -> Iterator[tuple[str, Model]]:
     for proposer in range(PROPOSERS):
         begun = sum(_proposer(counter) == proposer for counter, _ in model.attempts)
-        if begun >= bounds.ballots[proposer]:
+        if begun >= bounds.attempts[proposer]:
             continue
         counter = 1 + proposer + PROPOSERS * begun
-        for known in {model.known[proposer], max(model.chosen)}:
+        for known in {model.known[proposer], max(model.committed)}:
             other = _with_attempt(model, counter, Attempt(known))
             told = tuple(known if at == proposer else found for at, found in enumerate(model.known))
             yield f"ballot {counter} begins, knowing {known}", attrs.evolve(other, known=told)
@@ -218,7 +218,7 @@
                 continue
             had = -1 if verdict.reply.accepted is None else verdict.reply.accepted.counter
             promised = Attempt(attempt.known, tuple(sorted((*attempt.promises, (place, had)))))
-            other = _with_attempt(_with_acceptor(model, place, _held(acceptor)), counter, promised)
+            other = _with_attempt(_with_acceptor(model, place, _numbers_of(acceptor)), counter, promised)
             yield f"{NAMES[place]} promises ballot {counter}", other
 
 
@@ -250,14 +250,14 @@
     """What the real ballot proposes once the last of these promises has come; None where it does not."""
     known = model.proposal(attempt.known)
     ballot = ProposalAttempt(_ballot(counter), known, _Decide(counter))
-    ballot.start(known.state.replicas.everyone)
+    ballot.start(known.state.replicas.all_members)
     for number, (place, had) in enumerate(promises, 1):
         accepted = None if had < 0 else model.proposal(had)
         state = None if accepted is None else accepted.state
-        reply = Promise(NAMES[place], _ballot(counter), None if accepted is None else accepted.ballot, state)
+        reply = Promise(NAMES[place], _ballot(counter), None if accepted is None else accepted.number, state)
         ballot.on_reply(Member(NAMES[place], NAMES[place]), reply)
         if ballot.phase is not Phase.PREPARING:
-            return ballot._proposed if number == len(promises) else None
+            return ballot.proposed if number == len(promises) else None
     return None
 
 
@@ -266,31 +266,31 @@
         proposed = attempt.proposed
         if proposed is None:
             continue
-        for member in proposed.replicas.everyone:
+        for member in proposed.replicas.all_members:
             place = NAMES.index(member.identity)
             held = model.acceptors[place]
             if held is None or held[1] >= counter:
                 continue
             acceptor = _acceptor(model, place)
             acceptor.accept(Accept(NAMES[place], _ballot(counter), proposed))
-            if _held(acceptor) != held:
-                other = _with_chosen(_with_acceptor(model, place, _held(acceptor)))
+            if _numbers_of(acceptor) != held:
+                other = _with_committed(_with_acceptor(model, place, _numbers_of(acceptor)))
                 yield f"{NAMES[place]} accepts ballot {counter}", other
 
 
-def _with_chosen(model: Model) -> Model:
+def _with_committed(model: Model) -> Model:
     """With what a quorum of its own set holds at this moment among the chosen."""
-    chosen = set(model.chosen)
+    committed = set(model.committed)
     for counter, attempt in model.attempts:
         proposed = attempt.proposed
-        if proposed is None or counter in chosen:
+        if proposed is None or counter in committed:
             continue
         holders = frozenset(
             name for name, held in zip(NAMES, model.acceptors, strict=True) if held and held[1] == counter
         )
         if proposed.replicas.has_quorum(holders):
-            chosen.add(counter)
-    return attrs.evolve(model, chosen=tuple(sorted(chosen)))
+            committed.add(counter)
+    return attrs.evolve(model, committed=tuple(sorted(committed)))
 
 
 def _troubles(model: Model, bounds: Bounds, keeps_identity: bool) -> Iterator[tuple[str, Model]]:
@@ -306,16 +306,16 @@
             yield f"{NAMES[place]} starts again", attrs.evolve(other, restarts=model.restarts + 1)
 
 
-def _restarted(acceptor: Acceptor) -> Held:
+def _restarted(acceptor: Acceptor) -> AcceptorNumbers:
     """What a replica holds once it has read its records."""
     fresh = Acceptor("")
     fresh.restore(acceptor.snapshot())
-    return _held(fresh)
+    return _numbers_of(fresh)
 
 
 def _wrong(model: Model) -> str:
     """Why no register could have come here; empty where one could."""
-    for earlier, later in itertools.pairwise(model.chosen):
+    for earlier, later in itertools.pairwise(model.committed):
         before = model.proposal(earlier).state.payload or b""
         after = model.proposal(later).state.payload or b""
         if not after.startswith(before):
--- a/emberring/simulation/register/simulator.py
+++ b/emberring/simulation/register/simulator.py
@@ -213,7 +213,7 @@
         newest = self._newest()
         identities = {machine.identity for machine in self._present()}
         if newest is not None:
-            missing = [m.identity for m in newest.state.replicas.everyone if m.identity not in identities]
+            missing = [m.identity for m in newest.state.replicas.all_members if m.identity not in identities]
             if missing or newest.state.replicas.joining:
                 world.history.mistakes.append(f"the replica set still has {missing}, {newest.state.replicas}")
             for machine in self._present():
@@ -235,7 +235,7 @@
             for machine in self._present()
             if machine.node is not None and machine.node.learned is not None
         ]
-        return max(learned, key=lambda proposal: proposal.ballot, default=None)
+        return max(learned, key=lambda proposal: proposal.number, default=None)
 
     def _may_lose(self) -> bool:
         """Whether the loss of a disk is within what must be borne: no other loss is under repair. It is while a
@@ -247,9 +247,11 @@
             return False
         identities = {found.identity for found in self._present() if found.folder.files}
         held = [found.held for found in self._present() if found.held is not None]
-        named = [proposal for proposal in (newest, *held) if proposal.ballot >= newest.ballot]
+        named = [proposal for proposal in (newest, *held) if proposal.number >= newest.number]
         return all(
-            member.identity in identities for proposal in named for member in proposal.state.replicas.everyone
+            member.identity in identities
+            for proposal in named
+            for member in proposal.state.replicas.all_members
         )
 
     def _lost(self, back_s: float) -> None:
--- a/emberring/simulation/register/world.py
+++ b/emberring/simulation/register/world.py
@@ -18,9 +18,10 @@
 from emberring.register.events import (
     Action,
     Append,
+    AppendFailed,
+    AppendSynced,
     Call,
     ChangeRequested,
-    DiskRefused,
     Event,
     Learned,
     NotifyLearned,
@@ -31,14 +32,13 @@
     Replied,
     Reply,
     Resolve,
-    Synced,
     Tick,
 )
-from emberring.register.model import Member, Proposal, founding_identity, founding_proposal
+from emberring.register.model import Member, Proposal, initial_identity, initial_proposal
 from emberring.register.node import RegisterNode
 from emberring.register.replica_set_manager import ReconfigurationTimeouts
 from emberring.simulation.register.disk import SimulatedFolder
-from emberring.simulation.register.history import History, Operation, add_number
+from emberring.simulation.register.history import History, Operation, append_number
 
 SEGMENT_BYTES = 4096
 RING_BYTES = 64 * 1024
@@ -149,7 +149,7 @@
         self._founders = founders
         self._bootstrap = bootstrap
         self._requests = 0
-        self._jobs: dict[int, Operation] = {}
+        self._operations: dict[int, Operation] = {}
         self._replies: dict[int, tuple[str, Callable[..., None], tuple[Any, ...]]] = {}
         self._calls: set[int] = set()
         self._ring: Ring | None = None
@@ -185,7 +185,7 @@
             return
         self._queue, self._writing, self._durable, self._replies = [], [], [], {}
         self._busy = self._failed = False
-        self._jobs, self._calls, self.learned = {}, set(), ()
+        self._operations, self._calls, self.learned = {}, set(), ()
         acceptor = self._born()
         self.identity = acceptor.identity
         proposer = f"{acceptor.identity}/{rng.getrandbits(64):x}"
@@ -224,7 +224,7 @@
         if acceptor.identity:
             return acceptor
         if self._bootstrap and self.name in self._founders:
-            acceptor = Acceptor(founding_identity(self.name), founding_proposal(self._founders))
+            acceptor = Acceptor(initial_identity(self.name), initial_proposal(self._founders))
         elif self.world.bugs.amnesiac and self.identity:
             acceptor = Acceptor(self.identity)
         else:
@@ -262,10 +262,12 @@
             return
         operation = self.world.history.begin(number, self.name, self.world.now_s)
         self._requests += 1
-        self._jobs[self._requests] = operation
+        self._operations[self._requests] = operation
         until_s = self.world.now_s + patience_s
         if number:
-            event: Event = ChangeRequested(self._requests, lambda value: add_number(value, number), until_s)
+            event: Event = ChangeRequested(
+                self._requests, lambda value: append_number(value, number), until_s
+            )
         else:
             event = ReadRequested(self._requests, until_s)
         self._handle(self.life, event)
@@ -325,7 +327,7 @@
             case Reply():
                 self._reply(action)
             case Resolve():
-                operation = self._jobs.pop(action.job)
+                operation = self._operations.pop(action.operation)
                 error = "" if action.error is None else action.error.kind.value
                 world.history.end(operation, world.now_s, action.payload, error)
                 if not error and world.on_acknowledged is not None:
@@ -397,7 +399,7 @@
         self._busy = False
         self._release({append.append for append in done}, good)
         for append in done:
-            self._handle(life, Synced(append.append) if good else DiskRefused(append.append))
+            self._handle(life, AppendSynced(append.append) if good else AppendFailed(append.append))
         self._write()
 
     def _release(self, done: set[int], good: bool) -> None:
--- a/tests/emberring/register/register_deployment.py
+++ b/tests/emberring/register/register_deployment.py
@@ -73,7 +73,7 @@
 
     @property
     def replicas(self) -> set[str]:
-        """The identities of the set that this node knows to be chosen."""
+        """The identities of the set that this node knows to be committed."""
         node = self.register._node
         if node is None or node.learned is None or node.learned.state.replicas.joining:
             return set()
--- a/tests/emberring/register/test_tier_register_acceptor.py
+++ b/tests/emberring/register/test_tier_register_acceptor.py
@@ -6,19 +6,28 @@
 
 from emberring.errors import CorruptRecordError
 from emberring.register.acceptor import Acceptor
-from emberring.register.messages import Accept, Accepted, Held, Prepare, Promise, Query, Refuse, Stranger
+from emberring.register.messages import (
+    Accept,
+    Accepted,
+    Prepare,
+    Promise,
+    Query,
+    Rejected,
+    StateReport,
+    UnknownReplica,
+)
 from emberring.register.model import (
-    GENESIS,
+    INITIAL_NUMBER,
     Member,
     Proposal,
     ProposalNumber,
     ReplicaSet,
     State,
-    founding_proposal,
+    initial_proposal,
 )
 
 ME = "founder:a:1"
-FOUNDING = founding_proposal(("a:1", "b:1", "c:1"))
+FOUNDING = initial_proposal(("a:1", "b:1", "c:1"))
 REPLICAS = FOUNDING.state.replicas
 
 
@@ -36,7 +45,7 @@
 
 def test_a_founder_promises_and_reports_the_founding_set() -> None:
     verdict = founder().prepare(Prepare(ME, ballot(1)))
-    assert verdict.reply == Promise(ME, ballot(1), GENESIS, FOUNDING.state)
+    assert verdict.reply == Promise(ME, ballot(1), INITIAL_NUMBER, FOUNDING.state)
     assert verdict.record is not None
     assert verdict.durable
 
@@ -47,10 +56,10 @@
 
 
 def test_the_state_is_left_out_where_the_caller_has_it() -> None:
-    verdict = founder().prepare(Prepare(ME, ballot(1), GENESIS))
-    assert verdict.reply == Promise(ME, ballot(1), GENESIS, None)
-    assert founder().query(Query(ME, GENESIS)).reply == Held(ME, GENESIS, None)
-    assert founder().query(Query(ME, ballot(5))).reply == Held(ME, GENESIS, FOUNDING.state)
+    verdict = founder().prepare(Prepare(ME, ballot(1), INITIAL_NUMBER))
+    assert verdict.reply == Promise(ME, ballot(1), INITIAL_NUMBER, None)
+    assert founder().query(Query(ME, INITIAL_NUMBER)).reply == StateReport(ME, INITIAL_NUMBER, None)
+    assert founder().query(Query(ME, ballot(5))).reply == StateReport(ME, INITIAL_NUMBER, FOUNDING.state)
 
 
 @pytest.mark.parametrize(
@@ -60,9 +69,9 @@
     acceptor = founder()
     method = {Prepare: acceptor.prepare, Accept: acceptor.accept, Query: acceptor.query}[type(call)]
     verdict = method(call)  # type: ignore[operator]
-    assert verdict.reply == Stranger(ME)
+    assert verdict.reply == UnknownReplica(ME)
     assert verdict.record is None
-    assert acceptor.promised == GENESIS
+    assert acceptor.promised == INITIAL_NUMBER
     assert acceptor.accepted == FOUNDING
 
 
@@ -81,15 +90,15 @@
         acceptor = founder()
         acceptor.prepare(Prepare(ME, promised))
         reply = (acceptor.prepare(call) if isinstance(call, Prepare) else acceptor.accept(call)).reply
-        assert isinstance(reply, Refuse) is not taken
-        if isinstance(reply, Refuse):
+        assert isinstance(reply, Rejected) is not taken
+        if isinstance(reply, Rejected):
             assert reply.promised == promised
 
 
 def test_an_acceptance_is_a_promise_too() -> None:
     acceptor = founder()
     assert acceptor.accept(Accept(ME, ballot(5), state(b"v"))).reply == Accepted(ME, ballot(5))
-    assert acceptor.prepare(Prepare(ME, ballot(4))).reply == Refuse(ME, ballot(5))
+    assert acceptor.prepare(Prepare(ME, ballot(4))).reply == Rejected(ME, ballot(5))
     assert acceptor.prepare(Prepare(ME, ballot(6))).reply == Promise(ME, ballot(6), ballot(5), state(b"v"))
 
 
@@ -105,15 +114,15 @@
     assert verdict.durable
 
 
-def test_a_chosen_proposal_is_taken_over_below_a_newer_promise() -> None:
+def test_a_committed_proposal_is_taken_over_below_a_newer_promise() -> None:
     acceptor = founder()
     acceptor.prepare(Prepare(ME, ballot(9)))
-    assert acceptor.install(Proposal(ballot(7), state(b"chosen"))) is not None
+    assert acceptor.install(Proposal(ballot(7), state(b"committed"))) is not None
     assert acceptor.promised == ballot(9)
-    assert acceptor.accepted_ballot == ballot(7)
+    assert acceptor.accepted_number == ballot(7)
     assert acceptor.install(Proposal(ballot(6), state(b"older"))) is None
-    assert acceptor.install(Proposal(ballot(7), state(b"chosen"))) is None
-    assert acceptor.accepted_ballot == ballot(7)
+    assert acceptor.install(Proposal(ballot(7), state(b"committed"))) is None
+    assert acceptor.accepted_number == ballot(7)
 
 
 def restored(records: list[bytes]) -> Acceptor:
--- a/tests/emberring/register/test_tier_register_changes.py
+++ b/tests/emberring/register/test_tier_register_changes.py
@@ -5,7 +5,7 @@
 import attrs
 import pytest
 
-from emberring.register.changes import Candidate, View, next_set
+from emberring.register.changes import Candidate, ReplicaSetView, next_replica_set
 from emberring.register.contacts import Contacts
 from emberring.register.events import Peer
 from emberring.register.messages import Pong
@@ -14,12 +14,12 @@
 
 A, B, C, D, E = (Member(name, f"{name}:1") for name in "abcde")
 OLD = ReplicaSet(0, (A, B, C))
-CALM = View({}, frozenset(), {}, frozenset(), {}, {"a": "z1", "b": "z2", "c": "z3"}, ())
+CALM = ReplicaSetView({}, frozenset(), {}, frozenset(), {}, {"a": "z1", "b": "z2", "c": "z3"}, ())
 SPARE = (Candidate(D, "z3"),)
 
 
-def swapped(victim: Member, successor: Member) -> tuple[Member, ...]:
-    return tuple(successor if member == victim else member for member in OLD.members)
+def swapped(outgoing: Member, successor: Member) -> tuple[Member, ...]:
+    return tuple(successor if member == outgoing else member for member in OLD.members)
 
 
 @pytest.mark.parametrize(
@@ -30,10 +30,13 @@
         ({"dead": frozenset("c")}, None),
         ({"dead": frozenset("c"), "candidates": SPARE}, swapped(C, D)),
         ({"leaving": frozenset("b"), "candidates": SPARE}, swapped(B, D)),
-        ({"displaced": {"b": "e"}, "candidates": (*SPARE, Candidate(E))}, swapped(B, E)),
-        ({"displaced": {"b": "gone"}, "candidates": SPARE}, swapped(B, D)),
-        ({"replaced": {"a": "e"}, "candidates": (*SPARE, Candidate(E))}, swapped(A, E)),
-        ({"displaced": {"a": "e"}, "dead": frozenset("b"), "candidates": (Candidate(E),)}, swapped(A, E)),
+        ({"address_taken_by": {"b": "e"}, "candidates": (*SPARE, Candidate(E))}, swapped(B, E)),
+        ({"address_taken_by": {"b": "gone"}, "candidates": SPARE}, swapped(B, D)),
+        ({"name_taken_by": {"a": "e"}, "candidates": (*SPARE, Candidate(E))}, swapped(A, E)),
+        (
+            {"address_taken_by": {"a": "e"}, "dead": frozenset("b"), "candidates": (Candidate(E),)},
+            swapped(A, E),
+        ),
         ({"dead": frozenset("a"), "leaving": frozenset("b"), "candidates": SPARE}, swapped(A, D)),
         (
             {"dead": frozenset("ab"), "silent_s": {"a": 2.0, "b": 3.0}, "candidates": SPARE},
@@ -51,18 +54,18 @@
     ],
 )
 def test_one_replica_at_a_time(changes: dict[str, object], joining: tuple[Member, ...] | None) -> None:
-    following = next_set(OLD, attrs.evolve(CALM, **changes), 3)
+    following = next_replica_set(OLD, attrs.evolve(CALM, **changes), 3)
     assert following == (None if joining is None else ReplicaSet(1, OLD.members, joining))
 
 
 def test_a_joint_set_is_always_finished_forward() -> None:
     joint = ReplicaSet(1, OLD.members, (A, B, D))
-    assert next_set(joint, attrs.evolve(CALM, dead=frozenset("d")), 3) == ReplicaSet(2, (A, B, D))
+    assert next_replica_set(joint, attrs.evolve(CALM, dead=frozenset("d")), 3) == ReplicaSet(2, (A, B, D))
 
 
 def test_a_set_that_is_too_small_grows_by_one_where_its_zones_are_few() -> None:
     view = attrs.evolve(CALM, candidates=(Candidate(D, "z1"), Candidate(E, "z4")))
-    assert next_set(OLD, view, 5) == ReplicaSet(1, OLD.members, (*OLD.members, E))
+    assert next_replica_set(OLD, view, 5) == ReplicaSet(1, OLD.members, (*OLD.members, E))
 
 
 # Who acts, and when.
@@ -75,9 +78,9 @@
 
 def hear(contacts: Contacts, now_s: float, replicas: ReplicaSet, answers: dict[str, Pong | None]) -> None:
     """Ping whoever is due; each answers, or is silent."""
-    contacts.look(now_s)
-    for address in contacts.due(now_s, replicas):
-        contacts.answered(address, answers.get(address))
+    contacts.note_time(now_s)
+    for address in contacts.take_due_pings(now_s, replicas):
+        contacts.on_pong(address, answers.get(address))
 
 
 def pong(identity: str, learned: ProposalNumber | None = None) -> Pong:
@@ -111,7 +114,7 @@
 
 def test_a_silent_replica_is_replaced_by_a_spare_after_its_time() -> None:
     setup = keeper()
-    setup[1].note((Peer("n", D),))
+    setup[1].set_peers((Peer("n", D),))
     found = play(setup, OLD, {**ALL, "c:1": None}, 5.0)
     assert found is not None
     assert 1.5 < found[0] < 1.8
@@ -138,13 +141,13 @@
 
 def test_a_node_without_a_quorum_changes_nothing() -> None:
     setup = keeper()
-    setup[1].note((Peer("n", D),))
+    setup[1].set_peers((Peer("n", D),))
     assert play(setup, OLD, {"d:1": pong("d")}, 5.0) is None
 
 
 def test_a_replica_whose_disk_does_not_vote_counts_as_silent() -> None:
     setup = keeper()
-    setup[1].note((Peer("n", D),))
+    setup[1].set_peers((Peer("n", D),))
     found = play(setup, OLD, {**ALL, "c:1": Pong("c", None, voting=False)}, 5.0)
     assert found is not None
     assert found[1].following.joining == (A, B, D)
@@ -152,8 +155,8 @@
 
 def test_a_new_node_of_the_same_name_takes_its_place_sooner() -> None:
     setup = keeper()
-    setup[1].note((Peer("node-c", C), Peer("node-b", B)))
-    setup[1].note((Peer("node-c", D), Peer("node-b", B), Peer("node-e", E)))
+    setup[1].set_peers((Peer("node-c", C), Peer("node-b", B)))
+    setup[1].set_peers((Peer("node-c", D), Peer("node-b", B), Peer("node-e", E)))
     answers = {"b:1": pong("b"), "d:1": pong("d"), "e:1": pong("e")}
     found = play(setup, OLD, answers, 5.0)
     assert found is not None
@@ -163,13 +166,13 @@
 
 def test_after_a_pause_of_its_own_nobody_counts_as_silent() -> None:
     setup = keeper()
-    setup[1].note((Peer("n", D),))
+    setup[1].set_peers((Peer("n", D),))
     assert play(setup, OLD, ALL, 3.0) is None
     found, contacts = setup
-    contacts.look(10.0)
-    contacts.due(10.0, OLD)
-    contacts.answered("d:1", pong("d"))
-    contacts.answered("b:1", pong("b"))
+    contacts.note_time(10.0)
+    contacts.take_due_pings(10.0, OLD)
+    contacts.on_pong("d:1", pong("d"))
+    contacts.on_pong("b:1", pong("b"))
     assert found.step(10.0, learned(OLD)) is None
 
 
@@ -188,9 +191,9 @@
     contacts = Contacts(A, 0.0, ())
     joint = ReplicaSet(1, (A, B, C), (A, D, E))
     for now_s, answers in ((1.0, ("b",)), (2.0, ("d",)), (3.0, ("c",))):
-        contacts.look(now_s)
-        for address in contacts.due(now_s, joint):
-            contacts.answered(address, pong(address[0]) if address[0] in answers else None)
+        contacts.note_time(now_s)
+        for address in contacts.take_due_pings(now_s, joint):
+            contacts.on_pong(address, pong(address[0]) if address[0] in answers else None)
     assert contacts.quorum_age_s(4.0, OLD) == 1.0
     assert contacts.quorum_age_s(4.0, joint) == 2.0
     contacts.voting = False
--- a/tests/emberring/register/test_tier_register_crossings.py
+++ b/tests/emberring/register/test_tier_register_crossings.py
@@ -19,8 +19,8 @@
     Resolve,
     Tick,
 )
-from emberring.register.messages import Accept, Held, Prepare, Query
-from emberring.register.model import Member, ProposalNumber, State, founding_identity, founding_proposal
+from emberring.register.messages import Accept, Prepare, Query, StateReport
+from emberring.register.model import Member, ProposalNumber, State, initial_identity, initial_proposal
 from emberring.register.node import RegisterNode
 
 ADDRESSES = ("core-a", "core-b", "core-c")
@@ -33,13 +33,12 @@
     """One node, and the two other replicas played by hand: their answers are given when the test says so."""
 
     def __init__(self) -> None:
-        founding = founding_proposal(ADDRESSES)
+        founding = initial_proposal(ADDRESSES)
         self.members = {member.address: member for member in founding.state.replicas.members}
         self.acceptors = {
-            address: Acceptor(founding_identity(address), founding_proposal(ADDRESSES))
-            for address in ADDRESSES
+            address: Acceptor(initial_identity(address), initial_proposal(ADDRESSES)) for address in ADDRESSES
         }
-        me = Member(founding_identity("core-a"), "core-a")
+        me = Member(initial_identity("core-a"), "core-a")
         self.now_s = 10.0
         self.resolved: dict[int, Resolve] = {}
         self.calls: list[Call] = []
@@ -54,7 +53,7 @@
     def _take(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Resolve):
-                self.resolved[action.job] = action
+                self.resolved[action.operation] = action
             elif isinstance(action, Call):
                 self.calls.append(action)
 
@@ -79,12 +78,12 @@
         return acceptor.query(message).reply
 
     def choose_elsewhere(self) -> None:
-        """Another node's change is chosen by this node's own replica and the third one, and acknowledged."""
+        """Another node's change is committed by this node's own replica and the third one, and acknowledged."""
         for address in ("core-a", "core-c"):
             acceptor = self.acceptors[address]
             prepare = Prepare(acceptor.identity, OTHER)
             accept = Accept(
-                acceptor.identity, OTHER, State(founding_proposal(ADDRESSES).state.replicas, NEWER)
+                acceptor.identity, OTHER, State(initial_proposal(ADDRESSES).state.replicas, NEWER)
             )
             if address == "core-a":
                 self.handle(Received(1, prepare))
@@ -136,8 +135,8 @@
     crossing.handle(ReadRequested(2, crossing.now_s + PATIENCE_S))
     queries = [call for address in ADDRESSES for call in crossing.calls_of(Query, address)]
     assert len(queries) == 3
-    for call in queries:  # the replicas' words do not show what is chosen: the read waits for a ballot
-        held = Held(crossing.acceptors[call.address].identity, None, None)
+    for call in queries:  # the replicas' words do not show what is committed: the read waits for a ballot
+        held = StateReport(crossing.acceptors[call.address].identity, None, None)
         crossing.handle(Replied(call.call, held if call.address == "core-b" else None))
     crossing.handle(late_promise)  # type: ignore[arg-type]
     assert 1 in crossing.resolved
--- a/tests/emberring/register/test_tier_register_model.py
+++ b/tests/emberring/register/test_tier_register_model.py
@@ -8,7 +8,7 @@
 from emberring.simulation.control_plane.mutations import Mistake, seeded
 from emberring.simulation.register.model import Bounds, Found, search
 
-SMALL = Bounds(ballots=(1, 1), losses=0, restarts=0)
+SMALL = Bounds(attempts=(1, 1), losses=0, restarts=0)
 
 
 def test_two_ballots_in_every_order_leave_one_history() -> None:
@@ -19,7 +19,7 @@
 
 
 def test_a_replacement_and_a_loss_are_looked_at_to_a_depth() -> None:
-    found = search(Bounds(depth=9, ballots=(2, 1), losses=1, restarts=1, states=40_000))
+    found = search(Bounds(depth=9, attempts=(2, 1), losses=1, restarts=1, states=40_000))
     assert found.wrong == ""
     assert found.states > 5000
 
--- a/tests/emberring/register/test_tier_register_proposer.py
+++ b/tests/emberring/register/test_tier_register_proposer.py
@@ -1,18 +1,27 @@
-"""One ballot and one query: quorums by the set that was found, joint sets, sets that leave only a chosen state."""
+"""One attempt and one query: quorums by the set that was found, joint sets, sets that leave only a committed state."""
 
 from __future__ import annotations
 
 import pytest
 
-from emberring.register.messages import Accept, Accepted, Held, Prepare, Promise, Query, Refuse, Stranger
-from emberring.register.model import GENESIS, Member, Proposal, ProposalNumber, ReplicaSet, State
+from emberring.register.messages import (
+    Accept,
+    Accepted,
+    Prepare,
+    Promise,
+    Query,
+    Rejected,
+    StateReport,
+    UnknownReplica,
+)
+from emberring.register.model import INITIAL_NUMBER, Member, Proposal, ProposalNumber, ReplicaSet, State
 from emberring.register.proposer import Phase, ProposalAttempt, QuorumRead, Send
 
 A, B, C, D, E = (Member(name, f"{name}:1") for name in "abcde")
 OLD = ReplicaSet(0, (A, B, C))
 JOINT = ReplicaSet(1, (A, B, C), (A, B, D))
 NEW = ReplicaSet(2, (A, B, D))
-FIRST = Proposal(GENESIS, State(OLD))
+FIRST = Proposal(INITIAL_NUMBER, State(OLD))
 MINE = ProposalNumber(5, "me")
 
 
@@ -23,86 +32,86 @@
 def promise(member: Member, accepted: Proposal | None) -> Promise:
     if accepted is None:
         return Promise(member.identity, MINE)
-    return Promise(member.identity, MINE, accepted.ballot, accepted.state)
+    return Promise(member.identity, MINE, accepted.number, accepted.state)
 
 
 def put(payload: bytes) -> ProposalAttempt:
-    return ProposalAttempt(MINE, FIRST, lambda found, chosen: State(found.state.replicas, payload))
+    return ProposalAttempt(MINE, FIRST, lambda found, committed: State(found.state.replicas, payload))
 
 
 def keep() -> ProposalAttempt:
-    return ProposalAttempt(MINE, FIRST, lambda found, chosen: found.state)
+    return ProposalAttempt(MINE, FIRST, lambda found, committed: found.state)
 
 
 def to(replicas: ReplicaSet) -> ProposalAttempt:
-    return ProposalAttempt(MINE, FIRST, lambda found, chosen: State(replicas, found.state.payload))
+    return ProposalAttempt(MINE, FIRST, lambda found, committed: State(replicas, found.state.payload))
 
 
 def targets(sends: list[Send], kind: type) -> list[str]:
     return [send.member.identity for send in sends if isinstance(send.message, kind)]
 
 
-def accepted_by(ballot: ProposalAttempt, *members: Member) -> None:
+def accepted_by(attempt: ProposalAttempt, *members: Member) -> None:
     for member in members:
-        ballot.on_reply(member, Accepted(member.identity, MINE))
+        attempt.on_reply(member, Accepted(member.identity, MINE))
 
 
 def test_two_of_three_promise_then_two_of_three_accept() -> None:
-    ballot = put(b"v")
-    assert targets(ballot.start(OLD.everyone), Prepare) == ["a", "b", "c"]
-    assert ballot.on_reply(A, promise(A, FIRST)) == []
-    sends = ballot.on_reply(C, promise(C, FIRST))
+    attempt = put(b"v")
+    assert targets(attempt.start(OLD.all_members), Prepare) == ["a", "b", "c"]
+    assert attempt.on_reply(A, promise(A, FIRST)) == []
+    sends = attempt.on_reply(C, promise(C, FIRST))
     assert targets(sends, Accept) == ["a", "b", "c"]
-    accepted_by(ballot, A)
-    assert ballot.phase is Phase.ACCEPTING
-    accepted_by(ballot, A)  # the same one again counts once
-    assert ballot.phase is Phase.ACCEPTING
-    accepted_by(ballot, B)
-    assert ballot.phase is Phase.CHOSEN
-    assert ballot.outcome == Proposal(MINE, State(OLD, b"v"))
+    accepted_by(attempt, A)
+    assert attempt.phase is Phase.ACCEPTING
+    accepted_by(attempt, A)  # the same one again counts once
+    assert attempt.phase is Phase.ACCEPTING
+    accepted_by(attempt, B)
+    assert attempt.phase is Phase.COMMITTED
+    assert attempt.outcome == Proposal(MINE, State(OLD, b"v"))
 
 
 def test_the_newest_proposal_found_is_the_basis() -> None:
     older, newer = proposal(2, OLD, b"older"), proposal(3, OLD, b"newer")
     seen: list[tuple[Proposal, bool]] = []
-    ballot = ProposalAttempt(
-        MINE, FIRST, lambda found, chosen: seen.append((found, chosen)) or State(OLD, b"v")
+    attempt = ProposalAttempt(
+        MINE, FIRST, lambda found, committed: seen.append((found, committed)) or State(OLD, b"v")
     )
-    ballot.start(OLD.everyone)
-    ballot.on_reply(A, promise(A, older))
-    ballot.on_reply(B, promise(B, newer))
+    attempt.start(OLD.all_members)
+    attempt.on_reply(A, promise(A, older))
+    attempt.on_reply(B, promise(B, newer))
     assert seen == [(newer, False)]
 
 
-def test_a_state_that_a_quorum_holds_is_known_to_be_chosen_and_not_written_again() -> None:
+def test_a_state_that_a_quorum_holds_is_known_to_be_committed_and_not_written_again() -> None:
     held = proposal(3, OLD, b"held")
-    ballot = keep()
-    ballot.start(OLD.everyone)
-    ballot.on_reply(A, promise(A, held))
-    assert ballot.on_reply(B, promise(B, held)) == []
-    assert ballot.phase is Phase.CHOSEN
-    assert ballot.outcome == held
-    assert not ballot.sent_accept
+    attempt = keep()
+    attempt.start(OLD.all_members)
+    attempt.on_reply(A, promise(A, held))
+    assert attempt.on_reply(B, promise(B, held)) == []
+    assert attempt.phase is Phase.COMMITTED
+    assert attempt.outcome == held
+    assert not attempt.accept_sent
 
 
-def test_a_state_that_may_not_be_chosen_is_written_again_under_the_own_ballot() -> None:
-    ballot = keep()
-    ballot.start(OLD.everyone)
-    ballot.on_reply(A, promise(A, proposal(3, OLD, b"held")))
-    assert targets(ballot.on_reply(B, promise(B, FIRST)), Accept) == ["a", "b", "c"]
-    accepted_by(ballot, A, C)
-    assert ballot.outcome == Proposal(MINE, State(OLD, b"held"))
+def test_a_state_that_may_not_be_committed_is_written_again_under_the_own_ballot() -> None:
+    attempt = keep()
+    attempt.start(OLD.all_members)
+    attempt.on_reply(A, promise(A, proposal(3, OLD, b"held")))
+    assert targets(attempt.on_reply(B, promise(B, FIRST)), Accept) == ["a", "b", "c"]
+    accepted_by(attempt, A, C)
+    assert attempt.outcome == Proposal(MINE, State(OLD, b"held"))
 
 
 def test_a_state_left_out_is_the_one_known() -> None:
     known = proposal(3, OLD, b"known")
-    ballot = ProposalAttempt(
-        MINE, known, lambda found, chosen: State(OLD, (found.state.payload or b"") + b"!")
+    attempt = ProposalAttempt(
+        MINE, known, lambda found, committed: State(OLD, (found.state.payload or b"") + b"!")
     )
-    sends = ballot.start(OLD.everyone)
-    assert {send.message.known for send in sends if isinstance(send.message, Prepare)} == {known.ballot}
-    ballot.on_reply(A, Promise("a", MINE, known.ballot))
-    sends = ballot.on_reply(B, Promise("b", MINE, known.ballot))
+    sends = attempt.start(OLD.all_members)
+    assert {send.message.known for send in sends if isinstance(send.message, Prepare)} == {known.number}
+    attempt.on_reply(A, Promise("a", MINE, known.number))
+    sends = attempt.on_reply(B, Promise("b", MINE, known.number))
     assert {send.message.state.payload for send in sends if isinstance(send.message, Accept)} == {b"known!"}
 
 
@@ -121,89 +130,95 @@
     holders: list[Member], others: list[Member], complete: bool
 ) -> None:
     joint = proposal(3, JOINT, b"v")
-    ballot = put(b"w")
-    ballot.start((A, B, C, D))
+    attempt = put(b"w")
+    attempt.start((A, B, C, D))
     sends: list[Send] = []
     for member in holders:
-        sends += ballot.on_reply(member, promise(member, joint))
+        sends += attempt.on_reply(member, promise(member, joint))
     for member in others:
-        sends += ballot.on_reply(member, promise(member, None if member == D else FIRST))
+        sends += attempt.on_reply(member, promise(member, None if member == D else FIRST))
     assert (targets(sends, Accept) != []) is complete
 
 
 def test_replicas_that_are_found_out_are_asked_too() -> None:
-    ballot = put(b"w")
-    ballot.start(OLD.everyone)
-    sends = ballot.on_reply(A, promise(A, proposal(3, JOINT, b"v")))
+    attempt = put(b"w")
+    attempt.start(OLD.all_members)
+    sends = attempt.on_reply(A, promise(A, proposal(3, JOINT, b"v")))
     assert targets(sends, Prepare) == ["d"]
-    assert ballot.on_reply(C, promise(C, FIRST)) == []
-    assert targets(ballot.on_reply(D, promise(D, None)), Accept) == ["a", "b", "c", "d"]
+    assert attempt.on_reply(C, promise(C, FIRST)) == []
+    assert targets(attempt.on_reply(D, promise(D, None)), Accept) == ["a", "b", "c", "d"]
 
 
 def test_entering_a_joint_set_needs_both_majorities_to_accept() -> None:
-    ballot = to(JOINT)
-    ballot.start(OLD.everyone)
-    ballot.on_reply(A, promise(A, FIRST))
-    assert targets(ballot.on_reply(C, promise(C, FIRST)), Accept) == ["a", "b", "c", "d"]
-    accepted_by(ballot, A, C)
-    assert ballot.phase is Phase.ACCEPTING
-    accepted_by(ballot, D)
-    assert ballot.phase is Phase.CHOSEN
+    attempt = to(JOINT)
+    attempt.start(OLD.all_members)
+    attempt.on_reply(A, promise(A, FIRST))
+    assert targets(attempt.on_reply(C, promise(C, FIRST)), Accept) == ["a", "b", "c", "d"]
+    accepted_by(attempt, A, C)
+    assert attempt.phase is Phase.ACCEPTING
+    accepted_by(attempt, D)
+    assert attempt.phase is Phase.COMMITTED
 
 
-def test_leaving_a_joint_set_needs_it_chosen_and_then_the_new_majority_alone() -> None:
+def test_leaving_a_joint_set_needs_it_committed_and_then_the_new_majority_alone() -> None:
     joint = proposal(3, JOINT, b"v")
-    ballot = to(NEW)
-    ballot.start(JOINT.everyone)
-    ballot.on_reply(A, promise(A, joint))
-    assert targets(ballot.on_reply(B, promise(B, joint)), Accept) == ["a", "b", "d"]
-    accepted_by(ballot, A, D)
-    assert ballot.outcome == Proposal(MINE, State(NEW, b"v"))
+    attempt = to(NEW)
+    attempt.start(JOINT.all_members)
+    attempt.on_reply(A, promise(A, joint))
+    assert targets(attempt.on_reply(B, promise(B, joint)), Accept) == ["a", "b", "d"]
+    accepted_by(attempt, A, D)
+    assert attempt.outcome == Proposal(MINE, State(NEW, b"v"))
 
 
-def test_a_set_never_leaves_a_state_that_is_not_known_to_be_chosen() -> None:
-    ballot = to(NEW)
-    ballot.start(JOINT.everyone)
-    ballot.on_reply(D, promise(D, proposal(3, JOINT, b"v")))
-    ballot.on_reply(C, promise(C, FIRST))
-    with pytest.raises(AssertionError, match="not known to be chosen"):
-        ballot.on_reply(A, promise(A, FIRST))
+def test_a_set_never_leaves_a_state_that_is_not_known_to_be_committed() -> None:
+    attempt = to(NEW)
+    attempt.start(JOINT.all_members)
+    attempt.on_reply(D, promise(D, proposal(3, JOINT, b"v")))
+    attempt.on_reply(C, promise(C, FIRST))
+    with pytest.raises(AssertionError, match="not known to be committed"):
+        attempt.on_reply(A, promise(A, FIRST))
 
 
-@pytest.mark.parametrize("reply", [None, Refuse("x", ProposalNumber(9, "q")), Stranger("x"), "nonsense"])
+@pytest.mark.parametrize(
+    "reply", [None, Rejected("x", ProposalNumber(9, "q")), UnknownReplica("x"), "nonsense"]
+)
 def test_a_ballot_fails_once_no_quorum_is_left(reply: object) -> None:
-    ballot = put(b"v")
-    ballot.start(OLD.everyone)
-    ballot.on_reply(A, reply)
-    assert ballot.phase is Phase.PREPARING
-    ballot.on_reply(B, reply)
-    assert ballot.phase is Phase.FAILED
-    assert not ballot.sent_accept
+    attempt = put(b"v")
+    attempt.start(OLD.all_members)
+    attempt.on_reply(A, reply)
+    assert attempt.phase is Phase.PREPARING
+    attempt.on_reply(B, reply)
+    assert attempt.phase is Phase.FAILED
+    assert not attempt.accept_sent
 
 
 def test_a_ballot_fails_while_accepting_and_may_have_been_accepted() -> None:
-    ballot = put(b"v")
-    ballot.start(OLD.everyone)
-    ballot.on_reply(A, promise(A, FIRST))
-    ballot.on_reply(B, promise(B, FIRST))
-    accepted_by(ballot, A)
-    ballot.on_reply(B, Refuse("b", ProposalNumber(9, "q")))
-    ballot.on_reply(C, None)
-    assert ballot.phase is Phase.FAILED
-    assert ballot.refused_by == ProposalNumber(9, "q")
-    assert ballot.sent_accept
+    attempt = put(b"v")
+    attempt.start(OLD.all_members)
+    attempt.on_reply(A, promise(A, FIRST))
+    attempt.on_reply(B, promise(B, FIRST))
+    accepted_by(attempt, A)
+    attempt.on_reply(B, Rejected("b", ProposalNumber(9, "q")))
+    attempt.on_reply(C, None)
+    assert attempt.phase is Phase.FAILED
+    assert attempt.rejected_by == ProposalNumber(9, "q")
+    assert attempt.accept_sent
 
 
 def test_replies_of_other_ballots_and_replicas_count_nothing() -> None:
-    ballot = put(b"v")
-    ballot.start(OLD.everyone)
-    ballot.on_reply(A, Promise("a", ProposalNumber(4, "me"), GENESIS, FIRST.state))
-    ballot.on_reply(B, Promise("c", MINE, GENESIS, FIRST.state))
-    assert ballot.phase is Phase.FAILED
-
-
-def held(member: Member, found: Proposal | None) -> Held:
-    return Held(member.identity) if found is None else Held(member.identity, found.ballot, found.state)
+    attempt = put(b"v")
+    attempt.start(OLD.all_members)
+    attempt.on_reply(A, Promise("a", ProposalNumber(4, "me"), INITIAL_NUMBER, FIRST.state))
+    attempt.on_reply(B, Promise("c", MINE, INITIAL_NUMBER, FIRST.state))
+    assert attempt.phase is Phase.FAILED
+
+
+def held(member: Member, found: Proposal | None) -> StateReport:
+    return (
+        StateReport(member.identity)
+        if found is None
+        else StateReport(member.identity, found.number, found.state)
+    )
 
 
 V3, V4 = proposal(3, OLD, b"3"), proposal(4, OLD, b"4")
@@ -211,7 +226,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answers", "chosen", "finished"),
+    ("answers", "committed", "finished"),
     [
         ([(A, V3), (B, V3)], V3, True),
         ([(A, V3), (B, V4)], None, False),
@@ -225,20 +240,20 @@
     ],
 )
 def test_a_query_shows_what_a_quorum_holds(
-    answers: list[tuple[Member, Proposal | None]], chosen: Proposal | None, finished: bool
+    answers: list[tuple[Member, Proposal | None]], committed: Proposal | None, finished: bool
 ) -> None:
     query = QuorumRead(FIRST)
-    assert targets(query.start(OLD.everyone), Query) == ["a", "b", "c"]
+    assert targets(query.start(OLD.all_members), Query) == ["a", "b", "c"]
     for member, found in answers:
         query.on_reply(member, held(member, found))
-    assert query.chosen == chosen
+    assert query.committed == committed
     assert query.finished is finished
 
 
 def test_a_query_without_answers_ends_with_nothing() -> None:
     query = QuorumRead(FIRST)
-    query.start(OLD.everyone)
+    query.start(OLD.all_members)
     for member in (A, B, C):
         query.on_reply(member, None)
     assert query.finished
-    assert query.chosen is None
+    assert query.committed is None
--- a/tests/emberring/register/test_tier_register_quorums.py
+++ b/tests/emberring/register/test_tier_register_quorums.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from emberring.register.acceptor import Acceptor, Verdict
+from emberring.register.acceptor import Acceptor, AcceptorResponse
 from emberring.register.messages import Accept, Prepare, Query
-from emberring.register.model import Member, Proposal, ProposalNumber, ReplicaSet, State, founding_proposal
+from emberring.register.model import Member, Proposal, ProposalNumber, ReplicaSet, State, initial_proposal
 from emberring.register.proposer import Phase, ProposalAttempt, Send
 
 ADDRESSES = ("a", "b", "c")
@@ -22,17 +22,17 @@
 class Flight:
     """A message under way: a call to a replica, or its reply."""
 
-    ballot: ProposalAttempt
+    attempt: ProposalAttempt
     send: Send
     reply: object | None = None
 
 
 class Ballots(RuleBasedStateMachine):
-    """Each ballot adds its counter to the value, or takes a step of a change of the set."""
+    """Each attempt adds its counter to the value, or takes a step of a change of the set."""
 
     @initialize()
     def begin(self) -> None:
-        founding = founding_proposal(ADDRESSES)
+        founding = initial_proposal(ADDRESSES)
         self.members = {member.address: member for member in founding.state.replicas.members}
         self.members.update({address: Member(address, address) for address in SPARES})
         self.acceptors = {
@@ -44,7 +44,7 @@
         self.rounds: list[ProposalAttempt] = []
         self.counter = 0
         self.known = founding
-        self.chosen: dict[ProposalNumber, Proposal] = {founding.ballot: founding}
+        self.committed: dict[ProposalNumber, Proposal] = {founding.number: founding}
 
     @rule(
         swap=st.sampled_from([None, ("a", "d"), ("b", "e"), ("c", "d"), ("d", "a"), ("e", "c")]),
@@ -53,29 +53,29 @@
     def propose(self, swap: tuple[str, str] | None, fresh: bool) -> None:
         self.counter += 1
         number = self.counter
-        known = self.known if fresh else self.chosen[min(self.chosen)]
+        known = self.known if fresh else self.committed[min(self.committed)]
 
-        def decide(found: Proposal, chosen: bool) -> State:
-            replicas = self.step(found.state.replicas, swap, chosen)
+        def decide(found: Proposal, committed: bool) -> State:
+            replicas = self.step(found.state.replicas, swap, committed)
             return State(replicas, (found.state.payload or b"") + b"%d " % number)
 
-        ballot = ProposalAttempt(ProposalNumber(number, f"p{number}"), known, decide)
-        self.rounds.append(ballot)
-        self.launch(ballot, ballot.start(known.state.replicas.everyone))
+        attempt = ProposalAttempt(ProposalNumber(number, f"p{number}"), known, decide)
+        self.rounds.append(attempt)
+        self.launch(attempt, attempt.start(known.state.replicas.all_members))
 
-    def step(self, replicas: ReplicaSet, swap: tuple[str, str] | None, chosen: bool) -> ReplicaSet:
+    def step(self, replicas: ReplicaSet, swap: tuple[str, str] | None, committed: bool) -> ReplicaSet:
         if swap is None:
             return replicas
         if replicas.joining:
-            return ReplicaSet(replicas.epoch + 1, replicas.joining) if chosen else replicas
+            return ReplicaSet(replicas.epoch + 1, replicas.joining) if committed else replicas
         out, into = self.members[swap[0]], self.members[swap[1]]
         if out not in replicas.members or into in replicas.members:
             return replicas
         joining = tuple(into if member == out else member for member in replicas.members)
         return ReplicaSet(replicas.epoch + 1, replicas.members, joining)
 
-    def launch(self, ballot: ProposalAttempt, sends: list[Send]) -> None:
-        self.flights += [Flight(ballot, send) for send in sends]
+    def launch(self, attempt: ProposalAttempt, sends: list[Send]) -> None:
+        self.flights += [Flight(attempt, send) for send in sends]
 
     @precondition(lambda self: self.flights)
     @rule(pick=st.integers(0, 10**6), again=st.booleans(), lost=st.integers(0, 9))
@@ -87,8 +87,8 @@
         if flight.reply is None:
             self.flights.append(attrs.evolve(flight, reply=self.judge(flight.send)))
             return
-        self.launch(flight.ballot, flight.ballot.on_reply(flight.send.member, flight.reply))
-        self.take_outcome(flight.ballot)
+        self.launch(flight.attempt, flight.attempt.on_reply(flight.send.member, flight.reply))
+        self.take_outcome(flight.attempt)
 
     @precondition(lambda self: self.flights)
     @rule(picks=st.lists(st.integers(0, 10**6), min_size=5, max_size=20))
@@ -101,23 +101,23 @@
         """The replica's answer; what it must keep is on its disk before that."""
         acceptor = self.acceptors[send.member.identity]
         message = send.message
-        verdict: Verdict
+        response: AcceptorResponse
         match message:
             case Prepare():
-                verdict = acceptor.prepare(message)
+                response = acceptor.prepare(message)
             case Accept():
-                verdict = acceptor.accept(message)
+                response = acceptor.accept(message)
             case Query():
-                verdict = acceptor.query(message)
-        if verdict.record is not None:
-            self.durable[send.member.identity].append(verdict.record)
-        return verdict.reply
+                response = acceptor.query(message)
+        if response.record is not None:
+            self.durable[send.member.identity].append(response.record)
+        return response.reply
 
-    def take_outcome(self, ballot: ProposalAttempt) -> None:
-        if ballot.phase is Phase.CHOSEN and ballot.outcome is not None:
-            found = self.chosen.setdefault(ballot.outcome.ballot, ballot.outcome)
-            assert found == ballot.outcome
-            self.known = max(self.known, ballot.outcome, key=lambda proposal: proposal.ballot)
+    def take_outcome(self, attempt: ProposalAttempt) -> None:
+        if attempt.phase is Phase.COMMITTED and attempt.outcome is not None:
+            found = self.committed.setdefault(attempt.outcome.number, attempt.outcome)
+            assert found == attempt.outcome
+            self.known = max(self.known, attempt.outcome, key=lambda proposal: proposal.number)
 
     @rule(address=st.sampled_from([*ADDRESSES, *SPARES]))
     def restart(self, address: str) -> None:
@@ -131,17 +131,17 @@
 
     @rule(address=st.sampled_from([*ADDRESSES, *SPARES]))
     def learn(self, address: str) -> None:
-        """Somebody tells a replica the newest chosen proposal."""
+        """Somebody tells a replica the newest committed proposal."""
         identity = self.members[address].identity
         record = self.acceptors[identity].install(self.known)
         if record is not None:
             self.durable[identity].append(record)
 
     @invariant()
-    def chosen_ones_are_one_history(self) -> None:
-        if not hasattr(self, "chosen"):
+    def committed_ones_are_one_history(self) -> None:
+        if not hasattr(self, "committed"):
             return
-        in_order = [self.chosen[ballot] for ballot in sorted(self.chosen)]
+        in_order = [self.committed[number] for number in sorted(self.committed)]
         for before, after in itertools.pairwise(in_order):
             assert (after.state.payload or b"").startswith(before.state.payload or b"")
             assert after.state.replicas.epoch >= before.state.replicas.epoch
--- a/tests/emberring/register/test_tier_register_service.py
+++ b/tests/emberring/register/test_tier_register_service.py
@@ -300,10 +300,10 @@
 
     async def call(self, address: str, body: Any, reply: type[T], timeout_s: float) -> T:
         answer = await super().call(address, body, reply, timeout_s)
-        if not isinstance(answer, Accepted) or self._over(answer.ballot):
+        if not isinstance(answer, Accepted) or self._over(answer.number):
             return answer
-        self._accepted[answer.ballot] += 1
-        if self._accepted[answer.ballot] == QUORUM:
+        self._accepted[answer.number] += 1
+        if self._accepted[answer.number] == QUORUM:
             finish, self.finish = self.finish, None
             assert finish is not None
             await finish()
@@ -470,10 +470,10 @@
     async def work(deployment: Deployment) -> None:
         await deployment.start(0, 1, 2)
         register = deployment[2]
-        await register._rewrite(0)  # a snapshot stands in a later place from here on
+        await register._write_snapshot(0)  # a snapshot stands in a later place from here on
         node, register._node = register._node, None
         with pytest.raises(NotReadyError):  # the journal keeps the segment
-            await register._rewrite(1)
+            await register._write_snapshot(1)
         register._node = node
 
     on_deployment(tmp_path, work)
--- a/tests/emberring/register/test_tier_register_simulator.py
+++ b/tests/emberring/register/test_tier_register_simulator.py
@@ -6,7 +6,7 @@
 
 from emberring.register.replica_set_manager import RECONFIGURATION_TIMEOUTS
 from emberring.simulation.control_plane.mutations import Mistake, seeded
-from emberring.simulation.register.history import History, add_number, parse_value
+from emberring.simulation.register.history import History, append_number, parse_value
 from emberring.simulation.register.simulator import (
     FOUNDERS,
     Kind,
@@ -166,9 +166,9 @@
 
 def test_values_of_numbers() -> None:
     assert parse_value(None) == ()
-    assert add_number(None, 4) == b"4"
-    assert add_number(b"4 5", 6) == b"4 5 6"
-    assert add_number(b"4 5 6", 5) is None
+    assert append_number(None, 4) == b"4"
+    assert append_number(b"4 5", 6) == b"4 5 6"
+    assert append_number(b"4 5 6", 5) is None
 
 
 def ended(
--- a/tests/golden/record_disk.py
+++ b/tests/golden/record_disk.py
@@ -48,8 +48,8 @@
     ProposalNumber,
     ReplicaSet,
     State,
-    founding_identity,
-    founding_proposal,
+    initial_identity,
+    initial_proposal,
 )
 from emberring.store.disk import open_disk
 
@@ -126,7 +126,7 @@
 def record_register() -> None:
     """The records, each with what is held after it."""
     records = register_records()
-    founder = Acceptor(founding_identity(FOUNDERS[0]), founding_proposal(FOUNDERS)).snapshot()
+    founder = Acceptor(initial_identity(FOUNDERS[0]), initial_proposal(FOUNDERS)).snapshot()
     lives = [(records[:end], records[end - 1]) for end in range(1, len(records) + 1)]
     listed = [{"record": text(record), "held_after": restored(before)} for before, record in lives]
     write_json(
