--- a/emberring/register/acceptor.py
+++ b/emberring/register/acceptor.py
@@ -1,6 +1,6 @@
-"""The acceptor: what one replica has promised and accepted, and the records by which it outlives a restart.
+"""The acceptor: what one replica has promised and accepted, and the records by which it survives a restart.
 
-Sans-I/O: a verdict's reply may be sent only when its record, and all records before it, are on the disk.
+Sans-I/O: a response's reply may be sent only when its record, and all records before it, are on the disk.
 """
 
 from __future__ import annotations
@@ -36,7 +36,10 @@
 
 @attrs.frozen
 class _RecordHeader:
-    """The head of a record: what is not bytes of the value. A field that is None says nothing."""
+    """The header of a record: all but the bytes of the value. A field that is None says nothing.
+
+    The names of its fields are keys of the records on disk.
+    """
 
     identity: str | None = None
     promised: ProposalNumber | None = None
@@ -46,7 +49,13 @@
 
 
 class Acceptor:
-    """One replica's part in every ballot."""
+    """One replica's votes.
+
+    Attributes:
+        identity: of the replica; empty before it is restored.
+        promised: the highest proposal number promised.
+        accepted: the proposal accepted last.
+    """
 
     def __init__(self, identity: str, accepted: Proposal | None = None) -> None:
         self.identity = identity
@@ -55,11 +64,11 @@
 
     @property
     def accepted_number(self) -> ProposalNumber | None:
-        """The ballot of what was accepted last."""
+        """The number of the proposal accepted last."""
         return None if self.accepted is None else self.accepted.number
 
     def prepare(self, message: Prepare) -> AcceptorResponse:
-        """Promise, unless a newer ballot has been promised."""
+        """Promise, unless a higher proposal number has been promised."""
         if message.target != self.identity:
             return AcceptorResponse(UnknownReplica(self.identity))
         if self.promised is not None and message.number < self.promised:
@@ -72,7 +81,7 @@
         return AcceptorResponse(Promise(self.identity, message.number, number, state), record, durable=True)
 
     def accept(self, message: Accept) -> AcceptorResponse:
-        """Accept, unless a newer ballot has been promised."""
+        """Accept, unless a higher proposal number has been promised."""
         if message.target != self.identity:
             return AcceptorResponse(UnknownReplica(self.identity))
         if self.promised is not None and message.number < self.promised:
@@ -83,28 +92,28 @@
         return AcceptorResponse(Accepted(self.identity, message.number), record, durable=True)
 
     def query(self, message: Query) -> AcceptorResponse:
-        """What was accepted."""
+        """Report what was accepted last."""
         if message.target != self.identity:
             return AcceptorResponse(UnknownReplica(self.identity))
         number, state = self._report(message.known)
         return AcceptorResponse(StateReport(self.identity, number, state), durable=True)
 
     def install(self, committed: Proposal) -> bytes | None:
-        """Take over a proposal that is known to be chosen; the record to write, or None where nothing changes.
+        """Take over a committed proposal; return the record to write, or None where nothing changes.
 
-        This is safe whatever was promised since: it is chosen without this replica, and a replica may always report
-        a newer proposal than the one it accepted.
+        This is safe whatever was promised since: it is committed without this replica, and a replica may always
+        report a newer proposal than the one that it accepted.
         """
         if self.accepted_number is not None and committed.number <= self.accepted_number:
             return None
         return self._accept_proposal(committed)
 
     def snapshot(self) -> bytes:
-        """A record of everything."""
+        """Return a record of the whole state."""
         return self._record(self.identity, self.accepted)
 
     def restore(self, payload: bytes) -> None:
-        """Take in a record found at a start, in any order; `CorruptRecordError` where it is none."""
+        """Take in a record found at a start; records may come in any order. Raises `CorruptRecordError`."""
         header, value = _decode(payload)
         if header.identity is not None:
             self.identity = header.identity
--- a/emberring/register/catch_up.py
+++ b/emberring/register/catch_up.py
@@ -83,7 +83,7 @@
         return float("inf") if self._scrub_at_s is None else self._scrub_at_s
 
     def on_announced(self, now_s: float, number: ProposalNumber | None, address: str) -> None:
-        """The node at this address knows the proposal of this number to be committed: learn or fetch it."""
+        """Learn or fetch a proposal that the node at this address knows to be committed."""
         if number is None or (self.learned is not None and number <= self.learned.number):
             return
         accepted = self._acceptor.accepted
@@ -114,7 +114,7 @@
             self._actions.add(Learned(payload))
 
     def require_confirmation(self) -> None:
-        """A quorum read did not show what is committed: an attempt has to find out, if anything is unconfirmed."""
+        """Have an attempt find out what is committed, if anything is unconfirmed; a quorum read did not show it."""
         self.confirmation_needed = self.confirmation_needed or self.unconfirmed
 
     def schedule_scrub(self, now_s: float) -> None:
--- a/emberring/register/events.py
+++ b/emberring/register/events.py
@@ -1,4 +1,4 @@
-"""What happens to a node of the register, and what it wants done. Times are seconds of the steady clock."""
+"""The events that a `RegisterNode` takes in, and the actions that it returns. Times are seconds of the steady clock."""
 
 from __future__ import annotations
 
@@ -11,15 +11,16 @@
 from emberring.register.model import Member
 
 Change = Callable[[bytes | None], bytes | None]
-"""From the present value to the next; None leaves it; an `EmberringError` refuses.
+"""From the present value to the next; None leaves the value as it is; an `EmberringError` rejects the change.
 
-May be called several times, and may then find its own effect, which another node finished: it should know it and
-leave it (None). A refusal after an attempt that may have been taken reaches the caller as `UnknownOutcomeError`."""
+The function may be called several times, and may then find its own effect, which another node committed: it should
+recognize that and return None. A rejection after an attempt that may have committed reaches the caller as
+`UnknownOutcomeError`."""
 
 
 @attrs.frozen
 class Peer:
-    """Another control node, as the tier's facts have it."""
+    """Another control node, as the node records of the tier have it."""
 
     name: str
     member: Member
@@ -29,7 +30,7 @@
 
 @attrs.frozen
 class Received:
-    """A message from another node (or this one). A `Reply` with this number is wanted, except to `CommittedNotice`."""
+    """A message from another node or this one. A `Reply` with this number answers it, except a `CommittedNotice`."""
 
     request: int
     message: Request
@@ -37,7 +38,7 @@
 
 @attrs.frozen
 class Replied:
-    """The reply to a call; None where there was none in time."""
+    """The reply to a call; None where none came in time."""
 
     call: int
     reply: object | None
@@ -45,7 +46,7 @@
 
 @attrs.frozen
 class AppendSynced:
-    """A record is on the disk, and all before it."""
+    """A record and all records before it are on the disk."""
 
     append: int
 
@@ -59,7 +60,7 @@
 
 @attrs.frozen
 class ChangeRequested:
-    """A change of the value is wanted."""
+    """A caller requests a change of the value."""
 
     operation: int
     change: Change
@@ -68,7 +69,7 @@
 
 @attrs.frozen
 class ReadRequested:
-    """The value is wanted, as a quorum has it from now on."""
+    """A caller requests the value as a quorum has it, at least as new as now."""
 
     operation: int
     deadline_s: float
@@ -76,14 +77,14 @@
 
 @attrs.frozen
 class PeersChanged:
-    """All other control nodes known at present."""
+    """All other control nodes known at present; they replace those known before."""
 
     peers: tuple[Peer, ...]
 
 
 @attrs.frozen
 class Tick:
-    """Time has passed."""
+    """Time has passed; nothing else has happened."""
 
 
 Event = (
@@ -93,7 +94,7 @@
 
 @attrs.frozen
 class Call:
-    """Send a message and report its reply, or None after the time-out, as `Replied`."""
+    """Send a message, and report its reply, or None after the time-out, as `Replied`."""
 
     call: int
     address: str
@@ -103,7 +104,7 @@
 
 @attrs.frozen
 class NotifyLearned:
-    """Send a hint."""
+    """Send a notice without an answer, which may be lost."""
 
     address: str
     message: CommittedNotice
@@ -111,7 +112,7 @@
 
 @attrs.frozen
 class Append:
-    """Write a record, in order; report `AppendSynced` or `AppendFailed`."""
+    """Write a record, in order, and report `AppendSynced` or `AppendFailed`."""
 
     append: int
     record: bytes
@@ -119,7 +120,7 @@
 
 @attrs.frozen
 class Reply:
-    """Answer a message. A durable one waits for all appends so far, and is dropped if one of them fails."""
+    """Answer a message. A durable answer waits for all appends so far, and is dropped if one of them fails."""
 
     request: int
     message: Answer
@@ -128,7 +129,7 @@
 
 @attrs.frozen
 class Resolve:
-    """A job is done: with the value, or with an error."""
+    """An operation has ended: with the value, or with an error."""
 
     operation: int
     payload: bytes | None = None
@@ -137,7 +138,7 @@
 
 @attrs.frozen
 class Learned:
-    """A value is known to be chosen; each is newer than the ones before."""
+    """Notify the subscribers of a committed value; each is newer than the ones before."""
 
     payload: bytes
 
--- a/emberring/register/node.py
+++ b/emberring/register/node.py
@@ -66,14 +66,14 @@
         acceptor: what its disk holds.
         proposer: the name under which it proposes; must be new at each start.
         seeds: internal addresses to ping before any other node is known.
-        wanted: how many replicas there should be.
+        target_size: how many replicas there should be.
         rng: draws the backoff of attempts and the jitter of scrubs.
         now_s: the time now (steady clock, seconds).
         timeouts: when a silent replica is replaced.
 
     Attributes:
         me, acceptor: as given.
-        contacts: which control nodes this one hears.
+        contacts: the liveness of the other control nodes.
         replica_set_manager: plans changes of the replica set.
     """
 
@@ -83,7 +83,7 @@
         acceptor: Acceptor,
         proposer: str,
         seeds: tuple[str, ...],
-        wanted: int,
+        target_size: int,
         rng: random.Random,
         now_s: float,
         timeouts: ReconfigurationTimeouts = RECONFIGURATION_TIMEOUTS,
@@ -91,7 +91,7 @@
         self.me = me
         self.acceptor = acceptor
         self.contacts = Contacts(me, now_s, seeds)
-        self.replica_set_manager = ReplicaSetManager(me, wanted, self.contacts, timeouts)
+        self.replica_set_manager = ReplicaSetManager(me, target_size, self.contacts, timeouts)
         self._disk = Persistence(acceptor)
         self._actions = ActionQueue()
         self._calls = OutgoingCalls(self._actions)
--- a/emberring/register/pending_operations.py
+++ b/emberring/register/pending_operations.py
@@ -1,4 +1,4 @@
-"""Changes and reads that wait for a ballot: applied to the value found, resolved when it is chosen."""
+"""Changes and reads that wait for an attempt: applied to the value it found, resolved when it commits."""
 
 from __future__ import annotations
 
@@ -10,11 +10,18 @@
 from emberring.register.events import Change, Resolve
 
 OUTCOME_UNKNOWN = "the change may or may not have been taken"
+"""Text of the error of a change whose outcome is unknown; clients see it."""
 
 
 @attrs.define(eq=False)
 class PendingOperation:
-    """One change or read. In doubt once a state made with it may have been accepted somewhere."""
+    """One change or read (`change` is None).
+
+    Attributes:
+        number: by which its caller is found.
+        deadline_s: when it expires (steady clock, seconds).
+        outcome_unknown: whether a state made with it may have been accepted by a replica.
+    """
 
     number: int
     deadline_s: float
@@ -24,7 +31,7 @@
 
 @attrs.frozen
 class _Outcome:
-    """What comes of a job if the ballot is chosen."""
+    """The outcome of an operation if the attempt commits."""
 
     operation: PendingOperation
     payload: bytes | None = None
@@ -33,7 +40,7 @@
 
 
 class Batch:
-    """Jobs applied one after another to the value that a ballot found."""
+    """Operations applied one after another to the value that an attempt or a read found."""
 
     def __init__(self, operations: tuple[PendingOperation, ...], payload: bytes | None) -> None:
         self.payload = payload
@@ -44,36 +51,41 @@
             changed = None if operation.change is None else operation.change(self.payload)
         except EmberringError as error:
             return _Outcome(operation, error=_rejection(operation, error))
-        except Exception as error:  # a fault in the caller's function must not stop the register
+        except (
+            Exception
+        ) as error:  # the change function is the caller's; a fault in it must not stop the register
             return _Outcome(operation, error=InternalError(f"{type(error).__name__}: {error}"))
         if changed is not None:
             self.payload = changed
         return _Outcome(operation, self.payload, changed=changed is not None)
 
     def mark_outcome_unknown(self) -> None:
-        """The value made may be accepted somewhere from here on."""
+        """Mark the operations that changed the value: from here on a replica may accept it."""
         for outcome in self._outcomes:
             outcome.operation.outcome_unknown = outcome.operation.outcome_unknown or outcome.changed
 
     def expire(self, now_s: float) -> list[Resolve]:
-        """Take out the jobs whose time has run out; what to tell their callers."""
+        """Take out the operations whose deadline has passed, and return their outcomes."""
         late = [found for found in self._outcomes if found.operation.deadline_s <= now_s]
         self._outcomes = [found for found in self._outcomes if found.operation.deadline_s > now_s]
         return [timed_out(found.operation) for found in late]
 
     @property
     def operations(self) -> tuple[PendingOperation, ...]:
-        """The jobs in it."""
+        """The operations in it."""
         return tuple(outcome.operation for outcome in self._outcomes)
 
     def resolve(self) -> list[Resolve]:
-        """It is chosen: what to tell the callers."""
+        """Return the outcomes of all operations: the attempt has committed."""
         return [Resolve(found.operation.number, found.payload, found.error) for found in self._outcomes]
 
 
 def _rejection(operation: PendingOperation, refusal: EmberringError) -> EmberringError:
-    """A refusal says that nothing was changed. A job in doubt may have refused its own effect, which another
-    proposer finished."""
+    """Return the error that the caller gets where its change function rejected.
+
+    A rejection says that nothing was changed. An operation with an unknown outcome may have rejected its own effect,
+    which another proposer finished.
+    """
     return (
         UnknownOutcomeError(f"{OUTCOME_UNKNOWN}; now: {refusal.detail}")
         if operation.outcome_unknown
@@ -82,14 +94,14 @@
 
 
 def timed_out(operation: PendingOperation) -> Resolve:
-    """Its time has run out."""
+    """Return the outcome of an operation whose deadline has passed."""
     if operation.outcome_unknown:
         return Resolve(operation.number, error=UnknownOutcomeError(OUTCOME_UNKNOWN))
     return Resolve(operation.number, error=NoQuorumError("too few replicas answered in time"))
 
 
 def expire_queue(queue: deque[PendingOperation], now_s: float) -> list[Resolve]:
-    """Take out of a queue the operations whose deadline has passed; what to tell their callers."""
+    """Take out of a queue the operations whose deadline has passed, and return their outcomes."""
     late = [operation for operation in queue if operation.deadline_s <= now_s]
     for operation in late:
         queue.remove(operation)
--- a/emberring/register/proposal_loop.py
+++ b/emberring/register/proposal_loop.py
@@ -1,4 +1,4 @@
-"""This node's attempts at committing a proposal: one at a time, with a backoff after a failed one."""
+"""Attempts of one node at committing a proposal: one at a time, with a backoff after a failed one."""
 
 from __future__ import annotations
 
@@ -137,7 +137,7 @@
         self._send(attempt, attempt.start(known.state.replicas.all_members))
 
     def _decide(self, found: Proposal, committed: bool) -> State:
-        """What this attempt proposes on top of the proposal that it found."""
+        """Return what this attempt proposes on top of the proposal that it found."""
         self._batch = Batch(tuple(self._in_attempt), found.state.payload)
         self._in_attempt.clear()
         replicas = found.state.replicas
--- a/emberring/register/quorum_reads.py
+++ b/emberring/register/quorum_reads.py
@@ -96,7 +96,7 @@
         self._in_read = deque()
 
     def _fail(self, read: QuorumRead) -> None:
-        """The answers do not show what is committed: an attempt of a proposal has to find out."""
+        """Leave it to an attempt of a proposal to find out what is committed: the answers do not show it."""
         self._proposals.observe(read.highest)
         self._read = None
         self._catch_up.require_confirmation()
--- a/emberring/register/replica_set_manager.py
+++ b/emberring/register/replica_set_manager.py
@@ -1,4 +1,4 @@
-"""Whether, and by which node, the replica set is to be changed now."""
+"""Decides whether, and by which node, the replica set is to be reconfigured now."""
 
 from __future__ import annotations
 
@@ -9,12 +9,19 @@
 from emberring.register.model import Member, Proposal, ReplicaSet
 
 RECENT_CONTACT_S = 1.0
+"""A node that was in contact within this time counts as alive, in seconds."""
 
 
 @attrs.frozen
 class ReconfigurationTimeouts:
-    """How long (s) a replica may be silent before it counts as dead, and before another node of its name takes its
-    place; how much longer each further replica waits before it acts; how long new ones have to get the value."""
+    """Time-outs of a reconfiguration, in seconds.
+
+    Attributes:
+        dead_after_s: how long a replica may be silent before it counts as dead.
+        name_silent_s: how long it may be silent before another node with its node name replaces it.
+        rank_delay_s: how much longer each further replica of the set waits before it acts.
+        joiner_wait_s: how long joining replicas have to get the value.
+    """
 
     dead_after_s: float = 1.5
     name_silent_s: float = 0.5
@@ -23,44 +30,49 @@
 
 
 RECONFIGURATION_TIMEOUTS = ReconfigurationTimeouts()
+"""The time-outs in production; simulators use shorter ones too."""
 
 
 @attrs.frozen
 class ReconfigurationStep:
-    """A wanted step from one replica set to the next."""
+    """A planned step from one replica set to the next."""
 
     previous: ReplicaSet
     following: ReplicaSet
 
 
 class ReplicaSetManager:
-    """Plans steps from what the contacts show. Replicas further down the set wait longer before they act."""
+    """Plans steps from what the contacts show. Replicas further down the set wait longer before they act.
+
+    Attributes:
+        timeouts: of a reconfiguration.
+    """
 
     def __init__(
         self,
         me: Member,
-        wanted: int,
+        target_size: int,
         contacts: Contacts,
         timeouts: ReconfigurationTimeouts = RECONFIGURATION_TIMEOUTS,
     ) -> None:
         self.timeouts = timeouts
         self._me = me
-        self._wanted = wanted
+        self._target_size = target_size
         self._contacts = contacts
-        self._wanted_since: float | None = None
+        self._planned_since_s: float | None = None
         self._joint_epoch = -1
-        self._joint_since = 0.0
+        self._joint_since_s = 0.0
 
     def step(self, now_s: float, learned: Proposal | None) -> ReconfigurationStep | None:
-        """The step that this node should propose now, on top of what it knows to be chosen."""
+        """Return the step that this node should propose now, on top of the committed proposal that it knows."""
         following = None if learned is None else self._following(now_s, learned)
         if following is None or learned is None:
-            self._wanted_since = None
+            self._planned_since_s = None
             return None
-        if self._wanted_since is None:
-            self._wanted_since = now_s
+        if self._planned_since_s is None:
+            self._planned_since_s = now_s
         current = learned.state.replicas
-        if now_s - self._wanted_since < self._rank(now_s, current) * self.timeouts.rank_delay_s:
+        if now_s - self._planned_since_s < self._rank(now_s, current) * self.timeouts.rank_delay_s:
             return None
         return ReconfigurationStep(current, following)
 
@@ -72,25 +84,25 @@
             return None
         if current.joining and not self._joiners_caught_up(now_s, learned):
             return None
-        return next_replica_set(current, self._view(now_s, current), self._wanted)
+        return next_replica_set(current, self._view(now_s, current), self._target_size)
 
     def _joiners_caught_up(self, now_s: float, learned: Proposal) -> bool:
-        """Whether the new replicas have the value, or have had their time."""
+        """Return whether the joining replicas have the value, or have had `joiner_wait_s` to get it."""
         current = learned.state.replicas
         if self._joint_epoch != current.epoch:
-            self._joint_epoch, self._joint_since = current.epoch, now_s
-        if now_s - self._joint_since > self.timeouts.joiner_wait_s:
+            self._joint_epoch, self._joint_since_s = current.epoch, now_s
+        if now_s - self._joint_since_s > self.timeouts.joiner_wait_s:
             return True
         for member in current.joining:
             if member in current.members or member.identity == self._me.identity:
                 continue
-            held = self._contacts.learned(member)
-            if held is None or held < learned.number:
+            learned_number = self._contacts.learned(member)
+            if learned_number is None or learned_number < learned.number:
                 return False
         return True
 
     def _rank(self, now_s: float, current: ReplicaSet) -> int:
-        """How many replicas that are in touch come before this one."""
+        """Return how many replicas in contact come before this one in the set."""
         rank = 0
         for member in current.all_members:
             if member.identity == self._me.identity:
--- a/emberring/register/service.py
+++ b/emberring/register/service.py
@@ -1,4 +1,4 @@
-"""The register in a control node's process: the machine of `node.py` with network, journal and clock around it."""
+"""The register in a control node's process: connects a `RegisterNode` with the network, the journal and the clock."""
 
 from __future__ import annotations
 
@@ -6,18 +6,16 @@
 import itertools
 import os
 import random
-import shutil
 from collections.abc import Callable, Coroutine, Sequence
 from pathlib import Path
 from typing import Protocol
 
 from emberring.errors import (
-    CorruptRecordError,
     DiskFailedError,
     EmberringError,
     NotReadyError,
 )
-from emberring.journal import Journal, Position, Record
+from emberring.journal import Journal, Position
 from emberring.logs import get_logger
 from emberring.register.acceptor import Acceptor
 from emberring.register.events import (
@@ -40,6 +38,7 @@
     Resolve,
     Tick,
 )
+from emberring.register.journal_opening import JournalOpener
 from emberring.register.messages import (
     Accept,
     Answer,
@@ -50,22 +49,18 @@
     Query,
     Request,
 )
-from emberring.register.model import Member, initial_identity, initial_proposal
+from emberring.register.model import Member
 from emberring.register.node import RegisterNode
+from emberring.register.subscribers import ValueSubscribers
 from emberring.settings import CONTROL_PORT_OFFSET, Settings
 from emberring.transport.messages import Ok
 from emberring.transport.network import Caller, Network
 
-SEGMENT_BYTES = 1024 * 1024
-MAX_BYTES = 64 * 1024 * 1024
-RECLAIM_ABOVE_BYTES = 12 * 1024 * 1024
-REOPEN_AFTER_S = 0.3
-
 logger = get_logger("register")
 
 
 def resolve_future(future: asyncio.Future[bytes | None] | None, outcome: Resolve) -> None:
-    """Tell the caller of a job, if it still waits, what came of it."""
+    """Pass the outcome of an operation to its caller, if that one still waits."""
     if future is None or future.done():
         return
     if outcome.error is not None:
@@ -75,29 +70,44 @@
 
 
 class NodeRecordLike(Protocol):
-    """What `note_peers` needs of a node's fact."""
+    """The part of a node's status record that `note_peers` needs."""
 
     @property
-    def name(self) -> str: ...
+    def name(self) -> str:
+        """Name of the node."""
+
     @property
-    def address(self) -> str: ...
+    def address(self) -> str:
+        """Its internal address."""
+
     @property
-    def zone(self) -> str: ...
+    def zone(self) -> str:
+        """Its zone."""
+
     @property
-    def identity(self) -> str: ...
+    def identity(self) -> str:
+        """Identity of its replica."""
+
     @property
-    def leaving(self) -> bool: ...
+    def leaving(self) -> bool:
+        """Whether it is shutting down."""
 
 
 class RegisterService:
-    """The replicated value, changed by compare and swap. Used from one event loop."""
+    """The replicated value, changed by compare and swap. Used from one event loop.
+
+    Args:
+        settings: of this node.
+        network: receives the register's messages and sends its calls.
+        journal_dir: the folder of the replica's journal.
+    """
 
     def __init__(self, settings: Settings, network: Network, journal_dir: Path) -> None:
         self._settings = settings
         self._network = network
-        self._directory = journal_dir
-        self._may_create_initial = settings.bootstrap
         self._address = settings.internal_address(CONTROL_PORT_OFFSET)
+        seeds = settings.internal_seeds()
+        self._opener = JournalOpener(journal_dir, self._address, seeds, settings.bootstrap)
         self._node: RegisterNode | None = None
         self._journal: Journal | None = None
         self._snapshot_segment = -1
@@ -105,8 +115,7 @@
         self._replies: dict[int, asyncio.Future[Answer]] = {}
         self._operations: dict[int, asyncio.Future[bytes | None]] = {}
         self._appends: dict[int, asyncio.Future[Position]] = {}
-        self._subscribers: list[Callable[[bytes], None]] = []
-        self._last_learned: bytes | None = None
+        self._subscribers = ValueSubscribers()
         self._tasks: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
         self._peers: tuple[Peer, ...] = ()
@@ -119,22 +128,22 @@
         return "" if self._node is None else self._node.me.identity
 
     async def start(self) -> None:
-        """Open the journal, be born where it is empty, and take part. Waits for a disk that refuses."""
+        """Open the journal, create a replica where it is empty, and take part. Waits for a disk that fails."""
         journal, acceptor = await self._open()
         self._journal = journal
         journal.set_rewriter(self._write_snapshot)
         seeds = self._settings.internal_seeds()
-        wanted = 2 * max(1, self._settings.fault_tolerance.machines) + 1
+        target_size = 2 * max(1, self._settings.fault_tolerance.machines) + 1
         proposer = f"{acceptor.identity}/{os.urandom(8).hex()}"
         me = Member(acceptor.identity, self._address)
         now_s = asyncio.get_running_loop().time()
         rng = random.Random(os.urandom(8))
-        self._node = RegisterNode(me, acceptor, proposer, seeds, wanted, rng, now_s)
+        self._node = RegisterNode(me, acceptor, proposer, seeds, target_size, rng, now_s)
         logger.info("event=register_started identity=%s", acceptor.identity)
         self._apply(PeersChanged(self._peers))
 
     async def stop(self) -> None:
-        """Take part no longer; changes and reads under way end in doubt or without a quorum."""
+        """Take part no longer; changes and reads in flight end with an unknown outcome or without a quorum."""
         if self._timer is not None:
             self._timer.cancel()
         self._node = None
@@ -151,49 +160,50 @@
             await self._journal.close()
 
     async def change(self, decide: Change, timeout_s: float) -> bytes:
-        """Swap the value for `decide(value)`, which may be called several times, at last with the value replaced.
+        """Swap the value for `decide(value)` and return the new value.
 
-        Returns the new value, or the present one where `decide` returned None (empty bytes if there is none yet).
+        `decide` may be called several times, at last with the value that is replaced. Where it returns None the present
+        value is returned (empty bytes if there is none yet).
         An `EmberringError` from `decide` is raised once a quorum has confirmed the value that it judged.
         `NoQuorumError`: not taken, as far as this node knows, for want of a quorum.
         `UnknownOutcomeError`: it may have been taken.
         """
-        payload = await self._operation(
+        payload = await self._run_operation(
             lambda operation, until: ChangeRequested(operation, decide, until), timeout_s
         )
         return payload or b""
 
     async def read(self, timeout_s: float) -> bytes | None:
-        """The value as a quorum has it, at least as new as all changes acknowledged before; None before the first.
+        """Return the value that a quorum has; None before the first change.
 
+        It is at least as new as each change that was acknowledged before the call.
         `NoQuorumError` where too few replicas answer in time.
         """
-        return await self._operation(lambda operation, until: ReadRequested(operation, until), timeout_s)
+        return await self._run_operation(lambda operation, until: ReadRequested(operation, until), timeout_s)
 
     def subscribe(self, callback: Callable[[bytes], None]) -> None:
-        """Be told each value known to be chosen, the present one at once; never an older one after a newer."""
-        self._subscribers.append(callback)
-        if self._last_learned is not None:
-            callback(self._last_learned)
+        """Call back with each value known to be committed, the present one at once, none older than one before."""
+        self._subscribers.add(callback)
 
     def majority_age_s(self) -> float:
-        """How long ago a quorum of the replicas was last in contact, in seconds; infinite if never."""
+        """Return how long ago a quorum of the replicas was last in contact, in seconds; infinite if never."""
         if self._node is None:
             return float("inf")
         return self._node.majority_age_s(asyncio.get_running_loop().time())
 
     def is_quorum(self, identities: frozenset[str]) -> bool:
-        """Whether these replicas are a quorum of the set that this node knows to be chosen; not before it knows one."""
+        """Return whether these replicas are a quorum of the committed set; false before this node knows one."""
         return self._node is not None and self._node.is_quorum(identities)
 
-    def note_peers(self, facts: Sequence[NodeRecordLike]) -> None:
-        """All other control nodes known at present; those that are not replicas may become some."""
+    def note_peers(self, records: Sequence[NodeRecordLike]) -> None:
+        """Set the other control nodes known at present; those that are no replicas may become replicas."""
         self._peers = tuple(
-            Peer(fact.name, Member(fact.identity, fact.address), fact.zone, fact.leaving) for fact in facts
+            Peer(record.name, Member(record.identity, record.address), record.zone, record.leaving)
+            for record in records
         )
         self._apply(PeersChanged(self._peers))
 
-    async def _operation(self, event: Callable[[int, float], Event], timeout_s: float) -> bytes | None:
+    async def _run_operation(self, event: Callable[[int, float], Event], timeout_s: float) -> bytes | None:
         if self._node is None:
             raise NotReadyError("the register has not started")
         loop = asyncio.get_running_loop()
@@ -206,58 +216,22 @@
         finally:
             self._operations.pop(number, None)
 
-    # Start.
+    # Journal.
 
     async def _open(self) -> tuple[Journal, Acceptor]:
-        loop = asyncio.get_running_loop()
-        while True:
-            try:
-                journal, records = await loop.run_in_executor(None, self._open_journal)
-                return journal, await self._restore_replica(journal, records)
-            except DiskFailedError as error:
-                logger.warning("event=journal_refused detail=%r", error.detail)
-            await asyncio.sleep(REOPEN_AFTER_S)
-
-    def _open_journal(self) -> tuple[Journal, list[Record]]:
-        """The journal and its records; one that is damaged is a lost disk, and whoever kept it must not come back."""
-        try:
-            return Journal.open(self._directory, SEGMENT_BYTES, MAX_BYTES, RECLAIM_ABOVE_BYTES)
-        except CorruptRecordError as error:
-            logger.error("event=journal_discarded detail=%r", error.detail)
-            self._may_create_initial = False
-        try:
-            shutil.rmtree(self._directory)
-        except OSError as error:
-            raise DiskFailedError(f"{type(error).__name__}: {error}") from error
-        return Journal.open(self._directory, SEGMENT_BYTES, MAX_BYTES, RECLAIM_ABOVE_BYTES)
-
-    async def _restore_replica(self, journal: Journal, records: list[Record]) -> Acceptor:
-        """The replica that these records are; a new one, kept before it does anything, where they name none."""
-        acceptor = Acceptor("")
-        for record in records:
-            acceptor.restore(record.payload)
-        if not acceptor.identity:
-            acceptor = self._new_acceptor()
-            await journal.append(acceptor.snapshot())
-        return acceptor
-
-    def _new_acceptor(self) -> Acceptor:
-        seeds = self._settings.internal_seeds()
-        if self._may_create_initial and self._address in seeds:
-            return Acceptor(initial_identity(self._address), initial_proposal(seeds))
-        return Acceptor(f"replica:{os.urandom(16).hex()}")
+        return await self._opener.open()
 
     async def _write_snapshot(self, segment: int) -> None:
-        """Empty the oldest segment: nothing in it counts once a snapshot stands in a later one."""
+        """Write a snapshot so that the oldest segment can be emptied: nothing in it counts once a later one has it."""
         if self._snapshot_segment > segment:
             return
-        # Guard: a return would give the segment up without a snapshot.
+        # A return would let the journal empty the segment without a snapshot.
         if self._node is None or self._journal is None:
             raise NotReadyError("the register does not run")
         position = await self._journal.append(self._node.acceptor.snapshot(), reclaiming=True)
         self._snapshot_segment = position.segment
 
-    # The machine.
+    # Events and actions of the `RegisterNode`.
 
     def _apply(self, event: Event) -> None:
         if self._node is None:
@@ -288,7 +262,7 @@
             case Resolve():
                 resolve_future(self._operations.get(action.operation), action)
             case Learned():
-                self._notify_subscribers(action.payload)
+                self._subscribers.notify(action.payload)
 
     def _spawn(self, work: Coroutine[object, object, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -302,7 +276,8 @@
         except (EmberringError, TimeoutError):
             pass
         except Exception:
-            # Guard: a call that never ends leaves its replica unasked for good, and this one behind.
+            # The outermost handler of a call: one that never ended would leave its replica unasked for good, and
+            # this node behind.
             logger.exception("event=call_failed address=%s", action.address)
         self._apply(Replied(action.call, reply))
 
@@ -346,14 +321,6 @@
         if future is not None and not future.done():
             future.set_result(action.message)
 
-    def _notify_subscribers(self, payload: bytes) -> None:
-        self._last_learned = payload
-        for callback in list(self._subscribers):
-            try:
-                callback(payload)
-            except Exception:
-                logger.exception("event=subscriber_failed")
-
     # Messages.
 
     async def _on_message(self, message: Request, caller: Caller) -> object:
