--- a/emberring/simulation/control_plane/control_machine.py
+++ b/emberring/simulation/control_plane/control_machine.py
@@ -27,7 +27,7 @@
 from emberring.simulation.control_plane.network import SimulatedNetwork
 from emberring.simulation.control_plane.process import Process
 from emberring.simulation.control_plane.world import ControlWorld
-from emberring.simulation.register.world import Machine
+from emberring.simulation.register.machine import Machine
 
 FIRST_PORT = 7000
 INTERNAL_PORT = FIRST_PORT + 1
--- a/emberring/simulation/register/disk.py
+++ b/emberring/simulation/register/disk.py
@@ -1,4 +1,4 @@
-"""A folder of files that loses power: what was synced stays, each later write is there, torn or absent."""
+"""A simulated folder of files that can lose power: what was synced stays, later writes are kept, torn or lost."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 
 import attrs
 
-ALL_GONE_SHARE = 0.3  # of losses of power: no write after the last sync survives
+ALL_LOST_SHARE = 0.3
+"""In this share of power losses no write after the last sync survives."""
 
 
 @attrs.define(eq=False)
 class SimulatedFile:
-    """A file: what the process sees, and what lies on the disk for certain."""
+    """A file: its content as the process sees it (`current`), and what is on the disk for certain (`durable`)."""
 
     name: str
     folder: SimulatedFolder
@@ -20,29 +21,29 @@
     named: bool = False
 
     def size(self) -> int:
-        """Its length in bytes."""
+        """Return its length in bytes."""
         return len(self.current)
 
     def resize(self, length: int) -> None:
         """Set its length."""
-        self._do(_Step(self, length=length))
+        self._apply_step(_Step(self, length=length))
 
     def read(self, offset: int, length: int) -> bytes:
-        """At most so many bytes from there."""
+        """Return at most `length` bytes from `offset` on."""
         return bytes(self.current[offset : offset + length])
 
     def write(self, offset: int, data: bytes) -> None:
-        """These bytes there."""
-        self._do(_Step(self, offset=offset, data=bytes(data)))
+        """Write these bytes at `offset`."""
+        self._apply_step(_Step(self, offset=offset, data=bytes(data)))
 
     def sync(self) -> None:
-        """Make it last."""
-        self._do(_Step(self, sync=True))
+        """Make all writes so far durable."""
+        self._apply_step(_Step(self, sync=True))
 
     def close(self) -> None:
-        """Nothing to let go of."""
+        """Close the file; there is nothing to release."""
 
-    def _do(self, step: _Step) -> None:
+    def _apply_step(self, step: _Step) -> None:
         self.folder.check()
         self.folder.steps.append(step)
         step.apply(self.current)
@@ -59,7 +60,7 @@
     sync: bool = False
 
     def apply(self, content: bytearray) -> None:
-        """Carry it out on these bytes."""
+        """Carry the step out on this content."""
         if self.length is not None:
             if self.length < len(content):
                 del content[self.length :]
@@ -71,40 +72,49 @@
 
 
 class SimulatedFolder:
-    """A machine's disk. Steps since `settle` are under way: a kill or a loss of power strikes among them."""
+    """A machine's disk.
+
+    Steps since the last `settle` are in flight: a kill or a power loss takes effect after any of them.
+
+    Attributes:
+        files: by name.
+        steps: the steps in flight.
+        refusing: whether every step fails.
+        refuse_after: after so many more steps every step fails; None: never.
+    """
 
     def __init__(self) -> None:
         self.files: dict[str, SimulatedFile] = {}
         self.steps: list[_Step] = []
         self.refusing = False
-        self.refuse_after: int | None = None  # so many more steps; then it refuses
+        self.refuse_after: int | None = None
 
     def check(self) -> None:
-        """Raise where the disk refuses."""
+        """Raise `OSError` where the disk is to fail."""
         if self.refuse_after is not None:
             self.refuse_after -= 1
         if self.refusing or (self.refuse_after is not None and self.refuse_after < 0):
             raise OSError("the disk refuses")
 
     def names(self) -> list[str]:
-        """The names in it."""
+        """Return the names of its files."""
         return sorted(self.files)
 
     def open(self, name: str) -> SimulatedFile:
-        """An existing file."""
+        """Return an existing file."""
         return self.files[name]
 
     def create(self, name: str) -> SimulatedFile:
-        """A new, empty file."""
+        """Create an empty file."""
         self.check()
         self.files[name] = SimulatedFile(name, self)
         return self.files[name]
 
     def sync(self) -> None:
-        """Make its names last; here a file's own sync does that."""
+        """Make the names durable; here the sync of a file does that."""
 
     def settle(self) -> None:
-        """All steps so far are done: what was synced lasts."""
+        """End the steps in flight: what was synced is durable."""
         left: list[_Step] = []
         last_sync = {step.file: index for index, step in enumerate(self.steps) if step.sync}
         for index, step in enumerate(self.steps):
@@ -116,7 +126,7 @@
         self.steps = left
 
     def kill(self, rng: random.Random) -> None:
-        """The process died among the steps: what it had not done yet never happens, the rest stays as it was left."""
+        """End the process among the steps in flight: those after a random one never happen, the others stay."""
         done = self.steps[: rng.randint(0, len(self.steps))]
         for file in self.files.values():
             file.current = bytearray(file.durable)
@@ -126,11 +136,11 @@
         self.settle()
 
     def lose_power(self, rng: random.Random) -> None:
-        """Power is gone among the steps: what was not synced is there, torn or absent."""
+        """Lose power among the steps in flight: what was not synced is kept, torn or lost."""
         self.kill(rng)
-        gone = rng.random() < ALL_GONE_SHARE
+        all_lost = rng.random() < ALL_LOST_SHARE
         for step in self.steps:
-            fate = 0.0 if gone else rng.random()
+            fate = 0.0 if all_lost else rng.random()
             if fate > 0.6:
                 step.apply(step.file.durable)
             elif fate > 0.3 and step.data:
@@ -138,13 +148,13 @@
                 attrs.evolve(step, data=kept).apply(step.file.durable)
         self.steps = []
         for name in [name for name, file in self.files.items() if not file.named]:
-            if gone or rng.random() < 0.5:
+            if all_lost or rng.random() < 0.5:
                 del self.files[name]
         for file in self.files.values():
             file.current = bytearray(file.durable)
 
     def wipe(self) -> None:
-        """The disk is empty."""
+        """Empty the disk; it works again."""
         self.files = {}
         self.steps = []
         self.refusing = False
--- a/emberring/simulation/register/model.py
+++ b/emberring/simulation/register/model.py
@@ -1,13 +1,13 @@
-"""Every order of events in a small register: the real acceptors, ballots and steps of a change of the set, no chance.
+"""A model checker of the register: every order of events in a small one, with the real acceptors and attempts.
 
-Three replicas and a spare; two proposers with a few ballots each, numbered in turn, of which the first also replaces
-the third replica by the spare. A call is carried out late, or never; a ballot goes on with any quorum of the promises
-that were given to it. A disk may be lost, and a replica may start again from its records. What a quorum of its own
-replica set has accepted is chosen; of any two chosen proposals the later one's value must begin with the earlier one's.
-States that differ by the names of the first two replicas alone are looked at once.
+There are three replicas and a spare, and two proposers with a few attempts each, numbered in turn, of which the first
+also replaces the third replica by the spare. A message is delivered late, or never; an attempt goes on with any quorum
+of the promises that it got. A disk may be lost, and a replica may restart from its records. What a quorum of its own
+replica set has accepted is committed; of any two committed proposals the later one's value must begin with the earlier
+one's. States that differ by the names of the first two replicas alone are visited once.
 
-Replies need no events of their own: a refusal says no more than silence, as a proposer may give up at any time, and an
-acceptance is known to the proposer or not, which the choice of what it knows at its next ballot covers.
+Replies need no events of their own: a rejection says no more than silence, as a proposer may give up at any time, and
+an acceptance is known to the proposer or not, which the choice of what it knows at its next attempt covers.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
 FOUNDERS = ("a", "b", "c")
 INITIAL = initial_proposal(FOUNDERS)
 SPARE = Member("d", "d")
-NAMES = ("founder:a", "founder:b", "founder:c", "d")  # the places of a state's acceptors
-MIRROR = (1, 0, 2, 3)  # the first two play the same part
+NAMES = ("founder:a", "founder:b", "founder:c", "d")  # by slot of a model's acceptors
+MIRROR = (1, 0, 2, 3)  # the first two are interchangeable
 REPLACED = "c"
 WANTED = 3
 PROPOSERS = 2
@@ -38,14 +38,14 @@
 
 
 class _States:
-    """The states proposed so far, each by a number, so that a model holds numbers alone."""
+    """Numbers for the states proposed so far, so that a model consists of numbers alone."""
 
     def __init__(self) -> None:
         self._numbers: dict[State, int] = {}
         self._states: list[State] = []
 
     def number(self, state: State) -> int:
-        """The number of a state."""
+        """Return the number of a state; a new one where it has none."""
         found = self._numbers.get(state)
         if found is None:
             found = self._numbers[state] = len(self._states)
@@ -61,7 +61,15 @@
 
 @attrs.frozen
 class Bounds:
-    """How far to look: events in a row, states in all, ballots of each proposer, disks lost, replicas started again."""
+    """Limits of a search.
+
+    Attributes:
+        depth: events in a row.
+        states: states in all, about.
+        attempts: attempts of each of the two proposers.
+        losses: disks that may be lost.
+        restarts: replicas that may restart.
+    """
 
     depth: int = 30
     states: int = 5_000_000
@@ -72,8 +80,13 @@
 
 @attrs.frozen(cache_hash=True)
 class Attempt:
-    """A ballot that was begun: the counter of what its proposer knew, who promised (place, counter of what it had
-    accepted then), and the number of the state that it proposes once it has decided."""
+    """An attempt that was begun.
+
+    Attributes:
+        known: the counter of the proposal that its proposer knew.
+        promises: who promised: slot, and counter of what it had accepted then.
+        state: the number of the state that it proposes; `UNDECIDED` before.
+    """
 
     known: int
     promises: tuple[tuple[int, int], ...] = ()
@@ -81,14 +94,22 @@
 
     @property
     def proposed(self) -> State | None:
-        """What it proposes."""
+        """The state that it proposes; None before it has decided."""
         return None if self.state == UNDECIDED else STATES[self.state]
 
 
 @attrs.frozen(cache_hash=True)
 class Model:
-    """A state. `acceptors` by place (None: its disk is lost); `attempts` by counter; `committed` has counters;
-    `known` is what each proposer knows to be chosen."""
+    """One state of the model.
+
+    Attributes:
+        acceptors: by slot; None where the disk is lost.
+        attempts: those begun, by counter.
+        committed: counters of the committed proposals.
+        known: for each proposer, the counter of the newest proposal that it knows to be committed.
+        losses: disks lost so far.
+        restarts: replicas restarted so far.
+    """
 
     acceptors: tuple[AcceptorNumbers | None, ...]
     attempts: tuple[tuple[int, Attempt], ...] = ()
@@ -98,35 +119,45 @@
     restarts: int = 0
 
     def attempt(self, counter: int) -> Attempt | None:
-        """The ballot with this counter, if it was begun."""
+        """Return the attempt with this counter, if it was begun."""
         return next((found for number, found in self.attempts if number == counter), None)
 
     def proposal(self, counter: int) -> Proposal:
-        """What was proposed under this counter."""
+        """Return what was proposed under this counter; `LookupError` where nothing was."""
         if counter == 0:
             return INITIAL
         attempt = self.attempt(counter)
-        assert attempt is not None
-        assert attempt.proposed is not None
-        return Proposal(_ballot(counter), attempt.proposed)
+        if attempt is None or attempt.proposed is None:
+            raise LookupError(f"attempt {counter} has proposed nothing")
+        return Proposal(_proposal_number(counter), attempt.proposed)
 
     def mirrored(self) -> Model:
-        """The same with the first two replicas' names swapped, but for the names in proposed sets, which are the same
-        for both."""
+        """Return the same with the first two replicas swapped.
+
+        Names in proposed sets stay, as they are the same for both.
+        """
         attempts = tuple((number, _mirrored(found)) for number, found in self.attempts)
-        acceptors = tuple(self.acceptors[MIRROR[place]] for place in range(len(NAMES)))
+        acceptors = tuple(self.acceptors[MIRROR[slot]] for slot in range(len(NAMES)))
         return Model(acceptors, attempts, self.committed, self.known, self.losses, self.restarts)
 
 
 @functools.lru_cache(maxsize=200_000)
 def _mirrored(attempt: Attempt) -> Attempt:
-    promises = tuple(sorted((MIRROR[place], had) for place, had in attempt.promises))
+    promises = tuple(sorted((MIRROR[slot], accepted_before) for slot, accepted_before in attempt.promises))
     return Attempt(attempt.known, promises, attempt.state)
 
 
 @attrs.frozen
-class Found:
-    """What a search found: how many states, how deep, whether there were no more, and a way to a wrong one."""
+class SearchResult:
+    """The result of a search. The names of the fields are keys of `emberring check model --json`.
+
+    Attributes:
+        states: how many states were visited.
+        depth: how many events deep.
+        whole: whether there were no more states.
+        wrong: what was violated; empty where nothing was.
+        way: the events that lead to the violation.
+    """
 
     states: int
     depth: int
@@ -136,7 +167,7 @@
 
 
 @functools.lru_cache
-def _ballot(counter: int) -> ProposalNumber:
+def _proposal_number(counter: int) -> ProposalNumber:
     return ProposalNumber(counter, f"p{(counter - 1) % PROPOSERS}") if counter else INITIAL.number
 
 
@@ -144,13 +175,14 @@
     return (counter - 1) % PROPOSERS
 
 
-def _acceptor(model: Model, place: int) -> Acceptor:
-    """The real acceptor of a place, with what it holds."""
-    held = model.acceptors[place]
-    assert held is not None
-    promised, accepted = held
-    acceptor = Acceptor(NAMES[place], None if accepted < 0 else model.proposal(accepted))
-    acceptor.promised = None if promised < 0 else _ballot(promised)
+def _acceptor(model: Model, slot: int) -> Acceptor:
+    """Return the real acceptor of a slot; `LookupError` where its disk is lost."""
+    numbers = model.acceptors[slot]
+    if numbers is None:
+        raise LookupError(f"the disk of {NAMES[slot]} is lost")
+    promised, accepted = numbers
+    acceptor = Acceptor(NAMES[slot], None if accepted < 0 else model.proposal(accepted))
+    acceptor.promised = None if promised < 0 else _proposal_number(promised)
     return acceptor
 
 
@@ -159,8 +191,8 @@
     return (-1 if promised is None else promised.counter, -1 if accepted is None else accepted.counter)
 
 
-def _with_acceptor(model: Model, place: int, held: AcceptorNumbers | None) -> Model:
-    acceptors = (*model.acceptors[:place], held, *model.acceptors[place + 1 :])
+def _with_acceptor(model: Model, slot: int, numbers: AcceptorNumbers | None) -> Model:
+    acceptors = (*model.acceptors[:slot], numbers, *model.acceptors[slot + 1 :])
     return Model(acceptors, model.attempts, model.committed, model.known, model.losses, model.restarts)
 
 
@@ -171,20 +203,24 @@
 
 
 class _Decide:
-    """What a ballot makes of what it found: its mark at the end, and for the first proposer a step of the set's change,
-    under the conditions of `RegisterNode`."""
+    """What an attempt proposes on top of what it found.
+
+    The value with the attempt's counter at its end, and for the first proposer a step of the reconfiguration, under
+    the conditions of `ProposalLoop`.
+    """
 
     def __init__(self, counter: int) -> None:
         self._counter = counter
 
     def __call__(self, found: Proposal, committed: bool) -> State:
+        """Return the state to propose."""
         replicas = found.state.replicas
         if _proposer(self._counter) == 0 and (committed or not replicas.joining):
-            replicas = _step(replicas) or replicas
+            replicas = _reconfiguration_step(replicas) or replicas
         return State(replicas, (found.state.payload or b"") + b"%d " % self._counter)
 
 
-def _step(replicas: ReplicaSet) -> ReplicaSet | None:
+def _reconfiguration_step(replicas: ReplicaSet) -> ReplicaSet | None:
     dead = frozenset(member.identity for member in replicas.members if member.address == REPLACED)
     view = ReplicaSetView({}, dead, {}, frozenset(), {}, {}, (Candidate(SPARE),))
     return next_replica_set(replicas, view, WANTED)
@@ -193,7 +229,7 @@
 # Events.
 
 
-def _beginnings(model: Model, bounds: Bounds) -> Iterator[tuple[str, Model]]:
+def _begin_events(model: Model, bounds: Bounds) -> Iterator[tuple[str, Model]]:
     for proposer in range(PROPOSERS):
         begun = sum(_proposer(counter) == proposer for counter, _ in model.attempts)
         if begun >= bounds.attempts[proposer]:
@@ -201,35 +237,35 @@
         counter = 1 + proposer + PROPOSERS * begun
         for known in {model.known[proposer], max(model.committed)}:
             other = _with_attempt(model, counter, Attempt(known))
-            told = tuple(known if at == proposer else found for at, found in enumerate(model.known))
-            yield f"ballot {counter} begins, knowing {known}", attrs.evolve(other, known=told)
+            known_now = tuple(known if at == proposer else found for at, found in enumerate(model.known))
+            yield f"ballot {counter} begins, knowing {known}", attrs.evolve(other, known=known_now)
 
 
-def _promises(model: Model) -> Iterator[tuple[str, Model]]:
+def _promise_events(model: Model) -> Iterator[tuple[str, Model]]:
     for counter, attempt in model.attempts:
         if attempt.state != UNDECIDED or not _is_newest(model, counter):
             continue
-        for place, held in enumerate(model.acceptors):
-            if held is None or any(at == place for at, _ in attempt.promises):
+        for slot, numbers in enumerate(model.acceptors):
+            if numbers is None or any(at == slot for at, _ in attempt.promises):
                 continue
-            acceptor = _acceptor(model, place)
-            verdict = acceptor.prepare(Prepare(NAMES[place], _ballot(counter)))
+            acceptor = _acceptor(model, slot)
+            verdict = acceptor.prepare(Prepare(NAMES[slot], _proposal_number(counter)))
             if not isinstance(verdict.reply, Promise):
                 continue
-            had = -1 if verdict.reply.accepted is None else verdict.reply.accepted.counter
-            promised = Attempt(attempt.known, tuple(sorted((*attempt.promises, (place, had)))))
-            other = _with_attempt(_with_acceptor(model, place, _numbers_of(acceptor)), counter, promised)
-            yield f"{NAMES[place]} promises ballot {counter}", other
+            accepted_before = -1 if verdict.reply.accepted is None else verdict.reply.accepted.counter
+            promised = Attempt(attempt.known, tuple(sorted((*attempt.promises, (slot, accepted_before)))))
+            other = _with_attempt(_with_acceptor(model, slot, _numbers_of(acceptor)), counter, promised)
+            yield f"{NAMES[slot]} promises ballot {counter}", other
 
 
 def _is_newest(model: Model, counter: int) -> bool:
-    """Whether its proposer has begun none after it."""
+    """Return whether its proposer has begun no attempt after it."""
     return not any(
         number > counter and _proposer(number) == _proposer(counter) for number, _ in model.attempts
     )
 
 
-def _decisions(model: Model) -> Iterator[tuple[str, Model]]:
+def _decide_events(model: Model) -> Iterator[tuple[str, Model]]:
     for counter, attempt in model.attempts:
         if attempt.state != UNDECIDED or not _is_newest(model, counter):
             continue
@@ -237,7 +273,7 @@
             for promises in itertools.combinations(attempt.promises, size):
                 proposed = _proposed(model, counter, attempt, promises)
                 if proposed is not None:
-                    names = ", ".join(NAMES[place] for place, _ in promises)
+                    names = ", ".join(NAMES[slot] for slot, _ in promises)
                     other = _with_attempt(
                         model, counter, attrs.evolve(attempt, state=STATES.number(proposed))
                     )
@@ -247,74 +283,78 @@
 def _proposed(
     model: Model, counter: int, attempt: Attempt, promises: tuple[tuple[int, int], ...]
 ) -> State | None:
-    """What the real ballot proposes once the last of these promises has come; None where it does not."""
+    """Return what the real attempt proposes once the last of these promises has come; None where nothing."""
     known = model.proposal(attempt.known)
-    ballot = ProposalAttempt(_ballot(counter), known, _Decide(counter))
-    ballot.start(known.state.replicas.all_members)
-    for number, (place, had) in enumerate(promises, 1):
-        accepted = None if had < 0 else model.proposal(had)
+    attempt_run = ProposalAttempt(_proposal_number(counter), known, _Decide(counter))
+    attempt_run.start(known.state.replicas.all_members)
+    for number, (slot, accepted_before) in enumerate(promises, 1):
+        accepted = None if accepted_before < 0 else model.proposal(accepted_before)
         state = None if accepted is None else accepted.state
-        reply = Promise(NAMES[place], _ballot(counter), None if accepted is None else accepted.number, state)
-        ballot.on_reply(Member(NAMES[place], NAMES[place]), reply)
-        if ballot.phase is not Phase.PREPARING:
-            return ballot.proposed if number == len(promises) else None
+        reply = Promise(
+            NAMES[slot], _proposal_number(counter), None if accepted is None else accepted.number, state
+        )
+        attempt_run.on_reply(Member(NAMES[slot], NAMES[slot]), reply)
+        if attempt_run.phase is not Phase.PREPARING:
+            return attempt_run.proposed if number == len(promises) else None
     return None
 
 
-def _acceptances(model: Model) -> Iterator[tuple[str, Model]]:
+def _accept_events(model: Model) -> Iterator[tuple[str, Model]]:
     for counter, attempt in model.attempts:
         proposed = attempt.proposed
         if proposed is None:
             continue
         for member in proposed.replicas.all_members:
-            place = NAMES.index(member.identity)
-            held = model.acceptors[place]
-            if held is None or held[1] >= counter:
+            slot = NAMES.index(member.identity)
+            numbers = model.acceptors[slot]
+            if numbers is None or numbers[1] >= counter:
                 continue
-            acceptor = _acceptor(model, place)
-            acceptor.accept(Accept(NAMES[place], _ballot(counter), proposed))
-            if _numbers_of(acceptor) != held:
-                other = _with_committed(_with_acceptor(model, place, _numbers_of(acceptor)))
-                yield f"{NAMES[place]} accepts ballot {counter}", other
+            acceptor = _acceptor(model, slot)
+            acceptor.accept(Accept(NAMES[slot], _proposal_number(counter), proposed))
+            if _numbers_of(acceptor) != numbers:
+                other = _with_committed(_with_acceptor(model, slot, _numbers_of(acceptor)))
+                yield f"{NAMES[slot]} accepts ballot {counter}", other
 
 
 def _with_committed(model: Model) -> Model:
-    """With what a quorum of its own set holds at this moment among the chosen."""
+    """Return the model with what a quorum of its own set has accepted by now among the committed."""
     committed = set(model.committed)
     for counter, attempt in model.attempts:
         proposed = attempt.proposed
         if proposed is None or counter in committed:
             continue
-        holders = frozenset(
-            name for name, held in zip(NAMES, model.acceptors, strict=True) if held and held[1] == counter
+        accepted_by = frozenset(
+            name
+            for name, numbers in zip(NAMES, model.acceptors, strict=True)
+            if numbers and numbers[1] == counter
         )
-        if proposed.replicas.has_quorum(holders):
+        if proposed.replicas.has_quorum(accepted_by):
             committed.add(counter)
     return attrs.evolve(model, committed=tuple(sorted(committed)))
 
 
-def _troubles(model: Model, bounds: Bounds, keeps_identity: bool) -> Iterator[tuple[str, Model]]:
-    for place, held in enumerate(model.acceptors):
-        if held is None:
+def _faults(model: Model, bounds: Bounds, keeps_identity: bool) -> Iterator[tuple[str, Model]]:
+    for slot, numbers in enumerate(model.acceptors):
+        if numbers is None:
             continue
         if model.losses < bounds.losses:
             empty = (-1, -1) if keeps_identity else None
-            other = _with_acceptor(model, place, empty)
-            yield f"{NAMES[place]} loses its disk", attrs.evolve(other, losses=model.losses + 1)
+            other = _with_acceptor(model, slot, empty)
+            yield f"{NAMES[slot]} loses its disk", attrs.evolve(other, losses=model.losses + 1)
         if model.restarts < bounds.restarts:
-            other = _with_acceptor(model, place, _restarted(_acceptor(model, place)))
-            yield f"{NAMES[place]} starts again", attrs.evolve(other, restarts=model.restarts + 1)
+            other = _with_acceptor(model, slot, _restarted(_acceptor(model, slot)))
+            yield f"{NAMES[slot]} starts again", attrs.evolve(other, restarts=model.restarts + 1)
 
 
 def _restarted(acceptor: Acceptor) -> AcceptorNumbers:
-    """What a replica holds once it has read its records."""
+    """Return what a replica has promised and accepted once it has read its records."""
     fresh = Acceptor("")
     fresh.restore(acceptor.snapshot())
     return _numbers_of(fresh)
 
 
-def _wrong(model: Model) -> str:
-    """Why no register could have come here; empty where one could."""
+def _violation(model: Model) -> str:
+    """Return why no register could have come here; empty where one could."""
     for earlier, later in itertools.pairwise(model.committed):
         before = model.proposal(earlier).state.payload or b""
         after = model.proposal(later).state.payload or b""
@@ -324,37 +364,39 @@
 
 
 def _key(model: Model) -> int:
-    """The same for states that differ by the names of the mirrored replicas alone."""
+    """Return a key that is equal for states that differ by the names of the mirrored replicas alone."""
     return max(hash(model), hash(model.mirrored()))
 
 
-def search(bounds: Bounds, keeps_identity: bool = False) -> Found:
-    """Look at every state within the bounds, the nearest first. `keeps_identity` seeds a mistake: an empty disk goes on
-    under the old name."""
+def search(bounds: Bounds, keeps_identity: bool = False) -> SearchResult:
+    """Visit every state within the bounds, the nearest first.
+
+    `keeps_identity` seeds a mutation: a replica that lost its disk keeps its identity.
+    """
     level: list[tuple[Model, tuple[str, ...]]] = [(Model(((0, 0), (0, 0), (0, 0), (-1, -1))), ())]
     seen = {_key(level[0][0])}
     for depth in range(1, bounds.depth + 1):
         following: list[tuple[Model, tuple[str, ...]]] = []
-        for model, way in level:
+        for model, trace in level:
             for event, other in _events(model, bounds, keeps_identity):
                 key = _key(other)
                 if key in seen:
                     continue
                 seen.add(key)
-                if wrong := _wrong(other):
-                    return Found(len(seen), depth, False, wrong, (*way, event))
-                following.append((other, (*way, event)))
+                if wrong := _violation(other):
+                    return SearchResult(len(seen), depth, False, wrong, (*trace, event))
+                following.append((other, (*trace, event)))
             if len(seen) > bounds.states:
-                return Found(len(seen), depth - 1, False)
+                return SearchResult(len(seen), depth - 1, False)
         level = following
         if not level:
-            return Found(len(seen), depth, True)
-    return Found(len(seen), bounds.depth, False)
+            return SearchResult(len(seen), depth, True)
+    return SearchResult(len(seen), bounds.depth, False)
 
 
 def _events(model: Model, bounds: Bounds, keeps_identity: bool) -> Iterator[tuple[str, Model]]:
-    yield from _beginnings(model, bounds)
-    yield from _promises(model)
-    yield from _decisions(model)
-    yield from _acceptances(model)
-    yield from _troubles(model, bounds, keeps_identity)
+    yield from _begin_events(model, bounds)
+    yield from _promise_events(model)
+    yield from _decide_events(model)
+    yield from _accept_events(model)
+    yield from _faults(model, bounds, keeps_identity)
--- /dev/null
+++ b/emberring/simulation/register/schedule.py
@@ -0,0 +1,142 @@
+"""The fault schedules of the register's simulation: what happens when, and under which conditions."""
+
+from __future__ import annotations
+
+import random
+from enum import Enum
+
+import attrs
+
+from emberring.register.replica_set_manager import RECONFIGURATION_TIMEOUTS, ReconfigurationTimeouts
+from emberring.simulation.common.scheduled_step import ScheduledStep
+
+FAULTS_S = 5.0
+"""How long faults and callers go on, in seconds."""
+
+STORM_S = 0.8
+"""In every other schedule all faults are within this time, in seconds."""
+
+MAX_FAULTS = 8
+"""The most faults of a schedule."""
+
+MAX_OPERATIONS = 30
+"""The most changes and reads of a schedule, without those of a burst."""
+
+SHORT_TIMEOUTS = ReconfigurationTimeouts(
+    dead_after_s=0.4, name_silent_s=0.2, rank_delay_s=0.1, joiner_wait_s=0.2
+)
+"""Time-outs at which silent replicas are replaced early."""
+
+SHORTEST_TIMEOUTS = ReconfigurationTimeouts(
+    dead_after_s=0.2, name_silent_s=0.1, rank_delay_s=0.0, joiner_wait_s=0.0
+)
+"""Time-outs at which several replicas try to change the set at once."""
+
+
+class StepKind(Enum):
+    """The kinds of steps of a schedule; their values are shown in reports."""
+
+    CHANGE = "change"
+    READ = "read"
+    KILL = "kill"
+    POWER = "power"
+    KILL_ALL = "kill_all"
+    POWER_ALL = "power_all"
+    WIPE = "wipe"
+    REPLACE = "replace"
+    REPLACE_FIRST = "replace_first"
+    POWER_AFTER_ACK = "power_after_ack"
+    WIPE_AFTER_ACK = "wipe_after_ack"
+    WIPE_ONE_POWER_REST = "wipe_one_power_rest"
+    FREEZE = "freeze"
+    CUT_OFF = "cut_off"
+    CUT_APART = "cut_apart"
+    SLOW_DISK = "slow_disk"
+    REFUSING_DISK = "refusing_disk"
+    WEATHER = "weather"
+    ADD = "add"
+    BURST = "burst"
+
+
+_FAULTS = tuple(kind for kind in StepKind if kind not in (StepKind.CHANGE, StepKind.READ))
+_STORM_FAULTS = (
+    *_FAULTS,
+    StepKind.CUT_OFF,
+    StepKind.CUT_APART,
+    StepKind.CUT_APART,
+    StepKind.FREEZE,
+    StepKind.WIPE,
+    StepKind.WIPE,
+    StepKind.WIPE_AFTER_ACK,
+)
+
+
+Step = ScheduledStep[StepKind]
+"""A step of a schedule of this simulator."""
+
+
+@attrs.frozen
+class Conditions:
+    """Conditions of network, disks and nodes while there are faults.
+
+    Slow messages let attempts overlap, a few slow ones let one attempt overtake another, and short time-outs change
+    the replica set again and again.
+
+    Attributes:
+        slowest_s: the longest delay of a message, in seconds.
+        sync_s: duration of a sync of a disk, in seconds.
+        lost: share of messages lost.
+        doubled: share of messages delivered twice.
+        spares: how many control nodes there are beyond the initial replicas.
+        patience: time-outs of a reconfiguration.
+        slow_share: share of messages that may be slow.
+    """
+
+    slowest_s: float = 0.003
+    sync_s: float = 0.001
+    lost: float = 0.0
+    doubled: float = 0.0
+    spares: int = 0
+    patience: ReconfigurationTimeouts = RECONFIGURATION_TIMEOUTS
+    slow_share: float = 1.0
+
+
+@attrs.frozen
+class Schedule:
+    """The seed of all random draws, the steps, and the conditions meanwhile."""
+
+    seed: int
+    steps: tuple[Step, ...]
+    conditions: Conditions = Conditions()
+
+
+def make_schedule(seed: int) -> Schedule:
+    """Return the schedule of a seed; every other one has its faults, and most callers, within a short time."""
+    rng = random.Random(f"schedule {seed}")
+    storm_s = rng.random() * (FAULTS_S - STORM_S) if seed % 2 else None
+    steps = []
+    for _ in range(rng.randint(1, MAX_FAULTS)):
+        at_s = rng.random() * FAULTS_S if storm_s is None else storm_s + rng.random() * STORM_S
+        kind = rng.choice(_FAULTS if storm_s is None else _STORM_FAULTS)
+        steps.append(Step(at_s, kind, rng.randrange(6), 0.02 + rng.random() ** 2 * 2.5))
+    for _ in range(rng.randint(5, MAX_OPERATIONS)):
+        asked = StepKind.READ if rng.random() < 0.3 else StepKind.CHANGE
+        at_s = rng.random() * (FAULTS_S + 1.0)
+        if storm_s is not None and rng.random() < 0.7:
+            at_s = storm_s + rng.random() * 2 * STORM_S
+        steps.append(Step(at_s, asked, rng.randrange(6)))
+    return Schedule(seed, tuple(sorted(steps, key=lambda step: step.at_s)), _make_conditions(rng))
+
+
+def _make_conditions(rng: random.Random) -> Conditions:
+    return Conditions(
+        slowest_s=rng.choice((0.003, 0.003, 0.03, 0.1, 0.3)),
+        sync_s=rng.choice((0.001, 0.001, 0.02, 0.1)),
+        lost=rng.choice((0.0, 0.0, 0.1, 0.3)),
+        doubled=rng.choice((0.0, 0.1, 0.3)),
+        spares=rng.choice((0, 0, 1, 2)),
+        patience=rng.choice(
+            (RECONFIGURATION_TIMEOUTS, RECONFIGURATION_TIMEOUTS, SHORT_TIMEOUTS, SHORTEST_TIMEOUTS)
+        ),
+        slow_share=rng.choice((1.0, 1.0, 0.15)),
+    )
--- a/emberring/simulation/register/simulator.py
+++ b/emberring/simulation/register/simulator.py
@@ -1,105 +1,48 @@
-"""The check of the register: schedules of troubles from a seed, played in a simulated world, histories checked.
+"""The deterministic simulation of the register: fault schedules from a seed, with every history checked.
 
-`play_seed(seed)` plays one; a failing schedule is made as short as it gets while it still fails.
+`play_seed(seed)` plays one; `shorten` shrinks a failing schedule as far as it still fails.
 """
 
 from __future__ import annotations
 
-import random
+import functools
 from collections.abc import Callable
-from enum import Enum
 
 import attrs
 
 from emberring.register.model import Proposal
-from emberring.register.replica_set_manager import RECONFIGURATION_TIMEOUTS, ReconfigurationTimeouts
-from emberring.simulation.common.scheduled_step import ScheduledStep
+from emberring.register.replica_set_manager import RECONFIGURATION_TIMEOUTS
 from emberring.simulation.common.shrinking import shortened
-from emberring.simulation.register.world import Bugs, Machine, Weather, World
+from emberring.simulation.register.history import Operation
+from emberring.simulation.register.machine import Machine
+from emberring.simulation.register.schedule import FAULTS_S, Schedule, Step, StepKind, make_schedule
+from emberring.simulation.register.world import Bugs, Weather, World
 
 FOUNDERS = ("core-a", "core-b", "core-c")
-TROUBLE_S = 5.0  # how long troubles and callers go on
-STORM_S = 0.8
-REPAIR_S = 0.7  # after a lost disk's machine is back, no other is lost for so long
-CALM_S = 5.0  # how long everything is well before the last reads
-LAST_READ_S = 1.0
-MOST_TROUBLES = 8
-MOST_OPERATIONS = 30
-BURST_OPERATIONS = 60  # reads, changes made before and new ones, at all nodes
-BURST_S = 0.6
-HASTY = ReconfigurationTimeouts(dead_after_s=0.4, name_silent_s=0.2, rank_delay_s=0.1, joiner_wait_s=0.2)
-HASTIER = ReconfigurationTimeouts(dead_after_s=0.2, name_silent_s=0.1, rank_delay_s=0.0, joiner_wait_s=0.0)
-
-
-class Kind(Enum):
-    """What may happen."""
-
-    CHANGE = "change"
-    READ = "read"
-    KILL = "kill"
-    POWER = "power"
-    KILL_ALL = "kill_all"
-    POWER_ALL = "power_all"
-    WIPE = "wipe"
-    REPLACE = "replace"
-    REPLACE_FIRST = "replace_first"
-    POWER_AFTER_ACK = "power_after_ack"
-    WIPE_AFTER_ACK = "wipe_after_ack"
-    WIPE_ONE_POWER_REST = "wipe_one_power_rest"
-    FREEZE = "freeze"
-    CUT_OFF = "cut_off"
-    CUT_APART = "cut_apart"
-    SLOW_DISK = "slow_disk"
-    REFUSING_DISK = "refusing_disk"
-    WEATHER = "weather"
-    ADD = "add"
-    BURST = "burst"
-
-
-_TROUBLES = tuple(kind for kind in Kind if kind not in (Kind.CHANGE, Kind.READ))
-_STORM = (
-    *_TROUBLES,
-    Kind.CUT_OFF,
-    Kind.CUT_APART,
-    Kind.CUT_APART,
-    Kind.FREEZE,
-    Kind.WIPE,
-    Kind.WIPE,
-    Kind.WIPE_AFTER_ACK,
-)
-
-
-Step = ScheduledStep[Kind]
+"""The machines of the initial replicas."""
 
+REPAIR_TIME_S = 0.7
+"""After the machine of a lost disk is back, no other disk is lost for so long, in seconds."""
 
-@attrs.frozen
-class Climate:
-    """How the world is while there are troubles: the longest delay of a message and the time of a sync (s), the
-    shares of messages lost and doubled, how many control nodes there are beyond the founders, how patient nodes are
-    with silent replicas, and the share of messages that are slow. Slow ones let ballots overlap, a few slow ones let
-    one ballot overtake another, impatient nodes change the replica set again and again."""
+RECOVERY_S = 5.0
+"""How long everything works before the final reads, in seconds."""
 
-    slowest_s: float = 0.003
-    sync_s: float = 0.001
-    lost: float = 0.0
-    doubled: float = 0.0
-    spares: int = 0
-    patience: ReconfigurationTimeouts = RECONFIGURATION_TIMEOUTS
-    slow_share: float = 1.0
+FINAL_READ_TIMEOUT_S = 1.0
+"""Time-out of the final reads, in seconds."""
 
+BURST_OPERATIONS = 60
+"""Operations of one burst: reads, changes made before and new ones, at all nodes."""
 
-@attrs.frozen
-class Schedule:
-    """A seed, from which all chance in the world comes, and what happens."""
+BURST_S = 0.6
+"""How long a burst lasts, in seconds."""
 
-    seed: int
-    steps: tuple[Step, ...]
-    climate: Climate = Climate()
+
+StepHandler = Callable[[Machine, Step], None]
 
 
 @attrs.frozen
 class Verdict:
-    """What was wrong with a schedule (empty: nothing), and how much happened in it."""
+    """The result of a schedule: its violations, how many operations were acknowledged, how many events handled."""
 
     schedule: Schedule
     mistakes: tuple[str, ...]
@@ -107,81 +50,52 @@
     events: int = 0
 
 
-def make_schedule(seed: int) -> Schedule:
-    """The schedule of a seed: every other one has its troubles within a short while, and most callers then."""
-    rng = random.Random(f"schedule {seed}")
-    storm_s = rng.random() * (TROUBLE_S - STORM_S) if seed % 2 else None
-    steps = []
-    for _ in range(rng.randint(1, MOST_TROUBLES)):
-        at_s = rng.random() * TROUBLE_S if storm_s is None else storm_s + rng.random() * STORM_S
-        kind = rng.choice(_TROUBLES if storm_s is None else _STORM)
-        steps.append(Step(at_s, kind, rng.randrange(6), 0.02 + rng.random() ** 2 * 2.5))
-    for _ in range(rng.randint(5, MOST_OPERATIONS)):
-        asked = Kind.READ if rng.random() < 0.3 else Kind.CHANGE
-        at_s = rng.random() * (TROUBLE_S + 1.0)
-        if storm_s is not None and rng.random() < 0.7:
-            at_s = storm_s + rng.random() * 2 * STORM_S
-        steps.append(Step(at_s, asked, rng.randrange(6)))
-    return Schedule(seed, tuple(sorted(steps, key=lambda step: step.at_s)), _make_climate(rng))
-
-
-def _make_climate(rng: random.Random) -> Climate:
-    return Climate(
-        slowest_s=rng.choice((0.003, 0.003, 0.03, 0.1, 0.3)),
-        sync_s=rng.choice((0.001, 0.001, 0.02, 0.1)),
-        lost=rng.choice((0.0, 0.0, 0.1, 0.3)),
-        doubled=rng.choice((0.0, 0.1, 0.3)),
-        spares=rng.choice((0, 0, 1, 2)),
-        patience=rng.choice((RECONFIGURATION_TIMEOUTS, RECONFIGURATION_TIMEOUTS, HASTY, HASTIER)),
-        slow_share=rng.choice((1.0, 1.0, 0.15)),
-    )
-
-
-class _Play:
-    """One schedule in one world."""
+class _Simulation:
+    """One run of a schedule."""
 
     def __init__(self, schedule: Schedule, bugs: Bugs) -> None:
         self._schedule = schedule
-        self._world = World(schedule.seed, bugs, schedule.climate.patience)
+        self._world = World(schedule.seed, bugs, schedule.conditions.patience)
         self._changes = 0
-        self._added = 0
+        self._added_count = 0
         self._ended = False
-        self._gone: set[str] = set()
+        self._removed: set[str] = set()
         self._repaired_at_s = 0.0
         self._after_ack: list[Callable[[str], None]] = []
         self._world.on_acknowledged = self._acknowledged
+        self._handlers = self._handlers_by_kind()
 
     def run(self) -> Verdict:
-        """Play it; the verdict."""
+        """Play the schedule and return the verdict."""
         world = self._world
-        self._fair()
+        self._restore_network()
         for name in FOUNDERS:
             machine = Machine(world, name, FOUNDERS, bootstrap=True)
-            machine.sync_s = self._schedule.climate.sync_s
+            machine.sync_s = self._schedule.conditions.sync_s
             world.machines[name] = machine
             world.at(world.rng.random() * 0.3, machine.start)
-        for _ in range(self._schedule.climate.spares):
+        for _ in range(self._schedule.conditions.spares):
             self._add().start()
         world.at(0.0, self._note_peers)
         for step in self._schedule.steps:
-            world.at(0.3 + step.at_s, self._do, step)
-        world.run(TROUBLE_S + 1.5)
-        self._mend()
-        world.run(world.now_s + CALM_S)
+            world.at(0.3 + step.at_s, self._apply_step, step)
+        world.run(FAULTS_S + 1.5)
+        self._end_faults()
+        world.run(world.now_s + RECOVERY_S)
         acknowledged = sum(1 for operation in world.history.operations if operation.value is not None)
-        self._read_last()
+        self._check_final_reads()
         mistakes = tuple(world.history.finish())
         return Verdict(self._schedule, mistakes, acknowledged, world.handled)
 
-    # What callers and the tier do.
+    # Callers and the cluster around the register.
 
     def _note_peers(self) -> None:
         for machine in self._world.machines.values():
             machine.note_peers()
         self._world.at(self._world.now_s + 0.3, self._note_peers)
 
-    def _mend(self) -> None:
-        """All troubles end; every machine that is still there runs."""
+    def _end_faults(self) -> None:
+        """End all faults and start every machine that was not removed."""
         world = self._world
         self._ended = True
         self._after_ack.clear()
@@ -195,35 +109,41 @@
             if machine.node is not None:
                 machine.node.replica_set_manager.timeouts = RECONFIGURATION_TIMEOUTS
 
-    def _read_last(self) -> None:
-        """Every node must have the same value now, and every replica of the set must be there."""
+    def _check_final_reads(self) -> None:
+        """Check that every node has the same value now, and that every replica of the set is there."""
         world = self._world
         before = len(world.history.operations)
         for machine in self._present():
-            machine.ask(0, LAST_READ_S)
-        world.run(world.now_s + LAST_READ_S + 0.1)
-        reads = world.history.operations[before:]
+            machine.ask(0, FINAL_READ_TIMEOUT_S)
+        world.run(world.now_s + FINAL_READ_TIMEOUT_S + 0.1)
+        self._check_same_value(world.history.operations[before:])
+        newest = self._newest()
+        if newest is not None:
+            self._check_replicas(newest)
+
+    def _check_same_value(self, reads: list[Operation]) -> None:
+        mistakes = self._world.history.mistakes
         for read in reads:
             if read.value is None:
-                world.history.mistakes.append(
-                    f"the last read at {read.node} failed: {read.error or 'no end'}"
-                )
+                mistakes.append(f"the last read at {read.node} failed: {read.error or 'no end'}")
         if len({read.value for read in reads if read.value is not None}) > 1:
-            world.history.mistakes.append("the last reads differ")
-        newest = self._newest()
+            mistakes.append("the last reads differ")
+
+    def _check_replicas(self, newest: Proposal) -> None:
+        mistakes = self._world.history.mistakes
+        replicas = newest.state.replicas
         identities = {machine.identity for machine in self._present()}
-        if newest is not None:
-            missing = [m.identity for m in newest.state.replicas.all_members if m.identity not in identities]
-            if missing or newest.state.replicas.joining:
-                world.history.mistakes.append(f"the replica set still has {missing}, {newest.state.replicas}")
-            for machine in self._present():
-                if machine.node is not None and machine.node.learned != newest:
-                    world.history.mistakes.append(f"{machine.name} has not learned the newest value")
+        missing = [member.identity for member in replicas.all_members if member.identity not in identities]
+        if missing or replicas.joining:
+            mistakes.append(f"the replica set still has {missing}, {replicas}")
+        for machine in self._present():
+            if machine.node is not None and machine.node.learned != newest:
+                mistakes.append(f"{machine.name} has not learned the newest value")
 
-    # Troubles.
+    # Faults.
 
     def _present(self) -> list[Machine]:
-        return [machine for name, machine in self._world.machines.items() if name not in self._gone]
+        return [machine for name, machine in self._world.machines.items() if name not in self._removed]
 
     def _pick(self, slot: int) -> Machine:
         present = self._present()
@@ -237,9 +157,12 @@
         ]
         return max(learned, key=lambda proposal: proposal.number, default=None)
 
-    def _may_lose(self) -> bool:
-        """Whether the loss of a disk is within what must be borne: no other loss is under repair. It is while a
-        replica is missing in a proposal that somebody holds and that may be chosen, or was back too short a time."""
+    def _may_lose_disk(self) -> bool:
+        """Return whether the loss of a disk must be tolerated, because no other loss is under repair.
+
+        One is under repair while a proposal that some machine has, and that may be committed, names a replica that is
+        missing, and for `REPAIR_TIME_S` after the machine is back.
+        """
         newest = self._newest()
         if newest is None or newest.state.replicas.joining:
             return False
@@ -254,150 +177,161 @@
             for member in proposal.state.replicas.all_members
         )
 
-    def _lost(self, back_s: float) -> None:
-        """A disk is lost, and the machine back, or another in its place, after so long."""
-        self._repaired_at_s = self._world.now_s + back_s + REPAIR_S
+    def _note_disk_loss(self, back_s: float) -> None:
+        """Take note that a disk is lost, and that the machine, or another instead, is back after so long."""
+        self._repaired_at_s = self._world.now_s + back_s + REPAIR_TIME_S
 
-    def _do(self, step: Step) -> None:
-        if self._ended:
-            return
-        machine = self._pick(step.slot)
-        match step.kind:
-            case Kind.CHANGE:
-                self._changes += 1
-                machine.ask(self._changes)
-            case Kind.READ:
-                machine.ask(0)
-            case Kind.BURST:
-                self._burst()
-            case Kind.KILL:
-                self._down(machine, machine.stop, step.lasts_s)
-            case Kind.POWER:
-                self._down(machine, machine.lose_power, step.lasts_s)
-            case Kind.KILL_ALL:
-                for found in self._present():
-                    self._down(found, found.stop, step.lasts_s * self._world.rng.random())
-            case Kind.POWER_ALL:
-                for found in self._present():
-                    self._down(found, found.lose_power, step.lasts_s * self._world.rng.random())
-            case Kind.WIPE:
-                self._wipe(machine, step.lasts_s)
-            case Kind.REPLACE | Kind.REPLACE_FIRST:
-                self._replace(machine, step)
-            case Kind.WIPE_ONE_POWER_REST:
-                self._wipe_one_power_rest(machine, step.lasts_s)
-            case Kind.POWER_AFTER_ACK:
-                self._after_ack.append(lambda name: self._power_named(name, step.lasts_s))
-            case Kind.WIPE_AFTER_ACK:
-                self._after_ack.append(lambda name: self._wipe(self._world.machines[name], step.lasts_s))
-            case _:
-                self._disturb(machine, step)
+    def _apply_step(self, step: Step) -> None:
+        if not self._ended:
+            self._handlers[step.kind](self._pick(step.slot), step)
+
+    def _handlers_by_kind(self) -> dict[StepKind, StepHandler]:
+        return {
+            StepKind.CHANGE: self._request_change,
+            StepKind.READ: lambda machine, step: machine.ask(0),
+            StepKind.KILL: lambda machine, step: self._stop_for(machine, machine.stop, step.lasts_s),
+            StepKind.POWER: lambda machine, step: self._stop_for(machine, machine.lose_power, step.lasts_s),
+            StepKind.KILL_ALL: lambda machine, step: self._stop_all(Machine.stop, step.lasts_s),
+            StepKind.POWER_ALL: lambda machine, step: self._stop_all(Machine.lose_power, step.lasts_s),
+            StepKind.WIPE: lambda machine, step: self._wipe(machine, step.lasts_s),
+            StepKind.REPLACE: self._replace,
+            StepKind.REPLACE_FIRST: self._replace,
+            StepKind.POWER_AFTER_ACK: self._lose_power_after_ack,
+            StepKind.WIPE_AFTER_ACK: self._wipe_after_ack,
+            StepKind.WIPE_ONE_POWER_REST: lambda machine, step: self._wipe_one_power_rest(
+                machine, step.lasts_s
+            ),
+            StepKind.FREEZE: self._freeze,
+            StepKind.CUT_OFF: self._cut_off,
+            StepKind.CUT_APART: self._cut_apart,
+            StepKind.SLOW_DISK: self._slow_disk,
+            StepKind.REFUSING_DISK: self._fail_disk,
+            StepKind.WEATHER: self._degrade_network,
+            StepKind.ADD: lambda machine, step: self._add().start(),
+            StepKind.BURST: lambda machine, step: self._burst(),
+        }
+
+    def _request_change(self, machine: Machine, step: Step) -> None:
+        self._changes += 1
+        machine.ask(self._changes)
+
+    def _stop_all(self, how: Callable[[Machine], None], lasts_s: float) -> None:
+        for machine in self._present():
+            self._stop_for(machine, functools.partial(how, machine), lasts_s * self._world.rng.random())
+
+    def _lose_power_after_ack(self, machine: Machine, step: Step) -> None:
+        self._after_ack.append(lambda name: self._lose_power_of(name, step.lasts_s))
+
+    def _wipe_after_ack(self, machine: Machine, step: Step) -> None:
+        self._after_ack.append(lambda name: self._wipe(self._world.machines[name], step.lasts_s))
 
     def _burst(self) -> None:
         world = self._world
         for _ in range(BURST_OPERATIONS):
             self._changes += world.rng.random() < 0.2
             asked = world.rng.randint(0, self._changes)
-            world.at(world.now_s + world.rng.random() * BURST_S, self._ask_anywhere, asked)
+            world.at(world.now_s + world.rng.random() * BURST_S, self._request_at_any, asked)
 
-    def _ask_anywhere(self, number: int) -> None:
+    def _request_at_any(self, number: int) -> None:
         if not self._ended:
             self._pick(self._world.rng.randrange(6)).ask(number)
 
-    def _disturb(self, machine: Machine, step: Step) -> None:
+    def _freeze(self, machine: Machine, step: Step) -> None:
+        machine.thaw_at_s = self._world.now_s + step.lasts_s
+
+    def _cut_off(self, machine: Machine, step: Step) -> None:
         world = self._world
-        end_s = world.now_s + step.lasts_s
-        match step.kind:
-            case Kind.FREEZE:
-                machine.thaw_at_s = end_s
-            case Kind.CUT_OFF:
-                others = {found.name for found in self._present()} - {machine.name}
-                world.cut |= {frozenset((machine.name, other)) for other in others}
-                world.at(end_s, world.join)
-            case Kind.CUT_APART:
-                side = {found.name for found in self._present() if world.rng.random() < 0.5}
-                rest = {found.name for found in self._present()} - side
-                world.cut |= {frozenset((one, other)) for one in side for other in rest}
-                world.at(end_s, world.join)
-            case Kind.SLOW_DISK:
-                machine.sync_s = step.lasts_s
-                world.at(end_s, self._fair_disk, machine)
-            case Kind.REFUSING_DISK:
-                machine.folder.refusing = True
-                world.at(end_s, setattr, machine.folder, "refusing", False)
-            case Kind.WEATHER:
-                world.weather.lost, world.weather.doubled = 0.2, 0.3
-                world.weather.slowest_s = step.lasts_s
-                world.at(end_s, self._fair)
-            case Kind.ADD:
-                self._add().start()
-
-    def _fair(self) -> None:
-        """The climate's weather."""
-        climate = self._schedule.climate
+        others = {found.name for found in self._present()} - {machine.name}
+        world.cut |= {frozenset((machine.name, other)) for other in others}
+        world.at(world.now_s + step.lasts_s, world.join)
+
+    def _cut_apart(self, machine: Machine, step: Step) -> None:
+        world = self._world
+        side = {found.name for found in self._present() if world.rng.random() < 0.5}
+        rest = {found.name for found in self._present()} - side
+        world.cut |= {frozenset((one, other)) for one in side for other in rest}
+        world.at(world.now_s + step.lasts_s, world.join)
+
+    def _slow_disk(self, machine: Machine, step: Step) -> None:
+        machine.sync_s = step.lasts_s
+        self._world.at(self._world.now_s + step.lasts_s, self._restore_disk, machine)
+
+    def _fail_disk(self, machine: Machine, step: Step) -> None:
+        machine.folder.refusing = True
+        self._world.at(self._world.now_s + step.lasts_s, setattr, machine.folder, "refusing", False)
+
+    def _degrade_network(self, machine: Machine, step: Step) -> None:
+        world = self._world
+        world.weather.lost, world.weather.doubled = 0.2, 0.3
+        world.weather.slowest_s = step.lasts_s
+        world.at(world.now_s + step.lasts_s, self._restore_network)
+
+    def _restore_network(self) -> None:
+        """Return the network to the conditions of the schedule."""
+        conditions = self._schedule.conditions
         if not self._ended:
             self._world.weather = Weather(
-                climate.lost, climate.doubled, climate.slowest_s, climate.slow_share
+                conditions.lost, conditions.doubled, conditions.slowest_s, conditions.slow_share
             )
 
-    def _fair_disk(self, machine: Machine) -> None:
+    def _restore_disk(self, machine: Machine) -> None:
         if not self._ended:
-            machine.sync_s = self._schedule.climate.sync_s
+            machine.sync_s = self._schedule.conditions.sync_s
 
     def _add(self) -> Machine:
-        self._added += 1
-        name = f"core-new-{self._added}"
+        self._added_count += 1
+        name = f"core-new-{self._added_count}"
         machine = Machine(self._world, name, FOUNDERS, bootstrap=False)
-        machine.sync_s = self._schedule.climate.sync_s
+        machine.sync_s = self._schedule.conditions.sync_s
         self._world.machines[name] = machine
         return machine
 
-    def _down(self, machine: Machine, how: Callable[[], None], lasts_s: float) -> None:
+    def _stop_for(self, machine: Machine, how: Callable[[], None], lasts_s: float) -> None:
         how()
         machine.folder.refusing = False
-        self._world.at(self._world.now_s + lasts_s, self._up, machine)
+        self._world.at(self._world.now_s + lasts_s, self._start, machine)
 
-    def _up(self, machine: Machine) -> None:
-        if machine.name not in self._gone:
+    def _start(self, machine: Machine) -> None:
+        if machine.name not in self._removed:
             machine.start()
 
     def _wipe(self, machine: Machine, lasts_s: float) -> None:
-        if machine.name not in self._gone and self._may_lose():
-            self._lost(lasts_s)
-            self._down(machine, machine.wipe, lasts_s)
+        if machine.name not in self._removed and self._may_lose_disk():
+            self._note_disk_loss(lasts_s)
+            self._stop_for(machine, machine.wipe, lasts_s)
 
-    def _power_named(self, name: str, lasts_s: float) -> None:
+    def _lose_power_of(self, name: str, lasts_s: float) -> None:
         machine = self._world.machines[name]
-        if name not in self._gone:
-            self._down(machine, machine.lose_power, lasts_s)
+        if name not in self._removed:
+            self._stop_for(machine, machine.lose_power, lasts_s)
 
     def _wipe_one_power_rest(self, machine: Machine, lasts_s: float) -> None:
-        if not self._may_lose():
+        if not self._may_lose_disk():
             return
-        self._lost(lasts_s)
+        self._note_disk_loss(lasts_s)
         for found in self._present():
             how = found.wipe if found is machine else found.lose_power
-            self._down(found, how, lasts_s * self._world.rng.random())
+            self._stop_for(found, how, lasts_s * self._world.rng.random())
 
     def _replace(self, machine: Machine, step: Step) -> None:
-        """The machine goes for good, its disk with it; an empty one comes at another address."""
-        if not self._may_lose():
+        """Remove the machine with its disk, and start an empty one at another address."""
+        if not self._may_lose_disk():
             return
         successor = self._add()
-        if step.kind is Kind.REPLACE_FIRST:
+        if step.kind is StepKind.REPLACE_FIRST:
             successor.start()
             self._world.at(self._world.now_s + step.lasts_s, self._remove, machine)
         else:
             self._remove(machine)
-            self._lost(step.lasts_s)
-            self._world.at(self._world.now_s + step.lasts_s, self._up, successor)
+            self._note_disk_loss(step.lasts_s)
+            self._world.at(self._world.now_s + step.lasts_s, self._start, successor)
 
     def _remove(self, machine: Machine) -> None:
-        if self._ended or not self._may_lose():
+        if self._ended or not self._may_lose_disk():
             return
-        self._lost(0.0)
+        self._note_disk_loss(0.0)
         machine.wipe()
-        self._gone.add(machine.name)
+        self._removed.add(machine.name)
 
     def _acknowledged(self, name: str) -> None:
         waiting, self._after_ack = self._after_ack, []
@@ -406,12 +340,12 @@
 
 
 def play(schedule: Schedule, bugs: Bugs | None = None) -> Verdict:
-    """Play a schedule; the same one always gives the same verdict."""
-    return _Play(schedule, bugs or Bugs()).run()
+    """Play a schedule; the same one always gives the same verdict. `bugs` are seeded mutations."""
+    return _Simulation(schedule, bugs or Bugs()).run()
 
 
 def shorten(verdict: Verdict, bugs: Bugs | None = None) -> Verdict:
-    """The verdict of the failing schedule with as few steps as may be."""
+    """Return the verdict of the failing schedule shrunk to as few steps as still fail."""
     return shortened(verdict, lambda schedule: play(schedule, bugs))
 
 
@@ -421,9 +355,9 @@
 
 
 def describe(verdict: Verdict) -> str:
-    """A failing schedule for a person: its seed, its steps, what was wrong."""
+    """Return a report of a failing schedule: its seed, its steps, its violations."""
     lines = [f"seed {verdict.schedule.seed}: {len(verdict.schedule.steps)} steps"]
-    lines.append(f"  {verdict.schedule.climate}")
+    lines.append(f"  {verdict.schedule.conditions}")
     lines += [f"  {step}" for step in verdict.schedule.steps]
     lines += [f"  wrong: {mistake}" for mistake in verdict.mistakes]
     return "\n".join(lines)
--- a/tests/emberring/register/test_tier_register_model.py
+++ b/tests/emberring/register/test_tier_register_model.py
@@ -1,4 +1,4 @@
-"""The register looked at whole, in small: every order of events leads to one history, and mistakes are found."""
+"""The model checker of a small register: every order of events leads to one history, and mutations are found."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 import pytest
 
 from emberring.simulation.control_plane.mutations import Mistake, seeded
-from emberring.simulation.register.model import Bounds, Found, search
+from emberring.simulation.register.model import Bounds, SearchResult, search
 
 SMALL = Bounds(attempts=(1, 1), losses=0, restarts=0)
 
 
-def test_two_ballots_in_every_order_leave_one_history() -> None:
+def test_two_attempts_in_every_order_leave_one_history() -> None:
     found = search(SMALL)
     assert found.wrong == ""
     assert found.whole
     assert found.states > 1000
 
 
-def test_a_replacement_and_a_loss_are_looked_at_to_a_depth() -> None:
+def test_a_replacement_and_a_loss_are_searched_to_a_depth() -> None:
     found = search(Bounds(depth=9, attempts=(2, 1), losses=1, restarts=1, states=40_000))
     assert found.wrong == ""
     assert found.states > 5000
 
 
-def way_of(found: Found) -> str:
+def way_of(found: SearchResult) -> str:
     assert found.wrong != ""
     return "; ".join(found.way)
 
--- a/tests/emberring/register/test_tier_register_simulator.py
+++ b/tests/emberring/register/test_tier_register_simulator.py
@@ -7,18 +7,10 @@
 from emberring.register.replica_set_manager import RECONFIGURATION_TIMEOUTS
 from emberring.simulation.control_plane.mutations import Mistake, seeded
 from emberring.simulation.register.history import History, append_number, parse_value
-from emberring.simulation.register.simulator import (
-    FOUNDERS,
-    Kind,
-    Schedule,
-    Step,
-    describe,
-    make_schedule,
-    play,
-    play_seed,
-    shorten,
-)
-from emberring.simulation.register.world import Bugs, Machine, Weather, World
+from emberring.simulation.register.machine import Machine
+from emberring.simulation.register.schedule import Schedule, Step, StepKind, make_schedule
+from emberring.simulation.register.simulator import FOUNDERS, describe, play, play_seed, shorten
+from emberring.simulation.register.world import Bugs, Weather, World
 
 OLD_SET_SEED = 20  # within 40 seeds from here a change of the set by the old set alone does harm
 
@@ -33,20 +25,20 @@
     assert play(make_schedule(5)) == play(make_schedule(5))
 
 
-def step(at_s: float, kind: Kind, slot: int, lasts_s: float = 0.0) -> Step:
+def step(at_s: float, kind: StepKind, slot: int, lasts_s: float = 0.0) -> Step:
     return Step(at_s, kind, slot, lasts_s)
 
 
 # Two replicas take changes that the third misses; one of the two loses its disk as the other goes dark.
 LOSES_ITS_MEMORY = (
-    step(0.4, Kind.CUT_OFF, 2, 1.2),
-    step(0.6, Kind.CHANGE, 0),
-    step(0.8, Kind.CHANGE, 1),
-    step(0.9, Kind.READ, 0),
-    step(1.3, Kind.POWER, 1, 2.0),
-    step(1.35, Kind.WIPE, 0, 0.1),
-    step(1.7, Kind.CHANGE, 2),
-    step(2.0, Kind.CHANGE, 2),
+    step(0.4, StepKind.CUT_OFF, 2, 1.2),
+    step(0.6, StepKind.CHANGE, 0),
+    step(0.8, StepKind.CHANGE, 1),
+    step(0.9, StepKind.READ, 0),
+    step(1.3, StepKind.POWER, 1, 2.0),
+    step(1.35, StepKind.WIPE, 0, 0.1),
+    step(1.7, StepKind.CHANGE, 2),
+    step(2.0, StepKind.CHANGE, 2),
 )
 
 
@@ -60,49 +52,53 @@
         short = shorten(verdict, bugs)
         assert short.mistakes
         assert len(short.schedule.steps) < len(verdict.schedule.steps)
-        assert any(step.kind is Kind.WIPE for step in short.schedule.steps)
+        assert any(step.kind is StepKind.WIPE for step in short.schedule.steps)
         assert "wrong:" in describe(short)
 
 
 HAND_MADE = {
     "nothing": (),
-    "wipe and back": (step(1, Kind.CHANGE, 0), step(1.2, Kind.WIPE, 2, 0.5), step(3, Kind.CHANGE, 2)),
+    "wipe and back": (
+        step(1, StepKind.CHANGE, 0),
+        step(1.2, StepKind.WIPE, 2, 0.5),
+        step(3, StepKind.CHANGE, 2),
+    ),
     "two replacements": (
-        step(1, Kind.CHANGE, 0),
-        step(1.2, Kind.REPLACE, 2, 0.5),
-        step(3.5, Kind.REPLACE_FIRST, 0, 0.5),
-        step(5, Kind.CHANGE, 1),
+        step(1, StepKind.CHANGE, 0),
+        step(1.2, StepKind.REPLACE, 2, 0.5),
+        step(3.5, StepKind.REPLACE_FIRST, 0, 0.5),
+        step(5, StepKind.CHANGE, 1),
     ),
     "replacement during a cut": (
-        step(1, Kind.CUT_OFF, 0, 2.0),
-        step(1.5, Kind.REPLACE, 2, 0.5),
-        step(2.5, Kind.CHANGE, 1),
-        step(4, Kind.CHANGE, 0),
+        step(1, StepKind.CUT_OFF, 0, 2.0),
+        step(1.5, StepKind.REPLACE, 2, 0.5),
+        step(2.5, StepKind.CHANGE, 1),
+        step(4, StepKind.CHANGE, 0),
     ),
     "all power lost after an acknowledgement": (
-        step(0.9, Kind.POWER_AFTER_ACK, 0, 0.5),
-        step(1, Kind.CHANGE, 0),
-        step(1.01, Kind.POWER_ALL, 0, 0.8),
-        step(3, Kind.READ, 1),
+        step(0.9, StepKind.POWER_AFTER_ACK, 0, 0.5),
+        step(1, StepKind.CHANGE, 0),
+        step(1.01, StepKind.POWER_ALL, 0, 0.8),
+        step(3, StepKind.READ, 1),
     ),
     "wiped after an acknowledgement while the others lose power": (
-        step(1, Kind.CHANGE, 1),
-        step(1.05, Kind.WIPE_ONE_POWER_REST, 1, 0.8),
-        step(3, Kind.READ, 2),
+        step(1, StepKind.CHANGE, 1),
+        step(1.05, StepKind.WIPE_ONE_POWER_REST, 1, 0.8),
+        step(3, StepKind.READ, 2),
     ),
     "a replica that was cut off and swapped returns": (
-        step(0.5, Kind.ADD, 0),
-        step(1, Kind.CUT_OFF, 2, 3.0),
-        step(3.5, Kind.CHANGE, 0),
-        step(5, Kind.CHANGE, 2),
+        step(0.5, StepKind.ADD, 0),
+        step(1, StepKind.CUT_OFF, 2, 3.0),
+        step(3.5, StepKind.CHANGE, 0),
+        step(5, StepKind.CHANGE, 2),
     ),
     "a disk stalls for seconds": (
-        step(1, Kind.SLOW_DISK, 0, 3.0),
-        *(step(1.2 + 0.3 * number, Kind.CHANGE, number) for number in range(6)),
+        step(1, StepKind.SLOW_DISK, 0, 3.0),
+        *(step(1.2 + 0.3 * number, StepKind.CHANGE, number) for number in range(6)),
     ),
     "a disk refuses": (
-        step(1, Kind.REFUSING_DISK, 1, 2.0),
-        *(step(1.2 + 0.3 * number, Kind.CHANGE, number) for number in range(6)),
+        step(1, StepKind.REFUSING_DISK, 1, 2.0),
+        *(step(1.2 + 0.3 * number, StepKind.CHANGE, number) for number in range(6)),
     ),
 }
 
@@ -111,7 +107,7 @@
 def test_hand_made_schedules(name: str) -> None:
     verdict = play(Schedule(1, HAND_MADE[name]))
     assert verdict.mistakes == ()
-    changes = sum(1 for found in HAND_MADE[name] if found.kind is Kind.CHANGE)
+    changes = sum(1 for found in HAND_MADE[name] if found.kind is StepKind.CHANGE)
     assert verdict.acknowledged >= changes - 1
 
 
