--- a/emberring/simulation/common/__init__.py
+++ b/emberring/simulation/common/__init__.py
@@ -1,1 +1,1 @@
-"""What the simulators share: virtual time, owned tasks, scheduled steps and their shrinking."""
+"""Shared by the simulators: virtual time, task owners, scheduled steps and the shrinking of schedules."""
--- a/emberring/simulation/common/shrinking.py
+++ b/emberring/simulation/common/shrinking.py
@@ -1,4 +1,4 @@
-"""Making a failing schedule short: the same search for every simulator."""
+"""Shrinking a failing schedule to few steps; one algorithm for all simulators."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class Judged(Protocol):
-    """What came of a schedule: `mistakes` is empty where nothing was wrong."""
+    """The verdict on a schedule: `mistakes` are the violations, empty where there were none."""
 
     @property
     def mistakes(self) -> Sequence[str]:
-        """What was wrong."""
+        """The violations."""
 
 
 class JudgedSchedule(Judged, Protocol):
-    """A verdict with its schedule, whose `steps` may be fewer."""
+    """A verdict with its schedule, an `attrs` class with a field `steps`."""
 
     @property
     def schedule(self) -> Any:
-        """What was played."""
+        """The schedule that was played; every simulator has a class of its own."""
 
 
 Step = TypeVar("Step")
@@ -30,7 +30,10 @@
 
 
 def shortened(verdict: OfSchedule, play: Callable[[Any], OfSchedule]) -> OfSchedule:
-    """The verdict of a schedule that fails with as few of this one's steps as leaving them out one by one gives."""
+    """Return the verdict of a schedule that still fails, with as few steps as leaving out one by one gives.
+
+    `play` plays a schedule.
+    """
     return fewest_steps(
         verdict, verdict.schedule.steps, lambda steps: play(attrs.evolve(verdict.schedule, steps=steps))
     )
@@ -39,8 +42,10 @@
 def fewest_steps(
     verdict: Verdict, steps: Sequence[Step], replay: Callable[[tuple[Step, ...]], Verdict]
 ) -> Verdict:
-    """The verdict of a schedule that fails with as few of these steps as leaving them out one by one gives.
-    `replay` plays a schedule of other steps."""
+    """Return the verdict of a schedule that still fails, with as few of `steps` as leaving out one by one gives.
+
+    `replay` plays a schedule with other steps.
+    """
     best, kept = verdict, tuple(steps)
     shorter = True
     while shorter:
--- a/emberring/simulation/common/task_owner.py
+++ b/emberring/simulation/common/task_owner.py
@@ -1,4 +1,4 @@
-"""Tasks that belong to somebody: to a node that is metered, or to a process that can stand still and be killed."""
+"""Tasks with an owner: a node whose CPU time is measured, or a simulated process that can be paused and killed."""
 
 from __future__ import annotations
 
@@ -15,42 +15,48 @@
 
 
 class TaskOwner:
-    """Whose tasks these are; those that its tasks start are its own too. `own_tasks` must have been called."""
+    """The owner of tasks; tasks that its tasks start are its own too.
+
+    `own_tasks` must have been called for the loop.
+    """
 
     def __init__(self) -> None:
         self._context = contextvars.copy_context()
         self._context.run(_OWNER.set, self)
 
     def start(self, coroutine: Coroutine[Any, Any, Result]) -> asyncio.Task[Result]:
-        """Start a task of its own."""
+        """Start a task that belongs to this owner."""
         return asyncio.get_running_loop().create_task(coroutine, context=self._context)
 
     def call(self, work: Any, *arguments: Any) -> Any:
-        """Call this as its tasks do."""
+        """Call a function in the context of this owner: tasks that it starts belong to the owner."""
         return self._context.run(work, *arguments)
 
     def pause(self) -> Awaitable[None] | None:
-        """What a task has to wait for before it goes on; None: nothing. What is thrown at it meanwhile comes after."""
+        """Return what a task has to wait for before it goes on; None: nothing.
+
+        An exception thrown into the task meanwhile is raised in it afterwards.
+        """
         return None
 
     def step(self, resume: Callable[[], Any]) -> Any:
-        """Let a task run on to its next wait."""
+        """Let a task run to its next wait."""
         return resume()
 
     def adopt(self, task: asyncio.Task[Any]) -> None:
-        """A task of its own has been started."""
+        """Take note of a started task of this owner."""
 
 
 @types.coroutine
 def _stepped(coroutine: Coroutine[Any, Any, Result], owner: TaskOwner) -> Generator[Any, Any, Result]:
-    """Run a coroutine from wait to wait, each stretch as its owner has it."""
+    """Run a coroutine from wait to wait, each part by its owner's `step`."""
     value: Any = None
     raised: BaseException | None = None
     while True:
         while (pause := owner.pause()) is not None:
             try:
                 yield from pause.__await__()
-            except BaseException as error:
+            except BaseException as error:  # also cancellation: it is passed on to the coroutine
                 raised = error
         resume = functools.partial(coroutine.send, value)
         if raised is not None:
@@ -63,7 +69,7 @@
         value, raised = None, None
         try:
             value = yield wanted
-        except BaseException as error:
+        except BaseException as error:  # also cancellation: it is passed on to the coroutine
             raised = error
 
 
@@ -72,7 +78,7 @@
 
 
 def own_tasks(loop: asyncio.AbstractEventLoop) -> None:
-    """Have the loop's tasks belong to the owner in whose context they are started."""
+    """Make the loop's tasks belong to the owner in whose context they are started."""
 
     def make(
         _: asyncio.AbstractEventLoop, coroutine: Any, context: contextvars.Context | None = None
--- a/emberring/simulation/common/virtual_time.py
+++ b/emberring/simulation/common/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose waits cost no time: where it would wait for a timer, its clock jumps there."""
+"""An event loop on virtual time: where it would wait for a timer, its clock jumps to that timer."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class _JumpingSelector(selectors.DefaultSelector):
-    """Never blocks; what it would have waited is added to `waited_s`."""
+    """A selector that never blocks; the time that it would have waited is added to `waited_s` (seconds)."""
 
     waited_s = 0.0
 
@@ -21,17 +21,18 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop with a clock of its own that begins at 0."""
+    """An event loop with a clock of its own that begins at 0."""
 
     def __init__(self) -> None:
         self._jumping = _JumpingSelector()
         super().__init__(self._jumping)
 
     def time(self) -> float:
+        """Return the virtual time in seconds."""
         return self._jumping.waited_s
 
 
 def run_virtually(play: Coroutine[Any, Any, None]) -> None:
-    """Play it without waiting; nothing but timers may be waited for. Tasks that are left are cancelled."""
+    """Run a coroutine on virtual time; it may wait for timers alone. Tasks that are left are cancelled."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         runner.run(play)
--- a/emberring/simulation/register/__init__.py
+++ b/emberring/simulation/register/__init__.py
@@ -1,1 +1,1 @@
-"""The check of the configuration register: simulated nodes, and a model that visits every state."""
+"""Deterministic simulation and model checker of the register."""
--- a/emberring/simulation/register/machine.py
+++ b/emberring/simulation/register/machine.py
@@ -283,9 +283,8 @@
     # The disk.
 
     def _write(self) -> None:
-        if self._busy or not self._queue:
+        if self._busy or not self._queue or self._ring is None:
             return
-        assert self._ring is not None
         self._busy = True
         self._writing, self._queue = self._queue, []
         sync_duration_s = self.sync_s * (0.5 + self.world.rng.random())
--- a/tests/emberring/register/test_tier_register_acceptor.py
+++ b/tests/emberring/register/test_tier_register_acceptor.py
@@ -27,11 +27,11 @@
 )
 
 ME = "founder:a:1"
-FOUNDING = initial_proposal(("a:1", "b:1", "c:1"))
-REPLICAS = FOUNDING.state.replicas
+INITIAL = initial_proposal(("a:1", "b:1", "c:1"))
+REPLICAS = INITIAL.state.replicas
 
 
-def ballot(counter: int, proposer: str = "p") -> ProposalNumber:
+def number(counter: int, proposer: str = "p") -> ProposalNumber:
     return ProposalNumber(counter, proposer)
 
 
@@ -39,55 +39,59 @@
     return State(REPLICAS, payload)
 
 
-def founder() -> Acceptor:
-    return Acceptor(ME, FOUNDING)
+def initial_acceptor() -> Acceptor:
+    return Acceptor(ME, INITIAL)
 
 
-def test_a_founder_promises_and_reports_the_founding_set() -> None:
-    verdict = founder().prepare(Prepare(ME, ballot(1)))
-    assert verdict.reply == Promise(ME, ballot(1), INITIAL_NUMBER, FOUNDING.state)
-    assert verdict.record is not None
-    assert verdict.durable
+def test_an_initial_replica_promises_and_reports_the_initial_set() -> None:
+    response = initial_acceptor().prepare(Prepare(ME, number(1)))
+    assert response.reply == Promise(ME, number(1), INITIAL_NUMBER, INITIAL.state)
+    assert response.record is not None
+    assert response.durable
 
 
 def test_a_newborn_promises_and_reports_nothing() -> None:
-    verdict = Acceptor("new").prepare(Prepare("new", ballot(1)))
-    assert verdict.reply == Promise("new", ballot(1))
+    response = Acceptor("new").prepare(Prepare("new", number(1)))
+    assert response.reply == Promise("new", number(1))
 
 
 def test_the_state_is_left_out_where_the_caller_has_it() -> None:
-    verdict = founder().prepare(Prepare(ME, ballot(1), INITIAL_NUMBER))
-    assert verdict.reply == Promise(ME, ballot(1), INITIAL_NUMBER, None)
-    assert founder().query(Query(ME, INITIAL_NUMBER)).reply == StateReport(ME, INITIAL_NUMBER, None)
-    assert founder().query(Query(ME, ballot(5))).reply == StateReport(ME, INITIAL_NUMBER, FOUNDING.state)
+    response = initial_acceptor().prepare(Prepare(ME, number(1), INITIAL_NUMBER))
+    assert response.reply == Promise(ME, number(1), INITIAL_NUMBER, None)
+    assert initial_acceptor().query(Query(ME, INITIAL_NUMBER)).reply == StateReport(ME, INITIAL_NUMBER, None)
+    assert initial_acceptor().query(Query(ME, number(5))).reply == StateReport(
+        ME, INITIAL_NUMBER, INITIAL.state
+    )
 
 
 @pytest.mark.parametrize(
-    "call", [Prepare("other", ballot(9)), Accept("other", ballot(9), state(b"v")), Query("other")]
+    "call", [Prepare("other", number(9)), Accept("other", number(9), state(b"v")), Query("other")]
 )
 def test_another_identity_is_refused_and_nothing_changes(call: Prepare | Accept | Query) -> None:
-    acceptor = founder()
+    acceptor = initial_acceptor()
     method = {Prepare: acceptor.prepare, Accept: acceptor.accept, Query: acceptor.query}[type(call)]
-    verdict = method(call)  # type: ignore[operator]
-    assert verdict.reply == UnknownReplica(ME)
-    assert verdict.record is None
+    response = method(call)  # type: ignore[operator]
+    assert response.reply == UnknownReplica(ME)
+    assert response.record is None
     assert acceptor.promised == INITIAL_NUMBER
-    assert acceptor.accepted == FOUNDING
+    assert acceptor.accepted == INITIAL
 
 
 @pytest.mark.parametrize(
-    ("promised", "asked", "taken"),
+    ("promised", "requested", "taken"),
     [
-        (ballot(5), ballot(4), False),
-        (ballot(5), ballot(5), True),
-        (ballot(5), ballot(6), True),
-        (ballot(5, "q"), ballot(5, "p"), False),
-        (ballot(5, "p"), ballot(5, "q"), True),
+        (number(5), number(4), False),
+        (number(5), number(5), True),
+        (number(5), number(6), True),
+        (number(5, "q"), number(5, "p"), False),
+        (number(5, "p"), number(5, "q"), True),
     ],
 )
-def test_older_ballots_are_refused(promised: ProposalNumber, asked: ProposalNumber, taken: bool) -> None:
-    for call in (Prepare(ME, asked), Accept(ME, asked, state(b"v"))):
-        acceptor = founder()
+def test_lower_proposal_numbers_are_rejected(
+    promised: ProposalNumber, requested: ProposalNumber, taken: bool
+) -> None:
+    for call in (Prepare(ME, requested), Accept(ME, requested, state(b"v"))):
+        acceptor = initial_acceptor()
         acceptor.prepare(Prepare(ME, promised))
         reply = (acceptor.prepare(call) if isinstance(call, Prepare) else acceptor.accept(call)).reply
         assert isinstance(reply, Rejected) is not taken
@@ -96,33 +100,33 @@
 
 
 def test_an_acceptance_is_a_promise_too() -> None:
-    acceptor = founder()
-    assert acceptor.accept(Accept(ME, ballot(5), state(b"v"))).reply == Accepted(ME, ballot(5))
-    assert acceptor.prepare(Prepare(ME, ballot(4))).reply == Rejected(ME, ballot(5))
-    assert acceptor.prepare(Prepare(ME, ballot(6))).reply == Promise(ME, ballot(6), ballot(5), state(b"v"))
+    acceptor = initial_acceptor()
+    assert acceptor.accept(Accept(ME, number(5), state(b"v"))).reply == Accepted(ME, number(5))
+    assert acceptor.prepare(Prepare(ME, number(4))).reply == Rejected(ME, number(5))
+    assert acceptor.prepare(Prepare(ME, number(6))).reply == Promise(ME, number(6), number(5), state(b"v"))
 
 
 def test_repeats_write_nothing_but_still_wait_for_the_disk() -> None:
-    acceptor = founder()
+    acceptor = initial_acceptor()
     for _ in range(2):
-        verdict = acceptor.prepare(Prepare(ME, ballot(5)))
-    assert verdict.record is None
-    assert verdict.durable
+        response = acceptor.prepare(Prepare(ME, number(5)))
+    assert response.record is None
+    assert response.durable
     for _ in range(2):
-        verdict = acceptor.accept(Accept(ME, ballot(5), state(b"v")))
-    assert verdict.record is None
-    assert verdict.durable
+        response = acceptor.accept(Accept(ME, number(5), state(b"v")))
+    assert response.record is None
+    assert response.durable
 
 
 def test_a_committed_proposal_is_taken_over_below_a_newer_promise() -> None:
-    acceptor = founder()
-    acceptor.prepare(Prepare(ME, ballot(9)))
-    assert acceptor.install(Proposal(ballot(7), state(b"committed"))) is not None
-    assert acceptor.promised == ballot(9)
-    assert acceptor.accepted_number == ballot(7)
-    assert acceptor.install(Proposal(ballot(6), state(b"older"))) is None
-    assert acceptor.install(Proposal(ballot(7), state(b"committed"))) is None
-    assert acceptor.accepted_number == ballot(7)
+    acceptor = initial_acceptor()
+    acceptor.prepare(Prepare(ME, number(9)))
+    assert acceptor.install(Proposal(number(7), state(b"committed"))) is not None
+    assert acceptor.promised == number(9)
+    assert acceptor.accepted_number == number(7)
+    assert acceptor.install(Proposal(number(6), state(b"older"))) is None
+    assert acceptor.install(Proposal(number(7), state(b"committed"))) is None
+    assert acceptor.accepted_number == number(7)
 
 
 def restored(records: list[bytes]) -> Acceptor:
@@ -138,23 +142,23 @@
 
 @pytest.mark.parametrize("payload", [None, b"", b"value", b"two\nlines\n", bytes(range(256))])
 def test_records_bring_everything_back(payload: bytes | None) -> None:
-    acceptor = founder()
+    acceptor = initial_acceptor()
     records = [acceptor.snapshot()]
-    for verdict in (
-        acceptor.prepare(Prepare(ME, ballot(3))),
-        acceptor.accept(Accept(ME, ballot(3), state(payload))),
-        acceptor.prepare(Prepare(ME, ballot(8))),
+    for response in (
+        acceptor.prepare(Prepare(ME, number(3))),
+        acceptor.accept(Accept(ME, number(3), state(payload))),
+        acceptor.prepare(Prepare(ME, number(8))),
     ):
-        assert verdict.record is not None
-        records.append(verdict.record)
+        assert response.record is not None
+        records.append(response.record)
     assert same(restored(records), acceptor)
     assert same(restored([acceptor.snapshot()]), acceptor)
 
 
 def test_records_come_back_in_any_order_around_a_snapshot() -> None:
-    acceptor = founder()
-    first = acceptor.accept(Accept(ME, ballot(3), state(b"old"))).record
-    second = acceptor.accept(Accept(ME, ballot(4), state(b"new"))).record
+    acceptor = initial_acceptor()
+    first = acceptor.accept(Accept(ME, number(3), state(b"old"))).record
+    second = acceptor.accept(Accept(ME, number(4), state(b"new"))).record
     assert first is not None
     assert second is not None
     assert same(restored([acceptor.snapshot(), first, second]), acceptor)
@@ -163,8 +167,8 @@
 
 def test_a_joint_set_comes_back() -> None:
     joint = ReplicaSet(4, REPLICAS.members, (*REPLICAS.members[:2], Member("new", "d:1")))
-    acceptor = founder()
-    acceptor.accept(Accept(ME, ballot(3), State(joint, b"v")))
+    acceptor = initial_acceptor()
+    acceptor.accept(Accept(ME, number(3), State(joint, b"v")))
     assert same(restored([acceptor.snapshot()]), acceptor)
 
 
--- a/tests/emberring/register/test_tier_register_changes.py
+++ b/tests/emberring/register/test_tier_register_changes.py
@@ -71,7 +71,7 @@
 # Who acts, and when.
 
 
-def keeper(me: Member = A, seeds: tuple[str, ...] = ()) -> tuple[ReplicaSetManager, Contacts]:
+def manager(me: Member = A, seeds: tuple[str, ...] = ()) -> tuple[ReplicaSetManager, Contacts]:
     contacts = Contacts(me, 0.0, seeds)
     return ReplicaSetManager(me, 3, contacts), contacts
 
@@ -113,7 +113,7 @@
 
 
 def test_a_silent_replica_is_replaced_by_a_spare_after_its_time() -> None:
-    setup = keeper()
+    setup = manager()
     setup[1].set_peers((Peer("n", D),))
     found = play(setup, OLD, {**ALL, "c:1": None}, 5.0)
     assert found is not None
@@ -122,7 +122,7 @@
 
 
 def test_a_replica_whose_disk_is_gone_is_replaced_at_once() -> None:
-    found = play(keeper(), OLD, {**ALL, "c:1": pong("c-again")}, 5.0)
+    found = play(manager(), OLD, {**ALL, "c:1": pong("c-again")}, 5.0)
     assert found is not None
     assert found[0] < 0.5
     assert found[1].following == ReplicaSet(1, OLD.members, (A, B, Member("c-again", "c:1")))
@@ -130,23 +130,23 @@
 
 def test_the_next_replica_in_line_waits_longer() -> None:
     answers = {**ALL, "c:1": pong("c-again")}
-    found = play(keeper(B), OLD, answers, 5.0)
+    found = play(manager(B), OLD, answers, 5.0)
     assert found is not None
     assert 0.5 <= found[0] < 1.0
 
 
 def test_a_node_that_is_no_replica_changes_nothing() -> None:
-    assert play(keeper(D), OLD, {**ALL, "c:1": pong("c-again")}, 5.0) is None
+    assert play(manager(D), OLD, {**ALL, "c:1": pong("c-again")}, 5.0) is None
 
 
 def test_a_node_without_a_quorum_changes_nothing() -> None:
-    setup = keeper()
+    setup = manager()
     setup[1].set_peers((Peer("n", D),))
     assert play(setup, OLD, {"d:1": pong("d")}, 5.0) is None
 
 
 def test_a_replica_whose_disk_does_not_vote_counts_as_silent() -> None:
-    setup = keeper()
+    setup = manager()
     setup[1].set_peers((Peer("n", D),))
     found = play(setup, OLD, {**ALL, "c:1": Pong("c", None, voting=False)}, 5.0)
     assert found is not None
@@ -154,7 +154,7 @@
 
 
 def test_a_new_node_of_the_same_name_takes_its_place_sooner() -> None:
-    setup = keeper()
+    setup = manager()
     setup[1].set_peers((Peer("node-c", C), Peer("node-b", B)))
     setup[1].set_peers((Peer("node-c", D), Peer("node-b", B), Peer("node-e", E)))
     answers = {"b:1": pong("b"), "d:1": pong("d"), "e:1": pong("e")}
@@ -165,7 +165,7 @@
 
 
 def test_after_a_pause_of_its_own_nobody_counts_as_silent() -> None:
-    setup = keeper()
+    setup = manager()
     setup[1].set_peers((Peer("n", D),))
     assert play(setup, OLD, ALL, 3.0) is None
     found, contacts = setup
@@ -178,11 +178,11 @@
 
 def test_a_joint_set_waits_for_the_new_one_to_hold_the_value_or_for_its_time() -> None:
     joint = ReplicaSet(1, OLD.members, (A, B, D))
-    holds = play(keeper(), joint, {**ALL, "d:1": pong("d", ProposalNumber(7, "p"))}, 5.0)
+    holds = play(manager(), joint, {**ALL, "d:1": pong("d", ProposalNumber(7, "p"))}, 5.0)
     assert holds is not None
     assert holds[0] < 0.2
     assert holds[1].following == ReplicaSet(2, (A, B, D))
-    late = play(keeper(), joint, {**ALL, "d:1": pong("d", ProposalNumber(6, "p"))}, 5.0)
+    late = play(manager(), joint, {**ALL, "d:1": pong("d", ProposalNumber(6, "p"))}, 5.0)
     assert late is not None
     assert 1.0 < late[0] < 1.3
 
--- a/tests/emberring/register/test_tier_register_crossings.py
+++ b/tests/emberring/register/test_tier_register_crossings.py
@@ -1,4 +1,4 @@
-"""Orders that cross a ballot under way: what a job is told must be as new as all that was acknowledged before it."""
+"""Changes that come while an attempt is in flight: each must see all that was acknowledged before it."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
     """One node, and the two other replicas played by hand: their answers are given when the test says so."""
 
     def __init__(self) -> None:
-        founding = initial_proposal(ADDRESSES)
-        self.members = {member.address: member for member in founding.state.replicas.members}
+        initial = initial_proposal(ADDRESSES)
+        self.members = {member.address: member for member in initial.state.replicas.members}
         self.acceptors = {
             address: Acceptor(initial_identity(address), initial_proposal(ADDRESSES)) for address in ADDRESSES
         }
@@ -106,7 +106,7 @@
 
 
 def begun_before_the_change() -> tuple[Crossing, object]:
-    """A ballot is under way; the second replica's promise, given before the other change, has not come yet."""
+    """An attempt is in flight; the second replica's promise, given before the other change, has not come yet."""
     crossing = Crossing()
     crossing.handle(ChangeRequested(1, leave_it, crossing.now_s + PATIENCE_S))
     late = crossing.calls_of(Prepare, "core-b")
@@ -117,7 +117,7 @@
     return crossing, Replied(late[0].call, promise)
 
 
-def test_an_order_is_not_refused_on_promises_older_than_itself() -> None:
+def test_a_change_is_not_rejected_on_promises_older_than_itself() -> None:
     crossing, late_promise = begun_before_the_change()
     crossing.handle(ChangeRequested(2, wants_newer, crossing.now_s + PATIENCE_S))
     crossing.handle(late_promise)  # type: ignore[arg-type]
@@ -135,7 +135,7 @@
     crossing.handle(ReadRequested(2, crossing.now_s + PATIENCE_S))
     queries = [call for address in ADDRESSES for call in crossing.calls_of(Query, address)]
     assert len(queries) == 3
-    for call in queries:  # the replicas' words do not show what is committed: the read waits for a ballot
+    for call in queries:  # the replicas' words do not show what is committed: the read waits for an attempt
         held = StateReport(crossing.acceptors[call.address].identity, None, None)
         crossing.handle(Replied(call.call, held if call.address == "core-b" else None))
     crossing.handle(late_promise)  # type: ignore[arg-type]
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("patience_s", [0.05])
-def test_a_job_that_waits_for_promises_still_ends_in_time(patience_s: float) -> None:
+def test_an_operation_that_waits_for_promises_still_ends_in_time(patience_s: float) -> None:
     crossing = Crossing()
     crossing.handle(ChangeRequested(1, leave_it, crossing.now_s + patience_s))
     crossing.handle(ChangeRequested(2, leave_it, crossing.now_s + patience_s))
--- a/tests/emberring/register/test_tier_register_proposer.py
+++ b/tests/emberring/register/test_tier_register_proposer.py
@@ -94,7 +94,7 @@
     assert not attempt.accept_sent
 
 
-def test_a_state_that_may_not_be_committed_is_written_again_under_the_own_ballot() -> None:
+def test_a_state_that_may_not_be_committed_is_proposed_again_under_the_own_number() -> None:
     attempt = keep()
     attempt.start(OLD.all_members)
     attempt.on_reply(A, promise(A, proposal(3, OLD, b"held")))
@@ -182,7 +182,7 @@
 @pytest.mark.parametrize(
     "reply", [None, Rejected("x", ProposalNumber(9, "q")), UnknownReplica("x"), "nonsense"]
 )
-def test_a_ballot_fails_once_no_quorum_is_left(reply: object) -> None:
+def test_an_attempt_fails_once_no_quorum_is_left(reply: object) -> None:
     attempt = put(b"v")
     attempt.start(OLD.all_members)
     attempt.on_reply(A, reply)
@@ -192,7 +192,7 @@
     assert not attempt.accept_sent
 
 
-def test_a_ballot_fails_while_accepting_and_may_have_been_accepted() -> None:
+def test_an_attempt_fails_while_accepting_and_may_have_been_accepted() -> None:
     attempt = put(b"v")
     attempt.start(OLD.all_members)
     attempt.on_reply(A, promise(A, FIRST))
@@ -205,7 +205,7 @@
     assert attempt.accept_sent
 
 
-def test_replies_of_other_ballots_and_replicas_count_nothing() -> None:
+def test_replies_of_other_attempts_and_replicas_count_nothing() -> None:
     attempt = put(b"v")
     attempt.start(OLD.all_members)
     attempt.on_reply(A, Promise("a", ProposalNumber(4, "me"), INITIAL_NUMBER, FIRST.state))
--- a/tests/emberring/register/test_tier_register_quorums.py
+++ b/tests/emberring/register/test_tier_register_quorums.py
@@ -1,4 +1,4 @@
-"""Ballots of several proposers over the replicas, every message delivered late, twice, in any order or never."""
+"""Attempts of several proposers over the replicas, every message delivered late, twice, in any order or never."""
 
 from __future__ import annotations
 
@@ -27,24 +27,24 @@
     reply: object | None = None
 
 
-class Ballots(RuleBasedStateMachine):
+class AttemptsMachine(RuleBasedStateMachine):
     """Each attempt adds its counter to the value, or takes a step of a change of the set."""
 
     @initialize()
     def begin(self) -> None:
-        founding = initial_proposal(ADDRESSES)
-        self.members = {member.address: member for member in founding.state.replicas.members}
+        initial = initial_proposal(ADDRESSES)
+        self.members = {member.address: member for member in initial.state.replicas.members}
         self.members.update({address: Member(address, address) for address in SPARES})
         self.acceptors = {
-            member.identity: Acceptor(member.identity, founding if address in ADDRESSES else None)
+            member.identity: Acceptor(member.identity, initial if address in ADDRESSES else None)
             for address, member in self.members.items()
         }
         self.durable = {identity: [acceptor.snapshot()] for identity, acceptor in self.acceptors.items()}
         self.flights: list[Flight] = []
-        self.rounds: list[ProposalAttempt] = []
+        self.attempts: list[ProposalAttempt] = []
         self.counter = 0
-        self.known = founding
-        self.committed: dict[ProposalNumber, Proposal] = {founding.number: founding}
+        self.known = initial
+        self.committed: dict[ProposalNumber, Proposal] = {initial.number: initial}
 
     @rule(
         swap=st.sampled_from([None, ("a", "d"), ("b", "e"), ("c", "d"), ("d", "a"), ("e", "c")]),
@@ -60,7 +60,7 @@
             return State(replicas, (found.state.payload or b"") + b"%d " % number)
 
         attempt = ProposalAttempt(ProposalNumber(number, f"p{number}"), known, decide)
-        self.rounds.append(attempt)
+        self.attempts.append(attempt)
         self.launch(attempt, attempt.start(known.state.replicas.all_members))
 
     def step(self, replicas: ReplicaSet, swap: tuple[str, str] | None, committed: bool) -> ReplicaSet:
@@ -147,7 +147,7 @@
             assert after.state.replicas.epoch >= before.state.replicas.epoch
 
 
-Ballots.TestCase.settings = settings(
+AttemptsMachine.TestCase.settings = settings(
     max_examples=60, stateful_step_count=50, deadline=None, suppress_health_check=list(HealthCheck)
 )
-TestBallots = Ballots.TestCase
+TestAttempts = AttemptsMachine.TestCase
--- a/tests/emberring/register/test_tier_register_simulator.py
+++ b/tests/emberring/register/test_tier_register_simulator.py
@@ -111,7 +111,7 @@
     assert verdict.acknowledged >= changes - 1
 
 
-def test_eight_orders_at_once_are_all_taken_in_a_moment() -> None:
+def test_eight_changes_at_once_all_commit_in_a_moment() -> None:
     world = World(1, Bugs(), RECONFIGURATION_TIMEOUTS)
     world.weather = Weather(slowest_s=0.0028)
     for name in FOUNDERS:
@@ -149,7 +149,7 @@
     assert [mistake for seed in range(8) for mistake in a_burst(seed)] == []
 
 
-def test_a_ballot_that_takes_in_late_jobs_is_found() -> None:
+def test_an_attempt_that_takes_in_late_operations_is_found() -> None:
     with seeded(Mistake.LATE_JOBS):
         wrong = a_burst(0)
     assert any("had been acknowledged" in mistake for mistake in wrong)
