--- a/emberring/simulation/control_plane/control_machine.py
+++ b/emberring/simulation/control_plane/control_machine.py
@@ -22,12 +22,12 @@
     Resolve,
 )
 from emberring.register.model import Member
-from emberring.register.service import settle
+from emberring.register.service import resolve_future
 from emberring.settings import FaultTolerance, Settings
 from emberring.simulation.control_plane.network import SimulatedNetwork
 from emberring.simulation.control_plane.process import Process
 from emberring.simulation.control_plane.world import ControlWorld
-from emberring.simulation.register.world import Machine
+from emberring.simulation.register.machine import Machine
 
 FIRST_PORT = 7000
 INTERNAL_PORT = FIRST_PORT + 1
@@ -173,7 +173,7 @@
     def _execute(self, action: Action) -> None:
         match action:
             case Resolve():
-                settle(self._futures.pop(action.job, None), action)
+                resolve_future(self._futures.pop(action.operation, None), action)
             case Learned():
                 self._learn_value(action.payload)
             case _:
@@ -234,12 +234,16 @@
         """Nothing: the replica ends with the machine."""
 
     async def change(self, decide: Callable[[bytes | None], bytes | None], timeout_s: float) -> bytes | None:
-        """Replace the value."""
-        return await self._machine.job(lambda job, until_s: ChangeRequested(job, decide, until_s), timeout_s)
+        """Swap the value."""
+        return await self._machine.job(
+            lambda operation, until_s: ChangeRequested(operation, decide, until_s), timeout_s
+        )
 
     async def read(self, timeout_s: float) -> bytes | None:
         """The value that a quorum holds."""
-        return await self._machine.job(lambda job, until_s: ReadRequested(job, until_s), timeout_s)
+        return await self._machine.job(
+            lambda operation, until_s: ReadRequested(operation, until_s), timeout_s
+        )
 
     def subscribe(self, callback: Callable[[bytes], None]) -> None:
         """Call this with every committed value."""
