--- a/benchmarks/thrift_kill.py
+++ b/benchmarks/thrift_kill.py
@@ -123,7 +123,7 @@
                 self.found.broken.append(f"a caller or the killer failed: {type(error).__name__}: {error}")
         # Oneway calls that count as sent may still be on their way to a box's loop.
         last = time.monotonic() + 2.0
-        while any(sidecar.pools["boxes"].jobs for sidecar in sidecars) and time.monotonic() < last:
+        while any(sidecar.pools["boxes"].requests for sidecar in sidecars) and time.monotonic() < last:
             await asyncio.sleep(0.01)
         for sidecar in sidecars:
             sidecar.close()
--- a/benchmarks/xds_updates.py
+++ b/benchmarks/xds_updates.py
@@ -36,13 +36,13 @@
 
 async def follow(address: str, count: int, delta: bool) -> None:
     """In the other process: print, as JSON lines, when all clusters were first served, and each change of the first."""
-    from loadbalancer.discovery.membership import Roster
+    from loadbalancer.discovery.endpoint_list import EndpointList
     from loadbalancer.xds.protocol import XdsClient
     from loadbalancer.xds.stream import XdsStream
 
     names = [f"c{at}" for at in range(count)]
     before, began = resident_mb(os.getpid()), time.time()
-    client, roster, served = XdsClient("bench", names, delta), Roster(), None
+    client, endpoint_list, served = XdsClient("bench", names, delta), EndpointList(), None
     first = False
 
     def on_change() -> None:
@@ -56,7 +56,7 @@
         now = client.served("c0")
         if first and now != served and now is not None:
             served = now
-            roster.tell(time.time() * 1000.0, now.entries, now.levels)
+            endpoint_list.replace(time.time() * 1000.0, now.entries, now.levels)
             print(json.dumps({"weight": now.entries[0].server.weight, "at": time.time()}), flush=True)
 
     stream = XdsStream(address, client, lambda: time.time() * 1000.0, on_change)
--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -9,7 +9,7 @@
 import sys
 from pathlib import Path
 
-from loadbalancer.core.leaving import signals
+from loadbalancer.core.shutdown import signals
 from loadbalancer.node.config import Config, parse_config
 from loadbalancer.node.node import Node
 
--- a/loadbalancer/cli/sidecar.py
+++ b/loadbalancer/cli/sidecar.py
@@ -10,7 +10,7 @@
 import sys
 
 from loadbalancer.core.descriptors import descriptors_here
-from loadbalancer.core.leaving import signals
+from loadbalancer.core.shutdown import signals
 from loadbalancer.core.turns import TurnLoop
 from loadbalancer.runtime.building import ReloadError, descriptors_of
 from loadbalancer.runtime.sidecar import PlacedError, Sidecar
--- a/loadbalancer/cli/trial.py
+++ b/loadbalancer/cli/trial.py
@@ -58,7 +58,7 @@
 
 
 @dataclass
-class Tally:
+class RejectionCounts:
     """What came of the requests of one class."""
 
     asked: int = 0
@@ -96,7 +96,7 @@
             for at in range(args.boxes)
         ]
         self.discovery = Discovery()
-        self.tallies: dict[str, Tally] = defaultdict(Tally)
+        self.tallies: dict[str, RejectionCounts] = defaultdict(RejectionCounts)
         self.unsafe: set[str] = set()
         self.drained_at: dict[int, float] = {}
         self.late_at_drained = 0
@@ -279,7 +279,7 @@
         tally.waits_ms.append((time.monotonic() - began) * 1000.0)
         self._count(tally, response)
 
-    def _count(self, tally: Tally, response: Response) -> None:
+    def _count(self, tally: RejectionCounts, response: Response) -> None:
         if response.status == 200:
             tally.served += 1
         elif response.status == 503 and b"proxy-status" in response.headers:
--- a/loadbalancer/core/pooled.py
+++ b/loadbalancer/core/connection_pool.py
@@ -1,8 +1,7 @@
-"""The servers' side, whatever is spoken: pooled connections to each server, and attempts that end with exactly one
-result.
+"""Pooled connections to servers, whatever is spoken on them, and attempts that end with exactly one result.
 
-`PooledBack` is a `core.types.Back`; what a connection is, what is written on it and what an answer stands for is for
-those that derive from it to say.
+`ConnectionPool` is a `core.types.Upstream`. What a connection is, what is written on it and what an answer stands for
+is for the classes that derive from it to say.
 """
 
 from __future__ import annotations
@@ -18,12 +17,12 @@
 from loadbalancer.core.turns import turns_of
 from loadbalancer.core.types import OnEnd
 from loadbalancer.interface import Result
-from loadbalancer.overload.connections import Line
+from loadbalancer.overload.connections import WaitQueue
 
 IDLE_SHARE = 0.5  # of the time after which a server closes an idle connection: ours goes well before
-LOOKED_AT = 16  # of those in line, for one that goes to the server whose connection has become free
-OPENING = 64  # connections that are being opened to one server at a time
-OVERDUE = 4.0  # holds of a connection, after which the first in line is no longer passed
+SEARCHED = 16  # of those in line, for one that goes to the server whose connection has become free
+MAX_OPENING = 64  # connections that are being opened to one server at a time
+OVERDUE_HOLDS = 4.0  # holds of a connection, after which the first in line is no longer passed
 
 
 @dataclass(slots=True, eq=False)
@@ -34,12 +33,12 @@
     waiting: set[Attempt] = field(default_factory=set)  # attempts whose connection is not up yet
     opening: int = 0  # connections
     # Attempts that wait for one of these, or a free one.
-    behind: deque[Attempt] = field(default_factory=deque)
+    queue: deque[Attempt] = field(default_factory=deque)
 
     def next(self) -> Attempt | None:
-        """Who is first of those behind."""
-        while self.behind:
-            first = self.behind.popleft()
+        """Who is first of those queue."""
+        while self.queue:
+            first = self.queue.popleft()
             if not first.over:
                 return first
         return None
@@ -50,7 +49,7 @@
 
     def __init__(
         self,
-        pool: PooledBack,
+        pool: ConnectionPool,
         message: Any,
         timeout_s: float,
         on_end: OnEnd,
@@ -62,8 +61,8 @@
         self._server: _Server | None = None
         self._connection: Outgoing | None = None
         self._connect: asyncio.Task[None] | None = None
-        self._patience: asyncio.TimerHandle | None = None  # with the server that is connected to
-        self._lined = False  # it stands in line for a connection
+        self._connect_timer: asyncio.TimerHandle | None = None  # with the server that is connected to
+        self._in_queue = False  # it stands in line for a connection
         self._sent: float | None = None  # when its message was written
         self._connect_s = 0.0  # of connecting, what was not this process's own
         loop = asyncio.get_running_loop()
@@ -82,11 +81,11 @@
     def cancel(self) -> None:
         self._finish(Result.CANCELLED)
 
-    def withdraw(self) -> None:
+    def give_up_unsent(self) -> None:
         """Give up before anything was sent."""
         self._finish(Result.CONNECT_FAILED)
 
-    def recall(self) -> None:
+    def give_up_unwritten(self) -> None:
         """Give up, for no fault of the server's, unless it has been written whole."""
         # Guard: a server begins a request with its last byte, which left long after the caller had gone.
         if self._sent is None or (self._connection is not None and not self._connection.written):
@@ -98,7 +97,7 @@
         connection, self._connection = self._connection, None
         if connection is not None and self._server is not None:
             held_s = asyncio.get_running_loop().time() - (self._sent or self.began)
-            self._pool.give_back(self._server, connection, held_s)
+            self._pool.release(self._server, connection, held_s)
         result, report = self._pool.outcome(self._message, response)
         self._finish(result, response, report)
 
@@ -110,11 +109,11 @@
 
     def begin(self, server: _Server) -> None:
         self._server = server
-        if self._pool.may_go_at_once and self.go():
+        if self._pool.queue_is_empty and self.go():
             return
-        if self._pool.stand_in_line(self, self._end_at - self.began):
+        if self._pool.enqueue(self, self._end_at - self.began):
             server.waiting.add(self)
-            self._lined = True
+            self._in_queue = True
         else:
             # Told later, as every result is, so that the action that asked for the attempt is over by then.
             asyncio.get_running_loop().call_soon(self._finish, Result.NO_ROOM)
@@ -126,14 +125,14 @@
         connection = self._pool.take_idle(server)
         if connection is not None:
             self.use(connection)
-        elif server.opening >= OPENING:
+        elif server.opening >= MAX_OPENING:
             # Guard: a burst opened a connection for each of its requests, which cost the core more than the answers
             # and took turns that were longer than those of a free one.
-            self._lined = False
+            self._in_queue = False
             server.waiting.add(self)
-            server.behind.append(self)
-        elif self._pool.make_room():
-            self._lined = False
+            server.queue.append(self)
+        elif self._pool.may_open():
+            self._in_queue = False
             server.waiting.add(self)
             self._connect = asyncio.create_task(self._open(server))
             self._pool.count_opening(server, self._connect)
@@ -143,7 +142,7 @@
 
     def use(self, connection: Outgoing) -> None:
         """Go out on this connection."""
-        self._lined = False
+        self._in_queue = False
         if self._server is not None:
             self._server.waiting.discard(self)
         self._write(connection)
@@ -151,7 +150,7 @@
     async def _open(self, server: _Server) -> None:
         loop, turns = asyncio.get_running_loop(), self._pool.turns
         began, spent = loop.time(), turns.spent_s
-        self._bear(loop, began, spent)
+        self._limit_connect(loop, began, spent)
         try:
             connection = await self._pool.open(server.endpoint)
         except (OSError, ValueError) as error:  # ValueError: what the list gives as its host can be none
@@ -163,8 +162,8 @@
                 self._not_reached(server)
             return
         self._connect = None
-        if self._patience is not None:
-            self._patience.cancel()
+        if self._connect_timer is not None:
+            self._connect_timer.cancel()
         # While the loop had something to do it can't be told whether the server had answered already.
         self._connect_s = max(0.0, loop.time() - began - (turns.spent_s - spent))
         server.waiting.discard(self)
@@ -173,28 +172,28 @@
         elif not connection.usable:
             # Guard: what was written to a connection that had ended already counted as a request that may have run.
             connection.abort()
-            self.withdraw()
+            self.give_up_unsent()
         else:
             self._write(connection)
 
-    def _bear(self, loop: asyncio.AbstractEventLoop, began: float, spent: float) -> None:
+    def _limit_connect(self, loop: asyncio.AbstractEventLoop, began: float, spent: float) -> None:
         """Give up connecting when the server has had its time.
 
-        Guard: behind long turns of this process's own, servers that accepted at once were given up and tried elsewhere.
+        Guard: queue long turns of this process's own, servers that accepted at once were given up and tried elsewhere.
         """
         own = self._pool.turns.spent_s - spent
         left = began + own + self._pool.connect_timeout_s - loop.time()
         if left > 0.0:
-            self._patience = loop.call_later(left, self._bear, loop, began, spent)
+            self._connect_timer = loop.call_later(left, self._limit_connect, loop, began, spent)
         elif self._server is not None:
             self._not_reached(self._server)
 
     def _not_reached(self, server: _Server) -> None:
-        """Those behind an attempt that could not connect are given up unsent, as it is."""
-        behind, server.behind = server.behind, deque()
-        self.withdraw()
-        for attempt in behind:
-            attempt.withdraw()
+        """Those queue an attempt that could not connect are given up unsent, as it is."""
+        queue, server.queue = server.queue, deque()
+        self.give_up_unsent()
+        for attempt in queue:
+            attempt.give_up_unsent()
 
     def _write(self, connection: Outgoing) -> None:
         self._connection = connection
@@ -204,7 +203,7 @@
 
     def _time_out(self) -> None:
         # Guard: what has not been written whole has never run, and a refusal may then say so.
-        if self._lined:
+        if self._in_queue:
             self._finish(Result.NO_ROOM)
             return
         sent = self._connection is not None and self._connection.written
@@ -219,8 +218,8 @@
             self._server.waiting.discard(self)
         if self._connect is not None:
             self._connect.cancel()
-        if self._patience is not None:
-            self._patience.cancel()
+        if self._connect_timer is not None:
+            self._connect_timer.cancel()
         if self._connection is not None:  # closing is how an attempt is given up
             self._connection.abort()
         now = asyncio.get_running_loop().time()
@@ -229,13 +228,13 @@
             server_s += max(0.0, self._pool.turns.came(now) - self._sent)
             # Guard: what hangs holds a connection for longest, and nobody counted it.
             if self._connection is not None:
-                self._pool.line.held(now - self._sent)
-        if self._lined:
-            self._pool.leave_line()
+                self._pool.wait_queue.note_held(now - self._sent)
+        if self._in_queue:
+            self._pool.dequeued()
         self._on_end(result, response, report, server_s)
 
 
-class PooledBack:
+class ConnectionPool:
     """Connections to all servers, at most `limit` of them, the newest idle one used first."""
 
     def __init__(
@@ -254,10 +253,10 @@
         self._opening: set[asyncio.Task[None]] = set()
         self._sweep_timer: asyncio.TimerHandle | None = None
         self.turns = turns_of(asyncio.get_running_loop())
-        self.line = Line()
+        self.wait_queue = WaitQueue()
         # Those without a connection for want of room; some may be over.
-        self._standing: deque[Attempt] = deque()
-        self._in_line = 0
+        self._queue: deque[Attempt] = deque()
+        self._queued = 0
 
     # ------------------------------------------------------------- for protocols
 
@@ -275,7 +274,7 @@
 
     def forget(self, connection: Outgoing) -> None:
         self._open.discard(connection)
-        self.advance()
+        self.serve_queue()
 
     # ------------------------------------------------------------------- for pools
 
@@ -306,7 +305,7 @@
             connection.retire()
         server.idle.clear()
         for attempt in list(server.waiting):
-            attempt.withdraw()
+            attempt.give_up_unsent()
 
     def send(
         self,
@@ -326,7 +325,7 @@
     @property
     def waiting(self) -> int:
         """Attempts that stand in line for a connection."""
-        return self._in_line
+        return self._queued
 
     def close(self) -> None:
         for name in list(self._servers):
@@ -349,50 +348,50 @@
         return None
 
     @property
-    def may_go_at_once(self) -> bool:
-        return not self._in_line
+    def queue_is_empty(self) -> bool:
+        return not self._queued
 
-    def stand_in_line(self, attempt: Attempt, left_s: float) -> bool:
+    def enqueue(self, attempt: Attempt, left_s: float) -> bool:
         """Whether an attempt may wait for a connection: where it can be expected to get one in time."""
-        if not self.line.may_wait(self._in_line, self.limit, left_s):
+        if not self.wait_queue.may_wait(self._queued, self.limit, left_s):
             return False
-        self._standing.append(attempt)
-        self._in_line += 1
+        self._queue.append(attempt)
+        self._queued += 1
         return True
 
-    def leave_line(self) -> None:
+    def dequeued(self) -> None:
         """One that stood in line is over; it is passed when its turn comes."""
-        self._in_line -= 1
+        self._queued -= 1
 
-    def advance(self) -> None:
+    def serve_queue(self) -> None:
         """Let those in line go on for whom there is room now."""
-        while self._standing:
-            first = self._standing[0]
+        while self._queue:
+            first = self._queue[0]
             if first.over:
-                self._standing.popleft()
+                self._queue.popleft()
             elif first.go():
-                self._standing.popleft()
-                self._in_line -= 1
+                self._queue.popleft()
+                self._queued -= 1
             else:
                 return
 
     def _next_for(self, server: _Server, now: float) -> Attempt | None:
         """Who in line gets a free connection to this server, unless the first one has waited for too long."""
-        while self._standing and self._standing[0].over:
-            self._standing.popleft()
-        if not self._standing or now - self._standing[0].began > OVERDUE * self.line.hold_s:
+        while self._queue and self._queue[0].over:
+            self._queue.popleft()
+        if not self._queue or now - self._queue[0].began > OVERDUE_HOLDS * self.wait_queue.hold_s:
             return None
-        for at in range(min(LOOKED_AT, len(self._standing))):
-            attempt = self._standing[at]
+        for at in range(min(SEARCHED, len(self._queue))):
+            attempt = self._queue[at]
             if attempt.server is server and not attempt.over:
-                del self._standing[at]
-                self._in_line -= 1
+                del self._queue[at]
+                self._queued -= 1
                 return attempt
         return None
 
-    def give_back(self, server: _Server, connection: Outgoing, held_s: float) -> None:
+    def release(self, server: _Server, connection: Outgoing, held_s: float) -> None:
         """A connection has brought its answer."""
-        self.line.held(held_s)
+        self.wait_queue.note_held(held_s)
         if self._rest_s <= 0.0:
             self._free(server, connection)
             return
@@ -401,16 +400,16 @@
         loop = asyncio.get_running_loop()
         self._resting.append((loop.time() + self._rest_s, server, connection))
         if self._rest_timer is None:
-            self._rest_timer = loop.call_later(self._rest_s, self._rested)
+            self._rest_timer = loop.call_later(self._rest_s, self._end_rests)
 
-    def _rested(self) -> None:
+    def _end_rests(self) -> None:
         loop = asyncio.get_running_loop()
         self._rest_timer = None
         while self._resting and self._resting[0][0] <= loop.time():
             _, server, connection = self._resting.popleft()
             self._free(server, connection)
         if self._resting and self._rest_timer is None:
-            self._rest_timer = loop.call_at(self._resting[0][0], self._rested)
+            self._rest_timer = loop.call_at(self._resting[0][0], self._end_rests)
 
     def _free(self, server: _Server, connection: Outgoing) -> None:
         """A connection may carry the next request."""
@@ -424,11 +423,11 @@
             return
         connection.idle_since = now
         server.idle.append(connection)
-        self.advance()
+        self.serve_queue()
         if self._sweep_timer is None:
             self._sweep_timer = asyncio.get_running_loop().call_later(self._idle_s / 4, self._sweep)
 
-    def make_room(self) -> bool:
+    def may_open(self) -> bool:
         """Whether one more connection may be opened; closes the one idle for longest if need be."""
         if self.size < self.limit:
             return True
@@ -453,7 +452,7 @@
         following = server.next()
         if following is not None:
             following.begin(server)
-        self.advance()
+        self.serve_queue()
 
     async def open(self, endpoint: Address) -> Outgoing:
         loop = asyncio.get_running_loop()
--- a/loadbalancer/core/listener.py
+++ b/loadbalancer/core/listener.py
@@ -13,17 +13,19 @@
 
 from loadbalancer.core.outgoing import OWN, readable, waits
 from loadbalancer.core.turns import turns_of
-from loadbalancer.overload.connections import SILENT_S, Door
+from loadbalancer.overload.connections import SILENT_S, ConnectionLimit
 
 BACKLOG = 4096  # connections that wait in the kernel, where it allows so many
-SPARED_S = 2.0  # of which an idle connection is spared where room is short and no request waits for it
+SPARED_IDLE_S = 2.0  # of which an idle connection is spared where room is short and no request waits for it
 LINGER_S = 0.5  # how long what a caller still sends after a fatal answer is read and dropped
 SWEEP_S = 0.1
-FRESH_S = 0.2  # of which a connection that has just come is not closed for carrying nothing, as its request may follow
-SPARE = 4  # places for connections of which it is seen only then that they can't be refused at once
-TAKEN_AT_ONCE = 64  # connections that are taken in one turn, at most,
-AT_ONCE = 1024  # and those that are looked at, the others being refused
-LOOKED_AT = 16  # connections that are looked at, at most, to make room for one
+NEW_CONNECTION_S = 0.2  # a connection this new is not closed for carrying nothing: its request may follow
+SPARE_CONNECTIONS = (
+    4  # places for connections of which it is seen only then that they can't be refused at once
+)
+MAX_ACCEPTED = 64  # connections that are taken in one turn, at most,
+MAX_EXAMINED = 1024  # and those that are looked at, the others being refused
+SEARCHED = 16  # connections that are looked at, at most, to make room for one
 TCP_INFO = getattr(socket, "TCP_INFO", None)
 LAST_DATA_RECEIVED = struct.Struct("@52xI")  # of Linux's struct tcp_info, in ms: tcpi_last_data_recv
 
@@ -102,7 +104,7 @@
         if self.flushed or self.since <= self._server.loop.time() - self._server.request_s:
             self.abort()
 
-    def turn_away(self) -> None:
+    def reject_partial(self) -> None:
         """Refuse what has come in part, as this process ends."""
 
     def _end(self) -> None:
@@ -129,7 +131,7 @@
         accepting never stops, and what carries nothing is closed to make room."""
         self.loop = asyncio.get_running_loop()
         self.turns = turns_of(self.loop)
-        self.door = Door(limit)
+        self.connection_limit = ConnectionLimit(limit)
         self.orderly = orderly
         self.short = 0  # times that the process had no descriptor for a connection
         self.ready = False
@@ -141,7 +143,7 @@
         self._listener: socket.socket | None = None
         self._address: tuple[str, int] | None = None
         self._accepting = False
-        self._coming: set[asyncio.Task[None]] = set()  # accepted, with no protocol yet
+        self._accepted: set[asyncio.Task[None]] = set()  # accepted, with no protocol yet
 
     # ------------------------------------------------------------- for protocols
 
@@ -170,23 +172,23 @@
     @property
     def limit(self) -> int:
         """Connections that are kept, at most."""
-        return self.door.limit
+        return self.connection_limit.limit
 
     @limit.setter
     def limit(self, limit: int) -> None:
-        self.door = Door(limit)
+        self.connection_limit = ConnectionLimit(limit)
 
     @property
     def crowded(self) -> bool:
         """Whether a connection is closed with its answer."""
         if self.orderly:
-            return not self.door.keeps(self.held)
+            return not self.connection_limit.keeps(self.held)
         return len(self.connections) > self.limit
 
     @property
     def held(self) -> int:
         """Connections, those too that have no protocol yet."""
-        return len(self.connections) + len(self._coming)
+        return len(self.connections) + len(self._accepted)
 
     @property
     def paused(self) -> bool:
@@ -201,11 +203,11 @@
     def begins(self) -> bool:
         """Whether the request that has come on a connection may be taken, one being counted as under way already."""
         if self.orderly:
-            return self.door.begins(self.under_way - 1)
+            return self.connection_limit.begins(self.under_way - 1)
         # Guard: while a sibling restarted, 200 connections idle for under 2 s held all the room, and requests
         # were refused beside 10 open ones. So a whole request takes the place of the one idle for longest,
         # however short; a mere connection doesn't. It would hurt where connecting costs callers much.
-        return self.make_room(spared_s=0.0)
+        return self.close_excess(spared_s=0.0)
 
     @property
     def address(self) -> tuple[str, int]:
@@ -238,10 +240,10 @@
         raw.setblocking(False)
         self._listener = raw
         self._address = raw.getsockname()[:2]
-        self._go_on()
+        self._resume()
         self._sweep()
 
-    def _go_on(self) -> None:
+    def _resume(self) -> None:
         """Accept, if that was paused."""
         if self._listener is not None and not self._accepting:
             self._accepting = True
@@ -259,13 +261,13 @@
         room = most = max(1, self.limit // 20)
         if self.orderly:
             held = self.held  # before room is made
-            spare = min(SPARE, self.limit // 4)
-            room = self.door.may_accept(held + spare) or int(self._clear())
+            spare = min(SPARE_CONNECTIONS, self.limit // 4)
+            room = self.connection_limit.may_accept(held + spare) or int(self._free_one())
             if not room and held >= self.limit:
                 self._pause()
                 return
-            most = min(room, TAKEN_AT_ONCE)
-        for _ in range(AT_ONCE):
+            most = min(room, MAX_ACCEPTED)
+        for _ in range(MAX_EXAMINED):
             try:
                 found, _ = self._listener.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
@@ -282,8 +284,8 @@
                 continue
             # What can't be refused so is taken, one too many at the most.
             task = self.loop.create_task(self._take(found))
-            self._coming.add(task)
-            task.add_done_callback(self._coming.discard)
+            self._accepted.add(task)
+            task.add_done_callback(self._accepted.discard)
             most -= 1
             room -= 1
             # Guard: behind long turns those that were left in the kernel waited there until they were late: what comes
@@ -297,14 +299,14 @@
         except OSError:
             found.close()
 
-    def _clear(self) -> bool:
+    def _free_one(self) -> bool:
         """Make room for one in an orderly way: what has had its answer, else what has long said nothing, is told."""
-        for connection in islice(self.lingering, LOOKED_AT):
+        for connection in islice(self.lingering, SEARCHED):
             if connection.drained:
                 connection.abort()
                 return True
         since = self.loop.time() - SILENT_S
-        for connection in list(islice(self.waiting, LOOKED_AT)):
+        for connection in list(islice(self.waiting, SEARCHED)):
             if connection.since <= since and connection.silent:
                 connection.expire()
         return False
@@ -312,14 +314,14 @@
     def opened(self, connection: IncomingConnection) -> None:
         self.connections[connection] = None
         if not self.orderly:
-            self.make_room()  # Guard: accepting never stops
+            self.close_excess()  # Guard: accepting never stops
         self.stage(connection, self.waiting)
 
     def closed(self, connection: IncomingConnection) -> None:
         self.stage(connection, None)
         self.connections.pop(connection, None)
-        if self.orderly and self.door.may_accept(self.held):
-            self._go_on()
+        if self.orderly and self.connection_limit.may_accept(self.held):
+            self._resume()
 
     def stage(self, connection: IncomingConnection, stage: Stage | None) -> None:
         """Move a connection to a stage, None while a request is open. To stay in one changes nothing."""
@@ -335,23 +337,23 @@
     def close_idle(self) -> None:
         """Close what carries nothing, but not what has just come or still has an answer to take."""
         # Guard: a new connection closed with no answer is a request refused, or lost, without a word.
-        fresh = self.loop.time() - FRESH_S
+        fresh = self.loop.time() - NEW_CONNECTION_S
         for connection in [*self.waiting, *self.idle]:
             if (connection.known or connection.since <= fresh) and connection.flushed:
                 connection.close_if_idle()
 
-    def last_call(self) -> bool:
+    def finish_last(self) -> bool:
         """End what can be ended, with an answer where one is owed; whether something is left that has yet to be read
         or has not left this process."""
         for connection in [*self.waiting, *self.idle]:
             if connection.flushed and not connection.close_if_idle():
-                connection.turn_away()
+                connection.reject_partial()
         left = any(
             stage is not self.lingering or not connection.drained
             for connection, stage in self.connections.items()
         )
         coming = self._listener is not None and waits(self._listener, select.POLLIN)
-        return left or coming or bool(self._coming)
+        return left or coming or bool(self._accepted)
 
     def retire(self) -> None:
         """Take what has connected by now, listen no more, and close each connection after its answer."""
@@ -371,7 +373,7 @@
             self._listener.close()
             self._listener = None
 
-    def make_room(self, spared_s: float = SPARED_S) -> bool:
+    def close_excess(self, spared_s: float = SPARED_IDLE_S) -> bool:
         """Come within the limit by closing what carries nothing; False if that is not enough."""
         while self.crowded:
             if not self._close_one(spared_s):
@@ -381,15 +383,15 @@
     def _close_one(self, spared_s: float) -> bool:
         """What has had its last answer goes first, then what never asked, then what idles longest."""
         # Guard: of a caller that reads slowly, an answer that had not left was cut off to make room.
-        for connection in islice(self.lingering, LOOKED_AT):
+        for connection in islice(self.lingering, SEARCHED):
             if connection.flushed:
                 connection.abort()
                 return True
-        for connection in islice(self.waiting, LOOKED_AT):
+        for connection in islice(self.waiting, SEARCHED):
             if not connection.known and connection.flushed and connection.close_if_idle():
                 return True
         spared = self.loop.time() - spared_s
-        for connection in islice(self.idle, LOOKED_AT):
+        for connection in islice(self.idle, SEARCHED):
             if connection.since <= spared and connection.flushed and connection.close_if_idle():
                 return True
         return False
@@ -403,7 +405,7 @@
                 if connection.since > now - limit_s:
                     break
                 connection.expire()
-        if not self.orderly or self.door.may_accept(self.held) or not self.under_way:
-            self._go_on()
+        if not self.orderly or self.connection_limit.may_accept(self.held) or not self.under_way:
+            self._resume()
         if self._listener is not None or self.connections:
             self.loop.call_later(SWEEP_S, self._sweep)
--- a/loadbalancer/core/leaving.py
+++ b/loadbalancer/core/shutdown.py
@@ -24,7 +24,7 @@
     return stop, hangup
 
 
-class Door(Protocol):
+class Drainable(Protocol):
     """What takes callers' connections."""
 
     stopping: bool  # whether each connection is closed after its answer
@@ -34,10 +34,10 @@
 
     def close_idle(self) -> None: ...
 
-    def last_call(self) -> bool: ...
+    def finish_last(self) -> bool: ...
 
 
-async def finish(doors: Collection[Door], longest_s: float, give_up: Callable[[], None]) -> None:
+async def finish(listeners: Collection[Drainable], longest_s: float, give_up: Callable[[], None]) -> None:
     """Serve what still comes and finish what is held, over `longest_s` and a little more from now. Then `give_up` is
     to answer all that is open and have what still comes refused, which is given a last moment."""
     loop = asyncio.get_running_loop()
@@ -45,17 +45,17 @@
     # Guard: callers go on using the connections they have, and the nodes they would turn to may be
     # restarting too: closing at once left them with none. New ones may come at first, too.
     await asyncio.sleep(STOP_OPEN_S)
-    while any(door.connections for door in doors) and loop.time() < latest - STOP_FINISH_S:
+    while any(listener.connections for listener in listeners) and loop.time() < latest - STOP_FINISH_S:
         await asyncio.sleep(0.01)
-    for door in doors:
-        door.stopping = True
-    while any(door.connections for door in doors) and loop.time() < latest:
-        for door in doors:
-            door.close_idle()
+    for listener in listeners:
+        listener.stopping = True
+    while any(listener.connections for listener in listeners) and loop.time() < latest:
+        for listener in listeners:
+            listener.close_idle()
         await asyncio.sleep(0.01)
     give_up()
     # Guard: what waited behind another request, half read or in the kernel was cut off with no answer, and answers
     # that a slow reader had yet to take were lost with the process.
     await asyncio.sleep(0)
-    while any([door.last_call() for door in doors]) and loop.time() < latest + STOP_LAST_S:
+    while any([listener.finish_last() for listener in listeners]) and loop.time() < latest + STOP_LAST_S:
         await asyncio.sleep(0.001)
--- a/loadbalancer/core/types.py
+++ b/loadbalancer/core/types.py
@@ -10,7 +10,7 @@
 from loadbalancer.interface import Result
 
 
-class Kind(Enum):
+class AnswerKind(Enum):
     """The three kinds of the one final answer."""
 
     SERVED = "served"
@@ -18,7 +18,7 @@
     FAILED = "failed"  # nothing is promised about effects
 
 
-class Cause(Enum):
+class AnswerCause(Enum):
     """Why an answer is what it is."""
 
     ANSWERED = "answered"
@@ -40,14 +40,14 @@
     was served, or the last one of a request that ended in a server's error; None where no server answered.
     """
 
-    kind: Kind
-    cause: Cause
+    kind: AnswerKind
+    cause: AnswerCause
     reply: Any = None
     retry_after_ms: float = 0.0  # 0: nothing is said about when to come back
 
 
 @dataclass(slots=True)
-class Room:
+class RequestCapacity:
     """How many requests may be open at once, over all pools of a process."""
 
     limit: int
@@ -75,11 +75,11 @@
     def cancel(self) -> None:
         """Give it up; `on_end` is told CANCELLED, unless the attempt is over."""
 
-    def recall(self) -> None:
+    def give_up_unwritten(self) -> None:
         """Give it up unless its last byte has left; `on_end` is then told MOOT."""
 
 
-class Back(Protocol):
+class Upstream(Protocol):
     """Carries attempts to servers. Nothing is ever sent twice by it."""
 
     @property
--- a/loadbalancer/http/back.py
+++ b/loadbalancer/http/connection_pool.py
@@ -4,7 +4,7 @@
 
 from typing import Any, Protocol
 
-from loadbalancer.core.pooled import Attempt, PooledBack
+from loadbalancer.core.connection_pool import Attempt, ConnectionPool
 from loadbalancer.http.client import ClientConnection, Response
 from loadbalancer.interface import Result
 
@@ -25,7 +25,7 @@
         """The outcome that a whole answer stands for, and the load report that it holds."""
 
 
-class HttpBack(PooledBack):
+class HttpConnectionPool(ConnectionPool):
     def __init__(
         self, limit: int, server_idle_s: float, connect_timeout_s: float, wire: Wire, rest_s: float = 0.0
     ) -> None:
--- a/loadbalancer/http/server.py
+++ b/loadbalancer/http/server.py
@@ -395,7 +395,7 @@
         if self._calls and not self._closing and not self._stuck:
             self._serve()
 
-    def turn_away(self) -> None:
+    def reject_partial(self) -> None:
         if self._partial is not None and not self._calls and not self._closing:
             self._fail(503)
 
@@ -430,7 +430,7 @@
     def refused_at_once(self, found: socket.socket, no_place: bool, enough: bool) -> bool:
         if self.full_head is None or self.refusal is None:
             return False
-        full = no_place or not self.door.begins(self.under_way)
+        full = no_place or not self.connection_limit.begins(self.under_way)
         late = None
         if not full and enough:
             now = self.loop.time()
--- a/loadbalancer/node/config.py
+++ b/loadbalancer/node/config.py
@@ -7,7 +7,7 @@
 import orjson
 
 from loadbalancer.core.address import Address, parse_address
-from loadbalancer.discovery.watcher import Listing, parse_listing
+from loadbalancer.discovery.watcher import ServerListUpdate, parse_server_list
 from loadbalancer.interface import Settings
 from loadbalancer.settings import Row, settings_from
 
@@ -18,7 +18,7 @@
     listen: Address
     discovery: Address
     seed: int
-    known: Listing
+    known: ServerListUpdate
     settings: Settings
     sockets: int = 1024  # descriptors for everything
     max_open: int = 20_000  # requests open at once
@@ -47,7 +47,7 @@
             listen=parse_address(row["listen"]),
             discovery=parse_address(row["discovery"]),
             seed=int(row["seed"], 16),
-            known=parse_listing(row["known"]),
+            known=parse_server_list(row["known"]),
             settings=settings_from(row["settings"]),
             **{key: value for key, value in given.items() if value is not None},
         )
--- a/loadbalancer/node/front.py
+++ b/loadbalancer/node/front.py
@@ -7,8 +7,8 @@
 from urllib.parse import unquote_to_bytes
 
 from loadbalancer import interface as api
-from loadbalancer.core.pool import Job, Pool
-from loadbalancer.core.types import Answer, Cause, Kind
+from loadbalancer.core.pool import OpenRequest, Pool
+from loadbalancer.core.types import Answer, AnswerCause, AnswerKind
 from loadbalancer.http.client import MAX_BODY, Response
 from loadbalancer.http.server import FRAMING, Call, Dialect, Server
 from loadbalancer.settings import report_from
@@ -25,7 +25,13 @@
 )
 DIALECT = Dialect(once=FORWARDED | FRAMING | {b"req-deadline-ms"}, ready_path=b"/up")
 
-FAILURES = {Cause.TIMEOUT: 504, Cause.LATE: 504, Cause.LEAVING: 504, Cause.BROKEN: 502, Cause.FAULT: 500}
+FAILURES = {
+    AnswerCause.TIMEOUT: 504,
+    AnswerCause.LATE: 504,
+    AnswerCause.LEAVING: 504,
+    AnswerCause.BROKEN: 502,
+    AnswerCause.FAULT: 500,
+}
 
 
 class BadRequestError(Exception):
@@ -59,9 +65,9 @@
             self.counts["over the limit"] += 1
             call.answer(503)
             return
-        job = self.pool.take(request, give_up_at, call, self._deliver)
-        if not job.done:
-            call.on_gone = lambda: self.pool.leave(job)
+        open_request = self.pool.submit(request, give_up_at, call, self._deliver)
+        if not open_request.done:
+            call.on_gone = lambda: self.pool.abandon(open_request)
 
     def _read(self, call: Call) -> tuple[api.Request, float]:
         """The module's view of a request, and when its client gives up."""
@@ -80,7 +86,7 @@
         name = headers.get(b"req-id", b"").decode("latin-1")
         keyless = kind.effect is api.Effect.KEYED and b"idempotency-key" not in headers
         bodied = kind.effect is api.Effect.SAFE and bool(call.body)
-        if not TOKEN.fullmatch(name) or keyless or bodied or name in self.pool.jobs:
+        if not TOKEN.fullmatch(name) or keyless or bodied or name in self.pool.requests:
             raise BadRequestError(400)
         give_up_ms = kind.give_up_ms
         if (deadline := _number(headers, b"req-deadline-ms", WHOLE)) is not None:
@@ -100,12 +106,12 @@
         )
         return request, give_up_at
 
-    def _deliver(self, job: Job, answer: Answer) -> None:
-        call: Call = job.message
+    def _deliver(self, open_request: OpenRequest, answer: Answer) -> None:
+        call: Call = open_request.message
         body = b""
-        if answer.kind is Kind.SERVED:
+        if answer.kind is AnswerKind.SERVED:
             status, body = 200, bytes(answer.reply.body)
-        elif answer.kind is Kind.REFUSED:
+        elif answer.kind is AnswerKind.REFUSED:
             status = 503
         else:
             status = FAILURES[answer.cause]
--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -8,12 +8,17 @@
 
 from loadbalancer import interface as api
 from loadbalancer.core.clock import Clock
-from loadbalancer.core.leaving import finish
 from loadbalancer.core.pool import Pool
-from loadbalancer.core.types import Cause, Room
-from loadbalancer.discovery.membership import Roster
-from loadbalancer.discovery.watcher import Listing, Watcher, news_of, watch_ms
-from loadbalancer.http.back import HttpBack
+from loadbalancer.core.shutdown import finish
+from loadbalancer.core.types import AnswerCause, RequestCapacity
+from loadbalancer.discovery.endpoint_list import EndpointList
+from loadbalancer.discovery.watcher import (
+    DiscoveryWatcher,
+    ServerListUpdate,
+    discovery_wait_ms,
+    endpoint_update,
+)
+from loadbalancer.http.connection_pool import HttpConnectionPool
 from loadbalancer.node.config import Config
 from loadbalancer.node.front import PlatformFront, PlatformWire
 from loadbalancer.overload.connections import SPARE, share_out
@@ -34,22 +39,22 @@
         self.config = config
         self.settings = config.settings
         shares = share_out(max(config.sockets, SPARE + LEAST_USABLE), listeners=1, pools=1)
-        self.back = HttpBack(
+        self.back = HttpConnectionPool(
             shares.servers,
             config.conn_idle_ms / 1000.0,
             config.connect_timeout_ms / 1000.0,
             PlatformWire(self.settings.report_fields),
             REST_S,
         )
-        self.roster = Roster(starts_known=True)
-        self.watcher = Watcher(
+        self.endpoint_list = EndpointList(starts_known=True)
+        self.watcher = DiscoveryWatcher(
             config.discovery,
             config.known.revision,
-            watch_ms(config.ask_within_ms),
+            discovery_wait_ms(config.ask_within_ms),
             not self.settings.ask_discovery,
             self._on_list,
         )
-        room = Room(config.max_open)
+        room = RequestCapacity(config.max_open)
         self.pool = Pool(self.settings, config.seed, self.clock, self.back, room, self.watcher.start)
         self.front = PlatformFront(shares.callers, self.pool)
         self.server = self.front.server
@@ -84,17 +89,19 @@
 
     def _give_up(self) -> None:
         """Answer all that is open; what still comes is refused."""
-        self.pool.room.limit = 0
-        self.pool.answer_all(Cause.LEAVING)
+        self.pool.capacity.limit = 0
+        self.pool.answer_all(AnswerCause.LEAVING)
 
     def close(self) -> None:
         self.server.close()
         self.watcher.close()
         self.pool.close()
 
-    def _on_list(self, form: api.ListForm, listing: Listing | None) -> None:
-        self.pool.on_list(*news_of(self.roster, self.clock.ms(), form, listing).told)
-        if listing is not None:
+    def _on_list(self, form: api.ListForm, update: ServerListUpdate | None) -> None:
+        self.pool.on_server_list(
+            *endpoint_update(self.endpoint_list, self.clock.ms(), form, update).as_pool_arguments
+        )
+        if update is not None:
             self._set_ready()
 
     def _set_ready(self) -> None:
@@ -116,7 +123,7 @@
             "%s: %s; open %d, cursor %d, callers %d, upstream %d, loop late %.0f ms",
             self.config.name,
             figures,
-            self.pool.room.open,
+            self.pool.capacity.open,
             self.pool.balancer.table.cursor,
             len(self.server.connections),
             self.back.size,
--- a/loadbalancer/overload/connections.py
+++ b/loadbalancer/overload/connections.py
@@ -14,7 +14,7 @@
 KEEP_SHARE = 0.7  # of the callers' connections may be kept between requests; the others come, ask and go
 BEGIN_SHARE = 0.75  # of them may carry a request that has been taken; the others are refused in their turn
 SILENT_S = 1.0  # what has connected and said nothing for so long may be taken away where there is no room
-LINE_SHARE = 0.5  # of the time that an attempt has: what it may be expected to stand in line for a connection
+WAIT_SHARE = 0.5  # of the time that an attempt has: what it may be expected to stand in line for a connection
 HOLD_GAIN = 0.05  # smoothing of how long an attempt holds a connection
 MOST = 65_536  # descriptors, where nothing is stated and the process may have more
 
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class Door:
+class ConnectionLimit:
     """Callers' connections at one listener."""
 
     limit: int
@@ -70,16 +70,16 @@
 
 
 @dataclass(slots=True)
-class Line:
+class WaitQueue:
     """The attempts that wait for a connection to a server, because this process may open no more."""
 
     hold_s: float = 0.0  # smoothed
 
-    def held(self, seconds: float) -> None:
+    def note_held(self, seconds: float) -> None:
         """A connection has carried an attempt for so long."""
         gain = HOLD_GAIN if self.hold_s else 1.0
         self.hold_s += gain * (seconds - self.hold_s)
 
     def may_wait(self, waiting: int, limit: int, left_s: float) -> bool:
         """Whether one more may stand in line behind `waiting` with `left_s` to live: else it would be late."""
-        return (waiting + 1) * self.hold_s / max(1, limit) <= LINE_SHARE * left_s
+        return (waiting + 1) * self.hold_s / max(1, limit) <= WAIT_SHARE * left_s
--- a/loadbalancer/overload/whose.py
+++ b/loadbalancer/overload/rejections.py
@@ -1,4 +1,4 @@
-"""Whose limit turned a request away: each has one owner, a name, and an error type of RFC 9209 (section 2.3)."""
+"""The limits that reject requests: each has one owner, a name, and an error type of RFC 9209 (section 2.3)."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from enum import Enum
 
 
-class Whose(Enum):
+class RejectionSource(Enum):
     """A refusal's owner: its name in figures, its error type, and what its caller is told."""
 
     TABLE = ("pool's table", "destination_unavailable", "")
@@ -34,13 +34,13 @@
         return self.value[2]
 
 
-class Tally:
+class RejectionCounts:
     """How many were refused, by pool, class and owner, since the start. What is refused unread has neither."""
 
     def __init__(self) -> None:
-        self.counts: Counter[tuple[str, str, Whose]] = Counter()
+        self.counts: Counter[tuple[str, str, RejectionSource]] = Counter()
 
-    def add(self, pool: str, kind: str, whose: Whose) -> None:
+    def add(self, pool: str, kind: str, whose: RejectionSource) -> None:
         self.counts[pool, kind, whose] += 1
 
     def rows(self) -> dict[str, dict[str, dict[str, int]]]:
--- a/loadbalancer/runtime/admin.py
+++ b/loadbalancer/runtime/admin.py
@@ -94,5 +94,5 @@
 
 def requests_row(pool: Pool) -> dict[str, int]:
     """Open requests by class, those of none too."""
-    counts = Counter(job.kind for job in pool.jobs.values() if not job.done)
+    counts = Counter(job.kind for job in pool.requests.values() if not job.done)
     return {name: counts[name] for name in pool.classes}
--- a/loadbalancer/runtime/backs.py
+++ b/loadbalancer/runtime/backs.py
@@ -5,26 +5,26 @@
 from typing import Any
 
 from loadbalancer.core.address import Address
-from loadbalancer.core.pooled import PooledBack
+from loadbalancer.core.connection_pool import ConnectionPool
 from loadbalancer.core.types import Attempt, OnEnd
-from loadbalancer.http.back import HttpBack
+from loadbalancer.http.connection_pool import HttpConnectionPool
 from loadbalancer.runtime.front import SidecarWire
 from loadbalancer.sidecar.models import Configuration, PoolModel, ThriftModel
-from loadbalancer.thrift.back import ThriftBack
+from loadbalancer.thrift.back import ThriftConnectionPool
 from loadbalancer.thrift.client import Outbound, ThriftWire
 from loadbalancer.thrift.types import Form
 
 
 class BothBack:
-    """Boxes that speak both, on two ports of one address: one pool, one load, one drain. A `core.types.Back`."""
+    """Boxes that speak both, on two ports of one address: one pool, one load, one drain. A `core.types.Upstream`."""
 
-    def __init__(self, http: HttpBack, thrift: ThriftBack, port_offset: int) -> None:
+    def __init__(self, http: HttpConnectionPool, thrift: ThriftConnectionPool, port_offset: int) -> None:
         """`port_offset`: from a box's listed port to its Thrift port."""
         self.http, self.thrift = http, thrift
         self._offset = port_offset
 
     @property
-    def parts(self) -> tuple[PooledBack, PooledBack]:
+    def parts(self) -> tuple[ConnectionPool, ConnectionPool]:
         return self.http, self.thrift
 
     @property
@@ -71,7 +71,7 @@
             part.close()
 
 
-AnyBack = HttpBack | ThriftBack | BothBack
+AnyBack = HttpConnectionPool | ThriftConnectionPool | BothBack
 
 
 def thrift_of(model: PoolModel) -> ThriftModel:
@@ -106,12 +106,12 @@
     """A pool's back, with at most `limit` connections."""
     times = model.server_idle_ms / 1000.0, model.connect_timeout_ms / 1000.0
     if model.protocol == "http":
-        return HttpBack(limit, *times, _http_wire(new, model))
+        return HttpConnectionPool(limit, *times, _http_wire(new, model))
     if model.protocol == "thrift":
-        return ThriftBack(limit, *times, _thrift_wire(new, model))
+        return ThriftConnectionPool(limit, *times, _thrift_wire(new, model))
     both = BothBack(
-        HttpBack(limit, *times, _http_wire(new, model)),
-        ThriftBack(limit, *times, _thrift_wire(new, model)),
+        HttpConnectionPool(limit, *times, _http_wire(new, model)),
+        ThriftConnectionPool(limit, *times, _thrift_wire(new, model)),
         thrift_of(model).port_offset,
     )
     both.limit = limit
@@ -122,7 +122,7 @@
     """Put the limits of another configuration in force at a back that stays."""
     back.limit = limit
     for part in back.parts if isinstance(back, BothBack) else (back,):
-        if isinstance(part, HttpBack):
+        if isinstance(part, HttpConnectionPool):
             part.wire = _http_wire(new, model)
-        elif isinstance(part, ThriftBack):
+        elif isinstance(part, ThriftConnectionPool):
             part.wire = _thrift_wire(new, model)
--- a/loadbalancer/runtime/budgets.py
+++ b/loadbalancer/runtime/budgets.py
@@ -14,9 +14,8 @@
 from loadbalancer.budget.decider import Decider, Denial, Grant, Terms, Trust
 from loadbalancer.budget.figures import ClassFigures, Figures
 from loadbalancer.budget.repeats import Identity, Kind, Repeats, Verdict
-from loadbalancer.core.pool import Job, Pool
-from loadbalancer.core.types import Answer
-from loadbalancer.core.types import Kind as AnswerKind
+from loadbalancer.core.pool import OpenRequest, Pool
+from loadbalancer.core.types import Answer, AnswerKind
 from loadbalancer.runtime.taking import WAY_BACK_S
 from loadbalancer.sidecar.models import BudgetModel
 
@@ -164,7 +163,7 @@
         self.pool = pool
         self.name = name
         self.ticket = ticket
-        self._job: Job | None = None
+        self._job: OpenRequest | None = None
         self._callers: dict[int, tuple[Any, Ticket | None, asyncio.TimerHandle | None]] = {}
 
     def request(
@@ -185,14 +184,14 @@
         request: api.Request,
         give_up_at: float,
         message: Any,
-        deliver: Callable[[Job, Answer], None],
+        deliver: Callable[[OpenRequest, Answer], None],
         joinable: bool = True,
-    ) -> Job:
+    ) -> OpenRequest:
         """Hand it to the pool. `deliver` asks `answered` who waits."""
         self._callers[id(caller)] = caller, self.ticket, None
         if joinable and self.ticket is not None:
             self.ticket.budget.shared.repeats.begin(self.ticket.who, self)
-        self._job = job = self.pool.take(request, give_up_at, message, deliver)
+        self._job = job = self.pool.submit(request, give_up_at, message, deliver)
         if joinable and not job.done:
             caller.on_gone = lambda: self._gone(caller)
         return job
@@ -209,7 +208,7 @@
         self._callers[id(caller)] = caller, ticket, timer
         caller.on_gone = lambda: self._gone(caller)
 
-    def answered(self, job: Job, answer: Answer, size: int) -> list[Any]:
+    def answered(self, job: OpenRequest, answer: Answer, size: int) -> list[Any]:
         """It is over, with an answer whose reply has `size` bytes: all that wait; none of them waits any longer."""
         waiting = list(self._callers.values())
         self._callers.clear()
@@ -247,10 +246,10 @@
         if not self._callers and job is not None and not job.done:  # nobody waits for it any more
             # Guard: told before what had not been written was recalled, a repeat with its key was bound to the servers
             # of an attempt that never ran.
-            self.pool.leave(job)
+            self.pool.abandon(job)
             self._ended(job, None, 0)
 
-    def _ended(self, job: Job, answer: Answer | None, size: int) -> None:
+    def _ended(self, job: OpenRequest, answer: Answer | None, size: int) -> None:
         if self.ticket is None:
             return
         served = answer is not None and answer.kind is AnswerKind.SERVED and answer.reply is not None
--- a/loadbalancer/runtime/building.py
+++ b/loadbalancer/runtime/building.py
@@ -8,7 +8,7 @@
 from loadbalancer import interface as api
 from loadbalancer.core.address import parse_address
 from loadbalancer.core.descriptors import descriptors_here
-from loadbalancer.discovery.membership import Entry
+from loadbalancer.discovery.endpoint_list import EndpointEntry
 from loadbalancer.http.server import FRAMING
 from loadbalancer.overload.connections import MOST
 from loadbalancer.router.calls import CallTable
@@ -156,8 +156,8 @@
     )
 
 
-def static(source: ListSource) -> list[Entry]:
+def static(source: ListSource) -> list[EndpointEntry]:
     return [
-        Entry(api.Server(item.id, item.zone, item.cell), parse_address(item.address))
+        EndpointEntry(api.Server(item.id, item.zone, item.cell), parse_address(item.address))
         for item in source.servers
     ]
--- a/loadbalancer/runtime/front.py
+++ b/loadbalancer/runtime/front.py
@@ -16,11 +16,11 @@
 from loadbalancer import interface as api
 from loadbalancer.budget.carried import WRITTEN, read_http, write_http
 from loadbalancer.budget.decider import Denial
-from loadbalancer.core.pool import Job, Pool
-from loadbalancer.core.types import Answer, Cause, Kind
+from loadbalancer.core.pool import OpenRequest, Pool
+from loadbalancer.core.types import Answer, AnswerCause, AnswerKind
 from loadbalancer.http.client import NO_BODY, Header, Response
 from loadbalancer.http.server import Call, Dialect, Server
-from loadbalancer.overload.whose import Whose
+from loadbalancer.overload.rejections import RejectionSource
 from loadbalancer.router.router import Router
 from loadbalancer.runtime.budgets import Asked, FrontBudget
 from loadbalancer.runtime.gate import Gate
@@ -45,11 +45,11 @@
 
 # What a caller hears of a failure: status, and the error's type (RFC 9209, section 2.3).
 FAILURES = {
-    Cause.TIMEOUT: (504, "http_response_timeout"),
-    Cause.LATE: (504, "http_response_timeout"),
-    Cause.LEAVING: (504, "http_response_timeout"),
-    Cause.BROKEN: (502, "connection_terminated"),
-    Cause.FAULT: (500, "proxy_internal_error"),
+    AnswerCause.TIMEOUT: (504, "http_response_timeout"),
+    AnswerCause.LATE: (504, "http_response_timeout"),
+    AnswerCause.LEAVING: (504, "http_response_timeout"),
+    AnswerCause.BROKEN: (502, "connection_terminated"),
+    AnswerCause.FAULT: (500, "proxy_internal_error"),
 }
 
 
@@ -167,7 +167,7 @@
         kind = pool.classes[route.service]
         # Before anything else is spent on it; a request that this core can't answer in time is only made later by more.
         if not self.gate.allows(pool, kind, call.arrived):
-            self._turn_away(call, route.pool, kind.name, Whose.CORE, self.gate.retry_after_ms)
+            self._turn_away(call, route.pool, kind.name, RejectionSource.CORE, self.gate.retry_after_ms)
             return
         wanted = patience_ms(kind, route.deadline_ms)
         given = call.headers.get(self._deadline)
@@ -202,22 +202,24 @@
                 self._deny(call, 508, "proxy_loop_detected", f"it never ran; {found.value}")
                 return
             if isinstance(found, Denial):
-                self.gate.tally.add(route.pool, kind.name, Whose.TIME)
-                self._refuse(call, 0.0, Whose.TIME.error, why=found.value)
+                self.gate.tally.add(route.pool, kind.name, RejectionSource.TIME)
+                self._refuse(call, 0.0, RejectionSource.TIME.error, why=found.value)
                 return
             ticket, wanted, tenant = found, found.grant.wait_ms, found.tenant
-            late = partial(self._say, call, *FAILURES[Cause.LATE], "failed: it may have run")
+            late = partial(self._say, call, *FAILURES[AnswerCause.LATE], "failed: it may have run")
             if ticket.settle(call, partial(self._pass_on, call), late):
                 return
         if pool.full or not self.server.begins():
             # Guard: too many to hold. None of it has gone anywhere, so it is a refusal.
-            self._turn_away(call, route.pool, kind.name, Whose.OPEN if pool.full else Whose.CALLERS)
+            self._turn_away(
+                call, route.pool, kind.name, RejectionSource.OPEN if pool.full else RejectionSource.CALLERS
+            )
             return
         give_up_at = call.arrived + wanted / 1000.0 - WAY_BACK_S
         asked_here = Asked(pool, next(self._ids), ticket)
         again = call.headers.get(b"req-retry") == b"1"
         request = asked_here.request(kind, give_up_at, tenant, again)
-        refused = pool.turned_away(request)
+        refused = pool.rejection(request)
         if refused is not None:
             if ticket is not None:
                 ticket.answered()
@@ -231,13 +233,13 @@
 
     # -------------------------------------------------------------------- answers
 
-    def _deliver(self, job: Job, answer: Answer) -> None:
+    def _deliver(self, job: OpenRequest, answer: Answer) -> None:
         asked: Asked = job.message.asked
         size = 0 if answer.reply is None else len(answer.reply.body)
         for call in asked.answered(job, answer, size):
             if answer.reply is not None:  # a box's word, its errors too
                 self._pass_on(call, answer.reply)
-            elif answer.kind is Kind.REFUSED:
+            elif answer.kind is AnswerKind.REFUSED:
                 pool: str = job.message.host
                 whose = self.gate.refused(pool, job.kind, answer.cause, bool(job.attempts))
                 self._refuse(call, answer.retry_after_ms, whose.error, job.may_have_run, whose.words)
@@ -256,7 +258,9 @@
     def _deny(self, call: Call, status: int, error: str, why: str) -> None:
         self._say(call, status, error, f"refused: {why}")
 
-    def _turn_away(self, call: Call, pool: str, kind: str, whose: Whose, retry_after_ms: float = 0.0) -> None:
+    def _turn_away(
+        self, call: Call, pool: str, kind: str, whose: RejectionSource, retry_after_ms: float = 0.0
+    ) -> None:
         """Refuse what nothing has been done for."""
         self.gate.tally.add(pool, kind, whose)
         self._refuse(call, retry_after_ms, whose.error, why=whose.words)
--- a/loadbalancer/runtime/gate.py
+++ b/loadbalancer/runtime/gate.py
@@ -12,13 +12,13 @@
 from loadbalancer.core.listener import Listener
 from loadbalancer.core.pool import Pool
 from loadbalancer.core.turns import Beat, turns_of
-from loadbalancer.core.types import Cause, Room
+from loadbalancer.core.types import AnswerCause, RequestCapacity
 from loadbalancer.overload.core import CoreLimit
-from loadbalancer.overload.whose import Tally, Whose
+from loadbalancer.overload.rejections import RejectionCounts, RejectionSource
 
 LOOK_S = 0.1  # between two looks at which class has most time
 RETRY_AFTER_S = 1  # told with what this core refuses, where the settings allow it
-OWNERS = {Cause.NO_ROOM: Whose.CONNECTIONS, Cause.NO_SERVER: Whose.NO_SERVER}
+OWNERS = {AnswerCause.NO_ROOM: RejectionSource.CONNECTIONS, AnswerCause.NO_SERVER: RejectionSource.NO_SERVER}
 
 
 def time_s(kind: api.ServiceClass) -> float:
@@ -34,17 +34,17 @@
 class Gate:
     """One process's."""
 
-    def __init__(self, pools: Callable[[], Iterable[Pool]], room: Room) -> None:
+    def __init__(self, pools: Callable[[], Iterable[Pool]], room: RequestCapacity) -> None:
         """`pools` in force; `room`: how many requests are open."""
         self.loop = asyncio.get_running_loop()
         self.turns = turns_of(self.loop)
         self.core = CoreLimit()
-        self.tally = Tally()
+        self.tally = RejectionCounts()
         self._pools = pools
         self._room = room
         self._beat = Beat(lambda: room.open > 0)
         self._timer: asyncio.TimerHandle | None = None
-        self._heads: dict[Whose, bytes] = {}
+        self._heads: dict[RejectionSource, bytes] = {}
         self._taken = 0
         self._before = self.loop.time(), 0.0, 0, 0, 0.0, 0  # at the last look, as told there
         self._told: Counter[str] = Counter()
@@ -53,7 +53,7 @@
     def configure(self, name: str, retry_after: bool) -> None:
         """Put in force: the name in `Proxy-Status`, and whether a refusal may say when to come back."""
         self._heads = {}
-        for whose in (Whose.CORE, Whose.CALLERS):
+        for whose in (RejectionSource.CORE, RejectionSource.CALLERS):
             said = f'{name}; error={whose.error}; details="refused: it never ran; {whose.words}"'
             lines = ["HTTP/1.1 503 Service Unavailable", f"Proxy-Status: {said}", "Content-Length: 0"]
             if retry_after:
@@ -92,15 +92,19 @@
         """The head, but for its last line, of the answer to any request that came then; None where it is to be read."""
         now = self.loop.time()
         shut = self.core.shut(self.turns.so_far(now), now - came, self._room.open)
-        return self._heads[Whose.CORE] if shut else None
+        return self._heads[RejectionSource.CORE] if shut else None
 
     def full(self) -> bytes:
         """The same for a request that came on a connection for which there is no place."""
-        return self._heads[Whose.CALLERS]
+        return self._heads[RejectionSource.CALLERS]
 
     def used(self, head: bytes) -> None:
         """One of these has been sent."""
-        self.tally.add("", "", Whose.CORE if head is self._heads[Whose.CORE] else Whose.CALLERS)
+        self.tally.add(
+            "",
+            "",
+            RejectionSource.CORE if head is self._heads[RejectionSource.CORE] else RejectionSource.CALLERS,
+        )
 
     def allows(self, pool: Pool, kind: api.ServiceClass, arrived: float) -> bool:
         """Whether this core can answer a request of this class in time."""
@@ -113,9 +117,9 @@
         self._taken += allowed
         return allowed
 
-    def refused(self, pool: str, kind: str, cause: Cause, tried: bool) -> Whose:
+    def refused(self, pool: str, kind: str, cause: AnswerCause, tried: bool) -> RejectionSource:
         """Count what a pool has refused; returns whose limit it was."""
-        whose = OWNERS.get(cause, Whose.SERVERS if tried else Whose.TABLE)
+        whose = OWNERS.get(cause, RejectionSource.SERVERS if tried else RejectionSource.TABLE)
         self.tally.add(pool, kind, whose)
         return whose
 
--- a/loadbalancer/runtime/sidecar.py
+++ b/loadbalancer/runtime/sidecar.py
@@ -14,12 +14,17 @@
 from loadbalancer import interface as api
 from loadbalancer.core.address import Address, parse_address
 from loadbalancer.core.clock import Clock
-from loadbalancer.core.leaving import finish
 from loadbalancer.core.listener import Listener
 from loadbalancer.core.pool import Pool
-from loadbalancer.core.types import Cause, Room
-from loadbalancer.discovery.membership import Roster
-from loadbalancer.discovery.watcher import Listing, Watcher, news_of, watch_ms
+from loadbalancer.core.shutdown import finish
+from loadbalancer.core.types import AnswerCause, RequestCapacity
+from loadbalancer.discovery.endpoint_list import EndpointList
+from loadbalancer.discovery.watcher import (
+    DiscoveryWatcher,
+    ServerListUpdate,
+    discovery_wait_ms,
+    endpoint_update,
+)
 from loadbalancer.http.server import Dialect
 from loadbalancer.overload.connections import share_out
 from loadbalancer.runtime.admin import Admin
@@ -69,8 +74,8 @@
     back: AnyBack
     settings: api.Settings
     model: PoolModel
-    roster: Roster = field(default_factory=Roster)
-    watcher: Watcher | XdsFeed | None = None
+    endpoint_list: EndpointList = field(default_factory=EndpointList)
+    watcher: DiscoveryWatcher | XdsFeed | None = None
 
     def close(self) -> None:
         if self.watcher is not None:
@@ -94,9 +99,9 @@
         self.digest = digest(configuration)
         self.since = time.time()
         self.rejected: dict[str, Any] | None = None
-        self.room = Room(configuration.limits.max_open)
+        self.capacity = RequestCapacity(configuration.limits.max_open)
         self.budgets = Budgets()
-        self.gate = Gate(lambda: self.pools.values(), self.room)
+        self.gate = Gate(lambda: self.pools.values(), self.capacity)
         self.managed: dict[str, _Managed] = {}
         self.listeners: dict[str, _Open] = {}
         self.admin: Admin | None = None
@@ -134,13 +139,13 @@
         return self.gate.row(listeners, self.pools)
 
     def lists_row(self) -> dict[str, Any]:
-        """Where each pool's list comes from, and how old its news is where the source tells."""
+        """Where each pool's list comes from, and how old its update is where the source tells."""
         rows: dict[str, Any] = {}
         for name, item in self.managed.items():
             source = item.model.servers_from
             rows[name] = {
                 "source": plain(source) if source is not None else None,
-                "list_ms_ago": item.roster.age_ms(self.clock.ms()),
+                "list_ms_ago": item.endpoint_list.age_ms(self.clock.ms()),
             }
             told = getattr(item.watcher, "row", None)
             if told is not None:
@@ -184,8 +189,8 @@
     def _give_up(self) -> None:
         """Answer all that is open; what still comes is refused."""
         for managed in (*self.managed.values(), *self._old):
-            managed.pool.room.limit = 0
-            managed.pool.answer_all(Cause.LEAVING)
+            managed.pool.capacity.limit = 0
+            managed.pool.answer_all(AnswerCause.LEAVING)
 
     def close(self) -> None:
         for task in self._retired:
@@ -303,7 +308,7 @@
         old_pools = [item for name, item in self.managed.items() if item is not pools.get(name)]
         old_admin = self.admin if admin is not self.admin else None
         before = self.managed
-        self.room.limit = new.limits.max_open
+        self.capacity.limit = new.limits.max_open
         self.gate.configure(new.name, new.rules.retry_after and new.rules.max_retry_after_ms >= 1000.0)
         self.listeners, self.managed = listeners, pools
         self.admin, self._admin_key = admin, admin_key
@@ -341,7 +346,7 @@
         if known is not None and known.settings == settings and connects_alike(known.model, model):
             return known
         back = back_of(new, model, boxes)
-        pool = Pool(settings, random.getrandbits(64), self.clock, back, self.room)
+        pool = Pool(settings, random.getrandbits(64), self.clock, back, self.capacity)
         return _Managed(pool, back, settings, model)
 
     def _feed(
@@ -358,20 +363,22 @@
             return
         going, managed.watcher = managed.watcher, None
         if source.source == "static":
-            managed.roster = Roster(starts_known=True)
-            managed.pool.on_list(*managed.roster.tell(self.clock.ms(), static(source)).told)
+            managed.endpoint_list = EndpointList(starts_known=True)
+            managed.pool.on_server_list(
+                *managed.endpoint_list.replace(self.clock.ms(), static(source)).as_pool_arguments
+            )
         elif source.source == "xds":
             self._follow_xds(managed, source, new, old)
-        elif isinstance(going, Watcher) and before is not None and before.mode == source.mode:
+        elif isinstance(going, DiscoveryWatcher) and before is not None and before.mode == source.mode:
             going.move(parse_address(source.address))
             going, managed.watcher = None, going
         else:
-            managed.roster = Roster(starts_known=True)
+            managed.endpoint_list = EndpointList(starts_known=True)
             if old is not None and old is not managed:
                 # Guard: until discovery had answered, a pool made anew knew no box and refused everything.
-                held = old.roster.entries.values()
-                news = managed.roster.tell(self.clock.ms(), held, form=api.ListForm.CACHED)
-                managed.pool.on_list(*news.told)
+                held = old.endpoint_list.entries.values()
+                update = managed.endpoint_list.replace(self.clock.ms(), held, form=api.ListForm.CACHED)
+                managed.pool.on_server_list(*update.as_pool_arguments)
             self._watch(managed, parse_address(source.address), source.mode == "push", new.rules)
         if going is not None:
             going.close()
@@ -386,21 +393,29 @@
             self._planes = Planes(self.clock.ms)
         node = f"{new.zone}/{new.name}" if new.zone else new.name
         # What an xDS list had before is not new to another one; of other lists nothing is known of what is cold.
-        managed.roster = old.roster.copy() if old is not None and not old.roster.starts_known else Roster()
-        managed.watcher = XdsFeed(self._planes, source, node, managed.pool, managed.back, managed.roster)
+        managed.endpoint_list = (
+            old.endpoint_list.copy()
+            if old is not None and not old.endpoint_list.starts_known
+            else EndpointList()
+        )
+        managed.watcher = XdsFeed(
+            self._planes, source, node, managed.pool, managed.back, managed.endpoint_list
+        )
         managed.watcher.start()
 
     def _watch(self, managed: _Managed, address: Address, endless: bool, rules: Rules) -> None:
-        roster = managed.roster
+        endpoint_list = managed.endpoint_list
 
-        def on_news(form: api.ListForm, listing: Listing | None) -> None:
-            managed.pool.on_list(*news_of(roster, self.clock.ms(), form, listing).told)
+        def on_update(form: api.ListForm, update: ServerListUpdate | None) -> None:
+            managed.pool.on_server_list(
+                *endpoint_update(endpoint_list, self.clock.ms(), form, update).as_pool_arguments
+            )
 
-        watcher = Watcher(address, None, watch_ms(rules.told_within_ms), endless, on_news)
+        watcher = DiscoveryWatcher(address, None, discovery_wait_ms(rules.told_within_ms), endless, on_update)
         managed.watcher = watcher
         managed.pool.watch = watcher.start
         if not managed.pool.up:
-            managed.pool.on_list(api.ListForm.CACHED)
+            managed.pool.on_server_list(api.ListForm.CACHED)
         watcher.start()
 
     # -------------------------------------------------------- what a reload retires
@@ -422,7 +437,7 @@
     async def _end_pool(self, managed: _Managed) -> None:
         """Its requests end where they began, by the list that they began with; drains still come."""
         self._old.append(managed)
-        while managed.pool.jobs:
+        while managed.pool.requests:
             await asyncio.sleep(RETIRE_S)
         self._old.remove(managed)
         managed.close()
@@ -440,7 +455,7 @@
             holder.clear()
         figures = ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
         callers = sum(len(item.front.server.connections) for item in self.listeners.values())
-        log.info("%s: %s; open %d, callers %d", self.configuration.name, figures, self.room.open, callers)
+        log.info("%s: %s; open %d, callers %d", self.configuration.name, figures, self.capacity.open, callers)
         log.info("%s: %s", self.configuration.name, self.gate.line(self.pools.values()))
         self._stats_timer = self.loop.call_later(STATS_S, self._stats)
 
--- a/loadbalancer/runtime/thrift.py
+++ b/loadbalancer/runtime/thrift.py
@@ -21,9 +21,9 @@
 
 from loadbalancer.budget.carried import NOTHING, Carried, read_baggage, write_baggage
 from loadbalancer.budget.decider import Denial
-from loadbalancer.core.pool import Job, Pool
-from loadbalancer.core.types import Answer, Cause, Kind
-from loadbalancer.overload.whose import Whose
+from loadbalancer.core.pool import OpenRequest, Pool
+from loadbalancer.core.types import Answer, AnswerCause, AnswerKind
+from loadbalancer.overload.rejections import RejectionSource
 from loadbalancer.router.calls import CallTable
 from loadbalancer.runtime.budgets import Asked, FrontBudget
 from loadbalancer.runtime.gate import Gate
@@ -35,11 +35,11 @@
 
 LEAST_S = 0.001  # with less time left nothing is begun
 WORDS = {
-    Cause.TIMEOUT: (ExceptionKind.TIMEOUT, "no answer in time"),
-    Cause.LATE: (ExceptionKind.TIMEOUT, "no answer in time"),
-    Cause.LEAVING: (ExceptionKind.INTERNAL_ERROR, "this process ends"),
-    Cause.BROKEN: (ExceptionKind.INTERNAL_ERROR, "the box's answer broke off"),
-    Cause.FAULT: (ExceptionKind.INTERNAL_ERROR, "a fault of this process"),
+    AnswerCause.TIMEOUT: (ExceptionKind.TIMEOUT, "no answer in time"),
+    AnswerCause.LATE: (ExceptionKind.TIMEOUT, "no answer in time"),
+    AnswerCause.LEAVING: (ExceptionKind.INTERNAL_ERROR, "this process ends"),
+    AnswerCause.BROKEN: (ExceptionKind.INTERNAL_ERROR, "the box's answer broke off"),
+    AnswerCause.FAULT: (ExceptionKind.INTERNAL_ERROR, "a fault of this process"),
 }
 
 
@@ -121,7 +121,7 @@
         form = plan.forms[route.pool]
         kind = pool.classes[route.service]
         if not self.gate.allows(pool, kind, call.arrived):
-            self._turn_away(call, route.pool, kind.name, Whose.CORE, self.gate.retry_after_ms)
+            self._turn_away(call, route.pool, kind.name, RejectionSource.CORE, self.gate.retry_after_ms)
             return
         try:
             # What can't be read here would only be learnt by a box that goes to pieces over it.
@@ -159,26 +159,28 @@
                 self._deny(call, ExceptionKind.UNKNOWN_METHOD, found.value)
                 return
             if isinstance(found, Denial):
-                self.gate.tally.add(route.pool, kind.name, Whose.TIME)
+                self.gate.tally.add(route.pool, kind.name, RejectionSource.TIME)
                 self._refuse(call, 0.0, found.value)
                 return
             ticket, wanted, tenant = found, found.grant.wait_ms, found.tenant
-            late_kind, late_why = WORDS[Cause.LATE]
+            late_kind, late_why = WORDS[AnswerCause.LATE]
             late = partial(self._say, call, late_kind, f"failed; may have run; {late_why}", "failed")
             if not call.oneway and ticket.settle(call, partial(self._pass_on, call), late):
                 return
         give_up_at = call.arrived + wanted / 1000.0 - WAY_BACK_S
         if give_up_at - pool.loop.time() < LEAST_S:
             # It waited behind another on its connection. None of it has gone anywhere.
-            self.gate.tally.add(route.pool, kind.name, Whose.TIME)
+            self.gate.tally.add(route.pool, kind.name, RejectionSource.TIME)
             self._refuse(call, 0.0, "its time was up before its turn came")
             return
         if pool.full or not self.server.begins():
-            self._turn_away(call, route.pool, kind.name, Whose.OPEN if pool.full else Whose.CALLERS)
+            self._turn_away(
+                call, route.pool, kind.name, RejectionSource.OPEN if pool.full else RejectionSource.CALLERS
+            )
             return
         asked_here = Asked(pool, next(self._ids), ticket)
         request = asked_here.request(kind, give_up_at, tenant)
-        refused = pool.turned_away(request)
+        refused = pool.rejection(request)
         if refused is not None:
             if ticket is not None:
                 ticket.answered()
@@ -195,7 +197,7 @@
             # A oneway call is over for its caller, and is never sent again, once its last byte has left; the attempt
             # goes on to count as in flight.
             def sent() -> None:
-                pool.answer(job, Answer(Kind.SERVED, Cause.ANSWERED))
+                pool.answer(job, Answer(AnswerKind.SERVED, AnswerCause.ANSWERED))
 
             message.on_sent = sent
             if message.sent:
@@ -223,20 +225,20 @@
 
     # --------------------------------------------------------------------- replies
 
-    def _deliver(self, job: Job, answer: Answer) -> None:
+    def _deliver(self, job: OpenRequest, answer: Answer) -> None:
         message: Passing = job.message
         assert message.asked is not None
         size = 0 if answer.reply is None else len(answer.reply.body)
         for call in message.asked.answered(job, answer, size):
             self._reply(call, job, message, answer)
 
-    def _reply(self, call: ThriftCall, job: Job, message: Passing, answer: Answer) -> None:
+    def _reply(self, call: ThriftCall, job: OpenRequest, message: Passing, answer: Answer) -> None:
         if answer.reply is not None:
             self._pass_on(call, answer.reply)
-        elif answer.kind is Kind.SERVED:
+        elif answer.kind is AnswerKind.SERVED:
             self.counts["oneway sent"] += 1
             call.reply(MessageKind.REPLY, call.message.name, b"")
-        elif answer.kind is Kind.REFUSED:
+        elif answer.kind is AnswerKind.REFUSED:
             whose = self.gate.refused(message.pool, job.kind, answer.cause, bool(job.attempts))
             self._refuse(call, answer.retry_after_ms, whose.words or "no box takes it now", message.sent > 0)
         else:
@@ -261,7 +263,7 @@
         self._say(call, kind, bad_call(why), "bad call")
 
     def _turn_away(
-        self, call: ThriftCall, pool: str, kind: str, whose: Whose, retry_after_ms: float = 0.0
+        self, call: ThriftCall, pool: str, kind: str, whose: RejectionSource, retry_after_ms: float = 0.0
     ) -> None:
         """Refuse what nothing has been done for."""
         self.gate.tally.add(pool, kind, whose)
--- a/loadbalancer/runtime/xds.py
+++ b/loadbalancer/runtime/xds.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from loadbalancer.core.pool import Pool
-from loadbalancer.discovery.membership import Change, Roster
+from loadbalancer.discovery.endpoint_list import EndpointChange, EndpointList
 from loadbalancer.runtime.backs import AnyBack
 from loadbalancer.sidecar.models import ListSource
 from loadbalancer.xds.files import FileClient
@@ -85,12 +85,18 @@
     """Puts a cluster's endpoints in force at a pool as they come."""
 
     def __init__(
-        self, planes: Planes, source: ListSource, node: str, pool: Pool, back: AnyBack, roster: Roster
+        self,
+        planes: Planes,
+        source: ListSource,
+        node: str,
+        pool: Pool,
+        back: AnyBack,
+        endpoint_list: EndpointList,
     ) -> None:
-        """`roster`: empty, or of the list that it takes over from, so that what that did not have is cold."""
+        """`endpoint_list`: empty, or of the list that it takes over from, so that what that did not have is cold."""
         assert source.cluster is not None  # as checked
         self.cluster = source.cluster
-        self.roster = roster
+        self.endpoint_list = endpoint_list
         self.client: XdsClient | FileClient | None = None
         self._source, self._node = source, node
         self._planes = planes
@@ -116,7 +122,7 @@
             self._planes.leave(self)
 
     def row(self) -> dict[str, Any]:
-        """For operators: how old the news is, and each resource."""
+        """For operators: how old the update is, and each resource."""
         now = self._pool.clock.ms()
         assert self.client is not None  # once it has started
         return {
@@ -129,10 +135,10 @@
         served = self.client.served(self.cluster) if self.client is not None else None
         if served is None or served == self._served:
             return
-        known = len(self.roster.entries)
-        news = self.roster.tell(self._pool.clock.ms(), served.entries, served.levels)
+        known = len(self.endpoint_list.entries)
+        update = self.endpoint_list.replace(self._pool.clock.ms(), served.entries, served.levels)
         self._served = served
-        gone = sum(1 for _, change in news.changes if change is Change.REMOVED)
+        gone = sum(1 for _, change in update.changes if change is EndpointChange.REMOVED)
         if gone > MOST * known:
             # It is the control plane's word, and holding on to what it took away would break a drain.
             log.warning(
@@ -140,12 +146,12 @@
             )
         if served.cluster is not None:
             limits = served.cluster.thresholds
-            self._pool.most_open = limits.max_requests
+            self._pool.max_open = limits.max_requests
             if limits.max_connections is not None:
                 self._back.limit = min(self._back.limit, max(1, limits.max_connections))
             if served.cluster.connect_timeout_ms is not None:
                 self._back.connect_timeout_s = min(
                     self._connect_s, served.cluster.connect_timeout_ms / 1000.0
                 )
-            self._pool.warm_up(served.cluster.warm_up_ms)
-        self._pool.on_list(*news.told)
+            self._pool.extend_warm_up(served.cluster.warm_up_ms)
+        self._pool.on_server_list(*update.as_pool_arguments)
--- a/loadbalancer/thrift/back.py
+++ b/loadbalancer/thrift/back.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from loadbalancer.core.pooled import Attempt, PooledBack
+from loadbalancer.core.connection_pool import Attempt, ConnectionPool
 from loadbalancer.interface import Result
 from loadbalancer.thrift.client import Outbound, ThriftConnection, ThriftWire
 from loadbalancer.thrift.codec import read_exception
@@ -21,7 +21,7 @@
 )
 
 
-class ThriftBack(PooledBack):
+class ThriftConnectionPool(ConnectionPool):
     def __init__(self, limit: int, server_idle_s: float, connect_timeout_s: float, wire: ThriftWire) -> None:
         super().__init__(limit, server_idle_s, connect_timeout_s)
         self.wire = wire
--- a/loadbalancer/xds/protocol.py
+++ b/loadbalancer/xds/protocol.py
@@ -17,7 +17,7 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.rpc import code_pb2, status_pb2
 
-from loadbalancer.discovery.membership import Entry
+from loadbalancer.discovery.endpoint_list import EndpointEntry
 from loadbalancer.interface import Levels, Server, ServerState
 from loadbalancer.xds.resources import (
     CLUSTER,
@@ -71,7 +71,7 @@
     """A cluster as its pool is to see it; no entries where it is not there."""
 
     cluster: Cluster | None
-    entries: tuple[Entry, ...]
+    entries: tuple[EndpointEntry, ...]
     levels: Levels
 
 
@@ -337,7 +337,7 @@
             limit = assignment.stale_after_ms
             if limit is not None and heard is not None and now_ms - heard > limit:
                 # "endpoint_stale_after": endpoints of which nothing new was heard for so long count as unhealthy.
-                entries = tuple(Entry(_sick(entry.server), entry.endpoint) for entry in entries)
+                entries = tuple(EndpointEntry(_sick(entry.server), entry.endpoint) for entry in entries)
             self._active[name] = Served(cluster, entries, levels)
 
     def _refresh(self, name: str) -> None:
--- a/loadbalancer/xds/resources.py
+++ b/loadbalancer/xds/resources.py
@@ -20,7 +20,7 @@
 from google.protobuf.message import DecodeError, Message
 
 from loadbalancer.core.address import Address
-from loadbalancer.discovery.membership import Entry
+from loadbalancer.discovery.endpoint_list import EndpointEntry
 from loadbalancer.interface import Levels, Server, ServerState
 
 CLUSTER = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
@@ -100,7 +100,7 @@
     """A cluster's endpoints."""
 
     cluster: str
-    entries: tuple[Entry, ...]
+    entries: tuple[EndpointEntry, ...]
     overprovisioning: float = 1.4
     drop: float = 0.0
     stale_after_ms: float | None = None
@@ -130,12 +130,12 @@
     notes: tuple[str, ...] = ()
 
 
-def membership(cluster: Cluster, assignment: Assignment) -> tuple[tuple[Entry, ...], Levels]:
+def membership(cluster: Cluster, assignment: Assignment) -> tuple[tuple[EndpointEntry, ...], Levels]:
     """What a roster is told of a cluster with these endpoints."""
     entries = assignment.entries
     if not cluster.by_locality:
         entries = tuple(
-            Entry(replace(entry.server, locality_weight=None), entry.endpoint) for entry in entries
+            EndpointEntry(replace(entry.server, locality_weight=None), entry.endpoint) for entry in entries
         )
     return entries, Levels(assignment.overprovisioning, cluster.panic, assignment.drop)
 
@@ -145,7 +145,7 @@
 
 # Endpoints as they were read last, by their bytes and their group's: of an update of one among thousands, only that
 # one is read anew.
-Seen = dict[bytes, tuple[Entry, tuple[str, ...]]]
+Seen = dict[bytes, tuple[EndpointEntry, tuple[str, ...]]]
 SeenByName = dict[str, Seen]
 
 
@@ -298,7 +298,7 @@
     notes = _sort(message, ("cluster_name", "endpoints", "named_endpoints", "policy"), {}, name, "")
     handled = ("drop_overloads", "overprovisioning_factor", "endpoint_stale_after")
     _sort(message.policy, handled, {}, name, "policy")
-    entries: dict[Address, Entry] = {}
+    entries: dict[Address, EndpointEntry] = {}
     before: Seen = seen.get(name, {}) if seen is not None else {}
     now: Seen = {}
     for at, group in enumerate(message.endpoints):
@@ -355,7 +355,7 @@
     return 1.0 - kept
 
 
-def _entry(item: Any, group: Any, named: Any, name: str, place: str, notes: list[str]) -> Entry:
+def _entry(item: Any, group: Any, named: Any, name: str, place: str, notes: list[str]) -> EndpointEntry:
     known = ("endpoint", "endpoint_name", "health_status", "load_balancing_weight")
     notes += _sort(item, known, ENDPOINT_NOTED, name, place)
     which = item.WhichOneof("host_identifier")
@@ -384,7 +384,7 @@
         # A locality without a weight gets nothing where localities are weighed (the API definition says so).
         locality_weight=float(group.load_balancing_weight.value),
     )
-    return Entry(server, address)
+    return EndpointEntry(server, address)
 
 
 def _address(address: Any, name: str, place: str) -> Address:
--- a/tests/budget/test_chain.py
+++ b/tests/budget/test_chain.py
@@ -184,7 +184,7 @@
             hold_to_the_rules(found, answers)
             # A tier that tries by itself multiplies its own part; the next one takes its tries for repeats.
             assert max(attempts(found).values()) <= MOST + 3 * TRIES
-            await until(lambda: not any(s.pools["boxes"].jobs for group in found.sidecars for s in group))
+            await until(lambda: not any(s.pools["boxes"].requests for group in found.sidecars for s in group))
 
     asyncio.run(main())
 
@@ -212,7 +212,7 @@
             for caller in callers:
                 caller.close()
             # Nothing is left behind by what was given up.
-            await until(lambda: not any(s.pools["boxes"].jobs for group in found.sidecars for s in group))
+            await until(lambda: not any(s.pools["boxes"].requests for group in found.sidecars for s in group))
 
     asyncio.run(main())
 
--- a/tests/faults/test_answers.py
+++ b/tests/faults/test_answers.py
@@ -45,7 +45,7 @@
             await until(lambda: node.back.size == 0)
             node.back._rest_timer.cancel()
             node.back._resting[0] = (0.0, *node.back._resting[0][1:])
-            node.back._rested()  # its rest is over
+            node.back._end_rests()  # its rest is over
             assert node.back._servers["s0"].idle == []
             assert (await ask(node, request(name="q2"))).status == 200
             assert server.connections == 2
--- a/tests/faults/test_callers_that_leave.py
+++ b/tests/faults/test_callers_that_leave.py
@@ -16,7 +16,7 @@
 
 from loadbalancer import interface as api
 from loadbalancer.budget.repeats import Repeats
-from loadbalancer.core import pooled
+from loadbalancer.core import connection_pool
 
 MANY = 70  # more than are connected to one server at a time, so that some stand behind those
 
@@ -78,9 +78,9 @@
             gate = Gate(node, server.port)
             found = await callers(node, MANY, kind)
             await until(lambda: len(node.back._servers["s0"].waiting) == MANY)
-            assert (gate.held, len(node.back._servers["s0"].behind)) == (
-                pooled.OPENING,
-                MANY - pooled.OPENING,
+            assert (gate.held, len(node.back._servers["s0"].queue)) == (
+                connection_pool.MAX_OPENING,
+                MANY - connection_pool.MAX_OPENING,
             )
             await leave(node, found)
             gate.open()
@@ -88,7 +88,7 @@
             assert names(server) == ["last"]
             ends = [event.result for event in scripted.of(api.Outcome) if event.id != "last"]
             assert ends == [api.Result.MOOT] * MANY  # nothing is said of the server
-            assert node.pool.jobs == {}
+            assert node.pool.requests == {}
 
     asyncio.run(main())
 
@@ -137,7 +137,7 @@
             await until(lambda: len(first.seen) == 20)
             await leave(node, found)
             decline.set()
-            await until(lambda: not node.pool.jobs)
+            await until(lambda: not node.pool.requests)
             assert names(second) == []
 
     asyncio.run(main())
@@ -295,7 +295,7 @@
             assert (await asked).status == 200
             gate.open()
             await until(lambda: not node.back._opening)
-            assert (names(second), node.pool.jobs) == ([], {})
+            assert (names(second), node.pool.requests) == ([], {})
 
     asyncio.run(main())
 
--- a/tests/faults/test_connections.py
+++ b/tests/faults/test_connections.py
@@ -122,7 +122,7 @@
     """Attempts that have been written in part."""
     return [
         attempt
-        for job in node.pool.jobs.values()
+        for job in node.pool.requests.values()
         for attempt in job.attempts
         if attempt is not None and attempt._connection is not None and not attempt._connection.written
     ]
@@ -143,7 +143,7 @@
             caller.writer.close()
             await until(lambda: not node.server.connections)
             server.release()
-            await until(lambda: not node.pool.jobs)
+            await until(lambda: not node.pool.requests)
             assert (await ask(node, request(name="last"))).status == 200
             assert names(server) == ["last"]
             ends = [event.result for event in scripted.of(api.Outcome) if event.id == "q1"]
--- a/tests/faults/test_drains.py
+++ b/tests/faults/test_drains.py
@@ -8,13 +8,13 @@
 from loopback import Caller, Held, Peer, Scripted, ask, request, running, until
 
 from loadbalancer import interface as api
-from loadbalancer.discovery.watcher import Listing
+from loadbalancer.discovery.watcher import ServerListUpdate
 
 MANY = 70  # more than are connected to one server at a time
 
 
 def drain(node, port, state=api.ServerState.DRAINING):
-    row = Listing(9, False, (api.Server("s0", state=state),), {"s0": ("127.0.0.1", port)})
+    row = ServerListUpdate(9, False, (api.Server("s0", state=state),), {"s0": ("127.0.0.1", port)})
     node._on_list(api.ListForm.DELTA, row)
 
 
--- a/tests/faults/test_end_of_service.py
+++ b/tests/faults/test_end_of_service.py
@@ -23,7 +23,7 @@
 )
 from test_main import start
 
-from loadbalancer.core import leaving, listener
+from loadbalancer.core import listener, shutdown
 from loadbalancer.node.config import parse_config
 
 BRIEF = {"categories": [{"name": "post", "aimMs": 200.0, "giveUpMs": 200.0, "effect": "single_shot"}]}
@@ -32,10 +32,10 @@
 @pytest.fixture(autouse=True)
 def brief(monkeypatch):
     """Nothing is waited for that does not come about, and what has to come about has all the time it wants."""
-    monkeypatch.setattr(leaving, "STOP_OPEN_S", 0.0)
-    monkeypatch.setattr(leaving, "STOP_SLACK_S", 0.1)
-    monkeypatch.setattr(leaving, "STOP_LAST_S", 20.0)
-    monkeypatch.setattr(listener, "FRESH_S", 20.0)
+    monkeypatch.setattr(shutdown, "STOP_OPEN_S", 0.0)
+    monkeypatch.setattr(shutdown, "STOP_SLACK_S", 0.1)
+    monkeypatch.setattr(shutdown, "STOP_LAST_S", 20.0)
+    monkeypatch.setattr(listener, "NEW_CONNECTION_S", 20.0)
 
 
 def run(main):
@@ -65,7 +65,7 @@
 
 def test_a_request_whose_rest_comes_while_connections_are_closed_is_served(monkeypatch):
     async def main():
-        monkeypatch.setattr(leaving, "STOP_SLACK_S", 20.0)
+        monkeypatch.setattr(shutdown, "STOP_SLACK_S", 20.0)
         async with running(Peer(), settings=BRIEF) as node:
             caller = await Caller.to(node)
             first, rest = halves("q1")
@@ -73,7 +73,7 @@
             await until(lambda: node.server.connections and next(iter(node.server.connections))._partial)
             passes = counted(node)
             ending = asyncio.create_task(node.stop())
-            monkeypatch.setattr(leaving, "STOP_FINISH_S", 30.0)
+            monkeypatch.setattr(shutdown, "STOP_FINISH_S", 30.0)
             await until(lambda: len(passes) > 2)
             caller.writer.write(rest)
             assert (await caller.answer()).status == 200
@@ -85,8 +85,8 @@
 
 def test_a_new_connection_whose_request_follows_is_served_while_connections_are_closed(monkeypatch):
     async def main():
-        monkeypatch.setattr(leaving, "STOP_SLACK_S", 20.0)
-        monkeypatch.setattr(leaving, "STOP_FINISH_S", 30.0)
+        monkeypatch.setattr(shutdown, "STOP_SLACK_S", 20.0)
+        monkeypatch.setattr(shutdown, "STOP_FINISH_S", 30.0)
         async with running(Held(), settings=BRIEF) as node:
             caller = await Caller.to(node)
             await until(lambda: node.server.connections)
@@ -168,7 +168,7 @@
                 await node.loop.sock_sendall(raw, request("post", "q1", Req_Deadline_Ms="20000"))
                 await until(lambda: not connection.flushed)
                 ending = asyncio.create_task(node.stop())
-                await until(lambda: node.pool.room.limit == 0)
+                await until(lambda: node.pool.capacity.limit == 0)
                 assert not ending.done()
                 got = b""
                 while not got.endswith(b"x" * 60000):
--- a/tests/faults/test_retired_listeners.py
+++ b/tests/faults/test_retired_listeners.py
@@ -9,7 +9,7 @@
 from beside import address, application, boxes, configuration, row, running
 from loopback import until
 
-from loadbalancer.core import leaving
+from loadbalancer.core import shutdown
 
 ASK = b"GET /x HTTP/1.1\r\nHost: x\r\n\r\n"
 
@@ -26,7 +26,7 @@
 @pytest.mark.parametrize("first", ["reload", "end"])
 def test_what_is_open_on_a_removed_listener_is_answered_though_the_process_ends(monkeypatch, first):
     """Guard: only the listeners in force were waited for, and the request was given up at once."""
-    monkeypatch.setattr(leaving, "STOP_OPEN_S", 0.0)
+    monkeypatch.setattr(shutdown, "STOP_OPEN_S", 0.0)
 
     async def main():
         (box,) = boxes(1)
@@ -80,7 +80,7 @@
                 raw.sendall(ASK)
                 if taken:
                     server._accept()  # its protocol is made in the next turn
-                    assert server._coming
+                    assert server._accepted
                 await sidecar.reload(without(box))
                 raw.setblocking(False)
                 async with asyncio.timeout(20):
--- a/tests/faults/test_thrift_callers_that_leave.py
+++ b/tests/faults/test_thrift_callers_that_leave.py
@@ -35,7 +35,7 @@
 async def nothing_open(sidecar):
     """Nobody is connected, and all that was asked for is over."""
     server = sidecar.listeners["application"].front.server
-    await until(lambda: not server.connections and not sidecar.pools["boxes"].jobs)
+    await until(lambda: not server.connections and not sidecar.pools["boxes"].requests)
 
 
 @pytest.mark.parametrize("behind", [5, PIPELINE + 8], ids=["read on", "no more is read"])
--- a/tests/faults/test_watch.py
+++ b/tests/faults/test_watch.py
@@ -21,7 +21,7 @@
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
     """Pauses are short; what is waited for comes about by itself."""
-    monkeypatch.setattr(lists, "PUSH_PAUSE_S", 0.01)
+    monkeypatch.setattr(lists, "PUSH_RETRY_PAUSE_S", 0.01)
     monkeypatch.setattr("loadbalancer.balancer.WATCH_RETRY_MS", 5.0)
     monkeypatch.setattr("loadbalancer.balancer.WATCH_RETRY_MAX_MS", 20.0)
 
@@ -66,14 +66,14 @@
         discovery = Spoilt(*news)
         async with running(Peer(), discovery=discovery, settings={"registryMode": mode}) as node:
             lost = []
-            on_list, remove = node.watcher._on_news, node.back.remove
+            on_list, remove = node.watcher._on_update, node.back.remove
             node.back.remove = lambda name: (lost.append(name), remove(name))
 
             def heard(form, news):
                 assert form is not ListForm.FAILED or set(node.back._servers) == {"s5"}  # it stays
                 on_list(form, news)
 
-            node.watcher._on_news = heard
+            node.watcher._on_update = heard
             await until(lambda: set(node.back._servers) == {"s7"})
             assert "s9" not in lost
             assert sum("not taken" in record.message for record in caplog.records) <= 1
@@ -107,9 +107,9 @@
 def test_a_silent_watch_is_followed_at_once_by_a_call_that_need_not_wait_and_a_second_silence_too(
     mode, monkeypatch
 ):
-    monkeypatch.setattr(lists, "LATE_S", 0.02)
-    monkeypatch.setattr(lists, "SPEAKS_S", 0.2)
-    monkeypatch.setattr(lists, "AGENT_SPEAKS_S", 0.2)
+    monkeypatch.setattr(lists, "ANSWER_GRACE_S", 0.02)
+    monkeypatch.setattr(lists, "PROBE_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(lists, "AGENT_PROBE_TIMEOUT_S", 0.2)
 
     class Silent(Discovery):
         async def _next(self, message):
@@ -122,8 +122,8 @@
         within = {"invariants": {"askWithinMs": 100.0}, "registryMode": mode}
         async with running(discovery=discovery, settings=within) as node:
             failed = []
-            on_news = node.watcher._on_news
-            node.watcher._on_news = lambda form, news: (failed.append(form), on_news(form, news))
+            on_news = node.watcher._on_update
+            node.watcher._on_update = lambda form, news: (failed.append(form), on_news(form, news))
             await until(lambda: set(node.back._servers) == {"s5"})
             assert asked(discovery)[:3] == [("1", "50"), ("1", "0"), ("1", "0")]
             # The first silence is nobody's business yet: a pause of the module's would only cost time.
@@ -207,7 +207,7 @@
     async def main():
         discovery = Discovery(None, listing(6, True, s6=READY))
         async with running(Peer(), discovery=discovery, settings={"registryMode": mode}) as node:
-            on_news, faults = node.watcher._on_news, []
+            on_news, faults = node.watcher._on_update, []
 
             def faulty(form, news):
                 if form is ListForm.FAILED and not faults:
@@ -215,7 +215,7 @@
                     raise KeyError("s5")
                 on_news(form, news)
 
-            node.watcher._on_news = faulty
+            node.watcher._on_update = faulty
             await until(lambda: set(node.back._servers) == {"s6"})
             assert faults == [ListForm.FAILED]
 
--- a/tests/overload/test_own_limits.py
+++ b/tests/overload/test_own_limits.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from loadbalancer import interface as api
-from loadbalancer.overload.connections import SPARE, Door, Line, share_out
+from loadbalancer.overload.connections import SPARE, ConnectionLimit, WaitQueue, share_out
 from loadbalancer.overload.core import LAST_SHARE, LOW_SHARE, TURN_LEAST_S, CoreLimit
 from loadbalancer.overload.turns import OVERSLEPT_S, Turns
 
@@ -119,7 +119,7 @@
 
 @given(st.integers(1, 5000), st.integers(0, 6000))
 def test_a_door_is_told_to_close_before_it_is_full(limit, held):
-    door = Door(limit)
+    door = ConnectionLimit(limit)
     assert door.may_accept(held) == max(0, limit - held)
     if limit >= 4 and door.keeps(held):
         assert door.may_accept(held) > 0  # kept connections alone never fill it
@@ -128,12 +128,12 @@
 
 
 def test_no_more_stand_in_line_than_can_be_served_in_time():
-    line = Line()
-    assert line.may_wait(1000, 1, 1.0)  # nothing is known
+    wait_queue = WaitQueue()
+    assert wait_queue.may_wait(1000, 1, 1.0)  # nothing is known
     for _ in range(200):
-        line.held(0.1)
+        wait_queue.note_held(0.1)
     waiting = 0
-    while line.may_wait(waiting, 10, 1.0):
+    while wait_queue.may_wait(waiting, 10, 1.0):
         waiting += 1
     assert waiting * 0.1 / 10 <= 1.0
     assert waiting > 10
--- a/tests/runtime/beside.py
+++ b/tests/runtime/beside.py
@@ -84,8 +84,8 @@
 async def what_is_open_ends(sidecar: Sidecar, pool: str = "boxes") -> None:
     """Wait for the requests that are open now: what had left for a drained box before the drain came into force may be
     on its way to it still, though the box knows nothing of it yet."""
-    held = set(sidecar.pools[pool].jobs)
-    await until(lambda: held.isdisjoint(sidecar.pools[pool].jobs))
+    held = set(sidecar.pools[pool].requests)
+    await until(lambda: held.isdisjoint(sidecar.pools[pool].requests))
 
 
 def address(sidecar: Sidecar, name: str = "application") -> tuple[str, int]:
--- a/tests/runtime/test_budgets.py
+++ b/tests/runtime/test_budgets.py
@@ -207,7 +207,7 @@
             )
             caller.close()
             # Each closes what it had asked for as its own caller goes, so nothing goes on for nobody.
-            await until(lambda: all(not sidecar.pools["boxes"].jobs for sidecar in sidecars))
+            await until(lambda: all(not sidecar.pools["boxes"].requests for sidecar in sidecars))
 
     asyncio.run(main())
 
@@ -353,7 +353,7 @@
             await until(lambda: sidecar.budgets.repeats.counts["joined"] == 2)
             for task in asked:
                 task.cancel()
-            await until(lambda: not box.connections and not sidecar.pools["boxes"].jobs)
+            await until(lambda: not box.connections and not sidecar.pools["boxes"].requests)
 
     asyncio.run(main())
 
@@ -502,7 +502,7 @@
                     break
             rows = await page(sidecar)
             app.close()
-            await until(lambda: not sidecar.pools["boxes"].jobs)
+            await until(lambda: not sidecar.pools["boxes"].requests)
         assert rows["pools"]["boxes"]["read"]["attempts"]["hedge"] >= 1
         assert rows["pools"]["boxes"]["read"]["amplification"] > 1.0
         assert not sidecar.pools["boxes"].timers.keys() - {"period"}
@@ -563,7 +563,7 @@
                     assert (await asked).status == 503
                     continue
                 asked.cancel()
-                await until(lambda: not sidecar.pools["boxes"].jobs)
+                await until(lambda: not sidecar.pools["boxes"].requests)
             rows = await page(sidecar)
             assert 0.0 < rows["learned_patience_ms"]["read"] < 30_000.0
 
--- a/tests/runtime/test_front.py
+++ b/tests/runtime/test_front.py
@@ -410,8 +410,8 @@
             await until(lambda: box.taken)
             writer.close()
             await until(lambda: not box.connections)
-            assert sidecar.room.open == 0
-            assert sidecar.pools["boxes"].jobs == {}
+            assert sidecar.capacity.open == 0
+            assert sidecar.pools["boxes"].requests == {}
 
     asyncio.run(main())
 
@@ -454,7 +454,7 @@
             held = asyncio.create_task(app.ask("GET", "/a/2"))
             await until(lambda: one.taken == 2)
             assert (await app.ask("GET", "/b/3")).status == 200
-            assert sidecar.room.open == 1  # open requests are counted over both
+            assert sidecar.capacity.open == 1  # open requests are counted over both
             held.cancel()
         one.stop()
         two.stop()
--- a/tests/runtime/test_load.py
+++ b/tests/runtime/test_load.py
@@ -134,7 +134,7 @@
         (box,) = boxes(1)
         async with running(box, limits={"descriptors": 64}) as sidecar:
             back = sidecar.pools["boxes"].back
-            back.line.hold_s = 1e6  # as held by what takes for ever
+            back.wait_queue.hold_s = 1e6  # as held by what takes for ever
             box.behaviour.hang = True
             app = application(sidecar)
             held = [asyncio.create_task(app.ask("GET", f"/{at}")) for at in range(back.limit)]
@@ -251,7 +251,7 @@
     async def main():
         (box,) = boxes(1)
         async with running(box, routes=ROUTES) as sidecar:
-            sidecar.pools["boxes"].on_list(api.ListForm.FULL)
+            sidecar.pools["boxes"].on_server_list(api.ListForm.FULL)
             answer = await application(sidecar).ask("GET", "/a")
             assert b"no server is known" in answer.headers[b"proxy-status"]
             assert (await load(sidecar))["node"]["refused"] == {"no server": 1}
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -138,7 +138,7 @@
             limits = {"max_body_bytes": 100, "max_open": 7, "descriptors": 128}
             await sidecar.reload(configuration(row(box, limits=limits)))
             assert sidecar.pools["boxes"] is pool
-            assert sidecar.room.limit == 7
+            assert sidecar.capacity.limit == 7
             assert (await application(sidecar).ask("POST", "/x", b"y" * 500)).status == 413
 
     asyncio.run(main())
--- a/tests/runtime/test_xds_pool.py
+++ b/tests/runtime/test_xds_pool.py
@@ -138,7 +138,7 @@
                 peers[stuck].info.launched_ms = None  # it is not cold any more
                 sidecar.pools["boxes"].back.connect_timeout_s = 60.0
                 held = asyncio.create_task(application(sidecar).ask("POST", "/x", b"1"))
-                await until(lambda: sidecar.pools["boxes"].jobs)
+                await until(lambda: sidecar.pools["boxes"].requests)
                 drained = {"address": stuck, "health_status": "DRAINING"}
                 plane.put(endpoints("ledger", drained, *rows_of(box)))
                 answer = await held
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -29,7 +29,7 @@
 from loadbalancer import interface as api
 from loadbalancer.core import pool as pool_module
 from loadbalancer.core.clock import Clock
-from loadbalancer.discovery.watcher import Listing
+from loadbalancer.discovery.watcher import ServerListUpdate
 from loadbalancer.overload.turns import Turns
 
 
@@ -63,7 +63,7 @@
             assert (seen.headers["req-id"], seen.headers["idempotency-key"]) == ("q7", "k1")
             assert 0 < int(seen.headers["req-deadline-ms"]) < 9000
             assert node.pool.balancer.peers["s0"].reported_queue == 3
-            assert node.pool.jobs == {}
+            assert node.pool.requests == {}
 
     asyncio.run(main())
 
@@ -163,9 +163,9 @@
             await until(lambda: server.seen)
             assert node.pool.balancer.peers["s0"].load == 1.0
             caller.writer.close()
-            await until(lambda: not node.pool.jobs)
+            await until(lambda: not node.pool.requests)
             await until(lambda: node.pool.balancer.peers["s0"].load == 0.0)
-            assert node.pool.room.open == 0
+            assert node.pool.capacity.open == 0
 
     asyncio.run(main())
 
@@ -183,7 +183,7 @@
             node.pool.balancer = scripted = Scripted(act)
             assert (await ask(node, request())).body == b"done"
             server.release.set()
-            await until(lambda: not node.pool.jobs)
+            await until(lambda: not node.pool.requests)
             outcomes = scripted.of(api.Outcome)
             assert [(event.attempt, event.done) for event in outcomes] == [(1, True), (0, True)]
 
@@ -203,7 +203,7 @@
             node.pool.balancer = scripted = Scripted(act)
             assert (await ask(node, request())).status == 500
             assert scripted.of(api.Lapsed)
-            assert not node.pool.jobs
+            assert not node.pool.requests
             assert node.server.ready
 
     asyncio.run(main())
@@ -287,7 +287,7 @@
             node.pool.balancer = scripted = Scripted()
             assert (await ask(node, data)).status == status
             assert not scripted.of(api.Request)
-            assert not node.pool.jobs
+            assert not node.pool.requests
 
     asyncio.run(main())
 
@@ -382,7 +382,7 @@
             callers = [await Caller.to(node) for _ in range(node.server.limit)]
             for at, caller in enumerate(callers):
                 caller.writer.write(request(name=f"q{at}"))
-            await until(lambda: node.pool.room.open == len(callers))
+            await until(lambda: node.pool.capacity.open == len(callers))
             late = await ask(node, request(name="late"))
             assert (late.status, late.headers["connection"]) == (503, "close")
             assert len(scripted.of(api.Request)) == len(callers)
@@ -480,8 +480,8 @@
 
 def test_a_hung_discovery_call_fails_and_the_module_asks_again(monkeypatch):
     async def main():
-        monkeypatch.setattr("loadbalancer.discovery.watcher.LATE_S", 0.05)
-        monkeypatch.setattr("loadbalancer.discovery.watcher.SPEAKS_S", 0.05)
+        monkeypatch.setattr("loadbalancer.discovery.watcher.ANSWER_GRACE_S", 0.05)
+        monkeypatch.setattr("loadbalancer.discovery.watcher.PROBE_TIMEOUT_S", 0.05)
         discovery = Discovery()
         async with running(
             Peer(), discovery=discovery, settings={"invariants": {"askWithinMs": 100.0}}
@@ -496,7 +496,7 @@
 
 def test_a_pushed_list_is_followed_unasked_and_through_failures(monkeypatch):
     async def main():
-        monkeypatch.setattr("loadbalancer.discovery.watcher.PUSH_PAUSE_S", 0.01)
+        monkeypatch.setattr("loadbalancer.discovery.watcher.PUSH_RETRY_PAUSE_S", 0.01)
         discovery = Discovery(reply(503), listing(5, True, s9=("127.0.0.1:9", "Ready")))
         async with running(Peer(), discovery=discovery, settings={"registryMode": "push"}) as node:
             await until(lambda: set(node.back._servers) == {"s9"})
@@ -519,7 +519,9 @@
             node.back.open = never  # a connection that does not come up
             caller.writer.write(request())
             await until(lambda: node.back.size)
-            row = Listing(9, False, (api.Server("s0", state=api.ServerState.DRAINING),), {"s0": ("", 1)})
+            row = ServerListUpdate(
+                9, False, (api.Server("s0", state=api.ServerState.DRAINING),), {"s0": ("", 1)}
+            )
             node._on_list(api.ListForm.DELTA, row)
             assert [event.result for event in scripted.of(api.Outcome)] == [api.Result.CONNECT_FAILED] * 2
             assert (await caller.answer()).status == 502
@@ -587,7 +589,7 @@
             assert (await ask(node, request(name="q1"))).status == 200
             endpoints = {"s0": ("127.0.0.1", server.port)}
             for launched in (5.0, 5.0):
-                row = Listing(9, False, (api.Server("s0", launched_ms=launched),), endpoints)
+                row = ServerListUpdate(9, False, (api.Server("s0", launched_ms=launched),), endpoints)
                 node._on_list(api.ListForm.DELTA, row)
                 assert (await ask(node, request(name="q2"))).status == 200
                 await until(lambda: node.back._servers["s0"].idle)
@@ -625,7 +627,7 @@
                 clock.shift = latency_s
                 server.release.set()
                 assert [answer.status for answer in await asked] == [200] * count
-                node.pool.tell(api.Alarm("period"))
+                node.pool.handle(api.Alarm("period"))
                 node.pool.timers["period"].cancel()  # the next one ends when the test says so
 
             node.pool.timers["period"].cancel()
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -13,7 +13,7 @@
 
 from loadbalancer import interface as api
 from loadbalancer.http import server as server_module
-from loadbalancer.http.back import HttpBack
+from loadbalancer.http.connection_pool import HttpConnectionPool
 from loadbalancer.interface import Result
 from loadbalancer.settings import report_from
 
@@ -114,7 +114,7 @@
             caller.writer.write(f"POST /post/1 HTTP/1.1\r\nReq-Id: q1\r\n{head}\r\n".encode() + b"0\r\n\r\n")
             assert (await caller.answer()).status == 400
             caller.writer.close()
-            assert (server.seen, node.pool.jobs) == ([], {})
+            assert (server.seen, node.pool.requests) == ([], {})
 
     asyncio.run(main())
 
@@ -182,7 +182,7 @@
             caller.writer.write(request("post", "q1") + request("post", "q2"))
             await until(lambda: server.seen)
             caller.writer.close()
-            await until(lambda: not node.pool.jobs)
+            await until(lambda: not node.pool.requests)
             assert len(server.seen) == 1
 
     asyncio.run(main())
@@ -198,7 +198,11 @@
             first = asyncio.create_task(ask(node, request("post", "q1")))
             await until(lambda: server.seen)
             assert (await ask(node, request("post", "q1"))).status == 400
-            assert (len(node.pool.jobs), len(scripted.of(api.Request)), scripted.of(api.Lapsed)) == (1, 1, [])
+            assert (len(node.pool.requests), len(scripted.of(api.Request)), scripted.of(api.Lapsed)) == (
+                1,
+                1,
+                [],
+            )
             server.release.set()
             assert (await first).status == 200
 
@@ -219,7 +223,7 @@
             await asyncio.sleep(0)
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
-    servers = HttpBack(10, 10.0, 20.0, Bytes())
+    servers = HttpConnectionPool(10, 10.0, 20.0, Bytes())
     servers.add("s", server.sockets[0].getsockname())
     done: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
     data = b"POST /post/1 HTTP/1.1\r\nReq-Id: q\r\nContent-Length: 0\r\n\r\n"
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -86,7 +86,7 @@
     "sidecar": {"address"},
     "emulator": {"address"},
     "test_rig": {"address"},
-    "cli": {"address", "descriptors", "leaving", "turns"},
+    "cli": {"address", "descriptors", "shutdown", "turns"},
 }
 
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -10,10 +10,10 @@
 import pytest
 from loopback import Held, Message, Peer, reply, until
 
+from loadbalancer.core.connection_pool import MAX_OPENING
 from loadbalancer.core.outgoing import readable
-from loadbalancer.core.pooled import OPENING
-from loadbalancer.http.back import HttpBack
 from loadbalancer.http.client import ClientConnection, Response
+from loadbalancer.http.connection_pool import HttpConnectionPool
 from loadbalancer.interface import Result
 from loadbalancer.node.front import PlatformWire
 from loadbalancer.overload.turns import Turns
@@ -31,12 +31,14 @@
         return message(wait_s) if callable(message) else message
 
 
-def pool(**more: float) -> HttpBack:
+def pool(**more: float) -> HttpConnectionPool:
     given = {"limit": 10, "server_idle_s": 10.0, "connect_timeout_s": 20.0} | more
-    return HttpBack(int(given["limit"]), given["server_idle_s"], given["connect_timeout_s"], Bytes())
+    return HttpConnectionPool(
+        int(given["limit"]), given["server_idle_s"], given["connect_timeout_s"], Bytes()
+    )
 
 
-async def result(pool: HttpBack, timeout_s: float = 20.0, data: bytes = DATA) -> Result:
+async def result(pool: HttpConnectionPool, timeout_s: float = 20.0, data: bytes = DATA) -> Result:
     done: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
     # set_result raises on a second result, and asyncio's debug mode is not needed to see it
     pool.send("s", data, timeout_s, lambda result, response, report, own: done.set_result(result))
@@ -214,7 +216,7 @@
         idle = servers._servers["s"].idle
         old, new = idle
         assert servers.take_idle(servers._servers["s"]) is new
-        servers.give_back(servers._servers["s"], new, 0.01)
+        servers.release(servers._servers["s"], new, 0.01)
         for connection in idle:  # 5 of the server's 10 seconds have passed
             connection.idle_since -= 5.0
         assert await result(servers) is Result.OK
@@ -368,16 +370,16 @@
 
         asked = {}
         for back in opened:
-            back.limit, back.open = 10 * OPENING, never(back)
+            back.limit, back.open = 10 * MAX_OPENING, never(back)
             back.add("s", ("127.0.0.1", 9))
-            asked[back] = [asyncio.create_task(result(back)) for _ in range(OPENING + 3)]
+            asked[back] = [asyncio.create_task(result(back)) for _ in range(MAX_OPENING + 3)]
         # The attempts that were made at once are given up, and those behind them with them, unsent.
         assert set(await asyncio.gather(*asked[idle])) == {Result.CONNECT_FAILED}
         assert not any(task.done() for task in asked[busy])
-        assert opened == {idle: OPENING, busy: OPENING}
+        assert opened == {idle: MAX_OPENING, busy: MAX_OPENING}
         Busy.own = False
         assert set(await asyncio.gather(*asked[busy])) == {Result.CONNECT_FAILED}
-        assert opened[busy] == OPENING
+        assert opened[busy] == MAX_OPENING
 
     asyncio.run(main())
 
@@ -385,7 +387,7 @@
 def test_who_waits_behind_others_connecting_goes_out_on_what_is_free_first():
     async def main():
         held = Held()
-        server, servers = await held.start(), pool(limit=10 * OPENING)
+        server, servers = await held.start(), pool(limit=10 * MAX_OPENING)
         servers.add("s", ("127.0.0.1", server.port))
         first = asyncio.create_task(result(servers))
         await until(lambda: len(servers._open) == 1 and not servers._opening)
@@ -394,8 +396,8 @@
             await asyncio.Event().wait()
 
         servers.open = never
-        rest = [asyncio.create_task(result(servers)) for _ in range(OPENING + 1)]
-        await until(lambda: servers.size == OPENING + 1)
+        rest = [asyncio.create_task(result(servers)) for _ in range(MAX_OPENING + 1)]
+        await until(lambda: servers.size == MAX_OPENING + 1)
         held.release.set()
         assert (await first, await rest[-1]) == (Result.OK, Result.OK)
         assert not any(task.done() for task in rest[:-1])
--- a/tests/thrift/test_both_protocols.py
+++ b/tests/thrift/test_both_protocols.py
@@ -186,7 +186,7 @@
                 api.Server(box.name, launched_ms=now if box is around[2] else None) for box in around
             )
             endpoints = {box.name: parse_address(box.endpoint) for box in around}
-            pool.on_list(api.ListForm.FULL, servers, endpoints)
+            pool.on_server_list(api.ListForm.FULL, servers, endpoints)
 
             async def client(at: int) -> None:
                 for number in range(60):
@@ -270,12 +270,12 @@
                     caller.send("post", posting(f"p{flood}"))
                     flood += 1
                     answered = asyncio.create_task(caller.reply())
-                    await until(lambda n=flood, a=answered: a.done() or len(pool.jobs) == n)
+                    await until(lambda n=flood, a=answered: a.done() or len(pool.requests) == n)
                     if answered.done():
                         break
                     answered.cancel()
                 assert said(answered.result())[1].startswith("refused; never ran")
-                assert len(pool.jobs) == flood - 1 > 0
+                assert len(pool.requests) == flood - 1 > 0
                 # What is worth more still comes through, counted beside the flood.
                 answer = await application(sidecar).ask("GET", "/balance/x")
                 assert answer.status == 200
--- a/tests/thrift/test_oneway.py
+++ b/tests/thrift/test_oneway.py
@@ -61,7 +61,7 @@
             pool = sidecar.pools["boxes"]
             caller.send("note", posting("n"), ONEWAY)
             await until(lambda: around[0].ran)
-            assert sidecar.room.open == 0  # over for its caller
+            assert sidecar.capacity.open == 0  # over for its caller
             assert [len(peer.pending) for peer in pool.balancer.peers.values()] == [1]
             # Its connection carries nothing else meanwhile: the next call has one of its own.
             assert box_of(await caller.call("post", posting("p"))) == "box-0"
@@ -78,7 +78,7 @@
             caller.send("note", posting("n"), ONEWAY)
             await until(lambda: pool.counts["ok"] == 1)
             assert [len(peer.pending) for peer in pool.balancer.peers.values()] == [0]
-            assert not pool.jobs
+            assert not pool.requests
             assert box_of(await caller.call("post", posting("p"))) == "box-0"
             assert around[0].accepted == 1  # the same connection
 
@@ -98,7 +98,7 @@
                 caller.send("note", posting(f"n{at}"), ONEWAY)
             await until(lambda: counts(sidecar)["oneway sent"] == 10)
             pool = sidecar.pools["boxes"]
-            await until(lambda: pool.counts["reset"] == 10 and not pool.jobs)
+            await until(lambda: pool.counts["reset"] == 10 and not pool.requests)
             assert sum(box.taken for box in around) == 10
             ran = [times for box in around for times in box.ran.values()]
             assert ran == ([] if how == "die_before" else [1] * 10)
@@ -152,7 +152,7 @@
                 await until(lambda: "given-up" in around[0].ran)
             await until(lambda: around[0].methods["note"] == 5)
             assert set(around[0].ran.values()) == {1}
-            await until(lambda: not sidecar.pools["boxes"].jobs)
+            await until(lambda: not sidecar.pools["boxes"].requests)
 
     asyncio.run(main())
 
@@ -209,7 +209,7 @@
             data["pools"][0]["list"]["servers"] = [{"id": "deaf", "address": f"127.0.0.1:{port}"}]
             await sidecar.reload(configuration(data))
             sent = 0
-            while not held or sidecar.pools["boxes"].jobs == {}:
+            while not held or sidecar.pools["boxes"].requests == {}:
                 sent += 1
                 caller.send("note", body, ONEWAY)
                 try:
--- a/tests/thrift/test_thrift_front.py
+++ b/tests/thrift/test_thrift_front.py
@@ -300,7 +300,7 @@
                 for at in range(5):
                     caller.send("post", posting(f"p{at}"))
                 await until(lambda: around[0].ran)
-            await until(lambda: not pool.jobs and not sidecar.room.open)
+            await until(lambda: not pool.requests and not sidecar.capacity.open)
             assert around[0].ran == {"p0": 1}  # what waited behind it has never begun
             await until(lambda: pool.back.size == 0)
 
@@ -344,7 +344,7 @@
             def settled() -> bool:
                 nonlocal seen
                 before, seen = seen, around[0].served
-                return before == seen > 0 and not pool.jobs
+                return before == seen > 0 and not pool.requests
 
             for _ in range(20):
                 await until(settled)
@@ -383,14 +383,14 @@
         async with running(*around, **more) as sidecar, Caller(address(sidecar)) as caller:
             pool = sidecar.pools["boxes"]
             seen: list[str | None] = []
-            tell = pool.tell
+            tell = pool.handle
 
             def told(event: object) -> None:
                 if hasattr(event, "tenant"):
                     seen.append(event.tenant)
                 tell(event)
 
-            pool.tell = told
+            pool.handle = told
             for tenant in ("imports", "nobody", ""):
                 await caller.call("post", posting("p" + tenant, tenant=tenant))
             assert seen == ["imports", "hotels", "hotels"]
