--- a/loadbalancer/balancer.py
+++ b/loadbalancer/balancer.py
@@ -102,7 +102,7 @@
             acts.append(api.Watch())
 
     def _on_client(self, state: RequestState, event: api.Lapsed | api.Started, acts: api.Actions) -> None:
-        """A client has gone, or a streamed answer to it has begun."""
+        """Handle that a client has gone, or that a streamed answer to it has begun."""
         if isinstance(event, api.Lapsed):
             self._end(state, acts)
         else:
--- a/loadbalancer/core/clock.py
+++ b/loadbalancer/core/clock.py
@@ -1,4 +1,4 @@
-"""The clock that the decision module is given."""
+"""The clock of the balancer."""
 
 from __future__ import annotations
 
@@ -14,4 +14,5 @@
         self._anchor = time.time() - loop.time()
 
     def ms(self, at: float | None = None) -> float:
+        """Return the Unix time in ms now, or at this time of the loop."""
         return ((self._time() if at is None else at) + self._anchor) * 1000.0
--- a/loadbalancer/core/connection_pool.py
+++ b/loadbalancer/core/connection_pool.py
@@ -15,28 +15,32 @@
 from loadbalancer.core.address import Address
 from loadbalancer.core.outgoing import OWN, Outgoing
 from loadbalancer.core.turns import turns_of
-from loadbalancer.core.types import OnEnd
+from loadbalancer.core.types import Message, OnEnd, Reply
 from loadbalancer.interface import Result
 from loadbalancer.overload.connections import WaitQueue
 
-IDLE_SHARE = 0.5  # of the time after which a server closes an idle connection: ours goes well before
-SEARCHED = 16  # of those in line, for one that goes to the server whose connection has become free
+MadeConnection = Any  # the kind of `Outgoing` that the deriving class makes
+
+IDLE_SHARE = 0.5  # of the time after which a server closes an idle connection: ours is closed well before
+SEARCHED = 16  # queued attempts that are checked for one to the server whose connection has become free
 MAX_OPENING = 64  # connections that are being opened to one server at a time
-OVERDUE_HOLDS = 4.0  # holds of a connection, after which the first in line is no longer passed
+OVERDUE_HOLDS = 4.0  # smoothed holds of a connection, after which the first in the queue is no longer passed
 
 
 @dataclass(slots=True, eq=False)
 class _Server:
+    """A server, its idle connections and the attempts that wait for one."""
+
     endpoint: Address
     launched_ms: float | None
     idle: list[Outgoing] = field(default_factory=list)  # newest last
     waiting: set[Attempt] = field(default_factory=set)  # attempts whose connection is not up yet
     opening: int = 0  # connections
-    # Attempts that wait for one of these, or a free one.
+    # Attempts that wait for a connection that is being opened, or a free one.
     queue: deque[Attempt] = field(default_factory=deque)
 
     def next(self) -> Attempt | None:
-        """Who is first of those queue."""
+        """Take the first attempt of the queue that is not over."""
         while self.queue:
             first = self.queue.popleft()
             if not first.over:
@@ -45,12 +49,12 @@
 
 
 class Attempt:
-    """One request on its way to one server."""
+    """One request on its way to one server; it ends with exactly one call of `on_end`."""
 
     def __init__(
         self,
         pool: ConnectionPool,
-        message: Any,
+        message: Message,
         timeout_s: float,
         on_end: OnEnd,
     ) -> None:
@@ -62,7 +66,7 @@
         self._connection: Outgoing | None = None
         self._connect: asyncio.Task[None] | None = None
         self._connect_timer: asyncio.TimerHandle | None = None  # with the server that is connected to
-        self._in_queue = False  # it stands in line for a connection
+        self._in_queue = False  # it waits in the pool's queue for a connection
         self._sent: float | None = None  # when its message was written
         self._connect_s = 0.0  # of connecting, what was not this process's own
         loop = asyncio.get_running_loop()
@@ -72,13 +76,16 @@
 
     @property
     def over(self) -> bool:
+        """Whether it has ended."""
         return self._over
 
     @property
     def server(self) -> _Server | None:
+        """The server that it goes to; None before `begin`."""
         return self._server
 
     def cancel(self) -> None:
+        """Give it up; its result is CANCELLED, unless it is over."""
         self._finish(Result.CANCELLED)
 
     def give_up_unsent(self) -> None:
@@ -87,13 +94,12 @@
 
     def give_up_unwritten(self) -> None:
         """Give up, for no fault of the server's, unless it has been written whole."""
-        # Guard: a server begins a request with its last byte, which left long after the caller had gone.
+        # A server begins a request with its last byte, which left long after the caller had gone.
         if self._sent is None or (self._connection is not None and not self._connection.written):
             self._finish(Result.MOOT)
 
-    # ----------------------------------------------------------- for the connection
-
-    def answered(self, response: Any) -> None:
+    def answered(self, response: Reply) -> None:
+        """End with a server's whole answer; the connection goes back to the pool."""
         connection, self._connection = self._connection, None
         if connection is not None and self._server is not None:
             held_s = asyncio.get_running_loop().time() - (self._sent or self.began)
@@ -102,12 +108,12 @@
         self._finish(result, response, report)
 
     def lost(self, written: bool) -> None:
+        """End without an answer, as the connection is gone; `written`: the request's last byte had left."""
         self._connection = None
         self._finish(Result.RESET if written else Result.CONNECT_FAILED)
 
-    # -------------------------------------------------------------------- inside
-
     def begin(self, server: _Server) -> None:
+        """Get a connection to this server at once, or wait in the pool's queue for one."""
         self._server = server
         if self._pool.queue_is_empty and self.go():
             return
@@ -115,18 +121,19 @@
             server.waiting.add(self)
             self._in_queue = True
         else:
-            # Told later, as every result is, so that the action that asked for the attempt is over by then.
+            # Reported later, as every result is, so that the action that started the attempt is over by then.
             asyncio.get_running_loop().call_soon(self._finish, Result.NO_ROOM)
 
     def go(self) -> bool:
-        """Have a connection, an idle one or one that is opened now; False if there is none to be had."""
+        """Use an idle connection or open one; False if neither can be had."""
         server = self._server
-        assert server is not None
+        if server is None:
+            raise RuntimeError("an attempt was sent before it began")
         connection = self._pool.take_idle(server)
         if connection is not None:
             self.use(connection)
         elif server.opening >= MAX_OPENING:
-            # Guard: a burst opened a connection for each of its requests, which cost the core more than the answers
+            # A burst opened a connection for each of its requests, which cost the core more than the answers
             # and took turns that were longer than those of a free one.
             self._in_queue = False
             server.waiting.add(self)
@@ -141,7 +148,7 @@
         return True
 
     def use(self, connection: Outgoing) -> None:
-        """Go out on this connection."""
+        """Send the request on this connection."""
         self._in_queue = False
         if self._server is not None:
             self._server.waiting.discard(self)
@@ -155,7 +162,7 @@
             connection = await self._pool.open(server.endpoint)
         except (OSError, ValueError) as error:  # ValueError: what the list gives as its host can be none
             self._connect = None
-            # Guard: a descriptor that this process lacked was taken for a server that could not be reached.
+            # A descriptor that this process lacked was taken for a server that could not be reached.
             if isinstance(error, OSError) and error.errno in OWN:
                 self._finish(Result.NO_ROOM)
             else:
@@ -170,7 +177,7 @@
         if self._over:
             connection.abort()
         elif not connection.usable:
-            # Guard: what was written to a connection that had ended already counted as a request that may have run.
+            # What was written to a connection that had ended already counted as a request that may have run.
             connection.abort()
             self.give_up_unsent()
         else:
@@ -179,7 +186,7 @@
     def _limit_connect(self, loop: asyncio.AbstractEventLoop, began: float, spent: float) -> None:
         """Give up connecting when the server has had its time.
 
-        Guard: queue long turns of this process's own, servers that accepted at once were given up and tried elsewhere.
+        Behind long turns of this process's own, servers that accepted at once were given up and tried elsewhere.
         """
         own = self._pool.turns.spent_s - spent
         left = began + own + self._pool.connect_timeout_s - loop.time()
@@ -189,7 +196,7 @@
             self._not_reached(self._server)
 
     def _not_reached(self, server: _Server) -> None:
-        """Those queue an attempt that could not connect are given up unsent, as it is."""
+        """Give up unsent this attempt, which could not connect, and those that wait behind it."""
         queue, server.queue = server.queue, deque()
         self.give_up_unsent()
         for attempt in queue:
@@ -202,14 +209,14 @@
         self._pool.start(connection, self._message, left, self)
 
     def _time_out(self) -> None:
-        # Guard: what has not been written whole has never run, and a refusal may then say so.
+        # What has not been written whole has never run, and a rejection may then say so.
         if self._in_queue:
             self._finish(Result.NO_ROOM)
             return
         sent = self._connection is not None and self._connection.written
         self._finish(Result.TIMEOUT if sent else Result.CONNECT_FAILED)
 
-    def _finish(self, result: Result, response: Any = None, report: dict[str, float] | None = None) -> None:
+    def _finish(self, result: Result, response: Reply = None, report: dict[str, float] | None = None) -> None:
         if self._over:
             return
         self._over = True
@@ -226,7 +233,7 @@
         server_s = self._connect_s
         if self._sent is not None:
             server_s += max(0.0, self._pool.turns.came(now) - self._sent)
-            # Guard: what hangs holds a connection for longest, and nobody counted it.
+            # What hangs holds a connection for longest, and was not counted.
             if self._connection is not None:
                 self._pool.wait_queue.note_held(now - self._sent)
         if self._in_queue:
@@ -235,15 +242,21 @@
 
 
 class ConnectionPool:
-    """Connections to all servers, at most `limit` of them, the newest idle one used first."""
+    """Connections to all servers, at most `limit` of them, the newest idle one used first.
+
+    Parameters
+    ----------
+    server_idle_s: after which servers close an idle connection.
+    connect_timeout_s: within which a server has to accept.
+    rest_s: how long a connection carries nothing after an answer.
+    """
 
     def __init__(
         self, limit: int, server_idle_s: float, connect_timeout_s: float, rest_s: float = 0.0
     ) -> None:
-        """`rest_s`: how long a connection carries nothing after an answer."""
         self.limit = limit
         self._rest_s = rest_s
-        # Those that do, first the one that has for longest, each with the loop's time at which it is over.
+        # Connections that rest, the oldest first, each with the loop's time at which its rest is over.
         self._resting: deque[tuple[float, _Server, Outgoing]] = deque()
         self._rest_timer: asyncio.TimerHandle | None = None
         self.connect_timeout_s = connect_timeout_s
@@ -254,32 +267,30 @@
         self._sweep_timer: asyncio.TimerHandle | None = None
         self.turns = turns_of(asyncio.get_running_loop())
         self.wait_queue = WaitQueue()
-        # Those without a connection for want of room; some may be over.
+        # Attempts without a connection for want of capacity; some may be over.
         self._queue: deque[Attempt] = deque()
         self._queued = 0
 
-    # ------------------------------------------------------------- for protocols
-
     def connection(self) -> Outgoing:
-        """A connection that is yet to be made; it tells `forget` when it is gone."""
+        """Return a new protocol for a connection, which calls `forget` when it is gone."""
         raise NotImplementedError
 
-    def start(self, connection: Any, message: Any, wait_s: float, attempt: Attempt) -> None:
-        """Write a message whose answer is waited for this long."""
+    def start(self, connection: MadeConnection, message: Message, wait_s: float, attempt: Attempt) -> None:
+        """Write a message whose answer is waited for `wait_s`."""
         raise NotImplementedError
 
-    def outcome(self, message: Any, reply: Any) -> tuple[Result, dict[str, float] | None]:
-        """The outcome that a whole answer stands for, and the load report that it holds."""
+    def outcome(self, message: Message, reply: Reply) -> tuple[Result, dict[str, float] | None]:
+        """Return the outcome that a whole answer stands for, and the load report that it holds."""
         raise NotImplementedError
 
     def forget(self, connection: Outgoing) -> None:
+        """Drop a connection that is gone."""
         self._open.discard(connection)
         self.serve_queue()
 
-    # ------------------------------------------------------------------- for pools
-
     @property
     def size(self) -> int:
+        """Connections to servers, those that are being opened too."""
         return len(self._open) + len(self._opening)
 
     @property
@@ -288,16 +299,16 @@
         return {name: server.endpoint for name, server in self._servers.items()}
 
     def add(self, name: str, endpoint: Address, launched_ms: float | None = None) -> None:
-        """Name a server, its new endpoint or its latest start."""
-        # Guard: a machine that vanished and is back resets what is written to connections from before.
+        """Add a server, or take its new endpoint or its latest start."""
+        # A machine that vanished and is back resets what is written to connections from before.
         known = self._servers.get(name)
         if known is None or (known.endpoint, known.launched_ms) != (endpoint, launched_ms):
             self.remove(name)
             self._servers[name] = _Server(endpoint, launched_ms)
 
     def remove(self, name: str) -> None:
-        """Nothing new goes to this server: what waits for a connection to it is given up unsent."""
-        # Guard: an attempt that waits to connect as the drain is told could send its first byte too late.
+        """Send nothing more to this server: what waits for a connection to it is given up unsent."""
+        # An attempt that waits to connect as the drain is reported could send its first byte too late.
         server = self._servers.pop(name, None)
         if server is None:
             return
@@ -310,11 +321,11 @@
     def send(
         self,
         name: str,
-        message: Any,
+        message: Message,
         timeout_s: float,
         on_end: OnEnd,
     ) -> Attempt | None:
-        """Start an attempt; None if no such server is named."""
+        """Start an attempt; None if no such server was added."""
         server = self._servers.get(name)
         if server is None:
             return None
@@ -324,10 +335,11 @@
 
     @property
     def waiting(self) -> int:
-        """Attempts that stand in line for a connection."""
+        """Attempts that wait in the queue for a connection."""
         return self._queued
 
     def close(self) -> None:
+        """End all connections and attempts."""
         for name in list(self._servers):
             self.remove(name)
         for connection in list(self._open):
@@ -336,9 +348,8 @@
             if timer is not None:
                 timer.cancel()
 
-    # -------------------------------------------------------------- for attempts
-
     def take_idle(self, server: _Server) -> Outgoing | None:
+        """Take the newest idle connection to a server that can be used; None without one."""
         now = asyncio.get_running_loop().time()
         while server.idle:
             connection = server.idle.pop()
@@ -349,10 +360,11 @@
 
     @property
     def queue_is_empty(self) -> bool:
+        """Whether no attempt waits for a connection."""
         return not self._queued
 
     def enqueue(self, attempt: Attempt, left_s: float) -> bool:
-        """Whether an attempt may wait for a connection: where it can be expected to get one in time."""
+        """Queue an attempt for a connection; False where it can't be expected to get one in time."""
         if not self.wait_queue.may_wait(self._queued, self.limit, left_s):
             return False
         self._queue.append(attempt)
@@ -360,11 +372,11 @@
         return True
 
     def dequeued(self) -> None:
-        """One that stood in line is over; it is passed when its turn comes."""
+        """Count out an attempt of the queue that is over; it is passed when its turn comes."""
         self._queued -= 1
 
     def serve_queue(self) -> None:
-        """Let those in line go on for whom there is room now."""
+        """Send the queued attempts for which there is capacity now."""
         while self._queue:
             first = self._queue[0]
             if first.over:
@@ -376,7 +388,10 @@
                 return
 
     def _next_for(self, server: _Server, now: float) -> Attempt | None:
-        """Who in line gets a free connection to this server, unless the first one has waited for too long."""
+        """Take the queued attempt that gets a free connection to this server.
+
+        None if there is none, or the first of the queue has waited for too long to be passed.
+        """
         while self._queue and self._queue[0].over:
             self._queue.popleft()
         if not self._queue or now - self._queue[0].began > OVERDUE_HOLDS * self.wait_queue.hold_s:
@@ -390,12 +405,12 @@
         return None
 
     def release(self, server: _Server, connection: Outgoing, held_s: float) -> None:
-        """A connection has brought its answer."""
+        """Take back a connection that has brought its answer."""
         self.wait_queue.note_held(held_s)
         if self._rest_s <= 0.0:
             self._free(server, connection)
             return
-        # Guard: a server's second answer to one request, some ms after the first, was taken for the answer to the
+        # A server's second answer to one request, some ms after the first, was taken for the answer to the
         # next request on that connection. Now it comes while nothing is asked, which ends the connection.
         loop = asyncio.get_running_loop()
         self._resting.append((loop.time() + self._rest_s, server, connection))
@@ -412,7 +427,7 @@
             self._rest_timer = loop.call_at(self._resting[0][0], self._end_rests)
 
     def _free(self, server: _Server, connection: Outgoing) -> None:
-        """A connection may carry the next request."""
+        """Give a connection the next request, or keep it idle."""
         now = asyncio.get_running_loop().time()
         if not connection.usable or server not in self._servers.values():
             connection.retire()
@@ -441,7 +456,8 @@
         return True
 
     def count_opening(self, server: _Server, task: asyncio.Task[None]) -> None:
-        # Guard: counted from its start, as several sends of one turn of the loop would all see the same room.
+        """Count a connection that is being opened until its task is done."""
+        # Counted from its start, as several sends of one turn of the loop would all see the same capacity.
         self._opening.add(task)
         server.opening += 1
         task.add_done_callback(partial(self._opened, server))
@@ -455,6 +471,7 @@
         self.serve_queue()
 
     async def open(self, endpoint: Address) -> Outgoing:
+        """Connect to a server; raises OSError, or ValueError for a host that can be none."""
         loop = asyncio.get_running_loop()
         _, connection = await loop.create_connection(self.connection, *endpoint)
         self._open.add(connection)
--- a/loadbalancer/core/listener.py
+++ b/loadbalancer/core/listener.py
@@ -1,5 +1,4 @@
-"""The callers' side, whatever is spoken: a listener that keeps callers' connections within their share of the
-descriptors."""
+"""A listener, whatever is spoken: it keeps callers' connections within their share of the descriptors."""
 
 from __future__ import annotations
 
@@ -9,31 +8,32 @@
 import socket
 import struct
 from itertools import islice
-from typing import Any
 
 from loadbalancer.core.outgoing import OWN, readable, waits
 from loadbalancer.core.turns import turns_of
 from loadbalancer.overload.connections import SILENT_S, ConnectionLimit
 
-BACKLOG = 4096  # connections that wait in the kernel, where it allows so many
-SPARED_IDLE_S = 2.0  # of which an idle connection is spared where room is short and no request waits for it
+BACKLOG = 4096  # connections that may wait in the kernel, where it allows so many
+SPARED_IDLE_S = (
+    2.0  # a connection idle for less is spared while capacity is short, unless a request waits for it
+)
 LINGER_S = 0.5  # how long what a caller still sends after a fatal answer is read and dropped
-SWEEP_S = 0.1
+SWEEP_S = 0.1  # between two sweeps of connections that have been in a stage for too long
 NEW_CONNECTION_S = 0.2  # a connection this new is not closed for carrying nothing: its request may follow
 SPARE_CONNECTIONS = (
-    4  # places for connections of which it is seen only then that they can't be refused at once
+    4  # slots for connections of which it shows only later that they can't be rejected at once
 )
-MAX_ACCEPTED = 64  # connections that are taken in one turn, at most,
-MAX_EXAMINED = 1024  # and those that are looked at, the others being refused
-SEARCHED = 16  # connections that are looked at, at most, to make room for one
+MAX_ACCEPTED = 64  # connections that are accepted in one turn, at most,
+MAX_EXAMINED = 1024  # and those that are examined, the others being rejected
+SEARCHED = 16  # connections that are checked, at most, to free a slot for one
 TCP_INFO = getattr(socket, "TCP_INFO", None)
 LAST_DATA_RECEIVED = struct.Struct("@52xI")  # of Linux's struct tcp_info, in ms: tcpi_last_data_recv
 
 
-def waited_s(sock: Any) -> float:
-    """Since the kernel had the latest bytes of a connection, to some ms; 0 where it does not tell (Linux does).
+def waited_s(sock: socket.socket | None) -> float:
+    """Return the time since the kernel received the latest bytes, to some ms; 0 where it does not tell (Linux does).
 
-    Guard: what comes on a connection that has yet to be accepted waits unseen by the loop, and its time runs.
+    What comes on a connection that has yet to be accepted waits unseen by the loop, and its time runs.
     """
     if TCP_INFO is None or sock is None:
         return 0.0
@@ -57,15 +57,17 @@
         self.silent = True  # nothing has come on it
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport and report the connection to the listener; called by asyncio."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._server.opened(self)
 
     def eof_received(self) -> bool:
+        """Have the connection closed when the caller has closed it; called by asyncio."""
         return False
 
     def arrived(self) -> float:
-        """The loop's time at which what is handled now came, at the earliest; called for each part that comes."""
+        """Return the earliest loop time at which what is handled now came; to be called for each part that comes."""
         now = self._server.loop.time()
         came = self._server.turns.came(now)
         if self.silent and self._server.orderly:
@@ -84,6 +86,7 @@
         return not self._transport.get_write_buffer_size()
 
     def abort(self) -> None:
+        """Close at once, unsent bytes included."""
         self._closing = True
         self._server.closed(self)
         self._transport.abort()
@@ -93,25 +96,25 @@
         raise NotImplementedError
 
     def expire(self) -> None:
-        """Its time in this stage is over."""
+        """Handle that its time in this stage is over."""
         raise NotImplementedError
 
     def abort_if_read(self) -> None:
         """Close what has had its last answer, unless a slow reader has yet to take it and has time left.
 
-        Guard: it was cut off after the time that only a flushed one may linger.
+        It was cut off after the time that only a flushed one may linger.
         """
         if self.flushed or self.since <= self._server.loop.time() - self._server.request_s:
             self.abort()
 
     def reject_partial(self) -> None:
-        """Refuse what has come in part, as this process ends."""
+        """Reject a request that has come in part, as this process ends."""
 
     def _end(self) -> None:
         """Close, reading on for a moment: closing over unread bytes would reset the answer away."""
         self._closing = True
         if not self._transport.is_closing():
-            # Guard: on a connection that has just been reset there is no end to be written, which ended the callback.
+            # On a connection that has just been reset there is no end to be written, which ended the callback.
             with contextlib.suppress(OSError):
                 self._transport.write_eof()
             self._server.stage(self, self._server.lingering)
@@ -123,17 +126,21 @@
 class Listener:
     """Listens, and keeps the callers' connections within their share of the descriptors.
 
-    A connection without an open request is in a stage: it owes a request, idles, or lingers after its end.
+    A connection without an open request is in a stage: it owes a request (`waiting`), idles, or lingers after its end.
+
+    Parameters
+    ----------
+    limit: connections that are kept, at most.
+    orderly: beyond the limit, connections wait in the kernel, and none is closed but with its answer. Else accepting
+        never stops, and what carries nothing is closed to free a slot.
     """
 
     def __init__(self, limit: int, orderly: bool = False) -> None:
-        """`orderly`: beyond the limit, connections wait in the kernel, and none is closed but with its answer. Else
-        accepting never stops, and what carries nothing is closed to make room."""
         self.loop = asyncio.get_running_loop()
         self.turns = turns_of(self.loop)
         self.connection_limit = ConnectionLimit(limit)
         self.orderly = orderly
-        self.short = 0  # times that the process had no descriptor for a connection
+        self.short = 0  # how often the process had no descriptor for a connection
         self.ready = False
         self.stopping = False
         self.connections: dict[IncomingConnection, Stage | None] = {}
@@ -145,29 +152,27 @@
         self._accepting = False
         self._accepted: set[asyncio.Task[None]] = set()  # accepted, with no protocol yet
 
-    # ------------------------------------------------------------- for protocols
-
     def connection(self) -> asyncio.Protocol:
-        """A caller's connection; it tells `opened`, `stage` and `closed`."""
+        """Return a new protocol for a caller's connection, which calls `opened`, `stage` and `closed`."""
         raise NotImplementedError
 
     @property
     def request_s(self) -> float:
-        """Within which a request has to come in whole, from connecting or from its first byte."""
+        """Time within which a request has to come in whole, from connecting or from its first byte."""
         raise NotImplementedError
 
     @property
     def idle_s(self) -> float:
-        """After which a connection that carries nothing is closed."""
+        """Time after which a connection that carries nothing is closed."""
         raise NotImplementedError
 
     def refused_at_once(self, found: socket.socket, no_place: bool, enough: bool) -> bool:
-        """Whether a new connection has been told that its request can't be taken, and closed: where all of that has
-        come already and can be told apart cheaply, and there is no place for it or enough have been taken in this
-        turn. False leaves it as it was."""
-        return False
+        """Whether a new connection was answered that its request can't be taken, and closed.
 
-    # ------------------------------------------------------------------- for fronts
+        That is done where the whole request has come already and can be told apart cheaply, and there is no slot for
+        it (`no_place`) or enough have been accepted in this turn (`enough`). False leaves the connection as it was.
+        """
+        return False
 
     @property
     def limit(self) -> int:
@@ -201,24 +206,26 @@
         return len(self.connections) - len(self.waiting) - len(self.idle) - len(self.lingering)
 
     def begins(self) -> bool:
-        """Whether the request that has come on a connection may be taken, one being counted as under way already."""
+        """Whether the request that has come on a connection may be taken; it is counted as under way already."""
         if self.orderly:
             return self.connection_limit.begins(self.under_way - 1)
-        # Guard: while a sibling restarted, 200 connections idle for under 2 s held all the room, and requests
+        # While a sibling restarted, 200 connections idle for under 2 s held all the room, and requests
         # were refused beside 10 open ones. So a whole request takes the place of the one idle for longest,
         # however short; a mere connection doesn't. It would hurt where connecting costs callers much.
         return self.close_excess(spared_s=0.0)
 
     @property
     def address(self) -> tuple[str, int]:
-        assert self._address is not None
+        """Host and port that it listens at; raises RuntimeError before it does."""
+        if self._address is None:
+            raise RuntimeError("the listener has no socket yet")
         return self._address
 
     @staticmethod
     def bind(host: str, port: int) -> socket.socket:
-        """A socket that callers can connect to, though nothing is taken from it yet; OSError without one."""
+        """Return a socket that callers can connect to, though nothing is accepted yet; raises OSError."""
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
-        # Guard: only of a socket that names its protocol does asyncio turn Nagle's algorithm off, which would hold a
+        # Only of a socket that names its protocol does asyncio turn Nagle's algorithm off, which would hold a
         # second small answer back until the first one has been acknowledged, for 40 ms.
         found = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         try:
@@ -233,10 +240,11 @@
         return found
 
     async def listen(self, host: str, port: int) -> None:
+        """Bind to this address and serve; raises OSError."""
         await self.serve(self.bind(host, port))
 
     async def serve(self, raw: socket.socket) -> None:
-        """Take callers' connections from a bound socket."""
+        """Accept callers' connections from a bound socket."""
         raw.setblocking(False)
         self._listener = raw
         self._address = raw.getsockname()[:2]
@@ -255,9 +263,10 @@
             self.loop.remove_reader(self._listener.fileno())
 
     def _accept(self) -> None:
-        """Take some of those that wait in the kernel, as far as there is room."""
-        assert self._listener is not None
-        # Guard: closed ones go a turn or two later: a few at a time keep a burst within the descriptors.
+        """Accept some of the connections that wait in the kernel, as far as there is capacity."""
+        if self._listener is None:
+            return
+        # Closed ones go a turn or two later: a few at a time keep a burst within the descriptors.
         room = most = max(1, self.limit // 20)
         if self.orderly:
             held = self.held  # before room is made
@@ -275,20 +284,20 @@
             except OSError as error:
                 if error.errno not in OWN:
                     raise
-                # Guard: a listener that is readable and can't be accepted from has the loop turn without end.
+                # A listener that is readable and can't be accepted from has the loop turn without end.
                 self.short += 1
                 self._pause()
                 return
             found.setblocking(False)
             if self.orderly and self.refused_at_once(found, room <= 0, most <= 0):
                 continue
-            # What can't be refused so is taken, one too many at the most.
+            # What can't be rejected so is accepted, one too many at the most.
             task = self.loop.create_task(self._take(found))
             self._accepted.add(task)
             task.add_done_callback(self._accepted.discard)
             most -= 1
             room -= 1
-            # Guard: behind long turns those that were left in the kernel waited there until they were late: what comes
+            # Behind long turns those that were left in the kernel waited there until they were late: what comes
             # after enough have been taken is refused for as long as it has waited too long already.
             if most < 0 or (most <= 0 and not self.orderly):
                 return
@@ -300,7 +309,7 @@
             found.close()
 
     def _free_one(self) -> bool:
-        """Make room for one in an orderly way: what has had its answer, else what has long said nothing, is told."""
+        """Free a slot by closing what has had its answer; else time out connections that have long sent nothing."""
         for connection in islice(self.lingering, SEARCHED):
             if connection.drained:
                 connection.abort()
@@ -312,19 +321,21 @@
         return False
 
     def opened(self, connection: IncomingConnection) -> None:
+        """Count a new connection, which owes a request."""
         self.connections[connection] = None
         if not self.orderly:
-            self.close_excess()  # Guard: accepting never stops
+            self.close_excess()  # Accepting never stops
         self.stage(connection, self.waiting)
 
     def closed(self, connection: IncomingConnection) -> None:
+        """Forget a connection that is gone."""
         self.stage(connection, None)
         self.connections.pop(connection, None)
         if self.orderly and self.connection_limit.may_accept(self.held):
             self._resume()
 
     def stage(self, connection: IncomingConnection, stage: Stage | None) -> None:
-        """Move a connection to a stage, None while a request is open. To stay in one changes nothing."""
+        """Move a connection to a stage, None while a request is open; to stay in one changes nothing."""
         was = self.connections.get(connection)
         if connection in self.connections and was is not stage:
             if was is not None:
@@ -336,15 +347,17 @@
 
     def close_idle(self) -> None:
         """Close what carries nothing, but not what has just come or still has an answer to take."""
-        # Guard: a new connection closed with no answer is a request refused, or lost, without a word.
+        # A new connection closed with no answer is a request refused, or lost, without a word.
         fresh = self.loop.time() - NEW_CONNECTION_S
         for connection in [*self.waiting, *self.idle]:
             if (connection.known or connection.since <= fresh) and connection.flushed:
                 connection.close_if_idle()
 
     def finish_last(self) -> bool:
-        """End what can be ended, with an answer where one is owed; whether something is left that has yet to be read
-        or has not left this process."""
+        """End what can be ended, with an answer where one is owed.
+
+        Returns whether something is left that has yet to be read or has not left this process.
+        """
         for connection in [*self.waiting, *self.idle]:
             if connection.flushed and not connection.close_if_idle():
                 connection.reject_partial()
@@ -356,17 +369,17 @@
         return left or coming or bool(self._accepted)
 
     def retire(self) -> None:
-        """Take what has connected by now, listen no more, and close each connection after its answer."""
+        """Accept what has connected by now, stop listening, and close each connection after its answer."""
         if self._accepting:
-            # Guard: what waited in the kernel when a reload removed the listener was reset with no answer.
+            # What waited in the kernel when a reload removed the listener was reset with no answer.
             self._accept()
         self.close()
         self.stopping = True
 
     def close(self) -> None:
-        """Listen no more. What is connected still ends in its time.
+        """Stop listening; what is connected still ends in its time.
 
-        Guard: a caller that had sent half a request kept the listener of a configuration of before for good.
+        A caller that had sent half a request kept the listener of a configuration of before for good.
         """
         if self._listener is not None:
             self._pause()
@@ -374,15 +387,15 @@
             self._listener = None
 
     def close_excess(self, spared_s: float = SPARED_IDLE_S) -> bool:
-        """Come within the limit by closing what carries nothing; False if that is not enough."""
+        """Close connections that carry nothing until the limit is kept; False if that is not enough."""
         while self.crowded:
             if not self._close_one(spared_s):
                 return False
         return True
 
     def _close_one(self, spared_s: float) -> bool:
-        """What has had its last answer goes first, then what never asked, then what idles longest."""
-        # Guard: of a caller that reads slowly, an answer that had not left was cut off to make room.
+        """Close one: first what has had its last answer, then what never sent a request, then what idles longest."""
+        # Of a caller that reads slowly, an answer that had not left was cut off to make room.
         for connection in islice(self.lingering, SEARCHED):
             if connection.flushed:
                 connection.abort()
--- a/loadbalancer/core/outgoing.py
+++ b/loadbalancer/core/outgoing.py
@@ -5,24 +5,26 @@
 import asyncio
 import errno
 import select
+import socket
 from collections.abc import Callable
 from typing import Any, Protocol
 
-OWN = frozenset(
-    (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-)  # this process or machine lacks something
+Response = Any  # a whole answer, of the type of the protocol that derives from `Outgoing`
+# Errors that say that this process or machine lacks something, not that a server does.
+OWN = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
 
 class Exchange(Protocol):
-    """What a connection tells of the one request that it carries: either of these, once."""
+    """Notified by a connection of how its one request ended: by either method, once."""
 
-    def answered(self, response: Any) -> None: ...
+    def answered(self, response: Response) -> None:
+        """Take the whole answer."""
 
     def lost(self, written: bool) -> None:
-        """The connection ended with no whole answer; `written`: its request's last byte had left."""
+        """Note that the connection ended with no whole answer; `written`: the request's last byte had left."""
 
 
-def waits(sock: Any, events: int) -> bool:
+def waits(sock: socket.socket, events: int) -> bool:
     """Whether one of these `select.POLL*` events, an error or an end waits in the kernel."""
     poll = select.poll()
     poll.register(sock.fileno(), events)
@@ -40,7 +42,7 @@
 
 
 class Outgoing(asyncio.Protocol):
-    """The calling end of a connection. `on_closed` is told when it is gone."""
+    """The client end of a connection; `on_closed` is called when it is gone."""
 
     def __init__(self, on_closed: Callable[[Any], None]) -> None:
         self._on_closed = on_closed
@@ -50,12 +52,10 @@
         self._written = True
         self.idle_since = 0.0
 
-    # -------------------------------------------------------------- for the owner
-
     @property
     def usable(self) -> bool:
         """Whether a new request may go out on it."""
-        # Guard: an end that has come but not been read yet would turn the request into a reset.
+        # An end that has come but not been read yet would turn the request into a reset.
         transport = self._transport
         return (
             transport is not None
@@ -71,7 +71,7 @@
         return self._written
 
     def abort(self) -> None:
-        """Close at once, unsent bytes included. The exchange, if any, hears nothing."""
+        """Close at once, unsent bytes included. The exchange, if any, is not notified."""
         self._exchange = None
         self._spoilt = True
         if self._transport is not None:
@@ -81,18 +81,16 @@
         """Close a connection that carries nothing."""
         self.abort()
 
-    # ------------------------------------------------------------------ for protocols
-
     def _send(self, data: bytes, exchange: Exchange) -> None:
         assert self._transport is not None
         assert self._exchange is None
         self._exchange = exchange
         self._transport.write(data)
-        # Guard: a write that fails at once empties the buffer and closes; nothing of it has left.
+        # A write that fails at once empties the buffer and closes; nothing of it has left.
         self._written = not self._transport.is_closing() and not self._transport.get_write_buffer_size()
 
-    def _answer(self, response: Any) -> None:
-        """The exchange is over; its owner may use the connection again before this returns."""
+    def _answer(self, response: Response) -> None:
+        """End the exchange; its owner may use the connection again before this returns."""
         exchange, self._exchange = self._exchange, None
         # A server that answers before it has the whole request leaves the rest on the connection.
         if not self._written:
@@ -108,22 +106,24 @@
         if exchange is not None:
             exchange.lost(written)
 
-    # ---------------------------------------------------------- asyncio.Protocol
-
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport; called by asyncio."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        # Guard: asyncio drops its buffer before connection_lost; with limits of 0 it tells when all has left.
+        # Asyncio drops its buffer before connection_lost; with limits of 0 it tells when all has left.
         transport.set_write_buffer_limits(high=0)
 
     def resume_writing(self) -> None:
+        """Note that all bytes have left; called by asyncio."""
         self._written = True
 
     def eof_received(self) -> bool:
+        """Have the connection closed when the server has; called by asyncio."""
         self._spoilt = True
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """End the exchange, if any, without an answer; called by asyncio."""
         self._spoilt = True
         self._on_closed(self)
         self._lose(self._written)
--- a/loadbalancer/core/pool.py
+++ b/loadbalancer/core/pool.py
@@ -7,14 +7,22 @@
 from collections import Counter, deque
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field, replace
-from typing import Any
 
 from loadbalancer import interface as api
 from loadbalancer.balancer import Balancer
 from loadbalancer.core.address import Address
 from loadbalancer.core.clock import Clock
 from loadbalancer.core.turns import turns_of
-from loadbalancer.core.types import Answer, AnswerCause, AnswerKind, Attempt, RequestCapacity, Upstream
+from loadbalancer.core.types import (
+    Answer,
+    AnswerCause,
+    AnswerKind,
+    Attempt,
+    Message,
+    Reply,
+    RequestCapacity,
+    Upstream,
+)
 
 log = logging.getLogger("loadbalancer")
 
@@ -27,7 +35,7 @@
     """A request that the balancer knows of, until it is answered and all its attempts have ended."""
 
     id: str
-    message: Any  # what the upstream sends, and what the front knows the request by
+    message: Message  # what the upstream sends, and what the front knows the request by
     deliver: Callable[[OpenRequest, Answer], None]
     give_up_at: float  # by the loop's clock
     kind: str = ""  # its class's name
@@ -38,14 +46,24 @@
     last: api.Result | None = None
     may_have_run: bool = False  # by an attempt that has ended
     first: api.Earlier | None = None  # the first attempt that may have run, ended or not
-    reply: Any = None  # the last error that a server answered with
+    reply: Reply = None  # the last error that a server answered with
 
     @property
-    def error_reply(self) -> Any:
+    def error_reply(self) -> Reply:
         """The server's answer if the last attempt ended in an error, else None."""
         return self.reply if self.last is api.Result.ERROR else None
 
 
+@dataclass(slots=True, frozen=True)
+class _Sent:
+    """A send of the balancer, and what it was for."""
+
+    action: api.Send
+    number: int  # of the attempt
+    open_request: OpenRequest | None
+    began: float  # by the loop's clock
+
+
 class Pool:
     """Owns the balancer: makes events of what happens and carries out the actions it returns."""
 
@@ -200,7 +218,7 @@
         self,
         request: api.Request,
         give_up_at: float,
-        message: Any,
+        message: Message,
         deliver: Callable[[OpenRequest, Answer], None],
     ) -> OpenRequest:
         """Submit a request, whose id no open one of this pool may have.
@@ -262,11 +280,12 @@
         open_request = self.requests.get(action.id)
         number = len(open_request.attempts) if open_request is not None else 0
         began = self.loop.time()
+        attempt_sent = _Sent(action, number, open_request, began)
         over = open_request is None or open_request.done or open_request.give_up_at <= began
         if open_request is not None:
             open_request.attempts.append(None)  # a moot send has a number too
         if open_request is None or over or number >= self.settings.max_attempts:
-            self._outcome(action, number, open_request, api.Result.MOOT, began)
+            self._outcome(attempt_sent, api.Result.MOOT)
             return
         left = open_request.give_up_at - began
         timeout = min(left, action.timeout_ms / 1000.0) if action.timeout_ms > 0.0 else left
@@ -277,7 +296,7 @@
         window: asyncio.TimerHandle | None = None
 
         def on_end(
-            result: api.Result, reply: Any, report: dict[str, float] | None, server_s: float = 0.0
+            result: api.Result, reply: Reply, report: dict[str, float] | None, server_s: float = 0.0
         ) -> None:
             if window is not None:
                 window.cancel()  # as long as the servers' memory, it kept each repeat with its body
@@ -285,7 +304,7 @@
             open_request.attempts[number] = None
             if result.never_ran and open_request.first is sent:
                 open_request.first = None
-            self._outcome(action, number, open_request, result, began, reply, report, server_s)
+            self._outcome(attempt_sent, result, reply, report, server_s)
 
         attempt = self.back.send(action.server, open_request.message, timeout, on_end)
         if attempt is None:
@@ -297,17 +316,15 @@
 
     def _outcome(
         self,
-        action: api.Send,
-        number: int,
-        open_request: OpenRequest | None,
+        sent: _Sent,
         result: api.Result,
-        began: float,
-        reply: Any = None,
+        reply: Reply = None,
         report: dict[str, float] | None = None,
         server_s: float = 0.0,
     ) -> None:
         """Report the one outcome of a send; the first good answer goes to the caller and ends its request."""
         self.counts[result.value] += 1
+        action, open_request = sent.action, sent.open_request
         if open_request is not None:
             open_request.last = result
             open_request.may_have_run = open_request.may_have_run or not result.never_ran
@@ -319,12 +336,12 @@
         done = open_request is None or open_request.done
         latency = server_s * 1000.0
         # A core that was away between an attempt's end and here was taken for a slow server.
-        own_ms = max(0.0, (self.loop.time() - began) * 1000.0 - latency)
+        own_ms = max(0.0, (self.loop.time() - sent.began) * 1000.0 - latency)
         if result is api.Result.OK:
             self.good += 1
             self.own_ms += own_ms
             self.server_ms += latency
-        self.handle(api.Outcome(action.id, number, action.server, result, latency, done, report, own_ms))
+        self.handle(api.Outcome(action.id, sent.number, action.server, result, latency, done, report, own_ms))
 
     def on_server_list(
         self,
--- a/loadbalancer/core/turns.py
+++ b/loadbalancer/core/turns.py
@@ -1,4 +1,4 @@
-"""An event loop that tells of its turns."""
+"""An event loop that measures its turns: a turn is one poll and the handling of what it found."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 import selectors
 import time
 from collections.abc import Callable
-from typing import Any
 
 from loadbalancer.overload.turns import Turns
 
-BEAT_S = 0.01  # longest sleep while requests are open: a core that was away for longer than this is noticed
+BEAT_S = 0.01  # longest sleep while requests are open: a core taken away for longer than this is noticed
 
 
 class _Timed(selectors.DefaultSelector):
-    """Tells when each poll began and ended, by the loop's clock."""
+    """Reports when each poll began and ended, by the loop's clock."""
 
     def __init__(self, turns: Turns) -> None:
         super().__init__()
         self._turns = turns
 
-    def select(self, timeout: float | None = None) -> Any:
+    def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
+        """Poll, and report the times."""
         began = time.monotonic()
         found = super().select(timeout)
         self._turns.poll(began, time.monotonic(), timeout, len(found))
@@ -28,7 +28,7 @@
 
 
 class TurnLoop(asyncio.SelectorEventLoop):
-    """asyncio's own loop, with `turns`."""
+    """asyncio's own loop, with its measured `turns`."""
 
     def __init__(self) -> None:
         self.turns = Turns()
@@ -36,7 +36,7 @@
 
 
 def turns_of(loop: asyncio.AbstractEventLoop) -> Turns:
-    """The turns of a loop; of one that does not tell them, one in which nothing is the process's own."""
+    """Return the turns of a loop; of one that does not measure them, ones with no time of the process's own."""
     found = getattr(loop, "turns", None)
     return found if isinstance(found, Turns) else Turns()
 
@@ -50,6 +50,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
+        """Wake the loop again soon, and then for as long as it is wanted."""
         if self._timer is None:
             self._timer = self._loop.call_later(BEAT_S, self._go)
 
@@ -59,6 +60,7 @@
             self.start()
 
     def close(self) -> None:
+        """Stop waking the loop."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/loadbalancer/http/client.py
+++ b/loadbalancer/http/client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 for the node's outgoing calls: one connection, one exchange at a time, nothing sent twice."""
+"""HTTP/1.1 client connections: one exchange at a time, nothing sent twice."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 from loadbalancer.core.outgoing import Exchange, Outgoing
 
-MAX_BODY = 64 * 1024
-MAX_HEAD = 16 * 1024
+MAX_BODY = 64 * 1024  # bytes
+MAX_HEAD = 16 * 1024  # bytes
 NO_BODY = frozenset((204, 304))  # answers that have none, whatever their head says (RFC 9110, section 6.4.1)
 
 Header = tuple[bytes, bytes]
@@ -19,6 +19,8 @@
 
 @dataclass(slots=True)
 class Response:
+    """A whole answer."""
+
     status: int = 0
     headers: dict[bytes, bytes] = field(default_factory=dict)  # by lower-case name
     raw: list[Header] = field(default_factory=list)  # as they came, where the connection keeps them
@@ -32,16 +34,18 @@
         self.done: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
 
     def answered(self, response: Response) -> None:
+        """Take the whole answer."""
         if not self.done.done():
             self.done.set_result(response)
 
     def lost(self, written: bool) -> None:
+        """Note that none came."""
         if not self.done.done():
             self.done.set_exception(ConnectionError("the connection ended without a whole answer"))
 
 
 class ClientConnection(Outgoing):
-    """The calling end of a connection. `on_closed` is told when it is gone."""
+    """The client end of a connection; `on_closed` is called when it is gone."""
 
     def __init__(
         self, on_closed: Callable[[ClientConnection], None], max_body: int = MAX_BODY, raw: bool = False
@@ -57,8 +61,6 @@
         self._head = 0  # bytes that have come of heads that were not whole yet
         self._whole = False
 
-    # -------------------------------------------------------------- for the owner
-
     def start(self, data: bytes, exchange: Exchange, bodiless: bool = False) -> None:
         """Send a request; `bodiless`: its method is HEAD."""
         self._bodiless = bodiless
@@ -66,9 +68,8 @@
         self._in_head, self._head = True, 0
         self._send(data, exchange)
 
-    # ---------------------------------------------------------- asyncio.Protocol
-
     def data_received(self, data: bytes) -> None:
+        """Parse what has come; called by asyncio."""
         if self._exchange is None:  # nothing was asked: what follows would not belong to the next request
             self.abort()
             return
@@ -76,9 +77,8 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._spoilt = True
-        if (
-            self._in_head
-        ):  # Guard: the parser keeps a header back until it is whole; interim answers count too
+        # The parser keeps a header back until it is whole; interim answers count too.
+        if self._in_head:
             self._head += len(data)
             self._spoilt = self._spoilt or self._head > MAX_HEAD
         if self._whole:
@@ -89,17 +89,18 @@
             self._lose(self._written)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """End the exchange, if any; called by asyncio."""
         super().connection_lost(exc)
-        # Guard: parser and connection hold each other; the collector comes for such old pairs hardly ever.
+        # Parser and connection hold each other; the collector comes for such old pairs hardly ever.
         del self._parser
 
-    # --------------------------------------------------------- httptools callbacks
-
     def on_message_begin(self) -> None:
+        """Note that an answer begins; called by the parser."""
         if self._whole:
             self._spoilt = True  # more than was asked for
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Take a header; called by the parser."""
         self._grow(len(name) + len(value), MAX_HEAD)
         if self._in_head:  # a trailer changes nothing
             if self._raw:
@@ -108,17 +109,18 @@
             self._response.headers[name.lower()] = value
 
     def on_headers_complete(self) -> None:
+        """Check the head; called by the parser."""
         self._size = 0
         if self._whole or self._parser.get_status_code() < 200:
             return
         self._in_head = False
         headers = self._response.headers
         if self._bodiless or self._parser.get_status_code() in NO_BODY:
-            # Guard: the parser waits for the body that the head speaks of; none comes.
+            # The parser waits for the body that the head speaks of; none comes.
             self._finish()
             return
         length = headers.get(b"content-length")
-        # Guard: what is said to be too long is not waited for; what only the end of the connection
+        # What is said to be too long is not waited for; what only the end of the connection
         # would end can't be told from what broke off.
         if length is None:
             self._spoilt = self._spoilt or b"transfer-encoding" not in headers
@@ -126,6 +128,7 @@
             self._spoilt = True
 
     def on_body(self, body: bytes) -> None:
+        """Take a part of the body; called by the parser."""
         if self._whole:  # a body where none belongs
             self._spoilt = True
             return
@@ -134,6 +137,7 @@
             self._response.body += body
 
     def on_message_complete(self) -> None:
+        """End the answer, or wait for the final one; called by the parser."""
         status = self._parser.get_status_code()
         if self._whole or self._spoilt:
             return
--- a/loadbalancer/http/connection_pool.py
+++ b/loadbalancer/http/connection_pool.py
@@ -1,10 +1,11 @@
-"""Attempts in HTTP/1.1; what a message is and what an answer stands for, a `Wire` says."""
+"""Attempts in HTTP/1.1; a `Wire` says what a message is and what an answer stands for."""
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from typing import Protocol
 
 from loadbalancer.core.connection_pool import Attempt, ConnectionPool
+from loadbalancer.core.types import Message
 from loadbalancer.http.client import ClientConnection, Response
 from loadbalancer.interface import Result
 
@@ -15,17 +16,19 @@
     max_body: int  # bytes of an answer's body
     raw: bool  # whether an answer's headers are kept as they came
 
-    def encode(self, message: Any, wait_s: float) -> bytes:
-        """The request as it goes to a server that is waited for this long."""
+    def encode(self, message: Message, wait_s: float) -> bytes:
+        """Return the request's bytes for a server whose answer is waited for `wait_s`."""
 
-    def bodiless(self, message: Any) -> bool:
+    def bodiless(self, message: Message) -> bool:
         """Whether the answer to it has no body, as to HEAD."""
 
     def read(self, response: Response) -> tuple[Result, dict[str, float] | None]:
-        """The outcome that a whole answer stands for, and the load report that it holds."""
+        """Return the outcome that a whole answer stands for, and the load report that it holds."""
 
 
 class HttpConnectionPool(ConnectionPool):
+    """Pooled HTTP/1.1 connections; `wire` says how messages are written and answers read."""
+
     def __init__(
         self, limit: int, server_idle_s: float, connect_timeout_s: float, wire: Wire, rest_s: float = 0.0
     ) -> None:
@@ -33,11 +36,14 @@
         self.wire = wire
 
     def connection(self) -> ClientConnection:
+        """Return a new client connection."""
         return ClientConnection(self.forget, self.wire.max_body, self.wire.raw)
 
-    def start(self, connection: ClientConnection, message: Any, wait_s: float, attempt: Attempt) -> None:
+    def start(self, connection: ClientConnection, message: Message, wait_s: float, attempt: Attempt) -> None:
+        """Write a message whose answer is waited for `wait_s`."""
         wire = self.wire
         connection.start(wire.encode(message, wait_s), attempt, wire.bodiless(message))
 
-    def outcome(self, message: Any, reply: Response) -> tuple[Result, dict[str, float] | None]:
+    def outcome(self, message: Message, reply: Response) -> tuple[Result, dict[str, float] | None]:
+        """Return the outcome that a whole answer stands for, and its load report."""
         return self.wire.read(reply)
--- a/loadbalancer/http/server.py
+++ b/loadbalancer/http/server.py
@@ -1,4 +1,4 @@
-"""The callers' side: parses requests, keeps connections, writes the one answer to each."""
+"""HTTP/1.1 for callers: parses requests, keeps connections, writes the one answer to each."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 IDLE_S = 8.0  # after which a connection that carries nothing is closed
 PIPELINE = 32  # whole requests that may wait on one connection
 
-# Guard: of a repeated header the node could read one and a server another, so these may stand once only.
+# Of a repeated header the node could read one and a server another, so these may stand once only.
 FRAMING = frozenset(b"host content-length transfer-encoding expect".split())
 TARGET = re.compile(rb"/[\x21-\x7e]*")
 ABSOLUTE = re.compile(
@@ -29,11 +29,8 @@
 # What a Host may hold (RFC 3986, section 3.2, but for userinfo).
 HOST = re.compile(rb"[A-Za-z0-9._~%!$&'()*+,;=:\[\]-]*")
 UNREAD_BODY = 16 * 1024  # bytes of a body from which it is not waited for only to be refused
-PLAIN = (
-    b"GET ",
-    b"HEAD ",
-    b"DELETE ",
-)  # methods of requests that end with their head, where it speaks of no body
+# Methods of requests that end with their head, where it speaks of no body.
+PLAIN = (b"GET ", b"HEAD ", b"DELETE ")
 
 
 @dataclass(slots=True, frozen=True)
@@ -66,15 +63,17 @@
     on_gone: Callable[[], None] | None = None
 
     def answer(self, status: int, body: bytes = b"", retry_after_ms: float = 0.0) -> None:
-        """The final answer; a second one is ignored."""
+        """Write the final answer, without headers of its own; a second one is ignored."""
         if not self.answered:
             self.answered = True
             self.on_gone = None  # which would hold what holds this call
             self.connection.answer(self, _head(status, len(body), retry_after_ms), body, 400 <= status < 500)
 
     def pass_on(self, status: int, headers: list[Header], body: bytes, unusable: bool = False) -> None:
-        """The final answer with these headers, whose length is written here unless it has no body;
-        `unusable`: so was the request."""
+        """Write the final answer with these headers; a second one is ignored.
+
+        Its length is written here unless it has no body; `unusable`: so was the request.
+        """
         if not self.answered:
             self.answered = True
             self.on_gone = None
@@ -95,7 +94,7 @@
 
 
 def _head(status: int, length: int, retry_after_ms: float) -> bytes:
-    """The head of an answer of ours, but for its last line."""
+    """Return the head of an answer of ours, but for its last line."""
     lines = [f"HTTP/1.1 {status} {HTTPStatus(status).phrase}", f"Content-Length: {length}"]
     if retry_after_ms > 0.0:
         lines.append(f"Retry-After: {retry_after_ms / 1000.0:.3f}")
@@ -142,7 +141,7 @@
 
     def expire(self) -> None:
         """Its time in this stage is over."""
-        # Guard: a caller that does not read its answers would hold them, and its place, for ever.
+        # A caller that does not read its answers would hold them, and its place, for ever.
         if self._closing or self._stuck:
             self.abort_if_read()
         elif self._partial is not None or (self.silent and self._server.orderly):
@@ -150,9 +149,8 @@
         else:
             self.close_if_idle()
 
-    # ---------------------------------------------------------- asyncio.Protocol
-
     def data_received(self, data: bytes) -> None:
+        """Parse what has come, and serve or reject it; called by asyncio."""
         if self._closing or (self._fault and self._calls):
             return  # read and dropped, so that no answer is lost to a reset and a caller's leaving is seen
         self._came = self.arrived()
@@ -162,7 +160,7 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._fault = self._fault or 400
-        if self._in_head:  # Guard: the parser keeps a header back until it is whole
+        if self._in_head:  # The parser keeps a header back until it is whole
             self._head += len(data)
             # A body before it may have come with its first part.
             if self._head > MAX_HEAD + self._dialect.max_body:
@@ -174,21 +172,21 @@
         elif self._fault:
             self._fail(self._fault)
         elif self._partial is not None:
-            # Guard: one deadline for a whole request; no byte but its first moves it.
+            # One deadline for a whole request; no byte but its first moves it.
             self._server.stage(self, self._server.waiting)
 
     def _refused_unread(self, data: bytes) -> bool:
         """Turn a whole request away without reading it, where none could be answered in time.
 
-        Guard: reading, routing and writing a refusal cost the core that answers needed.
+        Reading, routing and writing a refusal cost the core that answers needed.
         """
-        assert self._server.refusal is not None
-        if self._calls or self._partial is not None or self._stuck:
+        refusal = self._server.refusal
+        if refusal is None or self._calls or self._partial is not None or self._stuck:
             return False
-        found = self._server.refusal(self._came)
+        found = refusal(self._came)
         if found is None or not is_plain(data):
             return False
-        # Guard: closed as well, callers came back on new ones, which cost the core several times the refusal.
+        # Closed as well, callers came back on new ones, which cost the core several times the refusal.
         close = self._server.stopping or b"\r\nconnection:" in data.lower()
         self._server.on_refused(found)
         self._transport.write(found + (b"Connection: close\r\n\r\n" if close else b"\r\n"))
@@ -200,13 +198,15 @@
         return True
 
     def pause_writing(self) -> None:
-        # Guard: a caller that asks on and never reads had its answers piled up here without end.
+        """Stop reading while the caller does not read its answers; called by asyncio."""
+        # A caller that asks on and never reads had its answers piled up here without end.
         self._stuck = True
         self._transport.pause_reading()
         if not self._calls or not self._calls[0].begun:
             self._server.stage(self, self._server.waiting)
 
     def resume_writing(self) -> None:
+        """Read on; called by asyncio."""
         self._stuck = False
         if self._closing:
             return
@@ -218,7 +218,8 @@
             self._server.stage(self, self._server.idle)
 
     def eof_received(self) -> bool:
-        # Guard: an answer that could not be flushed held back that the caller had gone, and what it had asked
+        """Handle that the caller has closed its side; called by asyncio."""
+        # An answer that could not be flushed held back that the caller had gone, and what it had asked
         # for behind that answer was sent on.
         self._leave()
         self._closing = True
@@ -226,14 +227,15 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Give up what the caller has requested; called by asyncio."""
         self._closing = True
         self._server.closed(self)
-        # Guard: parser and connection hold each other; the collector comes for such old pairs hardly ever.
+        # Parser and connection hold each other; the collector comes for such old pairs hardly ever.
         del self._parser
         self._leave()
 
     def _leave(self) -> None:
-        """The caller has gone: nothing of what it has asked for is wanted any more."""
+        """Give up all requests of a caller that has gone."""
         calls, self._calls = self._calls, deque()
         for call in calls:
             call.answered = True
@@ -241,24 +243,25 @@
                 call.on_gone()
                 call.on_gone = None
 
-    # --------------------------------------------------------- httptools callbacks
-
     def on_message_begin(self) -> None:
+        """Begin a request; called by the parser."""
         self._partial = Call(self)
         self._size = self._head = 0
         self._in_head = True
 
     def on_url(self, url: bytes) -> None:
+        """Take a part of the target; called by the parser."""
         self._grow(len(url), MAX_HEAD, 400)
         if self._partial is not None:
             self._partial.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Take a header; called by the parser."""
         self._grow(len(name) + len(value), MAX_HEAD, 400)
         given, name = name, name.lower()
         if self._partial is None or self._fault:
             return
-        # Guard: a trailer could rewrite the head that it follows.
+        # A trailer could rewrite the head that it follows.
         if not self._in_head or (name in self._dialect.once and name in self._partial.headers):
             self._fault = 400
         if self._dialect.raw:
@@ -268,6 +271,7 @@
         self._partial.headers[name] = value
 
     def on_headers_complete(self) -> None:
+        """Check the head; called by the parser."""
         self._in_head = False
         if self._partial is None or self._fault:
             return
@@ -278,7 +282,7 @@
         if self._dialect.standard and (found := ABSOLUTE.fullmatch(self._partial.target)):
             self._authority(self._partial, found)
         length, coding = headers.get(b"content-length"), headers.get(b"transfer-encoding")
-        # Guard: a length beside a coding may hide a second request from one of two readers.
+        # A length beside a coding may hide a second request from one of two readers.
         if coding is not None and (length is not None or coding.lower() != b"chunked" or version == "1.0"):
             self._fault = 400
         elif not hosted:
@@ -302,7 +306,7 @@
         return host is not None and HOST.fullmatch(host.strip(b" \t")) is not None
 
     def _authority(self, call: Call, found: re.Match[bytes]) -> None:
-        """A target in absolute form: its authority stands in place of Host (RFC 9112, section 3.2.2)."""
+        """Take a target in absolute form: its authority replaces Host (RFC 9112, section 3.2.2)."""
         rest, host = found["rest"] or b"/", found["authority"]
         call.target = rest if rest.startswith(b"/") else b"/" + rest
         if b"@" in host:  # RFC 9110, section 4.2.4: userinfo is an error in what comes from outside
@@ -327,19 +331,21 @@
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
+        """Take a part of the body; called by the parser."""
         self._owes_continue = False  # it did not wait
         self._grow(len(body), self._dialect.max_body, 413)
         if self._partial is not None and not self._fault:
             self._partial.body += body
 
     def on_message_complete(self) -> None:
+        """Queue the whole request; called by the parser."""
         call, self._partial = self._partial, None
         if call is None or self._fault:
             return
         call.arrived = self._came
         call.method = self._parser.get_method()
         call.keep_alive = self._parser.should_keep_alive()
-        # Guard: a caller sends one request at a time; of one that sends more, only so much is held.
+        # A caller sends one request at a time; of one that sends more, only so much is held.
         held = sum(len(one.body) for one in self._calls)
         if len(self._calls) >= PIPELINE or held > self._dialect.max_body:
             self._fault = 429
@@ -351,13 +357,11 @@
         if self._size > limit:
             self._fault = self._fault or fault
 
-    # -------------------------------------------------------------------- answers
-
     def _serve(self) -> None:
         """Hand the first whole request on, unless that has been done or its caller has gone."""
         call = self._calls[0]
         if not call.begun:
-            # Guard: the end of a caller that has sent much and gone is read after its requests, which were sent on;
+            # The end of a caller that has sent much and gone is read after its requests, which were sent on;
             # so was what stood behind an answer that was held up.
             if self._transport.is_closing() or ended(self._transport):
                 self._leave()
@@ -396,6 +400,7 @@
             self._serve()
 
     def reject_partial(self) -> None:
+        """Answer 503 to a request that has come in part."""
         if self._partial is not None and not self._calls and not self._closing:
             self._fail(503)
 
@@ -410,7 +415,7 @@
 
 
 class Server(Listener):
-    """Listens to callers of HTTP/1.1."""
+    """Listens to callers of HTTP/1.1; `on_call` takes each whole request."""
 
     def __init__(
         self, limit: int, on_call: Callable[[Call], None], dialect: Dialect, orderly: bool = False
@@ -425,9 +430,11 @@
         self.dialect = dialect
 
     def connection(self) -> ServerConnection:
+        """Return a new connection."""
         return ServerConnection(self)
 
     def refused_at_once(self, found: socket.socket, no_place: bool, enough: bool) -> bool:
+        """Reject a whole request unread, where it can be told apart cheaply."""
         if self.full_head is None or self.refusal is None:
             return False
         full = no_place or not self.connection_limit.begins(self.under_way)
@@ -456,8 +463,10 @@
 
     @property
     def request_s(self) -> float:
+        """Time within which a request has to come in whole."""
         return self.dialect.request_s or REQUEST_S
 
     @property
     def idle_s(self) -> float:
+        """Time after which an idle connection is closed."""
         return self.dialect.idle_s or IDLE_S
--- a/loadbalancer/interface.py
+++ b/loadbalancer/interface.py
@@ -44,7 +44,7 @@
     def never_ran(self) -> bool:
         return self in _NEVER_RAN
 
-    # Guard: Enum's own hash is written in Python, and each attempt's result is looked up.
+    # Enum's own hash is written in Python, and each attempt's result is looked up.
     __hash__ = object.__hash__
 
 
--- a/loadbalancer/node/front.py
+++ b/loadbalancer/node/front.py
@@ -61,7 +61,7 @@
             call.answer(error.status)
             return
         if self.pool.full or not self.server.begins():
-            # Guard: too many to hold. None of it has gone anywhere, so it is a refusal.
+            # Too many to hold. None of it has gone anywhere, so it is a refusal.
             self.counts["over the limit"] += 1
             call.answer(503)
             return
@@ -124,7 +124,7 @@
     text = headers.get(name)
     if text is None:
         return None
-    # Guard: float() reads more than figures: blanks, underscores, signs, words.
+    # Float() reads more than figures: blanks, underscores, signs, words.
     if not form.fullmatch(text.decode("latin-1")):
         raise BadRequestError(400)
     return float(text)
--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -108,8 +108,6 @@
         """Ready once there is a server to send to, until the node leaves service."""
         self.server.ready = not self.leaving and (self.server.ready or bool(self.pool.up))
 
-    # -------------------------------------------------------------------- figures
-
     def _beat(self, due: float) -> None:
         now = self.loop.time()
         self.lag = max(self.lag, now - due)
--- a/loadbalancer/overload/core.py
+++ b/loadbalancer/overload/core.py
@@ -34,8 +34,11 @@
     servers_s: float = 0.0  # of an answer, whatever its class
 
     def learn(self, whole_s: float, busy_s: float, served: int, refused: int, servers_s: float) -> None:
-        """What the core has done in `whole_s`, of which it worked for `busy_s`, and what servers took of an answer."""
-        # Guard: beside few requests what else the core does was taken for their cost, and a burst was refused.
+        """Learn the costs from what the core has done in `whole_s`, of which it worked for `busy_s`.
+
+        `servers_s` is what servers took of an answer.
+        """
+        # Beside few requests what else the core does was taken for their cost, and a burst was refused.
         if busy_s >= BUSY_SHARE * whole_s and served > 0:
             weight = served / (served + WEIGHTY)
             cost = busy_s / (served + REFUSAL * refused)
@@ -64,5 +67,5 @@
         return not self.allows(turn_s, waited_s, open_, 0.0, self.top_s, 1.0)
 
     def _queue_s(self, open_: int) -> float:
-        """The work of what is open and not with a server (by Little's law), of a core that does nothing else."""
+        """Return the work of what is open and not with a server (by Little's law), of a core that does nothing else."""
         return open_ * self.cost_s - self.servers_s
--- a/loadbalancer/overload/rejections.py
+++ b/loadbalancer/overload/rejections.py
@@ -7,10 +7,10 @@
 
 
 class RejectionSource(Enum):
-    """A refusal's owner: its name in figures, its error type, and what its caller is told."""
+    """The limit that rejects a request: its name in metrics, its error type, and what its caller is told."""
 
     TABLE = ("pool's table", "destination_unavailable", "")
-    SERVERS = ("servers", "destination_unavailable", "")  # tried, and turned away or not reached
+    SERVERS = ("servers", "destination_unavailable", "")  # attempted, and rejected or not reached
     NO_SERVER = ("no server", "destination_unavailable", "no server is known")
     CORE = ("own core", "proxy_internal_response", "this node's core is busy")
     CONNECTIONS = ("own descriptors", "connection_limit_reached", "this node can open no connection in time")
@@ -20,37 +20,42 @@
 
     @property
     def label(self) -> str:
+        """Its name in metrics."""
         return self.value[0]
 
-    # Guard: Enum's own hash is written in Python, and each refusal is counted.
+    # Enum's own hash is written in Python, and each refusal is counted.
     __hash__ = object.__hash__
 
     @property
     def error(self) -> str:
+        """Its error type by RFC 9209."""
         return self.value[1]
 
     @property
     def words(self) -> str:
+        """What its caller is told; empty: nothing."""
         return self.value[2]
 
 
 class RejectionCounts:
-    """How many were refused, by pool, class and owner, since the start. What is refused unread has neither."""
+    """Rejections by pool, class and source since the start; what is rejected unread has neither pool nor class."""
 
     def __init__(self) -> None:
         self.counts: Counter[tuple[str, str, RejectionSource]] = Counter()
 
     def add(self, pool: str, kind: str, whose: RejectionSource) -> None:
+        """Count a rejection."""
         self.counts[pool, kind, whose] += 1
 
     def rows(self) -> dict[str, dict[str, dict[str, int]]]:
-        """By pool, class and owner; `""` stands for what was not known yet."""
+        """Return the counts by pool, class and source; `""` stands for what was not known yet."""
         found: dict[str, dict[str, dict[str, int]]] = {}
         for (pool, kind, whose), count in sorted(self.counts.items(), key=lambda item: item[0][:2]):
             found.setdefault(pool, {}).setdefault(kind, {})[whose.label] = count
         return found
 
     def by_owner(self) -> Counter[str]:
+        """Return the counts by source alone."""
         sums: Counter[str] = Counter()
         for (_, _, whose), count in self.counts.items():
             sums[whose.label] += count
--- a/loadbalancer/overload/turns.py
+++ b/loadbalancer/overload/turns.py
@@ -12,12 +12,12 @@
 
 WAITED_S = 50e-6  # a poll that took longer has waited for what it reports
 OVERSLEPT_S = 0.002  # beyond its time-out: the core was away
-HELD = 2048  # latest turns by which lags are told
+KEPT_TURNS = 2048  # latest turns from which lags are computed
 RISE, FALL = 0.5, 0.1  # how fast the smoothed turn follows a longer and a shorter one
 
 
 class Turns:
-    """Told of each poll, in the loop's seconds. One that is never told of any takes nothing for its own."""
+    """Statistics of the loop's polls, in its seconds. Without any poll, no time counts as the process's own."""
 
     def __init__(self) -> None:
         self.told = False
@@ -26,17 +26,17 @@
         self.busy_s = 0.0  # in all, between polls
         self.away_s = 0.0  # in all, asleep beyond what was asked for
         self._came = 0.0
-        self._latest: deque[float] = deque(maxlen=HELD)
+        self._latest: deque[float] = deque(maxlen=KEPT_TURNS)
 
     def poll(self, began: float, ended: float, timeout: float | None, found: int) -> None:
-        """A poll has returned: when it began and ended, how long it might wait (None: without end), what it found."""
+        """Count a poll: when it began and ended, its time-out (None: without end), how many events it found."""
         if not self.told:
             self.told, self.polled = True, began
         busy, waited = max(0.0, began - self.polled), ended - began
         over = 0.0 if timeout is None else max(0.0, waited - max(0.0, timeout))
         away = over if over > OVERSLEPT_S else 0.0
         if away:
-            # Guard: a core that was taken away while the loop slept made every answer look as late as its return.
+            # A core that was taken away while the loop slept made every answer look as late as its return.
             # What it found may have been there when the sleep began, or come at any time since.
             self._came = self.polled
         elif waited > WAITED_S:
@@ -51,7 +51,7 @@
             self._latest.append(busy + away)
 
     def so_far(self, now: float) -> float:
-        """A turn's length, or this one's if it is longer already."""
+        """Return a turn's length, or this one's if it is longer already."""
         return max(self.turn_s, now - self.polled) if self.told else 0.0
 
     @property
@@ -60,15 +60,15 @@
         return self.busy_s + self.away_s
 
     def came(self, now: float) -> float:
-        """The earliest moment at which what is handled now can have come."""
+        """Return the earliest time at which what is handled now can have come."""
         return min(self._came, now) if self.told else now
 
     def lag(self, now: float) -> float:
-        """For how long what has come may not have been read yet: this turn so far, and the wait before it."""
+        """Return for how long what has come may not have been read: this turn so far, and the wait before it."""
         return max(0.0, now - self._came) if self.told else 0.0
 
     def lags_ms(self) -> tuple[float, float]:
-        """Median and 99th percentile of the latest turns that had something to do."""
+        """Return median and 99th percentile of the latest turns that had something to do."""
         if len(self._latest) < 2:
             return 0.0, 0.0
         cut = quantiles(self._latest, n=100)
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -1,4 +1,4 @@
-"""What both hosts of the decision module, adapter and node, read alike: settings and load reports."""
+"""Settings and load reports, as both hosts of the balancer (simulator adapter and node) read them."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def settings_from(config: Row) -> Settings:
-    """The settings of a node from its first message; keys that are not known are ignored."""
+    """Read the settings of a node from its first message; keys that are not known are ignored."""
     bounds: Row = config.get("bounds") or {}
     rules: Row = config.get("invariants") or {}
     prices: Row = config.get("prices") or {}
@@ -80,7 +80,7 @@
 
 
 def report_from(text: str, fields: tuple[str, ...]) -> dict[str, float] | None:
-    """A report's text form, `TEXT name=value, name=value`, cut down to the fields that the settings name.
+    """Parse a report's text form, `TEXT name=value, name=value`, cut down to the fields that the settings name.
 
     One with anything in it that is no figure, or none that a server could mean, is no report.
     """
@@ -88,7 +88,7 @@
     report: dict[str, float] = {}
     for pair in pairs.split(","):
         name, _, figure = pair.strip().partition("=")
-        # Guard: float() reads signs, words and underscores, and a huge queue would shut a server out.
+        # Float() reads signs, words and underscores, and a huge queue would shut a server out.
         if kind != "TEXT" or not FIGURE.fullmatch(figure):
             return None
         name = REPORTS.get(name, name)
--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The wire adapter: reads the simulator's batches on standard input and writes replies on standard output.
+"""The adapter to the simulator: reads the simulator's batches on standard input and writes replies on standard output.
 
 Translation only; every decision is made by loadbalancer.balancer. One process hosts many nodes, which share
 nothing.
@@ -51,17 +51,18 @@
 
 
 class WireError(Exception):
-    """Input that is not the simulator's wire, and that names no node to put it down to."""
+    """Input that is not in the simulator's form, and that names no node to which to report it."""
 
 
 class Node:
-    """One hosted balancer and the names in which its load reports come."""
+    """One hosted balancer and the names of the fields of its load reports."""
 
     def __init__(self, config: Row, seed: int, now_ms: float) -> None:
         self.settings = settings_from(config)
-        self.brain = Balancer(self.settings, seed, now_ms)
+        self.balancer = Balancer(self.settings, seed, now_ms)
 
     def report(self, values: list[float | None] | None) -> dict[str, float] | None:
+        """Return a load report by field; None without one."""
         if not values:
             return None
         pairs = zip(self.settings.report_fields, values, strict=False)
@@ -69,7 +70,7 @@
 
 
 class Host:
-    """All nodes of one process; `batch` turns the lines of a batch into the lines of its reply."""
+    """All nodes of one process; `event` turns a line of a batch into the lines of its reply."""
 
     def __init__(self) -> None:
         self.nodes: dict[int, Node] = {}
@@ -77,6 +78,7 @@
         self.now = 0.0
 
     def event(self, row: Row) -> list[Row]:
+        """Handle one event; a fault of a node is reported as its PANIC, and ends it."""
         kind = row.get("kind")
         if kind == "CATALOG":
             self.catalogs[row["ref"]] = tuple(_server(line) for line in row["rows"])
@@ -87,6 +89,7 @@
         try:
             return self._node_event(kind, number, row)
         except Exception as error:
+            # A fault of one node must not end the others, which share this process.
             traceback.print_exc(file=sys.stderr)
             self.nodes.pop(number, None)
             text = f"{kind}: {type(error).__name__}: {error}"
@@ -107,9 +110,10 @@
         read = READERS.get(str(kind))
         if read is None:
             raise ValueError("unknown kind of event")
-        return [_written(number, action) for action in node.brain.handle(self.now, read(self, node, row))]
+        return [_written(number, action) for action in node.balancer.handle(self.now, read(self, node, row))]
 
     def members(self, _node: Node, row: Row) -> Event:
+        """Make a membership event of a catalog that came before."""
         form = ListForm(row["form"])
         return Membership(form, () if form is ListForm.FAILED else self.catalogs[row["ref"]])
 
@@ -125,8 +129,8 @@
 
 
 def _request(_host: Host, node: Node, row: Row) -> Event:
-    if row["lane"] not in node.brain.classes:
-        raise ValueError(f"lane: {row['lane']!r} is not one of {', '.join(node.brain.classes)}")
+    if row["lane"] not in node.balancer.classes:
+        raise ValueError(f"lane: {row['lane']!r} is not one of {', '.join(node.balancer.classes)}")
     return Request(
         id=row["txn"],
         service=row["lane"],
@@ -228,6 +232,7 @@
 
 
 def main() -> int:
+    """Run on standard input and output; the exit code."""
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/tests/runtime/test_xds_shared.py
+++ b/tests/runtime/test_xds_shared.py
@@ -122,7 +122,7 @@
     real = XdsFeed.on_change
 
     def on_change(self: XdsFeed) -> None:
-        if self.cluster == "box-0" and self.roster.entries:
+        if self.cluster == "box-0" and self.endpoint_list.entries:
             raise RuntimeError("a fault")
         real(self)
 
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -145,7 +145,7 @@
     rows = [row for event in (catalog(), *start(), request("q")) for row in host.event(event)]
     server = of(rows, "ISSUE")[0]["server"]
     host.event(returned("q", server, 0, True, telemetry=[3, None]))
-    peer = host.nodes[0].brain.peers[server]
+    peer = host.nodes[0].balancer.peers[server]
     assert peer.reported_queue == 3
     assert peer.reported_utilisation is None
 
@@ -155,7 +155,7 @@
     host.now = 1000.0
     for event in (catalog(0, 2), *start(0), catalog(0, 5), *start(1)):
         host.event(event)
-    assert [len(host.nodes[node].brain.peers) for node in (0, 1)] == [2, 5]
+    assert [len(host.nodes[node].balancer.peers) for node in (0, 1)] == [2, 5]
 
 
 def test_a_stop_and_a_start_within_a_batch_leave_nothing_behind():
@@ -163,7 +163,7 @@
     host.now = 1000.0
     for event in (catalog(), *start(), request("q"), {"kind": "STOP", "node": 0}, *start()):
         host.event(event)
-    assert host.nodes[0].brain.requests == {}
+    assert host.nodes[0].balancer.requests == {}
 
 
 def test_membership_forms():
@@ -175,10 +175,10 @@
     assert [row["kind"] for row in failed] == ["SLEEP"]
     host.event(catalog(1, 1, stageState="removed"))
     host.event({"kind": "MEMBERSHIP", "node": 0, "form": "delta", "generation": 3, "ref": 1})
-    assert len(host.nodes[0].brain.peers) == 2
+    assert len(host.nodes[0].balancer.peers) == 2
     host.event(catalog(2, 1))
     host.event({"kind": "MEMBERSHIP", "node": 0, "form": "full", "generation": 4, "ref": 2})
-    assert list(host.nodes[0].brain.peers) == ["10.0.0.0:1"]
+    assert list(host.nodes[0].balancer.peers) == ["10.0.0.0:1"]
 
 
 def test_other_events_are_taken():
@@ -207,7 +207,7 @@
         {"kind": "ALARM", "node": 0, "name": "not ours"},
     ]
     assert [host.event(event) for event in quiet] == [[], [], [], []]
-    assert host.nodes[0].brain.peers["10.0.0.1:1"].reported_queue == 4
+    assert host.nodes[0].balancer.peers["10.0.0.1:1"].reported_queue == 4
 
 
 def test_absent_settings_take_their_defaults():
