--- a/loadbalancer/balancer.py
+++ b/loadbalancer/balancer.py
@@ -268,24 +268,26 @@
         self.sender.note_result(not ok)
         if not ok:
             server.note_failure(result)
-        # Servers that drained and were still listed rejected all, looked idle for it, and got six attempts of
-        # each request; what they rejected had the table reject the rest.
-        declines = result is api.Result.FULL and server.ejected and self.ejected_share < PANIC_ERROR_SHARE
-        if not declines:
+        if result is api.Result.FULL and not self._declines(server):
+            self.estimate.note_ended(rejected=True)
+            server.note_full(now)
+            return
+        if result is not api.Result.FULL:
             # A tier below that rejects shows at the front as errors only.
-            shows_rejection = result is api.Result.ERROR and self.cfg.tier == 0
-            self.estimate.note_ended(result is api.Result.FULL or shows_rejection)
-            if result is api.Result.FULL:
-                server.note_full(now)
-                return
+            self.estimate.note_ended(rejected=result is api.Result.ERROR and self.cfg.tier == 0)
         server.note_error_share(not ok)
         if ok:
             server.note_success(now, attempt.idle_ms, self.cfg.starts_told)
-        if ok or result is api.Result.TIMEOUT:  # a fast error must not look fast
-            self._note_latency(now, state.kind, attempt, event)
-        if ok:
             in_flight = state.in_flight_at_start
             self.estimate.note_completed(event.latency_ms, state.kind.aim_ms, state.units, in_flight)
+        if ok or result is api.Result.TIMEOUT:  # a fast error must not look fast
+            self._note_latency(now, state.kind, attempt, event)
+
+    def _declines(self, server: TrackedServer) -> bool:
+        """Whether its rejections are a fault of the server rather than a sign of the pool's load."""
+        # Servers that drained and were still listed rejected all, looked idle for it, and got six attempts of
+        # each request; what they rejected had the table reject the rest.
+        return server.ejected and self.ejected_share < PANIC_ERROR_SHARE
 
     def _note_abandoned_latency(self, kind: api.ServiceClass, latency_ms: float) -> None:
         """Count the latency of a call that was left, if it was over its class's mean."""
--- a/loadbalancer/core/connection_pool.py
+++ b/loadbalancer/core/connection_pool.py
@@ -216,10 +216,7 @@
         sent = self._connection is not None and self._connection.written
         self._finish(Result.TIMEOUT if sent else Result.CONNECT_FAILED)
 
-    def _finish(self, result: Result, response: Reply = None, report: dict[str, float] | None = None) -> None:
-        if self._over:
-            return
-        self._over = True
+    def _stop_connecting(self) -> None:
         self._timer.cancel()
         if self._server is not None:
             self._server.waiting.discard(self)
@@ -227,6 +224,12 @@
             self._connect.cancel()
         if self._connect_timer is not None:
             self._connect_timer.cancel()
+
+    def _finish(self, result: Result, response: Reply = None, report: dict[str, float] | None = None) -> None:
+        if self._over:
+            return
+        self._over = True
+        self._stop_connecting()
         if self._connection is not None:  # closing is how an attempt is given up
             self._connection.abort()
         now = asyncio.get_running_loop().time()
--- a/loadbalancer/core/listener.py
+++ b/loadbalancer/core/listener.py
@@ -277,18 +277,9 @@
                 return
             most = min(room, MAX_ACCEPTED)
         for _ in range(MAX_EXAMINED):
-            try:
-                found, _ = self._listener.accept()
-            except (BlockingIOError, InterruptedError, ConnectionAbortedError):
+            found = self._accept_one(self._listener)
+            if found is None:
                 return
-            except OSError as error:
-                if error.errno not in OWN:
-                    raise
-                # A listener that is readable and can't be accepted from has the loop turn without end.
-                self.short += 1
-                self._pause()
-                return
-            found.setblocking(False)
             if self.orderly and self.refused_at_once(found, room <= 0, most <= 0):
                 continue
             # What can't be rejected so is accepted, one too many at the most.
@@ -302,6 +293,22 @@
             if most < 0 or (most <= 0 and not self.orderly):
                 return
 
+    def _accept_one(self, listener: socket.socket) -> socket.socket | None:
+        """Accept a connection; None if none waits or can be had."""
+        try:
+            found, _ = listener.accept()
+        except (BlockingIOError, InterruptedError, ConnectionAbortedError):
+            return None
+        except OSError as error:
+            if error.errno not in OWN:
+                raise
+            # A listener that is readable and can't be accepted from has the loop turn without end.
+            self.short += 1
+            self._pause()
+            return None
+        found.setblocking(False)
+        return found
+
     async def _take(self, found: socket.socket) -> None:
         try:
             await self.loop.connect_accepted_socket(self.connection, found)
--- a/loadbalancer/http/server.py
+++ b/loadbalancer/http/server.py
@@ -156,15 +156,7 @@
         self._came = self.arrived()
         if self._server.refusal is not None and self._refused_unread(data):
             return
-        try:
-            self._parser.feed_data(data)
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._fault = self._fault or 400
-        if self._in_head:  # The parser keeps a header back until it is whole
-            self._head += len(data)
-            # A body before it may have come with its first part.
-            if self._head > MAX_HEAD + self._dialect.max_body:
-                self._fault = self._fault or 400
+        self._parse(data)
         if self._calls:
             if not self._stuck:
                 self._server.stage(self, None)
@@ -175,6 +167,17 @@
             # One deadline for a whole request; no byte but its first moves it.
             self._server.stage(self, self._server.waiting)
 
+    def _parse(self, data: bytes) -> None:
+        try:
+            self._parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade):
+            self._fault = self._fault or 400
+        if self._in_head:  # The parser keeps a header back until it is whole
+            self._head += len(data)
+            # A body before it may have come with its first part.
+            if self._head > MAX_HEAD + self._dialect.max_body:
+                self._fault = self._fault or 400
+
     def _refused_unread(self, data: bytes) -> bool:
         """Turn a whole request away without reading it, where none could be answered in time.
 
@@ -281,24 +284,29 @@
         hosted = not self._dialect.standard or version != "1.1" or self._has_host(headers)
         if self._dialect.standard and (found := ABSOLUTE.fullmatch(self._partial.target)):
             self._authority(self._partial, found)
-        length, coding = headers.get(b"content-length"), headers.get(b"transfer-encoding")
-        # A length beside a coding may hide a second request from one of two readers.
-        if coding is not None and (length is not None or coding.lower() != b"chunked" or version == "1.0"):
-            self._fault = 400
-        elif not hosted:
-            self._fault = 400  # RFC 9112, section 3.2
-        elif length is not None and int(length) > self._dialect.max_body:
-            self._fault = 413
-        elif not TARGET.fullmatch(self._partial.target):
-            self._fault = 400
-        elif version not in ("1.1", "1.0"):
-            self._fault = 505
-        elif (coding or length) and self._too_long_to_refuse(length):
-            self._fault = 503
+        fault = self._head_fault(self._partial, version, hosted)
+        if fault:
+            self._fault = fault
         elif headers.get(b"expect", b"").lower() == b"100-continue":
             self._owes_continue = True
             self._continue()
 
+    def _head_fault(self, call: Call, version: str, hosted: bool) -> int:
+        """Return the status that rejects this head; 0: none does."""
+        length, coding = call.headers.get(b"content-length"), call.headers.get(b"transfer-encoding")
+        # A length beside a coding may hide a second request from one of two readers.
+        if coding is not None and (length is not None or coding.lower() != b"chunked" or version == "1.0"):
+            return 400
+        if not hosted:
+            return 400  # RFC 9112, section 3.2
+        if length is not None and int(length) > self._dialect.max_body:
+            return 413
+        if not TARGET.fullmatch(call.target):
+            return 400
+        if version not in ("1.1", "1.0"):
+            return 505
+        return 503 if (coding or length) and self._too_long_to_refuse(length) else 0
+
     @staticmethod
     def _has_host(headers: dict[bytes, bytes]) -> bool:
         """Whether the one Host that a request of 1.1 owes is there and could be one; it may be empty."""
--- a/loadbalancer/interface.py
+++ b/loadbalancer/interface.py
@@ -1,4 +1,4 @@
-"""The interface of the decision module: its settings, the events it takes and the actions it returns.
+"""The interface of the balancer: its settings, the events it takes and the actions it returns.
 
 Times are milliseconds on one clock that only advances; rates are per second.
 """
@@ -38,10 +38,11 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     MOOT = "moot"
-    NO_ROOM = "no_room"  # this balancer had no connection to send it on: nothing is said of the server
+    NO_ROOM = "no_room"  # this process had no connection to send it on: says nothing of the server
 
     @property
     def never_ran(self) -> bool:
+        """Whether it proves that the attempt had no effect."""
         return self in _NEVER_RAN
 
     # Enum's own hash is written in Python, and each attempt's result is looked up.
@@ -52,9 +53,11 @@
 
 
 class ServerState(Enum):
+    """What a server list says of a server."""
+
     UP = "up"
-    DEGRADED = "degraded"  # works, and is to be spared while others do
-    SICK = "sick"  # gets nothing new, unless so many are that health can't be believed
+    DEGRADED = "degraded"  # works, and gets requests only when healthy servers don't suffice
+    SICK = "sick"  # unhealthy: gets no requests, unless so many are that health is not believed
     DRAINING = "draining"
     REMOVED = "removed"
 
@@ -73,14 +76,16 @@
 
 @dataclass(slots=True, frozen=True)
 class ServiceClass:
+    """A class of requests, and what may be done with them."""
+
     name: str
-    aim_ms: float  # an answer within this earns its whole worth
-    give_up_ms: float  # the client's patience over all its tries
+    aim_ms: float  # latency target: an answer within it earns its whole worth
+    give_up_ms: float  # the client's time-out over all its attempts
     worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth earned after the aim
+    late_worth: float = 0.0  # share of the worth earned after the latency target
     effect: Effect = Effect.UNSAFE
     scope: Scope = Scope.ALL
-    memory_ms: float = 0.0  # how long the group remembers a key
+    memory_ms: float = 0.0  # how long the group of servers remembers a key
     stream: bool = False
     max_attempts: int = 0  # for one request, within the settings'; 0: the settings'
     hedge: bool = False  # a safe class of which a second copy may go out beside a slow first one
@@ -88,12 +93,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
+    """A tenant and its quota."""
+
     name: str
     quota_per_s: float  # over all balancers of the tier together
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
+    """The settings of a balancer."""
+
     classes: tuple[ServiceClass, ...]
     tenants: tuple[Tenant, ...] = ()
     zone: str = ""
@@ -113,7 +122,7 @@
     cross_zone_price: float = 0.0
     cold_from: float = 1.0
     cold_ms: float = 0.0
-    starts_told: bool = True  # whether lists tell when a server was started anew
+    starts_told: bool = True  # whether lists tell when a server was restarted
     overload_factor: float = 2.0  # a cold server sent more than this many times its capacity falls over
     retry_share: float | None = (
         None  # attempts beyond first ones, as a share of these; None: no budget for them
@@ -126,19 +135,41 @@
     )
 
     def __post_init__(self) -> None:
+        """Check all values; raises ValueError that names the first setting that is wrong."""
         if not self.classes:
             raise ValueError("classes: at least one class is needed")
-        for at, item in enumerate(self.classes):
-            for key in ("aim_ms", "give_up_ms"):
-                _within(f"classes[{at}].{key}", getattr(item, key), 0.001)
-            for key in ("worth", "late_worth", "memory_ms", "max_attempts"):
-                _within(f"classes[{at}].{key}", getattr(item, key), 0)
+        self._check_classes()
         for at, tenant in enumerate(self.tenants):
             _within(f"tenants[{at}].quota_per_s", tenant.quota_per_s, 0)
         for key in ("tier", "max_retry_after_ms", "cross_zone_price", "cold_ms"):
             _within(key, getattr(self, key), 0)
         for key in ("retry_floor_per_s", "backoff_ms", "near_ms"):
             _within(key, getattr(self, key), 0)
+        self._check_retries()
+        for key in ("siblings", "max_attempts", "start_calls", "quiet_calls"):
+            _within(key, getattr(self, key), 1)
+        self._check_types()
+        _within("overload_factor", self.overload_factor, 0.001)
+        _within("over_share_worth", self.over_share_worth, 0, 1)
+        _within("cold_from", self.cold_from, 0.001, 1)
+        for key, names in (("classes", self.classes), ("tenants", self.tenants)):
+            _unique(key, (item.name for item in names))
+
+    def _check_classes(self) -> None:
+        for at, item in enumerate(self.classes):
+            for key in ("aim_ms", "give_up_ms"):
+                _within(f"classes[{at}].{key}", getattr(item, key), 0.001)
+            for key in ("worth", "late_worth", "memory_ms", "max_attempts"):
+                _within(f"classes[{at}].{key}", getattr(item, key), 0)
+
+    def _check_types(self) -> None:
+        for key in ("ask_discovery", "worth_by_work", "may_cancel", "retry_after", "starts_told"):
+            if not isinstance(getattr(self, key), bool):
+                raise ValueError(f"{key}: {getattr(self, key)!r} is not true or false")
+        if not isinstance(self.zone, str):
+            raise ValueError(f"zone: {self.zone!r} is not a text")
+
+    def _check_retries(self) -> None:
         if self.retry_share is not None:
             _within("retry_share", self.retry_share, 0, 1)
         _within("retry_window_ms", self.retry_window_ms, 1)
@@ -148,18 +179,6 @@
                 raise ValueError(
                     f"classes[{at}].hedge: only a safe class may be hedged, and from a retry budget"
                 )
-        for key in ("siblings", "max_attempts", "start_calls", "quiet_calls"):
-            _within(key, getattr(self, key), 1)
-        for key in ("ask_discovery", "worth_by_work", "may_cancel", "retry_after", "starts_told"):
-            if not isinstance(getattr(self, key), bool):
-                raise ValueError(f"{key}: {getattr(self, key)!r} is not true or false")
-        if not isinstance(self.zone, str):
-            raise ValueError(f"zone: {self.zone!r} is not a text")
-        _within("overload_factor", self.overload_factor, 0.001)
-        _within("over_share_worth", self.over_share_worth, 0, 1)
-        _within("cold_from", self.cold_from, 0.001, 1)
-        for key, names in (("classes", self.classes), ("tenants", self.tenants)):
-            _unique(key, (item.name for item in names))
 
 
 def _within(key: str, value: object, low: float, high: float = math.inf) -> None:
@@ -175,7 +194,10 @@
 
 
 def warmth(age_ms: float, cold_from: float, cold_ms: float) -> float:
-    """Speed of a server so long after its start, of the warm one's: from `cold_from`, even over `cold_ms`."""
+    """Return a server's speed as a share of a warm one's, `age_ms` after its start.
+
+    It rises evenly from `cold_from` over `cold_ms`.
+    """
     if age_ms >= cold_ms:
         return 1.0
     return cold_from + (1.0 - cold_from) * max(0.0, age_ms) / cold_ms
@@ -186,13 +208,13 @@
 
 @dataclass(slots=True)
 class Server:
-    """One line of the server list."""
+    """One server of a list."""
 
     address: str
     zone: str = ""
     cell: int = 0
     state: ServerState = ServerState.UP
-    launched_ms: float | None = None  # None: long ago
+    launched_ms: float | None = None  # time of its start, on the clock of the events; None: long ago
     weight: float = 1.0  # 0: nothing new
     priority: int = 0  # 0 is the first to be used
     locality: str = ""
@@ -201,7 +223,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Levels:
-    """How the priority levels of a list stand in for one another."""
+    """How the priority levels of a list replace one another."""
 
     overprovisioning: float = 1.4  # a level takes all its calls while this times its healthy share is 1
     panic: float = 0.5  # healthy share under which health is not believed, once levels together lack some
@@ -210,6 +232,8 @@
 
 @dataclass(slots=True)
 class Membership:
+    """A server list, changes of one, or that asking for one failed."""
+
     form: ListForm
     servers: tuple[Server, ...] = ()
     levels: Levels | None = None  # None: as before; all servers are one level until it is given
@@ -217,6 +241,8 @@
 
 @dataclass(slots=True)
 class Request:
+    """A request to decide on."""
+
     id: str
     service: str  # the class's name
     give_up_at_ms: float
@@ -226,7 +252,7 @@
     paid: bool = False  # such a repeat was taken from a budget of a tier before: it costs none here
     attempts: int = 0  # at most, within the class's; 0: the class's
     worth: float | None = None  # at most, within the class's
-    admitted: bool = False  # the table has let it in (`turns_away`)
+    admitted: bool = False  # the threshold table has let it in (`Balancer.turns_away`)
     earlier: Earlier | None = None  # where an earlier copy of it, with its key, may have run
 
 
@@ -248,14 +274,16 @@
 
 @dataclass(slots=True)
 class Outcome:
+    """An attempt has ended."""
+
     id: str
     attempt: int
     server: str
     result: Result
-    latency_ms: float  # without the time that the balancer itself took
+    latency_ms: float  # without the time that the balancer's process took
     done: bool  # the request has ended, by this or earlier
     report: dict[str, float] | None = None
-    own_ms: float = 0.0  # which is this
+    own_ms: float = 0.0  # time that the balancer's process took
 
 
 @dataclass(slots=True)
@@ -267,11 +295,15 @@
 
 @dataclass(slots=True)
 class Alarm:
+    """The time of a `Wake` has come."""
+
     name: str
 
 
 @dataclass(slots=True)
 class Probed:
+    """A health check of a server has ended, with the report that it brought."""
+
     server: str
     result: Result
     latency_ms: float
@@ -286,6 +318,8 @@
 
 @dataclass(slots=True)
 class Send:
+    """Send an attempt to a server."""
+
     id: str
     server: str
     timeout_ms: float = 0.0  # 0: until the client gives up
@@ -294,7 +328,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final: trying again is harmless."""
+    """Reject the request; final, and a retry is harmless."""
 
     id: str
     retry_after_ms: float = 0.0
@@ -302,13 +336,15 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final: nothing is promised about effects."""
+    """Fail the request; final, and nothing is promised about effects."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Cancel:
+    """Cancel an attempt."""
+
     id: str
     attempt: int
 
@@ -320,7 +356,7 @@
 
 @dataclass(slots=True)
 class Wake:
-    """Ask for an Alarm of this name."""
+    """Ask for an `Alarm` of this name after a time."""
 
     delay_ms: float
     name: str
--- a/loadbalancer/load_estimate.py
+++ b/loadbalancer/load_estimate.py
@@ -79,11 +79,9 @@
     def close_period(
         self, servers: int, in_flight: float, utilisation: float | None, table_open: bool
     ) -> int:
-        """End the period; returns the cursor's step: 1 to shed more, -1 to shed less, 0 to wait.
-
-        Takes the servers in use, the weight of our calls in flight there, the median of their fresh reports
-        of utilisation, and whether the cursor is at the left of its table.
-        """
+        """End the period; returns the cursor's step: 1 to shed more, -1 to shed less, 0 to wait."""
+        # Takes the servers in use, our calls in flight there by weight, the median of their fresh reports of
+        # utilisation, and whether the cursor is at the left of its table.
         if self.relative_latencies:
             self._follow_latency(table_open)
         self.load = self._period_load(servers, in_flight, utilisation)
@@ -117,7 +115,11 @@
         # With less than an answer a period, each silent period moved the cursor left and a jam stayed.
         jammed = self.level > JAMMED_LEVEL and in_flight > 0.0
         if self.baseline is not None and (self.relative_latencies or jammed):
-            slack = UTILISATION_SLACK if utilisation is not None else self._slack(servers, in_flight)
+            # A strict target over few outcomes shed work that servers had capacity for; a loose one let
+            # crowded servers turn slow.
+            crowded = self._siblings * in_flight >= CROWDED_CALLS * servers
+            slack = SLACK if crowded else UNCROWDED_SLACK
+            slack = slack if utilisation is None else UTILISATION_SLACK
             self.target_level = self.baseline + slack * (1.0 - self.baseline)
             load = self.level / self.target_level
         if utilisation is not None:
@@ -128,13 +130,6 @@
             load = max(load, self._rejected / self._ended / REJECTED_SHARE_TARGET)
         return load
 
-    def _slack(self, servers: int, in_flight: float) -> float:
-        """Return how far over the baseline the target level is."""
-        # A strict target over few outcomes shed work that servers had capacity for; a loose one let crowded
-        # servers turn slow.
-        crowded = self._siblings * in_flight >= CROWDED_CALLS * servers
-        return SLACK if crowded else UNCROWDED_SLACK
-
     def _cursor_step(self) -> int:
         if self.load <= 1.0:
             return -1
--- a/loadbalancer/node/config.py
+++ b/loadbalancer/node/config.py
@@ -1,4 +1,4 @@
-"""What a node is told at its start, from the JSON of its configuration file."""
+"""The configuration of a node, from the JSON of its file."""
 
 from __future__ import annotations
 
@@ -14,6 +14,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
+    """A node's configuration."""
+
     name: str
     listen: Address
     discovery: Address
@@ -22,13 +24,13 @@
     settings: Settings
     sockets: int = 1024  # descriptors for everything
     max_open: int = 20_000  # requests open at once
-    conn_idle_ms: float = 15_000.0  # after which a server closes an idle connection
+    conn_idle_ms: float = 15_000.0  # time after which a server closes an idle connection
     connect_timeout_ms: float = 250.0
-    ask_within_ms: float = 10_000.0  # a node that has not asked for so long counts as told
+    ask_within_ms: float = 10_000.0  # after which updates count as delivered to a node that has not asked
 
 
 def parse_config(data: bytes) -> Config:
-    """The configuration; ValueError says in one line what is wrong with it."""
+    """Parse the configuration; raises ValueError that says in one line what is wrong with it."""
     try:
         row: Row = orjson.loads(data)
         bounds: Row = row["settings"].get("bounds") or {}
--- a/loadbalancer/node/front.py
+++ b/loadbalancer/node/front.py
@@ -1,4 +1,4 @@
-"""The platform's callers: what a request must say there, and what answers it."""
+"""The platform's callers: the form of their requests, and of the answers to them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from loadbalancer.http.server import FRAMING, Call, Dialect, Server
 from loadbalancer.settings import report_from
 
-WAY_BACK_S = 0.015  # an answer leaves this long before the client's time is up
+ANSWER_TRANSIT_S = 0.015  # an answer leaves this long before the client's time is up
 
 TOKEN = re.compile(r"[\x21-\x7e]{1,128}")
 WHOLE = re.compile(r"[0-9]{1,9}")
@@ -35,7 +35,7 @@
 
 
 class BadRequestError(Exception):
-    """A request that the module is not asked about, and the status that answers it."""
+    """A request that does not reach the balancer, and the status that answers it."""
 
     def __init__(self, status: int) -> None:
         super().__init__(status)
@@ -43,7 +43,7 @@
 
 
 class PlatformFront:
-    """Callers that speak the platform's dialect, in front of one pool."""
+    """Takes requests of callers that speak the platform's dialect, for one pool."""
 
     def __init__(self, limit: int, pool: Pool) -> None:
         """At most `limit` connections are kept."""
@@ -52,7 +52,7 @@
         self.counts: Counter[str] = pool.counts
 
     def _on_call(self, call: Call) -> None:
-        """A whole request has come in."""
+        """Submit a whole request that has come in, or answer it at once."""
         self.counts["taken"] += 1
         try:
             request, give_up_at = self._read(call)
@@ -61,7 +61,7 @@
             call.answer(error.status)
             return
         if self.pool.full or not self.server.begins():
-            # Too many to hold. None of it has gone anywhere, so it is a refusal.
+            # Too many are open. It was sent nowhere, so it is a rejection.
             self.counts["over the limit"] += 1
             call.answer(503)
             return
@@ -70,7 +70,7 @@
             call.on_gone = lambda: self.pool.abandon(open_request)
 
     def _read(self, call: Call) -> tuple[api.Request, float]:
-        """The module's view of a request, and when its client gives up."""
+        """Return the request as the balancer takes it, and when its client gives up; raises BadRequestError."""
         headers = call.headers
         path = call.target.partition(b"?")[0]
         parts = path.split(b"/")
@@ -92,15 +92,13 @@
         if (deadline := _number(headers, b"req-deadline-ms", WHOLE)) is not None:
             give_up_ms = min(deadline, 10.0 * kind.give_up_ms)
         cost_us = _number(headers, b"req-cost", DECIMAL)
-        give_up_at = call.arrived + give_up_ms / 1000.0 - WAY_BACK_S
+        give_up_at = call.arrived + give_up_ms / 1000.0 - ANSWER_TRANSIT_S
         owner = headers.get(b"req-owner")
         request = api.Request(
             id=name,
             service=kind.name,
             give_up_at_ms=self.pool.clock.ms(give_up_at),
-            tenant=owner.decode("utf-8", "replace")
-            if owner
-            else None,  # named as in the settings, which are UTF-8
+            tenant=owner.decode("utf-8", "replace") if owner else None,  # the settings are UTF-8
             cost_hint_ms=None if cost_us is None else cost_us / 1000.0,
             is_retry=headers.get(b"req-retry") == b"1",
         )
@@ -120,7 +118,7 @@
 
 
 def _number(headers: dict[bytes, bytes], name: bytes, form: re.Pattern[str]) -> float | None:
-    """A header's figure, None without one."""
+    """Return the number that a header holds, None without the header; raises BadRequestError."""
     text = headers.get(name)
     if text is None:
         return None
@@ -131,7 +129,7 @@
 
 
 def result_of(response: Response) -> api.Result:
-    """The outcome that a server's whole answer stands for on the platform."""
+    """Return the outcome that a server's whole answer stands for on the platform."""
     if response.status == 200:
         return api.Result.OK
     if response.status in (503, 504) and response.headers.get(b"srv-declined") == b"1":
@@ -140,13 +138,13 @@
 
 
 def report_of(response: Response, fields: tuple[str, ...]) -> dict[str, float] | None:
-    """The load report that an answer holds."""
+    """Return the load report that an answer holds."""
     load = response.headers.get(b"srv-load")
     return report_from(load.decode("latin-1"), fields) if load else None
 
 
 class PlatformWire:
-    """How the platform's servers are asked; a message is a `Call`."""
+    """The form of requests to the platform's servers; a message is a `Call`."""
 
     max_body = MAX_BODY
     raw = False
@@ -155,6 +153,7 @@
         self._fields = report_fields
 
     def encode(self, message: Call, wait_s: float) -> bytes:
+        """Return the request's bytes, with the deadline that is left."""
         lines = [message.method + b" " + message.target + b" HTTP/1.1"]
         lines += [name + b": " + value for name, value in message.headers.items() if name in FORWARDED]
         lines.append(b"req-deadline-ms: %d" % max(1, int(wait_s * 1000.0)))
@@ -163,7 +162,9 @@
         return b"\r\n".join(lines) + b"\r\n\r\n" + message.body
 
     def bodiless(self, message: Call) -> bool:
+        """Return False: its requests are GET and POST."""
         return False  # its requests are GET and POST
 
     def read(self, response: Response) -> tuple[api.Result, dict[str, float] | None]:
+        """Return the outcome that an answer stands for, and its load report."""
         return result_of(response), report_of(response, self._fields)
--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -1,4 +1,4 @@
-"""The platform's node: its one front, pool and list put together."""
+"""The platform's node: one front, one pool and its server list."""
 
 from __future__ import annotations
 
@@ -25,20 +25,22 @@
 
 log = logging.getLogger("loadbalancer")
 
-LEAST_USABLE = 16  # descriptors beside the spare ones, however few the settings allow
+MIN_USABLE = 16  # descriptors beside the spare ones, however few the settings allow
 LONGEST_DEADLINE_S = 3.0  # the platform waits no longer before it kills
 REST_S = 0.01  # of a connection after an answer: second answers came up to 4 ms after the first
-STATS_S = 10.0
-BEAT_S = 0.1
+STATS_S = 10.0  # between two log lines of metrics
+BEAT_S = 0.1  # between two checks of how late the loop is
 
 
 class Node:
+    """A node; it has to be created in a running event loop."""
+
     def __init__(self, config: Config) -> None:
         self.loop = asyncio.get_running_loop()
         self.clock = Clock(self.loop)
         self.config = config
         self.settings = config.settings
-        shares = share_out(max(config.sockets, SPARE + LEAST_USABLE), listeners=1, pools=1)
+        shares = share_out(max(config.sockets, SPARE + MIN_USABLE), listeners=1, pools=1)
         self.back = HttpConnectionPool(
             shares.servers,
             config.conn_idle_ms / 1000.0,
@@ -62,7 +64,7 @@
         self.lag = 0.0  # the longest that the loop was late in this stretch
 
     async def start(self) -> None:
-        """Tell the module what is known and begin to serve."""
+        """Give the balancer the list of the configuration and begin to serve."""
         self._on_list(api.ListForm.CACHED, self.config.known)
         await self.server.listen(*self.config.listen)
         if not self.settings.ask_discovery:
@@ -80,7 +82,7 @@
             log.warning("other changes of the configuration wait for the next start")
 
     async def stop(self) -> None:
-        """Leave service: take what still comes, finish what is held, and end in time."""
+        """Shut down gracefully: take what still comes, finish what is open, and end in time."""
         self.leaving = True
         self._set_ready()
         longest = max(kind.give_up_ms for kind in self.settings.classes) / 1000.0
@@ -88,11 +90,12 @@
         self.close()
 
     def _give_up(self) -> None:
-        """Answer all that is open; what still comes is refused."""
+        """Answer all that is open; what still comes is rejected."""
         self.pool.capacity.limit = 0
         self.pool.answer_all(AnswerCause.LEAVING)
 
     def close(self) -> None:
+        """Close all connections and end the watch."""
         self.server.close()
         self.watcher.close()
         self.pool.close()
@@ -105,7 +108,7 @@
             self._set_ready()
 
     def _set_ready(self) -> None:
-        """Ready once there is a server to send to, until the node leaves service."""
+        """Be ready once there is a server to send to, until the node shuts down."""
         self.server.ready = not self.leaving and (self.server.ready or bool(self.pool.up))
 
     def _beat(self, due: float) -> None:
@@ -114,7 +117,7 @@
         self.pool.timers["beat"] = self.loop.call_at(now + BEAT_S, self._beat, now + BEAT_S)
 
     def _stats(self) -> None:
-        """One line of figures every few seconds."""
+        """Log one line of metrics every few seconds."""
         counts = self.pool.counts
         figures = ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
         log.info(
--- a/loadbalancer/ranking.py
+++ b/loadbalancer/ranking.py
@@ -47,11 +47,8 @@
         tried = [attempt.server for attempt in request.attempts]
         effective = self._slow_start.effective_servers(now, len(self._servers.ready))
         for servers in self._candidate_groups():
-            candidates = [
-                server
-                for server in servers
-                if server not in tried and (bound is None or bound == replica_group(request.kind, server))
-            ]
+            untried = [item for item in servers if item not in tried]
+            candidates = [item for item in untried if bound in (None, replica_group(request.kind, item))]
             best = self._best(now, candidates, effective)
             on_trial = [item for item in candidates if not item.pending and item.needs_trial(now)]
             if not tried and on_trial and self._rng.random() * effective < TRIAL_SHARE * len(on_trial):
@@ -102,17 +99,14 @@
             if warmth < 1.0:
                 # Of many balancers each saw some warm server idle, and the cold ones, a third of what the
                 # pool could do, got a twentieth of the calls while the warm ones were jammed.
-                if sibling_calls is None:
-                    sibling_calls = self._sibling_calls(effective)
+                if sibling_calls is None:  # in flight at a server by all siblings, taken to be like ours
+                    calls = (self.cfg.siblings - 1) * self._servers.in_flight()
+                    sibling_calls = calls / max(1.0, effective)
                 rank *= min(1.0, 1.0 / (warmth * (1.0 + sibling_calls)))
             if rank < best_rank and self._slow_start.allows(warmth, effective):
                 best, best_rank = server, rank
         return best
 
-    def _sibling_calls(self, effective: float) -> float:
-        """Return the calls in flight at a server by all siblings, taken to be like ours, beside ours."""
-        return (self.cfg.siblings - 1) * self._servers.in_flight() / max(1.0, effective)
-
     def _trial(
         self, now: float, request: RequestState, servers: list[TrackedServer], effective: float
     ) -> TrackedServer | None:
--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -200,6 +200,14 @@
     return row
 
 
+def _replies(host: Host, row: Row) -> list[bytes]:
+    """Return the lines that answer an event; raises WireError on one that is malformed."""
+    try:
+        return [orjson.dumps(action) for action in host.event(row)]
+    except (KeyError, TypeError, ValueError) as error:
+        raise WireError(f"{row.get('kind')!r}: {type(error).__name__}: {error}") from error
+
+
 def run(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the input ends."""
     host = Host()
@@ -223,10 +231,7 @@
             sink.flush()
             within = False
         else:
-            try:
-                reply.extend(orjson.dumps(action) for action in host.event(row))
-            except (KeyError, TypeError, ValueError) as error:
-                raise WireError(f"{kind!r}: {type(error).__name__}: {error}") from error
+            reply.extend(_replies(host, row))
     if within:
         raise WireError("the input ended within a batch")
 
