--- a/loadbalancer/core/connection_pool.py
+++ b/loadbalancer/core/connection_pool.py
@@ -93,13 +93,13 @@
         self._finish(Result.CONNECT_FAILED)
 
     def give_up_unwritten(self) -> None:
-        """Give up, for no fault of the server's, unless it has been written whole."""
+        """Give up, for no fault of the server's, unless it has been written completely."""
         # A server begins a request with its last byte, which left long after the caller had gone.
         if self._sent is None or (self._connection is not None and not self._connection.written):
             self._finish(Result.MOOT)
 
     def answered(self, response: Reply) -> None:
-        """End with a server's whole answer; the connection goes back to the pool."""
+        """End with a server's complete answer; the connection goes back to the pool."""
         connection, self._connection = self._connection, None
         if connection is not None and self._server is not None:
             held_s = asyncio.get_running_loop().time() - (self._sent or self.began)
@@ -209,7 +209,7 @@
         self._pool.start(connection, self._message, left, self)
 
     def _time_out(self) -> None:
-        # What has not been written whole has never run, and a rejection may then say so.
+        # What has not been written completely has never run, and a rejection may then say so.
         if self._in_queue:
             self._finish(Result.NO_ROOM)
             return
@@ -283,7 +283,7 @@
         raise NotImplementedError
 
     def outcome(self, message: Message, reply: Reply) -> tuple[Result, dict[str, float] | None]:
-        """Return the outcome that a whole answer stands for, and the load report that it holds."""
+        """Return the outcome that a complete answer stands for, and the load report that it holds."""
         raise NotImplementedError
 
     def forget(self, connection: Outgoing) -> None:
@@ -414,7 +414,7 @@
             self._free(server, connection)
             return
         # A server's second answer to one request, some ms after the first, was taken for the answer to the
-        # next request on that connection. Now it comes while nothing is asked, which ends the connection.
+        # next request on that connection. Now it comes while nothing is requested, which ends the connection.
         loop = asyncio.get_running_loop()
         self._resting.append((loop.time() + self._rest_s, server, connection))
         if self._rest_timer is None:
--- a/loadbalancer/core/listener.py
+++ b/loadbalancer/core/listener.py
@@ -158,7 +158,7 @@
 
     @property
     def request_s(self) -> float:
-        """Time within which a request has to come in whole, from connecting or from its first byte."""
+        """Time within which a request has to come in completely, from connecting or from its first byte."""
         raise NotImplementedError
 
     @property
@@ -169,7 +169,7 @@
     def refused_at_once(self, found: socket.socket, no_place: bool, enough: bool) -> bool:
         """Whether a new connection was answered that its request can't be taken, and closed.
 
-        That is done where the whole request has come already and can be told apart cheaply, and there is no slot for
+        That is done where the complete request has come already and can be told apart cheaply, and there is no slot for
         it (`no_place`) or enough have been accepted in this turn (`enough`). False leaves the connection as it was.
         """
         return False
@@ -187,7 +187,7 @@
     def crowded(self) -> bool:
         """Whether a connection is closed with its answer."""
         if self.orderly:
-            return not self.connection_limit.keeps(self.held)
+            return not self.connection_limit.may_keep(self.held)
         return len(self.connections) > self.limit
 
     @property
@@ -201,16 +201,16 @@
         return self._listener is not None and not self._accepting
 
     @property
-    def under_way(self) -> int:
+    def active_requests(self) -> int:
         """Connections with an open request."""
         return len(self.connections) - len(self.waiting) - len(self.idle) - len(self.lingering)
 
-    def begins(self) -> bool:
+    def may_begin(self) -> bool:
         """Whether the request that has come on a connection may be taken; it is counted as under way already."""
         if self.orderly:
-            return self.connection_limit.begins(self.under_way - 1)
-        # While a sibling restarted, 200 connections idle for under 2 s held all the room, and requests
-        # were refused beside 10 open ones. So a whole request takes the place of the one idle for longest,
+            return self.connection_limit.may_begin(self.active_requests - 1)
+        # While a sibling restarted, 200 connections idle for under 2 s held all the slots, and requests
+        # were refused beside 10 open ones. So a complete request takes the slot of the one idle for longest,
         # however short; a mere connection doesn't. It would hurt where connecting costs callers much.
         return self.close_excess(spared_s=0.0)
 
@@ -267,30 +267,30 @@
         if self._listener is None:
             return
         # Closed ones go a turn or two later: a few at a time keep a burst within the descriptors.
-        room = most = max(1, self.limit // 20)
+        free_slots = to_accept = max(1, self.limit // 20)
         if self.orderly:
-            held = self.held  # before room is made
+            held = self.held  # before slots are freed
             spare = min(SPARE_CONNECTIONS, self.limit // 4)
-            room = self.connection_limit.may_accept(held + spare) or int(self._free_one())
-            if not room and held >= self.limit:
+            free_slots = self.connection_limit.may_accept(held + spare) or int(self._free_one())
+            if not free_slots and held >= self.limit:
                 self._pause()
                 return
-            most = min(room, MAX_ACCEPTED)
+            to_accept = min(free_slots, MAX_ACCEPTED)
         for _ in range(MAX_EXAMINED):
             found = self._accept_one(self._listener)
             if found is None:
                 return
-            if self.orderly and self.refused_at_once(found, room <= 0, most <= 0):
+            if self.orderly and self.refused_at_once(found, free_slots <= 0, to_accept <= 0):
                 continue
             # What can't be rejected so is accepted, one too many at the most.
             task = self.loop.create_task(self._take(found))
             self._accepted.add(task)
             task.add_done_callback(self._accepted.discard)
-            most -= 1
-            room -= 1
+            to_accept -= 1
+            free_slots -= 1
             # Behind long turns those that were left in the kernel waited there until they were late: what comes
-            # after enough have been taken is refused for as long as it has waited too long already.
-            if most < 0 or (most <= 0 and not self.orderly):
+            # after enough have been taken is rejected for as long as it has waited too long already.
+            if to_accept < 0 or (to_accept <= 0 and not self.orderly):
                 return
 
     def _accept_one(self, listener: socket.socket) -> socket.socket | None:
@@ -402,7 +402,7 @@
 
     def _close_one(self, spared_s: float) -> bool:
         """Close one: first what has had its last answer, then what never sent a request, then what idles longest."""
-        # Of a caller that reads slowly, an answer that had not left was cut off to make room.
+        # Of a caller that reads slowly, an answer that had not left was cut off to free a slot.
         for connection in islice(self.lingering, SEARCHED):
             if connection.flushed:
                 connection.abort()
@@ -425,7 +425,7 @@
                 if connection.since > now - limit_s:
                     break
                 connection.expire()
-        if not self.orderly or self.connection_limit.may_accept(self.held) or not self.under_way:
+        if not self.orderly or self.connection_limit.may_accept(self.held) or not self.active_requests:
             self._resume()
         if self._listener is not None or self.connections:
             self.loop.call_later(SWEEP_S, self._sweep)
--- a/loadbalancer/core/outgoing.py
+++ b/loadbalancer/core/outgoing.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-Response = Any  # a whole answer, of the type of the protocol that derives from `Outgoing`
+Response = Any  # a complete answer, of the type of the protocol that derives from `Outgoing`
 # Errors that say that this process or machine lacks something, not that a server does.
 OWN = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
@@ -18,10 +18,10 @@
     """Notified by a connection of how its one request ended: by either method, once."""
 
     def answered(self, response: Response) -> None:
-        """Take the whole answer."""
+        """Take the complete answer."""
 
     def lost(self, written: bool) -> None:
-        """Note that the connection ended with no whole answer; `written`: the request's last byte had left."""
+        """Note that the connection ended with no complete answer; `written`: the request's last byte had left."""
 
 
 def waits(sock: socket.socket, events: int) -> bool:
@@ -92,7 +92,7 @@
     def _answer(self, response: Response) -> None:
         """End the exchange; its owner may use the connection again before this returns."""
         exchange, self._exchange = self._exchange, None
-        # A server that answers before it has the whole request leaves the rest on the connection.
+        # A server that answers before it has the complete request leaves the rest on the connection.
         if not self._written:
             self._spoilt = True
         if self._spoilt:
--- a/loadbalancer/core/pool.py
+++ b/loadbalancer/core/pool.py
@@ -259,7 +259,7 @@
         if open_request.backstop is not None:
             open_request.backstop.cancel()
         # Where calls may not be cancelled, what waited to connect was written after its caller had gone. What
-        # has not been written whole is this process's own, whatever the settings allow.
+        # has not been written completely is this process's own, whatever the settings allow.
         for attempt in open_request.attempts:
             if attempt is not None:
                 attempt.give_up_unwritten()
--- a/loadbalancer/discovery/endpoint_list.py
+++ b/loadbalancer/discovery/endpoint_list.py
@@ -1,7 +1,7 @@
 """The endpoint list of a pool: it takes what one source reports, and tells the pool what has changed. Without I/O.
 
-A source reports whole lists, changes of the list, or that it has nothing to report. What differs from the list before,
-which servers are new and so cold, and how old the last report is are worked out here.
+A source reports complete lists, changes of the list, or that it has nothing to report. What differs from the list
+before, which servers are new and so cold, and how old the last report is are worked out here.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointUpdate:
-    """What a pool is told: the whole list or changes of it, and what differs from before."""
+    """An update for a pool: the complete list or changes of it, and what differs from before."""
 
     form: ListForm
     servers: tuple[Server, ...] = ()
@@ -87,7 +87,7 @@
         levels: Levels | None = None,
         form: ListForm = ListForm.FULL,
     ) -> EndpointUpdate:
-        """Take a whole list: a source's report (FULL), or what is cached (CACHED), which does not vouch for anything.
+        """Take a complete list: a source's report (FULL), or what is cached (CACHED), for which nobody vouches.
 
         Where starts aren't known, what is new counts as started now, unless the list is the first. So does what comes
         back after it had been removed or unhealthy, and what has moved to another address: it may be another process.
--- a/loadbalancer/discovery/watcher.py
+++ b/loadbalancer/discovery/watcher.py
@@ -20,7 +20,7 @@
 # A call unanswered so long after its wait has failed; 2 s after it, its update counts as delivered.
 ANSWER_GRACE_S = 0.8
 CONNECT_S = 1.0
-PUSH_RETRY_PAUSE_S = 0.1  # before a local agent is asked again after a failure
+PUSH_RETRY_PAUSE_S = 0.1  # before a local agent is called again after a failure
 PROBE_TIMEOUT_S = 0.8  # within which a discovery that is reachable answers a call that need not wait,
 AGENT_PROBE_TIMEOUT_S = 0.3  # and a local agent
 AGENT_WATCH_MS = 2000.0  # a local agent costs nothing to ask; its silence is noticed the sooner
@@ -40,7 +40,7 @@
     """A server list or changes of one; a server's name is its uid, which no restart and no node changes."""
 
     revision: int
-    complete: bool  # the whole list, not changes
+    complete: bool  # the complete list, not changes
     servers: tuple[Server, ...]
     endpoints: dict[str, Address]
 
@@ -53,7 +53,7 @@
 def endpoint_update(
     endpoint_list: EndpointList, now_ms: float, form: ListForm, update: ServerListUpdate | None
 ) -> EndpointUpdate:
-    """Apply what discovery answered, or its failure (None), to a pool's list; returns what the pool is told."""
+    """Apply what discovery answered, or its failure (None), to a pool's list; returns the pool's update."""
     if update is None:
         return EndpointUpdate(form)
     if form is ListForm.DELTA:
--- a/loadbalancer/http/client.py
+++ b/loadbalancer/http/client.py
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class Response:
-    """A whole answer."""
+    """A complete answer."""
 
     status: int = 0
     headers: dict[bytes, bytes] = field(default_factory=dict)  # by lower-case name
@@ -28,13 +28,13 @@
 
 
 class Awaited:
-    """An exchange as a future: the whole answer, or ConnectionError without one."""
+    """An exchange as a future: the complete answer, or ConnectionError without one."""
 
     def __init__(self) -> None:
         self.done: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
 
     def answered(self, response: Response) -> None:
-        """Take the whole answer."""
+        """Take the complete answer."""
         if not self.done.done():
             self.done.set_result(response)
 
@@ -58,7 +58,7 @@
         self._response = Response()
         self._size = 0
         self._in_head = True
-        self._head = 0  # bytes that have come of heads that were not whole yet
+        self._head = 0  # bytes that have come of heads that were not complete yet
         self._whole = False
 
     def start(self, data: bytes, exchange: Exchange, bodiless: bool = False) -> None:
@@ -70,14 +70,14 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse what has come; called by asyncio."""
-        if self._exchange is None:  # nothing was asked: what follows would not belong to the next request
+        if self._exchange is None:  # nothing was requested: what follows would not belong to the next request
             self.abort()
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._spoilt = True
-        # The parser keeps a header back until it is whole; interim answers count too.
+        # The parser keeps a header back until it is complete; interim answers count too.
         if self._in_head:
             self._head += len(data)
             self._spoilt = self._spoilt or self._head > MAX_HEAD
@@ -97,7 +97,7 @@
     def on_message_begin(self) -> None:
         """Note that an answer begins; called by the parser."""
         if self._whole:
-            self._spoilt = True  # more than was asked for
+            self._spoilt = True  # more than was requested
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take a header; called by the parser."""
--- a/loadbalancer/http/connection_pool.py
+++ b/loadbalancer/http/connection_pool.py
@@ -23,7 +23,7 @@
         """Whether the answer to it has no body, as to HEAD."""
 
     def read(self, response: Response) -> tuple[Result, dict[str, float] | None]:
-        """Return the outcome that a whole answer stands for, and the load report that it holds."""
+        """Return the outcome that a complete answer stands for, and the load report that it holds."""
 
 
 class HttpConnectionPool(ConnectionPool):
@@ -45,5 +45,5 @@
         connection.start(wire.encode(message, wait_s), attempt, wire.bodiless(message))
 
     def outcome(self, message: Message, reply: Response) -> tuple[Result, dict[str, float] | None]:
-        """Return the outcome that a whole answer stands for, and its load report."""
+        """Return the outcome that a complete answer stands for, and its load report."""
         return self.wire.read(reply)
--- a/loadbalancer/http/server.py
+++ b/loadbalancer/http/server.py
@@ -16,9 +16,9 @@
 from loadbalancer.core.outgoing import ended, readable
 from loadbalancer.http.client import MAX_BODY, MAX_HEAD, NO_BODY, Header
 
-REQUEST_S = 2.5  # within which a request has to come in whole, from connecting or from its first byte
+REQUEST_S = 2.5  # within which a request has to come in completely, from connecting or from its first byte
 IDLE_S = 8.0  # after which a connection that carries nothing is closed
-PIPELINE = 32  # whole requests that may wait on one connection
+PIPELINE = 32  # complete requests that may wait on one connection
 
 # Of a repeated header the node could read one and a server another, so these may stand once only.
 FRAMING = frozenset(b"host content-length transfer-encoding expect".split())
@@ -102,7 +102,7 @@
 
 
 def is_plain(data: bytes) -> bool:
-    """Whether this is one whole request of 1.1 that has no body, seen without parsing it."""
+    """Whether this is one complete request of 1.1 that has no body, seen without parsing it."""
     if not data.startswith(PLAIN) or data.find(b"\r\n\r\n") != len(data) - 4:
         return False
     head = data.lower()
@@ -121,13 +121,13 @@
         self._server: Server = server
         self._dialect = server.dialect
         self._parser = httptools.HttpRequestParser(self)
-        self._calls: deque[Call] = deque()  # whole requests, the first of them being answered
+        self._calls: deque[Call] = deque()  # complete requests, the first of them being answered
         self._partial: Call | None = None
         self._size = 0
         self._in_head = False
-        self._head = 0  # bytes that have come of a head that is not whole
+        self._head = 0  # bytes that have come of a head that is not complete
         self._came = self._server.loop.time()  # when what is handled came, at the earliest
-        self._owes_continue = False  # a caller waits to be told to send its body
+        self._owes_continue = False  # a caller waits for the permission to send its body
         self._stuck = False  # the caller does not read what has been written to it
         self._fault = 0  # the status that ends this connection, once something was wrong on it
 
@@ -164,7 +164,7 @@
         elif self._fault:
             self._fail(self._fault)
         elif self._partial is not None:
-            # One deadline for a whole request; no byte but its first moves it.
+            # One deadline for a complete request; no byte but its first moves it.
             self._server.stage(self, self._server.waiting)
 
     def _parse(self, data: bytes) -> None:
@@ -172,14 +172,14 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._fault = self._fault or 400
-        if self._in_head:  # The parser keeps a header back until it is whole
+        if self._in_head:  # The parser keeps a header back until it is complete
             self._head += len(data)
             # A body before it may have come with its first part.
             if self._head > MAX_HEAD + self._dialect.max_body:
                 self._fault = self._fault or 400
 
     def _refused_unread(self, data: bytes) -> bool:
-        """Turn a whole request away without reading it, where none could be answered in time.
+        """Turn away a complete request without reading it, where none could be answered in time.
 
         Reading, routing and writing a refusal cost the core that answers needed.
         """
@@ -346,7 +346,7 @@
             self._partial.body += body
 
     def on_message_complete(self) -> None:
-        """Queue the whole request; called by the parser."""
+        """Queue the complete request; called by the parser."""
         call, self._partial = self._partial, None
         if call is None or self._fault:
             return
@@ -366,7 +366,7 @@
             self._fault = self._fault or fault
 
     def _serve(self) -> None:
-        """Hand the first whole request on, unless that has been done or its caller has gone."""
+        """Hand the first complete request on, unless that has been done or its caller has gone."""
         call = self._calls[0]
         if not call.begun:
             # The end of a caller that has sent much and gone is read after its requests, which were sent on;
@@ -423,7 +423,7 @@
 
 
 class Server(Listener):
-    """Listens to callers of HTTP/1.1; `on_call` takes each whole request."""
+    """Listens to callers of HTTP/1.1; `on_call` takes each complete request."""
 
     def __init__(
         self, limit: int, on_call: Callable[[Call], None], dialect: Dialect, orderly: bool = False
@@ -432,7 +432,7 @@
         self.on_call = on_call
         # What a request that came then is to be refused with, unread: a head but for its last line; None: it is read.
         self.refusal: Callable[[float], bytes | None] | None = None
-        # The head, but for its last line, of the answer to a request for which no place is left.
+        # The head, but for its last line, of the answer to a request for which no slot is left.
         self.full_head: Callable[[], bytes | None] | None = None
         self.on_refused: Callable[[bytes], None] = lambda head: None  # told each of these that is sent
         self.dialect = dialect
@@ -442,10 +442,10 @@
         return ServerConnection(self)
 
     def refused_at_once(self, found: socket.socket, no_place: bool, enough: bool) -> bool:
-        """Reject a whole request unread, where it can be told apart cheaply."""
+        """Reject a complete request unread, where it can be told apart cheaply."""
         if self.full_head is None or self.refusal is None:
             return False
-        full = no_place or not self.connection_limit.begins(self.under_way)
+        full = no_place or not self.connection_limit.may_begin(self.active_requests)
         late = None
         if not full and enough:
             now = self.loop.time()
@@ -471,7 +471,7 @@
 
     @property
     def request_s(self) -> float:
-        """Time within which a request has to come in whole."""
+        """Time within which a request has to come in completely."""
         return self.dialect.request_s or REQUEST_S
 
     @property
--- a/loadbalancer/interface.py
+++ b/loadbalancer/interface.py
@@ -323,7 +323,7 @@
     id: str
     server: str
     timeout_ms: float = 0.0  # 0: until the client gives up
-    begin_within_ms: float = 0.0  # given up unless it is written whole within so long; 0: no such limit
+    begin_within_ms: float = 0.0  # given up unless it is written completely within so long; 0: no such limit
 
 
 @dataclass(slots=True)
--- a/loadbalancer/node/front.py
+++ b/loadbalancer/node/front.py
@@ -52,7 +52,7 @@
         self.counts: Counter[str] = pool.counts
 
     def _on_call(self, call: Call) -> None:
-        """Submit a whole request that has come in, or answer it at once."""
+        """Submit a complete request that has come in, or answer it at once."""
         self.counts["taken"] += 1
         try:
             request, give_up_at = self._read(call)
@@ -60,7 +60,7 @@
             self.counts[f"bad {error.status}"] += 1
             call.answer(error.status)
             return
-        if self.pool.full or not self.server.begins():
+        if self.pool.full or not self.server.may_begin():
             # Too many are open. It was sent nowhere, so it is a rejection.
             self.counts["over the limit"] += 1
             call.answer(503)
@@ -129,7 +129,7 @@
 
 
 def result_of(response: Response) -> api.Result:
-    """Return the outcome that a server's whole answer stands for on the platform."""
+    """Return the outcome that a server's complete answer stands for on the platform."""
     if response.status == 200:
         return api.Result.OK
     if response.status in (503, 504) and response.headers.get(b"srv-declined") == b"1":
--- a/loadbalancer/overload/connections.py
+++ b/loadbalancer/overload/connections.py
@@ -1,6 +1,6 @@
 """Descriptors as a limit like any other: callers' connections and servers', what is held, opened and closed first.
 
-A connection on which a request may be on its way is never closed without an answer: room is made by telling callers
+A connection on which a request may be on its way is never closed without an answer: slots are freed by telling callers
 `Connection: close` with their answers, before it is short.
 """
 
@@ -52,7 +52,7 @@
         """Return how many more may be accepted now; the others wait in the kernel."""
         return max(0, self.limit - held)
 
-    def keeps(self, held: int) -> bool:
+    def may_keep(self, held: int) -> bool:
         """Whether a connection may stay after its answer.
 
         With all places kept by callers that seldom ask, a new one waited until one of them had idled out, or
@@ -60,13 +60,13 @@
         """
         return held <= self.kept
 
-    def begins(self, under_way: int) -> bool:
+    def may_begin(self, active_requests: int) -> bool:
         """Whether one more request may be taken, so many being under way.
 
         With every place held by a request that had been taken, those behind waited in the kernel until they
         were late; some places are left to tell them so.
         """
-        return under_way < self.begun
+        return active_requests < self.begun
 
 
 @dataclass(slots=True)
--- a/loadbalancer/runtime/front.py
+++ b/loadbalancer/runtime/front.py
@@ -209,7 +209,7 @@
             late = partial(self._say, call, *FAILURES[AnswerCause.LATE], "failed: it may have run")
             if ticket.settle(call, partial(self._pass_on, call), late):
                 return
-        if pool.full or not self.server.begins():
+        if pool.full or not self.server.may_begin():
             # Guard: too many to hold. None of it has gone anywhere, so it is a refusal.
             self._turn_away(
                 call, route.pool, kind.name, RejectionSource.OPEN if pool.full else RejectionSource.CALLERS
--- a/loadbalancer/runtime/gate.py
+++ b/loadbalancer/runtime/gate.py
@@ -164,7 +164,7 @@
     return {
         "connections": len(listener.connections),
         "limit": listener.limit,
-        "under_way": listener.under_way,
+        "under_way": listener.active_requests,
         "idle": len(listener.idle),
         "paused": listener.paused,
         "short_of_descriptors": listener.short,
--- a/loadbalancer/runtime/thrift.py
+++ b/loadbalancer/runtime/thrift.py
@@ -173,7 +173,7 @@
             self.gate.tally.add(route.pool, kind.name, RejectionSource.TIME)
             self._refuse(call, 0.0, "its time was up before its turn came")
             return
-        if pool.full or not self.server.begins():
+        if pool.full or not self.server.may_begin():
             self._turn_away(
                 call, route.pool, kind.name, RejectionSource.OPEN if pool.full else RejectionSource.CALLERS
             )
--- a/tests/overload/test_own_limits.py
+++ b/tests/overload/test_own_limits.py
@@ -121,9 +121,9 @@
 def test_a_door_is_told_to_close_before_it_is_full(limit, held):
     door = ConnectionLimit(limit)
     assert door.may_accept(held) == max(0, limit - held)
-    if limit >= 4 and door.keeps(held):
+    if limit >= 4 and door.may_keep(held):
         assert door.may_accept(held) > 0  # kept connections alone never fill it
-    if limit >= 4 and door.begins(held):
+    if limit >= 4 and door.may_begin(held):
         assert held < limit  # nor do requests
 
 
--- a/tests/runtime/test_load.py
+++ b/tests/runtime/test_load.py
@@ -168,7 +168,7 @@
             more = [await asyncio.open_connection(*address(sidecar)) for _ in range(3 * server.limit)]
             for _, writer in more:
                 writer.write(ASK)
-            await until(lambda: server.under_way >= int(server.limit * 0.75))
+            await until(lambda: server.active_requests >= int(server.limit * 0.75))
             told = [asyncio.create_task(reader.read(12)) for reader, _ in more]
             await until(lambda: sum(task.done() for task in told) >= 2 * server.limit)
             assert {task.result() for task in told if task.done()} == {b"HTTP/1.1 503"}
