--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -70,7 +70,7 @@
     )
 
 
-def test_age_is_told_from_the_last_news_that_the_source_vouches_for():
+def test_age_is_taken_from_the_last_report_that_the_source_vouches_for():
     endpoint_list = EndpointList(starts_known=True)
     assert endpoint_list.age_ms(1.0) is None
     endpoint_list.replace(500.0, [entry("a")], form=ListForm.CACHED)
@@ -81,7 +81,7 @@
     assert (endpoint_list.age_ms(2100.0), list(endpoint_list.entries)) == (100.0, ["a"])
 
 
-def test_changes_are_told_as_changes_and_held_in_the_whole():
+def test_changes_are_reported_as_changes_and_kept_in_the_list():
     endpoint_list = EndpointList(starts_known=True)
     endpoint_list.replace(100.0, [entry("a"), entry("b", 2), entry("c", 3)])
     update = endpoint_list.update(
@@ -122,7 +122,7 @@
     assert launched(endpoint_list.update(400.0, [entry("a"), entry("b", 2)])) == {"a": 400.0, "b": 200.0}
 
 
-def test_a_whole_list_that_names_one_as_gone_does_not_hold_it():
+def test_a_complete_list_that_names_one_as_gone_does_not_hold_it():
     endpoint_list = EndpointList(starts_known=True)
     endpoint_list.replace(100.0, [entry("a"), entry("b", 2)])
     update = endpoint_list.replace(200.0, [entry("a"), entry("b", 2, state=ServerState.REMOVED)])
--- a/tests/faults/test_answers.py
+++ b/tests/faults/test_answers.py
@@ -65,7 +65,7 @@
     asyncio.run(main())
 
 
-def test_a_connection_that_brought_more_than_was_asked_for_carries_nothing_more():
+def test_a_connection_that_brought_more_than_was_requested_carries_nothing_more():
     async def main():
         async def script(message):
             return reply(200, message.headers["req-id"].encode()) + reply(200, b"more")
--- a/tests/faults/test_callers_that_leave.py
+++ b/tests/faults/test_callers_that_leave.py
@@ -94,7 +94,7 @@
 
 
 @both
-def test_while_it_stands_in_line_for_a_connection(cancel):
+def test_while_it_waits_in_the_queue_for_a_connection(cancel):
     async def main():
         server = Held()
         async with running(server, bounds=bounds(cancel)) as node:
@@ -119,7 +119,7 @@
 
 @both
 @pytest.mark.parametrize("kind", ["read", "post", "move"])
-def test_while_the_attempt_before_is_out_that_would_be_tried_again(cancel, kind):
+def test_while_the_attempt_before_is_out_that_would_be_retried(cancel, kind):
     async def main():
         decline = asyncio.Event()
 
@@ -203,7 +203,7 @@
 
 
 @both
-def test_what_stands_behind_another_request_of_a_caller_that_has_gone(cancel):
+def test_what_waits_behind_another_request_of_a_caller_that_has_gone(cancel):
     async def main():
         server = Held()
         async with running(server, bounds=bounds(cancel)) as node:
@@ -218,7 +218,7 @@
     asyncio.run(main())
 
 
-def test_what_stands_behind_an_answer_that_its_caller_is_slow_to_read():
+def test_what_waits_behind_an_answer_that_its_caller_is_slow_to_read():
     """Guard: reading is paused then, so that the end was seen only after the next request had been sent on."""
 
     async def main():
--- a/tests/faults/test_drains.py
+++ b/tests/faults/test_drains.py
@@ -56,7 +56,7 @@
     asyncio.run(main())
 
 
-def test_what_stands_in_line_for_a_connection_goes_elsewhere():
+def test_what_waits_in_the_queue_for_a_connection_goes_elsewhere():
     async def main():
         leaving, staying = Held(), Peer()
         async with running(leaving, staying) as node:
@@ -76,7 +76,7 @@
     asyncio.run(main())
 
 
-def test_a_connection_that_rests_as_the_drain_is_told_carries_nothing_more():
+def test_a_connection_that_rests_as_the_drain_is_reported_carries_nothing_more():
     async def main():
         leaving, staying = Peer(), Peer()
         async with running(leaving, staying) as node:
--- a/tests/faults/test_end_of_service.py
+++ b/tests/faults/test_end_of_service.py
@@ -114,7 +114,7 @@
     return passes
 
 
-def test_what_a_server_hangs_on_and_what_stands_behind_it_are_answered_at_the_end():
+def test_what_a_server_hangs_on_and_what_waits_behind_it_are_answered_at_the_end():
     async def main():
         server = Held()
         async with running(server) as node:
--- a/tests/faults/test_thrift_callers_that_leave.py
+++ b/tests/faults/test_thrift_callers_that_leave.py
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("behind", [5, PIPELINE + 8], ids=["read on", "no more is read"])
-def test_what_stands_behind_another_call_of_a_caller_that_has_gone_is_not_sent_on(behind):
+def test_what_waits_behind_another_call_of_a_caller_that_has_gone_is_not_sent_on(behind):
     """Guard: with so many calls waiting nothing more was read, the end neither, and all of them were sent on."""
 
     async def main():
@@ -94,7 +94,7 @@
     asyncio.run(main())
 
 
-def test_what_stands_behind_a_reply_that_its_caller_does_not_read_is_not_sent_on_when_it_goes():
+def test_what_waits_behind_a_reply_that_its_caller_does_not_read_is_not_sent_on_when_it_goes():
     async def main():
         (box,) = boxes(1)
         async with running(box) as sidecar:
--- a/tests/faults/test_watch.py
+++ b/tests/faults/test_watch.py
@@ -146,7 +146,7 @@
 
 
 @modes
-def test_changes_below_the_revision_that_is_held_have_the_whole_list_asked_for(mode):
+def test_changes_below_the_revision_that_is_held_have_the_complete_list_requested(mode):
     async def main():
         discovery = Discovery(
             listing(50, True, s5=READY), listing(3, False, s3=READY), listing(3, True, s4=READY)
@@ -173,7 +173,7 @@
     asyncio.run(main())
 
 
-def test_of_a_server_that_stands_twice_the_last_word_counts_and_an_indented_list_is_a_good_one():
+def test_of_a_server_that_stands_twice_the_last_entry_counts_and_an_indented_list_is_a_good_one():
     async def main():
         body = b"""{
             "rev": 5,  "all": true, "targets": [
@@ -201,7 +201,7 @@
 
 
 @modes
-def test_a_fault_while_a_failure_is_told_does_not_end_the_watch(mode):
+def test_a_fault_while_a_failure_is_reported_does_not_end_the_watch(mode):
     """Guard: where discovery is asked the module is the one that asks again, and it had not heard."""
 
     async def main():
--- a/tests/faults/test_whose_settings.py
+++ b/tests/faults/test_whose_settings.py
@@ -76,7 +76,7 @@
     asyncio.run(main())
 
 
-def test_the_module_has_the_classes_of_this_nodes_settings_alone():
+def test_the_balancer_has_the_classes_of_this_nodes_settings_alone():
     async def main():
         row = {**SETTINGS["categories"][2], "effect": "single_shot", "giveUpMs": 900.0, "aimMs": 300.0}
         async with running(Peer(), settings={"categories": [row]}) as node:
--- a/tests/overload/test_own_limits.py
+++ b/tests/overload/test_own_limits.py
@@ -63,7 +63,7 @@
             return
 
 
-def test_the_lowest_worth_is_turned_away_first_and_what_has_time_is_not():
+def test_the_lowest_worth_is_rejected_first_and_what_has_time_is_not():
     limit = CoreLimit(top_s=1.0, servers_s=0.1)
     assert limit.allows(
         TURN_LEAST_S, 0.05, 10_000, 0.0, 1.0, worth=1.0
@@ -83,7 +83,7 @@
 @examples(max_examples=30)
 @given(st.integers(200, 6000), st.floats(50e-6, 400e-6), st.floats(0.3, 3.0), st.integers(0, 3))
 @example(4894, 0.00034059208125607665, 0.3125, 0)
-def test_however_much_is_asked_the_core_goes_on_answering_and_in_time(asked, cost, time_s, known):
+def test_however_much_is_requested_the_core_goes_on_answering_and_in_time(asked, cost, time_s, known):
     """Closed turns: all that asks is read in each, a refusal costs a tenth, an answer is read some turns later."""
     limit, turn = CoreLimit(top_s=time_s, cost_s=cost), 0.0
     out: deque[tuple[int, float]] = deque([(0, 0.0)] * (known + 1))  # taken in a turn, having waited so long
@@ -118,7 +118,7 @@
 
 
 @given(st.integers(1, 5000), st.integers(0, 6000))
-def test_a_door_is_told_to_close_before_it_is_full(limit, held):
+def test_a_listener_has_connections_closed_before_it_is_full(limit, held):
     door = ConnectionLimit(limit)
     assert door.may_accept(held) == max(0, limit - held)
     if limit >= 4 and door.may_keep(held):
@@ -127,7 +127,7 @@
         assert held < limit  # nor do requests
 
 
-def test_no_more_stand_in_line_than_can_be_served_in_time():
+def test_no_more_wait_in_the_queue_than_can_be_served_in_time():
     wait_queue = WaitQueue()
     assert wait_queue.may_wait(1000, 1, 1.0)  # nothing is known
     for _ in range(200):
@@ -167,7 +167,7 @@
 
 
 @given(st.lists(st.floats(0.0, 0.09), min_size=20, max_size=120), st.floats(1.0, 60_000.0))
-def test_a_latency_under_a_tenth_of_the_aim_is_never_load(shares, aim):
+def test_a_latency_under_a_tenth_of_the_latency_target_is_never_load(shares, aim):
     """A pool of a fraction of a millisecond that becomes ten times slower, an aim a thousand times the latency."""
     kind = api.ServiceClass("read", aim, 2.5 * aim, effect=api.Effect.SAFE)
     bed = Bed(classes=(kind,), near_ms=1.0)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -107,7 +107,7 @@
     assert kinds(bed.end(name, sent(acts)[0].server, api.Result.TIMEOUT, 300.0)) == [api.Refuse]
 
 
-def test_late_work_worth_nothing_is_stopped_at_the_aim():
+def test_late_work_worth_nothing_is_stopped_at_the_latency_target():
     """Guard: answers after the aim earned nothing while they crowded out others."""
     bed = Bed()
     assert 900.0 < sent(bed.ask("post", left=2000.0)[1])[0].timeout_ms < 1000.0
@@ -139,7 +139,7 @@
     assert sent(bed.period(600.0)) == []
 
 
-def test_a_hanging_server_is_shunned_long_before_its_time_out():
+def test_a_hanging_server_is_avoided_long_before_its_time_out():
     """Guard: a server that takes calls and answers none kept its good rank until time-outs came."""
     bed = Bed(count=4)
     for _ in range(20):
@@ -149,7 +149,7 @@
     assert hung not in {bed.serve() for _ in range(8)}
 
 
-def test_a_server_that_is_heard_again_is_used_again():
+def test_a_server_that_answers_again_is_used_again():
     bed = Bed(count=2)
     for _ in range(20):
         bed.serve()
@@ -194,7 +194,7 @@
     assert first_use(later) < first_use(bed)
 
 
-def test_a_trouble_of_all_leaves_all_in_use():
+def test_a_fault_of_all_leaves_all_in_use():
     bed = Bed(count=6)
     for _ in range(6):
         bed.serve()
@@ -340,7 +340,7 @@
     assert "s1" not in {bed.serve() for _ in range(12)}
 
 
-def test_a_server_absent_from_a_whole_list_is_gone():
+def test_a_server_absent_from_a_complete_list_is_gone():
     bed = Bed(count=3)
     bed.give(api.Membership(api.ListForm.FULL, servers(2)))
     assert "s2" not in {bed.serve() for _ in range(12)}
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -68,7 +68,7 @@
     asyncio.run(main())
 
 
-def test_the_module_hears_what_the_request_says():
+def test_the_balancer_receives_what_the_request_says():
     async def main():
         async with running(Peer()) as node:
             node.pool.balancer = scripted = Scripted(lambda event: [api.Refuse(event.id, 250.0)])
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("kind", ["post", "read"])
-def test_nothing_is_sent_again_but_by_the_module(kind):
+def test_nothing_is_sent_again_but_by_the_balancer(kind):
     async def main():
         async def script(message):
             return None if len(server.seen) == 2 else reply()
@@ -191,7 +191,7 @@
 
 
 @pytest.mark.parametrize("kind", [api.Request, api.Outcome])
-def test_a_fault_of_the_module_leaves_no_request_unanswered(kind):
+def test_a_fault_of_the_balancer_leaves_no_request_unanswered(kind):
     async def main():
         async with running(Peer(lambda message: asyncio.sleep(0, reply(500)))) as node:
 
@@ -226,7 +226,7 @@
     asyncio.run(main())
 
 
-def test_a_request_that_the_module_forgets_is_answered_at_its_deadline():
+def test_a_request_that_the_balancer_forgets_is_answered_at_its_deadline():
     async def main():
         async with running(Peer()) as node:
             node.pool.balancer = scripted = Scripted()
@@ -281,7 +281,7 @@
         ),
     ],
 )
-def test_bad_callers_are_answered_and_never_reach_the_module(data, status):
+def test_bad_callers_are_answered_and_never_reach_the_balancer(data, status):
     async def main():
         async with running(Peer()) as node:
             node.pool.balancer = scripted = Scripted()
@@ -395,7 +395,7 @@
     asyncio.run(main())
 
 
-def test_a_request_takes_the_room_of_a_connection_that_has_just_become_idle():
+def test_a_request_takes_the_slot_of_a_connection_that_has_just_become_idle():
     """Guard: connections idle for under 2 s held all the room, and requests were refused."""
 
     async def main():
@@ -415,7 +415,7 @@
     asyncio.run(main())
 
 
-def test_the_list_reaches_the_module_as_cached_full_delta_and_failed():
+def test_the_list_reaches_the_balancer_as_cached_full_delta_and_failed():
     async def main():
         server = Peer()
         await server.start()
@@ -478,7 +478,7 @@
     asyncio.run(main())
 
 
-def test_a_hung_discovery_call_fails_and_the_module_asks_again(monkeypatch):
+def test_a_hung_discovery_call_fails_and_the_balancer_asks_again(monkeypatch):
     async def main():
         monkeypatch.setattr("loadbalancer.discovery.watcher.ANSWER_GRACE_S", 0.05)
         monkeypatch.setattr("loadbalancer.discovery.watcher.PROBE_TIMEOUT_S", 0.05)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -27,7 +27,7 @@
 # -------------------------------------------------------------------- the budget alone
 
 
-def test_a_window_has_its_share_of_first_tries_and_the_floor():
+def test_a_window_has_its_share_of_first_attempts_and_the_floor():
     budget = RetryBudget(0.1, 0.2, 10_000.0)
     assert [budget.take(0.0, "read", Spent.RETRY) for _ in range(3)] == [True, True, False]  # the floor: 2
     for _ in range(50):
@@ -110,7 +110,7 @@
     return len(one.brain.requests[name].attempts) - 1
 
 
-def test_a_sick_pool_is_not_multiplied():
+def test_a_failing_pool_is_not_multiplied():
     plain, answered = failing(Bed(6), 400)
     assert answered == 400
     budgeted, answered = failing(bed(), 400)
@@ -248,7 +248,7 @@
     assert kinds(acts) == [api.Refuse]
 
 
-def test_callers_that_are_turned_away_together_are_told_different_times():
+def test_callers_that_are_rejected_together_get_different_times():
     def told(spread: float) -> list[float]:
         one = bed(retry_after=True, max_retry_after_ms=9000.0, retry_after_spread=spread)
         one.brain.table.cursor = 4
@@ -318,7 +318,7 @@
 # ------------------------------------------------------------------ keys across copies
 
 
-def test_a_second_try_with_its_key_goes_to_the_group_that_may_know_it():
+def test_a_second_attempt_with_its_key_goes_to_the_group_that_may_know_it():
     for seed in range(20):
         one = bed(seed=seed)
         earlier = api.Earlier("s1", one.now - 100.0)  # of zone b
@@ -326,7 +326,7 @@
         assert sent(acts)[0].server in ("s1", "s3", "s5")
 
 
-def test_a_second_try_with_its_key_is_not_sent_once_the_group_may_have_forgotten_it():
+def test_a_second_attempt_with_its_key_is_not_sent_once_the_group_may_have_forgotten_it():
     one = bed()
     earlier = api.Earlier("s1", one.now - KEYED.memory_ms)
     _, acts = one.ask("points", is_retry=True, paid=True, earlier=earlier)
--- a/tests/test_return.py
+++ b/tests/test_return.py
@@ -56,12 +56,12 @@
 
 
 @pytest.mark.parametrize("result", FAILURES)
-def test_a_server_that_failed_is_asked_again_while_others_are_idle(result):
+def test_a_server_that_failed_gets_trial_calls_while_others_are_idle(result):
     bed = away(result=result)
     assert calls(bed, 1500)
 
 
-def test_one_that_fails_on_is_asked_at_a_bounded_rate():
+def test_one_that_fails_on_gets_trial_calls_at_a_bounded_rate():
     bed = away()
     asked = calls(bed, 6000, result=api.Result.ERROR)
     gaps = [after - before for before, after in pairwise(asked)]
@@ -83,7 +83,7 @@
     assert asked[0] - last >= 4 * 8 * TRIAL_INTERVAL_MS
 
 
-def test_a_call_that_finds_out_leaves_time_for_another():
+def test_a_trial_call_leaves_time_for_another():
     bed = away()
     for _ in range(2000):
         name, acts = bed.ask("read", LEFT)
@@ -114,7 +114,7 @@
 @pytest.mark.parametrize(
     ("told", "failed", "most"), [(False, SILENT, 0.12), (True, SILENT, 0.35), (False, ERROR, 0.35)]
 )
-def test_where_nobody_tells_of_starts_one_that_was_lost_is_held_to_be_cold(told, failed, most):
+def test_where_lists_have_no_starts_one_that_gave_no_answer_is_held_to_be_cold(told, failed, most):
     bed = away(result=failed, starts_told=told, cold_from=0.1)
     calls(bed, 1500, every=3.0)
     begins = bed.brain.peers["s0"].recovered_ms
@@ -125,7 +125,7 @@
     assert 0.0 < share <= most
 
 
-def test_a_list_that_starts_a_server_anew_forgets_what_was_learned():
+def test_a_list_that_restarts_a_server_forgets_what_was_learned():
     bed = away()
     bed.give(api.Membership(api.ListForm.FULL, servers(4, launched_ms=bed.now - 60_000.0)))
     assert bed.brain.peers["s0"].failures == 0
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -139,7 +139,7 @@
     assert host.event(returned("q", server, 0, True, telemetry=[3, 0.5])) == []
 
 
-def test_reports_reach_the_module_in_the_order_of_the_settings():
+def test_reports_reach_the_balancer_in_the_order_of_the_settings():
     host = Host()
     host.now = 1000.0
     rows = [row for event in (catalog(), *start(), request("q")) for row in host.event(event)]
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -67,7 +67,7 @@
     asyncio.run(main())
 
 
-def test_strangers_make_room_for_a_caller_and_do_not_get_it_refused():
+def test_strangers_free_a_slot_for_a_caller_and_do_not_get_it_refused():
     async def main():
         async with running(Peer(), limits={"sockets": 132}) as node:
             good = await Caller.to(node)
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize("name", ["a b", "q\xe9", "q" * 129])
-def test_odd_ids_are_turned_away(name):
+def test_odd_ids_are_rejected(name):
     async def main():
         server = Peer()
         async with running(server) as node:
@@ -131,7 +131,7 @@
     asyncio.run(main())
 
 
-def test_a_trailer_and_a_body_where_there_is_none_are_turned_away():
+def test_a_trailer_and_a_body_where_there_is_none_are_rejected():
     async def main():
         server = Peer()
         async with running(server) as node:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -407,7 +407,7 @@
     asyncio.run(main())
 
 
-def test_who_stands_in_line_until_its_time_is_over_is_not_held_against_the_server():
+def test_who_waits_in_the_queue_until_its_time_is_over_is_not_held_against_the_server():
     async def main():
         held = Held()
         server, servers = await held.start(), pool(limit=1)
