--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -15,6 +15,7 @@
 
 
 def read_config() -> Config:
+    """Read the file that PROXY_CONFIG names; raises OSError or ValueError."""
     path = os.environ.get("PROXY_CONFIG")
     if not path:
         raise ValueError("PROXY_CONFIG is not set")
@@ -22,7 +23,7 @@
 
 
 async def serve() -> int:
-    """Run the node until SIGTERM or SIGINT; SIGHUP has it read its configuration again."""
+    """Run the node until SIGTERM or SIGINT; SIGHUP has it read its configuration again. Returns the exit code."""
     stop, hangup = signals()
     try:
         config = read_config()
@@ -33,7 +34,7 @@
     await node.start()
     reloading = asyncio.create_task(_reload(node, hangup))
     gc.collect()
-    gc.freeze()  # what is there for good need not be looked at again
+    gc.freeze()  # the collector need not check what stays for the process's life
     logging.info("%s serves on %s:%d", config.name, *node.server.address)
     await stop.wait()
     reloading.cancel()
@@ -58,6 +59,7 @@
 
 
 def main() -> int:
+    """Run the node; returns its exit code: 2 for a bad configuration, 1 if it can't listen."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     try:
         return asyncio.run(serve())
