--- a/loadbalancer/core/pooled.py
+++ b/loadbalancer/core/connection_pool.py
@@ -1,8 +1,7 @@
-"""The servers' side, whatever is spoken: pooled connections to each server, and attempts that end with exactly one
-result.
+"""Pooled connections to servers, whatever is spoken on them, and attempts that end with exactly one result.
 
-`PooledBack` is a `core.types.Back`; what a connection is, what is written on it and what an answer stands for is for
-those that derive from it to say.
+`ConnectionPool` is a `core.types.Upstream`. What a connection is, what is written on it and what an answer stands for
+is for the classes that derive from it to say.
 """
 
 from __future__ import annotations
@@ -16,42 +15,46 @@
 from loadbalancer.core.address import Address
 from loadbalancer.core.outgoing import OWN, Outgoing
 from loadbalancer.core.turns import turns_of
-from loadbalancer.core.types import OnEnd
+from loadbalancer.core.types import Message, OnEnd, Reply
 from loadbalancer.interface import Result
-from loadbalancer.overload.connections import Line
+from loadbalancer.overload.connections import WaitQueue
 
-IDLE_SHARE = 0.5  # of the time after which a server closes an idle connection: ours goes well before
-LOOKED_AT = 16  # of those in line, for one that goes to the server whose connection has become free
-OPENING = 64  # connections that are being opened to one server at a time
-OVERDUE = 4.0  # holds of a connection, after which the first in line is no longer passed
+MadeConnection = Any  # the kind of `Outgoing` that the deriving class makes
+
+IDLE_SHARE = 0.5  # of the time after which a server closes an idle connection: ours is closed well before
+SEARCHED = 16  # queued attempts that are checked for one to the server whose connection has become free
+MAX_OPENING = 64  # connections that are being opened to one server at a time
+OVERDUE_HOLDS = 4.0  # smoothed holds of a connection, after which the first in the queue is no longer passed
 
 
 @dataclass(slots=True, eq=False)
 class _Server:
+    """A server, its idle connections and the attempts that wait for one."""
+
     endpoint: Address
     launched_ms: float | None
     idle: list[Outgoing] = field(default_factory=list)  # newest last
     waiting: set[Attempt] = field(default_factory=set)  # attempts whose connection is not up yet
     opening: int = 0  # connections
-    # Attempts that wait for one of these, or a free one.
-    behind: deque[Attempt] = field(default_factory=deque)
+    # Attempts that wait for a connection that is being opened, or a free one.
+    queue: deque[Attempt] = field(default_factory=deque)
 
     def next(self) -> Attempt | None:
-        """Who is first of those behind."""
-        while self.behind:
-            first = self.behind.popleft()
+        """Take the first attempt of the queue that is not over."""
+        while self.queue:
+            first = self.queue.popleft()
             if not first.over:
                 return first
         return None
 
 
 class Attempt:
-    """One request on its way to one server."""
+    """One request on its way to one server; it ends with exactly one call of `on_end`."""
 
     def __init__(
         self,
-        pool: PooledBack,
-        message: Any,
+        pool: ConnectionPool,
+        message: Message,
         timeout_s: float,
         on_end: OnEnd,
     ) -> None:
@@ -62,8 +65,8 @@
         self._server: _Server | None = None
         self._connection: Outgoing | None = None
         self._connect: asyncio.Task[None] | None = None
-        self._patience: asyncio.TimerHandle | None = None  # with the server that is connected to
-        self._lined = False  # it stands in line for a connection
+        self._connect_timer: asyncio.TimerHandle | None = None  # with the server that is connected to
+        self._in_queue = False  # it waits in the pool's queue for a connection
         self._sent: float | None = None  # when its message was written
         self._connect_s = 0.0  # of connecting, what was not this process's own
         loop = asyncio.get_running_loop()
@@ -73,67 +76,70 @@
 
     @property
     def over(self) -> bool:
+        """Whether it has ended."""
         return self._over
 
     @property
     def server(self) -> _Server | None:
+        """The server that it goes to; None before `begin`."""
         return self._server
 
     def cancel(self) -> None:
+        """Give it up; its result is CANCELLED, unless it is over."""
         self._finish(Result.CANCELLED)
 
-    def withdraw(self) -> None:
+    def give_up_unsent(self) -> None:
         """Give up before anything was sent."""
         self._finish(Result.CONNECT_FAILED)
 
-    def recall(self) -> None:
-        """Give up, for no fault of the server's, unless it has been written whole."""
-        # Guard: a server begins a request with its last byte, which left long after the caller had gone.
+    def give_up_unwritten(self) -> None:
+        """Give up, for no fault of the server's, unless it has been written completely."""
+        # A server begins a request with its last byte, which left long after the caller had gone.
         if self._sent is None or (self._connection is not None and not self._connection.written):
             self._finish(Result.MOOT)
 
-    # ----------------------------------------------------------- for the connection
-
-    def answered(self, response: Any) -> None:
+    def answered(self, response: Reply) -> None:
+        """End with a server's complete answer; the connection goes back to the pool."""
         connection, self._connection = self._connection, None
         if connection is not None and self._server is not None:
             held_s = asyncio.get_running_loop().time() - (self._sent or self.began)
-            self._pool.give_back(self._server, connection, held_s)
+            self._pool.release(self._server, connection, held_s)
         result, report = self._pool.outcome(self._message, response)
         self._finish(result, response, report)
 
     def lost(self, written: bool) -> None:
+        """End without an answer, as the connection is gone; `written`: the request's last byte had left."""
         self._connection = None
         self._finish(Result.RESET if written else Result.CONNECT_FAILED)
 
-    # -------------------------------------------------------------------- inside
-
     def begin(self, server: _Server) -> None:
+        """Get a connection to this server at once, or wait in the pool's queue for one."""
         self._server = server
-        if self._pool.may_go_at_once and self.go():
+        if self._pool.queue_is_empty and self.go():
             return
-        if self._pool.stand_in_line(self, self._end_at - self.began):
+        if self._pool.enqueue(self, self._end_at - self.began):
             server.waiting.add(self)
-            self._lined = True
+            self._in_queue = True
         else:
-            # Told later, as every result is, so that the action that asked for the attempt is over by then.
+            # Reported later, as every result is, so that the action that started the attempt is over by then.
             asyncio.get_running_loop().call_soon(self._finish, Result.NO_ROOM)
 
     def go(self) -> bool:
-        """Have a connection, an idle one or one that is opened now; False if there is none to be had."""
+        """Use an idle connection or open one; False if neither can be had."""
         server = self._server
-        assert server is not None
+        if server is None:
+            raise RuntimeError("an attempt was sent before it began")
         connection = self._pool.take_idle(server)
         if connection is not None:
             self.use(connection)
-        elif server.opening >= OPENING:
-            # Guard: a burst opened a connection for each of its requests, which cost the core more than the answers
+        elif server.opening >= MAX_OPENING:
+            # A burst opened a connection for each of its requests, which cost the core more than the answers
             # and took turns that were longer than those of a free one.
-            self._lined = False
+            self._in_queue = False
             server.waiting.add(self)
-            server.behind.append(self)
-        elif self._pool.make_room():
-            self._lined = False
+            server.queue.append(self)
+        elif self._pool.may_open():
+            self._in_queue = False
             server.waiting.add(self)
             self._connect = asyncio.create_task(self._open(server))
             self._pool.count_opening(server, self._connect)
@@ -142,8 +148,8 @@
         return True
 
     def use(self, connection: Outgoing) -> None:
-        """Go out on this connection."""
-        self._lined = False
+        """Send the request on this connection."""
+        self._in_queue = False
         if self._server is not None:
             self._server.waiting.discard(self)
         self._write(connection)
@@ -151,50 +157,50 @@
     async def _open(self, server: _Server) -> None:
         loop, turns = asyncio.get_running_loop(), self._pool.turns
         began, spent = loop.time(), turns.spent_s
-        self._bear(loop, began, spent)
+        self._limit_connect(loop, began, spent)
         try:
             connection = await self._pool.open(server.endpoint)
         except (OSError, ValueError) as error:  # ValueError: what the list gives as its host can be none
             self._connect = None
-            # Guard: a descriptor that this process lacked was taken for a server that could not be reached.
+            # A descriptor that this process lacked was taken for a server that could not be reached.
             if isinstance(error, OSError) and error.errno in OWN:
                 self._finish(Result.NO_ROOM)
             else:
                 self._not_reached(server)
             return
         self._connect = None
-        if self._patience is not None:
-            self._patience.cancel()
+        if self._connect_timer is not None:
+            self._connect_timer.cancel()
         # While the loop had something to do it can't be told whether the server had answered already.
         self._connect_s = max(0.0, loop.time() - began - (turns.spent_s - spent))
         server.waiting.discard(self)
         if self._over:
             connection.abort()
         elif not connection.usable:
-            # Guard: what was written to a connection that had ended already counted as a request that may have run.
+            # What was written to a connection that had ended already counted as a request that may have run.
             connection.abort()
-            self.withdraw()
+            self.give_up_unsent()
         else:
             self._write(connection)
 
-    def _bear(self, loop: asyncio.AbstractEventLoop, began: float, spent: float) -> None:
+    def _limit_connect(self, loop: asyncio.AbstractEventLoop, began: float, spent: float) -> None:
         """Give up connecting when the server has had its time.
 
-        Guard: behind long turns of this process's own, servers that accepted at once were given up and tried elsewhere.
+        Behind long turns of this process's own, servers that accepted at once were given up and tried elsewhere.
         """
         own = self._pool.turns.spent_s - spent
         left = began + own + self._pool.connect_timeout_s - loop.time()
         if left > 0.0:
-            self._patience = loop.call_later(left, self._bear, loop, began, spent)
+            self._connect_timer = loop.call_later(left, self._limit_connect, loop, began, spent)
         elif self._server is not None:
             self._not_reached(self._server)
 
     def _not_reached(self, server: _Server) -> None:
-        """Those behind an attempt that could not connect are given up unsent, as it is."""
-        behind, server.behind = server.behind, deque()
-        self.withdraw()
-        for attempt in behind:
-            attempt.withdraw()
+        """Give up unsent this attempt, which could not connect, and those that wait behind it."""
+        queue, server.queue = server.queue, deque()
+        self.give_up_unsent()
+        for attempt in queue:
+            attempt.give_up_unsent()
 
     def _write(self, connection: Outgoing) -> None:
         self._connection = connection
@@ -203,48 +209,57 @@
         self._pool.start(connection, self._message, left, self)
 
     def _time_out(self) -> None:
-        # Guard: what has not been written whole has never run, and a refusal may then say so.
-        if self._lined:
+        # What has not been written completely has never run, and a rejection may then say so.
+        if self._in_queue:
             self._finish(Result.NO_ROOM)
             return
         sent = self._connection is not None and self._connection.written
         self._finish(Result.TIMEOUT if sent else Result.CONNECT_FAILED)
 
-    def _finish(self, result: Result, response: Any = None, report: dict[str, float] | None = None) -> None:
-        if self._over:
-            return
-        self._over = True
+    def _stop_connecting(self) -> None:
         self._timer.cancel()
         if self._server is not None:
             self._server.waiting.discard(self)
         if self._connect is not None:
             self._connect.cancel()
-        if self._patience is not None:
-            self._patience.cancel()
+        if self._connect_timer is not None:
+            self._connect_timer.cancel()
+
+    def _finish(self, result: Result, response: Reply = None, report: dict[str, float] | None = None) -> None:
+        if self._over:
+            return
+        self._over = True
+        self._stop_connecting()
         if self._connection is not None:  # closing is how an attempt is given up
             self._connection.abort()
         now = asyncio.get_running_loop().time()
         server_s = self._connect_s
         if self._sent is not None:
             server_s += max(0.0, self._pool.turns.came(now) - self._sent)
-            # Guard: what hangs holds a connection for longest, and nobody counted it.
+            # What hangs holds a connection for longest, and was not counted.
             if self._connection is not None:
-                self._pool.line.held(now - self._sent)
-        if self._lined:
-            self._pool.leave_line()
+                self._pool.wait_queue.note_held(now - self._sent)
+        if self._in_queue:
+            self._pool.dequeued()
         self._on_end(result, response, report, server_s)
 
 
-class PooledBack:
-    """Connections to all servers, at most `limit` of them, the newest idle one used first."""
+class ConnectionPool:
+    """Connections to all servers, at most `limit` of them, the newest idle one used first.
+
+    Parameters
+    ----------
+    server_idle_s: after which servers close an idle connection.
+    connect_timeout_s: within which a server has to accept.
+    rest_s: how long a connection carries nothing after an answer.
+    """
 
     def __init__(
         self, limit: int, server_idle_s: float, connect_timeout_s: float, rest_s: float = 0.0
     ) -> None:
-        """`rest_s`: how long a connection carries nothing after an answer."""
         self.limit = limit
         self._rest_s = rest_s
-        # Those that do, first the one that has for longest, each with the loop's time at which it is over.
+        # Connections that rest, the oldest first, each with the loop's time at which its rest is over.
         self._resting: deque[tuple[float, _Server, Outgoing]] = deque()
         self._rest_timer: asyncio.TimerHandle | None = None
         self.connect_timeout_s = connect_timeout_s
@@ -254,33 +269,31 @@
         self._opening: set[asyncio.Task[None]] = set()
         self._sweep_timer: asyncio.TimerHandle | None = None
         self.turns = turns_of(asyncio.get_running_loop())
-        self.line = Line()
-        # Those without a connection for want of room; some may be over.
-        self._standing: deque[Attempt] = deque()
-        self._in_line = 0
-
-    # ------------------------------------------------------------- for protocols
+        self.wait_queue = WaitQueue()
+        # Attempts without a connection for want of capacity; some may be over.
+        self._queue: deque[Attempt] = deque()
+        self._queued = 0
 
     def connection(self) -> Outgoing:
-        """A connection that is yet to be made; it tells `forget` when it is gone."""
+        """Return a new protocol for a connection, which calls `forget` when it is gone."""
         raise NotImplementedError
 
-    def start(self, connection: Any, message: Any, wait_s: float, attempt: Attempt) -> None:
-        """Write a message whose answer is waited for this long."""
+    def start(self, connection: MadeConnection, message: Message, wait_s: float, attempt: Attempt) -> None:
+        """Write a message whose answer is waited for `wait_s`."""
         raise NotImplementedError
 
-    def outcome(self, message: Any, reply: Any) -> tuple[Result, dict[str, float] | None]:
-        """The outcome that a whole answer stands for, and the load report that it holds."""
+    def outcome(self, message: Message, reply: Reply) -> tuple[Result, dict[str, float] | None]:
+        """Return the outcome that a complete answer stands for, and the load report that it holds."""
         raise NotImplementedError
 
     def forget(self, connection: Outgoing) -> None:
+        """Drop a connection that is gone."""
         self._open.discard(connection)
-        self.advance()
-
-    # ------------------------------------------------------------------- for pools
+        self.serve_queue()
 
     @property
     def size(self) -> int:
+        """Connections to servers, those that are being opened too."""
         return len(self._open) + len(self._opening)
 
     @property
@@ -289,16 +302,16 @@
         return {name: server.endpoint for name, server in self._servers.items()}
 
     def add(self, name: str, endpoint: Address, launched_ms: float | None = None) -> None:
-        """Name a server, its new endpoint or its latest start."""
-        # Guard: a machine that vanished and is back resets what is written to connections from before.
+        """Add a server, or take its new endpoint or its latest start."""
+        # A machine that vanished and is back resets what is written to connections from before.
         known = self._servers.get(name)
         if known is None or (known.endpoint, known.launched_ms) != (endpoint, launched_ms):
             self.remove(name)
             self._servers[name] = _Server(endpoint, launched_ms)
 
     def remove(self, name: str) -> None:
-        """Nothing new goes to this server: what waits for a connection to it is given up unsent."""
-        # Guard: an attempt that waits to connect as the drain is told could send its first byte too late.
+        """Send nothing more to this server: what waits for a connection to it is given up unsent."""
+        # An attempt that waits to connect as the drain is reported could send its first byte too late.
         server = self._servers.pop(name, None)
         if server is None:
             return
@@ -306,16 +319,16 @@
             connection.retire()
         server.idle.clear()
         for attempt in list(server.waiting):
-            attempt.withdraw()
+            attempt.give_up_unsent()
 
     def send(
         self,
         name: str,
-        message: Any,
+        message: Message,
         timeout_s: float,
         on_end: OnEnd,
     ) -> Attempt | None:
-        """Start an attempt; None if no such server is named."""
+        """Start an attempt; None if no such server was added."""
         server = self._servers.get(name)
         if server is None:
             return None
@@ -325,10 +338,11 @@
 
     @property
     def waiting(self) -> int:
-        """Attempts that stand in line for a connection."""
-        return self._in_line
+        """Attempts that wait in the queue for a connection."""
+        return self._queued
 
     def close(self) -> None:
+        """End all connections and attempts."""
         for name in list(self._servers):
             self.remove(name)
         for connection in list(self._open):
@@ -337,9 +351,8 @@
             if timer is not None:
                 timer.cancel()
 
-    # -------------------------------------------------------------- for attempts
-
     def take_idle(self, server: _Server) -> Outgoing | None:
+        """Take the newest idle connection to a server that can be used; None without one."""
         now = asyncio.get_running_loop().time()
         while server.idle:
             connection = server.idle.pop()
@@ -349,71 +362,75 @@
         return None
 
     @property
-    def may_go_at_once(self) -> bool:
-        return not self._in_line
+    def queue_is_empty(self) -> bool:
+        """Whether no attempt waits for a connection."""
+        return not self._queued
 
-    def stand_in_line(self, attempt: Attempt, left_s: float) -> bool:
-        """Whether an attempt may wait for a connection: where it can be expected to get one in time."""
-        if not self.line.may_wait(self._in_line, self.limit, left_s):
+    def enqueue(self, attempt: Attempt, left_s: float) -> bool:
+        """Queue an attempt for a connection; False where it can't be expected to get one in time."""
+        if not self.wait_queue.may_wait(self._queued, self.limit, left_s):
             return False
-        self._standing.append(attempt)
-        self._in_line += 1
+        self._queue.append(attempt)
+        self._queued += 1
         return True
 
-    def leave_line(self) -> None:
-        """One that stood in line is over; it is passed when its turn comes."""
-        self._in_line -= 1
+    def dequeued(self) -> None:
+        """Count out an attempt of the queue that is over; it is passed when its turn comes."""
+        self._queued -= 1
 
-    def advance(self) -> None:
-        """Let those in line go on for whom there is room now."""
-        while self._standing:
-            first = self._standing[0]
+    def serve_queue(self) -> None:
+        """Send the queued attempts for which there is capacity now."""
+        while self._queue:
+            first = self._queue[0]
             if first.over:
-                self._standing.popleft()
+                self._queue.popleft()
             elif first.go():
-                self._standing.popleft()
-                self._in_line -= 1
+                self._queue.popleft()
+                self._queued -= 1
             else:
                 return
 
     def _next_for(self, server: _Server, now: float) -> Attempt | None:
-        """Who in line gets a free connection to this server, unless the first one has waited for too long."""
-        while self._standing and self._standing[0].over:
-            self._standing.popleft()
-        if not self._standing or now - self._standing[0].began > OVERDUE * self.line.hold_s:
+        """Take the queued attempt that gets a free connection to this server.
+
+        None if there is none, or the first of the queue has waited for too long to be passed.
+        """
+        while self._queue and self._queue[0].over:
+            self._queue.popleft()
+        if not self._queue or now - self._queue[0].began > OVERDUE_HOLDS * self.wait_queue.hold_s:
             return None
-        for at in range(min(LOOKED_AT, len(self._standing))):
-            attempt = self._standing[at]
+        for at in range(min(SEARCHED, len(self._queue))):
+            attempt = self._queue[at]
             if attempt.server is server and not attempt.over:
-                del self._standing[at]
-                self._in_line -= 1
+                del self._queue[at]
+                self._queued -= 1
                 return attempt
         return None
 
-    def give_back(self, server: _Server, connection: Outgoing, held_s: float) -> None:
-        """A connection has brought its answer."""
-        self.line.held(held_s)
+    def release(self, server: _Server, connection: Outgoing, held_s: float) -> None:
+        """Take back a connection that has brought its answer."""
+        self.wait_queue.note_held(held_s)
         if self._rest_s <= 0.0:
             self._free(server, connection)
             return
-        # Guard: a server's second answer to one request, some ms after the first, was taken for the answer to the
-        # next request on that connection. Now it comes while nothing is asked, which ends the connection.
+        # A server's second answer to one request, some ms after the first, was taken for the answer to the
+        # next request on that connection. Now it comes while nothing is requested, which ends the connection.
         loop = asyncio.get_running_loop()
         self._resting.append((loop.time() + self._rest_s, server, connection))
         if self._rest_timer is None:
-            self._rest_timer = loop.call_later(self._rest_s, self._rested)
+            self._rest_timer = loop.call_later(self._rest_s, self._end_rests)
 
-    def _rested(self) -> None:
+    def _end_rests(self) -> None:
         loop = asyncio.get_running_loop()
         self._rest_timer = None
         while self._resting and self._resting[0][0] <= loop.time():
             _, server, connection = self._resting.popleft()
             self._free(server, connection)
         if self._resting and self._rest_timer is None:
-            self._rest_timer = loop.call_at(self._resting[0][0], self._rested)
+            self._rest_timer = loop.call_at(self._resting[0][0], self._end_rests)
 
     def _free(self, server: _Server, connection: Outgoing) -> None:
-        """A connection may carry the next request."""
+        """Give a connection the next request, or keep it idle."""
         now = asyncio.get_running_loop().time()
         if not connection.usable or server not in self._servers.values():
             connection.retire()
@@ -424,11 +441,11 @@
             return
         connection.idle_since = now
         server.idle.append(connection)
-        self.advance()
+        self.serve_queue()
         if self._sweep_timer is None:
             self._sweep_timer = asyncio.get_running_loop().call_later(self._idle_s / 4, self._sweep)
 
-    def make_room(self) -> bool:
+    def may_open(self) -> bool:
         """Whether one more connection may be opened; closes the one idle for longest if need be."""
         if self.size < self.limit:
             return True
@@ -442,7 +459,8 @@
         return True
 
     def count_opening(self, server: _Server, task: asyncio.Task[None]) -> None:
-        # Guard: counted from its start, as several sends of one turn of the loop would all see the same room.
+        """Count a connection that is being opened until its task is done."""
+        # Counted from its start, as several sends of one turn of the loop would all see the same capacity.
         self._opening.add(task)
         server.opening += 1
         task.add_done_callback(partial(self._opened, server))
@@ -453,9 +471,10 @@
         following = server.next()
         if following is not None:
             following.begin(server)
-        self.advance()
+        self.serve_queue()
 
     async def open(self, endpoint: Address) -> Outgoing:
+        """Connect to a server; raises OSError, or ValueError for a host that can be none."""
         loop = asyncio.get_running_loop()
         _, connection = await loop.create_connection(self.connection, *endpoint)
         self._open.add(connection)
--- a/loadbalancer/node/config.py
+++ b/loadbalancer/node/config.py
@@ -1,4 +1,4 @@
-"""What a node is told at its start, from the JSON of its configuration file."""
+"""The configuration of a node, from the JSON of its file."""
 
 from __future__ import annotations
 
@@ -7,28 +7,30 @@
 import orjson
 
 from loadbalancer.core.address import Address, parse_address
-from loadbalancer.discovery.watcher import Listing, parse_listing
+from loadbalancer.discovery.watcher import ServerListUpdate, parse_server_list
 from loadbalancer.interface import Settings
 from loadbalancer.settings import Row, settings_from
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
+    """A node's configuration."""
+
     name: str
     listen: Address
     discovery: Address
     seed: int
-    known: Listing
+    known: ServerListUpdate
     settings: Settings
     sockets: int = 1024  # descriptors for everything
     max_open: int = 20_000  # requests open at once
-    conn_idle_ms: float = 15_000.0  # after which a server closes an idle connection
+    conn_idle_ms: float = 15_000.0  # time after which a server closes an idle connection
     connect_timeout_ms: float = 250.0
-    ask_within_ms: float = 10_000.0  # a node that has not asked for so long counts as told
+    ask_within_ms: float = 10_000.0  # after which updates count as delivered to a node that has not asked
 
 
 def parse_config(data: bytes) -> Config:
-    """The configuration; ValueError says in one line what is wrong with it."""
+    """Parse the configuration; raises ValueError that says in one line what is wrong with it."""
     try:
         row: Row = orjson.loads(data)
         bounds: Row = row["settings"].get("bounds") or {}
@@ -47,7 +49,7 @@
             listen=parse_address(row["listen"]),
             discovery=parse_address(row["discovery"]),
             seed=int(row["seed"], 16),
-            known=parse_listing(row["known"]),
+            known=parse_server_list(row["known"]),
             settings=settings_from(row["settings"]),
             **{key: value for key, value in given.items() if value is not None},
         )
--- a/loadbalancer/stale_list.py
+++ b/loadbalancer/stale_list.py
@@ -14,8 +14,8 @@
 
 # Whoever answered a call sent since is a candidate: half of the time in which a drain may go unnoticed.
 RECENT_MS = 3000.0
-# Where these are fewer than the calls in flight, whoever answered a call sent since: 6 s and the 0.5 s of grace,
-# less the 2 s for which draining servers took calls.
+# Where these are fewer than the calls in flight, whoever answered a call sent since: 6 s and the 0.5 s of
+# grace, less the 2 s for which draining servers took calls.
 USABLE_MS = 4500.0
 LEAST_CANDIDATES = 3  # so many are candidates however long ago they answered
 CALLS_PER_CANDIDATE = 4.0  # with more calls in flight for each of them, every server is a candidate
--- a/tests/faults/test_answers.py
+++ b/tests/faults/test_answers.py
@@ -45,7 +45,7 @@
             await until(lambda: node.back.size == 0)
             node.back._rest_timer.cancel()
             node.back._resting[0] = (0.0, *node.back._resting[0][1:])
-            node.back._rested()  # its rest is over
+            node.back._end_rests()  # its rest is over
             assert node.back._servers["s0"].idle == []
             assert (await ask(node, request(name="q2"))).status == 200
             assert server.connections == 2
@@ -65,7 +65,7 @@
     asyncio.run(main())
 
 
-def test_a_connection_that_brought_more_than_was_asked_for_carries_nothing_more():
+def test_a_connection_that_brought_more_than_was_requested_carries_nothing_more():
     async def main():
         async def script(message):
             return reply(200, message.headers["req-id"].encode()) + reply(200, b"more")
--- a/tests/runtime/test_load.py
+++ b/tests/runtime/test_load.py
@@ -134,7 +134,7 @@
         (box,) = boxes(1)
         async with running(box, limits={"descriptors": 64}) as sidecar:
             back = sidecar.pools["boxes"].back
-            back.line.hold_s = 1e6  # as held by what takes for ever
+            back.wait_queue.hold_s = 1e6  # as held by what takes for ever
             box.behaviour.hang = True
             app = application(sidecar)
             held = [asyncio.create_task(app.ask("GET", f"/{at}")) for at in range(back.limit)]
@@ -168,7 +168,7 @@
             more = [await asyncio.open_connection(*address(sidecar)) for _ in range(3 * server.limit)]
             for _, writer in more:
                 writer.write(ASK)
-            await until(lambda: server.under_way >= int(server.limit * 0.75))
+            await until(lambda: server.active_requests >= int(server.limit * 0.75))
             told = [asyncio.create_task(reader.read(12)) for reader, _ in more]
             await until(lambda: sum(task.done() for task in told) >= 2 * server.limit)
             assert {task.result() for task in told if task.done()} == {b"HTTP/1.1 503"}
@@ -251,7 +251,7 @@
     async def main():
         (box,) = boxes(1)
         async with running(box, routes=ROUTES) as sidecar:
-            sidecar.pools["boxes"].on_list(api.ListForm.FULL)
+            sidecar.pools["boxes"].on_server_list(api.ListForm.FULL)
             answer = await application(sidecar).ask("GET", "/a")
             assert b"no server is known" in answer.headers[b"proxy-status"]
             assert (await load(sidecar))["node"]["refused"] == {"no server": 1}
