--- a/emberring/jobs/__init__.py
+++ b/emberring/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""The life of batch jobs and items: shards, owners, quota, repair. No sockets."""
+"""Batch jobs: shard owners, replicas, the job manager, and the gateways' client and runner."""
--- a/emberring/jobs/job_table.py
+++ b/emberring/jobs/job_table.py
@@ -59,7 +59,7 @@
 
 
 class JobTable:
-    """All batch jobs, the order in which items run, the tokens that wait, and the actions given so far."""
+    """All batch jobs, the order in which items run, the waiting tokens, and the actions not returned yet."""
 
     def __init__(self, records: OwnedRecords) -> None:
         self.records = records
--- a/emberring/simulation/jobs/__init__.py
+++ b/emberring/simulation/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""The check of batch jobs: real replicas and owners on simulated stores, gateways and clients."""
+"""Simulator of batch jobs: real replicas and owners on simulated stores, gateways and clients."""
--- a/emberring/simulation/jobs/store.py
+++ b/emberring/simulation/jobs/store.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from emberring.errors import EmberringError, NotOwnerError, UnknownOutcomeError
+from emberring.errors import EmberringError, InternalError, NotOwnerError, UnknownOutcomeError
 from emberring.jobs.calls import (
     EndJob,
     FinishRun,
@@ -345,9 +345,9 @@
         else:
             self._number += 1
             self._job_manager_calls[self._number] = self._checked(request, reply)
-            self.perform_job_manager(self._put(now_s, self._number, request))
+            self.perform_job_manager(self._dispatch(now_s, self._number, request))
 
-    def _put(self, now_s: float, call: int, request: Any) -> list[JobManagerAction]:
+    def _dispatch(self, now_s: float, call: int, request: Any) -> list[JobManagerAction]:
         if isinstance(request, SubmitJob):
             return self.job_manager.submit(now_s, call, request)
         if isinstance(request, ReadJob):
@@ -356,8 +356,9 @@
             return self.job_manager.read_item(call, request)
         if isinstance(request, EndJob):
             return self.job_manager.end(call, request)
-        assert isinstance(request, FinishRun)
-        return self.job_manager.finish_run(now_s, call, request)
+        if isinstance(request, FinishRun):
+            return self.job_manager.finish_run(now_s, call, request)
+        raise InternalError(f"{type(request).__name__} is no request of a gateway")
 
     def _checked(self, request: Any, reply: Callback) -> Callback:
         """Wrap `reply` so that after a wait only an owner answers reads."""
--- a/emberring/store/disk.py
+++ b/emberring/store/disk.py
@@ -23,7 +23,7 @@
 RECLAIM_ABOVE_BYTES = 96 * 1024 * 1024  # all of it is read at a start, so it must fit into memory
 MAX_JOURNAL_BYTES = 192 * 1024 * 1024
 DISK_SHARE = 0.6
-VALUE_SHARE = 0.5  # of the journal; the rest is for results of what was taken, and for reclaiming
+VALUE_SHARE = 0.5  # of the journal; the rest is for results of accepted batch jobs, and for reclaiming
 
 logger = get_logger("store")
 
