--- a/emberring/simulation/scale/partition.py
+++ b/emberring/simulation/scale/partition.py
@@ -94,6 +94,17 @@
     return lambda: all(len(one.follower.servers) >= servers for one in gateways)
 
 
+async def _recovery_times_s(world: World, partition: _Partition) -> tuple[float, float, float, float]:
+    """The last four figures of `PartitionFigures`, measured from now on."""
+    size = world.size
+    return await asyncio.gather(
+        time_until(all_have(knows_the_drain, partition.parted)),
+        time_until(all_have(has_version_2, partition.parted)),
+        time_until(_know(world.gateways, size.servers - 1), POLL_S, TIMEOUT_S),
+        time_until(_counts(world.controls, size.gateways), POLL_S, TIMEOUT_S),
+    )
+
+
 async def _play(size: Size, partition_s: float, found: list[PartitionFigures]) -> None:
     loop = asyncio.get_running_loop()
     world = await started(size)
@@ -116,12 +127,7 @@
     partition.end()
     healed_s = loop.time()
     world.configure(2, [partition.parted_control])  # its register hears of it at once
-    drain_after, configuration_after, servers_after, counted_after = await asyncio.gather(
-        time_until(all_have(knows_the_drain, partition.parted)),
-        time_until(all_have(has_version_2, partition.parted)),
-        time_until(_know(world.gateways, size.servers - 1), POLL_S, TIMEOUT_S),
-        time_until(_counts(world.controls, size.gateways), POLL_S, TIMEOUT_S),
-    )
+    recovery_times_s = await _recovery_times_s(world, partition)
     await asyncio.sleep(max(0.0, healed_s + SETTLE_S - loop.time()))
     after = figures_of(meters, loop.time() - healed_s)
     found.append(
@@ -134,10 +140,7 @@
             drain_s,
             configuration_s,
             kept,
-            drain_after,
-            configuration_after,
-            servers_after,
-            counted_after,
+            *recovery_times_s,
         )
     )
 
