--- a/loadbalancer/stale_list.py
+++ b/loadbalancer/stale_list.py
@@ -17,8 +17,10 @@
 # Where these are fewer than the calls in flight, whoever answered a call sent since: 6 s and the 0.5 s of
 # grace, less the 2 s for which draining servers took calls.
 USABLE_MS = 4500.0
-LEAST_CANDIDATES = 3  # so many are candidates however long ago they answered
-CALLS_PER_CANDIDATE = 4.0  # with more calls in flight for each of them, every server is a candidate
+# However long ago they answered, so many are candidates: this, and one for so many calls in flight.
+LEAST_CANDIDATES = 3
+CALLS_PER_CANDIDATE = 2.0
+CALLS_PER_ANSWERED = 4.0  # with more calls in flight for each that answered, every server is a candidate
 
 
 def last_to_answer(now: float, ready: list[TrackedServer], in_flight: float) -> list[TrackedServer]:
@@ -30,8 +32,8 @@
     answered.sort(key=lambda server: -server.answered_sent_ms)
     recent = sum(now - server.answered_sent_ms < RECENT_MS for server in answered)
     usable = sum(now - server.answered_sent_ms < USABLE_MS for server in answered)
-    calls = math.ceil(in_flight + 1.0)
-    candidates = answered[: max(LEAST_CANDIDATES, recent, min(usable, calls))]
-    if calls > CALLS_PER_CANDIDATE * len(candidates):
+    calls = in_flight + 1.0
+    if calls > CALLS_PER_ANSWERED * len(answered):
         return ready
-    return candidates
+    least = max(LEAST_CANDIDATES, math.ceil(calls / CALLS_PER_CANDIDATE))
+    return answered[: max(least, recent, min(usable, math.ceil(calls)))]
