--- /dev/null
+++ b/tests/test_architecture_page.py
@@ -0,0 +1,200 @@
+"""docs/architecture.md names modules, functions and log lines that exist; a wrong name on the page is found."""
+
+from __future__ import annotations
+
+import ast
+import re
+from functools import cache
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parent.parent
+PAGE = ROOT / "docs" / "architecture.md"
+MOST_COLUMNS = 120
+
+QUOTED = re.compile(r"`([^`\n]+)`")
+PATH = re.compile(r"(?:[\w.-]+/)*[\w-]+\.(?:py|md|toml)")
+MEMBER = re.compile(r"((?:[\w.-]+/)*\w+\.py):([A-Za-z_][\w.]*)")
+MODULE = re.compile(r"(?:emberring|loadbalancer|tests)(?:\.\w+)+")
+LINK = re.compile(r"\]\(([^)#]+)\)")
+ROW_OF_EVENTS = re.compile(r"\| `event=")
+EVENT = re.compile(r"event=(\w+)")
+EVENT_IN_CODE = re.compile(r"event=([\w%]+)")
+# Events whose names the code puts together, by what stands there.
+MADE_UP = {
+    "node_present": "node_%s",
+    "node_absent": "node_%s",
+    "ready": "%s",
+    "not_ready": "%s",
+}
+ROW_OF_REJECTION = re.compile(r"\| \d{3} \| `([^`]+\.py):([\w.]+)` \| `([^`]+)`")
+
+
+@cache
+def tree_of(path: Path) -> ast.Module:
+    return ast.parse(path.read_text())
+
+
+def member(path: Path, name: str) -> ast.AST | None:
+    """The class, function or constant of this dotted name in a module; None where there is none."""
+    found: ast.AST = tree_of(path)
+    for part in name.split("."):
+        for node in getattr(found, "body", []):
+            if isinstance(node, ast.ClassDef | ast.FunctionDef | ast.AsyncFunctionDef):
+                names = {node.name}
+            elif isinstance(node, ast.Assign):
+                names = {target.id for target in node.targets if isinstance(target, ast.Name)}
+            elif isinstance(node, ast.AnnAssign) and isinstance(node.target, ast.Name):
+                names = {node.target.id}
+            else:
+                names = set()
+            if part in names:
+                found = node
+                break
+        else:
+            return None
+    return found
+
+
+def module_exists(name: str) -> bool:
+    """Whether a dotted name is a package or a module, or a member of one."""
+    parts = name.split(".")
+    for count in range(len(parts), 0, -1):
+        place = ROOT.joinpath(*parts[:count])
+        path = place / "__init__.py" if place.is_dir() else place.with_suffix(".py")
+        if path.is_file():
+            rest = ".".join(parts[count:])
+            return not rest or member(path, rest) is not None
+    return False
+
+
+def names_on(text: str) -> list[str]:
+    """The names in backquotes that this test can check."""
+    return [
+        name
+        for name in QUOTED.findall(text)
+        if PATH.fullmatch(name) or MEMBER.fullmatch(name) or MODULE.fullmatch(name)
+    ]
+
+
+def exists(name: str) -> bool:
+    if found := MEMBER.fullmatch(name):
+        path = ROOT / found[1]
+        return path.is_file() and member(path, found[2]) is not None
+    if PATH.fullmatch(name):
+        return (ROOT / name).is_file()
+    return module_exists(name)
+
+
+def wrong_names(text: str) -> list[str]:
+    return [name for name in names_on(text) if not exists(name)]
+
+
+def wrong_rejections(text: str) -> list[str]:
+    """The quoted lines that do not stand in the function named before them."""
+    wrong = []
+    for path, name, line in ROW_OF_REJECTION.findall(text):
+        found = member(ROOT / path, name)
+        source = ast.get_source_segment((ROOT / path).read_text(), found) if found is not None else None
+        if source is None or line not in source:
+            wrong.append(f"{path}:{name}: {line}")
+    return wrong
+
+
+def wrong_events(text: str) -> list[str]:
+    """The events that the module named in their row does not write."""
+    wrong = []
+    for row in text.splitlines():
+        if not ROW_OF_EVENTS.match(row):
+            continue
+        lines, modules = row.split("|")[1:3]
+        path = QUOTED.findall(modules)[0].partition(":")[0]
+        written = set(EVENT_IN_CODE.findall((ROOT / path).read_text()))
+        wrong += [
+            f"{path}: {name}" for name in EVENT.findall(lines) if MADE_UP.get(name, name) not in written
+        ]
+    return wrong
+
+
+def test_every_name_on_the_page_exists():
+    text = PAGE.read_text()
+    assert len(names_on(text)) > 100
+    assert not wrong_names(text)
+
+
+def test_every_link_of_the_page_leads_to_a_file():
+    links = LINK.findall(PAGE.read_text())
+    assert links
+    assert not [link for link in links if not (PAGE.parent / link).is_file()]
+
+
+def test_lines_that_reject_stand_in_their_functions():
+    text = PAGE.read_text()
+    assert len(ROW_OF_REJECTION.findall(text)) >= 20
+    assert not wrong_rejections(text)
+
+
+def test_each_event_is_written_by_the_module_of_its_row():
+    assert not wrong_events(PAGE.read_text())
+
+
+def test_each_event_of_the_tier_is_on_the_page():
+    rows = [row for row in PAGE.read_text().splitlines() if ROW_OF_EVENTS.match(row)]
+    listed = {
+        (QUOTED.findall(row.split("|")[2])[0].partition(":")[0], MADE_UP.get(name, name))
+        for row in rows
+        for name in EVENT.findall(row.split("|")[1])
+    }
+    written = {
+        (str(path.relative_to(ROOT)), name)
+        for path in (ROOT / "emberring").rglob("*.py")
+        if "simulation" not in path.parts
+        for name in EVENT_IN_CODE.findall(path.read_text())
+    }
+    assert written == listed
+
+
+def test_no_line_of_the_page_is_too_long():
+    assert not [line for line in PAGE.read_text().splitlines() if len(line) > MOST_COLUMNS]
+
+
+@pytest.mark.parametrize(
+    "name",
+    [
+        "emberring/gateway/no_such_module.py",
+        "app.py",
+        "docs/design/no_such_page.md",
+        "emberring.gateway.no_such_module",
+        "emberring.gateway.app.no_such_function",
+        "emberring/gateway/no_such_module.py:Application",
+        "emberring/gateway/app.py:no_such_function",
+        "emberring/gateway/app.py:Application.no_such_method",
+        "emberring/gateway/app.py:NoSuchClass._handle",
+        "emberring/gateway/app.py:_handle",
+    ],
+)
+def test_a_wrong_name_is_found(name):
+    assert wrong_names(f"{PAGE.read_text()}\nThe step is in `{name}`.\n") == [name]
+
+
+@pytest.mark.parametrize(
+    "name",
+    [
+        "emberring/gateway/app.py",
+        "emberring.gateway",
+        "emberring.gateway.app",
+        "emberring.gateway.app.Application._handle",
+        "emberring/gateway/app.py:Application._handle",
+        "emberring/gateway/app.py:BODY_TIMEOUT_S",
+    ],
+)
+def test_a_right_name_is_checked_and_passes(name):
+    assert names_on(f"`{name}`") == [name]
+    assert not wrong_names(f"`{name}`")
+
+
+def test_a_wrong_line_and_a_wrong_event_are_found():
+    row = "| 503 | `emberring/admission/pool.py:Pool.offer` | `return NoSuchAnswer()` |"
+    assert wrong_rejections(row)
+    assert wrong_events("| `event=started` | `emberring/store/role.py` | start |")
