--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -1,16 +1,23 @@
-"""docs/architecture.md names modules, functions and log lines that exist; a wrong name on the page is found."""
+"""docs/architecture.md names modules, functions and log lines that exist; a wrong name on the page is found.
+
+The table of docs/design/structure.md is the one that the structure tests enforce.
+"""
 
 from __future__ import annotations
 
 import ast
+import importlib.util
 import re
 from functools import cache
 from pathlib import Path
+from types import ModuleType
+from typing import NamedTuple
 
 import pytest
 
 ROOT = Path(__file__).parent.parent
 PAGE = ROOT / "docs" / "architecture.md"
+STRUCTURE = ROOT / "docs" / "design" / "structure.md"
 MOST_COLUMNS = 120
 
 QUOTED = re.compile(r"`([^`\n]+)`")
@@ -156,7 +163,8 @@
 
 
 def test_no_line_of_the_page_is_too_long():
-    assert not [line for line in PAGE.read_text().splitlines() if len(line) > MOST_COLUMNS]
+    for page in (PAGE, STRUCTURE):
+        assert not [line for line in page.read_text().splitlines() if len(line) > MOST_COLUMNS], page
 
 
 @pytest.mark.parametrize(
@@ -198,3 +206,96 @@
     row = "| 503 | `emberring/admission/pool.py:Pool.offer` | `return NoSuchAnswer()` |"
     assert wrong_rejections(row)
     assert wrong_events("| `event=started` | `emberring/store/role.py` | start |")
+
+
+class Row(NamedTuple):
+    """A row of the table of layers; rows that go on with its imports are joined to it."""
+
+    layer: int
+    imports: tuple[str, ...]
+    free: str  # what the last column says beside names
+
+
+def beside_names(cell: str) -> str:
+    parts = (part.strip() for part in QUOTED.sub("", cell).split(","))
+    return ", ".join(part for part in parts if part)
+
+
+def rows_of(text: str) -> dict[str, Row]:
+    """The table of layers, by the full name of the package."""
+    table: list[tuple[str, str, str]] = []
+    for line in text.partition("| layer | package |")[2].splitlines()[2:]:
+        if not line.startswith("|"):
+            break
+        layer, package, _, imports = (cell.strip() for cell in line.strip("|").split("|"))
+        if package:
+            table.append((package.strip("`"), layer, imports))
+        else:
+            name, layer, before = table.pop()
+            table.append((name, layer, f"{before} {imports}"))
+    assert len({name for name, _, _ in table}) == len(table)
+    return {
+        name: Row(int(layer), tuple(QUOTED.findall(imports)), beside_names(imports))
+        for name, layer, imports in table
+    }
+
+
+@cache
+def module_of(path: str) -> ModuleType:
+    spec = importlib.util.spec_from_file_location(f"structure_{Path(path).stem}", ROOT / path)
+    assert spec is not None
+    assert spec.loader is not None
+    module = importlib.util.module_from_spec(spec)
+    spec.loader.exec_module(module)
+    return module
+
+
+def wrong_rows(text: str) -> list[str]:
+    """The packages whose rows are not what the structure tests enforce."""
+    rows = rows_of(text)
+    node, tier = module_of("tests/test_structure.py"), module_of("tests/emberring/test_tier_structure.py")
+    used: dict[str, set[str]] = {}
+    for path in tier.MODULES:
+        room = path.relative_to(tier.PACKAGE).parts[0].removesuffix(".py")
+        used.setdefault(room, set()).update(
+            f"loadbalancer.{name.split('.')[0]}" for name in node.imported(path)
+        )
+    wanted: dict[str, Row] = {}
+    for at, row in enumerate(tier.LAYERS):
+        for room in row:
+            free = "layers below, this layer" if row == tier.SETTINGS_ROW else "layers below"
+            last = at == len(tier.LAYERS) - 1
+            names = tuple(sorted(used.get(room, ())))
+            wanted[f"emberring.{room}"] = Row(len(tier.LAYERS) - at, names, "nothing" if last else free)
+    for room, may in node.MAY.items():
+        names = {f"core.{one}" for one in node.CORE_ONLY.get(room, ())} if "core" in may else set()
+        names |= may - {"core"} if names else may
+        below = [rows[f"loadbalancer.{one}"].layer for one in may if f"loadbalancer.{one}" in rows]
+        layer = 1 + max(below, default=0)
+        wanted[f"loadbalancer.{room}"] = Row(layer, tuple(sorted(names)), "" if names else "nothing")
+    return sorted(name for name in wanted.keys() | rows.keys() if wanted.get(name) != rows.get(name))
+
+
+def test_the_table_of_layers_is_the_one_that_is_enforced():
+    assert not wrong_rows(STRUCTURE.read_text())
+
+
+@pytest.mark.parametrize(
+    ("right", "wrong", "package"),
+    [
+        ("| 11 | `emberring.store`", "| 10 | `emberring.store`", "emberring.store"),
+        ("layers below, `loadbalancer.core`", "layers below", "emberring.gateway"),
+        ("`loadbalancer.discovery`", "`loadbalancer.lists`", "loadbalancer.lists"),
+        ("`core`, `node` |", "`core`, `node`, `cli` |", "loadbalancer.__main__"),
+    ],
+)
+def test_a_wrong_row_is_found(right, wrong, package):
+    text = STRUCTURE.read_text()
+    assert right in text
+    assert package in wrong_rows(text.replace(right, wrong))
+
+
+def test_the_page_of_the_structure_has_no_former_name_and_no_wrong_one():
+    text = STRUCTURE.read_text()
+    assert not re.search(r"\b(lists|limits|platform|standin|stand-in|lab|fleet|brain)\b", text)
+    assert not wrong_names(text)
