--- a/loadbalancer/router/__init__.py
+++ b/loadbalancer/router/__init__.py
@@ -1,1 +1,1 @@
-"""Which class and pool a request belongs to; decided without I/O."""
+"""Routing: finds the class and the pool of a request. No I/O."""
--- a/loadbalancer/router/calls.py
+++ b/loadbalancer/router/calls.py
@@ -1,4 +1,4 @@
-"""The route table of Thrift calls: the first route that matches a name says its class, pool and deadline."""
+"""The route table of Thrift calls: the first route that matches a call's name gives its class, pool and deadline."""
 
 from __future__ import annotations
 
@@ -6,70 +6,74 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-WORD = r"[A-Za-z_][A-Za-z0-9_.]*"
-PATTERN = re.compile(rf"(?:{WORD}:)?(?:{WORD})?\*|(?:{WORD}:)?{WORD}")
+IDENTIFIER = r"[A-Za-z_][A-Za-z0-9_.]*"
+CALL_PATTERN = re.compile(rf"(?:{IDENTIFIER}:)?(?:{IDENTIFIER})?\*|(?:{IDENTIFIER}:)?{IDENTIFIER}")
 
 
 @dataclass(slots=True, frozen=True)
 class CallPattern:
-    """`method`, `service:method` as a multiplexed call has it, or either with a `*` at its end for any rest.
+    """Pattern of call names: `method`, `service:method` for multiplexed calls, or a prefix of either followed by `*`.
 
-    `service:*` takes all methods of a service, `*` takes all calls, multiplexed ones too.
+    `service:*` matches all methods of a service; `*` matches all calls, including multiplexed ones.
     """
 
-    text: str
-    open: bool  # whether any rest may follow
+    text: str  # without a final `*`
+    is_prefix: bool  # whether the pattern ends in `*`
 
     @classmethod
     def parse(cls, text: str) -> CallPattern:
-        """ValueError with what is wrong."""
-        if not PATTERN.fullmatch(text):
+        """Parse a pattern; raises ValueError with the reason if it is malformed."""
+        if not CALL_PATTERN.fullmatch(text):
             raise ValueError("is no method, service:method, or either with a * at its end")
         return cls(text.removesuffix("*"), text.endswith("*"))
 
     def matches(self, name: str) -> bool:
-        return name.startswith(self.text) if self.open else name == self.text
+        """Whether the pattern matches a call's name."""
+        return name.startswith(self.text) if self.is_prefix else name == self.text
 
     def covers(self, other: CallPattern) -> bool:
-        """Whether it takes all that the other would."""
-        return other.text.startswith(self.text) if self.open else self == other
+        """Whether this pattern matches every name that the other one matches."""
+        return other.text.startswith(self.text) if self.is_prefix else self == other
 
 
 @dataclass(slots=True, frozen=True)
 class CallRoute:
-    """What it matches and what that is."""
+    """A pattern of call names, with the class, the pool and the deadline of matching calls."""
 
     service: str  # the class's name
     pool: str
     call: CallPattern
-    deadline_ms: float | None = None  # None: the class's
+    deadline_ms: float | None = None  # None: the deadline of the class
 
 
 class CallTable:
-    """Routes in the order in which they are asked."""
+    """Call routes, of which the first that matches applies."""
 
     def __init__(self, routes: Iterable[CallRoute] = ()) -> None:
         self.routes = tuple(routes)
         self._exact: dict[str, int] = {}
-        for at, route in enumerate(self.routes):
-            if not route.call.open:
-                self._exact.setdefault(route.call.text, at)
-        self._open = [(at, route) for at, route in enumerate(self.routes) if route.call.open]
+        for index, route in enumerate(self.routes):
+            if not route.call.is_prefix:
+                self._exact.setdefault(route.call.text, index)
+        self._prefixes = [(index, route) for index, route in enumerate(self.routes) if route.call.is_prefix]
 
     def match(self, name: str) -> CallRoute | None:
-        found = self._exact.get(name)
-        for at, route in self._open:
-            if found is not None and at > found:
+        """Return the first route that matches a call's name, or None."""
+        exact = self._exact.get(name)
+        for index, route in self._prefixes:
+            if exact is not None and index > exact:
                 break
             if route.call.matches(name):
                 return route
-        return None if found is None else self.routes[found]
+        return None if exact is None else self.routes[exact]
 
     def shadowed(self) -> list[tuple[int, int]]:
-        """Pairs (route, earlier route) in which the earlier one takes all that the route would."""
+        """Return the routes that are never used, as pairs of indices (route, earlier route that covers it)."""
         pairs = []
-        for at, route in enumerate(self.routes):
-            by = next((before for before in range(at) if self.routes[before].call.covers(route.call)), None)
-            if by is not None:
-                pairs.append((at, by))
+        for index, route in enumerate(self.routes):
+            covering = next(
+                (earlier for earlier in range(index) if self.routes[earlier].call.covers(route.call)), None
+            )
+            if covering is not None:
+                pairs.append((index, covering))
         return pairs
--- a/loadbalancer/router/router.py
+++ b/loadbalancer/router/router.py
@@ -1,4 +1,4 @@
-"""The route table: the first route that matches a request says its class, pool and deadline."""
+"""The route table: the first route that matches a request gives its class, pool and deadline."""
 
 from __future__ import annotations
 
@@ -10,29 +10,30 @@
 
 @dataclass(slots=True, frozen=True)
 class HeaderMatch:
-    """A header that must be there, by lower-case name, and its value unless that is None."""
+    """A required header, by lower-case name, and its required value; None: any value."""
 
     name: bytes
     value: bytes | None = None
 
     def matches(self, headers: Mapping[bytes, bytes]) -> bool:
-        found = headers.get(self.name)
-        return found is not None and (self.value is None or found == self.value)
+        """Whether a request with these headers has the required one."""
+        value = headers.get(self.name)
+        return value is not None and (self.value is None or value == self.value)
 
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """What it matches and what that is."""
+    """Conditions on a request, with the class, the pool and the deadline of matching requests."""
 
     service: str  # the class's name
     pool: str
     path: PathPattern
-    methods: frozenset[bytes] = frozenset()  # none: any
+    methods: frozenset[bytes] = frozenset()  # empty: any method
     headers: tuple[HeaderMatch, ...] = ()
-    deadline_ms: float | None = None  # None: the class's
+    deadline_ms: float | None = None  # None: the deadline of the class
 
     def covers(self, other: Route) -> bool:
-        """Whether it takes all that the other would."""
+        """Whether this route matches every request that the other one matches."""
         methods = not self.methods or (bool(other.methods) and self.methods >= other.methods)
         headers = all(
             any(mine.name == theirs.name and mine.value in (None, theirs.value) for theirs in other.headers)
@@ -42,14 +43,16 @@
 
 
 class Router:
-    """Routes in the order in which they are asked."""
+    """Routes, of which the first that matches applies."""
 
     def __init__(self, routes: Iterable[Route] = ()) -> None:
         self.routes = tuple(routes)
 
     def match(self, method: bytes, target: bytes, headers: Mapping[bytes, bytes]) -> Route | None:
-        """The first route for a request target in origin form, or None. ValueError for a path that no route
-        may decide on: one with dot segments."""
+        """Return the first matching route for a request target in origin form, or None.
+
+        Raises ValueError if the path has dot segments, as such a path must not be routed.
+        """
         path = segments(target.partition(b"?")[0])
         if path is None:
             raise ValueError("the path has dot segments")
@@ -57,16 +60,16 @@
             if (
                 (not route.methods or method in route.methods)
                 and route.path.matches(path)
-                and all(item.matches(headers) for item in route.headers)
+                and all(header.matches(headers) for header in route.headers)
             ):
                 return route
         return None
 
     def shadowed(self) -> list[tuple[int, int]]:
-        """Pairs (route, earlier route) in which the earlier one takes all that the route would."""
+        """Return the routes that are never used, as pairs of indices (route, earlier route that covers it)."""
         pairs = []
-        for at, route in enumerate(self.routes):
-            by = next((before for before in range(at) if self.routes[before].covers(route)), None)
-            if by is not None:
-                pairs.append((at, by))
+        for index, route in enumerate(self.routes):
+            covering = next((earlier for earlier in range(index) if self.routes[earlier].covers(route)), None)
+            if covering is not None:
+                pairs.append((index, covering))
         return pairs
