--- a/loadbalancer/discovery/__init__.py
+++ b/loadbalancer/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where servers come from."""
+"""Service discovery: server lists and the changes between them."""
--- a/loadbalancer/discovery/endpoint_list.py
+++ b/loadbalancer/discovery/endpoint_list.py
@@ -1,7 +1,7 @@
-"""The endpoint list of a pool: it takes what one source reports, and tells the pool what has changed. Without I/O.
+"""The endpoint list of a pool: applies the reports of one source and computes the update for the pool. No I/O.
 
-A source reports complete lists, changes of the list, or that it has nothing to report. What differs from the list
-before, which servers are new and so cold, and how old the last report is are worked out here.
+A source reports complete lists, changes to the list, or that nothing has changed. This module derives the differences
+from the previous list, which servers are new and therefore cold, and the age of the last report.
 """
 
 from __future__ import annotations
@@ -16,26 +16,26 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointEntry:
-    """One server of a source's list. `server.launched_ms` is None unless the source knows of its start."""
+    """One server of a source's list. `server.launched_ms` is None unless the source reports the start time."""
 
     server: Server
     endpoint: Address
 
 
 class EndpointChange(Enum):
-    """How a server differs from the list before."""
+    """How a server differs from its entry in the previous list."""
 
     ADDED = "added"
     CHANGED = "changed"
     REMOVED = "removed"
 
 
-EndpointChanges = list[tuple[str, EndpointChange]]  # by the server's name
+EndpointChanges = list[tuple[str, EndpointChange]]  # with the name of each server
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointUpdate:
-    """An update for a pool: the complete list or changes of it, and what differs from before."""
+    """An update for a pool: the complete list or changes to it, and the differences from the previous list."""
 
     form: ListForm
     servers: tuple[Server, ...] = ()
@@ -52,14 +52,14 @@
 
 
 class EndpointList:
-    """The list of one pool.
+    """The endpoint list of one pool.
 
     Attributes
     ----------
-    starts_known: whether the source says of each server when it started, or that this was long ago. Of a source that
-        does not, what is new counts as started when it was reported.
-    entries: servers by name, without those that are reported to be gone.
-    updated_ms: Unix time of the last report that the source vouches for; None before the first.
+    starts_known: whether the source reports when each server started, or that it started long ago. With any other
+        source, a new server counts as started when it was first reported.
+    entries: servers by name, without those that are reported as removed.
+    updated_ms: Unix time of the last report that came from the source itself, not from a cache; None before the first.
     """
 
     def __init__(self, starts_known: bool = False) -> None:
@@ -70,15 +70,15 @@
         self._launched: dict[str, float | None] = {}
 
     def age_ms(self, now_ms: float) -> float | None:
-        """Return how old the last report is; None before the first."""
+        """Return the age of the last report; None before the first."""
         return None if self.updated_ms is None else max(0.0, now_ms - self.updated_ms)
 
     def copy(self) -> EndpointList:
-        """Return a copy for a pool that takes over, so that what the former one did not have counts as cold."""
-        found = EndpointList(self.starts_known)
-        found.entries, found.levels = dict(self.entries), self.levels
-        found.updated_ms, found._launched = self.updated_ms, dict(self._launched)
-        return found
+        """Return a copy for a pool that replaces this one, so that servers new to the copy count as cold."""
+        copied = EndpointList(self.starts_known)
+        copied.entries, copied.levels = dict(self.entries), self.levels
+        copied.updated_ms, copied._launched = self.updated_ms, dict(self._launched)
+        return copied
 
     def replace(
         self,
@@ -87,54 +87,56 @@
         levels: Levels | None = None,
         form: ListForm = ListForm.FULL,
     ) -> EndpointUpdate:
-        """Take a complete list: a source's report (FULL), or what is cached (CACHED), for which nobody vouches.
+        """Apply a complete list: a source's report (FULL) or a cached list (CACHED), which may be outdated.
 
-        Where starts aren't known, what is new counts as started now, unless the list is the first. So does what comes
-        back after it had been removed or unhealthy, and what has moved to another address: it may be another process.
-        Raises ValueError if two entries share a name; then nothing has changed.
+        If the source does not report start times, a new server counts as started now, unless this is the first list.
+        The same applies to a server that returns after it was removed or unhealthy, or whose address has changed: it
+        may be another process. Raises ValueError, and changes nothing, if two entries have the same name.
         """
-        given: dict[str, EndpointEntry] = {}
+        reported: dict[str, EndpointEntry] = {}
         for entry in entries:
-            if entry.server.address in given:
-                raise ValueError(f"{entry.server.address!r} stands twice in a list")
-            given[entry.server.address] = entry
+            if entry.server.address in reported:
+                raise ValueError(f"{entry.server.address!r} is listed twice")
+            reported[entry.server.address] = entry
         first = self.updated_ms is None
-        listed = {name: self._with_start(now_ms, entry, first) for name, entry in given.items()}
-        before, self.entries = self.entries, {}
+        listed = {name: self._with_start(now_ms, entry, first) for name, entry in reported.items()}
+        previous, self.entries = self.entries, {}
         self._launched, self.levels = {}, levels
-        changes = self._apply(listed, before)
-        changes += [(name, EndpointChange.REMOVED) for name in before if name not in listed]
+        changes = self._apply(listed, previous)
+        changes += [(name, EndpointChange.REMOVED) for name in previous if name not in listed]
         if form is ListForm.FULL:
             self.updated_ms = now_ms
         return _update(form, listed, levels, changes)
 
     def update(self, now_ms: float, entries: Iterable[EndpointEntry]) -> EndpointUpdate:
-        """Take changes of the list: servers that are new, different or gone (REMOVED); none: the list still holds."""
-        given = {entry.server.address: self._with_start(now_ms, entry, False) for entry in entries}
-        changes = self._apply(given, self.entries)
+        """Apply servers that are new, changed or REMOVED; with none, the list is confirmed to be current."""
+        reported = {entry.server.address: self._with_start(now_ms, entry, False) for entry in entries}
+        changes = self._apply(reported, self.entries)
         self.updated_ms = now_ms
-        return _update(ListForm.DELTA, given, self.levels, changes)
+        return _update(ListForm.DELTA, reported, self.levels, changes)
 
     def _with_start(self, now_ms: float, entry: EndpointEntry, first: bool) -> EndpointEntry:
-        """Return an entry with the start that counts for it."""
-        server, before = entry.server, self.entries.get(entry.server.address)
+        """Return the entry with the start time that applies to its server."""
+        server, previous = entry.server, self.entries.get(entry.server.address)
         if server.launched_ms is not None or self.starts_known:
             return entry
-        if before is None:
-            since = None if first else now_ms
-        elif before.endpoint != entry.endpoint or _recovers(before.server, server):
-            since = now_ms
+        if previous is None:
+            started_ms = None if first else now_ms
+        elif previous.endpoint != entry.endpoint or _returns_to_service(previous.server, server):
+            started_ms = now_ms
         else:
-            since = self._launched.get(server.address)
-        if since is None:
+            started_ms = self._launched.get(server.address)
+        if started_ms is None:
             return entry
-        return EndpointEntry(replace(server, launched_ms=since), entry.endpoint)
+        return EndpointEntry(replace(server, launched_ms=started_ms), entry.endpoint)
 
-    def _apply(self, given: dict[str, EndpointEntry], before: dict[str, EndpointEntry]) -> EndpointChanges:
-        """Put these entries into the list; returns how they differ from the list before."""
+    def _apply(
+        self, reported: dict[str, EndpointEntry], previous: dict[str, EndpointEntry]
+    ) -> EndpointChanges:
+        """Put these entries into the list, and return how they differ from the previous list."""
         changes: EndpointChanges = []
-        for name, entry in given.items():
-            old = before.get(name)
+        for name, entry in reported.items():
+            old = previous.get(name)
             if entry.server.state is ServerState.REMOVED:
                 self.entries.pop(name, None)
                 self._launched.pop(name, None)
@@ -150,19 +152,20 @@
 
 
 def _update(
-    form: ListForm, given: dict[str, EndpointEntry], levels: Levels | None, changes: EndpointChanges
+    form: ListForm, reported: dict[str, EndpointEntry], levels: Levels | None, changes: EndpointChanges
 ) -> EndpointUpdate:
+    """Return the update for the pool."""
     return EndpointUpdate(
         form,
-        tuple(entry.server for entry in given.values()),
-        {name: entry.endpoint for name, entry in given.items()},
+        tuple(entry.server for entry in reported.values()),
+        {name: entry.endpoint for name, entry in reported.items()},
         levels,
         tuple(changes),
     )
 
 
-def _recovers(before: Server, now: Server) -> bool:
-    """Whether it may have been away: it got no calls for being unhealthy or weightless, and gets some again."""
-    unhealthy = before.state is ServerState.SICK
+def _returns_to_service(previous: Server, now: Server) -> bool:
+    """Whether a server that got no requests, because it was unhealthy or had weight 0, gets requests again."""
+    unhealthy = previous.state is ServerState.SICK
     recovered = unhealthy and now.state in (ServerState.UP, ServerState.DEGRADED)
-    return recovered or (before.weight <= 0.0 < now.weight)
+    return recovered or (previous.weight <= 0.0 < now.weight)
--- a/loadbalancer/discovery/watcher.py
+++ b/loadbalancer/discovery/watcher.py
@@ -1,4 +1,4 @@
-"""The platform's service discovery: a server list's form on the wire, and the watch that follows it."""
+"""The platform's service discovery: the wire format of server lists, and a watcher that long-polls for them."""
 
 from __future__ import annotations
 
@@ -19,23 +19,27 @@
 
 log = logging.getLogger("loadbalancer")
 
-# A call unanswered so long after its wait has failed; 2 s after it, its update counts as delivered.
+# A call that is unanswered this long after its wait time has failed. Discovery counts an update as delivered 2 s after
+# the wait time, so a failed call has to be noticed before that.
 ANSWER_GRACE_S = 0.8
-CONNECT_S = 1.0
-PUSH_RETRY_PAUSE_S = 0.1  # before a local agent is called again after a failure
-PROBE_TIMEOUT_S = 0.8  # within which a discovery that is reachable answers a call that need not wait,
-AGENT_PROBE_TIMEOUT_S = 0.3  # and a local agent
-AGENT_WATCH_MS = 2000.0  # a local agent costs nothing to ask; its silence is noticed the sooner
+CONNECT_TIMEOUT_S = 1.0
+PUSH_RETRY_PAUSE_S = 0.1  # between a failed call to a local agent and the next one
+PROBE_TIMEOUT_S = 0.8  # for a call without wait time to a shared discovery service
+AGENT_PROBE_TIMEOUT_S = 0.3  # for a call without wait time to a local agent
+AGENT_WAIT_MS = (
+    2000.0  # wait time of a call to a local agent: calls are cheap, and an unresponsive agent shows sooner
+)
 MAX_LIST_BYTES = 16 * 1024 * 1024
 MAX_WAIT_MS = 20_000.0
-# How long a watch is held at most, as a share of the time within which discovery has to be asked: a silent watch is to
-# be noticed before that is over.
+# Longest wait time, as a share of the time within which the node has to call discovery again: an unresponsive discovery
+# has to be noticed before that time is over.
 WAIT_SHARE = 0.5
-SHORTEST_WAIT_SHARE = 0.75  # a wait is drawn from this share of the longest one up to it
-# A change counts as notified at the latest so long after discovery had it, whether or not it arrived (protocol page,
-# "Figures").
-LATEST_NOTICE_S = 6.0
-# A call held for longer than this was a watch and did not wait for its turn: crowded calls fail after 2 to 3 s.
+MIN_WAIT_SHARE = 0.75  # wait times are drawn between this share of the longest one and the longest one
+# A change counts as notified this long after discovery received it, whether or not the notification arrived (protocol
+# page, "Figures").
+MAX_NOTIFICATION_DELAY_S = 6.0
+# A call that discovery has not answered for this long is an established watch: an overloaded discovery rejects queued
+# calls after 2 to 3 s.
 WATCH_ESTABLISHED_S = 3.2
 
 STATES = {
@@ -47,23 +51,23 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerListUpdate:
-    """A server list or changes of one; a server's name is its uid, which no restart and no node changes."""
+    """A server list or changes to one; servers are named by uid, which is the same after restarts and on all nodes."""
 
     revision: int
-    complete: bool  # the complete list, not changes
+    complete: bool  # whether this is a complete list rather than changes
     servers: tuple[Server, ...]
     endpoints: dict[str, Address]
 
     def entries(self) -> list[EndpointEntry]:
-        """Return an entry for each server, the last one of a server that stands twice."""
-        found = {server.address: server for server in self.servers}
-        return [EndpointEntry(server, self.endpoints[name]) for name, server in found.items()]
+        """Return one entry for each server; the last one counts if a server is listed twice."""
+        by_name = {server.address: server for server in self.servers}
+        return [EndpointEntry(server, self.endpoints[name]) for name, server in by_name.items()]
 
 
 def endpoint_update(
     endpoint_list: EndpointList, now_ms: float, form: ListForm, update: ServerListUpdate | None
 ) -> EndpointUpdate:
-    """Apply what discovery answered, or its failure (None), to a pool's list; returns the pool's update."""
+    """Apply a response of discovery, or a failure (None), to a pool's list; returns the update for the pool."""
     if update is None:
         return EndpointUpdate(form)
     if form is ListForm.DELTA:
@@ -72,21 +76,22 @@
 
 
 def shared_wait_ms(ask_within_ms: float, rng: random.Random) -> int:
-    """Draw how long a service that many nodes share, and that is to be asked within so long (ms), may hold a call (ms).
+    """Draw the wait time of a call to a discovery service that many nodes share, in ms.
 
-    The watches of a fleet that were all held for as long ended, and were opened again, in the same moment each time.
+    The node has to call again within `ask_within_ms`. Wait times are random: with equal ones, the watches of all nodes
+    would end and be opened again at the same moment.
     """
     longest_ms = min(MAX_WAIT_MS, ask_within_ms * WAIT_SHARE)
-    return int(longest_ms * rng.uniform(SHORTEST_WAIT_SHARE, 1.0))
+    return int(longest_ms * rng.uniform(MIN_WAIT_SHARE, 1.0))
 
 
 def agent_wait_ms(ask_within_ms: float) -> int:
-    """Return how long a local agent, which is to be asked within so long (ms), may hold a call, in ms."""
-    return int(min(AGENT_WATCH_MS, ask_within_ms * WAIT_SHARE))
+    """Return the wait time of a call to a local agent that has to be called within `ask_within_ms`, in ms."""
+    return int(min(AGENT_WAIT_MS, ask_within_ms * WAIT_SHARE))
 
 
 def parse_server_list(row: object) -> ServerListUpdate:
-    """Parse a list from its JSON; raises ValueError on any that is malformed."""
+    """Return the server list in a decoded JSON document; raises ValueError if it is malformed."""
     if not isinstance(row, dict):
         raise ValueError("a list is not an object")
     try:
@@ -101,36 +106,37 @@
 
 
 def _server(target: dict[str, Any]) -> Server:
+    """Return the server of one entry of a list; raises ValueError if it is malformed."""
     state = STATES.get(target["state"])
     if state is None:
         raise ValueError(f"state {target['state']!r} is not one of {', '.join(STATES)}")
     if not isinstance(target["uid"], str):
-        raise ValueError("a uid is not a text")
+        raise ValueError("a uid is not a string")
     boot = target.get("boot_ms") or 0
     return Server(
         address=target["uid"],
         zone=target.get("az") or "",
         cell=int(target.get("pod_group") or 0),
         state=state,
-        launched_ms=float(boot) if boot > 0 else None,  # 0: long ago
+        launched_ms=float(boot) if boot > 0 else None,  # 0: it started long ago
     )
 
 
 class DiscoveryWatcher:
-    """Follows the server list: until a call fails where discovery is asked, endlessly where it pushes.
+    """Watches the server list by long polling: a shared discovery service until a call fails, a local agent for ever.
 
     Parameters
     ----------
-    address: of discovery.
-    revision: of the list that is held; None: there is none, so the whole is requested first.
-    draw_wait_ms: says for each call how long discovery may hold it.
-    endless: whether a local agent pushes the list.
-    on_update: called with each answer, and with FAILED and None after a failure.
+    address: address of discovery.
+    revision: revision of the current list; None if there is none, so that the complete list is requested first.
+    draw_wait_ms: returns the wait time of the next call.
+    endless: whether discovery is a local agent, so that the watch goes on by itself after a failure.
+    on_update: called with each response, and with FAILED and None after a failure.
 
     Attributes:
     ----------
-    confirmed_s: when the list that is held was last known to lack no change (time of the event loop): at an answer, or
-        after failures at a call that is held. A watch that ends tells nothing, as it may have fallen silent before.
+    confirmed_s: loop time at which the current list was last known to be complete: at a response, or, after failures,
+        when a watch is established. The end of a watch confirms nothing: discovery may have stopped responding before.
     """
 
     def __init__(
@@ -141,95 +147,96 @@
         endless: bool,
         on_update: Callable[[ListForm, ServerListUpdate | None], None],
     ) -> None:
-        self.confirmed_s = -math.inf  # it is not known how old a list from before the start is
+        self.confirmed_s = -math.inf  # the age of a list from before the start is unknown
         self._address = address
         self._revision = revision
         self._draw_wait_ms = draw_wait_ms
         self._endless = endless
         self._on_update = on_update
-        # Whether it is not known that discovery is reachable, so that the next call is not to wait.
-        self._suspected = False
+        # Whether the next call is a probe, without wait time, as discovery may be unreachable.
+        self._probe_next = False
         self._failing = False  # the last call failed
-        self._logged_error = ""  # of the last list that could not be used
+        self._logged_error = ""  # the last error that was logged, so that it is logged once
         self._task: asyncio.Task[None] | None = None
         self._connection: ClientConnection | None = None
 
     def start(self) -> None:
-        """Begin a watch unless one is running."""
+        """Start a watch unless one is running."""
         if self._task is None:
-            self._task = asyncio.create_task(self._follow())
+            self._task = asyncio.create_task(self._run())
 
     def move(self, address: Address) -> None:
-        """Follow the list at another address from now on."""
+        """Watch the list at another address from now on."""
         if address != self._address:
             self.close()
             self._address, self._task = address, None
-            # A discovery that counts from the start would have nothing to report until it was past what is held.
-            self._suspected = True
-            # Updates of the new address count as delivered soon, so it is asked now, whatever went before.
+            # Guard: a discovery whose revisions are lower than ours would hold the call until they had caught up.
+            self._probe_next = True
+            # Updates at the new address soon count as delivered, so it is called at once even after failures.
             self.start()
 
     def close(self) -> None:
-        """End the watch and its connection."""
+        """Stop the watch and close its connection."""
         if self._task is not None:
             self._task.cancel()
         self._drop_connection()
 
-    async def _follow(self) -> None:
+    async def _run(self) -> None:
+        """Call discovery in a loop, which ends when a call to a shared service has failed."""
         while True:
-            suspected = self._suspected
+            probing = self._probe_next
             try:
-                await self._step()
+                await self._call()
             except Exception as error:
-                # Whatever a list or its handling does, the watch goes on; it ended for good, and drains with it.
+                # Guard: a fault in a list or in its handling would end the watch, and no more drains would be noticed.
                 self._drop_connection()
-                self._failing, silent = True, isinstance(error, TimeoutError)
-                # A crowded discovery rejects at once what it is not to hold; one that is shared is asked so only once.
-                self._suspected = silent and (self._endless or not suspected)
+                self._failing, timed_out = True, isinstance(error, TimeoutError)
+                # A shared service is probed only once: if overloaded, it rejects calls without wait time immediately.
+                self._probe_next = timed_out and (self._endless or not probing)
                 if not isinstance(error, OSError):
-                    self._revision = None  # what could not be taken as changes may do as a whole
-                if silent and not suspected:
-                    # A watch that had fallen silent was opened again only after a pause, and waited as long again
-                    # before a second silence showed, when drains had long counted as delivered.
+                    self._revision = None  # changes that could not be applied may be valid in a complete list
+                if timed_out and not probing:
+                    # Guard: after a pause and another full wait time, drains would have counted as delivered long
+                    # before a second timeout showed that discovery is unresponsive.
                     continue
-                self._report(error)
+                self._log_error(error)
                 self._notify_failure()
                 if self._task is not asyncio.current_task():
                     return
                 await asyncio.sleep(PUSH_RETRY_PAUSE_S)
 
     def _notify_failure(self) -> None:
-        """Report a failed call.
+        """Report a failed call to the handler.
 
-        Where discovery is asked, this watch is over and the balancer says when the next begins.
+        The watch of a shared service ends here; the balancer decides when the next one starts.
         """
         if not self._endless:
             self._task = None
         try:
             self._on_update(ListForm.FAILED, None)
         except Exception as error:
-            # The handler's own fault must not end the watch.
-            self._report(error)
+            # Guard: a fault in the handler would end the watch.
+            self._log_error(error)
             if self._task is None:
-                # Nobody had been notified of the failure, so nobody would have begun another watch.
+                # The handler has not processed the failure, so nothing else would start another watch.
                 self._task = asyncio.current_task()
 
-    async def _step(self) -> None:
-        """Make one call, and hand on its answer."""
-        if self._suspected:
-            wait_ms, limit_s = 0, AGENT_PROBE_TIMEOUT_S if self._endless else PROBE_TIMEOUT_S
+    async def _call(self) -> None:
+        """Make one call, and pass its response to the handler."""
+        if self._probe_next:
+            wait_ms, grace_s = 0, AGENT_PROBE_TIMEOUT_S if self._endless else PROBE_TIMEOUT_S
         else:
-            wait_ms, limit_s = self._draw_wait_ms(), ANSWER_GRACE_S
+            wait_ms, grace_s = self._draw_wait_ms(), ANSWER_GRACE_S
         loop = asyncio.get_running_loop()
-        established = loop.call_later(WATCH_ESTABLISHED_S, self._on_watch_established)
+        established_timer = loop.call_later(WATCH_ESTABLISHED_S, self._on_watch_established)
         try:
-            async with asyncio.timeout(wait_ms / 1000.0 + limit_s):
+            async with asyncio.timeout(wait_ms / 1000.0 + grace_s):
                 update = await self._request(wait_ms)
         finally:
-            established.cancel()
-        self._suspected = False
+            established_timer.cancel()
+        self._probe_next = False
         if not update.complete and self._revision is not None and update.revision < self._revision:
-            # A discovery that was restarted counts from the start; what it calls changes is of another list.
+            # Discovery was restarted and its revisions began again, so these changes refer to another list.
             self._revision = None
             return
         self._on_update(ListForm.FULL if update.complete else ListForm.DELTA, update)
@@ -237,23 +244,24 @@
         self.confirmed_s, self._failing = loop.time(), False
 
     def _on_watch_established(self) -> None:
-        """Take a call that is held for a list without further changes, where calls had failed before."""
+        """Treat the established watch as a report without changes if calls had failed before."""
         if not self._failing or self._revision is None:
             return
         self.confirmed_s, self._failing = asyncio.get_running_loop().time(), False
         self._on_update(ListForm.DELTA, ServerListUpdate(self._revision, False, (), {}))
 
-    def _report(self, error: Exception) -> None:
-        """Log each new fault of a list or of its handling once; a discovery that can't be reached is counted."""
+    def _log_error(self, error: Exception) -> None:
+        """Log each new error in a list or in its handling once; the pool counts connection errors."""
         if isinstance(error, OSError):
             return
         text = f"{type(error).__name__}: {error}"
         if text != self._logged_error:
             self._logged_error = text
-            log.error("server list not taken, the old one stays: %s", " ".join(text.split())[:300])
+            log.error("server list rejected, the previous one stays in use: %s", " ".join(text.split())[:300])
 
     async def _request(self, wait_ms: int) -> ServerListUpdate:
-        connection = await self._connected()
+        """Request the changes since the current revision, or the complete list if there is none."""
+        connection = await self._acquire_connection()
         exchange = Awaited()
         host = f"{self._address[0]}:{self._address[1]}"
         target = "/discovery/hosts"
@@ -265,13 +273,13 @@
             raise ConnectionError(f"discovery answered {response.status}")
         return parse_server_list(orjson.loads(response.body))
 
-    async def _connected(self) -> ClientConnection:
-        """Return the connection of the last call if it can be used again, else a new one."""
+    async def _acquire_connection(self) -> ClientConnection:
+        """Return the connection of the last call if it is reusable, else a new one."""
         connection = self._connection
         if connection is not None and connection.usable:
             return connection
         self._drop_connection()
-        async with asyncio.timeout(CONNECT_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, connection = await asyncio.get_running_loop().create_connection(
                 lambda: ClientConnection(lambda _: None, MAX_LIST_BYTES), *self._address
             )
--- a/loadbalancer/node/__init__.py
+++ b/loadbalancer/node/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's node: one HTTP front, one pool, one list."""
+"""A node for the platform: one HTTP listener, one server pool and one server list."""
--- a/loadbalancer/overload/__init__.py
+++ b/loadbalancer/overload/__init__.py
@@ -1,1 +1,1 @@
-"""What one process can bear: its core's time, its descriptors. Decisions without I/O, times in seconds as arguments."""
+"""Overload protection of one process: its CPU time and file descriptors. No I/O; times are arguments, in seconds."""
--- a/loadbalancer/overload/connections.py
+++ b/loadbalancer/overload/connections.py
@@ -1,7 +1,7 @@
-"""Descriptors as a limit like any other: callers' connections and servers', what is held, opened and closed first.
+"""Limits derived from the process's file descriptors: connections of clients and connections to servers.
 
-A connection on which a request may be on its way is never closed without an answer: slots are freed by telling callers
-`Connection: close` with their answers, before it is short.
+A connection on which a request may be in transit is never closed without a response. Instead, responses carry
+`Connection: close` before descriptors run short, so that clients free their slots.
 """
 
 from __future__ import annotations
@@ -9,77 +9,82 @@
 from dataclasses import dataclass, field
 
 SPARE = 16  # descriptors for the listeners, logs, standard streams and the event loop
-CALLERS_SHARE = 0.58  # of the others: callers' connections;
-SERVERS_SHARE = 0.35  # servers'; what is left takes in lists, the admin listener and what closes
-KEEP_SHARE = 0.7  # of the callers' connections may be kept between requests; the others come, ask and go
-BEGIN_SHARE = 0.75  # of them may carry a request that has been taken; the others are refused in their turn
-SILENT_S = 1.0  # what has connected and said nothing for so long may be taken away where there is no room
-WAIT_SHARE = 0.5  # of the time that an attempt has: what it may be expected to wait for a connection
-HOLD_GAIN = 0.05  # smoothing of how long an attempt holds a connection
-MOST = 65_536  # descriptors, where nothing is stated and the process may have more
+CLIENT_SHARE = 0.58  # of the other descriptors: connections of clients
+SERVER_SHARE = 0.35  # the same: connections to servers; the rest is for discovery, admin and closing ones
+KEEP_ALIVE_SHARE = 0.7  # of the client connections: how many may stay open between requests
+ACTIVE_SHARE = (
+    0.75  # of the client connections: how many may have an accepted request; requests on others are rejected
+)
+SILENT_S = 1.0  # a connection that has sent nothing for this long may be closed when no slot is free
+QUEUE_WAIT_SHARE = 0.5  # of an attempt's remaining time: longest expected wait for a connection
+HOLD_TIME_GAIN = 0.05  # smoothing factor of the time that an attempt occupies a connection
+MOST = 65_536  # descriptors, if the configuration sets no limit and the process is allowed more
 
 
 @dataclass(slots=True, frozen=True)
-class Shares:
-    """How many connections a listener and a pool may hold."""
+class ConnectionShares:
+    """Connection limits of one listener and of one pool."""
 
     callers: int
     servers: int
 
 
-def share_out(descriptors: int, listeners: int, pools: int) -> Shares:
-    """Each listener's and each pool's part of a process's descriptors; at least one each."""
+def share_out(descriptors: int, listeners: int, pools: int) -> ConnectionShares:
+    """Divide a process's descriptors among its listeners and pools; each gets at least one connection."""
     usable = max(0, descriptors - SPARE)
-    return Shares(
-        max(1, int(usable * CALLERS_SHARE) // max(1, listeners)),
-        max(1, int(usable * SERVERS_SHARE) // max(1, pools)),
+    return ConnectionShares(
+        max(1, int(usable * CLIENT_SHARE) // max(1, listeners)),
+        max(1, int(usable * SERVER_SHARE) // max(1, pools)),
     )
 
 
 @dataclass(slots=True)
 class ConnectionLimit:
-    """Limits of the callers' connections at one listener."""
+    """Limits of the client connections of one listener."""
 
     limit: int
-    kept: int = field(init=False)  # connections that may be kept between requests
-    begun: int = field(init=False)  # connections that may carry a request that has been taken
+    kept: int = field(init=False)  # connections that may stay open between requests
+    begun: int = field(init=False)  # connections that may have an accepted request
 
     def __post_init__(self) -> None:
-        self.kept = max(1, int(self.limit * KEEP_SHARE))
-        self.begun = max(1, int(self.limit * BEGIN_SHARE))
+        self.kept = max(1, int(self.limit * KEEP_ALIVE_SHARE))
+        self.begun = max(1, int(self.limit * ACTIVE_SHARE))
 
-    def may_accept(self, held: int) -> int:
-        """Return how many more may be accepted now; the others wait in the kernel."""
-        return max(0, self.limit - held)
+    def may_accept(self, open_connections: int) -> int:
+        """Return how many more connections may be accepted now; the others wait in the kernel."""
+        return max(0, self.limit - open_connections)
 
-    def may_keep(self, held: int) -> bool:
-        """Whether a connection may stay after its answer.
+    def may_keep(self, open_connections: int) -> bool:
+        """Whether a connection may stay open after its response.
 
-        With all places kept by callers that seldom ask, a new one waited until one of them had idled out, or
-        an idle one was closed over a request that was on its way to it.
+        If idle connections took every slot, a new one would wait until one of them timed out, or an idle one would be
+        closed while a request was in transit on it.
         """
-        return held <= self.kept
+        return open_connections <= self.kept
 
     def may_begin(self, active_requests: int) -> bool:
-        """Whether one more request may be taken, so many being under way.
+        """Whether one more request may be accepted while `active_requests` are in progress.
 
-        With every place held by a request that had been taken, those behind waited in the kernel until they
-        were late; some places are left to tell them so.
+        If accepted requests occupied every slot, later ones would wait in the kernel until their deadlines had passed.
+        The remaining slots are for rejecting those at once.
         """
         return active_requests < self.begun
 
 
 @dataclass(slots=True)
 class WaitQueue:
-    """Decides how many attempts may wait for a connection, because this process may open no more."""
+    """Limits how many attempts may wait for a connection once this process has reached its connection limit."""
 
-    hold_s: float = 0.0  # smoothed time that an attempt holds a connection
+    hold_s: float = 0.0  # smoothed time that an attempt occupies a connection
 
     def note_held(self, seconds: float) -> None:
-        """Count how long a connection has carried an attempt."""
-        gain = HOLD_GAIN if self.hold_s else 1.0
+        """Record for how long an attempt has occupied a connection."""
+        gain = HOLD_TIME_GAIN if self.hold_s else 1.0
         self.hold_s += gain * (seconds - self.hold_s)
 
     def may_wait(self, waiting: int, limit: int, left_s: float) -> bool:
-        """Whether one more may wait behind `waiting` others with `left_s` left: else it would be late."""
-        return (waiting + 1) * self.hold_s / max(1, limit) <= WAIT_SHARE * left_s
+        """Whether an attempt with `left_s` left may wait behind `waiting` others, with `limit` connections in use.
+
+        An attempt that would wait for longer than its share of the remaining time is rejected at once.
+        """
+        return (waiting + 1) * self.hold_s / max(1, limit) <= QUEUE_WAIT_SHARE * left_s
--- a/loadbalancer/overload/core.py
+++ b/loadbalancer/overload/core.py
@@ -1,9 +1,9 @@
-"""What this core can still do in time: a limit of the node's own, beside the pool's cursor.
+"""Admission control by the node's own CPU core, in addition to the load threshold of each pool.
 
-A request that has been taken is a queue at this core, but for the part of its time that its server has it. That queue
-is kept as short as a share of the time that requests have, the lowest worth having the smallest share, whenever the
-core is busy at all; and what waited too long before it was read is refused for that. So turns of the loop stay bounded,
-and the core goes on answering however much is asked.
+Accepted requests that are not at a server form a queue for this core. While the core is busy, the queue is limited to
+a share of the requests' deadlines, which is smallest for classes of the lowest worth. A request that waited too long
+before it was read is rejected. This bounds the length of event loop iterations ("turns"), so the core keeps answering
+requests under any load.
 """
 
 from __future__ import annotations
@@ -11,61 +11,86 @@
 import math
 from dataclasses import dataclass
 
-TURNS = 2.0  # of the loop that a request has before it when it has been read
-TOP_SHARE = 0.2  # of a request's time, less its server's part: the queue that it may join, in the top row
-LOW_SHARE = 0.1  # and in the lowest one
-LAST_SHARE = 0.8  # of that time: what may be gone when its answer can be read
-OCTAVES = 4.0  # worth so many halvings under the highest gets the lowest row
-TURN_LEAST_S = 0.02  # a turn that counts as long: with shorter ones no queue is there
-COST_S = 200e-6  # of the core, for a request that is served, until it is known
-COST_GAIN = 0.2  # smoothing of it, and of what servers take
-REFUSAL = 0.1  # of that cost: a refusal
-BUSY_SHARE = 0.5  # of the time, that the core has to work for it to be learned
-WEIGHTY = 20  # requests that say as much of it as all before
-FEW = 8  # open requests that are no queue, whatever they cost
+TURNS_AHEAD = 2.0  # turns of the event loop that a request still needs once it has been read
+MAX_QUEUE_SHARE = (
+    0.2  # longest queue for the highest worth, as a share of the deadline without the server's latency
+)
+MIN_QUEUE_SHARE = 0.1  # the same for the lowest worth
+MAX_ELAPSED_SHARE = (
+    0.8  # of the deadline without the server's latency: how much may have passed when a response is read
+)
+WORTH_OCTAVES = 4.0  # halvings of the highest worth down to the worth that gets the smallest share
+MIN_LONG_TURN_S = 0.02  # with shorter turns of the event loop there is no queue
+INITIAL_COST_S = 200e-6  # CPU time of a request that is served, until there is an estimate
+COST_GAIN = 0.2  # smoothing factor of the estimates of CPU time and of server latency
+REJECTION_COST = 0.1  # CPU time of a rejection, relative to that of a request that is served
+MIN_BUSY_SHARE = 0.5  # estimates are updated if the core was busy for at least this share of the time
+HALF_WEIGHT_REQUESTS = 20  # an interval with this many served requests has half of the largest weight
+MIN_QUEUE_REQUESTS = 8  # fewer open requests are not a queue, whatever they cost
 
 
 @dataclass(slots=True)
 class CoreLimit:
-    """`top_s`: the time of the class that has most, less its servers' part; kept up by the owner."""
+    """Decides whether this core can finish another request before its deadline.
+
+    Attributes:
+    ----------
+    top_s: the longest deadline of any class, less the latency of its servers; updated by the owner.
+    cost_s: estimated CPU time of a request that is served.
+    servers_s: estimated server latency, over all classes.
+    """
 
     top_s: float = math.inf
-    cost_s: float = COST_S
-    servers_s: float = 0.0  # of an answer, whatever its class
+    cost_s: float = INITIAL_COST_S
+    servers_s: float = 0.0
 
-    def learn(self, whole_s: float, busy_s: float, served: int, refused: int, servers_s: float) -> None:
-        """Learn the costs from what the core has done in `whole_s`, of which it worked for `busy_s`.
+    def learn(self, interval_s: float, busy_s: float, served: int, rejected: int, servers_s: float) -> None:
+        """Update the estimates from an interval of `interval_s`, in which the core was busy for `busy_s`.
 
-        `servers_s` is what servers took of an answer.
+        `servers_s` is the mean server latency of the served requests.
         """
-        # Beside few requests what else the core does was taken for their cost, and a burst was refused.
-        if busy_s >= BUSY_SHARE * whole_s and served > 0:
-            weight = served / (served + WEIGHTY)
-            cost = busy_s / (served + REFUSAL * refused)
+        # Guard: with few requests, other work would be attributed to them, and the next burst would be rejected.
+        if busy_s >= MIN_BUSY_SHARE * interval_s and served > 0:
+            weight = served / (served + HALF_WEIGHT_REQUESTS)
+            cost = busy_s / (served + REJECTION_COST * rejected)
             self.cost_s += COST_GAIN * weight * (cost - self.cost_s)
             self.servers_s += COST_GAIN * weight * (servers_s - self.servers_s)
 
     def allows(
-        self, turn_s: float, waited_s: float, open_: int, server_s: float, time_s: float, worth: float
+        self,
+        turn_s: float,
+        waited_s: float,
+        open_requests: int,
+        server_s: float,
+        deadline_s: float,
+        relative_worth: float,
     ) -> bool:
-        """Whether a request is taken.
+        """Whether a request is accepted.
 
-        `turn_s`: a turn of the loop, or this one so far; `waited_s`: since it came, at most; `open_`: requests taken
-        and not answered; `server_s`: its class's latency; `time_s`: from its coming, after which its answer is worth
-        nothing; `worth`: of the highest, 0 to 1.
+        Parameters
+        ----------
+        turn_s: length of a turn of the event loop, or of the current one so far if that is longer.
+        waited_s: longest possible time since the request arrived.
+        open_requests: requests that are accepted and not answered yet.
+        server_s: server latency of the request's class.
+        deadline_s: time from arrival after which the client no longer uses the response.
+        relative_worth: worth of the class relative to the highest one, 0 to 1.
         """
-        own_s = max(0.0, time_s - server_s)
-        if waited_s + TURNS * turn_s > LAST_SHARE * own_s:
+        own_s = max(0.0, deadline_s - server_s)
+        if waited_s + TURNS_AHEAD * turn_s > MAX_ELAPSED_SHARE * own_s:
             return False
-        if turn_s <= TURN_LEAST_S or open_ < FEW:
+        if turn_s <= MIN_LONG_TURN_S or open_requests < MIN_QUEUE_REQUESTS:
             return True
-        below = min(1.0, max(0.0, -math.log2(max(worth, 1e-6)) / OCTAVES))
-        return self._queue_s(open_) <= (TOP_SHARE + (LOW_SHARE - TOP_SHARE) * below) * own_s
+        below = min(1.0, max(0.0, -math.log2(max(relative_worth, 1e-6)) / WORTH_OCTAVES))
+        return (
+            self._queue_s(open_requests)
+            <= (MAX_QUEUE_SHARE + (MIN_QUEUE_SHARE - MAX_QUEUE_SHARE) * below) * own_s
+        )
 
-    def shut(self, turn_s: float, waited_s: float, open_: int) -> bool:
-        """Whether no request would be taken now, whatever it is, so that none need be read."""
-        return not self.allows(turn_s, waited_s, open_, 0.0, self.top_s, 1.0)
+    def shut(self, turn_s: float, waited_s: float, open_requests: int) -> bool:
+        """Whether a request of any class would be rejected now, so that it need not be parsed."""
+        return not self.allows(turn_s, waited_s, open_requests, 0.0, self.top_s, 1.0)
 
-    def _queue_s(self, open_: int) -> float:
-        """Return the work of what is open and not with a server (by Little's law), of a core that does nothing else."""
-        return open_ * self.cost_s - self.servers_s
+    def _queue_s(self, open_requests: int) -> float:
+        """Return the CPU time of the open requests that are not at a server, by Little's law for a fully busy core."""
+        return open_requests * self.cost_s - self.servers_s
--- a/loadbalancer/overload/turns.py
+++ b/loadbalancer/overload/turns.py
@@ -1,8 +1,8 @@
-"""The event loop's turns: since when what is handled now may have waited, and how late the loop is.
+"""Timing of the event loop's turns: when the events that are handled now can have arrived, and how late the loop is.
 
-A loop polls, handles all that was ready, and polls again. What a poll reports came after the poll before it, which
-did not report it; what ended a wait came at its end. That parts a node's own time from a server's with two time stamps
-a turn and nothing for each request.
+In each turn, the loop polls and then handles all events that are ready. An event arrived after the previous poll, which
+did not report it; if the poll had to wait, the event arrived when the wait ended. This separates a node's own time from
+its servers' with two time stamps for each turn and none for each request.
 """
 
 from __future__ import annotations
@@ -10,66 +10,75 @@
 from collections import deque
 from statistics import quantiles
 
-WAITED_S = 50e-6  # a poll that took longer has waited for what it reports
-OVERSLEPT_S = 0.002  # beyond its time-out: the core was away
-KEPT_TURNS = 2048  # latest turns from which lags are computed
-RISE, FALL = 0.5, 0.1  # how fast the smoothed turn follows a longer and a shorter one
+BLOCKING_POLL_S = 50e-6  # a poll that took longer has waited for the events that it reports
+OVERSLEEP_S = 0.002  # a poll that exceeds its timeout by more shows that the CPU core was not available
+LAG_SAMPLES = 2048  # latest turns from which lag percentiles are computed
+RISE_GAIN, FALL_GAIN = 0.5, 0.1  # smoothing factors for a turn longer and shorter than the smoothed length
 
 
 class Turns:
-    """Statistics of the loop's polls, in its seconds. Without any poll, no time counts as the process's own."""
+    """Statistics of the event loop's polls, in loop time. Before the first poll, no time counts as the process's own.
+
+    Attributes:
+    ----------
+    told: whether any poll has been recorded.
+    poll_ended_s: when the last poll ended.
+    turn_s: smoothed length of a turn.
+    busy_s: total time between polls.
+    away_s: total time that polls took beyond their timeouts, as the CPU core was not available.
+    """
 
     def __init__(self) -> None:
         self.told = False
-        self.polled = 0.0  # when the last poll ended
-        self.turn_s = 0.0  # smoothed length of a turn
-        self.busy_s = 0.0  # in all, between polls
-        self.away_s = 0.0  # in all, asleep beyond what was asked for
-        self._came = 0.0
-        self._latest: deque[float] = deque(maxlen=KEPT_TURNS)
+        self.poll_ended_s = 0.0
+        self.turn_s = 0.0
+        self.busy_s = 0.0
+        self.away_s = 0.0
+        self._earliest_arrival_s = 0.0
+        self._latest_lags_s: deque[float] = deque(maxlen=LAG_SAMPLES)
 
     def poll(self, began: float, ended: float, timeout: float | None, found: int) -> None:
-        """Count a poll: when it began and ended, its time-out (None: without end), how many events it found."""
+        """Record when a poll began and ended, its timeout (None: unlimited) and the number of events that it found."""
         if not self.told:
-            self.told, self.polled = True, began
-        busy, waited = max(0.0, began - self.polled), ended - began
-        over = 0.0 if timeout is None else max(0.0, waited - max(0.0, timeout))
-        away = over if over > OVERSLEPT_S else 0.0
-        if away:
-            # A core that was taken away while the loop slept made every answer look as late as its return.
-            # What it found may have been there when the sleep began, or come at any time since.
-            self._came = self.polled
-        elif waited > WAITED_S:
-            self._came = ended
+            self.told, self.poll_ended_s = True, began
+        busy_s, waited_s = max(0.0, began - self.poll_ended_s), ended - began
+        excess_s = 0.0 if timeout is None else max(0.0, waited_s - max(0.0, timeout))
+        away_s = excess_s if excess_s > OVERSLEEP_S else 0.0
+        if away_s:
+            # Guard: if the core was unavailable while the loop slept, every response would seem to arrive only at the
+            # end of the poll. The events can have arrived at any time since the previous poll.
+            self._earliest_arrival_s = self.poll_ended_s
+        elif waited_s > BLOCKING_POLL_S:
+            self._earliest_arrival_s = ended
         else:
-            self._came = self.polled
-        self.polled = ended
-        self.busy_s += busy
-        self.away_s += away
-        self.turn_s += (RISE if busy > self.turn_s else FALL) * (busy - self.turn_s)
-        if found or away:
-            self._latest.append(busy + away)
+            self._earliest_arrival_s = self.poll_ended_s
+        self.poll_ended_s = ended
+        self.busy_s += busy_s
+        self.away_s += away_s
+        self.turn_s += (RISE_GAIN if busy_s > self.turn_s else FALL_GAIN) * (busy_s - self.turn_s)
+        if found or away_s:
+            self._latest_lags_s.append(busy_s + away_s)
 
     def so_far(self, now: float) -> float:
-        """Return a turn's length, or this one's if it is longer already."""
-        return max(self.turn_s, now - self.polled) if self.told else 0.0
+        """Return the smoothed length of a turn, or that of the current turn so far if it is longer."""
+        return max(self.turn_s, now - self.poll_ended_s) if self.told else 0.0
 
     @property
     def spent_s(self) -> float:
-        """In all, what the process or the machine took, and no server."""
+        """Total time that this process or its machine took, rather than a server."""
         return self.busy_s + self.away_s
 
     def came(self, now: float) -> float:
-        """Return the earliest time at which what is handled now can have come."""
-        return min(self._came, now) if self.told else now
+        """Return the earliest time at which the events that are handled now can have arrived."""
+        return min(self._earliest_arrival_s, now) if self.told else now
 
     def lag(self, now: float) -> float:
-        """Return for how long what has come may not have been read: this turn so far, and the wait before it."""
-        return max(0.0, now - self._came) if self.told else 0.0
+        """Return how long arrived bytes may have been unread: since the earliest arrival of the current events."""
+        return max(0.0, now - self._earliest_arrival_s) if self.told else 0.0
 
     def lags_ms(self) -> tuple[float, float]:
-        """Return median and 99th percentile of the latest turns that had something to do."""
-        if len(self._latest) < 2:
+        """Return the median and 99th percentile of the lags of the latest turns that handled events, in ms."""
+        if len(self._latest_lags_s) < 2:
             return 0.0, 0.0
-        cut = quantiles(self._latest, n=100)
-        return cut[49] * 1000.0, cut[98] * 1000.0
+        percentiles = quantiles(self._latest_lags_s, n=100)
+        return percentiles[49] * 1000.0, percentiles[98] * 1000.0
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -61,7 +61,7 @@
 def test_a_list_that_cant_be_taken_changes_nothing():
     endpoint_list = EndpointList()
     endpoint_list.replace(100.0, [entry("a")], Levels(panic=0.1))
-    with pytest.raises(ValueError, match="'b' stands twice"):
+    with pytest.raises(ValueError, match="'b' is listed twice"):
         endpoint_list.replace(200.0, [entry("b"), entry("b", 2)])
     assert (list(endpoint_list.entries), endpoint_list.updated_ms, endpoint_list.levels) == (
         ["a"],
--- a/tests/discovery/test_waits.py
+++ b/tests/discovery/test_waits.py
@@ -17,7 +17,7 @@
 def test_waits_of_a_shared_discovery_are_drawn_so_that_nodes_do_not_call_in_step():
     waits = drawn(200)
     longest_ms = watcher.WAIT_SHARE * ASK_WITHIN_MS
-    assert min(waits) >= int(watcher.SHORTEST_WAIT_SHARE * longest_ms)
+    assert min(waits) >= int(watcher.MIN_WAIT_SHARE * longest_ms)
     assert max(waits) <= longest_ms
     assert len(set(waits)) > 100
 
@@ -31,5 +31,5 @@
 
 
 def test_an_agent_holds_every_call_for_as_long():
-    assert {watcher.agent_wait_ms(ASK_WITHIN_MS) for _ in range(10)} == {int(watcher.AGENT_WATCH_MS)}
+    assert {watcher.agent_wait_ms(ASK_WITHIN_MS) for _ in range(10)} == {int(watcher.AGENT_WAIT_MS)}
     assert watcher.agent_wait_ms(100.0) == 50
--- a/tests/faults/test_expired_list.py
+++ b/tests/faults/test_expired_list.py
@@ -10,7 +10,7 @@
 from loadbalancer.discovery import watcher as lists
 
 ASKED = {"registryMode": "ask"}
-EXPIRES_S = lists.LATEST_NOTICE_S
+EXPIRES_S = lists.MAX_NOTIFICATION_DELAY_S
 
 
 def advance(node, seconds):
--- a/tests/faults/test_watch.py
+++ b/tests/faults/test_watch.py
@@ -76,7 +76,7 @@
             node.watcher._on_update = heard
             await until(lambda: set(node.back._servers) == {"s7"})
             assert "s9" not in lost
-            assert sum("not taken" in record.message for record in caplog.records) <= 1
+            assert sum("server list rejected" in record.message for record in caplog.records) <= 1
 
     asyncio.run(main())
 
--- a/tests/overload/test_own_limits.py
+++ b/tests/overload/test_own_limits.py
@@ -12,8 +12,8 @@
 
 from loadbalancer import interface as api
 from loadbalancer.overload.connections import SPARE, ConnectionLimit, WaitQueue, share_out
-from loadbalancer.overload.core import LAST_SHARE, LOW_SHARE, TURN_LEAST_S, CoreLimit
-from loadbalancer.overload.turns import OVERSLEPT_S, Turns
+from loadbalancer.overload.core import MAX_ELAPSED_SHARE, MIN_LONG_TURN_S, MIN_QUEUE_SHARE, CoreLimit
+from loadbalancer.overload.turns import OVERSLEEP_S, Turns
 
 SECONDS = st.floats(0.0, 2.0)
 
@@ -58,7 +58,7 @@
         turns.poll(began, now, sleep, 0 if arrived is None else 1)
         if arrived is not None:
             # A core that was away for less than the loop meant to sleep can't be told: the beat keeps that short.
-            unseen = now - arrived if asleep + starved <= sleep + OVERSLEPT_S else 0.0
+            unseen = now - arrived if asleep + starved <= sleep + OVERSLEEP_S else 0.0
             assert turns.came(now) <= arrived + unseen + 1e-3
             return
 
@@ -66,7 +66,7 @@
 def test_the_lowest_worth_is_rejected_first_and_what_has_time_is_not():
     limit = CoreLimit(top_s=1.0, servers_s=0.1)
     assert limit.allows(
-        TURN_LEAST_S, 0.05, 10_000, 0.0, 1.0, worth=1.0
+        MIN_LONG_TURN_S, 0.05, 10_000, 0.0, 1.0, relative_worth=1.0
     )  # whatever is open is with its servers
     most = [
         next(n for n in range(99_999) if not limit.allows(0.1, 0.2, n, 0.0, 1.0, worth))
@@ -74,10 +74,12 @@
     ]
     assert most[0] > most[1] > most[2]
     assert (
-        most[2] * limit.cost_s > limit.servers_s + 0.9 * LOW_SHARE
+        most[2] * limit.cost_s > limit.servers_s + 0.9 * MIN_QUEUE_SHARE
     )  # beside those that are with their servers
-    assert not CoreLimit().allows(0.2, 0.9, 0, 0.0, 1.0, worth=1.0)  # it would be late
-    assert not CoreLimit().allows(0.05, 0.05, 0, 0.95, 1.0, worth=1.0)  # with what its servers take, too
+    assert not CoreLimit().allows(0.2, 0.9, 0, 0.0, 1.0, relative_worth=1.0)  # it would be late
+    assert not CoreLimit().allows(
+        0.05, 0.05, 0, 0.95, 1.0, relative_worth=1.0
+    )  # with what its servers take, too
 
 
 @examples(max_examples=30)
@@ -103,7 +105,7 @@
         out = deque((count, age + spent) for count, age in out)
         out.append((taken, waited + spent))
     # Where refusals alone make a request late by the limit's own share of its time, none is taken.
-    assert served > 0 or 3 * asked * cost / 20 > LAST_SHARE * time_s
+    assert served > 0 or 3 * asked * cost / 20 > MAX_ELAPSED_SHARE * time_s
     # Where even refusals alone fill a turn, no limit can help; else nothing that was taken is late.
     if asked * cost / 10 * (known + 2) < time_s * 0.3:
         assert late == 0
