--- a/loadbalancer/discovery/watcher.py
+++ b/loadbalancer/discovery/watcher.py
@@ -26,9 +26,8 @@
 PUSH_RETRY_PAUSE_S = 0.1  # between a failed call to a local agent and the next one
 PROBE_TIMEOUT_S = 0.8  # for a call without wait time to a shared discovery service
 AGENT_PROBE_TIMEOUT_S = 0.3  # for a call without wait time to a local agent
-AGENT_WAIT_MS = (
-    2000.0  # wait time of a call to a local agent: calls are cheap, and an unresponsive agent shows sooner
-)
+# Wait time of a call to a local agent: calls are cheap, and an unresponsive agent is noticed sooner.
+AGENT_WAIT_MS = 2000.0
 MAX_LIST_BYTES = 16 * 1024 * 1024
 MAX_WAIT_MS = 20_000.0
 # Longest wait time, as a share of the time within which the node has to call discovery again: an unresponsive discovery
--- a/loadbalancer/node/front.py
+++ b/loadbalancer/node/front.py
@@ -103,9 +103,7 @@
             id=request_id,
             service=kind.name,
             give_up_at_ms=self.pool.clock.ms(give_up_at),
-            tenant=owner.decode("utf-8", "replace")
-            if owner
-            else None,  # tenant names in the settings are UTF-8
+            tenant=owner.decode("utf-8", "replace") if owner else None,  # settings are UTF-8 too
             cost_hint_ms=None if cost_us is None else cost_us / 1000.0,
             is_retry=headers.get(b"req-retry") == b"1",
         )
--- a/loadbalancer/node/node.py
+++ b/loadbalancer/node/node.py
@@ -31,9 +31,8 @@
 
 MIN_USABLE_DESCRIPTORS = 16  # in addition to the spare ones, even if the settings allow fewer
 MAX_DRAIN_S = 3.0  # the platform kills the process after this time
-REUSE_DELAY_S = (
-    0.01  # before a connection is reused: a duplicate response can follow up to 4 ms after the first
-)
+# Before a connection is reused: a second response to the same request can arrive up to 4 ms after the first.
+REUSE_DELAY_S = 0.01
 METRICS_INTERVAL_S = 10.0  # between two log lines of metrics
 LOOP_LAG_INTERVAL_S = 0.1  # between two measurements of the event loop's lag
 
--- a/loadbalancer/overload/connections.py
+++ b/loadbalancer/overload/connections.py
@@ -12,9 +12,7 @@
 CLIENT_SHARE = 0.58  # of the other descriptors: connections of clients
 SERVER_SHARE = 0.35  # the same: connections to servers; the rest is for discovery, admin and closing ones
 KEEP_ALIVE_SHARE = 0.7  # of the client connections: how many may stay open between requests
-ACTIVE_SHARE = (
-    0.75  # of the client connections: how many may have an accepted request; requests on others are rejected
-)
+ACTIVE_SHARE = 0.75  # of the client connections: how many may have an accepted request; others are rejected
 SILENT_S = 1.0  # a connection that has sent nothing for this long may be closed when no slot is free
 QUEUE_WAIT_SHARE = 0.5  # of an attempt's remaining time: longest expected wait for a connection
 HOLD_TIME_GAIN = 0.05  # smoothing factor of the time that an attempt occupies a connection
--- a/loadbalancer/overload/core.py
+++ b/loadbalancer/overload/core.py
@@ -12,13 +12,11 @@
 from dataclasses import dataclass
 
 TURNS_AHEAD = 2.0  # turns of the event loop that a request still needs once it has been read
-MAX_QUEUE_SHARE = (
-    0.2  # longest queue for the highest worth, as a share of the deadline without the server's latency
-)
-MIN_QUEUE_SHARE = 0.1  # the same for the lowest worth
-MAX_ELAPSED_SHARE = (
-    0.8  # of the deadline without the server's latency: how much may have passed when a response is read
-)
+# Of a request's deadline, less its server's latency: the longest queue for the highest worth and for the lowest one,
+# and the time that may have passed when the response can be read.
+MAX_QUEUE_SHARE = 0.2
+MIN_QUEUE_SHARE = 0.1
+MAX_ELAPSED_SHARE = 0.8
 WORTH_OCTAVES = 4.0  # halvings of the highest worth down to the worth that gets the smallest share
 MIN_LONG_TURN_S = 0.02  # with shorter turns of the event loop there is no queue
 INITIAL_COST_S = 200e-6  # CPU time of a request that is served, until there is an estimate
--- a/loadbalancer/overload/rejections.py
+++ b/loadbalancer/overload/rejections.py
@@ -14,7 +14,7 @@
         "servers",
         "destination_unavailable",
         "",
-    )  # servers were tried, and rejected the request or were unreachable
+    )  # tried, and rejected the request or were unreachable
     NO_SERVER = ("no server", "destination_unavailable", "no server is known")
     CORE = ("own core", "proxy_internal_response", "this node's core is busy")
     CONNECTIONS = ("own descriptors", "connection_limit_reached", "this node can open no connection in time")
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""One owner of which servers are there: what is new, what changed, what is cold."""
+"""The endpoint list of a pool: which servers are new, changed, removed or cold."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     return {server.address: server.launched_ms for server in update.servers}
 
 
-def test_the_first_list_is_warm_and_what_comes_later_is_cold():
+def test_servers_of_the_first_list_are_warm_and_later_ones_are_cold():
     endpoint_list = EndpointList()
     assert launched(endpoint_list.replace(100.0, [entry("a"), entry("b", 2)])) == {"a": None, "b": None}
     update = endpoint_list.replace(200.0, [entry("a"), entry("b", 2), entry("c", 3)])
@@ -30,35 +30,35 @@
 
 
 @pytest.mark.parametrize(
-    ("between", "back"),
+    ("between", "returning"),
     [
-        ([], [entry("a")]),  # removed, and added again at the same address
-        ([entry("a", 9)], [entry("a", 9)]),  # its address went to another
+        ([], [entry("a")]),  # removed, then added again with the same address
+        ([entry("a", 9)], [entry("a", 9)]),  # its address changed
         ([entry("a", state=ServerState.SICK)], [entry("a")]),
         ([entry("a", weight=0.0)], [entry("a")]),
     ],
 )
-def test_what_may_be_another_process_is_cold(between, back):
+def test_a_server_that_may_be_another_process_is_cold(between, returning):
     endpoint_list = EndpointList()
     endpoint_list.replace(100.0, [entry("a")])
     endpoint_list.replace(200.0, between)
-    assert launched(endpoint_list.replace(300.0, back))["a"] in (200.0, 300.0)
+    assert launched(endpoint_list.replace(300.0, returning))["a"] in (200.0, 300.0)
 
 
-def test_a_start_that_the_source_knows_counts():
+def test_a_start_time_reported_by_the_source_is_used():
     endpoint_list = EndpointList()
     assert launched(endpoint_list.replace(100.0, [entry("a", launched_ms=40.0)])) == {"a": 40.0}
     assert launched(endpoint_list.replace(200.0, [entry("a", launched_ms=150.0)])) == {"a": 150.0}
 
 
-def test_draining_and_back_is_the_same_process():
+def test_a_server_that_returns_from_draining_is_the_same_process():
     endpoint_list = EndpointList()
     endpoint_list.replace(100.0, [entry("a")])
     endpoint_list.replace(200.0, [entry("a", state=ServerState.DRAINING)])
     assert launched(endpoint_list.replace(300.0, [entry("a")])) == {"a": None}
 
 
-def test_a_list_that_cant_be_taken_changes_nothing():
+def test_an_invalid_list_changes_nothing():
     endpoint_list = EndpointList()
     endpoint_list.replace(100.0, [entry("a")], Levels(panic=0.1))
     with pytest.raises(ValueError, match="'b' is listed twice"):
@@ -70,18 +70,18 @@
     )
 
 
-def test_age_is_taken_from_the_last_report_that_the_source_vouches_for():
+def test_age_is_measured_from_the_last_report_of_the_source_itself():
     endpoint_list = EndpointList(starts_known=True)
     assert endpoint_list.age_ms(1.0) is None
     endpoint_list.replace(500.0, [entry("a")], form=ListForm.CACHED)
     assert endpoint_list.age_ms(600.0) is None
     endpoint_list.replace(1000.0, [entry("a")])
     assert endpoint_list.age_ms(1400.0) == 400.0
-    endpoint_list.update(2000.0, [])  # nothing is new: the list still holds
+    endpoint_list.update(2000.0, [])  # no changes: the list is confirmed
     assert (endpoint_list.age_ms(2100.0), list(endpoint_list.entries)) == (100.0, ["a"])
 
 
-def test_changes_are_reported_as_changes_and_kept_in_the_list():
+def test_changes_are_reported_and_applied_to_the_list():
     endpoint_list = EndpointList(starts_known=True)
     endpoint_list.replace(100.0, [entry("a"), entry("b", 2), entry("c", 3)])
     update = endpoint_list.update(
@@ -104,7 +104,7 @@
     assert again.changes == ()
 
 
-def test_a_source_that_knows_of_starts_is_not_guessed_at():
+def test_start_times_are_not_derived_if_the_source_reports_them():
     endpoint_list = EndpointList(starts_known=True)
     endpoint_list.replace(100.0, [entry("a", launched_ms=50.0)])
     assert launched(endpoint_list.replace(200.0, [entry("a", 9, launched_ms=50.0), entry("b", 2)])) == {
@@ -114,7 +114,7 @@
     assert launched(endpoint_list.update(300.0, [entry("c", 3)])) == {"c": None}
 
 
-def test_where_starts_are_not_known_what_a_change_brings_is_cold():
+def test_a_server_added_by_a_change_is_cold_if_start_times_are_not_reported():
     endpoint_list = EndpointList()
     endpoint_list.replace(100.0, [entry("a")])
     assert launched(endpoint_list.update(200.0, [entry("b", 2)])) == {"b": 200.0}
@@ -122,7 +122,7 @@
     assert launched(endpoint_list.update(400.0, [entry("a"), entry("b", 2)])) == {"a": 400.0, "b": 200.0}
 
 
-def test_a_complete_list_that_names_one_as_gone_does_not_hold_it():
+def test_a_server_that_a_complete_list_reports_as_removed_is_not_in_the_list():
     endpoint_list = EndpointList(starts_known=True)
     endpoint_list.replace(100.0, [entry("a"), entry("b", 2)])
     update = endpoint_list.replace(200.0, [entry("a"), entry("b", 2, state=ServerState.REMOVED)])
@@ -130,7 +130,7 @@
     assert (list(endpoint_list.entries), len(update.servers)) == (["a"], 2)
 
 
-def test_a_copy_knows_what_was_there_and_goes_its_own_way():
+def test_a_copy_has_the_known_servers_and_is_independent():
     endpoint_list = EndpointList()
     endpoint_list.replace(100.0, [entry("a")])
     copy = endpoint_list.copy()
@@ -152,7 +152,7 @@
 
 @settings(max_examples=300)
 @given(st.lists(ENTRIES, min_size=2, max_size=6))
-def test_changes_lead_from_one_list_to_the_next(lists):
+def test_changes_are_the_differences_between_successive_lists(lists):
     endpoint_list = EndpointList()
     known: dict[str, EndpointEntry] = {}
     for at, given_list in enumerate(lists):
--- a/tests/faults/test_answers.py
+++ b/tests/faults/test_answers.py
@@ -1,4 +1,4 @@
-"""Answers that belong to no request, or to one that is over: none of them may reach another request."""
+"""Responses that belong to no request or to a finished one must not reach another request."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 
 from loopback import Caller, Peer, ask, reply, request, running, until
 
-REST = 3600.0  # a rest that does not end while a test runs
+REUSE_DELAY_S = 3600.0  # longer than any test
 
 
-def resting(node):
-    """Connections that have brought their answer and may not be used yet."""
+def delayed_connections(node):
+    """Connections that have delivered a response and may not be reused yet."""
     return [connection for _, _, connection in node.back._resting]
 
 
-def test_a_second_answer_that_comes_late_is_not_the_next_requests_answer():
+def test_a_late_second_response_is_not_delivered_to_the_next_request():
     async def main():
         async def script(message):
             if message.headers["req-id"] == "q2":
-                # The crossing: the first request's second answer comes when the second request is out.
+                # The race: the second response to the first request arrives after the second request was sent.
                 server._writers[0].write(reply(200, b"one again"))
                 await server._writers[0].drain()
             return reply(200, message.headers["req-id"].encode())
 
         server = Peer(script)
         async with running(server) as node:
-            node.back._rest_s = REST
+            node.back._rest_s = REUSE_DELAY_S
             assert (await ask(node, request(name="q1"))).body == b"q1"
             assert (await ask(node, request(name="q2"))).body == b"q2"
             assert server.connections == 2
@@ -33,19 +33,19 @@
     asyncio.run(main())
 
 
-def test_a_second_answer_ends_the_connection_that_rests_and_nothing_else():
+def test_a_second_response_closes_only_the_connection_that_is_not_reusable_yet():
     async def main():
         server = Peer()
         async with running(server) as node:
-            node.back._rest_s = REST
+            node.back._rest_s = REUSE_DELAY_S
             assert (await ask(node, request(name="q1"))).status == 200
-            (connection,) = resting(node)
+            (connection,) = delayed_connections(node)
             server._writers[0].write(reply(200, b"again"))
             await until(lambda: not connection.usable)
             await until(lambda: node.back.size == 0)
             node.back._rest_timer.cancel()
             node.back._resting[0] = (0.0, *node.back._resting[0][1:])
-            node.back._end_rests()  # its rest is over
+            node.back._end_rests()  # the reuse delay is over
             assert node.back._servers["s0"].idle == []
             assert (await ask(node, request(name="q2"))).status == 200
             assert server.connections == 2
@@ -53,7 +53,7 @@
     asyncio.run(main())
 
 
-def test_a_connection_is_used_again_when_its_rest_is_over():
+def test_a_connection_is_reused_after_the_reuse_delay():
     async def main():
         server = Peer()
         async with running(server) as node:
@@ -65,14 +65,14 @@
     asyncio.run(main())
 
 
-def test_a_connection_that_brought_more_than_was_requested_carries_nothing_more():
+def test_a_connection_that_delivered_surplus_bytes_is_not_reused():
     async def main():
         async def script(message):
             return reply(200, message.headers["req-id"].encode()) + reply(200, b"more")
 
         server = Peer(script)
         async with running(server) as node:
-            node.back._rest_s = 0.0  # it would be used again at once
+            node.back._rest_s = 0.0  # without a delay it would be reused at once
             for name in ("q1", "q2"):
                 assert (await ask(node, request(name=name))).body == name.encode()
             assert server.connections == 2
@@ -80,7 +80,7 @@
     asyncio.run(main())
 
 
-def test_an_answer_that_never_ends_is_given_up_and_its_end_reaches_nobody():
+def test_an_incomplete_response_times_out_and_its_rest_reaches_no_other_request():
     async def main():
         ended = asyncio.Event()
 
@@ -98,7 +98,7 @@
             caller = await Caller.to(node)
             first = await caller.ask(request("post", "q1", Req_Deadline_Ms="300"))
             assert first.status == 504
-            ended.set()  # what is left of it goes out on a connection that the node has closed
+            ended.set()  # the rest is sent on a connection that the node has closed
             assert (await caller.ask(request("post", "q2"))).body == b"own"
             assert server.connections == 2
             caller.writer.close()
--- a/tests/faults/test_callers_that_leave.py
+++ b/tests/faults/test_callers_that_leave.py
@@ -1,7 +1,7 @@
-"""A request whose caller has left while it waited is not sent on, whatever it waited for and whatever may be cancelled.
+"""A request whose client disconnects while it waits is not forwarded, whatever it waits for, with and without `cancel`.
 
-Each wait is forced: a connection that does not come up, an answer that is held back, bytes and end that are in the
-kernel before the node has a turn. What was sent is counted by the servers.
+The tests force each wait: a connection that is not established, a response that is delayed, or data and end of stream
+that are both in the kernel before the node's event loop runs. The servers record the requests that they receive.
 """
 
 from __future__ import annotations
@@ -18,31 +18,34 @@
 from loadbalancer.budget.repeats import Repeats
 from loadbalancer.core import connection_pool
 
-MANY = 70  # more than are connected to one server at a time, so that some stand behind those
+MANY_REQUESTS = (
+    70  # more than the limit of concurrent connection attempts to one server, so that some are queued
+)
 
-both = pytest.mark.parametrize("cancel", [True, False])
+with_and_without_cancel = pytest.mark.parametrize("cancel", [True, False])
 
 
 def bounds(cancel):
     return {"cancel": cancel, "maxOpen": 1000}
 
 
-def names(*peers):
+def request_ids(*peers):
+    """Ids of the requests that these servers have received, in order."""
     return [message.headers["req-id"] for peer in peers for message in peer.seen]
 
 
 class Gate:
-    """Has connections to some servers come up only when it is opened."""
+    """Delays the connections to some servers until it is opened."""
 
     def __init__(self, node, *ports):
         self._open, self._ports = node.back.open, ports
         self._event = asyncio.Event()
-        self.held = 0
+        self.delayed = 0
         node.back.open = self
 
     async def __call__(self, endpoint):
         if endpoint[1] in self._ports:
-            self.held += 1
+            self.delayed += 1
             await self._event.wait()
         return await self._open(endpoint)
 
@@ -51,50 +54,52 @@
 
 
 def first_to(name):
-    """Acts for a scripted module: each request goes there, once."""
+    """Return a decision function: send each request to this server, once."""
     return lambda event: [api.Send(event.id, name)] if isinstance(event, api.Request) else []
 
 
 async def callers(node, count, kind="read"):
+    """Connect `count` clients, each with one request."""
     found = [await Caller.to(node) for _ in range(count)]
     for at, caller in enumerate(found):
         caller.writer.write(request(kind, f"q{at}"))
     return found
 
 
-async def leave(node, found):
-    for caller in found:
+async def leave(node, clients):
+    """Disconnect clients, and wait until the node has noticed."""
+    for caller in clients:
         caller.writer.close()
     await until(lambda: not node.server.connections)
 
 
-@both
+@with_and_without_cancel
 @pytest.mark.parametrize("kind", ["read", "post"])
-def test_while_it_waits_to_connect_or_behind_those_that_connect(cancel, kind):
+def test_disconnect_while_the_request_waits_to_connect_or_is_queued_for_that(cancel, kind):
     async def main():
         server = Peer()
         async with running(server, bounds=bounds(cancel)) as node:
             node.pool.balancer = scripted = Scripted(first_to("s0"))
             gate = Gate(node, server.port)
-            found = await callers(node, MANY, kind)
-            await until(lambda: len(node.back._servers["s0"].waiting) == MANY)
-            assert (gate.held, len(node.back._servers["s0"].queue)) == (
+            found = await callers(node, MANY_REQUESTS, kind)
+            await until(lambda: len(node.back._servers["s0"].waiting) == MANY_REQUESTS)
+            assert (gate.delayed, len(node.back._servers["s0"].queue)) == (
                 connection_pool.MAX_OPENING,
-                MANY - connection_pool.MAX_OPENING,
+                MANY_REQUESTS - connection_pool.MAX_OPENING,
             )
             await leave(node, found)
             gate.open()
             assert (await ask(node, request(name="last"))).status == 200
-            assert names(server) == ["last"]
-            ends = [event.result for event in scripted.of(api.Outcome) if event.id != "last"]
-            assert ends == [api.Result.MOOT] * MANY  # nothing is said of the server
+            assert request_ids(server) == ["last"]
+            results = [event.result for event in scripted.of(api.Outcome) if event.id != "last"]
+            assert results == [api.Result.MOOT] * MANY_REQUESTS  # the server is not blamed
             assert node.pool.requests == {}
 
     asyncio.run(main())
 
 
-@both
-def test_while_it_waits_in_the_queue_for_a_connection(cancel):
+@with_and_without_cancel
+def test_disconnect_while_the_request_is_queued_for_a_connection(cancel):
     async def main():
         server = Held()
         async with running(server, bounds=bounds(cancel)) as node:
@@ -112,14 +117,14 @@
             server.release.set()
             assert (await first).status == 200
             assert (await ask(node, request(name="last"))).status == 200
-            assert names(server) == ["first", "last"]
+            assert request_ids(server) == ["first", "last"]
 
     asyncio.run(main())
 
 
-@both
+@with_and_without_cancel
 @pytest.mark.parametrize("kind", ["read", "post", "move"])
-def test_while_the_attempt_before_is_out_that_would_be_retried(cancel, kind):
+def test_disconnect_during_an_attempt_that_would_be_retried(cancel, kind):
     async def main():
         decline = asyncio.Event()
 
@@ -130,7 +135,7 @@
         first, second = Peer(script), Peer()
         headers = {"Idempotency_Key": "k"} if kind == "move" else {}
         async with running(first, second, bounds=bounds(cancel)) as node:
-            node.pool.balancer = Scripted(again_at("s1"))
+            node.pool.balancer = Scripted(retry_at("s1"))
             found = [await Caller.to(node) for _ in range(20)]
             for at, caller in enumerate(found):
                 caller.writer.write(request(kind, f"q{at}", **headers))
@@ -138,13 +143,13 @@
             await leave(node, found)
             decline.set()
             await until(lambda: not node.pool.requests)
-            assert names(second) == []
+            assert request_ids(second) == []
 
     asyncio.run(main())
 
 
-@both
-def test_while_its_second_attempt_waits_to_connect(cancel):
+@with_and_without_cancel
+def test_disconnect_while_the_second_attempt_waits_to_connect(cancel):
     async def main():
         async def script(message):
             return reply(503, b"", Srv_Declined="1")
@@ -152,20 +157,20 @@
         first, second = Peer(script), Peer()
         async with running(first, second, bounds=bounds(cancel)) as node:
             gate = Gate(node, second.port)
-            node.pool.balancer = Scripted(again_at("s1"))
+            node.pool.balancer = Scripted(retry_at("s1"))
             found = await callers(node, 20)
-            await until(lambda: gate.held == 20)
+            await until(lambda: gate.delayed == 20)
             await leave(node, found)
             gate.open()
             node.pool.balancer = Scripted(first_to("s1"))
             assert (await ask(node, request(name="last"))).status == 200
-            assert names(second) == ["last"]
+            assert request_ids(second) == ["last"]
 
     asyncio.run(main())
 
 
-def again_at(name):
-    """Acts for a scripted module: the first server first, and where it never ran, this one."""
+def retry_at(name):
+    """Return a decision function: try server s0, and then this server if s0 rejected the request."""
 
     def act(event):
         if isinstance(event, api.Request):
@@ -177,33 +182,33 @@
     return act
 
 
-@both
-def test_a_caller_that_has_sent_and_gone_before_it_is_read(cancel):
-    """Guard: bytes and end are delivered one after the other, and the request was sent on between them."""
+@with_and_without_cancel
+def test_disconnect_before_the_request_is_read(cancel):
+    """Guard: data and end of stream are delivered separately, so the request could be forwarded between them."""
 
     async def main():
         server = Held()
         async with running(server, bounds=bounds(cancel)) as node:
             node.pool.balancer = Scripted(first_to("s0"))
-            # A connection for each of them is up, so that nothing else would hold it back.
+            # Establish a connection for each request, so that nothing else delays it.
             ready = [asyncio.create_task(ask(node, request(name=f"r{at}"))) for at in range(20)]
             await until(lambda: len(server.seen) == 20)
             server.release.set()
             await asyncio.gather(*ready)
             await until(lambda: len(node.back._servers["s0"].idle) == 20)
             server.seen.clear()
-            for at in range(20):  # the node has no turn of the loop while these come and go
+            for at in range(20):  # the node's event loop does not run between connect and close
                 with socket.create_connection(node.server.address) as gone:
                     gone.sendall(b"".join(request("post", f"q{at}-{which}") for which in range(10)))
             assert (await ask(node, request(name="last"))).status == 200
             await until(lambda: not node.server.connections)
-            assert names(server) == ["last"]
+            assert request_ids(server) == ["last"]
 
     asyncio.run(main())
 
 
-@both
-def test_what_waits_behind_another_request_of_a_caller_that_has_gone(cancel):
+@with_and_without_cancel
+def test_disconnect_while_pipelined_requests_wait_for_an_earlier_one(cancel):
     async def main():
         server = Held()
         async with running(server, bounds=bounds(cancel)) as node:
@@ -213,13 +218,13 @@
             await leave(node, [caller])
             server.release.set()
             assert (await ask(node, request(name="last"))).status == 200
-            assert names(server) == ["q0", "last"]
+            assert request_ids(server) == ["q0", "last"]
 
     asyncio.run(main())
 
 
-def test_what_waits_behind_an_answer_that_its_caller_is_slow_to_read():
-    """Guard: reading is paused then, so that the end was seen only after the next request had been sent on."""
+def test_disconnect_while_requests_wait_for_the_client_to_read_a_response():
+    """Guard: reading is paused then, so the end of stream would be noticed only after the next request was sent."""
 
     async def main():
         async def script(message):
@@ -227,7 +232,7 @@
 
         server = Peer(script)
         async with running(server) as node:
-            node.back._rest_s = 0.0  # a connection is there for the next one
+            node.back._rest_s = 0.0  # a connection is available for the next request
             raw = socket.socket()
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             raw.setblocking(False)
@@ -246,38 +251,38 @@
                 pass
             raw.close()
             assert (await ask(node, request(name="last"))).status == 200
-            assert names(server) == [*(f"q{at}" for at in range(before)), "last"]
+            assert request_ids(server) == [*(f"q{at}" for at in range(before)), "last"]
 
     asyncio.run(main())
 
 
-def test_a_reset_that_comes_between_an_answer_and_the_next_request_is_no_fault_here():
-    """Guard: there was no end to be written on it, and the callback that wrote one ended in a traceback."""
+def test_a_reset_between_a_response_and_the_next_request_raises_no_error():
+    """Guard: end of stream can't be written after a reset, and the callback that tried raised an exception."""
 
     async def main():
-        server, faults = Held(), []
+        server, errors = Held(), []
         async with running(server) as node:
-            node.loop.set_exception_handler(lambda loop, context: faults.append(context))
+            node.loop.set_exception_handler(lambda loop, context: errors.append(context))
             raw = socket.create_connection(node.server.address)
             raw.sendall(request("post", "q0") + request("post", "q1"))
             await until(lambda: server.seen)
             (connection,) = node.server.connections
-            go_on = connection._next
+            serve_next = connection._next
 
-            def crossing():
+            def reset_then_continue():
                 raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 raw.close()
-                go_on()
+                serve_next()
 
-            connection._next = crossing
+            connection._next = reset_then_continue
             server.release.set()
             await until(lambda: not node.server.connections)
-            assert (names(server), faults) == (["q0"], [])
+            assert (request_ids(server), errors) == (["q0"], [])
 
     asyncio.run(main())
 
 
-def test_a_second_copy_that_waits_to_connect_when_the_first_has_answered():
+def test_a_hedged_attempt_that_waits_to_connect_is_not_sent_after_the_first_was_answered():
     async def main():
         first, second = Held(), Peer()
         async with running(first, second, bounds={"cancel": False}) as node:
@@ -289,19 +294,19 @@
                     else []
                 )
             )
-            asked = asyncio.create_task(ask(node, request()))
-            await until(lambda: first.seen and gate.held)
+            pending = asyncio.create_task(ask(node, request()))
+            await until(lambda: first.seen and gate.delayed)
             first.release.set()
-            assert (await asked).status == 200
+            assert (await pending).status == 200
             gate.open()
             await until(lambda: not node.back._opening)
-            assert (names(second), node.pool.requests) == ([], {})
+            assert (request_ids(second), node.pool.requests) == ([], {})
 
     asyncio.run(main())
 
 
-def test_a_keyed_repeat_that_waits_to_connect_until_its_key_is_forgotten_is_not_sent():
-    """Guard: it was picked in time and written when the servers had forgotten the key: an effect twice."""
+def test_a_keyed_retry_that_waits_to_connect_until_its_key_has_expired_is_not_sent():
+    """Guard: sent after the servers have forgotten the idempotency key, the retry would take effect a second time."""
 
     async def main():
         async def script(message):
@@ -318,12 +323,12 @@
             gate = Gate(node, *(port for port in (first.port, second.port)))
             caller = await Caller.to(node)
             caller.writer.write(request("move", "q1", Idempotency_Key="k"))
-            await until(lambda: gate.held == 1)
-            gate.open()  # the first attempt goes out and may have run; the second one waits
+            await until(lambda: gate.delayed == 1)
+            gate.open()  # the first attempt is sent and may take effect; the second one waits
             gate = Gate(node, *(port for port in (first.port, second.port)))
-            await until(lambda: gate.held == 1)
-            forgotten = node.clock.ms() + 250.0
-            await until(lambda: node.clock.ms() > forgotten)
+            await until(lambda: gate.delayed == 1)
+            expired_ms = node.clock.ms() + 250.0
+            await until(lambda: node.clock.ms() > expired_ms)
             gate.open()
             assert (await caller.answer()).status == 502
             await until(lambda: not node.back._opening)
@@ -333,15 +338,15 @@
     asyncio.run(main())
 
 
-def test_a_keyed_request_that_never_left_binds_no_repeat_of_it(monkeypatch):
-    """Guard: its second try was held to go where the first had only waited to connect."""
-    ends, end = [], Repeats.end
+def test_a_keyed_request_that_was_never_sent_does_not_bind_its_retry_to_a_server(monkeypatch):
+    """Guard: the retry had to go to a server to which the first attempt had only waited to connect."""
+    earlier_servers, end = [], Repeats.end
 
-    def told(self, *args, **more):
-        ends.append(more["earlier"])
+    def recording_end(self, *args, **more):
+        earlier_servers.append(more["earlier"])
         end(self, *args, **more)
 
-    monkeypatch.setattr(Repeats, "end", told)
+    monkeypatch.setattr(Repeats, "end", recording_end)
 
     async def main():
         (box,) = boxes(1)
@@ -350,9 +355,9 @@
             gate = Gate(sidecar.managed["boxes"], int(box.endpoint.rpartition(":")[2]))
             _, writer = await asyncio.open_connection(*address(sidecar))
             writer.write(request("move", "q1", Idempotency_Key="k"))
-            await until(lambda: gate.held)
+            await until(lambda: gate.delayed)
             writer.close()
-            await until(lambda: ends)
-            assert ends == [None]
+            await until(lambda: earlier_servers)
+            assert earlier_servers == [None]
 
     asyncio.run(main())
--- a/tests/faults/test_connections.py
+++ b/tests/faults/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections to servers that end, or are held up, in the moment in which a request goes out on them."""
+"""Connections to servers that close or stall just as a request is sent on them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     targets,
     until,
 )
-from test_callers_that_leave import first_to, names
+from test_callers_that_leave import first_to, request_ids
 
 from loadbalancer import interface as api
 
@@ -26,7 +26,7 @@
 
 
 def first_then(name):
-    """Acts for a scripted module: the first server, then this one, whatever may have come of the first attempt."""
+    """Return a decision function: try s0, then this server if s0 did not process the request; else fail."""
 
     def act(event):
         if isinstance(event, api.Request):
@@ -39,8 +39,8 @@
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
-def test_a_new_connection_that_ends_before_the_request_goes_out_costs_the_request_nothing(how):
-    """Guard: written to, it was reset, and what may not be repeated had failed that no server had seen."""
+def test_a_new_connection_that_closes_before_the_request_is_sent_does_not_fail_the_request(how):
+    """Guard: writing to a closed connection resets it, which failed unsafe requests that no server had received."""
 
     async def main():
         second = Peer()
@@ -56,7 +56,7 @@
                 async def open_and_lose(endpoint):
                     connection = await opened(endpoint)
                     if endpoint[1] == first.getsockname()[1]:
-                        # The crossing: the end is in the kernel, and no turn of the loop comes before the write.
+                        # The race: end of stream is in the kernel, and the event loop does not run before the write.
                         lost, _ = first.accept()
                         if how == "reset":
                             lost.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -65,7 +65,7 @@
 
                 node.back.open = open_and_lose
                 assert (await ask(node, request("post"))).status == 200
-                assert names(second) == ["q1"]
+                assert request_ids(second) == ["q1"]
                 assert [event.result for event in scripted.of(api.Outcome)] == [
                     api.Result.CONNECT_FAILED,
                     api.Result.OK,
@@ -76,16 +76,16 @@
 
 
 class Stalled(Peer):
-    """A server that reads nothing of what comes until it is released."""
+    """A server that reads nothing until it is released."""
 
     released = False
 
     async def start(self):
-        narrow = socket.socket()
-        narrow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        narrow.bind(("127.0.0.1", 0))
-        self._server = await asyncio.start_server(self._serve, sock=narrow)
-        self.port = narrow.getsockname()[1]
+        listening = socket.socket()
+        listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        listening.bind(("127.0.0.1", 0))
+        self._server = await asyncio.start_server(self._serve, sock=listening)
+        self.port = listening.getsockname()[1]
         return self
 
     async def _serve(self, reader, writer):
@@ -100,26 +100,26 @@
                 writer.transport.resume_reading()
 
 
-def narrow(node):
-    """Have little of a request fit into the kernel, so that it stays written in part."""
-    made = node.back.connection
+def shrink_send_buffers(node):
+    """Make send buffers so small that a request is only partly written."""
+    create_connection = node.back.connection
 
     def connection():
-        found = made()
+        found = create_connection()
         connection_made = found.connection_made
 
-        def narrowed(transport):
+        def made_with_small_buffer(transport):
             transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             connection_made(transport)
 
-        found.connection_made = narrowed
+        found.connection_made = made_with_small_buffer
         return found
 
     node.back.connection = connection
 
 
-def in_part(node):
-    """Attempts that have been written in part."""
+def partly_written(node):
+    """Attempts whose requests are only partly written."""
     return [
         attempt
         for job in node.pool.requests.values()
@@ -129,30 +129,30 @@
 
 
 @pytest.mark.parametrize("cancel", [True, False])
-def test_a_request_written_in_part_is_not_finished_for_a_caller_that_has_left(cancel):
-    """Guard: a server begins a request with its last byte, which left after the caller had gone."""
+def test_the_rest_of_a_request_is_not_written_after_its_client_has_disconnected(cancel):
+    """Guard: a server runs a request once it has the last byte, which was sent after the client had disconnected."""
 
     async def main():
         server = Stalled()
         async with running(server, bounds={"cancel": cancel}) as node:
             node.pool.balancer = scripted = Scripted(first_to("s0"))
-            narrow(node)
+            shrink_send_buffers(node)
             caller = await Caller.to(node)
             caller.writer.write(request("post", "q1", BODY))
-            await until(lambda: in_part(node))
+            await until(lambda: partly_written(node))
             caller.writer.close()
             await until(lambda: not node.server.connections)
             server.release()
             await until(lambda: not node.pool.requests)
             assert (await ask(node, request(name="last"))).status == 200
-            assert names(server) == ["last"]
-            ends = [event.result for event in scripted.of(api.Outcome) if event.id == "q1"]
-            assert ends == [api.Result.MOOT]
+            assert request_ids(server) == ["last"]
+            results = [event.result for event in scripted.of(api.Outcome) if event.id == "q1"]
+            assert results == [api.Result.MOOT]
 
     asyncio.run(main())
 
 
-def test_a_keyed_repeat_written_in_part_when_its_key_is_forgotten_is_not_finished():
+def test_the_rest_of_a_keyed_retry_is_not_written_after_its_key_has_expired():
     async def main():
         async def script(message):
             return reply(500)
@@ -168,30 +168,33 @@
                 return [api.Fail(event.id)] if isinstance(event, api.Outcome) else []
 
             node.pool.balancer = scripted = Scripted(act)
-            narrow(node)
+            shrink_send_buffers(node)
             caller = await Caller.to(node)
             caller.writer.write(request("move", "q1", BODY, Idempotency_Key="k"))
             assert (await caller.answer()).status == 502
-            ends = [event.result for event in scripted.of(api.Outcome)]
-            assert ends == [api.Result.ERROR, api.Result.MOOT]  # by its window, not by its time
+            results = [event.result for event in scripted.of(api.Outcome)]
+            assert results == [
+                api.Result.ERROR,
+                api.Result.MOOT,
+            ]  # because the key expired, not because of a timeout
             second.release()
             await until(lambda: node.back.size == len(node.back._servers["s0"].idle))
-            assert (names(first), names(second)) == (["q1"], [])
+            assert (request_ids(first), request_ids(second)) == (["q1"], [])
             caller.writer.close()
 
     asyncio.run(main())
 
 
-def test_what_has_been_told_for_the_window_of_a_key_is_forgotten_with_its_attempt():
-    """Guard: a timer as long as the servers' memory kept each repeat, its body too."""
+def test_the_timer_for_the_expiry_of_a_key_ends_with_its_attempt():
+    """Guard: a timer as long as the key's lifetime kept each retry, including its body, in memory."""
 
     async def main():
         server = Peer()
         async with running(server) as node:
 
             def act(event):
-                wanted = isinstance(event, api.Request)
-                return [api.Send(event.id, "s0", begin_within_ms=3.6e6)] if wanted else []
+                is_request = isinstance(event, api.Request)
+                return [api.Send(event.id, "s0", begin_within_ms=3.6e6)] if is_request else []
 
             node.pool.balancer = Scripted(act)
             assert (await ask(node, request("move", Idempotency_Key="k"))).status == 200
@@ -203,8 +206,8 @@
     asyncio.run(main())
 
 
-def test_a_server_whose_address_is_none_costs_its_attempt_alone():
-    """Guard: the attempt hung until its time was over, and its task ended in a traceback."""
+def test_an_invalid_server_address_fails_only_its_attempt():
+    """Guard: the attempt hung until its timeout, and its task ended with an exception."""
 
     async def main():
         server = await Peer().start()
@@ -218,29 +221,29 @@
     asyncio.run(main())
 
 
-class AwayBetween:
-    """A loop's clock on which the core is away for 5 s from an attempt's end to what is made of it."""
+class PausedAfterAttempt:
+    """A loop clock on which the CPU core is unavailable for 5 s between an attempt's end and its processing."""
 
     def __init__(self, pool):
-        self._loop, self._forget, self._away = pool.loop, pool._forget, 0.0
+        self._loop, self._forget, self._pause_s = pool.loop, pool._forget, 0.0
         pool.loop, pool._forget = self, self.forget
 
     def __getattr__(self, name):
         return getattr(self._loop, name)
 
-    def forget(self, job):  # the first thing that is done with an attempt that has ended
-        self._away = 5.0
+    def forget(self, job):  # the first step after an attempt has ended
+        self._pause_s = 5.0
         self._forget(job)
 
     def time(self):
-        return self._loop.time() + self._away
+        return self._loop.time() + self._pause_s
 
 
-def test_a_core_that_was_away_when_an_attempt_had_ended_is_no_slow_server():
+def test_a_pause_of_the_core_after_an_attempt_does_not_count_as_server_latency():
     async def main():
         async with running(Peer()) as node:
             node.pool.balancer = scripted = Scripted(first_to("s0"))
-            AwayBetween(node.pool)
+            PausedAfterAttempt(node.pool)
             assert (await ask(node, request())).status == 200
             (outcome,) = scripted.of(api.Outcome)
             assert outcome.latency_ms < 5000.0 <= outcome.own_ms
--- a/tests/faults/test_drains.py
+++ b/tests/faults/test_drains.py
@@ -1,4 +1,4 @@
-"""Nothing is written to a server once the node knows that it drains, whatever waited for a connection to it."""
+"""After a server is reported as draining, the node sends it nothing more, not even queued requests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from loadbalancer import interface as api
 from loadbalancer.discovery.watcher import ServerListUpdate
 
-MANY = 70  # more than are connected to one server at a time
+MANY_REQUESTS = 70  # more than the limit of concurrent connection attempts to one server
 
 
 def drain(node, port, state=api.ServerState.DRAINING):
@@ -18,8 +18,8 @@
     node._on_list(api.ListForm.DELTA, row)
 
 
-def first_then(*names):
-    """Acts for a scripted module: the first of these servers, and after an attempt that never ran the next."""
+def try_in_order(*names):
+    """Return a decision function: try these servers in order while attempts were not processed by a server."""
     tries = {}
 
     def act(event):
@@ -32,36 +32,38 @@
 
 
 @pytest.mark.parametrize("state", [api.ServerState.DRAINING, api.ServerState.REMOVED])
-def test_what_waits_to_connect_or_behind_those_goes_elsewhere(state):
+def test_requests_that_wait_to_connect_are_sent_to_another_server(state):
     async def main():
         leaving, staying = Peer(), Peer()
         async with running(leaving, staying, bounds={"maxOpen": 1000}) as node:
-            node.pool.balancer = Scripted(first_then("s0", "s1"))
-            hold, opening = asyncio.Event(), node.back.open
+            node.pool.balancer = Scripted(try_in_order("s0", "s1"))
+            may_open, opening = asyncio.Event(), node.back.open
 
-            async def held(endpoint):
+            async def delayed_open(endpoint):
                 if endpoint[1] == leaving.port:
-                    await hold.wait()
+                    await may_open.wait()
                 return await opening(endpoint)
 
-            node.back.open = held
-            asked = [asyncio.create_task(ask(node, request("post", f"q{at}"))) for at in range(MANY)]
-            await until(lambda: len(node.back._servers["s0"].waiting) == MANY)
+            node.back.open = delayed_open
+            pending = [
+                asyncio.create_task(ask(node, request("post", f"q{at}"))) for at in range(MANY_REQUESTS)
+            ]
+            await until(lambda: len(node.back._servers["s0"].waiting) == MANY_REQUESTS)
             drain(node, leaving.port, state)
-            hold.set()  # the connections come up as the drain is told
-            assert [answer.status for answer in await asyncio.gather(*asked)] == [200] * MANY
+            may_open.set()  # the connections are established just after the drain is reported
+            assert [answer.status for answer in await asyncio.gather(*pending)] == [200] * MANY_REQUESTS
             await until(lambda: not node.back._opening)
-            assert (leaving.seen, len(staying.seen)) == ([], MANY)
+            assert (leaving.seen, len(staying.seen)) == ([], MANY_REQUESTS)
 
     asyncio.run(main())
 
 
-def test_what_waits_in_the_queue_for_a_connection_goes_elsewhere():
+def test_requests_that_are_queued_for_a_connection_are_sent_to_another_server():
     async def main():
         leaving, staying = Held(), Peer()
         async with running(leaving, staying) as node:
             node.back.limit = 1
-            node.pool.balancer = Scripted(first_then("s0", "s1"))
+            node.pool.balancer = Scripted(try_in_order("s0", "s1"))
             callers = [await Caller.to(node) for _ in range(6)]
             callers[0].writer.write(request("post", "q0"))
             await until(lambda: leaving.seen)
@@ -69,18 +71,18 @@
                 caller.writer.write(request("post", f"q{at}"))
             await until(lambda: node.back.waiting == 5)
             drain(node, leaving.port)
-            leaving.release.set()  # what is out is still answered, and its connection is free
+            leaving.release.set()  # the request in progress is still answered, which frees its connection
             assert [(await caller.answer()).status for caller in callers] == [200] * 6
             assert (len(leaving.seen), len(staying.seen)) == (1, 5)
 
     asyncio.run(main())
 
 
-def test_a_connection_that_rests_as_the_drain_is_reported_carries_nothing_more():
+def test_a_connection_in_its_reuse_delay_at_the_drain_is_not_reused():
     async def main():
         leaving, staying = Peer(), Peer()
         async with running(leaving, staying) as node:
-            node.pool.balancer = Scripted(first_then("s0", "s1"))
+            node.pool.balancer = Scripted(try_in_order("s0", "s1"))
             assert (await ask(node, request("post", "q1"))).status == 200
             drain(node, leaving.port)
             assert (await ask(node, request("post", "q2"))).status == 200
@@ -91,24 +93,24 @@
     asyncio.run(main())
 
 
-def test_a_server_that_is_back_at_once_is_not_sent_what_waited_for_it_before():
+def test_a_server_that_returns_at_once_does_not_get_requests_queued_before():
     async def main():
         server = Peer()
         async with running(server) as node:
-            node.pool.balancer = Scripted(first_then("s0"))
-            hold, opening = asyncio.Event(), node.back.open
+            node.pool.balancer = Scripted(try_in_order("s0"))
+            may_open, opening = asyncio.Event(), node.back.open
 
-            async def held(endpoint):
-                await hold.wait()
+            async def delayed_open(endpoint):
+                await may_open.wait()
                 return await opening(endpoint)
 
-            node.back.open = held
-            asked = asyncio.create_task(ask(node, request("post", "q1")))
+            node.back.open = delayed_open
+            pending = asyncio.create_task(ask(node, request("post", "q1")))
             await until(lambda: node.back._opening)
             drain(node, server.port)
             drain(node, server.port, api.ServerState.UP)
-            hold.set()
-            assert (await asked).status == 503
+            may_open.set()
+            assert (await pending).status == 503
             await until(lambda: not node.back._opening)
             assert server.seen == []
 
--- a/tests/faults/test_thrift_callers_that_leave.py
+++ b/tests/faults/test_thrift_callers_that_leave.py
@@ -1,7 +1,7 @@
-"""Thrift callers that leave: what they wanted a reply to is not sent on, and what wanted none still runs.
+"""Thrift clients that disconnect: calls that expect a reply are not forwarded, and oneway calls still run.
 
-Each crossing is forced: replies that a box holds back, bytes and end that are in the kernel before the node has a turn,
-a reader that does not read.
+The tests force each race: a server that delays its replies, data and end of stream that are both in the kernel before
+the node's event loop runs, or a client that does not read.
 """
 
 from __future__ import annotations
@@ -25,22 +25,22 @@
 
 
 def release(box):
-    """Have a box answer what it hung on."""
+    """Make a box answer the calls that it has delayed."""
     box.behaviour.hang = False
     for connection in list(box.connections):
         connection._busy = False
         connection._finish(box.calls[-1])
 
 
-async def nothing_open(sidecar):
-    """Nobody is connected, and all that was asked for is over."""
+async def until_nothing_is_open(sidecar):
+    """Wait until no client is connected and no call is open."""
     server = sidecar.listeners["application"].front.server
     await until(lambda: not server.connections and not sidecar.pools["boxes"].requests)
 
 
-@pytest.mark.parametrize("behind", [5, PIPELINE + 8], ids=["read on", "no more is read"])
-def test_what_waits_behind_another_call_of_a_caller_that_has_gone_is_not_sent_on(behind):
-    """Guard: with so many calls waiting nothing more was read, the end neither, and all of them were sent on."""
+@pytest.mark.parametrize("behind", [5, PIPELINE + 8], ids=["still reading", "reading paused"])
+def test_disconnect_while_pipelined_calls_wait_for_an_earlier_one(behind):
+    """Guard: with many calls waiting, reading stops; the end of stream went unnoticed, and all calls were forwarded."""
 
     async def main():
         (box,) = boxes(1)
@@ -54,32 +54,32 @@
                 await until(lambda: len(connection._calls) >= min(behind, PIPELINE))
             await asyncio.sleep(0)
             release(box)
-            await nothing_open(sidecar)
+            await until_nothing_is_open(sidecar)
             assert set(box.ran) == {"p0"}
 
     asyncio.run(main())
 
 
-def test_a_caller_that_has_sent_and_gone_before_it_is_read_has_nothing_sent_on():
-    """Guard: bytes and end are delivered one after the other, and the first call was sent on between them."""
+def test_disconnect_before_the_calls_are_read():
+    """Guard: data and end of stream are delivered separately, so the first call could be forwarded between them."""
 
     async def main():
         (box,) = boxes(1)
         async with running(box) as sidecar:
             async with Caller(address(sidecar)) as ready:
-                await ready.call("post", posting("ready"))  # a connection to the box is up
-            for at in range(20):  # the node has no turn of the loop while these come and go
+                await ready.call("post", posting("ready"))  # a connection to the box is established
+            for at in range(20):  # the node's event loop does not run between connect and close
                 with socket.create_connection(address(sidecar)) as gone:
                     gone.sendall(call(f"p{at}") + call(f"p{at}-more"))
             async with Caller(address(sidecar)) as last:
                 await last.call("post", posting("last"))
-            await nothing_open(sidecar)
+            await until_nothing_is_open(sidecar)
             assert set(box.ran) == {"ready", "last"}
 
     asyncio.run(main())
 
 
-def test_oneway_calls_of_a_caller_that_has_gone_are_run_and_the_others_are_not():
+def test_oneway_calls_of_a_disconnected_client_are_run_and_the_others_are_not():
     async def main():
         (box,) = boxes(1)
         async with running(box) as sidecar:
@@ -88,13 +88,13 @@
                     call("p0") + call("n0", "note", ONEWAY) + call("p1") + call("n1", "note", ONEWAY)
                 )
             await until(lambda: len(box.ran) >= 2)
-            await nothing_open(sidecar)
+            await until_nothing_is_open(sidecar)
             assert set(box.ran) == {"n0", "n1"}
 
     asyncio.run(main())
 
 
-def test_what_waits_behind_a_reply_that_its_caller_does_not_read_is_not_sent_on_when_it_goes():
+def test_disconnect_while_calls_wait_for_the_client_to_read_a_reply():
     async def main():
         (box,) = boxes(1)
         async with running(box) as sidecar:
@@ -118,9 +118,11 @@
                 await until(lambda: connection._stuck and len(connection._calls) == 2)
                 raw.shutdown(socket.SHUT_WR)
                 await until(lambda: connection._closing)
-                while await sidecar.loop.sock_recv(raw, 65536):  # what had been answered still comes
+                while await sidecar.loop.sock_recv(
+                    raw, 65536
+                ):  # the reply that was already written still arrives
                     pass
-            await nothing_open(sidecar)
+            await until_nothing_is_open(sidecar)
             assert {name[:4] for name in box.ran} == {"xxxx", "n1"}
 
     asyncio.run(main())
--- a/tests/router/test_router.py
+++ b/tests/router/test_router.py
@@ -32,7 +32,7 @@
         ("/", b"/x", False),
     ],
 )
-def test_a_pattern_matches_what_it_says(pattern, path, matches):
+def test_a_pattern_matches_the_expected_paths(pattern, path, matches):
     found = segments(path)
     assert found is not None
     assert PathPattern.parse(pattern).matches(found) is matches
@@ -41,21 +41,21 @@
 @pytest.mark.parametrize(
     "path", [b"/a/../b", b"/./a", b"/a/%2e%2e/b", b"/a/..", b"/%2E", b"/a/..%2Fb", b"/x%2f.%2fy"]
 )
-def test_a_path_with_dot_segments_is_decided_on_by_no_route(path):
+def test_a_path_with_dot_segments_is_not_routed(path):
     assert segments(path) is None
     with pytest.raises(ValueError, match="dot segments"):
         Router([Route("all", "p", PathPattern.parse("/**"))]).match(b"GET", path, {})
 
 
 @pytest.mark.parametrize("path", [b"/a..b", b"/..a", b"/a.json", b"/%2e%2ea"])
-def test_dots_within_a_segment_are_only_dots(path):
+def test_dots_within_a_longer_segment_are_allowed(path):
     assert segments(path) is not None
 
 
 @pytest.mark.parametrize(
     "text", ["pay", "", "/a/**/b", "/{a", "/a b", "/../a", "/%2e", "/a//b", "/{}", "/a{b}"]
 )
-def test_a_malformed_pattern_is_one_clear_error(text):
+def test_a_malformed_pattern_is_rejected(text):
     with pytest.raises(ValueError, match=r"segment|slash"):
         PathPattern.parse(text)
 
@@ -71,14 +71,14 @@
 
 @settings(max_examples=500)
 @given(PATTERNS, PATTERNS, PATHS)
-def test_what_a_covered_pattern_matches_the_covering_one_matches(one, other, path):
+def test_a_covering_pattern_matches_all_paths_of_the_covered_one(one, other, path):
     if one.covers(other) and other.matches(path):
         assert one.matches(path)
 
 
 @settings(max_examples=300)
 @given(PATTERNS, PATTERNS)
-def test_covering_is_found_where_every_short_path_says_so(one, other):
+def test_a_pattern_covers_another_exactly_if_it_matches_all_its_short_paths(one, other):
     parts = (b"a", b"b", b"c", b"")
     paths: list[tuple[bytes, ...]] = [()]
     layer = paths
@@ -97,7 +97,7 @@
     return Route(name, "p", PathPattern.parse(path), frozenset(methods.split()), matches)
 
 
-def test_the_first_route_that_matches_decides():
+def test_the_first_matching_route_applies():
     router = Router(
         [
             route("head", "/x", b"HEAD"),
@@ -107,14 +107,14 @@
         ]
     )
 
-    def named(method, target, headers=None):
+    def matched_class(method, target, headers=None):
         found = router.match(method, target, headers or {})
         return found and found.service
 
-    assert named(b"HEAD", b"/x?q=/y") == "head"
-    assert named(b"GET", b"/x", {b"x-book": b"general"}) == "books"
-    assert named(b"GET", b"/x", {b"x-book": b"other"}) == "any-book"
-    assert named(b"GET", b"/x") == "rest"
+    assert matched_class(b"HEAD", b"/x?q=/y") == "head"
+    assert matched_class(b"GET", b"/x", {b"x-book": b"general"}) == "books"
+    assert matched_class(b"GET", b"/x", {b"x-book": b"other"}) == "any-book"
+    assert matched_class(b"GET", b"/x") == "rest"
     assert Router([route("head", "/x", b"HEAD")]).match(b"GET", b"/x", {}) is None
 
 
@@ -132,5 +132,5 @@
         (route("a", "/x"), route("b", "/x", b"GET", x_b="2"), True),
     ],
 )
-def test_a_route_that_no_request_reaches_is_found(first, second, shadows):
+def test_a_route_that_is_never_used_is_reported(first, second, shadows):
     assert Router([first, second]).shadowed() == ([(1, 0)] if shadows else [])
