--- a/loadbalancer/discovery/watcher.py
+++ b/loadbalancer/discovery/watcher.py
@@ -129,7 +129,7 @@
     address: address of discovery.
     revision: revision of the current list; None if there is none, so that the complete list is requested first.
     draw_wait_ms: returns the wait time of the next call.
-    endless: whether discovery is a local agent, so that the watch goes on by itself after a failure.
+    is_local_agent: whether discovery is a local agent; its watch goes on by itself after a failure.
     on_update: called with each response, and with FAILED and None after a failure.
 
     Attributes:
@@ -143,14 +143,14 @@
         address: Address,
         revision: int | None,
         draw_wait_ms: Callable[[], int],
-        endless: bool,
+        is_local_agent: bool,
         on_update: Callable[[ListForm, ServerListUpdate | None], None],
     ) -> None:
         self.confirmed_s = -math.inf  # the age of a list from before the start is unknown
         self._address = address
         self._revision = revision
         self._draw_wait_ms = draw_wait_ms
-        self._endless = endless
+        self._is_local_agent = is_local_agent
         self._on_update = on_update
         # Whether the next call is a probe, without wait time, as discovery may be unreachable.
         self._probe_next = False
@@ -191,7 +191,7 @@
                 self._drop_connection()
                 self._failing, timed_out = True, isinstance(error, TimeoutError)
                 # A shared service is probed only once: if overloaded, it rejects calls without wait time immediately.
-                self._probe_next = timed_out and (self._endless or not probing)
+                self._probe_next = timed_out and (self._is_local_agent or not probing)
                 if not isinstance(error, OSError):
                     self._revision = None  # changes that could not be applied may be valid in a complete list
                 if timed_out and not probing:
@@ -209,7 +209,7 @@
 
         The watch of a shared service ends here; the balancer decides when the next one starts.
         """
-        if not self._endless:
+        if not self._is_local_agent:
             self._task = None
         try:
             self._on_update(ListForm.FAILED, None)
@@ -223,7 +223,7 @@
     async def _call(self) -> None:
         """Make one call, and pass its response to the handler."""
         if self._probe_next:
-            wait_ms, grace_s = 0, AGENT_PROBE_TIMEOUT_S if self._endless else PROBE_TIMEOUT_S
+            wait_ms, grace_s = 0, AGENT_PROBE_TIMEOUT_S if self._is_local_agent else PROBE_TIMEOUT_S
         else:
             wait_ms, grace_s = self._draw_wait_ms(), ANSWER_GRACE_S
         loop = asyncio.get_running_loop()
--- a/loadbalancer/overload/connections.py
+++ b/loadbalancer/overload/connections.py
@@ -41,12 +41,12 @@
     """Limits of the client connections of one listener."""
 
     limit: int
-    kept: int = field(init=False)  # connections that may stay open between requests
-    begun: int = field(init=False)  # connections that may have an accepted request
+    max_keep_alive: int = field(init=False)  # connections that may stay open between requests
+    max_active: int = field(init=False)  # connections that may have an accepted request
 
     def __post_init__(self) -> None:
-        self.kept = max(1, int(self.limit * KEEP_ALIVE_SHARE))
-        self.begun = max(1, int(self.limit * ACTIVE_SHARE))
+        self.max_keep_alive = max(1, int(self.limit * KEEP_ALIVE_SHARE))
+        self.max_active = max(1, int(self.limit * ACTIVE_SHARE))
 
     def may_accept(self, open_connections: int) -> int:
         """Return how many more connections may be accepted now; the others wait in the kernel."""
@@ -58,7 +58,7 @@
         If idle connections took every slot, a new one would wait until one of them timed out, or an idle one would be
         closed while a request was in transit on it.
         """
-        return open_connections <= self.kept
+        return open_connections <= self.max_keep_alive
 
     def may_begin(self, active_requests: int) -> bool:
         """Whether one more request may be accepted while `active_requests` are in progress.
@@ -66,7 +66,7 @@
         If accepted requests occupied every slot, later ones would wait in the kernel until their deadlines had passed.
         The remaining slots are for rejecting those at once.
         """
-        return active_requests < self.begun
+        return active_requests < self.max_active
 
 
 @dataclass(slots=True)
--- a/loadbalancer/overload/core.py
+++ b/loadbalancer/overload/core.py
@@ -79,10 +79,11 @@
             return False
         if turn_s <= MIN_LONG_TURN_S or open_requests < MIN_QUEUE_REQUESTS:
             return True
-        below = min(1.0, max(0.0, -math.log2(max(relative_worth, 1e-6)) / WORTH_OCTAVES))
+        # 0 for the highest worth, 1 for the lowest.
+        level = min(1.0, max(0.0, -math.log2(max(relative_worth, 1e-6)) / WORTH_OCTAVES))
         return (
             self._queue_s(open_requests)
-            <= (MAX_QUEUE_SHARE + (MIN_QUEUE_SHARE - MAX_QUEUE_SHARE) * below) * own_s
+            <= (MAX_QUEUE_SHARE + (MIN_QUEUE_SHARE - MAX_QUEUE_SHARE) * level) * own_s
         )
 
     def shut(self, turn_s: float, waited_s: float, open_requests: int) -> bool:
--- a/loadbalancer/overload/rejections.py
+++ b/loadbalancer/overload/rejections.py
@@ -10,11 +10,7 @@
     """The limit that rejects a request: its name in metrics, its error type, and the explanation for the client."""
 
     TABLE = ("pool's table", "destination_unavailable", "")
-    SERVERS = (
-        "servers",
-        "destination_unavailable",
-        "",
-    )  # tried, and rejected the request or were unreachable
+    SERVERS = ("servers", "destination_unavailable", "")  # tried, but rejected it or were unreachable
     NO_SERVER = ("no server", "destination_unavailable", "no server is known")
     CORE = ("own core", "proxy_internal_response", "this node's core is busy")
     CONNECTIONS = ("own descriptors", "connection_limit_reached", "this node can open no connection in time")
--- a/loadbalancer/overload/turns.py
+++ b/loadbalancer/overload/turns.py
@@ -21,7 +21,7 @@
 
     Attributes:
     ----------
-    told: whether any poll has been recorded.
+    told: whether any poll has been recorded; until then no time is attributed to the process.
     poll_ended_s: when the last poll ended.
     turn_s: smoothed length of a turn.
     busy_s: total time between polls.
--- a/loadbalancer/router/paths.py
+++ b/loadbalancer/router/paths.py
@@ -53,20 +53,22 @@
         """Parse a pattern; raises ValueError with the reason if it is malformed."""
         if not text.startswith("/"):
             raise ValueError(f"{text!r} does not begin with a slash")
-        words = text.split("/")[1:]
-        rest = words[-1] == "**"
+        segment_texts = text.split("/")[1:]
+        rest = segment_texts[-1] == "**"
         if rest:
-            words.pop()
+            segment_texts.pop()
         parts: list[bytes | None] = []
-        for index, word in enumerate(words):
-            if PLACEHOLDER.fullmatch(word):
+        for index, segment in enumerate(segment_texts):
+            if PLACEHOLDER.fullmatch(segment):
                 parts.append(None)
-            elif word == "" and index == len(words) - 1 and not rest:
+            elif segment == "" and index == len(segment_texts) - 1 and not rest:
                 parts.append(b"")  # the path is a single slash or ends in one
-            elif LITERAL.fullmatch(word) and unquote_to_bytes(word) not in DOT_SEGMENTS:
-                parts.append(unquote_to_bytes(word))
+            elif LITERAL.fullmatch(segment) and unquote_to_bytes(segment) not in DOT_SEGMENTS:
+                parts.append(unquote_to_bytes(segment))
             else:
-                raise ValueError(f"{text!r}: segment {word!r} is neither literal, '{{name}}' nor a last '**'")
+                raise ValueError(
+                    f"{text!r}: segment {segment!r} is neither literal, '{{name}}' nor a last '**'"
+                )
         return cls(text, tuple(parts), rest)
 
     def matches(self, path: tuple[bytes, ...]) -> bool:
--- a/tests/faults/test_callers_that_leave.py
+++ b/tests/faults/test_callers_that_leave.py
@@ -18,9 +18,8 @@
 from loadbalancer.budget.repeats import Repeats
 from loadbalancer.core import connection_pool
 
-MANY_REQUESTS = (
-    70  # more than the limit of concurrent connection attempts to one server, so that some are queued
-)
+# More than the limit of concurrent connection attempts to one server, so that some are queued.
+MANY_REQUESTS = 70
 
 with_and_without_cancel = pytest.mark.parametrize("cancel", [True, False])
 
@@ -60,13 +59,13 @@
 
 async def callers(node, count, kind="read"):
     """Connect `count` clients, each with one request."""
-    found = [await Caller.to(node) for _ in range(count)]
-    for at, caller in enumerate(found):
+    clients = [await Caller.to(node) for _ in range(count)]
+    for at, caller in enumerate(clients):
         caller.writer.write(request(kind, f"q{at}"))
-    return found
+    return clients
 
 
-async def leave(node, clients):
+async def disconnect(node, clients):
     """Disconnect clients, and wait until the node has noticed."""
     for caller in clients:
         caller.writer.close()
@@ -81,13 +80,13 @@
         async with running(server, bounds=bounds(cancel)) as node:
             node.pool.balancer = scripted = Scripted(first_to("s0"))
             gate = Gate(node, server.port)
-            found = await callers(node, MANY_REQUESTS, kind)
+            clients = await callers(node, MANY_REQUESTS, kind)
             await until(lambda: len(node.back._servers["s0"].waiting) == MANY_REQUESTS)
             assert (gate.delayed, len(node.back._servers["s0"].queue)) == (
                 connection_pool.MAX_OPENING,
                 MANY_REQUESTS - connection_pool.MAX_OPENING,
             )
-            await leave(node, found)
+            await disconnect(node, clients)
             gate.open()
             assert (await ask(node, request(name="last"))).status == 200
             assert request_ids(server) == ["last"]
@@ -107,11 +106,11 @@
             first = asyncio.create_task(ask(node, request(name="first")))
             await until(lambda: server.seen)
             node.pool.balancer = Scripted(first_to("s0"))
-            found = [await Caller.to(node) for _ in range(30)]
-            for at, caller in enumerate(found):
+            clients = [await Caller.to(node) for _ in range(30)]
+            for at, caller in enumerate(clients):
                 caller.writer.write(request(name=f"q{at}"))
             await until(lambda: node.back.waiting == 30)
-            for caller in found:
+            for caller in clients:
                 caller.writer.close()
             await until(lambda: len(node.server.connections) == 1)
             server.release.set()
@@ -136,11 +135,11 @@
         headers = {"Idempotency_Key": "k"} if kind == "move" else {}
         async with running(first, second, bounds=bounds(cancel)) as node:
             node.pool.balancer = Scripted(retry_at("s1"))
-            found = [await Caller.to(node) for _ in range(20)]
-            for at, caller in enumerate(found):
+            clients = [await Caller.to(node) for _ in range(20)]
+            for at, caller in enumerate(clients):
                 caller.writer.write(request(kind, f"q{at}", **headers))
             await until(lambda: len(first.seen) == 20)
-            await leave(node, found)
+            await disconnect(node, clients)
             decline.set()
             await until(lambda: not node.pool.requests)
             assert request_ids(second) == []
@@ -158,9 +157,9 @@
         async with running(first, second, bounds=bounds(cancel)) as node:
             gate = Gate(node, second.port)
             node.pool.balancer = Scripted(retry_at("s1"))
-            found = await callers(node, 20)
+            clients = await callers(node, 20)
             await until(lambda: gate.delayed == 20)
-            await leave(node, found)
+            await disconnect(node, clients)
             gate.open()
             node.pool.balancer = Scripted(first_to("s1"))
             assert (await ask(node, request(name="last"))).status == 200
@@ -198,8 +197,8 @@
             await until(lambda: len(node.back._servers["s0"].idle) == 20)
             server.seen.clear()
             for at in range(20):  # the node's event loop does not run between connect and close
-                with socket.create_connection(node.server.address) as gone:
-                    gone.sendall(b"".join(request("post", f"q{at}-{which}") for which in range(10)))
+                with socket.create_connection(node.server.address) as client:
+                    client.sendall(b"".join(request("post", f"q{at}-{which}") for which in range(10)))
             assert (await ask(node, request(name="last"))).status == 200
             await until(lambda: not node.server.connections)
             assert request_ids(server) == ["last"]
@@ -215,7 +214,7 @@
             caller = await Caller.to(node)
             caller.writer.write(b"".join(request("post", f"q{at}") for at in range(5)))
             await until(lambda: server.seen)
-            await leave(node, [caller])
+            await disconnect(node, [caller])
             server.release.set()
             assert (await ask(node, request(name="last"))).status == 200
             assert request_ids(server) == ["q0", "last"]
@@ -313,12 +312,12 @@
             return reply(500)
 
         first, second = Peer(script), Peer(script)
-        window = {"name": "move", "aimMs": 20000.0, "giveUpMs": 30000.0, "effect": "guarded"}
+        keyed_class = {"name": "move", "aimMs": 20000.0, "giveUpMs": 30000.0, "effect": "guarded"}
         async with running(
             first,
             second,
             bounds={"connectTimeoutMs": 30000.0},
-            settings={"categories": [{**window, "memorySpanMs": 200.0}]},
+            settings={"categories": [{**keyed_class, "memorySpanMs": 200.0}]},
         ) as node:
             gate = Gate(node, *(port for port in (first.port, second.port)))
             caller = await Caller.to(node)
--- a/tests/faults/test_connections.py
+++ b/tests/faults/test_connections.py
@@ -173,10 +173,8 @@
             caller.writer.write(request("move", "q1", BODY, Idempotency_Key="k"))
             assert (await caller.answer()).status == 502
             results = [event.result for event in scripted.of(api.Outcome)]
-            assert results == [
-                api.Result.ERROR,
-                api.Result.MOOT,
-            ]  # because the key expired, not because of a timeout
+            # The second attempt ended because the key expired, not because of a timeout.
+            assert results == [api.Result.ERROR, api.Result.MOOT]
             second.release()
             await until(lambda: node.back.size == len(node.back._servers["s0"].idle))
             assert (request_ids(first), request_ids(second)) == (["q1"], [])
--- a/tests/faults/test_expired_list.py
+++ b/tests/faults/test_expired_list.py
@@ -35,7 +35,8 @@
         server = Peer()
         async with running(server, discovery=Failing(), settings=POLLED_DISCOVERY) as node:
             await until_failed(node)
-            assert (await ask(node, request("read", "q1"))).status == 200  # the list is new, so it is used
+            # The process has just started, so the cached list is used.
+            assert (await ask(node, request("read", "q1"))).status == 200
             advance(node, EXPIRES_S)
             assert (await ask(node, request("read", "q2"))).status == 503
             assert (await ask(node, request("post", "q3"))).status == 503
@@ -66,9 +67,8 @@
             first, others, discovery=Failing(), settings=POLLED_DISCOVERY, bounds={"maxAttempts": 3}
         ) as node:
             await until_failed(node)
-            node.pool.balancer.peers[
-                "s1"
-            ].info.weight = 1e-9  # so that the first attempt goes to the server that delays its response
+            # The first attempt goes to the server that delays its response.
+            node.pool.balancer.peers["s1"].info.weight = 1e-9
             advance(node, EXPIRES_S - 0.1)
             pending = asyncio.create_task(ask(node, request("read", "q1")))
             await until(lambda: first.seen)
@@ -135,7 +135,7 @@
     async def main():
         server, discovery = Peer(), Failing(listing(5, False))
         async with running(server, discovery=discovery, settings=POLLED_DISCOVERY) as node:
-            advance(node, EXPIRES_S)  # past the time since the start during which the first list is used
+            advance(node, EXPIRES_S)  # past the time after the start in which a cached list is used
             await until_failed(node)
             assert (await ask(node, request("read", "q1"))).status == 200
 
@@ -157,7 +157,7 @@
         ended, server, discovery = asyncio.Event(), Peer(), Ending()
         async with running(server, discovery=discovery, settings=POLLED_DISCOVERY) as node:
             await until(lambda: len(discovery.seen) == 2)
-            advance(node, EXPIRES_S)  # past the time since the start during which the first list is used,
+            advance(node, EXPIRES_S)  # past the time after the start in which a cached list is used,
             node.watcher.confirmed_s -= EXPIRES_S  # and the watch has lasted for that long
             ended.set()
             await until_failed(node)
--- a/tests/faults/test_retired_listeners.py
+++ b/tests/faults/test_retired_listeners.py
@@ -68,17 +68,16 @@
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("taken", [False, True], ids=["in the kernel", "accepted"])
-def test_a_request_on_a_new_connection_to_a_removed_listener_is_answered(taken):
+@pytest.mark.parametrize("accepted", [False, True], ids=["in the kernel", "accepted"])
+def test_a_request_on_a_new_connection_to_a_removed_listener_is_answered(accepted):
     async def main():
         (box,) = boxes(1)
         async with running(box, listeners=[listener("one")]) as sidecar:
             server = sidecar.listeners["one"].front.server
-            with socket.create_connection(
-                address(sidecar, "one")
-            ) as raw:  # the event loop does not run from here on
+            # From here until the reload is complete, the event loop does not run.
+            with socket.create_connection(address(sidecar, "one")) as raw:
                 raw.sendall(REQUEST)
-                if taken:
+                if accepted:
                     server._accept()  # its protocol is created in the next turn
                     assert server._accepted
                 await sidecar.reload(without(box))
--- a/tests/faults/test_thrift_callers_that_leave.py
+++ b/tests/faults/test_thrift_callers_that_leave.py
@@ -38,8 +38,8 @@
     await until(lambda: not server.connections and not sidecar.pools["boxes"].requests)
 
 
-@pytest.mark.parametrize("behind", [5, PIPELINE + 8], ids=["still reading", "reading paused"])
-def test_disconnect_while_pipelined_calls_wait_for_an_earlier_one(behind):
+@pytest.mark.parametrize("waiting_calls", [5, PIPELINE + 8], ids=["still reading", "reading paused"])
+def test_disconnect_while_pipelined_calls_wait_for_an_earlier_one(waiting_calls):
     """Guard: with many calls waiting, reading stops; the end of stream went unnoticed, and all calls were forwarded."""
 
     async def main():
@@ -47,11 +47,11 @@
         async with running(box) as sidecar:
             box.behaviour.hang = True
             async with Caller(address(sidecar)) as caller:
-                for at in range(behind):
+                for at in range(waiting_calls):
                     caller.send("post", posting(f"p{at}"))
                 await until(lambda: box.ran)
                 (connection,) = sidecar.listeners["application"].front.server.connections
-                await until(lambda: len(connection._calls) >= min(behind, PIPELINE))
+                await until(lambda: len(connection._calls) >= min(waiting_calls, PIPELINE))
             await asyncio.sleep(0)
             release(box)
             await until_nothing_is_open(sidecar)
@@ -69,8 +69,8 @@
             async with Caller(address(sidecar)) as ready:
                 await ready.call("post", posting("ready"))  # a connection to the box is established
             for at in range(20):  # the node's event loop does not run between connect and close
-                with socket.create_connection(address(sidecar)) as gone:
-                    gone.sendall(call(f"p{at}") + call(f"p{at}-more"))
+                with socket.create_connection(address(sidecar)) as client:
+                    client.sendall(call(f"p{at}") + call(f"p{at}-more"))
             async with Caller(address(sidecar)) as last:
                 await last.call("post", posting("last"))
             await until_nothing_is_open(sidecar)
@@ -83,8 +83,8 @@
     async def main():
         (box,) = boxes(1)
         async with running(box) as sidecar:
-            with socket.create_connection(address(sidecar)) as gone:
-                gone.sendall(
+            with socket.create_connection(address(sidecar)) as client:
+                client.sendall(
                     call("p0") + call("n0", "note", ONEWAY) + call("p1") + call("n1", "note", ONEWAY)
                 )
             await until(lambda: len(box.ran) >= 2)
--- a/tests/faults/test_watch.py
+++ b/tests/faults/test_watch.py
@@ -72,9 +72,8 @@
             node.back.remove = lambda name: (removed.append(name), remove(name))
 
             def checked_on_list(form, update):
-                assert form is not ListForm.FAILED or set(node.back._servers) == {
-                    "s5"
-                }  # the previous list stays in use
+                # The previous list stays in use.
+                assert form is not ListForm.FAILED or set(node.back._servers) == {"s5"}
                 on_list(form, update)
 
             node.watcher._on_update = checked_on_list
@@ -101,10 +100,8 @@
         async with running(Peer(), discovery=discovery, settings={"registryMode": mode}) as node:
             await until(lambda: set(node.back._servers) == {"s6"})
             assert len(failures) == 1
-            assert calls_to(discovery)[1] == (
-                None,
-                None,
-            )  # the complete list, as the first may be partly applied
+            # The complete list is requested, as the first one may be partly applied.
+            assert calls_to(discovery)[1] == (None, None)
             assert any("KeyError" in record.message for record in caplog.records)
 
     asyncio.run(main())
--- a/tests/faults/test_whose_settings.py
+++ b/tests/faults/test_whose_settings.py
@@ -10,7 +10,7 @@
 from loadbalancer import interface as api
 
 
-def classes(*names):
+def settings_with_classes(*names):
     """Settings with these classes."""
     row = {"aimMs": 20000.0, "giveUpMs": 30000.0, "effect": "free"}
     return {"categories": [row | {"name": name} for name in names]}
@@ -36,7 +36,7 @@
 def test_a_class_name_in_a_path_may_be_percent_encoded_or_literal(path, name):
     async def main():
         names = ["label%print", "a b", "50%", "x/y", "a%20b" if "25" in path else "other", "c%20d", "büro"]
-        async with running(Peer(), settings=classes(*names)) as node:
+        async with running(Peer(), settings=settings_with_classes(*names)) as node:
             node.pool.balancer = scripted = rejecting_module()
             assert (await ask(node, request("read").replace(b"/read/", f"/{path}/".encode()))).status == 503
             assert [event.service for event in scripted.of(api.Request)] == [name]
--- a/tests/overload/test_overload_limits.py
+++ b/tests/overload/test_overload_limits.py
@@ -49,15 +49,15 @@
     st.floats(0.0, 1.0),
     st.integers(0, 11),
 )
-def test_server_time_is_never_counted_as_the_nodes_own(turns_of, at, which):
+def test_server_time_is_never_counted_as_the_nodes_own(turn_times, position, arrival_turn):
     """For any turns, sleeps and unavailable cores, the reported arrival is never later than the real one."""
     turns, now = Turns(), 0.0
     turns.poll(0.0, 0.0, 0.0, 0)
     arrived: float | None = None
-    for number, (busy, sleep, starved) in enumerate(turns_of):
+    for number, (busy, sleep, starved) in enumerate(turn_times):
         began = now + busy
-        if number == min(which, len(turns_of) - 1):
-            arrived = now + at * (busy + sleep)  # during this turn or the sleep after it
+        if number == min(arrival_turn, len(turn_times) - 1):
+            arrived = now + position * (busy + sleep)  # during this turn or the sleep after it
         asleep = sleep if arrived is None else min(sleep, max(0.0, arrived - began))
         now = began + asleep + starved
         turns.poll(began, now, sleep, 0 if arrived is None else 1)
@@ -70,49 +70,47 @@
 
 def test_requests_of_the_lowest_worth_are_rejected_first_and_those_with_time_left_are_not():
     limit = CoreLimit(top_s=1.0, servers_s=0.1)
-    assert limit.allows(
-        MIN_LONG_TURN_S, 0.05, 10_000, 0.0, 1.0, relative_worth=1.0
-    )  # the open requests are at their servers
+    # The open requests are at their servers.
+    assert limit.allows(MIN_LONG_TURN_S, 0.05, 10_000, 0.0, 1.0, relative_worth=1.0)
     most = [
         next(n for n in range(99_999) if not limit.allows(0.1, 0.2, n, 0.0, 1.0, worth))
         for worth in (1.0, 0.25, 0.01)
     ]
     assert most[0] > most[1] > most[2]
-    assert (
-        most[2] * limit.cost_s > limit.servers_s + 0.9 * MIN_QUEUE_SHARE
-    )  # in addition to those that are at their servers
+    # This queue is in addition to the requests that are at their servers.
+    assert most[2] * limit.cost_s > limit.servers_s + 0.9 * MIN_QUEUE_SHARE
     assert not CoreLimit().allows(0.2, 0.9, 0, 0.0, 1.0, relative_worth=1.0)  # it would miss its deadline
-    assert not CoreLimit().allows(
-        0.05, 0.05, 0, 0.95, 1.0, relative_worth=1.0
-    )  # the server's latency counts as well
+    # The server's latency counts as well.
+    assert not CoreLimit().allows(0.05, 0.05, 0, 0.95, 1.0, relative_worth=1.0)
 
 
 @examples(max_examples=30)
 @given(st.integers(200, 6000), st.floats(50e-6, 400e-6), st.floats(0.3, 3.0), st.integers(0, 3))
 @example(4894, 0.00034059208125607665, 0.3125, 0)
-def test_under_any_load_the_core_keeps_answering_in_time(asked, cost, time_s, known):
+def test_under_any_load_the_core_keeps_answering_in_time(arriving, cost, time_s, response_turns):
     """Each simulated turn reads all requests; a rejection costs a tenth, and a response arrives some turns later."""
     limit, turn = CoreLimit(top_s=time_s, cost_s=cost), 0.0
-    out: deque[tuple[int, float]] = deque([(0, 0.0)] * (known + 1))  # accepted in a turn, and their age
+    # For each turn, the requests accepted in it and their age.
+    out: deque[tuple[int, float]] = deque([(0, 0.0)] * (response_turns + 1))
     served = late = 0
     for number in range(60):
         answered, ages = out.popleft()
-        spent, taken, open_ = answered * cost / 2, 0, sum(count for count, _ in out)
-        for _ in range(asked):
-            if limit.shut(max(turn, spent), turn + spent, open_ + taken):
+        spent, accepted, open_requests = answered * cost / 2, 0, sum(count for count, _ in out)
+        for _ in range(arriving):
+            if limit.shut(max(turn, spent), turn + spent, open_requests + accepted):
                 spent += cost / 20
             else:
-                taken, spent = taken + 1, spent + cost / 2
+                accepted, spent = accepted + 1, spent + cost / 2
         if number >= 20:  # by then the length of the turns is stable
             served += answered
             late += answered * (ages > time_s * 1.5)
         waited, turn = turn, spent
         out = deque((count, age + spent) for count, age in out)
-        out.append((taken, waited + spent))
+        out.append((accepted, waited + spent))
     # If rejections alone use up the limit's share of the deadline, no request is accepted.
-    assert served > 0 or 3 * asked * cost / 20 > MAX_ELAPSED_SHARE * time_s
+    assert served > 0 or 3 * arriving * cost / 20 > MAX_ELAPSED_SHARE * time_s
     # If rejections alone fill a turn, no limit helps; otherwise no accepted request is late.
-    if asked * cost / 10 * (known + 2) < time_s * 0.3:
+    if arriving * cost / 10 * (response_turns + 2) < time_s * 0.3:
         assert late == 0
 
 
@@ -129,9 +127,8 @@
     connection_limit = ConnectionLimit(limit)
     assert connection_limit.may_accept(open_connections) == max(0, limit - open_connections)
     if limit >= 4 and connection_limit.may_keep(open_connections):
-        assert (
-            connection_limit.may_accept(open_connections) > 0
-        )  # connections between requests leave free slots
+        # Connections between requests leave free slots.
+        assert connection_limit.may_accept(open_connections) > 0
     if limit >= 4 and connection_limit.may_begin(open_connections):
         assert open_connections < limit  # accepted requests leave free slots
 
@@ -164,7 +161,7 @@
     ) == (0.0, 0.0, 0.0)
 
 
-def test_a_burst_on_idle_servers_is_accepted_and_may_grow_after_the_start():
+def test_a_burst_on_idle_servers_is_accepted_and_a_larger_one_after_slow_start():
     bed = Bed(siblings=1, start_calls=32.0, quiet_calls=32.0)
     burst = [bed.ask() for _ in range(128)]
     assert all(sent(acts) for _, acts in burst)
@@ -180,11 +177,11 @@
     """For example a pool with sub-millisecond latency, far below its target, that becomes ten times slower."""
     kind = api.ServiceClass("read", aim, 2.5 * aim, effect=api.Effect.SAFE)
     bed = Bed(classes=(kind,), near_ms=1.0)
-    for at, share in enumerate(shares):
+    for index, share in enumerate(shares):
         name, acts = bed.ask("read", left=2.0 * aim)
         if sent(acts):
             bed.end(name, sent(acts)[0].server, api.Result.OK, latency=share * aim)
-        if at % 5 == 4:
+        if index % 5 == 4:
             bed.period()
             assert bed.brain.table.cursor == 0
             assert bed.brain.estimate.load <= 1.0
@@ -196,11 +193,11 @@
     for _ in range(40):
         bed.serve(latency=5.0)
     _, acts = bed.ask()
-    asked = sent(acts)[0].server
+    used = sent(acts)[0].server
     bed.brain.handle(bed.now + 500.0, api.Alarm("none"), lag)
     ranks = {info.address: rank for info, rank, _, _ in bed.brain.ranking.survey(bed.now + 500.0)}
-    other = next(name for name in ranks if name != asked)
-    assert (ranks[asked] > 20 * ranks[other]) is avoided
+    other = next(name for name in ranks if name != used)
+    assert (ranks[used] > 20 * ranks[other]) is avoided
 
 
 def test_slow_start_with_siblings_uses_the_settings():
