--- a/emberring/__init__.py
+++ b/emberring/__init__.py
@@ -1,1 +1,1 @@
-"""emberring: a serving tier for model servers with a batch interface, around the decisions of `loadbalancer`."""
+"""emberring: a serving tier for model servers with a batch interface, based on the decisions of `loadbalancer`."""
--- a/emberring/__main__.py
+++ b/emberring/__main__.py
@@ -12,7 +12,7 @@
 from emberring.settings import Settings, load_settings
 
 EXIT_BAD_SETTINGS = 2
-# Allocations between garbage collections: few cycles are made here, and each pass costs time.
+# Thresholds of the garbage collector's generations: the process creates few reference cycles, and each pass costs time.
 GC_THRESHOLDS = (20_000, 20, 50)
 
 RunRole = Callable[[Settings], Coroutine[None, None, None]]
@@ -41,7 +41,7 @@
 
 
 def run_role(name: str) -> int:
-    """Run a role until it is stopped; the exit code, `EXIT_BAD_SETTINGS` where the settings cannot be used."""
+    """Run a role until it is stopped. Returns the exit code: `EXIT_BAD_SETTINGS` if the settings are invalid."""
     try:
         settings = load_settings()
     except SettingsError as error:
@@ -57,7 +57,7 @@
 
 
 def main() -> int:
-    """The command `emberring`; its exit code."""
+    """Run the command `emberring` and return its exit code."""
     if len(sys.argv) == 2 and sys.argv[1] in ROLES:
         return run_role(sys.argv[1])
     from emberring.cli.app import main as run_tool
--- a/emberring/errors.py
+++ b/emberring/errors.py
@@ -8,7 +8,7 @@
 
 
 class ErrorKind(Enum):
-    """Every way in which a part of the tier may fail; the value is the kind's name in messages between nodes."""
+    """Every kind of failure in the tier; the value is the kind's name in messages between nodes."""
 
     BAD_SETTINGS = "bad_settings"
     BAD_REQUEST = "bad_request"
@@ -71,7 +71,7 @@
 
 
 class EmberringError(Exception):
-    """The root of the exception tree; `kind` decides the response, `detail` is one line for a person."""
+    """The base class of the tier's errors: `kind` selects the HTTP response, `detail` is a one-line description."""
 
     kind = ErrorKind.INTERNAL
 
@@ -86,13 +86,13 @@
 
 
 class SettingsError(EmberringError):
-    """The settings file cannot be used; `detail` names the file and every error in it."""
+    """The settings file is unreadable or invalid; `detail` names the file and every error in it."""
 
     kind = ErrorKind.BAD_SETTINGS
 
 
 class BadRequestError(EmberringError):
-    """A caller's request cannot be read."""
+    """A client's request is malformed."""
 
     kind = ErrorKind.BAD_REQUEST
 
@@ -108,13 +108,13 @@
 
 
 class VersionConflictError(EmberringError):
-    """A change builds on a version of the configuration that is not the current one."""
+    """The version of the configuration that a change is based on is not the current one."""
 
     kind = ErrorKind.VERSION_CONFLICT
 
 
 class NotFoundError(EmberringError):
-    """The requested object certainly does not exist."""
+    """The requested object does not exist; this is known for certain."""
 
     kind = ErrorKind.NOT_FOUND
 
@@ -126,13 +126,13 @@
 
 
 class QuotaExceededError(EmberringError):
-    """The job does not fit into its route's queue; nothing of it is stored."""
+    """The job does not fit into its route's queue; no part of it is stored."""
 
     kind = ErrorKind.QUOTA_EXCEEDED
 
 
 class OverloadedError(EmberringError):
-    """Rejected by admission before anything ran; the client may retry after `retry_after_s` seconds."""
+    """Admission rejected the request before execution; the client may retry after `retry_after_s` seconds."""
 
     kind = ErrorKind.OVERLOADED
 
@@ -154,25 +154,25 @@
 
 
 class PeerError(EmberringError):
-    """The root of the failures of calls between nodes."""
+    """The base class of failures of calls between nodes."""
 
     kind = ErrorKind.PEER_UNAVAILABLE
 
 
 class PeerUnavailableError(PeerError):
-    """The call was not sent: it had no effect."""
+    """The call was not sent, so it had no effect."""
 
     kind = ErrorKind.PEER_UNAVAILABLE
 
 
 class PeerTimeoutError(PeerError):
-    """The call was sent and no reply came: it may have had its effect."""
+    """The call was sent but no reply arrived: it may have taken effect."""
 
     kind = ErrorKind.PEER_TIMEOUT
 
 
 class ProtocolViolationError(PeerError):
-    """A peer sent bytes that are no message."""
+    """A peer sent bytes that are not a valid message."""
 
     kind = ErrorKind.PROTOCOL_VIOLATION
 
@@ -184,13 +184,13 @@
 
 
 class FencedError(EmberringError):
-    """The caller's fencing token is older than one already seen."""
+    """The caller's fencing token is older than one that this node has already seen."""
 
     kind = ErrorKind.FENCED
 
 
 class NotOwnerError(EmberringError):
-    """The called node does not own the key; `detail` may hold the owner's address."""
+    """The called node does not own the key; `detail` may contain the owner's address."""
 
     kind = ErrorKind.NOT_OWNER
 
@@ -214,7 +214,7 @@
 
 
 def _classes_by_kind() -> dict[ErrorKind, type[EmberringError]]:
-    """The class of each kind that `error_from_wire` makes from a detail alone."""
+    """Return the class that `error_from_wire` instantiates for each kind, with only a detail."""
     found: dict[ErrorKind, type[EmberringError]] = {}
     pending: list[type[EmberringError]] = list(EmberringError.__subclasses__())
     while pending:
@@ -229,7 +229,7 @@
 
 
 def error_from_wire(kind: str, detail: str) -> EmberringError:
-    """The exception for an error that another node reported; an unknown kind becomes `InternalError`."""
+    """Return the exception for an error that another node reported; an unknown kind becomes `InternalError`."""
     try:
         cls = _CLASS_OF_KIND[ErrorKind(kind)]
     except (ValueError, KeyError):
--- a/emberring/membership/sampler.py
+++ b/emberring/membership/sampler.py
@@ -1,4 +1,4 @@
-"""Runs a node's partial view: shuffles it with one peer at regular intervals."""
+"""Runs a node's peer sampling: exchanges a part of its view with one peer at regular intervals."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from emberring.transport.network import Caller, Network
 
 SHUFFLE_INTERVAL_S = 2.0
-FIRST_INTERVAL_S = 0.5  # while fewer than `FEW_NODES` are known
+SPARSE_VIEW_INTERVAL_S = 0.5  # while fewer than `SPARSE_VIEW_NODES` nodes are known
 SHUFFLE_TIMEOUT_S = 0.8  # of one call
-FEW_NODES = 4
+SPARSE_VIEW_NODES = 4
 
 
 @message("membership.shuffle")
 @attrs.frozen
 class Shuffle:
-    """Descriptors that a node offers to a peer; `sender` is its name. Some 200 bytes each."""
+    """Descriptors that a node sends to a peer, about 200 bytes each; `sender` is the node's name."""
 
     sender: str
     descriptors: tuple[Descriptor, ...]
@@ -32,15 +32,16 @@
 @message("membership.shuffled")
 @attrs.frozen
 class Shuffled:
-    """Reply to a shuffle: the peer's descriptors."""
+    """The reply to a shuffle: some of the peer's descriptors."""
 
     descriptors: tuple[Descriptor, ...]
 
 
 class Sampler:
-    """Peer sampling of one process.
+    """The peer sampling of one process.
 
-    `seeds` are addresses asked while the view is empty; `seed` is that of the random choices.
+    `me` is this node's record. `seeds` are the addresses that it contacts while its view is empty. `seed` initializes
+    the random generator.
     """
 
     def __init__(self, network: Network, me: NodeRecord, seeds: Sequence[str], seed: int) -> None:
@@ -52,15 +53,15 @@
         network.handle(Shuffle, self._on_shuffle)
 
     def controls(self) -> list[NodeRecord]:
-        """The control nodes known from sampling, the most recently seen first."""
+        """Return the control nodes in the view, the most recently seen first."""
         return self.view.controls()
 
     def start(self) -> None:
-        """Start to shuffle."""
+        """Start the periodic shuffles."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def stop(self) -> None:
-        """Stop shuffling."""
+        """Stop the periodic shuffles."""
         if self._task is not None:
             self._task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -73,8 +74,8 @@
     async def _run(self) -> None:
         while True:
             await self._shuffle_once()
-            few = len(self.view.nodes()) < FEW_NODES
-            await asyncio.sleep(FIRST_INTERVAL_S if few else SHUFFLE_INTERVAL_S)
+            view_is_sparse = len(self.view.nodes()) < SPARSE_VIEW_NODES
+            await asyncio.sleep(SPARSE_VIEW_INTERVAL_S if view_is_sparse else SHUFFLE_INTERVAL_S)
 
     async def _shuffle_once(self) -> None:
         loop = asyncio.get_running_loop()
@@ -82,14 +83,14 @@
         address = call.address if call is not None else self._next_seed()
         if not address:
             return
-        own = (Descriptor(self.view.me, 0.0),)
-        body = Shuffle(self.view.me.name, call.descriptors if call is not None else own)
+        own_descriptor = (Descriptor(self.view.me, 0.0),)
+        body = Shuffle(self.view.me.name, call.descriptors if call is not None else own_descriptor)
         try:
-            answer = await self._network.call(address, body, Shuffled, SHUFFLE_TIMEOUT_S)
+            reply = await self._network.call(address, body, Shuffled, SHUFFLE_TIMEOUT_S)
         except EmberringError:
             self.view.on_failure(address)
             return
-        self.view.on_answer(loop.time(), address, answer.descriptors)
+        self.view.on_shuffle_reply(loop.time(), address, reply.descriptors)
 
     def _next_seed(self) -> str:
         if not self._seeds:
--- a/emberring/settings.py
+++ b/emberring/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process: TOML, checked completely, every error reported at once."""
+"""The settings file of a process: TOML, fully validated, with all errors reported at once."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 SETTINGS_VARIABLE = "EMBERRING_NODE_FILE"
 DEFAULT_SETTINGS_PATH = "/etc/emberring/local.toml"
-# A role's port for messages between nodes is the first of `PortRange` plus its offset.
+# The port of a role for messages between nodes is the first port of `PortRange` plus the role's offset.
 GATEWAY_PORT_OFFSET = 0
 CONTROL_PORT_OFFSET = 1
 STORE_PORT_OFFSET = 2
@@ -27,35 +27,34 @@
 
 
 def _setting(key: str, default: Value) -> Value:
-    """A field that is read from this key of its section."""
+    """Define a field that is read from this key of its section."""
     return attrs.field(default=default, metadata={_KEY: key})
 
 
 @attrs.frozen
 class Bounds:
-    """The deployment's time limits, section `[Bounds]`; the unit stands at the end of each name.
+    """The deployment's time limits, section `[Bounds]`; the suffix of each name is its unit.
 
-    The tier itself uses `grace_s` and `status_s`; the others are read and checked, as every node's file may hold them.
-    `quota_overage` is a share of a quota.
+    The tier itself uses only `grace_s` and `status_s`. The others are read and validated because any node's file may
+    contain them. `quota_overage` is a fraction of a quota.
     """
 
     seed_lag_s: float = _setting("SeedLagS", 3.0)
     reuse_after_s: float = _setting("ReuseAfterS", 2.0)
     contact_ms: float = _setting("ContactMs", 3000.0)
-    ack_ms: float = _setting("AckMs", 4000.0)  # within which an operator's change is acknowledged
-    catch_up_s: float = _setting("CatchUpS", 4.9)  # within which a returned replica holds everything again
+    ack_ms: float = _setting("AckMs", 4000.0)  # the longest time to acknowledge an operator's change
+    catch_up_s: float = _setting("CatchUpS", 4.9)  # the longest time for a returned replica to catch up
     drain_ms: float = _setting("DrainMs", 2000.0)
-    grace_s: float = _setting("GraceS", 8.0)  # from SIGTERM to the end of the process
+    grace_s: float = _setting("GraceS", 8.0)  # from SIGTERM to the exit of the process
     loss_slack_ms: float = _setting("LossSlackMs", 200.0)
-    config_apply_ms: float = _setting(
-        "ConfigApplyMs", 2000.0
-    )  # within which gateways follow a new configuration
+    # The longest time for gateways to apply a new configuration.
+    config_apply_ms: float = _setting("ConfigApplyMs", 2000.0)
     rollback_slack_ms: float = _setting("RollbackSlackMs", 250.0)
     max_skew_ms: float = _setting("MaxSkewMs", 5000.0)
     recovery_s: float = _setting("RecoveryS", 12.0)
     pass_ms: float = _setting("pass_ms", 120.0)
     finish_s: float = _setting("FinishS", 10.0)
-    status_s: float = _setting("StatusS", 120.0)  # for which a job that has ended can still be read
+    status_s: float = _setting("StatusS", 120.0)  # how long a finished job remains readable
     cancel_ms: float = _setting("CancelMs", 3000.0)
     settle_ms: float = _setting("SettleMs", 1000.0)
     quota_overage: float = _setting("QuotaOverage", 0.1)
@@ -63,10 +62,10 @@
 
 @attrs.frozen
 class Limits:
-    """The resources that the machine grants this process, section `[Limits]`.
+    """The resources that are allotted to this process, section `[Limits]`.
 
-    `cpu_share` is a share of the machine's CPU time, `cores` a number of cores, `memory_mb` and `disk_mb` are MB,
-    `link_mbps` is Mbit/s and `max_fds` a number of file descriptors. The store uses `disk_mb`.
+    `cpu_share` is a fraction of the machine's CPU time, `cores` a number of cores, `memory_mb` and `disk_mb` are in MB,
+    `link_mbps` is in Mbit/s and `max_fds` a number of file descriptors. The store uses `disk_mb`.
     """
 
     cpu_share: float = _setting("CpuShare", 1.0)
@@ -79,7 +78,7 @@
 
 @attrs.frozen
 class FaultTolerance:
-    """How many failures at the same time every guarantee must survive, section `[FaultTolerance]`."""
+    """The number of simultaneous failures that every guarantee must survive, section `[FaultTolerance]`."""
 
     machines: int = _setting("Machines", 1)
     zones: int = _setting("Zones", 0)
@@ -88,7 +87,7 @@
 
 @attrs.frozen
 class Listen:
-    """Addresses (`ip:port`) at which others reach this process, section `[Listen]`; empty: it does not serve them."""
+    """Listening addresses (`ip:port`) of this process, section `[Listen]`; an empty one disables the listener."""
 
     frontend: str = _setting("Frontend", "")  # clients, at a gateway
     readiness: str = _setting("Readiness", "")  # probes and metrics, at a gateway
@@ -99,11 +98,12 @@
 class Settings:
     """The complete settings file.
 
-    `port_range` holds the first and the last port for messages between nodes. `seed_nodes` are the control planes'
-    addresses (`ip:port`) of the machines that a node contacts first. `bootstrap`: the seeds may found the register, in
-    the first start of a deployment only. `zones` gives the region of each zone. `heartbeat_ms` is the interval of model
-    servers' heartbeats. `data_dir` is the folder for a control node's or a store's data. `role`, `machine_class`,
-    `serves`, `region` and `counts_for_quorum` are read and checked, and not used by the tier.
+    `port_range` is the first and the last port for messages between nodes. `seed_nodes` are the control plane
+    addresses (`ip:port`) of the machines that a node contacts first. `bootstrap` permits the seeds to initialize the
+    register; it is set only for the first start of a deployment. `zones` maps each zone to its region. `heartbeat_ms`
+    is the interval of the model servers' heartbeats. `data_dir` is the directory for the data of a control node or a
+    store. `role`, `machine_class`, `serves`, `region` and `counts_for_quorum` are validated, but the tier does not use
+    them.
     """
 
     node_name: str
@@ -127,11 +127,11 @@
     log_level: str = "INFO"
 
     def internal_address(self, offset: int) -> str:
-        """The address (`ip:port`) of this node for messages between nodes, by its role's port offset."""
+        """Return the address (`ip:port`) of this node for messages between nodes, given the role's port offset."""
         return f"{self.ip}:{self.port_range[0] + offset}"
 
     def internal_seeds(self) -> tuple[str, ...]:
-        """The internal addresses of the control nodes on the seed machines."""
+        """Return the internal addresses of the control nodes on the seed machines."""
         port = self.port_range[0] + CONTROL_PORT_OFFSET
         return tuple(f"{seed.rsplit(':', 1)[0]}:{port}" for seed in self.seed_nodes)
 
@@ -140,7 +140,7 @@
 
 
 class _SettingsReader:
-    """Reads typed values out of a TOML table and collects every error in `errors`. `prefix` is the table's path."""
+    """Reads typed values from a TOML table and appends each error to `errors`. `prefix` is the table's path."""
 
     def __init__(self, table: Mapping[str, object], prefix: str, errors: list[str]) -> None:
         self._table = table
@@ -150,7 +150,7 @@
     def _add_error(self, key: str, expected: str) -> None:
         self._errors.append(f"{self._prefix}{key}: {self._table.get(key)!r} is not {expected}")
 
-    def text(self, key: str, default: str | None = "") -> str:
+    def string(self, key: str, default: str | None = "") -> str:
         value = self._table.get(key, default)
         if isinstance(value, str):
             return value
@@ -160,7 +160,7 @@
             self._add_error(key, "a text")
         return ""
 
-    def flag(self, key: str) -> bool:
+    def boolean(self, key: str) -> bool:
         value = self._table.get(key, False)
         if not isinstance(value, bool):
             self._add_error(key, "true or false")
@@ -174,14 +174,14 @@
             return default
         return value
 
-    def whole_number(self, key: str, default: int) -> int:
+    def integer(self, key: str, default: int) -> int:
         value = self._table.get(key, default)
         if isinstance(value, bool) or not isinstance(value, int):
             self._add_error(key, "a whole number")
             return default
         return value
 
-    def texts(self, key: str) -> tuple[str, ...]:
+    def strings(self, key: str) -> tuple[str, ...]:
         value = self._table.get(key, [])
         if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
             self._add_error(key, "a list of texts")
@@ -189,14 +189,14 @@
         return tuple(value)
 
     def addresses(self, key: str) -> tuple[str, ...]:
-        found = self.texts(key)
+        found = self.strings(key)
         for item in found:
             if not _is_address(item):
                 self._errors.append(f"{self._prefix}{key}: {item!r} is not an address")
         return found
 
     def address(self, key: str) -> str:
-        value = self.text(key)
+        value = self.string(key)
         if value and not _is_address(value):
             self._add_error(key, "an address")
         return value
@@ -218,7 +218,7 @@
             value = {}
         return _SettingsReader(value, f"{self._prefix}{key}.", self._errors)
 
-    def text_mapping(self, key: str) -> dict[str, str]:
+    def string_mapping(self, key: str) -> dict[str, str]:
         value = self._table.get(key, {})
         if not isinstance(value, dict) or not all(isinstance(item, str) for item in value.values()):
             self._add_error(key, "a table of texts")
@@ -235,69 +235,69 @@
     return bool(host) and port.isdigit() and 0 < int(port) <= MAX_PORT
 
 
-def parse_settings(text: str, where: str = "settings") -> Settings:
-    """The settings in this TOML text; `SettingsError` names every error in it. Unknown keys are skipped.
+def parse_settings(text: str, source: str = "settings") -> Settings:
+    """Parse the settings in this TOML text; unknown keys are ignored.
 
-    `where` is the file's name for the error text.
+    `source` is the file's name for error messages. Raises `SettingsError`, which lists every error in the text.
     """
     try:
         table = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise SettingsError(f"{where}: {error}") from error
+        raise SettingsError(f"{source}: {error}") from error
     errors: list[str] = []
     top = _SettingsReader(table, "", errors)
     settings = _read_settings(top)
     if errors:
-        raise SettingsError(f"{where}: " + "; ".join(errors))
+        raise SettingsError(f"{source}: " + "; ".join(errors))
     return settings
 
 
 def _read_settings(top: _SettingsReader) -> Settings:
     return Settings(
-        node_name=top.text("NodeName", None),
-        ip=top.text("Ip", None),
-        zone=top.text("Zone", None),
+        node_name=top.string("NodeName", None),
+        ip=top.string("Ip", None),
+        zone=top.string("Zone", None),
         port_range=top.ports("PortRange"),
         seed_nodes=top.addresses("SeedNodes"),
-        role=top.text("Role"),
-        machine_class=top.text("MachineClass"),
-        serves=top.texts("Serves"),
-        region=top.text("Region"),
-        bootstrap=top.flag("Bootstrap"),
-        counts_for_quorum=top.flag("CountsForQuorum"),
-        data_dir=top.text("DataDir"),
+        role=top.string("Role"),
+        machine_class=top.string("MachineClass"),
+        serves=top.strings("Serves"),
+        region=top.string("Region"),
+        bootstrap=top.boolean("Bootstrap"),
+        counts_for_quorum=top.boolean("CountsForQuorum"),
+        data_dir=top.string("DataDir"),
         heartbeat_ms=top.number("HeartbeatMs", 1000.0),
-        zones=top.text_mapping("Zones"),
+        zones=top.string_mapping("Zones"),
         listen=_read_section(top.section("Listen"), Listen),
         limits=_read_section(top.section("Limits"), Limits),
         fault_tolerance=_read_section(top.section("FaultTolerance"), FaultTolerance),
         bounds=_read_section(top.section("Bounds"), Bounds),
-        log_level=top.text("LogLevel", "INFO"),
+        log_level=top.string("LogLevel", "INFO"),
     )
 
 
 def _read_section(reader: _SettingsReader, section: type[Section]) -> Section:
-    """A section whose fields name their keys by `_setting`; the type of a default is the type that is read."""
-    values: dict[str, Any] = {}  # by field
+    """Read a section whose fields are defined by `_setting`; the type of a field's default is the expected type."""
+    values: dict[str, Any] = {}  # by field name
     for field in attrs.fields(section):
         key = field.metadata[_KEY]
         if isinstance(field.default, str):
             values[field.name] = reader.address(key)
         elif isinstance(field.default, int):
-            values[field.name] = reader.whole_number(key, field.default)
+            values[field.name] = reader.integer(key, field.default)
         else:
             values[field.name] = reader.number(key, field.default)
     return section(**values)
 
 
 def settings_path(environ: Mapping[str, str] | None = None) -> Path:
-    """The path of the settings file: the environment's `SETTINGS_VARIABLE`, or else the default."""
+    """Return the path of the settings file: the environment variable `SETTINGS_VARIABLE`, or else the default."""
     variables = os.environ if environ is None else environ
     return Path(variables.get(SETTINGS_VARIABLE) or DEFAULT_SETTINGS_PATH)
 
 
 def load_settings(path: Path | None = None) -> Settings:
-    """The settings of this process, from `path` or `settings_path()`; `SettingsError` if they cannot be used."""
+    """Read the settings of this process from `path` or `settings_path()`; raises `SettingsError` if invalid."""
     file = path or settings_path()
     try:
         text = file.read_text(encoding="utf-8")
--- a/emberring/transport/client_connection.py
+++ b/emberring/transport/client_connection.py
@@ -1,4 +1,4 @@
-"""The end of a connection that sends calls and receives the replies, and the calls in flight on it."""
+"""The client side of a connection: sends calls, tracks those in flight and receives their replies."""
 
 from __future__ import annotations
 
@@ -8,14 +8,13 @@
 from emberring.transport.connection import MessageConnection
 from emberring.transport.messages import Envelope, encode
 
-MAX_UNSENT_BYTES = 32 * 1024 * 1024  # in the send buffer of one peer; further calls to it are refused
-MAX_CONSECUTIVE_TIMEOUTS = (
-    2  # calls that time out in a row, with nothing received, before the connection is ended
-)
+MAX_UNSENT_BYTES = 32 * 1024 * 1024  # in the send buffer of one peer; above it, further calls fail at once
+# Calls that time out in a row, with nothing received meanwhile, before the connection is aborted.
+MAX_CONSECUTIVE_TIMEOUTS = 2
 
 
 class ClientConnection(MessageConnection):
-    """A connection to a peer with any number of calls in flight, each with an id of its own."""
+    """A connection to a peer with any number of concurrent calls, each with its own id."""
 
     def __init__(self, open_connections: set[MessageConnection]) -> None:
         super().__init__(open_connections)
@@ -24,32 +23,33 @@
 
     @property
     def usable(self) -> bool:
-        """Whether a call may be sent on it."""
+        """Whether calls can be sent on this connection."""
         return self.transport is not None and not self.transport.is_closing()
 
     def expect_reply(self, call_id: int) -> asyncio.Future[object]:
-        """A future for the reply to this call: `PeerTimeoutError` where the connection ends before it comes.
+        """Return a future for the reply to this call; it fails with `PeerTimeoutError` if the connection is lost first.
 
-        It is kept until the reply comes, the connection ends, or `end_call`.
+        The call stays in flight until its reply arrives, the connection is lost, or `end_call` is called.
         """
         reply: asyncio.Future[object] = asyncio.get_running_loop().create_future()
         self._calls_in_flight[call_id] = reply
         return reply
 
     def end_call(self, call_id: int) -> None:
-        """Wait no longer for the reply to this call."""
+        """Stop waiting for the reply to this call; a later reply is dropped."""
         self._calls_in_flight.pop(call_id, None)
 
     def record_timeout(self) -> None:
-        """A call had no reply in time; after `MAX_CONSECUTIVE_TIMEOUTS` in a row the connection is ended."""
+        """Count a call that timed out; after `MAX_CONSECUTIVE_TIMEOUTS` in a row the connection is aborted."""
         self._consecutive_timeouts += 1
         if self._consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS:
             self.abort()
 
     def send(self, envelope: Envelope) -> int:
-        """Send a message; the number of its bytes.
+        """Send a message and return its size in bytes.
 
-        `PeerUnavailableError` where the peer does not read its messages: this one is not sent.
+        Raises `PeerUnavailableError` if the connection is not open or the peer does not read, so that the send buffer
+        is full; the message is then not sent.
         """
         if self.transport is None:
             raise PeerUnavailableError("the connection is not open")
@@ -61,14 +61,14 @@
         return len(line)
 
     def on_envelope(self, envelope: Envelope) -> None:
-        """Give a reply to the call that waits for it; a reply to no call in flight is dropped."""
+        """Pass a reply to the call that it belongs to; a reply to no call in flight is dropped."""
         self._consecutive_timeouts = 0
         reply = self._calls_in_flight.pop(-envelope.id, None)
         if reply is not None and not reply.done():
             reply.set_result(envelope.body)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Every call in flight fails with an unknown outcome."""
+        """Fail every call in flight, each with an unknown outcome."""
         super().connection_lost(exc)
         for reply in self._calls_in_flight.values():
             if not reply.done():
--- a/emberring/transport/connection.py
+++ b/emberring/transport/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection that carries messages, one JSON line each: the part that both of its ends share."""
+"""One TCP connection that carries messages, one JSON line each: the code that both sides share."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from emberring.logs import get_logger
 from emberring.transport.messages import MAX_LINE_BYTES, Envelope, decode
 
-# Bytes that the peer's machine has not acknowledged for this many milliseconds end the connection.
+# The kernel closes the connection when sent bytes stay unacknowledged for this long.
 TCP_USER_TIMEOUT_MS = 1500
 
 logger = get_logger("transport")
 
 
 def set_socket_options(sock: socket.socket) -> None:
-    """Send small messages at once, and detect a peer that has lost its power or its network path."""
+    """Disable Nagle's algorithm, and detect a peer that lost power or its network path by unacknowledged bytes."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     with contextlib.suppress(OSError):
@@ -26,15 +26,16 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """The host and the port of an `ip:port`."""
+    """Return the host and the port of an address `ip:port`."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 class MessageConnection(asyncio.Protocol):
-    """Splits the received bytes into lines and decodes them. Bytes that are no message end this connection only.
+    """Splits the received bytes into lines and decodes each. Invalid bytes abort this connection only.
 
-    `open_connections` is the set that holds this connection while it is open. `peer` is the address of its other end.
+    `open_connections` is the set of all open connections, which this one adds itself to while it is open. `peer` is the
+    remote address.
     """
 
     def __init__(self, open_connections: set[MessageConnection]) -> None:
@@ -45,7 +46,7 @@
         self._searched_bytes = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Set the socket options and register this connection as open."""
         self.transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info("socket")
         if sock is not None:
@@ -55,7 +56,7 @@
         self._open_connections.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Handle each complete line; the start of an incomplete one stays in the buffer."""
+        """Handle each complete line; an incomplete last line stays in the buffer."""
         self._buffer += data
         while (end := self._buffer.find(b"\n", self._searched_bytes)) >= 0:
             line = bytes(self._buffer[:end])
@@ -65,18 +66,18 @@
                 return
         self._searched_bytes = len(self._buffer)
         if self._searched_bytes > MAX_LINE_BYTES:
-            self._end_after_violation(f"a line of over {MAX_LINE_BYTES} bytes")
+            self._abort_after_violation(f"a line is longer than {MAX_LINE_BYTES} bytes")
 
     def _decode_line(self, line: bytes) -> bool:
         try:
             envelope = decode(line)
         except ProtocolViolationError as error:
-            self._end_after_violation(error.detail)
+            self._abort_after_violation(error.detail)
             return False
         self.on_envelope(envelope)
         return True
 
-    def _end_after_violation(self, detail: str) -> None:
+    def _abort_after_violation(self, detail: str) -> None:
         logger.warning("event=protocol_violation peer=%s detail=%r", self.peer, detail)
         self._buffer.clear()
         self.abort()
@@ -86,10 +87,10 @@
         raise NotImplementedError
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Unregister this connection."""
         self._open_connections.discard(self)
 
     def abort(self) -> None:
-        """End the connection at once; bytes that are not sent yet are dropped."""
+        """Close the connection at once; bytes that are not sent yet are discarded."""
         if self.transport is not None:
             self.transport.abort()
--- a/emberring/transport/connection_pool.py
+++ b/emberring/transport/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections of this process to its peers: at most one to each address, opened when it is needed."""
+"""The connections of this process to its peers: at most one to each address, opened on demand."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ConnectionPool:
-    """Opens and reuses connections to peers. `open_connections` is the set that holds every open connection."""
+    """Opens and reuses connections to peers. `open_connections` is the set of all open connections."""
 
     def __init__(self, open_connections: set[MessageConnection]) -> None:
         self._open_connections = open_connections
@@ -20,9 +20,10 @@
         self._connecting: dict[str, asyncio.Task[ClientConnection]] = {}
 
     async def get(self, address: str, timeout_s: float) -> ClientConnection:
-        """The connection to this address, opened within `timeout_s` (at most `CONNECT_TIMEOUT_S`) if there is none.
+        """Return the connection to this address, opening it if there is none.
 
-        `PeerUnavailableError` where it cannot be opened in time. Callers at the same time share one attempt.
+        Raises `PeerUnavailableError` if it cannot be opened within `timeout_s`, or `CONNECT_TIMEOUT_S` if that is
+        shorter. Concurrent callers share one connection attempt.
         """
         connection = self._connections.get(address)
         if connection is not None and connection.usable:
@@ -57,6 +58,6 @@
         return connection
 
     def cancel_attempts(self) -> None:
-        """Stop opening connections."""
+        """Cancel all connection attempts in progress."""
         for attempt in self._connecting.values():
             attempt.cancel()
--- a/emberring/transport/messages.py
+++ b/emberring/transport/messages.py
@@ -1,7 +1,7 @@
 """Typed messages between nodes and their JSON form: one line each, `{"i": id, "k": kind, "b": body}`.
 
-A message is a frozen `attrs` class under the `message` decorator. Bytes are encoded as text where they are valid
-UTF-8, and otherwise as base64, compressed first where that is shorter.
+A message is a frozen `attrs` class with the `message` decorator. Bytes are encoded as text if they are valid UTF-8,
+and otherwise as base64, after compression if that is shorter.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 
 from emberring.errors import ProtocolViolationError
 
-MAX_LINE_BYTES = 24 * 1024 * 1024  # a longer line ends its connection
-MIN_DEFLATE_BYTES = 512  # shorter bytes are not compressed
+MAX_LINE_BYTES = 24 * 1024 * 1024  # a longer line aborts its connection
+MIN_DEFLATE_BYTES = 512  # shorter byte strings are not compressed
 DEFLATE_LEVEL = 1  # the fastest
 MAX_ERROR_DETAIL_CHARS = 200
 
@@ -28,17 +28,17 @@
 _KIND_OF: dict[type[object], str] = {}
 _CLASS_OF: dict[str, type[object]] = {}
 
-# The first character of encoded bytes says how the rest is encoded.
+# The first character of encoded bytes names the encoding of the rest.
 _TEXT = "t"
 _BASE64 = "b"
-_DEFLATED = "z"  # and then as base64
+_DEFLATED = "z"  # compressed, then base64
 
 
 def _bytes_to_json(value: bytes) -> str:
-    """Bytes as a JSON string.
+    """Encode bytes as a JSON string.
 
-    UTF-8 text stays text: base64 would make it a third larger, and much of what nodes send are documents that hold
-    base64 already. Other long bytes, such as packed records, are compressed.
+    UTF-8 text stays text: base64 would make it a third larger, and nodes mostly send documents that already contain
+    base64. Other long byte strings, such as packed records, are compressed.
     """
     try:
         return _TEXT + value.decode("utf-8")
@@ -53,7 +53,7 @@
 
 def _bytes_from_json(value: object, _: type) -> bytes:
     if not isinstance(value, str):
-        raise ValueError("no bytes")
+        raise ValueError("encoded bytes must be a string")
     form, rest = value[:1], value[1:]
     if form == _TEXT:
         return rest.encode("utf-8")
@@ -61,14 +61,14 @@
         return base64.b64decode(rest, validate=True)
     if form == _DEFLATED:
         return _inflate(base64.b64decode(rest, validate=True))
-    raise ValueError("neither a text nor base64")
+    raise ValueError("unknown encoding of bytes")
 
 
 def _inflate(packed: bytes) -> bytes:
     inflater = zlib.decompressobj()
     value = inflater.decompress(packed, MAX_LINE_BYTES)
     if not inflater.eof:
-        raise ValueError("cut short, or too large")
+        raise ValueError("compressed bytes are truncated or too large")
     return value
 
 
@@ -80,8 +80,8 @@
 def wire_record(wire_keys: Mapping[str, str]) -> Callable[[type[T]], type[T]]:
     """Pin the JSON keys of an `attrs` class that is part of messages or of records on disk.
 
-    `wire_keys` maps the names of fields to the keys that nodes of every version read and write for them. The key of
-    any other field is its name. `ValueError` where a name is no field of the class.
+    `wire_keys` maps field names to the keys that nodes of every version read and write for them. The key of any other
+    field is its name. Raises `ValueError` for a name that is not a field of the class.
     """
 
     def register(cls: type[T]) -> type[T]:
@@ -90,7 +90,7 @@
         if unknown:
             raise ValueError(f"{cls.__name__} has no field {', '.join(unknown)}")
         overrides = {name: override(rename=key) for name, key in wire_keys.items()}
-        # Factories, as types that the fields name may be defined further down in the module.
+        # Hook factories resolve the field types lazily: a type may be defined later in the module than this class.
         converter.register_unstructure_hook_factory(
             lambda found: found is cls,
             lambda found: make_dict_unstructure_fn(found, converter, **overrides),  # type: ignore[arg-type]
@@ -107,8 +107,8 @@
 def message(kind: str, wire_keys: Mapping[str, str] | None = None) -> Callable[[type[T]], type[T]]:
     """Register a frozen `attrs` class as the message of this kind, e.g. `register.prepare`.
 
-    `wire_keys` pins the JSON keys of fields as `wire_record` does. `ValueError` where another class has this kind,
-    `TypeError` where the class is not one of `attrs`.
+    `wire_keys` pins the JSON keys of fields as `wire_record` does. Raises `ValueError` if another class already has
+    this kind, and `TypeError` if the class is not an `attrs` class.
     """
 
     def register(cls: type[T]) -> type[T]:
@@ -124,14 +124,14 @@
 
 
 def kind_of(cls: type[object]) -> str:
-    """The message kind of this class; `KeyError` where it is no message class."""
+    """Return the message kind of this class; raises `KeyError` if it is not a message class."""
     return _KIND_OF[cls]
 
 
 @message("transport.ok")
 @attrs.frozen
 class Ok:
-    """A reply without content."""
+    """A successful reply without content."""
 
 
 @message("transport.error")
@@ -145,14 +145,14 @@
 
 @attrs.frozen
 class Envelope:
-    """One line: a call has a positive id, its reply the same id negated, and a message without reply the id 0."""
+    """One line. A call has a positive id, its reply the negated id, and a one-way message the id 0."""
 
     id: int
     body: object
 
 
 def encode(envelope: Envelope) -> bytes:
-    """The line of a message, with its line feed."""
+    """Encode a message as a line, including the line feed."""
     cls = type(envelope.body)
     content = {
         "i": envelope.id,
@@ -163,7 +163,7 @@
 
 
 def decode(line: bytes) -> Envelope:
-    """The message of a line; `ProtocolViolationError` where it is none."""
+    """Decode the message of a line; raises `ProtocolViolationError` if the line is not a valid message."""
     try:
         content = orjson.loads(line)
         body = converter.structure(content["b"], _CLASS_OF[content["k"]])
@@ -171,6 +171,6 @@
         if type(message_id) is not int:
             raise TypeError("id")
         return Envelope(message_id, body)
-    except Exception as error:  # any bytes may come, and the JSON and class readers raise many types
+    except Exception as error:  # arbitrary input: the JSON and class decoders raise many types
         detail = f"{type(error).__name__}: {error}"[:MAX_ERROR_DETAIL_CHARS]
         raise ProtocolViolationError(detail) from error
--- a/emberring/transport/network.py
+++ b/emberring/transport/network.py
@@ -1,7 +1,7 @@
-"""Calls between nodes over TCP: one connection to each peer, many calls in flight on it, a time-out for each call.
+"""Calls between nodes over TCP: one connection to each peer with many concurrent calls, each with its own timeout.
 
-`Network.call` raises `PeerUnavailableError` only where the call certainly was not sent, and `PeerTimeoutError` where
-it may have been carried out. An error that the peer reports is raised here as the exception of its kind.
+`Network.call` raises `PeerUnavailableError` only if the call was certainly not sent, and `PeerTimeoutError` if the peer
+may have executed it. An error that the peer reports is raised as the exception of its kind.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from emberring.transport.messages import Envelope, Failure
 from emberring.transport.server_connection import ServerConnection
 
-LISTEN_BACKLOG = 512  # connections that the kernel queues until they are accepted
+LISTEN_BACKLOG = 512  # connections that the kernel queues before they are accepted
 
 Reply = TypeVar("Reply")
 
@@ -35,19 +35,19 @@
 
 @attrs.frozen
 class Caller:
-    """The sender of a call; `address` is that of the other end of its connection."""
+    """The sender of a call; `address` is the remote address of its connection."""
 
     address: str
 
 
-# Gives the reply to a message. The message's class is the one that the handler was registered for.
+# Returns the reply to a message, which is an instance of the class that the handler was registered for.
 Handler = Callable[[Any, Caller], Awaitable[object]]
 
 
 def check_reply(reply_class: type[Reply], reply: object, address: str) -> Reply:
-    """The reply to a call to this address, as a message of this class.
+    """Return the reply from this address if it is a message of this class.
 
-    Raises the error that the peer reports, and `ProtocolViolationError` where the reply is of another class.
+    Raises the error that the peer reported, or `ProtocolViolationError` if the reply is of another class.
     """
     if isinstance(reply, Failure):
         raise error_from_wire(reply.kind, reply.detail)
@@ -57,9 +57,9 @@
 
 
 class Network:
-    """All connections of this process to other nodes, and the handlers for their calls.
+    """All connections between this process and other nodes, and the handlers of incoming calls.
 
-    `sent_bytes` counts the bytes of calls and notifications that this process sent.
+    `sent_bytes` counts the bytes of the calls and one-way messages that this process sent.
     """
 
     def __init__(self) -> None:
@@ -72,11 +72,11 @@
         self._server: asyncio.Server | None = None
 
     def handle(self, message_class: type[object], handler: Handler) -> None:
-        """Reply to calls of this message class with `await handler(message, caller)`, a message."""
+        """Register the handler of this message class; `await handler(message, caller)` returns the reply message."""
         self._handlers[message_class] = handler
 
     async def listen(self, address: str) -> None:
-        """Accept calls at `ip:port`."""
+        """Accept connections at `ip:port`."""
         host, port = split_address(address)
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self._accept, host, port, backlog=LISTEN_BACKLOG)
@@ -88,7 +88,7 @@
         return self.dispatch(body, Caller(sender))
 
     async def dispatch(self, body: object, caller: Caller) -> object:
-        """The reply to a call; an error of its handler becomes a `Failure`."""
+        """Return the reply to a call; an error that its handler raises becomes a `Failure`."""
         handler = self._handlers.get(type(body))
         if handler is None:
             return Failure(ProtocolViolationError.kind.value, f"no handler for {type(body).__name__}")
@@ -96,27 +96,27 @@
             return await handler(body, caller)
         except EmberringError as error:
             return Failure(error.kind.value, error.detail)
-        except Exception as error:  # outermost frame of a call: the caller gets it as a reply
+        except Exception as error:  # outermost frame of a call: the caller receives the error as a reply
             logger.exception("event=handler_failed message=%s", type(body).__name__)
             return Failure(InternalError.kind.value, f"{type(error).__name__}: {error}")
 
     async def call(self, address: str, body: object, reply: type[Reply], timeout_s: float) -> Reply:
-        """Send a call and wait for its reply, a message of class `reply`, for at most `timeout_s` in all.
+        """Send a call and return its reply, a message of class `reply`; `timeout_s` includes the time to connect.
 
-        Raises `PeerUnavailableError` where the call was not sent, `PeerTimeoutError` where no reply came, and what
-        `check_reply` raises.
+        Raises `PeerUnavailableError` if the call was not sent, `PeerTimeoutError` if no reply arrived in time, and the
+        errors of `check_reply`.
         """
         deadline_s = asyncio.get_running_loop().time() + timeout_s
         connection = await self._pool.get(address, timeout_s)
         self._next_id += 1
         call_id = self._next_id
-        future = connection.expect_reply(call_id)
+        reply_future = connection.expect_reply(call_id)
         try:
-            # Within: a message that could not be encoded left its call in flight for good.
+            # Inside the `try`, so that a message that cannot be encoded does not leave its call in flight forever.
             self.sent_bytes += connection.send(Envelope(call_id, body))
-            # Not `wait_for`: that of Python 3.11 loses a cancellation that comes as the future is done.
+            # Not `wait_for`: in Python 3.11 it loses a cancellation that arrives as the future completes.
             async with asyncio.timeout_at(deadline_s):
-                received = await future
+                received = await reply_future
         except TimeoutError:
             connection.record_timeout()
             raise PeerTimeoutError(f"no reply from {address} to {type(body).__name__}") from None
@@ -125,13 +125,13 @@
         return check_reply(reply, received, address)
 
     async def tell(self, address: str, body: object) -> None:
-        """Send a message that wants no reply; a failure to send it is ignored."""
+        """Send a one-way message; a failure to send it is ignored."""
         with contextlib.suppress(EmberringError):
             connection = await self._pool.get(address, CONNECT_TIMEOUT_S)
             self.sent_bytes += connection.send(Envelope(0, body))
 
     async def close(self) -> None:
-        """End all connections and calls."""
+        """Stop listening, cancel the running handlers and close all connections."""
         if self._server is not None:
             self._server.close()
         for task in list(self.tasks):
--- a/emberring/transport/server_connection.py
+++ b/emberring/transport/server_connection.py
@@ -1,4 +1,4 @@
-"""The end of a connection that receives calls and sends the replies."""
+"""The server side of a connection: receives calls and sends their replies."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from emberring.transport.connection import MessageConnection
 from emberring.transport.messages import Envelope, encode
 
-# Gives the reply to a message; takes the message and the address of its sender.
+# Returns the reply to a message, given the message and the address of its sender.
 Respond = Callable[[object, str], Awaitable[object]]
 
 
 class ServerConnection(MessageConnection):
-    """Handles each call of a peer in a task of its own, so that a slow call does not delay the others.
+    """Handles each call of a peer in its own task, so that a slow call does not delay the others.
 
-    `respond` gives the reply to a call. `tasks` is the set that holds the running tasks.
+    `respond` returns the reply to a call. `tasks` is the set of running tasks.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
         self._respond = respond
 
     def on_envelope(self, envelope: Envelope) -> None:
-        """Start a task that handles this call."""
+        """Start a task that handles this message."""
         task = asyncio.get_running_loop().create_task(self._handle_call(envelope))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/tests/emberring/membership/test_tier_view.py
+++ b/tests/emberring/membership/test_tier_view.py
@@ -9,7 +9,7 @@
 from emberring.distribution.records import NodeRecord, NodeRole
 from emberring.membership.view import (
     CONTROL_VIEW_SIZE,
-    FORGET_AGE_S,
+    MAX_DESCRIPTOR_AGE_S,
     SHUFFLE_LENGTH,
     VIEW_SIZE,
     Descriptor,
@@ -27,7 +27,7 @@
     nodes += [node(1000 + number, NodeRole.CONTROL) for number in range(controls)]
     views = {item.address: PartialView(item, seed) for seed, item in enumerate(nodes)}
     for view in views.values():
-        view.note(0.0, nodes[-1])
+        view.record_contact(0.0, nodes[-1])
     return views
 
 
@@ -40,7 +40,7 @@
             view.on_failure(call.address)
             continue
         answer = views[call.address].on_shuffle(now_s, view.me.name, call.descriptors)
-        view.on_answer(now_s, call.address, answer)
+        view.on_shuffle_reply(now_s, call.address, answer)
 
 
 @pytest.mark.parametrize("gateways", [5, 60, 300])
@@ -70,7 +70,7 @@
     seed = node(1002, NodeRole.CONTROL)
     new = node(2000, NodeRole.CONTROL)
     views[new.address] = PartialView(new, 99)
-    views[new.address].note(30.0, node(3))
+    views[new.address].record_contact(30.0, node(3))
     for turn in range(16, 60):
         shuffle_all(views, 2.0 * turn, frozenset((seed.address,)))
     for view in views.values():
@@ -80,16 +80,16 @@
 
 def test_a_node_that_does_not_answer_leaves_the_view() -> None:
     view = PartialView(node(1), 1)
-    view.note(0.0, node(2))
+    view.record_contact(0.0, node(2))
     view.on_failure(node(2).address)
     assert view.next_shuffle(1.0) is None
 
 
 def test_a_descriptor_that_nobody_renews_is_forgotten() -> None:
     view = PartialView(node(1), 1)
-    view.note(0.0, node(2))
-    assert view.next_shuffle(FORGET_AGE_S - 1.0) is not None
-    assert view.next_shuffle(FORGET_AGE_S + 1.0) is None
+    view.record_contact(0.0, node(2))
+    assert view.next_shuffle(MAX_DESCRIPTOR_AGE_S - 1.0) is not None
+    assert view.next_shuffle(MAX_DESCRIPTOR_AGE_S + 1.0) is None
 
 
 def test_the_younger_descriptor_of_a_node_wins() -> None:
