--- a/emberring/register/__init__.py
+++ b/emberring/register/__init__.py
@@ -1,4 +1,4 @@
-"""The replicated compare-and-swap register: acceptor, proposer, replica sets."""
+"""The replicated compare-and-swap register: Paxos acceptors and proposers, and changes of the replica set."""
 
 from emberring.register.service import RegisterService
 
--- a/emberring/register/acceptor.py
+++ b/emberring/register/acceptor.py
@@ -1,6 +1,6 @@
-"""The acceptor: what one replica has promised and accepted, and the records by which it survives a restart.
+"""The Paxos acceptor of one replica: its promises, its accepted proposal, and the records that restore them.
 
-Sans-I/O: a response's reply may be sent only when its record, and all records before it, are on the disk.
+Sans-I/O: a durable reply may be sent only after its record and all records before it are persisted.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class AcceptorResponse:
-    """The reply, the record to write first (None: none), and whether the reply must wait for the disk."""
+    """The reply, the record to persist (None if there is none), and whether the reply must wait for the disk."""
 
     reply: AcceptorReply
     record: bytes | None = None
@@ -36,9 +36,9 @@
 
 @attrs.frozen
 class _RecordHeader:
-    """The header of a record: all but the bytes of the value. A field that is None says nothing.
+    """The header of a record: everything except the bytes of the value. A field that is None is absent.
 
-    The names of its fields are keys of the records on disk.
+    The field names are keys of the records on disk.
     """
 
     identity: str | None = None
@@ -49,10 +49,10 @@
 
 
 class Acceptor:
-    """One replica's votes.
+    """The votes of one replica.
 
     Attributes:
-        identity: of the replica; empty before it is restored.
+        identity: identity of the replica; empty until it is restored.
         promised: the highest proposal number promised.
         accepted: the proposal accepted last.
     """
@@ -68,7 +68,7 @@
         return None if self.accepted is None else self.accepted.number
 
     def prepare(self, message: Prepare) -> AcceptorResponse:
-        """Promise, unless a higher proposal number has been promised."""
+        """Handle a prepare: promise, unless a higher proposal number was promised before."""
         if message.target != self.identity:
             return AcceptorResponse(UnknownReplica(self.identity))
         if self.promised is not None and message.number < self.promised:
@@ -81,7 +81,7 @@
         return AcceptorResponse(Promise(self.identity, message.number, number, state), record, durable=True)
 
     def accept(self, message: Accept) -> AcceptorResponse:
-        """Accept, unless a higher proposal number has been promised."""
+        """Handle an accept: accept the state, unless a higher proposal number was promised before."""
         if message.target != self.identity:
             return AcceptorResponse(UnknownReplica(self.identity))
         if self.promised is not None and message.number < self.promised:
@@ -92,37 +92,37 @@
         return AcceptorResponse(Accepted(self.identity, message.number), record, durable=True)
 
     def query(self, message: Query) -> AcceptorResponse:
-        """Report what was accepted last."""
+        """Handle a query: report the proposal accepted last."""
         if message.target != self.identity:
             return AcceptorResponse(UnknownReplica(self.identity))
         number, state = self._report(message.known)
         return AcceptorResponse(StateReport(self.identity, number, state), durable=True)
 
     def install(self, committed: Proposal) -> bytes | None:
-        """Take over a committed proposal; return the record to write, or None where nothing changes.
+        """Install a committed proposal; return the record to write, or None if nothing changes.
 
-        This is safe whatever was promised since: it is committed without this replica, and a replica may always
-        report a newer proposal than the one that it accepted.
+        This is safe whatever this replica has promised since: the proposal is committed without its vote, and a replica
+        may always report a is_newer proposal than the one that it accepted.
         """
         if self.accepted_number is not None and committed.number <= self.accepted_number:
             return None
         return self._accept_proposal(committed)
 
     def snapshot(self) -> bytes:
-        """Return a record of the whole state."""
+        """Return a record of the complete state."""
         return self._record(self.identity, self.accepted)
 
     def restore(self, payload: bytes) -> None:
-        """Take in a record found at a start; records may come in any order. Raises `CorruptRecordError`."""
+        """Apply a record that was read at startup; records may be applied in any order. Raises `CorruptRecordError`."""
         header, value = _decode(payload)
         if header.identity is not None:
             self.identity = header.identity
         if header.promised is not None and (self.promised is None or header.promised > self.promised):
             self.promised = header.promised
-        newer = self.accepted_number is None or (
+        is_newer = self.accepted_number is None or (
             header.accepted is not None and header.accepted > self.accepted_number
         )
-        if header.accepted is not None and header.state is not None and newer:
+        if header.accepted is not None and header.state is not None and is_newer:
             state = attrs.evolve(header.state, payload=value if header.has_payload else None)
             self.accepted = Proposal(header.accepted, state)
 
@@ -160,7 +160,7 @@
     try:
         fields = orjson.loads(line)
         if not isinstance(fields, dict):
-            raise TypeError("no object")
+            raise TypeError("the record header is not a JSON object")
         return converter.structure(fields, _RecordHeader), payload
     except Exception as error:
         raise CorruptRecordError(f"{type(error).__name__}: {error}"[:200]) from error
--- a/emberring/register/action_queue.py
+++ b/emberring/register/action_queue.py
@@ -1,4 +1,4 @@
-"""The actions that one event gives rise to, in the order in which they are to be executed."""
+"""The actions that result from one event, in the order of execution."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class ActionQueue:
-    """Collects the actions of the event being handled. All parts of a `RegisterNode` share one queue."""
+    """Collects the actions that result from the current event. All components of a `RegisterNode` share one queue."""
 
     def __init__(self) -> None:
         self._actions: list[Action] = []
 
     def clear(self) -> None:
-        """Drop what was collected: a new event is about to be handled."""
+        """Discard the collected actions before the next event is handled."""
         self._actions = []
 
     def add(self, action: Action) -> None:
@@ -26,5 +26,5 @@
         self._actions += actions
 
     def collected(self) -> list[Action]:
-        """All actions since the last `clear`."""
+        """Return all actions since the last `clear`."""
         return self._actions
--- a/emberring/register/catch_up.py
+++ b/emberring/register/catch_up.py
@@ -1,4 +1,4 @@
-"""Learning which proposals are committed, and the timer that repairs one whose outcome this node does not know."""
+"""Learns which proposals are committed, and runs the timer that resolves a proposal of unknown outcome."""
 
 from __future__ import annotations
 
@@ -13,27 +13,29 @@
 from emberring.register.persistence import Persistence
 
 FETCH_TIMEOUT_S = 0.8
-"""How long the node that announced a committed proposal has to send it, in seconds."""
+"""Timeout of fetching a committed proposal from the node that announced it, in seconds."""
 
 SCRUB_AFTER_S = 0.15
-"""How long an accepted proposal may stay unconfirmed before this node reads from a quorum, in seconds."""
+"""Time after which an accepted proposal that is not known to be committed starts a quorum read, in seconds."""
 
 SCRUB_JITTER_S = 0.1
-"""Random addition to `SCRUB_AFTER_S`, in seconds, so that replicas do not all read at once."""
+"""Maximum random addition to `SCRUB_AFTER_S`, in seconds, so that the replicas do not all read at once."""
 
 
 class CatchUp:
-    """What this node knows to be committed, and what it has accepted without knowing whether it is.
+    """Tracks the newest committed proposal, and whether the accepted one is committed.
+
+    A scrub is a quorum read of an accepted proposal that is not known to be committed.
 
     Attributes:
         learned: the newest proposal known to be committed; None before the first.
-        confirmation_needed: whether an attempt of this node has to find out if the accepted proposal is committed.
+        confirmation_needed: whether a proposal attempt of this node must determine if the accepted one is committed.
     """
 
     def __init__(
         self,
         acceptor: Acceptor,
-        disk: Persistence,
+        persistence: Persistence,
         calls: OutgoingCalls,
         actions: ActionQueue,
         rng: random.Random,
@@ -41,7 +43,7 @@
         self.learned: Proposal | None = None
         self.confirmation_needed = False
         self._acceptor = acceptor
-        self._disk = disk
+        self._persistence = persistence
         self._calls = calls
         self._actions = actions
         self._rng = rng
@@ -53,7 +55,7 @@
 
     @property
     def known(self) -> Proposal | None:
-        """The newest proposal that this node has, committed or not."""
+        """The newest proposal that this node has learned or accepted."""
         accepted = self._acceptor.accepted
         if accepted is None or (self.learned is not None and self.learned.number > accepted.number):
             return self.learned
@@ -79,11 +81,11 @@
 
     @property
     def next_wake_s(self) -> float:
-        """When the scrub is due; infinite where nothing is unconfirmed."""
+        """When the scrub is due; infinite if the timer is not running."""
         return float("inf") if self._scrub_at_s is None else self._scrub_at_s
 
     def on_announced(self, now_s: float, number: ProposalNumber | None, address: str) -> None:
-        """Learn or fetch a proposal that the node at this address knows to be committed."""
+        """Learn a proposal that the node at this address knows to be committed; fetch it if it is missing here."""
         if number is None or (self.learned is not None and number <= self.learned.number):
             return
         accepted = self._acceptor.accepted
@@ -99,13 +101,13 @@
             self.learn(now_s, reply.proposal)
 
     def learn(self, now_s: float, committed: Proposal) -> None:
-        """Take over a committed proposal, write it down, and notify of its value where that is new."""
+        """Install and persist a committed proposal, and notify the subscribers if its value is new."""
         if self.learned is not None and committed.number <= self.learned.number:
             return
         self.learned = committed
         record = self._acceptor.install(committed)
         if record is not None:
-            self._actions.extend(self._disk.append(now_s, record))
+            self._actions.extend(self._persistence.append(now_s, record))
         self.schedule_scrub(now_s)
         self.confirmation_needed = self.confirmation_needed and self.unconfirmed
         payload = committed.state.payload
@@ -114,18 +116,18 @@
             self._actions.add(Learned(payload))
 
     def require_confirmation(self) -> None:
-        """Have an attempt find out what is committed, if anything is unconfirmed; a quorum read did not show it."""
+        """Request a proposal attempt if a proposal is still unconfirmed after a quorum read."""
         self.confirmation_needed = self.confirmation_needed or self.unconfirmed
 
     def schedule_scrub(self, now_s: float) -> None:
-        """Set the scrub timer where a proposal is unconfirmed and it is not running; stop it where none is."""
+        """Start the scrub timer if a proposal is unconfirmed and the timer is not running; stop it if none is."""
         if not self.unconfirmed:
             self._scrub_at_s = None
         elif self._scrub_at_s is None:
             self._scrub_at_s = now_s + SCRUB_AFTER_S + self._rng.random() * SCRUB_JITTER_S
 
     def take_due_scrub(self, now_s: float) -> bool:
-        """Whether the scrub is due and something is still unconfirmed; the timer then starts anew."""
+        """Return whether a scrub is due and a proposal still unconfirmed; the timer then restarts."""
         if self._scrub_at_s is None or now_s < self._scrub_at_s:
             return False
         self._scrub_at_s = None
--- a/emberring/register/changes.py
+++ b/emberring/register/changes.py
@@ -1,7 +1,7 @@
-"""Reconfiguration of the replica set: which replica is replaced by which control node. Pure functions.
+"""Reconfiguration of the replica set: selects the replica to replace and its successor. Pure functions.
 
-One replica at a time: first the previous and the next set together (a quorum is a majority of each), then, once that
-state is known to be committed, the next set alone.
+Replicas are replaced one at a time by joint consensus: first the previous and the next set are in force together, and a
+quorum needs a majority of each; once that state is known to be committed, the next set alone.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 
 @attrs.frozen
 class ReplicaSetView:
-    """What one node knows of the replicas and of the nodes that could replace them.
+    """One node's knowledge of the replicas and of the nodes that could replace them. Mappings are by identity.
 
     Attributes:
-        silent_s: for how long each replica has not been heard from, in seconds.
-        dead: the replicas that have been silent for too long.
-        address_taken_by: for a replica at whose address another identity answers, that identity.
-        leaving: the replicas that are being shut down.
-        name_taken_by: for a silent replica whose node name another node now has, the identity of that node.
-        zones: the zone of each replica, where known.
-        candidates: the nodes that may become replicas.
+        unreachable_s: time since the last contact with each replica, in seconds.
+        dead: the replicas that have been unreachable for too long.
+        address_taken_by: the identity of another replica that now replies at a replica's address.
+        leaving: the replicas that are shutting down.
+        name_taken_by: the identity of another node that now has the node name of an unreachable replica.
+        zones: the zone of each replica, if known.
+        candidates: the control nodes that may become replicas.
     """
 
-    silent_s: Mapping[str, float]
+    unreachable_s: Mapping[str, float]
     dead: frozenset[str]
     address_taken_by: Mapping[str, str]
     leaving: frozenset[str]
@@ -45,12 +45,12 @@
 
 
 def next_replica_set(current: ReplicaSet, view: ReplicaSetView, target_size: int) -> ReplicaSet | None:
-    """Return the next step of a reconfiguration, or None.
+    """Return the replica set of the next reconfiguration step, or None if there is nothing to do.
 
     Args:
         current: the replica set in force.
-        view: what this node knows of it.
-        target_size: how many replicas there should be.
+        view: this node's knowledge of the replicas and candidates.
+        target_size: the number of replicas that there should be.
     """
     if current.joining:
         return ReplicaSet(current.epoch + 1, current.joining)
@@ -65,39 +65,43 @@
             successor.member if member.identity == outgoing.identity else member for member in current.members
         )
     elif len(current.members) < target_size:
-        joining = (*current.members, _best_spread(current.members, view, candidates).member)
+        joining = (*current.members, _best_zone_candidate(current.members, view, candidates).member)
     else:
         return None
     return ReplicaSet(current.epoch + 1, current.members, joining)
 
 
 def _member_to_replace(current: ReplicaSet, view: ReplicaSetView) -> Member | None:
-    """Return the replica to replace: one whose disk is lost first, then a silent one, then one that is leaving."""
-    tests: tuple[Callable[[Member], bool], ...] = (
+    """Return the replica to replace, by priority: its disk or machine was replaced, it is dead, it is leaving."""
+    criteria: tuple[Callable[[Member], bool], ...] = (
         lambda member: member.identity in view.address_taken_by,
         lambda member: member.identity in view.name_taken_by,
         lambda member: member.identity in view.dead,
         lambda member: member.identity in view.leaving,
     )
-    for test in tests:
-        found = [member for member in current.members if test(member)]
+    for matches in criteria:
+        found = [member for member in current.members if matches(member)]
         if found:
-            return max(found, key=lambda member: view.silent_s.get(member.identity, 0.0))
+            return max(found, key=lambda member: view.unreachable_s.get(member.identity, 0.0))
     return None
 
 
 def _successor(
     current: ReplicaSet, view: ReplicaSetView, outgoing: Member, candidates: list[Candidate]
 ) -> Candidate:
-    """Return the candidate that took the address or the name of `outgoing`, or the one that spreads replicas best."""
-    in_place = {view.address_taken_by.get(outgoing.identity), view.name_taken_by.get(outgoing.identity)}
+    """Return the candidate that has the address or node name of `outgoing`, or else the one in the best zone."""
+    preferred = {view.address_taken_by.get(outgoing.identity), view.name_taken_by.get(outgoing.identity)}
     for candidate in candidates:
-        if candidate.member.identity in in_place:
+        if candidate.member.identity in preferred:
             return candidate
-    return _best_spread(tuple(member for member in current.members if member != outgoing), view, candidates)
+    return _best_zone_candidate(
+        tuple(member for member in current.members if member != outgoing), view, candidates
+    )
 
 
-def _best_spread(kept: tuple[Member, ...], view: ReplicaSetView, candidates: list[Candidate]) -> Candidate:
-    """Return the candidate whose zone has the fewest replicas; the lowest identity among equals."""
-    zones = [view.zones.get(member.identity, "") for member in kept]
+def _best_zone_candidate(
+    remaining: tuple[Member, ...], view: ReplicaSetView, candidates: list[Candidate]
+) -> Candidate:
+    """Return the candidate whose zone has the fewest of the remaining replicas, and of equals the lowest identity."""
+    zones = [view.zones.get(member.identity, "") for member in remaining]
     return min(candidates, key=lambda found: (zones.count(found.zone), found.member.identity))
--- a/emberring/register/events.py
+++ b/emberring/register/events.py
@@ -1,4 +1,4 @@
-"""The events that a `RegisterNode` takes in, and the actions that it returns. Times are seconds of the steady clock."""
+"""The input events and output actions of a `RegisterNode`. Times are in seconds of the monotonic clock."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from emberring.register.model import Member
 
 Change = Callable[[bytes | None], bytes | None]
-"""From the present value to the next; None leaves the value as it is; an `EmberringError` rejects the change.
+"""Maps the current value to the next one. None keeps the value; raising an `EmberringError` rejects the change.
 
-The function may be called several times, and may then find its own effect, which another node committed: it should
-recognize that and return None. A rejection after an attempt that may have committed reaches the caller as
-`UnknownOutcomeError`."""
+The function may be called several times. It may then be given a value that contains its own effect, committed by
+another node; it should detect this and return None. If it rejects after an attempt that may have committed, its caller
+receives `UnknownOutcomeError`."""
 
 
 @attrs.frozen
 class Peer:
-    """Another control node, as the node records of the tier have it."""
+    """Another control node, according to the tier's node records."""
 
     name: str
     member: Member
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class Received:
-    """A message from another node or this one. A `Reply` with this number answers it, except a `CommittedNotice`."""
+    """A message from another node or from this one; a `Reply` with this number follows, except to `CommittedNotice`."""
 
     request: int
     message: Request
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class Replied:
-    """The reply to a call; None where none came in time."""
+    """The reply to a call, or None after its timeout or failure."""
 
     call: int
     reply: object | None
@@ -46,14 +46,14 @@
 
 @attrs.frozen
 class AppendSynced:
-    """A record and all records before it are on the disk."""
+    """A record and all records before it are persisted."""
 
     append: int
 
 
 @attrs.frozen
 class AppendFailed:
-    """A record is not, or perhaps not, on the disk."""
+    """The append of a record failed; the record may or may not be persisted."""
 
     append: int
 
@@ -69,7 +69,7 @@
 
 @attrs.frozen
 class ReadRequested:
-    """A caller requests the value as a quorum has it, at least as new as now."""
+    """A caller requests a linearizable read: a value at least as new as any acknowledged before the request."""
 
     operation: int
     deadline_s: float
@@ -77,14 +77,14 @@
 
 @attrs.frozen
 class PeersChanged:
-    """All other control nodes known at present; they replace those known before."""
+    """The complete list of the other known control nodes; it replaces the previous one."""
 
     peers: tuple[Peer, ...]
 
 
 @attrs.frozen
 class Tick:
-    """Time has passed; nothing else has happened."""
+    """The timer has expired."""
 
 
 Event = (
@@ -94,7 +94,7 @@
 
 @attrs.frozen
 class Call:
-    """Send a message, and report its reply, or None after the time-out, as `Replied`."""
+    """Send a message and report its reply, or None after a timeout, as `Replied`."""
 
     call: int
     address: str
@@ -104,7 +104,7 @@
 
 @attrs.frozen
 class NotifyLearned:
-    """Send a notice without an answer, which may be lost."""
+    """Send a one-way notice, which may be lost."""
 
     address: str
     message: CommittedNotice
@@ -112,7 +112,7 @@
 
 @attrs.frozen
 class Append:
-    """Write a record, in order, and report `AppendSynced` or `AppendFailed`."""
+    """Append a record to the journal, in order, and report `AppendSynced` or `AppendFailed`."""
 
     append: int
     record: bytes
@@ -120,7 +120,7 @@
 
 @attrs.frozen
 class Reply:
-    """Answer a message. A durable answer waits for all appends so far, and is dropped if one of them fails."""
+    """Reply to a message. A durable reply waits for all appends so far and is dropped if one of them fails."""
 
     request: int
     message: Answer
@@ -129,7 +129,7 @@
 
 @attrs.frozen
 class Resolve:
-    """An operation has ended: with the value, or with an error."""
+    """Complete an operation with the value or with an error."""
 
     operation: int
     payload: bytes | None = None
@@ -138,7 +138,7 @@
 
 @attrs.frozen
 class Learned:
-    """Notify the subscribers of a committed value; each is newer than the ones before."""
+    """Notify the subscribers of a committed value, which is newer than all previous ones."""
 
     payload: bytes
 
--- a/emberring/register/journal_opening.py
+++ b/emberring/register/journal_opening.py
@@ -1,4 +1,4 @@
-"""Opening the journal of a replica at a start: the replica is read from it, or a new one is created."""
+"""Opens the journal of a replica at startup: restores the replica from it or creates a new one."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from emberring.register.model import initial_identity, initial_proposal
 
 SEGMENT_BYTES = 1024 * 1024
-"""Size of a segment of the journal."""
+"""Size of a journal segment."""
 
 MAX_BYTES = 64 * 1024 * 1024
-"""The most that the journal may take on the disk."""
+"""Maximum size of the journal on disk."""
 
 RECLAIM_ABOVE_BYTES = 12 * 1024 * 1024
-"""Above this size the oldest segments are emptied, each after a snapshot."""
+"""Journal size above which the oldest segments are reclaimed, each after a snapshot."""
 
 REOPEN_AFTER_S = 0.3
-"""How long to wait before a disk that failed is opened again, in seconds."""
+"""Delay before the next attempt to open the journal on a failed disk, in seconds."""
 
 logger = get_logger("register")
 
@@ -32,10 +32,10 @@
     """Opens a replica's journal.
 
     Args:
-        directory: where the journal is.
+        directory: the directory of the journal.
         address: internal address of this node.
         seeds: internal addresses of the initial replicas.
-        bootstrap: whether this node may create an initial replica where its journal is empty.
+        bootstrap: whether this node may create an initial replica if its journal is empty.
     """
 
     def __init__(self, directory: Path, address: str, seeds: tuple[str, ...], bootstrap: bool) -> None:
@@ -45,7 +45,7 @@
         self._may_create_initial = bootstrap
 
     async def open(self) -> tuple[Journal, Acceptor]:
-        """Return the journal and the replica in it. Waits for a disk that fails."""
+        """Return the journal and the replica restored from it. Retries until the disk works."""
         loop = asyncio.get_running_loop()
         while True:
             try:
@@ -58,7 +58,8 @@
     def _open_journal(self) -> tuple[Journal, list[Record]]:
         """Return the journal and its records.
 
-        A damaged journal is a lost disk: it is removed, and the replica that it held must not come back.
+        A corrupt journal is treated as a lost disk: it is deleted, and its replica must not return, as it may have lost
+        promises.
         """
         try:
             return Journal.open(self._directory, SEGMENT_BYTES, MAX_BYTES, RECLAIM_ABOVE_BYTES)
@@ -72,7 +73,7 @@
         return Journal.open(self._directory, SEGMENT_BYTES, MAX_BYTES, RECLAIM_ABOVE_BYTES)
 
     async def _restore_replica(self, journal: Journal, records: list[Record]) -> Acceptor:
-        """Return the replica that the records name, or a new one, which is on the disk before it takes part."""
+        """Return the replica restored from the records, or a new one, which is persisted before it takes part."""
         acceptor = Acceptor("")
         for record in records:
             acceptor.restore(record.payload)
--- a/emberring/register/messages.py
+++ b/emberring/register/messages.py
@@ -1,7 +1,7 @@
 """Messages between replicas and proposers of the register.
 
-A message to a replica names the identity that it is meant for; a replica with another identity answers
-`UnknownReplica`. A reply that would carry a state leaves it out where the caller named its number in `known`.
+A message to a replica contains the identity of its target; a replica with another identity replies `UnknownReplica`.
+A reply omits the state if its number is the one that the caller already has, which the call gives in `known`.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from emberring.transport.messages import message
 
 _NUMBER_KEY = {"number": "ballot"}
-"""The JSON key under which nodes of every version read and write the proposal number of a message."""
+"""The JSON key that nodes of every version use for the proposal number of a message."""
 
 
 @message("register.prepare", wire_keys=_NUMBER_KEY)
 @attrs.frozen
 class Prepare:
-    """Ask for a promise to accept no lower proposal number, and for the proposal accepted last."""
+    """Request a promise to accept no lower proposal number, and the proposal accepted last."""
 
     target: str
     number: ProposalNumber
@@ -28,7 +28,7 @@
 @message("register.promise", wire_keys=_NUMBER_KEY)
 @attrs.frozen
 class Promise:
-    """Promise, with the number and the state of the proposal accepted last."""
+    """The promise, with the number and the state of the proposal accepted last."""
 
     identity: str
     number: ProposalNumber
@@ -39,7 +39,7 @@
 @message("register.accept", wire_keys=_NUMBER_KEY)
 @attrs.frozen
 class Accept:
-    """Ask to accept this state under this proposal number."""
+    """Request the acceptance of this state with this proposal number."""
 
     target: str
     number: ProposalNumber
@@ -49,7 +49,7 @@
 @message("register.accepted", wire_keys=_NUMBER_KEY)
 @attrs.frozen
 class Accepted:
-    """Confirm that the proposal is accepted and on this replica's disk."""
+    """Confirm that the proposal is accepted and persisted on this replica's disk."""
 
     identity: str
     number: ProposalNumber
@@ -67,7 +67,7 @@
 @message("register.stranger")
 @attrs.frozen
 class UnknownReplica:
-    """Answer that the replica at this address has another identity than the one that was meant."""
+    """Report that the replica at this address does not have the identity of the call's target."""
 
     identity: str
 
@@ -75,7 +75,7 @@
 @message("register.query")
 @attrs.frozen
 class Query:
-    """Ask for the proposal accepted last, without a promise."""
+    """Request the proposal accepted last, without a promise."""
 
     target: str
     known: ProposalNumber | None = None
@@ -84,7 +84,7 @@
 @message("register.held")
 @attrs.frozen
 class StateReport:
-    """Answer a query: the number and the state of the proposal that the replica's disk holds."""
+    """Reply to a query: the number and the state of the proposal accepted last, as persisted on the replica's disk."""
 
     identity: str
     accepted: ProposalNumber | None = None
@@ -94,7 +94,7 @@
 @message("register.ping")
 @attrs.frozen
 class Ping:
-    """Ask whether a node is alive. `learned` is the newest proposal number that the caller knows to be committed."""
+    """Check that a node is alive. `learned` is the newest proposal number that the caller knows to be committed."""
 
     identity: str
     address: str
@@ -104,7 +104,7 @@
 @message("register.pong")
 @attrs.frozen
 class Pong:
-    """Answer a ping. `voting` is false while the disk fails or stalls."""
+    """Reply to a ping. `voting` is false while the replica's disk fails or stalls."""
 
     identity: str
     learned: ProposalNumber | None = None
@@ -114,13 +114,13 @@
 @message("register.fetch")
 @attrs.frozen
 class FetchCommitted:
-    """Ask for the newest proposal that the other node knows to be committed."""
+    """Request the newest proposal that the other node knows to be committed."""
 
 
 @message("register.fetched")
 @attrs.frozen
 class CommittedProposal:
-    """Answer `FetchCommitted`; None where the node knows of no committed proposal."""
+    """Reply to `FetchCommitted`; None if the node knows no committed proposal."""
 
     proposal: Proposal | None = None
 
@@ -128,14 +128,14 @@
 @message("register.chosen", wire_keys=_NUMBER_KEY)
 @attrs.frozen
 class CommittedNotice:
-    """Announce that the proposal of this number is committed; the node at `address` can send it."""
+    """Announce that the proposal with this number is committed and can be fetched from the node at `address`."""
 
     number: ProposalNumber
     address: str
 
 
 Request = Prepare | Accept | Query | Ping | FetchCommitted | CommittedNotice
-"""What a node of the register may be sent."""
+"""The messages that a node of the register handles."""
 
 Answer = Promise | Accepted | Rejected | UnknownReplica | StateReport | Pong | CommittedProposal
-"""What it may answer; a `CommittedNotice` has no answer."""
+"""The replies to these messages; a `CommittedNotice` has none."""
--- a/emberring/register/model.py
+++ b/emberring/register/model.py
@@ -1,4 +1,4 @@
-"""The register's data: proposal numbers, replicas by identity, replica sets, and the replicated state."""
+"""The register's data types: proposal numbers, replicas, replica sets, and the replicated state."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 class ProposalNumber:
     """The number of one attempt of a proposer.
 
-    Counters order the numbers; the proposer's name, which is new at each start, makes each one unique.
+    Numbers are ordered by counter, then by proposer. A proposer's name is new at each start, so numbers are unique.
     """
 
     counter: int
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class Member:
-    """A replica: the identity created with its disk, and the internal address at which it was last known."""
+    """A replica: the identity that was created with its journal, and its last known internal address."""
 
     identity: str
     address: str
@@ -48,8 +48,8 @@
 class ReplicaSet:
     """The replicas of the register.
 
-    While `joining` is not empty, a reconfiguration to that set is in progress, and every quorum is a majority of
-    `members` and a majority of `joining`. The epoch rises with each step of a reconfiguration.
+    While `joining` is not empty, a reconfiguration to that set is in progress, and a quorum needs both a majority of
+    `members` and a majority of `joining`. Each step of a reconfiguration increases the epoch.
     """
 
     epoch: int
@@ -58,7 +58,7 @@
 
     @property
     def quorum_sets(self) -> tuple[frozenset[str], ...]:
-        """The sets of identities of which a majority each is needed."""
+        """The sets of identities; a quorum needs a majority of each."""
         sets = [frozenset(member.identity for member in self.members)]
         if self.joining:
             sets.append(frozenset(member.identity for member in self.joining))
@@ -66,7 +66,7 @@
 
     @property
     def all_members(self) -> tuple[Member, ...]:
-        """All replicas, the joining ones included, each once."""
+        """All replicas, including the joining ones, without duplicates."""
         found = {member.identity: member for member in (*self.members, *self.joining)}
         return tuple(found.values())
 
@@ -81,7 +81,7 @@
 
 @attrs.frozen
 class State:
-    """What a replica accepts as one unit: the replica set and the value (None before the first change)."""
+    """The state that replicas accept atomically: the replica set and the value (None before the first change)."""
 
     replicas: ReplicaSet
     payload: bytes | None = None
@@ -90,18 +90,18 @@
 @wire_record({"number": "ballot"})
 @attrs.frozen
 class Proposal:
-    """A state under the number of the attempt that proposed it. No two proposals share a number."""
+    """A state and the number of the attempt that proposed it. Each proposal has a unique number."""
 
     number: ProposalNumber
     state: State
 
 
 def initial_identity(address: str) -> str:
-    """Return the identity of the initial replica at an internal address. Its text is part of records on disk."""
+    """Return the identity of the initial replica at an internal address. Records on disk contain this string."""
     return f"founder:{address}"
 
 
 def initial_proposal(addresses: tuple[str, ...]) -> Proposal:
-    """Return the first proposal: all initial replicas have it from the start, so it is committed."""
+    """Return the initial proposal. It counts as committed, because all initial replicas start with it."""
     members = tuple(Member(initial_identity(address), address) for address in dict.fromkeys(addresses))
     return Proposal(INITIAL_NUMBER, State(ReplicaSet(0, members)))
--- a/emberring/register/node.py
+++ b/emberring/register/node.py
@@ -1,6 +1,7 @@
-"""A control node's whole part in the register: it dispatches events to the replica, the reads and the proposals.
+"""The register's state machine on a control node: dispatches events to the replica, the reads and the proposals.
 
-Sans-I/O: `handle(now_s, event) -> actions`, seconds of the steady clock; `next_wake_s` says when to send a `Tick`.
+Sans-I/O: `handle(now_s, event)` returns actions; times are in seconds of the monotonic clock. `next_wake_s` returns the
+time of the next `Tick`.
 """
 
 from __future__ import annotations
@@ -49,13 +50,13 @@
 )
 
 IDLE_WAKE_S = 0.1
-"""The longest time between two `Tick` events, in seconds."""
+"""Maximum time between two `Tick` events, in seconds."""
 
 MIN_WAKE_S = 0.001
-"""The shortest time until the next `Tick`, in seconds."""
+"""Minimum time until the next `Tick`, in seconds."""
 
 CHECK_INTERVAL_S = 0.04
-"""How often the disk, the contacts and the replica set are checked, in seconds."""
+"""Interval of the checks of the disk, the contacts and the replica set, in seconds."""
 
 
 class RegisterNode:
@@ -63,16 +64,16 @@
 
     Args:
         me: this replica.
-        acceptor: what its disk holds.
-        proposer: the name under which it proposes; must be new at each start.
+        acceptor: its acceptor, as restored from its journal.
+        proposer: its proposer's name; must be new at each start.
         seeds: internal addresses to ping before any other node is known.
-        target_size: how many replicas there should be.
-        rng: draws the backoff of attempts and the jitter of scrubs.
-        now_s: the time now (steady clock, seconds).
-        timeouts: when a silent replica is replaced.
+        target_size: the number of replicas that there should be.
+        rng: source of the backoff of attempts and the jitter of scrubs.
+        now_s: the current time, in seconds of the monotonic clock.
+        timeouts: when an unreachable replica is replaced.
 
     Attributes:
-        me, acceptor: as given.
+        me, acceptor: the arguments.
         contacts: the liveness of the other control nodes.
         replica_set_manager: plans changes of the replica set.
     """
@@ -92,15 +93,15 @@
         self.acceptor = acceptor
         self.contacts = Contacts(me, now_s, seeds)
         self.replica_set_manager = ReplicaSetManager(me, target_size, self.contacts, timeouts)
-        self._disk = Persistence(acceptor)
+        self._persistence = Persistence(acceptor)
         self._actions = ActionQueue()
         self._calls = OutgoingCalls(self._actions)
-        self._catch_up = CatchUp(acceptor, self._disk, self._calls, self._actions, rng)
+        self._catch_up = CatchUp(acceptor, self._persistence, self._calls, self._actions, rng)
         self._proposals = ProposalLoop(
             me, proposer, self._catch_up, self.contacts, self._calls, self._actions, rng
         )
         self._reads = QuorumReads(self._catch_up, self.contacts, self._proposals, self._calls, self._actions)
-        self._check_at_s = now_s
+        self._next_check_s = now_s
 
     # Queries.
 
@@ -111,21 +112,21 @@
 
     @property
     def known(self) -> Proposal | None:
-        """The newest proposal that this node has, committed or not."""
+        """The newest proposal that this node has learned or accepted."""
         return self._catch_up.known
 
     def majority_age_s(self, now_s: float) -> float:
-        """How long ago a quorum was last in contact, in seconds."""
+        """Return the time since a quorum was last in contact, in seconds; infinite if no replica set is known."""
         if self.known is None:
             return float("inf")
         return self.contacts.quorum_age_s(now_s, self.known.state.replicas)
 
     def is_quorum(self, identities: frozenset[str]) -> bool:
-        """Whether these replicas are a quorum of the set that this node knows to be committed."""
+        """Return whether these replicas are a quorum of the replica set that this node knows to be committed."""
         return self.learned is not None and self.learned.state.replicas.has_quorum(identities)
 
     def next_wake_s(self, now_s: float) -> float:
-        """When to send the next `Tick` at the latest."""
+        """Return the latest time at which the next `Tick` is due."""
         wake_s = min(
             now_s + IDLE_WAKE_S,
             self._catch_up.next_wake_s,
@@ -137,9 +138,9 @@
     # Events.
 
     def handle(self, now_s: float, event: Event) -> list[Action]:
-        """Take in an event; the actions to execute now, in order."""
+        """Handle an event and return the actions to execute now, in order."""
         self._actions.clear()
-        self.contacts.note_time(now_s)
+        self.contacts.detect_pause(now_s)
         self._dispatch(now_s, event)
         self._advance(now_s)
         return self._actions.collected()
@@ -151,9 +152,9 @@
             case Replied():
                 self._calls.on_replied(now_s, event.call, event.reply)
             case AppendSynced():
-                self._disk.on_synced(event.append)
+                self._persistence.on_synced(event.append)
             case AppendFailed():
-                self._disk.on_failed(event.append)
+                self._persistence.on_failed(event.append)
             case ChangeRequested():
                 self._proposals.enqueue(PendingOperation(event.operation, event.deadline_s, event.change))
             case ReadRequested():
@@ -183,17 +184,17 @@
 
     def _respond(self, now_s: float, request: int, response: AcceptorResponse) -> None:
         if response.durable:
-            self._actions.extend(self._disk.append(now_s, response.record))
+            self._actions.extend(self._persistence.append(now_s, response.record))
         self._actions.add(Reply(request, response.reply, response.durable))
 
     def _advance(self, now_s: float) -> None:
-        """Do what is due, after every event."""
-        self.contacts.voting = self._disk.takes_records(now_s)
+        """Run everything that is due; called after every event."""
+        self.contacts.voting = self._persistence.is_writable(now_s)
         self._proposals.expire_waiting(now_s)
         self._reads.expire(now_s)
         self._proposals.expire_proposed(now_s)
-        if now_s >= self._check_at_s:
-            self._check_at_s = now_s + CHECK_INTERVAL_S
+        if now_s >= self._next_check_s:
+            self._next_check_s = now_s + CHECK_INTERVAL_S
             self._check(now_s)
         if self._catch_up.take_due_scrub(now_s) and not (self._reads.running or self._proposals.running):
             self._reads.begin(now_s)
@@ -201,8 +202,8 @@
         self._proposals.advance(now_s)
 
     def _check(self, now_s: float) -> None:
-        """Probe a failed disk, send the pings that are due, and plan a change of the replica set."""
-        self._actions.extend(self._disk.probe(now_s))
+        """Probe a failed disk, send the pings that are due, and plan a reconfiguration step."""
+        self._actions.extend(self._persistence.probe(now_s))
         self._send_pings(now_s)
         self._proposals.set_reconfiguration(self.replica_set_manager.step(now_s, self.learned))
 
--- a/emberring/register/outgoing_calls.py
+++ b/emberring/register/outgoing_calls.py
@@ -1,4 +1,4 @@
-"""The calls to other nodes that are in flight, and the function that takes the reply of each."""
+"""The calls to other nodes that are in flight, and the callback for the reply to each."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from emberring.register.messages import Request
 
 ReplyHandler = Callable[[float, object | None], None]
-"""Takes the time (steady clock, seconds) and the reply; None where none came before the time-out."""
+"""Called with the time (monotonic clock, seconds) and the reply, which is None after a timeout or failure."""
 
 
 class OutgoingCalls:
-    """Numbers the calls of a `RegisterNode` and hands each reply to whoever sent the call."""
+    """Numbers the calls of a `RegisterNode` and passes each reply to the callback of its call."""
 
     def __init__(self, actions: ActionQueue) -> None:
         self._actions = actions
@@ -21,13 +21,13 @@
         self._last_number = 0
 
     def send(self, address: str, message: Request, timeout_s: float, on_reply: ReplyHandler) -> None:
-        """Call the node at an internal address; `on_reply` is called once, at the latest after `timeout_s`."""
+        """Call the node at an internal address; `on_reply` is called once, after `timeout_s` at the latest."""
         self._last_number += 1
         self._handlers[self._last_number] = on_reply
         self._actions.add(Call(self._last_number, address, message, timeout_s))
 
     def on_replied(self, now_s: float, call: int, reply: object | None) -> None:
-        """Pass a reply on. A call that is not in flight, such as one replied to twice, is ignored."""
+        """Pass a reply to its callback; a reply to a call that is not in flight, such as a duplicate, is ignored."""
         handler = self._handlers.pop(call, None)
         if handler is not None:
             handler(now_s, reply)
--- a/emberring/register/pending_operations.py
+++ b/emberring/register/pending_operations.py
@@ -1,4 +1,4 @@
-"""Changes and reads that wait for an attempt: applied to the value it found, resolved when it commits."""
+"""Changes and reads that wait for a proposal attempt: applied to the value it finds, resolved when it commits."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from emberring.register.events import Change, Resolve
 
 OUTCOME_UNKNOWN = "the change may or may not have been taken"
-"""Text of the error of a change whose outcome is unknown; clients see it."""
+"""Error text of a change with an unknown outcome; clients receive it."""
 
 
 @attrs.define(eq=False)
 class PendingOperation:
-    """One change or read (`change` is None).
+    """One change, or one read if `change` is None.
 
     Attributes:
-        number: by which its caller is found.
-        deadline_s: when it expires (steady clock, seconds).
-        outcome_unknown: whether a state made with it may have been accepted by a replica.
+        number: the operation's number, which identifies its caller.
+        deadline_s: when it expires, in seconds of the monotonic clock.
+        outcome_unknown: whether a replica may have accepted a state that includes it.
     """
 
     number: int
@@ -40,7 +40,7 @@
 
 
 class Batch:
-    """Operations applied one after another to the value that an attempt or a read found."""
+    """Operations that are applied in order to the value that an attempt or a read found."""
 
     def __init__(self, operations: tuple[PendingOperation, ...], payload: bytes | None) -> None:
         self.payload = payload
@@ -51,45 +51,43 @@
             changed = None if operation.change is None else operation.change(self.payload)
         except EmberringError as error:
             return _Outcome(operation, error=_rejection(operation, error))
-        except (
-            Exception
-        ) as error:  # the change function is the caller's; a fault in it must not stop the register
+        except Exception as error:  # an error in the caller's change function must not stop the register
             return _Outcome(operation, error=InternalError(f"{type(error).__name__}: {error}"))
         if changed is not None:
             self.payload = changed
         return _Outcome(operation, self.payload, changed=changed is not None)
 
     def mark_outcome_unknown(self) -> None:
-        """Mark the operations that changed the value: from here on a replica may accept it."""
+        """Mark the operations that changed the value, because a replica may accept the new value from now on."""
         for outcome in self._outcomes:
             outcome.operation.outcome_unknown = outcome.operation.outcome_unknown or outcome.changed
 
     def expire(self, now_s: float) -> list[Resolve]:
-        """Take out the operations whose deadline has passed, and return their outcomes."""
-        late = [found for found in self._outcomes if found.operation.deadline_s <= now_s]
+        """Remove the operations whose deadline has passed, and return their outcomes."""
+        expired = [found for found in self._outcomes if found.operation.deadline_s <= now_s]
         self._outcomes = [found for found in self._outcomes if found.operation.deadline_s > now_s]
-        return [timed_out(found.operation) for found in late]
+        return [timed_out(found.operation) for found in expired]
 
     @property
     def operations(self) -> tuple[PendingOperation, ...]:
-        """The operations in it."""
+        """The operations of this batch."""
         return tuple(outcome.operation for outcome in self._outcomes)
 
     def resolve(self) -> list[Resolve]:
-        """Return the outcomes of all operations: the attempt has committed."""
+        """Return the outcomes of all operations after the attempt has committed."""
         return [Resolve(found.operation.number, found.payload, found.error) for found in self._outcomes]
 
 
-def _rejection(operation: PendingOperation, refusal: EmberringError) -> EmberringError:
-    """Return the error that the caller gets where its change function rejected.
+def _rejection(operation: PendingOperation, rejection: EmberringError) -> EmberringError:
+    """Return the caller's error if its change function rejected the value.
 
-    A rejection says that nothing was changed. An operation with an unknown outcome may have rejected its own effect,
-    which another proposer finished.
+    A plain rejection means that nothing was changed. An operation with an unknown outcome may have rejected its own
+    effect, which another proposer committed, so its caller receives `UnknownOutcomeError`.
     """
     return (
-        UnknownOutcomeError(f"{OUTCOME_UNKNOWN}; now: {refusal.detail}")
+        UnknownOutcomeError(f"{OUTCOME_UNKNOWN}; now: {rejection.detail}")
         if operation.outcome_unknown
-        else refusal
+        else rejection
     )
 
 
@@ -101,8 +99,8 @@
 
 
 def expire_queue(queue: deque[PendingOperation], now_s: float) -> list[Resolve]:
-    """Take out of a queue the operations whose deadline has passed, and return their outcomes."""
-    late = [operation for operation in queue if operation.deadline_s <= now_s]
-    for operation in late:
+    """Remove the operations whose deadline has passed from a queue, and return their outcomes."""
+    expired = [operation for operation in queue if operation.deadline_s <= now_s]
+    for operation in expired:
         queue.remove(operation)
-    return [timed_out(operation) for operation in late]
+    return [timed_out(operation) for operation in expired]
--- a/emberring/register/proposal_loop.py
+++ b/emberring/register/proposal_loop.py
@@ -1,4 +1,4 @@
-"""Attempts of one node at committing a proposal: one at a time, with a backoff after a failed one."""
+"""The proposal attempts of one node: one at a time, with a backoff after a failed attempt."""
 
 from __future__ import annotations
 
@@ -19,31 +19,31 @@
 from emberring.register.replica_set_manager import ReconfigurationStep
 
 CALL_TIMEOUT_S = 0.8
-"""How long a replica has to answer a prepare or an accept, in seconds."""
+"""Timeout of a prepare or accept call, in seconds."""
 
 ATTEMPT_TIMEOUT_S = 0.9
-"""How long one attempt may take in all, in seconds; longer than `CALL_TIMEOUT_S`."""
+"""Timeout of a whole attempt, in seconds; longer than `CALL_TIMEOUT_S`."""
 
 BACKOFF_FIRST_S = 0.01
-"""The longest wait after the first failed attempt, in seconds; it doubles with each further failure."""
+"""Maximum backoff after the first failed attempt, in seconds; it doubles with each consecutive failure."""
 
 BACKOFF_MAX_S = 0.2
-"""The longest wait after any number of failed attempts, in seconds."""
+"""Maximum backoff after any number of failed attempts, in seconds."""
 
 MAX_COUNTED_FAILURES = 10
-"""Failures in a row beyond this count no more: the backoff has long reached `BACKOFF_MAX_S`."""
+"""Limit of the count of consecutive failures; the backoff reaches `BACKOFF_MAX_S` before it."""
 
 
 class ProposalLoop:
-    """Runs proposal attempts for the operations that wait, for a reconfiguration, or to confirm what is accepted.
+    """Runs proposal attempts: for waiting operations, for a reconfiguration, or to commit the accepted proposal.
 
     Args:
         me: this replica.
-        proposer: the name under which it proposes; unique to this start of the process.
-        catch_up: what is known to be committed.
-        contacts: where the other nodes are.
-        calls, actions: where calls and other actions go.
-        rng: draws the backoff.
+        proposer: its proposer's name; unique to this start of the process.
+        catch_up: the newest proposals that are committed or accepted.
+        contacts: the addresses of the other nodes.
+        calls, actions: the outputs for calls and for other actions.
+        rng: source of the random backoff.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         self._began_s = 0.0
         self._batch: Batch | None = None
         self._reconfiguration: ReconfigurationStep | None = None
-        self._failures = 0
+        self._consecutive_failures = 0
         self._retry_at_s = float("-inf")
 
     @property
@@ -80,14 +80,14 @@
 
     @property
     def next_wake_s(self) -> float:
-        """When an attempt may begin or a waiting operation expires, whichever is first; infinite where neither."""
+        """When the next attempt may begin or an operation expires, whichever is earlier; infinite if neither."""
         wake_s = min((found.deadline_s for found in (*self._queued, *self._in_attempt)), default=float("inf"))
         if self._queued or self._catch_up.confirmation_needed:
             wake_s = min(wake_s, self._retry_at_s)
         return wake_s
 
     def enqueue(self, operation: PendingOperation) -> None:
-        """Add an operation, which takes part in an attempt that begins after now."""
+        """Add an operation; an attempt that begins later includes it."""
         self._queued.append(operation)
 
     def requeue(self, operations: Iterable[PendingOperation]) -> None:
@@ -95,33 +95,33 @@
         self._queued.extend(operations)
 
     def set_reconfiguration(self, step: ReconfigurationStep | None) -> None:
-        """Set the step of the replica set that the next attempts should make; None: none."""
+        """Set the reconfiguration step that the next attempts should propose, or None."""
         self._reconfiguration = step
 
     def observe(self, number: ProposalNumber | None) -> None:
-        """Take note of a proposal number in use: the next attempt takes a higher one."""
+        """Record a proposal number in use, so that the next attempt uses a higher one."""
         if number is not None:
             self._counter = max(self._counter, number.counter)
 
     def expire_waiting(self, now_s: float) -> None:
-        """Resolve the operations whose deadline passed before an attempt decided."""
+        """Resolve the expired operations whose attempt has not decided what to propose yet."""
         self._actions.extend(expire_queue(self._queued, now_s))
         self._actions.extend(expire_queue(self._in_attempt, now_s))
 
     def expire_proposed(self, now_s: float) -> None:
-        """Resolve the operations of the attempt that has decided whose deadline has passed."""
+        """Resolve the expired operations of an attempt that has decided what to propose."""
         if self._batch is not None:
             self._actions.extend(self._batch.expire(now_s))
 
     def advance(self, now_s: float) -> None:
-        """End an attempt that took too long, and begin one where it is wanted and the backoff is over."""
+        """Fail an attempt that timed out, and begin one if it is needed and the backoff is over."""
         if self._attempt is not None and now_s - self._began_s > ATTEMPT_TIMEOUT_S:
             self._fail(now_s, self._attempt)
         if self._attempt is not None or now_s < self._retry_at_s:
             return
         known = self._catch_up.known
-        wanted = self._queued or self._catch_up.confirmation_needed or self._reconfiguration
-        if known is not None and wanted:
+        needed = self._queued or self._catch_up.confirmation_needed or self._reconfiguration
+        if known is not None and needed:
             self._begin(now_s, known)
 
     def _begin(self, now_s: float, known: Proposal) -> None:
@@ -131,13 +131,13 @@
         number = ProposalNumber(self._counter, self._proposer)
         attempt = ProposalAttempt(number, known, self._decide)
         self._attempt, self._began_s = attempt, now_s
-        # An operation that comes while promises are on their way waits for the next attempt. What those promises show
-        # may be older than a change that was acknowledged elsewhere before the operation was requested.
+        # An operation that is requested while promises are in flight waits for the next attempt: those promises may be
+        # older than a change that another node acknowledged before the operation was requested.
         self._in_attempt, self._queued = self._queued, deque()
         self._send(attempt, attempt.start(known.state.replicas.all_members))
 
     def _decide(self, found: Proposal, committed: bool) -> State:
-        """Return what this attempt proposes on top of the proposal that it found."""
+        """Return the state that this attempt proposes, based on the newest proposal that it found."""
         self._batch = Batch(tuple(self._in_attempt), found.state.payload)
         self._in_attempt.clear()
         replicas = found.state.replicas
@@ -165,19 +165,19 @@
             self._succeed(now_s, attempt, attempt.outcome)
 
     def _fail(self, now_s: float, attempt: ProposalAttempt) -> None:
-        """Put the operations back in front of the queue, and wait before the next attempt."""
+        """Return the operations to the head of the queue, and back off before the next attempt."""
         self.observe(attempt.rejected_by)
         self._attempt = None
         operations = self._batch.operations if self._batch is not None else tuple(self._in_attempt)
         self._batch = None
         self._in_attempt.clear()
         self._queued.extendleft(reversed(operations))
-        longest_s = min(BACKOFF_MAX_S, BACKOFF_FIRST_S * 2**self._failures)
-        self._failures = min(self._failures + 1, MAX_COUNTED_FAILURES)
-        self._retry_at_s = now_s + longest_s * self._rng.random()
+        max_backoff_s = min(BACKOFF_MAX_S, BACKOFF_FIRST_S * 2**self._consecutive_failures)
+        self._consecutive_failures = min(self._consecutive_failures + 1, MAX_COUNTED_FAILURES)
+        self._retry_at_s = now_s + max_backoff_s * self._rng.random()
 
     def _succeed(self, now_s: float, attempt: ProposalAttempt, committed: Proposal) -> None:
-        self._attempt, self._failures, self._reconfiguration = None, 0, None
+        self._attempt, self._consecutive_failures, self._reconfiguration = None, 0, None
         self._catch_up.confirmation_needed = False
         self._catch_up.learn(now_s, committed)
         if self._batch is not None:
@@ -187,7 +187,7 @@
             self._announce(committed)
 
     def _announce(self, committed: Proposal) -> None:
-        """Notify all replicas and all other control nodes that this proposal is committed."""
+        """Send a notice of this committed proposal to all replicas and all other control nodes."""
         addresses = {self._contacts.address(member) for member in committed.state.replicas.all_members}
         addresses |= {peer.member.address for peer in self._contacts.peers}
         for address in sorted(addresses - {self._me.address}):
--- a/emberring/register/proposer.py
+++ b/emberring/register/proposer.py
@@ -1,8 +1,8 @@
-"""One attempt of a proposer, and one quorum read: who is asked, when a quorum has answered, what was found.
+"""One attempt of a proposer, and one quorum read: their recipients, quorum checks and outcomes.
 
-Sans-I/O. The rule of quorums: what was found (the newest proposal among the answers) says by its own replica set
-which majorities must have answered; a new state needs the majorities of its own set. A set may leave the state only
-if the state that it leaves is known to be committed. `docs/design/register.md` has the proof.
+Sans-I/O. Quorum rule: the replica set of the newest proposal among the replies determines which majorities must have
+replied, and a new state needs the majorities of its own replica set. A replica set may be dropped from the state only
+if the state that contains it is known to be committed. `docs/design/register.md` has the proof.
 """
 
 from __future__ import annotations
@@ -35,11 +35,11 @@
 
 
 Decide = Callable[[Proposal, bool], State]
-"""From the proposal found, and whether it is known to be committed, to the state to propose."""
+"""Maps the newest proposal found, and whether it is known to be committed, to the state to propose."""
 
 
-class _QuorumAnswers:
-    """The newest proposal among answers, and who answered with what."""
+class _QuorumReplies:
+    """Collects replies: the proposal number that each replica reported, and the newest proposal among them."""
 
     def __init__(self, known: Proposal | None) -> None:
         self._known = known
@@ -51,14 +51,14 @@
         return None if self._known is None else self._known.number
 
     def add(self, identity: str, number: ProposalNumber | None, state: State | None) -> None:
-        """Take in an answer; a state that was left out is the one known.
+        """Add a replica's reply; an omitted state (None) is that of the known proposal.
 
-        Raises `ProtocolViolationError` where a state was left out that this node does not have.
+        Raises `ProtocolViolationError` if the omitted state is not the known one.
         """
         if number is not None:
             if state is None:
                 if self._known is None or self._known.number != number:
-                    raise ProtocolViolationError(f"{identity} left out a state that this node does not have")
+                    raise ProtocolViolationError(f"{identity} omitted a state that this node does not have")
                 state = self._known.state
             if self.newest is None or number > self.newest.number:
                 self.newest = Proposal(number, state)
@@ -66,46 +66,46 @@
 
     @property
     def complete(self) -> bool:
-        """Whether those who answered are a quorum of the replica set of the newest proposal among the answers."""
+        """Whether a quorum has replied, by the replica set of the newest proposal among the replies."""
         return self.newest is not None and self.newest.state.replicas.has_quorum(frozenset(self.numbers))
 
     @property
     def committed(self) -> bool:
-        """Whether a quorum has accepted the newest proposal among the answers."""
+        """Whether a quorum has accepted the newest proposal among the replies."""
         if self.newest is None:
             return False
-        holders = frozenset(name for name, number in self.numbers.items() if number == self.newest.number)
-        return self.newest.state.replicas.has_quorum(holders)
+        accepted_by = frozenset(name for name, number in self.numbers.items() if number == self.newest.number)
+        return self.newest.state.replicas.has_quorum(accepted_by)
 
 
 class _Recipients:
-    """The replicas to which a message was sent, and those of which no useful answer can come any more."""
+    """The replicas that a message was sent to, and those from which no useful reply can arrive any more."""
 
     def __init__(self) -> None:
         self.sent: dict[str, Member] = {}
         self.failed: set[str] = set()
 
     def add(self, members: Iterable[Member]) -> list[Member]:
-        """Return those that were sent nothing yet; from here on they count as sent."""
-        fresh = [member for member in members if member.identity not in self.sent]
-        self.sent.update((member.identity, member) for member in fresh)
-        return fresh
+        """Mark replicas as sent to, and return those that were not sent to before."""
+        unsent = [member for member in members if member.identity not in self.sent]
+        self.sent.update((member.identity, member) for member in unsent)
+        return unsent
 
     def cannot_reach_quorum(self, state: State) -> bool:
-        """Whether the replicas that have not failed are no quorum of this state's replica set."""
+        """Whether the replicas that have not failed are too few for a quorum of this state's replica set."""
         all_members = frozenset(member.identity for member in state.replicas.all_members)
         return not state.replicas.has_quorum(all_members - self.failed)
 
 
 class ProposalAttempt:
-    """One attempt: prepare, decide, accept.
+    """One attempt to commit a state: prepare, decide, accept.
 
     Attributes:
         number: its proposal number.
-        phase: how far it is.
-        outcome: what was committed, in phase `COMMITTED`.
-        proposed: the new state that was sent to be accepted; None where there is none.
-        rejected_by: the highest proposal number for which a replica rejected this attempt.
+        phase: its current phase.
+        outcome: the committed proposal, in phase `COMMITTED`.
+        proposed: the new state in the accept messages; None if there are none.
+        rejected_by: the highest promised proposal number among the rejections of this attempt.
     """
 
     def __init__(self, number: ProposalNumber, known: Proposal | None, decide: Decide) -> None:
@@ -115,24 +115,24 @@
         self.rejected_by: ProposalNumber | None = None
         self._known = known
         self._decide = decide
-        self._answers = _QuorumAnswers(known)
+        self._replies = _QuorumReplies(known)
         self._recipients = _Recipients()
         self._accepted: set[str] = set()
         self.proposed: State | None = None
 
     @property
     def accept_sent(self) -> bool:
-        """Whether a new state may have been accepted somewhere."""
+        """Whether accept messages were sent, so that a replica may have accepted the new state."""
         return self.proposed is not None
 
     def start(self, members: Iterable[Member]) -> list[Send]:
-        """Return the prepare messages to these replicas."""
+        """Return the prepare messages to send to these replicas."""
         return [self._prepare(member) for member in self._recipients.add(members)]
 
     def on_reply(self, member: Member, reply: object) -> list[Send]:
-        """Take in a replica's reply, and return what to send next.
+        """Handle a replica's reply (None if there was none), and return the messages to send next.
 
-        Anything but a promise or an acceptance (None: no reply) counts as a failure of that replica.
+        Any reply other than a promise or an acceptance counts as a failure of that replica.
         """
         if isinstance(reply, Promise) and reply.identity == member.identity and reply.number == self.number:
             return self._on_promise(reply) if self.phase is Phase.PREPARING else []
@@ -146,27 +146,29 @@
         return []
 
     def _prepare(self, member: Member) -> Send:
-        return Send(member, Prepare(member.identity, self.number, self._answers.known_number))
+        return Send(member, Prepare(member.identity, self.number, self._replies.known_number))
 
     def _on_promise(self, promise: Promise) -> list[Send]:
-        self._answers.add(promise.identity, promise.accepted, promise.state)
-        newest = self._answers.newest
+        self._replies.add(promise.identity, promise.accepted, promise.state)
+        newest = self._replies.newest
         if newest is None:
             return []
-        if not self._answers.complete:
+        if not self._replies.complete:
             return [
                 self._prepare(member) for member in self._recipients.add(newest.state.replicas.all_members)
             ]
         return self._propose(newest)
 
     def _propose(self, found: Proposal) -> list[Send]:
-        committed = self._answers.committed
+        committed = self._replies.committed
         state = self._decide(found, committed)
         if committed and state == found.state:
             self.phase, self.outcome = Phase.COMMITTED, found
             return []
         if not committed and not set(state.replicas.quorum_sets) >= set(found.state.replicas.quorum_sets):
-            raise AssertionError("a set of replicas left a state that is not known to be committed")
+            raise AssertionError(
+                "the proposal drops a replica set of a state that is not known to be committed"
+            )
         self.phase, self.proposed = Phase.ACCEPTING, state
         self._recipients.failed.clear()
         return [
@@ -183,48 +185,48 @@
     def _on_failure(self, member: Member) -> None:
         self._recipients.failed.add(member.identity)
         if self.phase is Phase.PREPARING:
-            basis = self._answers.newest or self._known
-            nobody_left = set(self._recipients.sent) <= self._recipients.failed
-            if nobody_left or (basis is not None and self._recipients.cannot_reach_quorum(basis.state)):
+            basis = self._replies.newest or self._known
+            all_failed = set(self._recipients.sent) <= self._recipients.failed
+            if all_failed or (basis is not None and self._recipients.cannot_reach_quorum(basis.state)):
                 self.phase = Phase.FAILED
         elif self.proposed is not None and self._recipients.cannot_reach_quorum(self.proposed):
             self.phase = Phase.FAILED
 
 
 class QuorumRead:
-    """A read without an attempt: whether the answers of a quorum show what is committed."""
+    """A read without a proposal: it succeeds if the replies of a quorum show which proposal is committed."""
 
     def __init__(self, known: Proposal | None) -> None:
         self._known = known
-        self._answers = _QuorumAnswers(known)
+        self._replies = _QuorumReplies(known)
         self._recipients = _Recipients()
         self.finished = False
 
     @property
     def committed(self) -> Proposal | None:
-        """The committed proposal; None while, or where, the answers do not show it."""
-        return self._answers.newest if self._answers.complete and self._answers.committed else None
+        """The committed proposal, or None if the replies so far do not show it."""
+        return self._replies.newest if self._replies.complete and self._replies.committed else None
 
     @property
     def highest(self) -> ProposalNumber | None:
-        """The highest proposal number among the answers."""
-        return None if self._answers.newest is None else self._answers.newest.number
+        """The highest proposal number among the replies."""
+        return None if self._replies.newest is None else self._replies.newest.number
 
     def start(self, members: Iterable[Member]) -> list[Send]:
-        """Return the queries to these replicas."""
+        """Return the queries to send to these replicas."""
         return [self._query(member) for member in self._recipients.add(members)]
 
     def on_reply(self, member: Member, reply: object) -> list[Send]:
-        """Take in a replica's reply (None: no reply), and return what to send next."""
+        """Handle a replica's reply (None if there was none), and return the queries to send next."""
         if not isinstance(reply, StateReport) or reply.identity != member.identity:
             self._recipients.failed.add(member.identity)
         else:
-            self._answers.add(reply.identity, reply.accepted, reply.state)
-        newest = self._answers.newest
+            self._replies.add(reply.identity, reply.accepted, reply.state)
+        newest = self._replies.newest
         sends = [] if newest is None else self.start(newest.state.replicas.all_members)
-        ended = set(self._answers.numbers) | self._recipients.failed
-        self.finished = self.committed is not None or ended >= set(self._recipients.sent)
+        resolved = set(self._replies.numbers) | self._recipients.failed
+        self.finished = self.committed is not None or resolved >= set(self._recipients.sent)
         return sends
 
     def _query(self, member: Member) -> Send:
-        return Send(member, Query(member.identity, self._answers.known_number))
+        return Send(member, Query(member.identity, self._replies.known_number))
--- a/emberring/register/quorum_reads.py
+++ b/emberring/register/quorum_reads.py
@@ -1,4 +1,4 @@
-"""Reads of the committed value from a quorum, one at a time, and the callers that wait for them."""
+"""Quorum reads of the committed value, one at a time, and the operations that wait for them."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from emberring.register.proposer import QuorumRead, Send
 
 READ_TIMEOUT_S = 0.3
-"""How long one quorum read may take, and each of its calls, in seconds; an attempt of a proposal follows."""
+"""Timeout of a quorum read and of each of its calls, in seconds; a proposal attempt follows."""
 
 
 class QuorumReads:
-    """Runs quorum reads. One that does not show what is committed hands its callers to the proposal loop."""
+    """Runs quorum reads. A read that does not show what is committed passes its operations to the proposal loop."""
 
     def __init__(
         self,
@@ -46,27 +46,27 @@
 
     @property
     def next_wake_s(self) -> float:
-        """The earliest deadline of a caller; infinite where none waits."""
+        """The earliest deadline of a waiting operation; infinite if there is none."""
         return min((found.deadline_s for found in (*self._queued, *self._in_read)), default=float("inf"))
 
     def enqueue(self, operation: PendingOperation) -> None:
-        """Add a caller, who is served by a read that begins after now."""
+        """Add an operation; a quorum read that begins later serves it."""
         self._queued.append(operation)
 
     def expire(self, now_s: float) -> None:
-        """Resolve the callers whose deadline has passed."""
+        """Resolve the operations whose deadline has passed."""
         self._actions.extend(expire_queue(self._queued, now_s))
         self._actions.extend(expire_queue(self._in_read, now_s))
 
     def advance(self, now_s: float) -> None:
-        """End a read that took too long, and begin one where callers wait."""
+        """Abort a read that timed out, and begin one if operations wait."""
         if self._read is not None and now_s - self._began_s > READ_TIMEOUT_S:
             self._fail(self._read)
         if self._queued and self._read is None:
             self.begin(now_s)
 
     def begin(self, now_s: float) -> None:
-        """Begin a read, unless this node knows no replica set yet."""
+        """Begin a read, unless this node does not know a replica set yet."""
         known = self._catch_up.known
         if known is None:
             return
@@ -96,7 +96,7 @@
         self._in_read = deque()
 
     def _fail(self, read: QuorumRead) -> None:
-        """Leave it to an attempt of a proposal to find out what is committed: the answers do not show it."""
+        """Abort the read, whose replies do not show what is committed, and let a proposal attempt determine it."""
         self._proposals.observe(read.highest)
         self._read = None
         self._catch_up.require_confirmation()
--- a/emberring/register/replica_set_manager.py
+++ b/emberring/register/replica_set_manager.py
@@ -1,4 +1,4 @@
-"""Decides whether, and by which node, the replica set is to be reconfigured now."""
+"""Decides when this node should propose a reconfiguration of the replica set, and which one."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from emberring.register.model import Member, Proposal, ReplicaSet
 
 RECENT_CONTACT_S = 1.0
-"""A node that was in contact within this time counts as alive, in seconds."""
+"""Age of the last contact below which a node counts as alive, in seconds."""
 
 
 @attrs.frozen
 class ReconfigurationTimeouts:
-    """Time-outs of a reconfiguration, in seconds.
+    """Timeouts of a reconfiguration, in seconds.
 
     Attributes:
-        dead_after_s: how long a replica may be silent before it counts as dead.
-        name_silent_s: how long it may be silent before another node with its node name replaces it.
-        rank_delay_s: how much longer each further replica of the set waits before it acts.
-        joiner_wait_s: how long joining replicas have to get the value.
+        dead_after_s: time without contact after which a replica counts as dead.
+        name_silent_s: time without contact after which another node with its node name replaces a replica.
+        rank_delay_s: additional delay before proposing, per reachable replica that comes earlier in the set.
+        joiner_wait_s: maximum time to wait until joining replicas have the value.
     """
 
     dead_after_s: float = 1.5
@@ -30,7 +30,7 @@
 
 
 RECONFIGURATION_TIMEOUTS = ReconfigurationTimeouts()
-"""The time-outs in production; simulators use shorter ones too."""
+"""The timeouts in production; simulators also use shorter ones."""
 
 
 @attrs.frozen
@@ -42,10 +42,12 @@
 
 
 class ReplicaSetManager:
-    """Plans steps from what the contacts show. Replicas further down the set wait longer before they act.
+    """Plans reconfiguration steps from the liveness of the control nodes.
+
+    Replicas later in the set wait longer, so that normally only one proposes a step.
 
     Attributes:
-        timeouts: of a reconfiguration.
+        timeouts: the timeouts of a reconfiguration.
     """
 
     def __init__(
@@ -59,24 +61,24 @@
         self._me = me
         self._target_size = target_size
         self._contacts = contacts
-        self._planned_since_s: float | None = None
-        self._joint_epoch = -1
-        self._joint_since_s = 0.0
+        self._step_planned_since_s: float | None = None
+        self._joint_set_epoch = -1
+        self._joint_set_since_s = 0.0
 
     def step(self, now_s: float, learned: Proposal | None) -> ReconfigurationStep | None:
-        """Return the step that this node should propose now, on top of the committed proposal that it knows."""
-        following = None if learned is None else self._following(now_s, learned)
+        """Return the step that this node should propose now on top of the newest committed proposal, or None."""
+        following = None if learned is None else self._next_set(now_s, learned)
         if following is None or learned is None:
-            self._planned_since_s = None
+            self._step_planned_since_s = None
             return None
-        if self._planned_since_s is None:
-            self._planned_since_s = now_s
+        if self._step_planned_since_s is None:
+            self._step_planned_since_s = now_s
         current = learned.state.replicas
-        if now_s - self._planned_since_s < self._rank(now_s, current) * self.timeouts.rank_delay_s:
+        if now_s - self._step_planned_since_s < self._rank(now_s, current) * self.timeouts.rank_delay_s:
             return None
         return ReconfigurationStep(current, following)
 
-    def _following(self, now_s: float, learned: Proposal) -> ReplicaSet | None:
+    def _next_set(self, now_s: float, learned: Proposal) -> ReplicaSet | None:
         current = learned.state.replicas
         if not self._contacts.voting or not current.includes(self._me.identity):
             return None
@@ -87,11 +89,11 @@
         return next_replica_set(current, self._view(now_s, current), self._target_size)
 
     def _joiners_caught_up(self, now_s: float, learned: Proposal) -> bool:
-        """Return whether the joining replicas have the value, or have had `joiner_wait_s` to get it."""
+        """Return whether the joining replicas have the value, or `joiner_wait_s` has passed."""
         current = learned.state.replicas
-        if self._joint_epoch != current.epoch:
-            self._joint_epoch, self._joint_since_s = current.epoch, now_s
-        if now_s - self._joint_since_s > self.timeouts.joiner_wait_s:
+        if self._joint_set_epoch != current.epoch:
+            self._joint_set_epoch, self._joint_set_since_s = current.epoch, now_s
+        if now_s - self._joint_set_since_s > self.timeouts.joiner_wait_s:
             return True
         for member in current.joining:
             if member in current.members or member.identity == self._me.identity:
@@ -102,37 +104,46 @@
         return True
 
     def _rank(self, now_s: float, current: ReplicaSet) -> int:
-        """Return how many replicas in contact come before this one in the set."""
+        """Return the number of reachable replicas that come before this one in the set."""
         rank = 0
         for member in current.all_members:
             if member.identity == self._me.identity:
                 break
-            if self._contacts.silent_s(now_s, member) < RECENT_CONTACT_S:
+            if self._contacts.unreachable_s(now_s, member) < RECENT_CONTACT_S:
                 rank += 1
         return rank
 
     def _view(self, now_s: float, current: ReplicaSet) -> ReplicaSetView:
         contacts = self._contacts
-        silent = {member.identity: contacts.silent_s(now_s, member) for member in current.members}
+        unreachable_s_by_identity = {
+            member.identity: contacts.unreachable_s(now_s, member) for member in current.members
+        }
         address_taken_by: dict[str, str] = {}
         name_taken_by: dict[str, str] = {}
         candidates = {
             peer.member.identity: Candidate(peer.member, peer.zone)
             for peer in contacts.peers
-            if not peer.leaving and contacts.last_heard_age_s(now_s, peer.member) < RECENT_CONTACT_S
+            if not peer.leaving and contacts.last_contact_age_s(now_s, peer.member) < RECENT_CONTACT_S
         }
         for member in current.members:
             other = contacts.address_taken_by(member)
             if other is not None:
                 address_taken_by[member.identity] = other.identity
-                if contacts.last_heard_age_s(now_s, other) < RECENT_CONTACT_S:
+                if contacts.last_contact_age_s(now_s, other) < RECENT_CONTACT_S:
                     candidates.setdefault(other.identity, Candidate(other))
             successor = contacts.name_taken_by(member)
-            if successor in candidates and silent[member.identity] > self.timeouts.name_silent_s:
+            if (
+                successor in candidates
+                and unreachable_s_by_identity[member.identity] > self.timeouts.name_silent_s
+            ):
                 name_taken_by[member.identity] = successor
         return ReplicaSetView(
-            silent_s=silent,
-            dead=frozenset(name for name, age_s in silent.items() if age_s > self.timeouts.dead_after_s),
+            unreachable_s=unreachable_s_by_identity,
+            dead=frozenset(
+                name
+                for name, age_s in unreachable_s_by_identity.items()
+                if age_s > self.timeouts.dead_after_s
+            ),
             address_taken_by=address_taken_by,
             leaving=frozenset(peer.member.identity for peer in contacts.peers if peer.leaving),
             name_taken_by=name_taken_by,
--- a/emberring/register/service.py
+++ b/emberring/register/service.py
@@ -1,4 +1,4 @@
-"""The register in a control node's process: connects a `RegisterNode` with the network, the journal and the clock."""
+"""The register in a control node's process: connects a `RegisterNode` to the network, the journal and the clock."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 def resolve_future(future: asyncio.Future[bytes | None] | None, outcome: Resolve) -> None:
-    """Pass the outcome of an operation to its caller, if that one still waits."""
+    """Complete the future of an operation, unless it is done or its caller is gone."""
     if future is None or future.done():
         return
     if outcome.error is not None:
@@ -94,12 +94,12 @@
 
 
 class RegisterService:
-    """The replicated value, changed by compare and swap. Used from one event loop.
+    """The replicated value, changed by compare-and-swap. Must be used from one event loop.
 
     Args:
-        settings: of this node.
+        settings: the settings of this node.
         network: receives the register's messages and sends its calls.
-        journal_dir: the folder of the replica's journal.
+        journal_dir: the directory of the replica's journal.
     """
 
     def __init__(self, settings: Settings, network: Network, journal_dir: Path) -> None:
@@ -124,11 +124,11 @@
 
     @property
     def identity(self) -> str:
-        """The identity of this node's replica, kept on its disk; empty before `start` has ended."""
+        """The identity of this node's replica, as stored in its journal; empty unless the service is running."""
         return "" if self._node is None else self._node.me.identity
 
     async def start(self) -> None:
-        """Open the journal, create a replica where it is empty, and take part. Waits for a disk that fails."""
+        """Open the journal, create a replica if it is empty, and join the register. Retries until the disk works."""
         journal, acceptor = await self._open()
         self._journal = journal
         journal.set_rewriter(self._write_snapshot)
@@ -143,7 +143,7 @@
         self._apply(PeersChanged(self._peers))
 
     async def stop(self) -> None:
-        """Take part no longer; changes and reads in flight end with an unknown outcome or without a quorum."""
+        """Leave the register and close the journal; operations and calls in flight fail with `NotReadyError`."""
         if self._timer is not None:
             self._timer.cancel()
         self._node = None
@@ -160,43 +160,46 @@
             await self._journal.close()
 
     async def change(self, decide: Change, timeout_s: float) -> bytes:
-        """Swap the value for `decide(value)` and return the new value.
+        """Replace the value by `decide(value)` and return the new value.
 
-        `decide` may be called several times, at last with the value that is replaced. Where it returns None the present
-        value is returned (empty bytes if there is none yet).
-        An `EmberringError` from `decide` is raised once a quorum has confirmed the value that it judged.
-        `NoQuorumError`: not taken, as far as this node knows, for want of a quorum.
-        `UnknownOutcomeError`: it may have been taken.
+        `decide` may be called several times; the last call receives the value that is replaced. If it returns None, the
+        current value is returned (empty bytes if there is none yet).
+
+        Raises an `EmberringError` of `decide` once a quorum has confirmed the value that it rejected, `NoQuorumError`
+        if no quorum replied in time and the change was not proposed, and `UnknownOutcomeError` if the change may have
+        been committed.
         """
         payload = await self._run_operation(
-            lambda operation, until: ChangeRequested(operation, decide, until), timeout_s
+            lambda operation, deadline_s: ChangeRequested(operation, decide, deadline_s), timeout_s
         )
         return payload or b""
 
     async def read(self, timeout_s: float) -> bytes | None:
-        """Return the value that a quorum has; None before the first change.
+        """Return the committed value, or None before the first change.
 
-        It is at least as new as each change that was acknowledged before the call.
-        `NoQuorumError` where too few replicas answer in time.
+        It is at least as new as every change that was acknowledged before the call. Raises `NoQuorumError` if too few
+        replicas reply in time.
         """
-        return await self._run_operation(lambda operation, until: ReadRequested(operation, until), timeout_s)
+        return await self._run_operation(
+            lambda operation, deadline_s: ReadRequested(operation, deadline_s), timeout_s
+        )
 
     def subscribe(self, callback: Callable[[bytes], None]) -> None:
-        """Call back with each value known to be committed, the present one at once, none older than one before."""
+        """Call back with the current committed value at once, and then with each newer one that this node learns."""
         self._subscribers.add(callback)
 
     def majority_age_s(self) -> float:
-        """Return how long ago a quorum of the replicas was last in contact, in seconds; infinite if never."""
+        """Return the time since a quorum of the replicas was last in contact, in seconds; infinite if none was."""
         if self._node is None:
             return float("inf")
         return self._node.majority_age_s(asyncio.get_running_loop().time())
 
     def is_quorum(self, identities: frozenset[str]) -> bool:
-        """Return whether these replicas are a quorum of the committed set; false before this node knows one."""
+        """Return whether these replicas are a quorum of the committed replica set; false if this node knows none."""
         return self._node is not None and self._node.is_quorum(identities)
 
     def note_peers(self, records: Sequence[NodeRecordLike]) -> None:
-        """Set the other control nodes known at present; those that are no replicas may become replicas."""
+        """Set the list of the other control nodes; those that are not replicas may become replicas."""
         self._peers = tuple(
             Peer(record.name, Member(record.identity, record.address), record.zone, record.leaving)
             for record in records
@@ -222,10 +225,10 @@
         return await self._opener.open()
 
     async def _write_snapshot(self, segment: int) -> None:
-        """Write a snapshot so that the oldest segment can be emptied: nothing in it counts once a later one has it."""
+        """Append a snapshot to a later segment, which makes all records of the oldest segment obsolete."""
         if self._snapshot_segment > segment:
             return
-        # A return would let the journal empty the segment without a snapshot.
+        # Raise instead of returning: after a return the journal would reclaim the segment without a snapshot.
         if self._node is None or self._journal is None:
             raise NotReadyError("the register does not run")
         position = await self._journal.append(self._node.acceptor.snapshot(), reclaiming=True)
@@ -240,9 +243,9 @@
         for action in self._node.handle(loop.time(), event):
             self._execute(action)
         if self._node is not None:
-            self._arm(loop, self._node.next_wake_s(loop.time()))
+            self._schedule_tick(loop, self._node.next_wake_s(loop.time()))
 
-    def _arm(self, loop: asyncio.AbstractEventLoop, wake_s: float) -> None:
+    def _schedule_tick(self, loop: asyncio.AbstractEventLoop, wake_s: float) -> None:
         if self._timer is not None:
             if self._timer.when() <= wake_s:
                 return
@@ -250,8 +253,8 @@
         self._timer = loop.call_at(wake_s, self._on_timer)
 
     def _on_timer(self) -> None:
-        # Forgotten first: an event loop may run a timer up to its clock's resolution early, and one that had run but
-        # was due later by the clock was taken for armed, so that no other was armed.
+        # Cleared first: an event loop may run a timer up to its clock's resolution early. A timer that has run but is
+        # still due later by the clock would count as pending, and no further one would be scheduled.
         self._timer = None
         self._apply(Tick())
 
@@ -278,16 +281,16 @@
     async def _call(self, action: Call) -> None:
         reply: object | None = None
         try:
-            reply = await self._reply_to(action)
+            reply = await self._call_or_serve(action)
         except (EmberringError, TimeoutError):
             pass
         except Exception:
-            # The outermost handler of a call: one that never ended would leave its replica unasked for good, and
-            # this node behind.
+            # Outermost handler of a call: without a `Replied` event the call would stay in flight forever, so that this
+            # node would never contact the replica again and fall behind.
             logger.exception("event=call_failed address=%s", action.address)
         self._apply(Replied(action.call, reply))
 
-    async def _reply_to(self, action: Call) -> object:
+    async def _call_or_serve(self, action: Call) -> object:
         if action.address != self._address:
             return await self._network.call(action.address, action.message, object, action.timeout_s)
         async with asyncio.timeout(action.timeout_s):
@@ -298,31 +301,33 @@
             return
         future = self._journal.append(action.record)
         self._appends[action.append] = future
-        future.add_done_callback(lambda done: self._appended(action.append, done))
+        future.add_done_callback(lambda done: self._on_append_done(action.append, done))
 
-    def _appended(self, append: int, done: asyncio.Future[Position]) -> None:
+    def _on_append_done(self, append: int, done: asyncio.Future[Position]) -> None:
         self._appends.pop(append, None)
         if done.cancelled():
             return
         self._apply(AppendSynced(append) if done.exception() is None else AppendFailed(append))
 
     def _reply(self, action: Reply) -> None:
-        waiting = list(self._appends.values()) if action.durable else []
-        if waiting:
-            self._spawn(self._reply_later(action, waiting))
+        pending_appends = list(self._appends.values()) if action.durable else []
+        if pending_appends:
+            self._spawn(self._reply_after_appends(action, pending_appends))
         else:
-            self._answer(action)
-
-    async def _reply_later(self, action: Reply, waiting: list[asyncio.Future[Position]]) -> None:
-        await asyncio.wait(waiting)
-        if all(not future.cancelled() and future.exception() is None for future in waiting):
-            self._answer(action)
+            self._complete_reply(action)
+
+    async def _reply_after_appends(
+        self, action: Reply, pending_appends: list[asyncio.Future[Position]]
+    ) -> None:
+        await asyncio.wait(pending_appends)
+        if all(not future.cancelled() and future.exception() is None for future in pending_appends):
+            self._complete_reply(action)
         else:
             future = self._replies.get(action.request)
             if future is not None and not future.done():
                 future.set_exception(DiskFailedError("the record is not on the disk"))
 
-    def _answer(self, action: Reply) -> None:
+    def _complete_reply(self, action: Reply) -> None:
         future = self._replies.get(action.request)
         if future is not None and not future.done():
             future.set_result(action.message)
--- a/emberring/register/subscribers.py
+++ b/emberring/register/subscribers.py
@@ -17,16 +17,16 @@
         self._last_value: bytes | None = None
 
     def add(self, callback: Callable[[bytes], None]) -> None:
-        """Add a callback; the present value, if there is one, is passed to it at once."""
+        """Add a callback and pass it the current value at once, if there is one."""
         self._callbacks.append(callback)
         if self._last_value is not None:
             callback(self._last_value)
 
     def notify(self, value: bytes) -> None:
-        """Pass a new value to all callbacks. One that raises is logged and does not keep the others from theirs."""
+        """Pass a new value to all callbacks. An exception in one is logged and does not affect the others."""
         self._last_value = value
         for callback in list(self._callbacks):
             try:
                 callback(value)
-            except Exception:  # callbacks belong to other packages; the register goes on whatever they do
+            except Exception:  # callbacks belong to other packages; their errors must not stop the register
                 logger.exception("event=subscriber_failed")
--- a/tests/emberring/register/test_tier_register_changes.py
+++ b/tests/emberring/register/test_tier_register_changes.py
@@ -39,7 +39,7 @@
         ),
         ({"dead": frozenset("a"), "leaving": frozenset("b"), "candidates": SPARE}, swapped(A, D)),
         (
-            {"dead": frozenset("ab"), "silent_s": {"a": 2.0, "b": 3.0}, "candidates": SPARE},
+            {"dead": frozenset("ab"), "unreachable_s": {"a": 2.0, "b": 3.0}, "candidates": SPARE},
             swapped(B, D),
         ),
         (
@@ -78,7 +78,7 @@
 
 def hear(contacts: Contacts, now_s: float, replicas: ReplicaSet, answers: dict[str, Pong | None]) -> None:
     """Ping whoever is due; each answers, or is silent."""
-    contacts.note_time(now_s)
+    contacts.detect_pause(now_s)
     for address in contacts.take_due_pings(now_s, replicas):
         contacts.on_pong(address, answers.get(address))
 
@@ -169,7 +169,7 @@
     setup[1].set_peers((Peer("n", D),))
     assert play(setup, OLD, ALL, 3.0) is None
     found, contacts = setup
-    contacts.note_time(10.0)
+    contacts.detect_pause(10.0)
     contacts.take_due_pings(10.0, OLD)
     contacts.on_pong("d:1", pong("d"))
     contacts.on_pong("b:1", pong("b"))
@@ -191,7 +191,7 @@
     contacts = Contacts(A, 0.0, ())
     joint = ReplicaSet(1, (A, B, C), (A, D, E))
     for now_s, answers in ((1.0, ("b",)), (2.0, ("d",)), (3.0, ("c",))):
-        contacts.note_time(now_s)
+        contacts.detect_pause(now_s)
         for address in contacts.take_due_pings(now_s, joint):
             contacts.on_pong(address, pong(address[0]) if address[0] in answers else None)
     assert contacts.quorum_age_s(4.0, OLD) == 1.0
--- a/tests/test_glossary.py
+++ b/tests/test_glossary.py
@@ -56,9 +56,6 @@
     "held": "connections that are held open, in listener and server",
     "held_s": "how long a connection was held",
     "note_held": "records that",
-    "heard_at_s": "time of a peer's last message",
-    "_heard_at_s": "the same",
-    "last_heard_age_s": "the same",
 }
 
 
