--- a/emberring/membership/sampler.py
+++ b/emberring/membership/sampler.py
@@ -52,9 +52,9 @@
         self.view = PartialView(me, seed)
         network.handle(Shuffle, self._on_shuffle)
 
-    def controls(self) -> list[NodeRecord]:
+    def control_nodes(self) -> list[NodeRecord]:
         """Return the control nodes in the view, the most recently seen first."""
-        return self.view.controls()
+        return self.view.control_nodes()
 
     def start(self) -> None:
         """Start the periodic shuffles."""
--- a/emberring/membership/view.py
+++ b/emberring/membership/view.py
@@ -51,7 +51,7 @@
         self._random = random.Random(seed)
         self._entries: dict[str, _Entry] = {}
 
-    def controls(self) -> list[NodeRecord]:
+    def control_nodes(self) -> list[NodeRecord]:
         """Return the control nodes in the view, the most recently seen first."""
         control_nodes = [entry for entry in self._entries.values() if entry.node.role is NodeRole.CONTROL]
         control_nodes.sort(key=lambda entry: -entry.renewed_s)
--- a/tests/emberring/membership/test_tier_view.py
+++ b/tests/emberring/membership/test_tier_view.py
@@ -1,4 +1,4 @@
-"""Partial views: what a shuffle spreads, what is forgotten, and that control nodes are found without the seeds."""
+"""Partial views: merging, expiry, and discovery of control nodes without the seeds."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
     return NodeRecord(f"{role.value}-{number}", role, f"10.0.{number // 250}.{number % 250}:77", "a")
 
 
-def system(gateways: int, controls: int) -> dict[str, PartialView]:
-    """Nodes of which each knows one control node."""
+def initial_views(gateways: int, controls: int) -> dict[str, PartialView]:
+    """Return the views of nodes that each know one control node."""
     nodes = [node(number) for number in range(gateways)]
     nodes += [node(1000 + number, NodeRole.CONTROL) for number in range(controls)]
     views = {item.address: PartialView(item, seed) for seed, item in enumerate(nodes)}
@@ -44,8 +44,8 @@
 
 
 @pytest.mark.parametrize("gateways", [5, 60, 300])
-def test_a_view_stays_small_and_a_shuffle_does_not_grow_with_the_nodes(gateways: int) -> None:
-    views = system(gateways, 3)
+def test_views_and_shuffles_do_not_grow_with_the_number_of_nodes(gateways: int) -> None:
+    views = initial_views(gateways, 3)
     for turn in range(1, 31):
         shuffle_all(views, 2.0 * turn)
     for view in views.values():
@@ -55,16 +55,16 @@
         assert len(call.descriptors) <= SHUFFLE_LENGTH
 
 
-def test_every_node_comes_to_know_other_control_nodes_than_its_seed() -> None:
-    views = system(100, 3)
+def test_every_node_learns_control_nodes_other_than_its_seed() -> None:
+    views = initial_views(100, 3)
     for turn in range(1, 21):
         shuffle_all(views, 2.0 * turn)
-    alone = [view.me.name for view in views.values() if len(view.controls()) < 2]
-    assert alone == []
+    isolated = [view.me.name for view in views.values() if len(view.control_nodes()) < 2]
+    assert isolated == []
 
 
-def test_a_control_node_that_took_the_seeds_place_becomes_known_to_all() -> None:
-    views = system(40, 3)
+def test_a_control_node_that_replaces_the_seed_becomes_known_to_all() -> None:
+    views = initial_views(40, 3)
     for turn in range(1, 16):
         shuffle_all(views, 2.0 * turn)
     seed = node(1002, NodeRole.CONTROL)
@@ -75,17 +75,17 @@
         shuffle_all(views, 2.0 * turn, frozenset((seed.address,)))
     for view in views.values():
         if view.me != seed:
-            assert new in view.controls() or view.me == new
+            assert new in view.control_nodes() or view.me == new
 
 
-def test_a_node_that_does_not_answer_leaves_the_view() -> None:
+def test_a_node_that_does_not_reply_is_removed_from_the_view() -> None:
     view = PartialView(node(1), 1)
     view.record_contact(0.0, node(2))
     view.on_failure(node(2).address)
     assert view.next_shuffle(1.0) is None
 
 
-def test_a_descriptor_that_nobody_renews_is_forgotten() -> None:
+def test_a_descriptor_that_is_not_renewed_expires() -> None:
     view = PartialView(node(1), 1)
     view.record_contact(0.0, node(2))
     assert view.next_shuffle(MAX_DESCRIPTOR_AGE_S - 1.0) is not None
@@ -100,14 +100,14 @@
     assert [item.address for item in view.nodes()] == ["10.9.9.9:77"]
 
 
-def test_a_view_never_holds_its_own_node() -> None:
+def test_a_view_never_contains_its_own_node() -> None:
     view = PartialView(node(1), 1)
     view.on_shuffle(1.0, "x", (Descriptor(node(1), 0.0),))
     assert view.nodes() == []
 
 
-def test_views_stay_connected_while_a_third_of_the_nodes_die_and_come_back() -> None:
-    views = system(90, 3)
+def test_views_stay_connected_while_a_third_of_the_nodes_stop_and_return() -> None:
+    views = initial_views(90, 3)
     draw = random.Random(5)
     for turn in range(1, 16):
         shuffle_all(views, 2.0 * turn)
@@ -116,4 +116,4 @@
         shuffle_all(views, 2.0 * turn, dead)
     for turn in range(26, 60):
         shuffle_all(views, 2.0 * turn)
-    assert all(len(view.controls()) >= 2 for view in views.values())
+    assert all(len(view.control_nodes()) >= 2 for view in views.values())
--- a/tests/emberring/register/register_deployment.py
+++ b/tests/emberring/register/register_deployment.py
@@ -1,4 +1,4 @@
-"""Control nodes of a register on loopback addresses of their own, for the tests."""
+"""Control nodes of a register, each on its own loopback address."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 
 @attrs.frozen
-class Fact:
-    """What the tier says of a control node."""
+class PeerRecord:
+    """The node record of a control node."""
 
     name: str
     address: str
@@ -27,15 +27,15 @@
     leaving: bool = False
 
 
-def fresh_hosts(count: int) -> list[str]:
-    """Loopback addresses that no other test is likely to use."""
+def unused_hosts(count: int) -> list[str]:
+    """Return loopback addresses that no other test is likely to use."""
     rng = random.SystemRandom()
     prefix = f"127.{rng.randrange(20, 250)}.{rng.randrange(1, 250)}"
     return [f"{prefix}.{number}" for number in range(11, 11 + count)]
 
 
 def make_settings(host: str, seeds: Iterable[str], bootstrap: bool, machines: int = 1) -> Settings:
-    """The settings of the control node at this address."""
+    """Return the settings of the control node at this address."""
     return Settings(
         node_name=f"node-{host}",
         ip=host,
@@ -48,7 +48,7 @@
 
 
 class Node:
-    """One control node: its network, its register, its folder."""
+    """One control node: its network, its register and its journal directory."""
 
     def __init__(self, deployment: Deployment, host: str, bootstrap: bool) -> None:
         self.host = host
@@ -56,8 +56,8 @@
         self.network = deployment.network_class()
         self.directory = deployment.directory / host
         self.register = RegisterService(self.settings, self.network, self.directory)
-        self.seen: list[bytes] = []
-        self.register.subscribe(self.seen.append)
+        self.notified_values: list[bytes] = []
+        self.register.subscribe(self.notified_values.append)
 
     async def start(self) -> None:
         await self.network.listen(f"{self.host}:{FIRST_PORT + 1}")
@@ -68,12 +68,12 @@
         await self.network.close()
 
     @property
-    def fact(self) -> Fact:
-        return Fact(self.settings.node_name, f"{self.host}:{FIRST_PORT + 1}", self.register.identity)
+    def peer_record(self) -> PeerRecord:
+        return PeerRecord(self.settings.node_name, f"{self.host}:{FIRST_PORT + 1}", self.register.identity)
 
     @property
     def replicas(self) -> set[str]:
-        """The identities of the set that this node knows to be committed."""
+        """The identities of the committed replica set; empty during a reconfiguration."""
         node = self.register._node
         if node is None or node.learned is None or node.learned.state.replicas.joining:
             return set()
@@ -81,11 +81,11 @@
 
 
 class Deployment:
-    """Some control nodes; the first three are the seeds."""
+    """Control nodes, of which the first three are the seeds."""
 
     def __init__(self, directory: Path, count: int = 3, machines: int = 1) -> None:
         self.directory = directory
-        self.hosts = fresh_hosts(count)
+        self.hosts = unused_hosts(count)
         self.machines = machines
         self.network_class: Callable[[], Network] = Network
         self.nodes: dict[int, Node] = {}
@@ -99,31 +99,33 @@
         for number in numbers or tuple(self.nodes):
             await self.nodes.pop(number).stop()
 
-    def wipe(self, number: int) -> None:
+    def delete_journal(self, number: int) -> None:
         shutil.rmtree(self.directory / self.hosts[number])
 
     def note_peers(self) -> None:
-        """Each node is told of all others."""
+        """Set the peers of each node to all other nodes."""
         for node in self.nodes.values():
-            node.register.note_peers([other.fact for other in self.nodes.values() if other is not node])
+            node.register.note_peers(
+                [other.peer_record for other in self.nodes.values() if other is not node]
+            )
 
     def __getitem__(self, number: int) -> RegisterService:
         return self.nodes[number].register
 
-    async def until(self, condition: Callable[[], bool], number: int = 0) -> None:
-        """Read at a node until this holds."""
+    async def wait_until(self, condition: Callable[[], bool], number: int = 0) -> None:
+        """Read at a node until the condition is true."""
         for _ in range(20_000):
             if condition():
                 return
             await self[number].read(5.0)
-        raise AssertionError("it never came")
+        raise AssertionError("the condition did not become true")
 
 
-def adding(text: bytes) -> Callable[[bytes | None], bytes | None]:
-    """A change that puts a text at the end of the value unless it is there."""
+def appending(word: bytes) -> Callable[[bytes | None], bytes | None]:
+    """Return a change that appends a word to the value, unless the value contains it."""
 
     def change(value: bytes | None) -> bytes | None:
-        present = (value or b"").split()
-        return None if text in present else b" ".join((*present, text))
+        words = (value or b"").split()
+        return None if word in words else b" ".join((*words, word))
 
     return change
--- a/tests/emberring/register/test_tier_register_acceptor.py
+++ b/tests/emberring/register/test_tier_register_acceptor.py
@@ -1,4 +1,4 @@
-"""One replica's promises and acceptances, and what its records bring back."""
+"""The acceptor: its promises and acceptances, and their restoration from records."""
 
 from __future__ import annotations
 
@@ -50,12 +50,12 @@
     assert response.durable
 
 
-def test_a_newborn_promises_and_reports_nothing() -> None:
+def test_a_new_replica_promises_and_reports_no_proposal() -> None:
     response = Acceptor("new").prepare(Prepare("new", number(1)))
     assert response.reply == Promise("new", number(1))
 
 
-def test_the_state_is_left_out_where_the_caller_has_it() -> None:
+def test_the_state_is_omitted_if_the_caller_has_it() -> None:
     response = initial_acceptor().prepare(Prepare(ME, number(1), INITIAL_NUMBER))
     assert response.reply == Promise(ME, number(1), INITIAL_NUMBER, None)
     assert initial_acceptor().query(Query(ME, INITIAL_NUMBER)).reply == StateReport(ME, INITIAL_NUMBER, None)
@@ -67,7 +67,7 @@
 @pytest.mark.parametrize(
     "call", [Prepare("other", number(9)), Accept("other", number(9), state(b"v")), Query("other")]
 )
-def test_another_identity_is_refused_and_nothing_changes(call: Prepare | Accept | Query) -> None:
+def test_a_call_for_another_identity_is_rejected_and_changes_nothing(call: Prepare | Accept | Query) -> None:
     acceptor = initial_acceptor()
     method = {Prepare: acceptor.prepare, Accept: acceptor.accept, Query: acceptor.query}[type(call)]
     response = method(call)  # type: ignore[operator]
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize(
-    ("promised", "requested", "taken"),
+    ("promised", "requested", "accepted"),
     [
         (number(5), number(4), False),
         (number(5), number(5), True),
@@ -88,25 +88,25 @@
     ],
 )
 def test_lower_proposal_numbers_are_rejected(
-    promised: ProposalNumber, requested: ProposalNumber, taken: bool
+    promised: ProposalNumber, requested: ProposalNumber, accepted: bool
 ) -> None:
     for call in (Prepare(ME, requested), Accept(ME, requested, state(b"v"))):
         acceptor = initial_acceptor()
         acceptor.prepare(Prepare(ME, promised))
         reply = (acceptor.prepare(call) if isinstance(call, Prepare) else acceptor.accept(call)).reply
-        assert isinstance(reply, Rejected) is not taken
+        assert isinstance(reply, Rejected) is not accepted
         if isinstance(reply, Rejected):
             assert reply.promised == promised
 
 
-def test_an_acceptance_is_a_promise_too() -> None:
+def test_an_acceptance_is_also_a_promise() -> None:
     acceptor = initial_acceptor()
     assert acceptor.accept(Accept(ME, number(5), state(b"v"))).reply == Accepted(ME, number(5))
     assert acceptor.prepare(Prepare(ME, number(4))).reply == Rejected(ME, number(5))
     assert acceptor.prepare(Prepare(ME, number(6))).reply == Promise(ME, number(6), number(5), state(b"v"))
 
 
-def test_repeats_write_nothing_but_still_wait_for_the_disk() -> None:
+def test_repeated_calls_write_no_record_but_their_replies_are_durable() -> None:
     acceptor = initial_acceptor()
     for _ in range(2):
         response = acceptor.prepare(Prepare(ME, number(5)))
@@ -118,7 +118,7 @@
     assert response.durable
 
 
-def test_a_committed_proposal_is_taken_over_below_a_newer_promise() -> None:
+def test_a_committed_proposal_is_installed_below_a_newer_promise() -> None:
     acceptor = initial_acceptor()
     acceptor.prepare(Prepare(ME, number(9)))
     assert acceptor.install(Proposal(number(7), state(b"committed"))) is not None
@@ -136,12 +136,12 @@
     return acceptor
 
 
-def same(one: Acceptor, other: Acceptor) -> bool:
+def have_same_state(one: Acceptor, other: Acceptor) -> bool:
     return (one.identity, one.promised, one.accepted) == (other.identity, other.promised, other.accepted)
 
 
 @pytest.mark.parametrize("payload", [None, b"", b"value", b"two\nlines\n", bytes(range(256))])
-def test_records_bring_everything_back(payload: bytes | None) -> None:
+def test_records_restore_the_acceptor(payload: bytes | None) -> None:
     acceptor = initial_acceptor()
     records = [acceptor.snapshot()]
     for response in (
@@ -151,28 +151,28 @@
     ):
         assert response.record is not None
         records.append(response.record)
-    assert same(restored(records), acceptor)
-    assert same(restored([acceptor.snapshot()]), acceptor)
+    assert have_same_state(restored(records), acceptor)
+    assert have_same_state(restored([acceptor.snapshot()]), acceptor)
 
 
-def test_records_come_back_in_any_order_around_a_snapshot() -> None:
+def test_records_and_a_snapshot_are_restored_in_any_order() -> None:
     acceptor = initial_acceptor()
     first = acceptor.accept(Accept(ME, number(3), state(b"old"))).record
     second = acceptor.accept(Accept(ME, number(4), state(b"new"))).record
     assert first is not None
     assert second is not None
-    assert same(restored([acceptor.snapshot(), first, second]), acceptor)
-    assert same(restored([second, acceptor.snapshot(), first]), acceptor)
+    assert have_same_state(restored([acceptor.snapshot(), first, second]), acceptor)
+    assert have_same_state(restored([second, acceptor.snapshot(), first]), acceptor)
 
 
-def test_a_joint_set_comes_back() -> None:
+def test_a_joint_replica_set_is_restored() -> None:
     joint = ReplicaSet(4, REPLICAS.members, (*REPLICAS.members[:2], Member("new", "d:1")))
     acceptor = initial_acceptor()
     acceptor.accept(Accept(ME, number(3), State(joint, b"v")))
-    assert same(restored([acceptor.snapshot()]), acceptor)
+    assert have_same_state(restored([acceptor.snapshot()]), acceptor)
 
 
 @pytest.mark.parametrize("record", [b"", b"\n", b"{", b"[]\n", b'{"promised": 5}\n'])
-def test_what_is_no_record_is_told(record: bytes) -> None:
+def test_a_malformed_record_is_rejected(record: bytes) -> None:
     with pytest.raises(CorruptRecordError):
         Acceptor("").restore(record)
--- a/tests/emberring/register/test_tier_register_early_timers.py
+++ b/tests/emberring/register/test_tier_register_early_timers.py
@@ -1,4 +1,4 @@
-"""Timers that run a little before their time: an event loop may run one up to its clock's resolution early."""
+"""Timers that run early: an event loop may run a timer up to its clock's resolution before its time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from register_deployment import Deployment, adding
+from register_deployment import Deployment, appending
 
 from emberring.errors import NoQuorumError
 from emberring.register.replica_set_manager import RECONFIGURATION_TIMEOUTS
@@ -17,11 +17,11 @@
 from emberring.simulation.register.world import Mutations, World
 
 EARLY_S = 0.02
-"""How early the timers of the loop of these tests run, in seconds."""
+"""Clock resolution of the event loop of these tests, in seconds; its timers run that early."""
 
 
 class CoarseLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock is coarse, so that its timers run early."""
+    """An event loop with a coarse clock resolution, so that its timers run early."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -29,22 +29,22 @@
 
 
 class EarlyWorld(World):
-    """A simulated world whose timers run one rounding error before their time."""
+    """A simulated world whose timers run early by a rounding error."""
 
     def at(self, when_s: float, work: Callable[..., None], *arguments: Any) -> None:
         super().at(when_s - 1e-12, work, *arguments)
 
 
-def test_a_register_whose_timers_run_early_goes_on_ticking(tmp_path: Path) -> None:
+def test_a_register_whose_timers_run_early_still_schedules_ticks(tmp_path: Path) -> None:
     async def work() -> None:
         deployment = Deployment(tmp_path)
         try:
             await deployment.start(0)
-            # Only ticks end an operation for which no quorum answers; with a lost timer it waited without end.
+            # Only a tick expires an operation without a quorum; if the timer is lost, it waits forever.
             for _ in range(3):
                 async with asyncio.timeout(3.0):
                     with pytest.raises(NoQuorumError):
-                        await deployment[0].change(adding(b"1"), 0.3)
+                        await deployment[0].change(appending(b"1"), 0.3)
         finally:
             await deployment.stop()
 
@@ -52,7 +52,7 @@
         runner.run(work())
 
 
-def test_simulated_machines_whose_timers_run_early_replace_a_lost_one() -> None:
+def test_simulated_machines_whose_timers_run_early_replace_a_stopped_one() -> None:
     world = EarlyWorld(1, Mutations(), RECONFIGURATION_TIMEOUTS)
     names = ("a", "b", "c", "d")
     for name in names:
@@ -74,8 +74,8 @@
         assert lost not in {member.identity for member in node.learned.state.replicas.members}
 
 
-# Schedules whose simulated nodes all stopped at once when a timer ran early.
+# In these schedules a timer runs early; a node that then schedules no further tick stops.
 @pytest.mark.parametrize("seed", [920284, 920287, 920332, 920627, 920753, 950493])
-def test_schedules_in_which_a_timer_ran_early_leave_nothing_wrong(seed: int) -> None:
+def test_schedules_with_early_timers_have_no_violations(seed: int) -> None:
     verdict = play_seed(seed)
     assert not verdict.violations, describe(verdict)
--- a/tests/emberring/register/test_tier_register_proposer.py
+++ b/tests/emberring/register/test_tier_register_proposer.py
@@ -1,4 +1,4 @@
-"""One attempt and one query: quorums by the set that was found, joint sets, sets that leave only a committed state."""
+"""One attempt and one quorum read: quorums by the replica set found, joint sets, and when a set may be dropped."""
 
 from __future__ import annotations
 
@@ -35,43 +35,43 @@
     return Promise(member.identity, MINE, accepted.number, accepted.state)
 
 
-def put(payload: bytes) -> ProposalAttempt:
+def attempt_to_set(payload: bytes) -> ProposalAttempt:
     return ProposalAttempt(MINE, FIRST, lambda found, committed: State(found.state.replicas, payload))
 
 
-def keep() -> ProposalAttempt:
+def attempt_to_keep() -> ProposalAttempt:
     return ProposalAttempt(MINE, FIRST, lambda found, committed: found.state)
 
 
-def to(replicas: ReplicaSet) -> ProposalAttempt:
+def attempt_to_reconfigure(replicas: ReplicaSet) -> ProposalAttempt:
     return ProposalAttempt(MINE, FIRST, lambda found, committed: State(replicas, found.state.payload))
 
 
-def targets(sends: list[Send], kind: type) -> list[str]:
+def recipients(sends: list[Send], kind: type) -> list[str]:
     return [send.member.identity for send in sends if isinstance(send.message, kind)]
 
 
-def accepted_by(attempt: ProposalAttempt, *members: Member) -> None:
+def deliver_acceptances(attempt: ProposalAttempt, *members: Member) -> None:
     for member in members:
         attempt.on_reply(member, Accepted(member.identity, MINE))
 
 
 def test_two_of_three_promise_then_two_of_three_accept() -> None:
-    attempt = put(b"v")
-    assert targets(attempt.start(OLD.all_members), Prepare) == ["a", "b", "c"]
+    attempt = attempt_to_set(b"v")
+    assert recipients(attempt.start(OLD.all_members), Prepare) == ["a", "b", "c"]
     assert attempt.on_reply(A, promise(A, FIRST)) == []
     sends = attempt.on_reply(C, promise(C, FIRST))
-    assert targets(sends, Accept) == ["a", "b", "c"]
-    accepted_by(attempt, A)
+    assert recipients(sends, Accept) == ["a", "b", "c"]
+    deliver_acceptances(attempt, A)
     assert attempt.phase is Phase.ACCEPTING
-    accepted_by(attempt, A)  # the same one again counts once
+    deliver_acceptances(attempt, A)  # a duplicate acceptance counts once
     assert attempt.phase is Phase.ACCEPTING
-    accepted_by(attempt, B)
+    deliver_acceptances(attempt, B)
     assert attempt.phase is Phase.COMMITTED
     assert attempt.outcome == Proposal(MINE, State(OLD, b"v"))
 
 
-def test_the_newest_proposal_found_is_the_basis() -> None:
+def test_an_attempt_builds_on_the_newest_proposal_found() -> None:
     older, newer = proposal(2, OLD, b"older"), proposal(3, OLD, b"newer")
     seen: list[tuple[Proposal, bool]] = []
     attempt = ProposalAttempt(
@@ -83,27 +83,27 @@
     assert seen == [(newer, False)]
 
 
-def test_a_state_that_a_quorum_holds_is_known_to_be_committed_and_not_written_again() -> None:
-    held = proposal(3, OLD, b"held")
-    attempt = keep()
+def test_a_state_that_a_quorum_accepted_is_committed_and_not_proposed_again() -> None:
+    accepted = proposal(3, OLD, b"held")
+    attempt = attempt_to_keep()
     attempt.start(OLD.all_members)
-    attempt.on_reply(A, promise(A, held))
-    assert attempt.on_reply(B, promise(B, held)) == []
+    attempt.on_reply(A, promise(A, accepted))
+    assert attempt.on_reply(B, promise(B, accepted)) == []
     assert attempt.phase is Phase.COMMITTED
-    assert attempt.outcome == held
+    assert attempt.outcome == accepted
     assert not attempt.accept_sent
 
 
-def test_a_state_that_may_not_be_committed_is_proposed_again_under_the_own_number() -> None:
-    attempt = keep()
+def test_a_state_that_may_not_be_committed_is_proposed_again_with_a_new_number() -> None:
+    attempt = attempt_to_keep()
     attempt.start(OLD.all_members)
     attempt.on_reply(A, promise(A, proposal(3, OLD, b"held")))
-    assert targets(attempt.on_reply(B, promise(B, FIRST)), Accept) == ["a", "b", "c"]
-    accepted_by(attempt, A, C)
+    assert recipients(attempt.on_reply(B, promise(B, FIRST)), Accept) == ["a", "b", "c"]
+    deliver_acceptances(attempt, A, C)
     assert attempt.outcome == Proposal(MINE, State(OLD, b"held"))
 
 
-def test_a_state_left_out_is_the_one_known() -> None:
+def test_an_omitted_state_is_that_of_the_known_proposal() -> None:
     known = proposal(3, OLD, b"known")
     attempt = ProposalAttempt(
         MINE, known, lambda found, committed: State(OLD, (found.state.payload or b"") + b"!")
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize(
-    ("holders", "others", "complete"),
+    ("acceptors", "others", "complete"),
     [
         ([A], [B], True),  # majorities of abc and of abd
         ([A], [C], False),  # no majority of abd
@@ -127,51 +127,51 @@
     ],
 )
 def test_a_joint_set_found_needs_both_majorities(
-    holders: list[Member], others: list[Member], complete: bool
+    acceptors: list[Member], others: list[Member], complete: bool
 ) -> None:
     joint = proposal(3, JOINT, b"v")
-    attempt = put(b"w")
+    attempt = attempt_to_set(b"w")
     attempt.start((A, B, C, D))
     sends: list[Send] = []
-    for member in holders:
+    for member in acceptors:
         sends += attempt.on_reply(member, promise(member, joint))
     for member in others:
         sends += attempt.on_reply(member, promise(member, None if member == D else FIRST))
-    assert (targets(sends, Accept) != []) is complete
+    assert (recipients(sends, Accept) != []) is complete
 
 
-def test_replicas_that_are_found_out_are_asked_too() -> None:
-    attempt = put(b"w")
+def test_replicas_of_a_newer_set_are_sent_prepares_too() -> None:
+    attempt = attempt_to_set(b"w")
     attempt.start(OLD.all_members)
     sends = attempt.on_reply(A, promise(A, proposal(3, JOINT, b"v")))
-    assert targets(sends, Prepare) == ["d"]
+    assert recipients(sends, Prepare) == ["d"]
     assert attempt.on_reply(C, promise(C, FIRST)) == []
-    assert targets(attempt.on_reply(D, promise(D, None)), Accept) == ["a", "b", "c", "d"]
+    assert recipients(attempt.on_reply(D, promise(D, None)), Accept) == ["a", "b", "c", "d"]
 
 
 def test_entering_a_joint_set_needs_both_majorities_to_accept() -> None:
-    attempt = to(JOINT)
+    attempt = attempt_to_reconfigure(JOINT)
     attempt.start(OLD.all_members)
     attempt.on_reply(A, promise(A, FIRST))
-    assert targets(attempt.on_reply(C, promise(C, FIRST)), Accept) == ["a", "b", "c", "d"]
-    accepted_by(attempt, A, C)
+    assert recipients(attempt.on_reply(C, promise(C, FIRST)), Accept) == ["a", "b", "c", "d"]
+    deliver_acceptances(attempt, A, C)
     assert attempt.phase is Phase.ACCEPTING
-    accepted_by(attempt, D)
+    deliver_acceptances(attempt, D)
     assert attempt.phase is Phase.COMMITTED
 
 
-def test_leaving_a_joint_set_needs_it_committed_and_then_the_new_majority_alone() -> None:
+def test_leaving_a_committed_joint_set_needs_only_the_new_majority() -> None:
     joint = proposal(3, JOINT, b"v")
-    attempt = to(NEW)
+    attempt = attempt_to_reconfigure(NEW)
     attempt.start(JOINT.all_members)
     attempt.on_reply(A, promise(A, joint))
-    assert targets(attempt.on_reply(B, promise(B, joint)), Accept) == ["a", "b", "d"]
-    accepted_by(attempt, A, D)
+    assert recipients(attempt.on_reply(B, promise(B, joint)), Accept) == ["a", "b", "d"]
+    deliver_acceptances(attempt, A, D)
     assert attempt.outcome == Proposal(MINE, State(NEW, b"v"))
 
 
-def test_a_set_never_leaves_a_state_that_is_not_known_to_be_committed() -> None:
-    attempt = to(NEW)
+def test_a_set_is_not_dropped_from_a_state_that_may_not_be_committed() -> None:
+    attempt = attempt_to_reconfigure(NEW)
     attempt.start(JOINT.all_members)
     attempt.on_reply(D, promise(D, proposal(3, JOINT, b"v")))
     attempt.on_reply(C, promise(C, FIRST))
@@ -182,8 +182,8 @@
 @pytest.mark.parametrize(
     "reply", [None, Rejected("x", ProposalNumber(9, "q")), UnknownReplica("x"), "nonsense"]
 )
-def test_an_attempt_fails_once_no_quorum_is_left(reply: object) -> None:
-    attempt = put(b"v")
+def test_an_attempt_fails_once_no_quorum_can_reply(reply: object) -> None:
+    attempt = attempt_to_set(b"v")
     attempt.start(OLD.all_members)
     attempt.on_reply(A, reply)
     assert attempt.phase is Phase.PREPARING
@@ -192,12 +192,12 @@
     assert not attempt.accept_sent
 
 
-def test_an_attempt_fails_while_accepting_and_may_have_been_accepted() -> None:
-    attempt = put(b"v")
+def test_an_attempt_that_fails_while_accepting_may_have_been_accepted() -> None:
+    attempt = attempt_to_set(b"v")
     attempt.start(OLD.all_members)
     attempt.on_reply(A, promise(A, FIRST))
     attempt.on_reply(B, promise(B, FIRST))
-    accepted_by(attempt, A)
+    deliver_acceptances(attempt, A)
     attempt.on_reply(B, Rejected("b", ProposalNumber(9, "q")))
     attempt.on_reply(C, None)
     assert attempt.phase is Phase.FAILED
@@ -205,15 +205,15 @@
     assert attempt.accept_sent
 
 
-def test_replies_of_other_attempts_and_replicas_count_nothing() -> None:
-    attempt = put(b"v")
+def test_replies_to_other_attempts_or_from_other_replicas_do_not_count() -> None:
+    attempt = attempt_to_set(b"v")
     attempt.start(OLD.all_members)
     attempt.on_reply(A, Promise("a", ProposalNumber(4, "me"), INITIAL_NUMBER, FIRST.state))
     attempt.on_reply(B, Promise("c", MINE, INITIAL_NUMBER, FIRST.state))
     assert attempt.phase is Phase.FAILED
 
 
-def held(member: Member, found: Proposal | None) -> StateReport:
+def report(member: Member, found: Proposal | None) -> StateReport:
     return (
         StateReport(member.identity)
         if found is None
@@ -239,18 +239,18 @@
         ([(A, J4), (C, J4), (D, None)], None, False),
     ],
 )
-def test_a_query_shows_what_a_quorum_holds(
+def test_a_quorum_read_returns_what_a_quorum_accepted(
     answers: list[tuple[Member, Proposal | None]], committed: Proposal | None, finished: bool
 ) -> None:
     query = QuorumRead(FIRST)
-    assert targets(query.start(OLD.all_members), Query) == ["a", "b", "c"]
+    assert recipients(query.start(OLD.all_members), Query) == ["a", "b", "c"]
     for member, found in answers:
-        query.on_reply(member, held(member, found))
+        query.on_reply(member, report(member, found))
     assert query.committed == committed
     assert query.finished is finished
 
 
-def test_a_query_without_answers_ends_with_nothing() -> None:
+def test_a_quorum_read_without_replies_finishes_without_a_result() -> None:
     query = QuorumRead(FIRST)
     query.start(OLD.all_members)
     for member in (A, B, C):
--- a/tests/emberring/register/test_tier_register_quorums.py
+++ b/tests/emberring/register/test_tier_register_quorums.py
@@ -1,4 +1,4 @@
-"""Attempts of several proposers over the replicas, every message delivered late, twice, in any order or never."""
+"""Concurrent attempts of several proposers; messages are delayed, duplicated, reordered or lost."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 
 @attrs.frozen(eq=False)
-class Flight:
-    """A message under way: a call to a replica, or its reply."""
+class InFlightMessage:
+    """A message in flight: a call to a replica, or its reply."""
 
     attempt: ProposalAttempt
     send: Send
@@ -28,7 +28,7 @@
 
 
 class AttemptsMachine(RuleBasedStateMachine):
-    """Each attempt adds its counter to the value, or takes a step of a change of the set."""
+    """Each attempt appends its counter to the value, and may make a reconfiguration step."""
 
     @initialize()
     def begin(self) -> None:
@@ -40,65 +40,65 @@
             for address, member in self.members.items()
         }
         self.durable = {identity: [acceptor.snapshot()] for identity, acceptor in self.acceptors.items()}
-        self.flights: list[Flight] = []
+        self.in_flight: list[InFlightMessage] = []
         self.attempts: list[ProposalAttempt] = []
         self.counter = 0
         self.known = initial
         self.committed: dict[ProposalNumber, Proposal] = {initial.number: initial}
 
     @rule(
-        swap=st.sampled_from([None, ("a", "d"), ("b", "e"), ("c", "d"), ("d", "a"), ("e", "c")]),
+        replacement=st.sampled_from([None, ("a", "d"), ("b", "e"), ("c", "d"), ("d", "a"), ("e", "c")]),
         fresh=st.booleans(),
     )
-    def propose(self, swap: tuple[str, str] | None, fresh: bool) -> None:
+    def propose(self, replacement: tuple[str, str] | None, fresh: bool) -> None:
         self.counter += 1
         number = self.counter
         known = self.known if fresh else self.committed[min(self.committed)]
 
         def decide(found: Proposal, committed: bool) -> State:
-            replicas = self.step(found.state.replicas, swap, committed)
+            replicas = self.step(found.state.replicas, replacement, committed)
             return State(replicas, (found.state.payload or b"") + b"%d " % number)
 
         attempt = ProposalAttempt(ProposalNumber(number, f"p{number}"), known, decide)
         self.attempts.append(attempt)
-        self.launch(attempt, attempt.start(known.state.replicas.all_members))
+        self.transmit(attempt, attempt.start(known.state.replicas.all_members))
 
-    def step(self, replicas: ReplicaSet, swap: tuple[str, str] | None, committed: bool) -> ReplicaSet:
-        if swap is None:
+    def step(self, replicas: ReplicaSet, replacement: tuple[str, str] | None, committed: bool) -> ReplicaSet:
+        if replacement is None:
             return replicas
         if replicas.joining:
             return ReplicaSet(replicas.epoch + 1, replicas.joining) if committed else replicas
-        out, into = self.members[swap[0]], self.members[swap[1]]
-        if out not in replicas.members or into in replicas.members:
+        outgoing, successor = self.members[replacement[0]], self.members[replacement[1]]
+        if outgoing not in replicas.members or successor in replicas.members:
             return replicas
-        joining = tuple(into if member == out else member for member in replicas.members)
+        joining = tuple(successor if member == outgoing else member for member in replicas.members)
         return ReplicaSet(replicas.epoch + 1, replicas.members, joining)
 
-    def launch(self, attempt: ProposalAttempt, sends: list[Send]) -> None:
-        self.flights += [Flight(attempt, send) for send in sends]
+    def transmit(self, attempt: ProposalAttempt, sends: list[Send]) -> None:
+        self.in_flight += [InFlightMessage(attempt, send) for send in sends]
 
-    @precondition(lambda self: self.flights)
-    @rule(pick=st.integers(0, 10**6), again=st.booleans(), lost=st.integers(0, 9))
-    def deliver(self, pick: int, again: bool, lost: int) -> None:
-        index = pick % len(self.flights)
-        flight = self.flights[index] if again else self.flights.pop(index)
+    @precondition(lambda self: self.in_flight)
+    @rule(pick=st.integers(0, 10**6), duplicate=st.booleans(), lost=st.integers(0, 9))
+    def deliver(self, pick: int, duplicate: bool, lost: int) -> None:
+        index = pick % len(self.in_flight)
+        message = self.in_flight[index] if duplicate else self.in_flight.pop(index)
         if lost == 0:
             return
-        if flight.reply is None:
-            self.flights.append(attrs.evolve(flight, reply=self.judge(flight.send)))
+        if message.reply is None:
+            self.in_flight.append(attrs.evolve(message, reply=self.reply_of(message.send)))
             return
-        self.launch(flight.attempt, flight.attempt.on_reply(flight.send.member, flight.reply))
-        self.take_outcome(flight.attempt)
+        self.transmit(message.attempt, message.attempt.on_reply(message.send.member, message.reply))
+        self.record_outcome(message.attempt)
 
-    @precondition(lambda self: self.flights)
+    @precondition(lambda self: self.in_flight)
     @rule(picks=st.lists(st.integers(0, 10**6), min_size=5, max_size=20))
     def deliver_many(self, picks: list[int]) -> None:
         for pick in picks:
-            if self.flights:
+            if self.in_flight:
                 self.deliver(pick, False, 1)
 
-    def judge(self, send: Send) -> object:
-        """The replica's answer; what it must keep is on its disk before that."""
+    def reply_of(self, send: Send) -> object:
+        """Return the replica's reply after persisting its record."""
         acceptor = self.acceptors[send.member.identity]
         message = send.message
         response: AcceptorResponse
@@ -113,7 +113,7 @@
             self.durable[send.member.identity].append(response.record)
         return response.reply
 
-    def take_outcome(self, attempt: ProposalAttempt) -> None:
+    def record_outcome(self, attempt: ProposalAttempt) -> None:
         if attempt.phase is Phase.COMMITTED and attempt.outcome is not None:
             found = self.committed.setdefault(attempt.outcome.number, attempt.outcome)
             assert found == attempt.outcome
@@ -131,14 +131,14 @@
 
     @rule(address=st.sampled_from([*ADDRESSES, *SPARES]))
     def learn(self, address: str) -> None:
-        """Somebody tells a replica the newest committed proposal."""
+        """Install the newest committed proposal at a replica."""
         identity = self.members[address].identity
         record = self.acceptors[identity].install(self.known)
         if record is not None:
             self.durable[identity].append(record)
 
     @invariant()
-    def committed_ones_are_one_history(self) -> None:
+    def committed_proposals_form_one_history(self) -> None:
         if not hasattr(self, "committed"):
             return
         in_order = [self.committed[number] for number in sorted(self.committed)]
--- a/tests/emberring/register/test_tier_register_service.py
+++ b/tests/emberring/register/test_tier_register_service.py
@@ -1,4 +1,4 @@
-"""Registers over loopback: founding, races, deaths, lost and replaced machines, lost replies."""
+"""Registers over loopback: bootstrap, concurrent changes, stopped, wiped and replaced nodes, lost replies."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from typing import Any, TypeVar
 
 import pytest
-from register_deployment import Deployment, adding
+from register_deployment import Deployment, appending
 
 from emberring.errors import (
     NoQuorumError,
@@ -22,13 +22,13 @@
 from emberring.register.model import ProposalNumber
 from emberring.transport.network import Network
 
-PATIENCE_S = 5.0
+TIMEOUT_S = 5.0
 QUORUM = 2  # of three replicas
 T = TypeVar("T")
 
 
-def on_deployment(directory: Path, work: Callable[[Deployment], Awaitable[None]], **options: int) -> None:
-    """Run a test on a deployment that ends with it."""
+def run_on_deployment(directory: Path, work: Callable[[Deployment], Awaitable[None]], **options: int) -> None:
+    """Run a test on a deployment that is stopped afterwards."""
 
     async def run() -> None:
         deployment = Deployment(directory, **options)
@@ -40,42 +40,42 @@
     asyncio.run(run())
 
 
-def test_founders_start_in_any_order(tmp_path: Path) -> None:
+def test_initial_replicas_start_in_any_order(tmp_path: Path) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(2)
         with pytest.raises(NoQuorumError):
-            await deployment[2].change(adding(b"1"), 0.05)
+            await deployment[2].change(appending(b"1"), 0.05)
         await deployment.start(0)
-        assert await deployment[0].read(PATIENCE_S) is None
-        assert await deployment[2].change(adding(b"1"), PATIENCE_S) == b"1"
+        assert await deployment[0].read(TIMEOUT_S) is None
+        assert await deployment[2].change(appending(b"1"), TIMEOUT_S) == b"1"
         await deployment.start(1)
-        assert await deployment[1].read(PATIENCE_S) == b"1"
+        assert await deployment[1].read(TIMEOUT_S) == b"1"
 
-    on_deployment(tmp_path, work)
+    run_on_deployment(tmp_path, work)
 
 
-def test_a_change_may_leave_the_value_or_refuse(tmp_path: Path) -> None:
+def test_a_change_may_keep_the_value_or_reject_it(tmp_path: Path) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(0, 1, 2)
-        assert await deployment[0].change(lambda value: None, PATIENCE_S) == b""
-        await deployment[0].change(adding(b"1"), PATIENCE_S)
-        assert await deployment[1].change(adding(b"1"), PATIENCE_S) == b"1"
+        assert await deployment[0].change(lambda value: None, TIMEOUT_S) == b""
+        await deployment[0].change(appending(b"1"), TIMEOUT_S)
+        assert await deployment[1].change(appending(b"1"), TIMEOUT_S) == b"1"
 
-        def refuse(value: bytes | None) -> bytes | None:
+        def reject(value: bytes | None) -> bytes | None:
             raise VersionConflictError(f"it is {value!r}")
 
         with pytest.raises(VersionConflictError, match="b'1'"):
-            await deployment[2].change(refuse, PATIENCE_S)
+            await deployment[2].change(reject, TIMEOUT_S)
 
-    on_deployment(tmp_path, work)
+    run_on_deployment(tmp_path, work)
 
 
 def swapping(expected: bytes | None, value: bytes) -> Callable[[bytes | None], bytes | None]:
-    """A change from one value to another; whoever finds a third value, or the second, leaves it."""
+    """Return a change from one value to another that keeps any value other than the expected one."""
     return lambda found: value if found == expected else None
 
 
-def test_of_three_changes_on_the_same_value_one_wins_and_all_are_told_which(tmp_path: Path) -> None:
+def test_one_of_three_concurrent_changes_wins_and_all_return_its_value(tmp_path: Path) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(0, 1, 2)
         current: bytes | None = None
@@ -83,197 +83,200 @@
             wanted = [b"%d-%d" % (turn, number) for number in range(3)]
             results = await asyncio.gather(
                 *(
-                    deployment[number].change(swapping(current, wanted[number]), PATIENCE_S)
+                    deployment[number].change(swapping(current, wanted[number]), TIMEOUT_S)
                     for number in range(3)
                 )
             )
             current = results[0]
             assert current in wanted
             assert results == [current] * 3
-            assert await deployment[turn % 3].read(PATIENCE_S) == current
+            assert await deployment[turn % 3].read(TIMEOUT_S) == current
 
-    on_deployment(tmp_path, work)
+    run_on_deployment(tmp_path, work)
 
 
-def overtaken(deployment: Deployment, number: int, by: int) -> None:
-    """A quorum accepts this node's next proposal and another node finishes it before this one hears of that."""
+def overtake_next_proposal(deployment: Deployment, number: int, by: int) -> None:
+    """Let another node commit this node's next proposal after a quorum has accepted it, and lose the replies."""
     network = deployment.nodes[number].network
-    assert isinstance(network, OvertakenNetwork)
-    network.finish = lambda: deployment[by].change(lambda value: None, PATIENCE_S)
+    assert isinstance(network, OvertakingNetwork)
+    network.finish = lambda: deployment[by].change(lambda value: None, TIMEOUT_S)
 
 
-async def change_overtaken(deployment: Deployment, change: Callable[[bytes | None], bytes | None]) -> bytes:
-    deployment.network_class = OvertakenNetwork
+async def change_with_overtaking(
+    deployment: Deployment, change: Callable[[bytes | None], bytes | None]
+) -> bytes:
+    deployment.network_class = OvertakingNetwork
     await deployment.start(0, 1, 2)
-    await deployment[0].change(adding(b"1"), PATIENCE_S)
-    overtaken(deployment, 0, by=1)
-    return await deployment[0].change(change, PATIENCE_S)
+    await deployment[0].change(appending(b"1"), TIMEOUT_S)
+    overtake_next_proposal(deployment, 0, by=1)
+    return await deployment[0].change(change, TIMEOUT_S)
 
 
-def test_a_change_that_finds_its_own_effect_finished_by_another_has_won(tmp_path: Path) -> None:
+def test_a_change_that_another_node_committed_succeeds(tmp_path: Path) -> None:
     async def work(deployment: Deployment) -> None:
-        assert await change_overtaken(deployment, swapping(b"1", b"2")) == b"2"
+        assert await change_with_overtaking(deployment, swapping(b"1", b"2")) == b"2"
 
-    on_deployment(tmp_path, work)
+    run_on_deployment(tmp_path, work)
 
 
-def test_a_change_that_refuses_its_own_effect_is_told_that_it_is_in_doubt(tmp_path: Path) -> None:
-    def refusing(found: bytes | None) -> bytes:
+def test_a_change_that_rejects_its_own_effect_has_an_unknown_outcome(tmp_path: Path) -> None:
+    def rejecting(found: bytes | None) -> bytes:
         if found != b"1":
             raise VersionConflictError("another is current")
         return b"2"
 
     async def work(deployment: Deployment) -> None:
         with pytest.raises(UnknownOutcomeError, match="another is current"):
-            await change_overtaken(deployment, refusing)
-        assert await deployment[2].read(PATIENCE_S) == b"2"
+            await change_with_overtaking(deployment, rejecting)
+        assert await deployment[2].read(TIMEOUT_S) == b"2"
 
-    on_deployment(tmp_path, work)
+    run_on_deployment(tmp_path, work)
 
 
-def test_eight_orders_at_once_are_all_taken_within_a_second(tmp_path: Path) -> None:
+def test_eight_concurrent_changes_all_commit_within_a_second(tmp_path: Path) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(0, 1, 2)
         for turn in range(5):
             names = [b"%d.%d" % (turn, number) for number in range(8)]
             await asyncio.gather(
-                *(deployment[number % 3].change(adding(name), 1.0) for number, name in enumerate(names))
+                *(deployment[number % 3].change(appending(name), 1.0) for number, name in enumerate(names))
             )
             value = await deployment[turn % 3].read(1.0)
             assert value is not None
             assert set(names) <= set(value.split())
 
-    on_deployment(tmp_path, work)
+    run_on_deployment(tmp_path, work)
 
 
-def test_every_node_learns_each_value_in_order(tmp_path: Path) -> None:
+def test_every_node_is_notified_of_values_in_order(tmp_path: Path) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(0, 1, 2)
         for number in range(20):
-            await deployment[number % 3].change(adding(b"%d" % number), PATIENCE_S)
-        last = await deployment[0].read(PATIENCE_S)
+            await deployment[number % 3].change(appending(b"%d" % number), TIMEOUT_S)
+        last = await deployment[0].read(TIMEOUT_S)
         for node in deployment.nodes.values():
-            await deployment.until(lambda node=node: node.seen[-1:] == [last])
+            await deployment.wait_until(lambda node=node: node.notified_values[-1:] == [last])
             assert all(
-                later.startswith(earlier) for earlier, later in zip(node.seen, node.seen[1:], strict=False)
+                later.startswith(earlier)
+                for earlier, later in zip(node.notified_values, node.notified_values[1:], strict=False)
             )
-        told: list[bytes] = []
-        deployment[1].subscribe(told.append)
-        assert told == [last]
+        notified: list[bytes] = []
+        deployment[1].subscribe(notified.append)
+        assert notified == [last]
 
-    on_deployment(tmp_path, work)
+    run_on_deployment(tmp_path, work)
 
 
-def test_one_of_three_may_be_down_but_not_two(tmp_path: Path) -> None:
+def test_one_of_three_replicas_may_be_down_but_not_two(tmp_path: Path) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(0, 1, 2)
-        await deployment[0].change(adding(b"1"), PATIENCE_S)
+        await deployment[0].change(appending(b"1"), TIMEOUT_S)
         await deployment.stop(2)
-        assert await deployment[1].change(adding(b"2"), PATIENCE_S) == b"1 2"
+        assert await deployment[1].change(appending(b"2"), TIMEOUT_S) == b"1 2"
         await deployment.stop(1)
         with pytest.raises(NoQuorumError):
             await deployment[0].read(0.1)
         with pytest.raises(NoQuorumError):
-            await deployment[0].change(adding(b"3"), 0.1)
+            await deployment[0].change(appending(b"3"), 0.1)
         age_s = deployment[0].majority_age_s()
         assert age_s > 0.05
         await deployment.start(1, bootstrap=False)
-        assert await deployment[0].change(adding(b"4"), PATIENCE_S) == b"1 2 4"
-        await deployment.until(lambda: deployment[0].majority_age_s() < 0.3)
+        assert await deployment[0].change(appending(b"4"), TIMEOUT_S) == b"1 2 4"
+        await deployment.wait_until(lambda: deployment[0].majority_age_s() < 0.3)
 
-    on_deployment(tmp_path, work)
+    run_on_deployment(tmp_path, work)
 
 
-def test_all_restarted_have_what_was_acknowledged_and_tell_it_unasked(tmp_path: Path) -> None:
+def test_restarted_nodes_notify_subscribers_of_acknowledged_changes(tmp_path: Path) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(0, 1, 2)
         for turn in range(3):
-            await deployment[turn].change(adding(b"%d" % turn), PATIENCE_S)
+            await deployment[turn].change(appending(b"%d" % turn), TIMEOUT_S)
             identities = {node.register.identity for node in deployment.nodes.values()}
             await deployment.stop()
             await deployment.start(2, 1, 0, bootstrap=False)
             assert {node.register.identity for node in deployment.nodes.values()} == identities
             wanted = b" ".join(b"%d" % number for number in range(turn + 1))
             for node in deployment.nodes.values():
-                await deployment.until(lambda node=node, wanted=wanted: node.seen == [wanted])
+                await deployment.wait_until(lambda node=node, wanted=wanted: node.notified_values == [wanted])
 
-    on_deployment(tmp_path, work)
+    run_on_deployment(tmp_path, work)
 
 
-def test_a_lost_disk_comes_back_as_another_replica(tmp_path: Path) -> None:
+def test_a_node_that_lost_its_disk_returns_as_another_replica(tmp_path: Path) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(0, 1, 2)
-        await deployment[0].change(adding(b"1"), PATIENCE_S)
+        await deployment[0].change(appending(b"1"), TIMEOUT_S)
         before = deployment[2].identity
         await deployment.stop(2)
-        deployment.wipe(2)
+        deployment.delete_journal(2)
         await deployment.start(2, bootstrap=False)
         after = deployment[2].identity
         assert after != before
         wanted = {deployment[number].identity for number in range(3)}
         for number in range(3):
-            await deployment.until(lambda number=number: deployment.nodes[number].replicas == wanted)
+            await deployment.wait_until(lambda number=number: deployment.nodes[number].replicas == wanted)
         await deployment.stop(0)
-        assert await deployment[2].change(adding(b"2"), PATIENCE_S) == b"1 2"
+        assert await deployment[2].change(appending(b"2"), TIMEOUT_S) == b"1 2"
 
-    on_deployment(tmp_path, work)
+    run_on_deployment(tmp_path, work)
 
 
-def test_a_replaced_machine_is_out_for_good(tmp_path: Path) -> None:
+def test_a_replaced_machine_does_not_become_a_replica_again(tmp_path: Path) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(0, 1, 2)
-        await deployment[0].change(adding(b"1"), PATIENCE_S)
+        await deployment[0].change(appending(b"1"), TIMEOUT_S)
         await deployment.stop(2)
         await deployment.start(3, bootstrap=False)
         deployment.note_peers()
         wanted = {deployment[number].identity for number in (0, 1, 3)}
         for number in (0, 1, 3):
-            await deployment.until(lambda number=number: deployment.nodes[number].replicas == wanted)
-        assert await deployment[3].change(adding(b"2"), PATIENCE_S) == b"1 2"
+            await deployment.wait_until(lambda number=number: deployment.nodes[number].replicas == wanted)
+        assert await deployment[3].change(appending(b"2"), TIMEOUT_S) == b"1 2"
         await deployment.start(2, bootstrap=False)
-        await deployment.until(lambda: deployment.nodes[2].replicas == wanted, 2)
-        assert await deployment[2].change(adding(b"3"), PATIENCE_S) == b"1 2 3"
+        await deployment.wait_until(lambda: deployment.nodes[2].replicas == wanted, 2)
+        assert await deployment[2].change(appending(b"3"), TIMEOUT_S) == b"1 2 3"
         await deployment.stop(0)
-        assert await deployment[2].change(adding(b"4"), PATIENCE_S) == b"1 2 3 4"
+        assert await deployment[2].change(appending(b"4"), TIMEOUT_S) == b"1 2 3 4"
 
-    on_deployment(tmp_path, work, count=4)
+    run_on_deployment(tmp_path, work, count=4)
 
 
-def test_all_three_seeds_may_be_replaced_one_after_the_other(tmp_path: Path) -> None:
+def test_all_three_seeds_can_be_replaced_one_after_the_other(tmp_path: Path) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(0, 1, 2)
-        await deployment[0].change(adding(b"1"), PATIENCE_S)
+        await deployment[0].change(appending(b"1"), TIMEOUT_S)
         for old, new in ((0, 3), (1, 4), (2, 5)):
             await deployment.start(new, bootstrap=False)
             deployment.note_peers()
-            await deployment.until(lambda new=new: deployment[new]._node.learned is not None, new)
+            await deployment.wait_until(lambda new=new: deployment[new]._node.learned is not None, new)
             await deployment.stop(old)
             deployment.note_peers()
             wanted = {node.register.identity for node in deployment.nodes.values()}
             for number in deployment.nodes:
-                await deployment.until(
+                await deployment.wait_until(
                     lambda number=number, wanted=wanted: deployment.nodes[number].replicas == wanted, number
                 )
-        assert await deployment[4].change(adding(b"2"), PATIENCE_S) == b"1 2"
+        assert await deployment[4].change(appending(b"2"), TIMEOUT_S) == b"1 2"
 
-    on_deployment(tmp_path, work, count=6)
+    run_on_deployment(tmp_path, work, count=6)
 
 
-def test_the_set_grows_with_what_is_to_be_borne(tmp_path: Path) -> None:
+def test_the_replica_set_grows_to_the_configured_fault_tolerance(tmp_path: Path) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(0, 1, 2, 3, 4)
         deployment.note_peers()
         wanted = {node.register.identity for node in deployment.nodes.values()}
-        await deployment.until(lambda: deployment.nodes[0].replicas == wanted)
-        await deployment[0].change(adding(b"1"), PATIENCE_S)
+        await deployment.wait_until(lambda: deployment.nodes[0].replicas == wanted)
+        await deployment[0].change(appending(b"1"), TIMEOUT_S)
         await deployment.stop(0, 1)
-        assert await deployment[4].change(adding(b"2"), PATIENCE_S) == b"1 2"
+        assert await deployment[4].change(appending(b"2"), TIMEOUT_S) == b"1 2"
 
-    on_deployment(tmp_path, work, count=5, machines=2)
+    run_on_deployment(tmp_path, work, count=5, machines=2)
 
 
-class DeafNetwork(Network):
-    """Calls of the kinds in `lost` are carried out, and their replies are lost; after the first, all replies are."""
+class ReplyLosingNetwork(Network):
+    """Calls of the kinds in `lost` are executed and their replies lost; after the first one, all replies are lost."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -282,15 +285,17 @@
     async def call(self, address: str, body: Any, reply: type[T], timeout_s: float) -> T:
         if isinstance(body, self.lost):
             self.lost = (object,)
-        answer = await super().call(address, body, reply, timeout_s)
+        received = await super().call(address, body, reply, timeout_s)
         if self.lost == (object,):
             raise PeerTimeoutError("the reply is lost")
-        return answer
+        return received
 
 
-class OvertakenNetwork(Network):
-    """Once `finish` is set: as soon as a quorum has accepted a ballot, `finish` is carried out, and after it the
-    replies of those that accepted are lost. A ballot that others refuse is left to fail by itself."""
+class OvertakingNetwork(Network):
+    """Once `finish` is set, it is called as soon as a quorum accepted a proposal, and then the acceptances are lost.
+
+    Proposals that are rejected fail by themselves.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -299,11 +304,11 @@
         self._finished = asyncio.Event()
 
     async def call(self, address: str, body: Any, reply: type[T], timeout_s: float) -> T:
-        answer = await super().call(address, body, reply, timeout_s)
-        if not isinstance(answer, Accepted) or self._over(answer.number):
-            return answer
-        self._accepted[answer.number] += 1
-        if self._accepted[answer.number] == QUORUM:
+        received = await super().call(address, body, reply, timeout_s)
+        if not isinstance(received, Accepted) or self._is_delivered(received.number):
+            return received
+        self._accepted[received.number] += 1
+        if self._accepted[received.number] == QUORUM:
             finish, self.finish = self.finish, None
             assert finish is not None
             await finish()
@@ -311,57 +316,61 @@
         await self._finished.wait()
         raise PeerTimeoutError("the reply is lost")
 
-    def _over(self, ballot: ProposalNumber) -> bool:
-        """Whether replies to this ballot arrive: nothing is to be finished any more, and it was not what was."""
-        return self.finish is None and self._accepted[ballot] < QUORUM
+    def _is_delivered(self, number: ProposalNumber) -> bool:
+        """Whether acceptances of this number are delivered: `finish` is not set, and no quorum accepted this number."""
+        return self.finish is None and self._accepted[number] < QUORUM
 
 
-def deaf(deployment: Deployment, number: int, *kinds: type[Any]) -> None:
+def lose_replies(deployment: Deployment, number: int, *kinds: type[Any]) -> None:
     network = deployment.nodes[number].network
-    assert isinstance(network, DeafNetwork)
+    assert isinstance(network, ReplyLosingNetwork)
     network.lost = kinds
 
 
-def test_a_change_whose_acceptances_are_lost_is_in_doubt_and_then_finished(tmp_path: Path) -> None:
+def test_a_change_whose_acceptances_are_lost_has_an_unknown_outcome_and_is_committed_later(
+    tmp_path: Path,
+) -> None:
     async def work(deployment: Deployment) -> None:
-        deployment.network_class = DeafNetwork
+        deployment.network_class = ReplyLosingNetwork
         await deployment.start(0, 1, 2)
-        await deployment[0].change(adding(b"1"), PATIENCE_S)
-        deaf(deployment, 0, Accept)
+        await deployment[0].change(appending(b"1"), TIMEOUT_S)
+        lose_replies(deployment, 0, Accept)
         with pytest.raises(UnknownOutcomeError):
-            await deployment[0].change(adding(b"2"), 0.3)
-        assert await deployment[1].read(PATIENCE_S) == b"1 2"
-        assert await deployment[1].change(adding(b"2"), PATIENCE_S) == b"1 2"
-        deaf(deployment, 0)
-        assert await deployment[0].change(adding(b"2"), PATIENCE_S) == b"1 2"
+            await deployment[0].change(appending(b"2"), 0.3)
+        assert await deployment[1].read(TIMEOUT_S) == b"1 2"
+        assert await deployment[1].change(appending(b"2"), TIMEOUT_S) == b"1 2"
+        lose_replies(deployment, 0)
+        assert await deployment[0].change(appending(b"2"), TIMEOUT_S) == b"1 2"
 
-    on_deployment(tmp_path, work)
+    run_on_deployment(tmp_path, work)
 
 
-def test_a_change_whose_promises_are_lost_was_never_proposed(tmp_path: Path) -> None:
+def test_a_change_whose_promises_are_lost_is_not_proposed(tmp_path: Path) -> None:
     async def work(deployment: Deployment) -> None:
-        deployment.network_class = DeafNetwork
+        deployment.network_class = ReplyLosingNetwork
         await deployment.start(0, 1, 2)
-        deaf(deployment, 0, Prepare)
+        lose_replies(deployment, 0, Prepare)
         with pytest.raises(NoQuorumError):
-            await deployment[0].change(adding(b"1"), 0.3)
-        assert await deployment[1].read(PATIENCE_S) is None
+            await deployment[0].change(appending(b"1"), 0.3)
+        assert await deployment[1].read(TIMEOUT_S) is None
 
-    on_deployment(tmp_path, work)
+    run_on_deployment(tmp_path, work)
 
 
-def test_others_finish_the_change_of_a_proposer_that_died_unasked(tmp_path: Path) -> None:
+def test_other_nodes_commit_the_proposal_of_a_stopped_proposer(tmp_path: Path) -> None:
     async def work(deployment: Deployment) -> None:
-        deployment.network_class = DeafNetwork
+        deployment.network_class = ReplyLosingNetwork
         await deployment.start(0, 1, 2)
-        deaf(deployment, 0, Accept)
+        lose_replies(deployment, 0, Accept)
         with pytest.raises(UnknownOutcomeError):
-            await deployment[0].change(adding(b"1"), 0.3)
+            await deployment[0].change(appending(b"1"), 0.3)
         await deployment.stop(0)
         for number in (1, 2):
-            await deployment.until(lambda number=number: deployment.nodes[number].seen == [b"1"], number)
+            await deployment.wait_until(
+                lambda number=number: deployment.nodes[number].notified_values == [b"1"], number
+            )
 
-    on_deployment(tmp_path, work)
+    run_on_deployment(tmp_path, work)
 
 
 def test_large_values(tmp_path: Path) -> None:
@@ -372,39 +381,39 @@
         for number in range(4):
             wanted = body + b"%d" % number
             assert (
-                await deployment[number % 3].change(lambda value, wanted=wanted: wanted, PATIENCE_S) == wanted
+                await deployment[number % 3].change(lambda value, wanted=wanted: wanted, TIMEOUT_S) == wanted
             )
-        assert await deployment[2].read(PATIENCE_S) == body + b"3"
+        assert await deployment[2].read(TIMEOUT_S) == body + b"3"
         await deployment.stop()
         await deployment.start(0, 1, 2, bootstrap=False)
-        assert await deployment[1].read(PATIENCE_S) == body + b"3"
+        assert await deployment[1].read(TIMEOUT_S) == body + b"3"
 
-    on_deployment(tmp_path, work)
+    run_on_deployment(tmp_path, work)
 
 
-def test_hundreds_of_changes_leave_a_short_journal(tmp_path: Path) -> None:
+def test_the_journal_stays_small_after_hundreds_of_changes(tmp_path: Path) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(0, 1, 2)
         for number in range(300):
             filler = b"%d" % number + b"." * 200_000
-            await deployment[number % 3].change(lambda value, filler=filler: filler, PATIENCE_S)
+            await deployment[number % 3].change(lambda value, filler=filler: filler, TIMEOUT_S)
         size = sum(path.stat().st_size for path in (tmp_path / deployment.hosts[0]).iterdir())
         assert size < 30 * 1024 * 1024
         await deployment.stop()
         await deployment.start(0, 1, 2, bootstrap=False)
-        value = await deployment[0].read(PATIENCE_S)
+        value = await deployment[0].read(TIMEOUT_S)
         assert value is not None
         assert value.startswith(b"299.")
 
-    on_deployment(tmp_path, work)
+    run_on_deployment(tmp_path, work)
 
 
-def test_a_damaged_journal_is_a_lost_disk(tmp_path: Path) -> None:
+def test_a_corrupt_journal_is_treated_as_a_lost_disk(tmp_path: Path) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(0, 1, 2)
         for number in range(3):
             await deployment[0].change(
-                lambda value, number=number: b"%d" % number + b"." * 600_000, PATIENCE_S
+                lambda value, number=number: b"%d" % number + b"." * 600_000, TIMEOUT_S
             )
         before = deployment[2].identity
         await deployment.stop(2)
@@ -414,18 +423,18 @@
         first.write_bytes(data)
         await deployment.start(2, bootstrap=True)
         assert deployment[2].identity not in ("", before)
-        value = await deployment[2].read(PATIENCE_S)
+        value = await deployment[2].read(TIMEOUT_S)
         assert value is not None
         assert value.startswith(b"2.")
 
-    on_deployment(tmp_path, work)
+    run_on_deployment(tmp_path, work)
 
 
-def test_nothing_is_answered_before_the_start_and_after_the_end(tmp_path: Path) -> None:
+def test_a_stopped_register_rejects_operations(tmp_path: Path) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(0, 1, 2)
         register = deployment[0]
-        pending = asyncio.ensure_future(deployment[1].read(PATIENCE_S))
+        pending = asyncio.ensure_future(deployment[1].read(TIMEOUT_S))
         await pending
         await deployment.stop(0)
         with pytest.raises(NotReadyError):
@@ -433,16 +442,16 @@
         assert register.majority_age_s() == float("inf")
         assert register.identity == ""
 
-    on_deployment(tmp_path, work)
+    run_on_deployment(tmp_path, work)
 
 
 class FaultyNetwork(Network):
-    """Fails calls with an error of its own, as a fault in our code would."""
+    """Fails calls with an unexpected exception, as a defect in the program would."""
 
-    broken = False
+    is_failing = False
 
     async def call(self, address: str, body: Any, reply: type[Any], timeout_s: float) -> Any:
-        if self.broken:
+        if self.is_failing:
             raise RuntimeError("a fault in the program")
         return await super().call(address, body, reply, timeout_s)
 
@@ -451,29 +460,29 @@
     async def work(deployment: Deployment) -> None:
         deployment.network_class = FaultyNetwork
         await deployment.start(0, 1, 2)
-        await deployment[0].change(adding(b"1"), PATIENCE_S)
+        await deployment[0].change(appending(b"1"), TIMEOUT_S)
         faulty = deployment.nodes[2].network
         assert isinstance(faulty, FaultyNetwork)
-        faulty.broken = True
+        faulty.is_failing = True
         with pytest.raises(NoQuorumError):
-            await deployment[2].read(0.7)  # long enough that every replica was pinged meanwhile
-        await deployment[0].change(adding(b"2"), PATIENCE_S)
-        faulty.broken = False
-        assert await deployment[2].read(PATIENCE_S) == b"1 2"
-        await deployment.until(lambda: deployment.nodes[2].seen[-1:] == [b"1 2"], number=2)
-        await deployment.until(lambda: deployment[2].majority_age_s() < 0.3, number=2)
+            await deployment[2].read(0.7)  # long enough for a ping to every replica
+        await deployment[0].change(appending(b"2"), TIMEOUT_S)
+        faulty.is_failing = False
+        assert await deployment[2].read(TIMEOUT_S) == b"1 2"
+        await deployment.wait_until(lambda: deployment.nodes[2].notified_values[-1:] == [b"1 2"], number=2)
+        await deployment.wait_until(lambda: deployment[2].majority_age_s() < 0.3, number=2)
 
-    on_deployment(tmp_path, work)
+    run_on_deployment(tmp_path, work)
 
 
 def test_a_segment_is_not_given_up_while_the_register_does_not_run(tmp_path: Path) -> None:
     async def work(deployment: Deployment) -> None:
         await deployment.start(0, 1, 2)
         register = deployment[2]
-        await register._write_snapshot(0)  # a snapshot stands in a later place from here on
+        await register._write_snapshot(0)  # from here on a later segment contains a snapshot
         node, register._node = register._node, None
-        with pytest.raises(NotReadyError):  # the journal keeps the segment
+        with pytest.raises(NotReadyError):  # so that the journal does not reclaim the segment
             await register._write_snapshot(1)
         register._node = node
 
-    on_deployment(tmp_path, work)
+    run_on_deployment(tmp_path, work)
--- a/tests/emberring/register/test_tier_register_simulator.py
+++ b/tests/emberring/register/test_tier_register_simulator.py
@@ -1,4 +1,4 @@
-"""The simulator: nothing wrong in a few hundred schedules, and the mutations seeded are found."""
+"""The simulator: random schedules have no violations, and seeded mutations are detected."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from emberring.simulation.register.simulator import FOUNDERS, describe, play, play_seed, shorten
 from emberring.simulation.register.world import Mutations, NetworkConditions, World
 
-OLD_SET_SEED = 20  # within 40 seeds from here a change of the set by the old set alone does harm
+OLD_SET_SEED = 20  # one of 40 seeds from here detects a reconfiguration with the quorum of the old set alone
 
 
-def test_schedules_leave_nothing_wrong() -> None:
+def test_random_schedules_have_no_violations() -> None:
     verdicts = [play_seed(seed) for seed in range(60)]
     assert [describe(verdict) for verdict in verdicts if verdict.violations] == []
     assert sum(verdict.acknowledged for verdict in verdicts) > 300
 
 
-def test_a_seed_always_gives_the_same_verdict() -> None:
+def test_a_schedule_has_a_deterministic_verdict() -> None:
     assert play(make_schedule(5)) == play(make_schedule(5))
 
 
@@ -29,8 +29,8 @@
     return Step(at_s, kind, slot, lasts_s)
 
 
-# Two replicas take changes that the third misses; one of the two loses its disk as the other goes dark.
-LOSES_ITS_MEMORY = (
+# Two replicas accept changes that the third misses; one of the two loses its disk while the other is without power.
+REPLICA_LOSES_ITS_DISK = (
     step(0.4, StepKind.CUT_OFF, 2, 1.2),
     step(0.6, StepKind.CHANGE, 0),
     step(0.8, StepKind.CHANGE, 1),
@@ -42,21 +42,21 @@
 )
 
 
-def test_a_replica_that_votes_after_losing_its_disk_is_found_and_told_briefly() -> None:
+def test_a_replica_that_votes_after_losing_its_disk_is_detected_by_a_short_schedule() -> None:
     mutations = Mutations(amnesiac=True)
     for seed in (0, 1):
-        schedule = Schedule(seed, LOSES_ITS_MEMORY)
+        schedule = Schedule(seed, REPLICA_LOSES_ITS_DISK)
         verdict = play(schedule, mutations)
         assert any("two histories" in violation for violation in verdict.violations)
         assert play(schedule).violations == ()
-        short = shorten(verdict, mutations)
-        assert short.violations
-        assert len(short.schedule.steps) < len(verdict.schedule.steps)
-        assert any(step.kind is StepKind.WIPE for step in short.schedule.steps)
-        assert "wrong:" in describe(short)
+        shortened = shorten(verdict, mutations)
+        assert shortened.violations
+        assert len(shortened.schedule.steps) < len(verdict.schedule.steps)
+        assert any(step.kind is StepKind.WIPE for step in shortened.schedule.steps)
+        assert "wrong:" in describe(shortened)
 
 
-HAND_MADE = {
+FIXED_SCHEDULES = {
     "nothing": (),
     "wipe and back": (
         step(1, StepKind.CHANGE, 0),
@@ -103,15 +103,15 @@
 }
 
 
-@pytest.mark.parametrize("name", HAND_MADE)
-def test_hand_made_schedules(name: str) -> None:
-    verdict = play(Schedule(1, HAND_MADE[name]))
+@pytest.mark.parametrize("name", FIXED_SCHEDULES)
+def test_fixed_schedules_have_no_violations(name: str) -> None:
+    verdict = play(Schedule(1, FIXED_SCHEDULES[name]))
     assert verdict.violations == ()
-    changes = sum(1 for found in HAND_MADE[name] if found.kind is StepKind.CHANGE)
+    changes = sum(1 for found in FIXED_SCHEDULES[name] if found.kind is StepKind.CHANGE)
     assert verdict.acknowledged >= changes - 1
 
 
-def test_eight_changes_at_once_all_commit_in_a_moment() -> None:
+def test_eight_concurrent_changes_commit_within_150_ms() -> None:
     world = World(1, Mutations(), RECONFIGURATION_TIMEOUTS)
     world.conditions = NetworkConditions(slowest_s=0.0028)
     for name in FOUNDERS:
@@ -129,9 +129,11 @@
     assert world.history.finish() == []
 
 
-def a_burst(seed: int) -> list[str]:
-    """Reads, changes and repeats of changes at all nodes, 100 a second, over a network in which a few messages are
-    slow, so that one ballot overtakes another; what was wrong."""
+def burst_violations(seed: int) -> list[str]:
+    """Run 100 reads, changes and retries per second at all nodes, and return the violations.
+
+    A few messages of the network are slow, so that proposals overtake each other.
+    """
     world = World(seed, Mutations(), RECONFIGURATION_TIMEOUTS)
     world.conditions = NetworkConditions(slowest_s=0.2, slow_share=0.15)
     for name in FOUNDERS:
@@ -139,52 +141,52 @@
         world.machines[name].start()
     world.run(1.0)
     for step in range(400):
-        asked = world.rng.randint(0, 1 + step // 8)
-        world.at(1.0 + step * 0.01, world.machines[world.rng.choice(FOUNDERS)].ask, asked)
+        number_or_read = world.rng.randint(0, 1 + step // 8)
+        world.at(1.0 + step * 0.01, world.machines[world.rng.choice(FOUNDERS)].ask, number_or_read)
     world.run(7.0)
     return world.history.finish()
 
 
-def test_a_burst_over_a_network_with_a_few_slow_messages() -> None:
-    assert [violation for seed in range(8) for violation in a_burst(seed)] == []
+def test_a_burst_with_a_few_slow_messages_has_no_violations() -> None:
+    assert [violation for seed in range(8) for violation in burst_violations(seed)] == []
 
 
-def test_an_attempt_that_takes_in_late_operations_is_found() -> None:
+def test_an_attempt_that_includes_later_operations_is_detected() -> None:
     with seeded(Mutation.LATE_JOBS):
-        wrong = a_burst(0)
-    assert any("had been acknowledged" in violation for violation in wrong)
+        violations = burst_violations(0)
+    assert any("had been acknowledged" in violation for violation in violations)
 
 
-def test_a_change_of_the_set_by_the_old_set_alone_is_found() -> None:
+def test_a_reconfiguration_by_the_old_set_alone_is_detected() -> None:
     with seeded(Mutation.OLD_SET_ALONE):
         assert any(play_seed(seed).violations for seed in range(OLD_SET_SEED, OLD_SET_SEED + 40))
 
 
-def test_values_of_numbers() -> None:
+def test_values_are_lists_of_numbers() -> None:
     assert parse_value(None) == ()
     assert append_number(None, 4) == b"4"
     assert append_number(b"4 5", 6) == b"4 5 6"
     assert append_number(b"4 5 6", 5) is None
 
 
-def ended(
+def record_operation(
     history: History, number: int, began_s: float, ended_s: float, payload: bytes | None, error: str = ""
 ) -> None:
     history.end(history.begin(number, "n", began_s), ended_s, payload, error)
 
 
-def test_a_good_history_is_good() -> None:
+def test_a_linearizable_history_has_no_violations() -> None:
     history = History()
-    ended(history, 1, 0.0, 1.0, b"1")
-    ended(history, 2, 0.5, 2.0, b"1 2")
-    ended(history, 0, 0.6, 1.5, b"1")
-    ended(history, 3, 2.5, 3.0, None, "in_doubt")
-    ended(history, 0, 4.0, 5.0, b"1 2 3")
+    record_operation(history, 1, 0.0, 1.0, b"1")
+    record_operation(history, 2, 0.5, 2.0, b"1 2")
+    record_operation(history, 0, 0.6, 1.5, b"1")
+    record_operation(history, 3, 2.5, 3.0, None, "in_doubt")
+    record_operation(history, 0, 4.0, 5.0, b"1 2 3")
     assert history.finish() == []
 
 
 @pytest.mark.parametrize(
-    ("operations", "wrong"),
+    ("operations", "violation_text"),
     [
         ([(1, 0.0, 1.0, b"1", ""), (2, 0.0, 1.0, b"2", "")], "two histories"),
         ([(1, 0.0, 1.0, b"1", ""), (0, 2.0, 3.0, None, "")], "had been acknowledged"),
@@ -193,10 +195,10 @@
         ([(1, 0.0, 1.0, None, "no_quorum"), (0, 2.0, 3.0, b"1", "")], "without doubt"),
     ],
 )
-def test_bad_histories_are_told(
-    operations: list[tuple[int, float, float, bytes | None, str]], wrong: str
+def test_violations_of_a_history_are_reported(
+    operations: list[tuple[int, float, float, bytes | None, str]], violation_text: str
 ) -> None:
     history = History()
     for number, began_s, ended_s, payload, error in operations:
-        ended(history, number, began_s, ended_s, payload, error)
-    assert any(wrong in violation for violation in history.finish())
+        record_operation(history, number, began_s, ended_s, payload, error)
+    assert any(violation_text in violation for violation in history.finish())
--- a/tests/emberring/test_tier_deploy.py
+++ b/tests/emberring/test_tier_deploy.py
@@ -13,8 +13,8 @@
 
 ROOT = Path(__file__).parent.parent.parent
 
-# What Debian installs on every machine: the C library, the shell and its utilities, the compiler's run-time.
-ALWAYS_THERE = frozenset({"libc6", "dash", "coreutils", "libgcc-s1"})
+# Packages of every Debian machine: the C library, the shell and its utilities, the compiler's runtime library.
+PREINSTALLED_PACKAGES = frozenset({"libc6", "dash", "coreutils", "libgcc-s1"})
 PACKAGE_OF_COMMAND = {
     "[": "coreutils",
     "touch": "coreutils",
@@ -31,7 +31,7 @@
     "libgcc_s.so.1": "libgcc-s1",
     "libstdc++.so.6": "libstdc++6",
 }
-SHELL_WORDS = frozenset({"||", "&&", ";"})
+COMMAND_SEPARATORS = frozenset({"||", "&&", ";"})
 
 
 def deploy() -> dict[str, Any]:
@@ -39,10 +39,10 @@
 
 
 def commands_of(line: str) -> list[list[str]]:
-    """The commands of a shell line, each a list of words."""
+    """Return the commands of a shell line, each as a list of words."""
     commands: list[list[str]] = [[]]
     for word in shlex.split(line.replace("(", " ").replace(")", " ")):
-        if word in SHELL_WORDS:
+        if word in COMMAND_SEPARATORS:
             commands.append([])
         else:
             commands[-1].append(word)
@@ -50,7 +50,7 @@
 
 
 def packages_of(command: list[str]) -> set[str]:
-    """The packages that a command needs; `KeyError` for one that the table does not know."""
+    """Return the packages that a command needs; raises `KeyError` for a command that is not in the table."""
     needed = {PACKAGE_OF_COMMAND[command[0]]}
     if command[:3] == ["python3", "-m", "pip"]:
         needed |= {PACKAGE_OF_COMMAND["python3 -m pip"], PACKAGE_OF_COMMAND["pip over TLS"]}
@@ -58,25 +58,25 @@
 
 
 def required_distributions() -> set[str]:
-    """The libraries of the tier's programs, and what these require in turn."""
+    """Return the distributions that the tier's programs require, directly and transitively."""
     lines = (ROOT / "requirements-tier.txt").read_text().splitlines()
-    waiting = [
+    pending = [
         line.split(">")[0].split("[")[0].strip() for line in lines if line and not line.startswith("#")
     ]
     found: set[str] = set()
-    while waiting:
-        name = waiting.pop()
+    while pending:
+        name = pending.pop()
         if name in found:
             continue
         found.add(name)
         for requirement in importlib.metadata.requires(name) or ():
             if "extra ==" not in requirement and "python_version <" not in requirement:
-                waiting.append(requirement.split(";")[0].split(">")[0].split("[")[0].split("!")[0].strip())
+                pending.append(requirement.split(";")[0].split(">")[0].split("[")[0].split("!")[0].strip())
     return found
 
 
 def linked_libraries() -> dict[str, str]:
-    """The shared libraries that the extension modules of the tier's libraries link to, each with one that does."""
+    """Return the shared libraries that extension modules link to, each with one distribution that needs it."""
     found: dict[str, str] = {}
     for name in required_distributions():
         files = importlib.metadata.files(name) or []
@@ -98,7 +98,7 @@
     lines = [file["build"], *(role["run"] for role in file["roles"].values())]
     needed = {package for line in lines for command in commands_of(line) for package in packages_of(command)}
     needed |= {PACKAGE_OF_LIBRARY[library] for library in linked_libraries()}
-    return needed - ALWAYS_THERE
+    return needed - PREINSTALLED_PACKAGES
 
 
 def test_the_deploy_file_names_the_system_packages_that_build_and_programs_use() -> None:
@@ -107,7 +107,7 @@
 
 
 def test_every_library_of_the_build_comes_as_a_wheel_for_this_interpreter() -> None:
-    """What a compiler built here, which the users' machines lack, has a tag of this machine alone."""
+    """A distribution that was compiled here is tagged for this machine only; users' machines lack a compiler."""
     for name in required_distributions():
         wheel = importlib.metadata.distribution(name).read_text("WHEEL") or ""
         tags = [line.removeprefix("Tag: ") for line in wheel.splitlines() if line.startswith("Tag: ")]
--- a/tests/emberring/test_tier_errors.py
+++ b/tests/emberring/test_tier_errors.py
@@ -1,4 +1,4 @@
-"""The closed list of errors: every kind has a response, every class survives the wire."""
+"""The closed list of errors: every kind has a response, and every class keeps its kind between nodes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from emberring import errors
 from emberring.errors import ERROR_RESPONSES, EmberringError, ErrorKind, InternalError, error_from_wire
 
-PROMISES = {429, 503}
+STATUSES_THAT_PROMISE = {429, 503}
 
 
 def classes() -> list[type[EmberringError]]:
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize("kind", ErrorKind, ids=lambda kind: kind.value)
 def test_only_statuses_429_and_503_promise_that_nothing_was_executed(kind):
     response = ERROR_RESPONSES[kind]
-    assert response.promises_not_executed == (response.status in PROMISES)
+    assert response.promises_not_executed == (response.status in STATUSES_THAT_PROMISE)
 
 
 @pytest.mark.parametrize("kind", [ErrorKind.IN_DOUBT, ErrorKind.PEER_TIMEOUT, ErrorKind.NO_QUORUM])
@@ -54,10 +54,10 @@
 @pytest.mark.parametrize("cls", classes(), ids=lambda cls: cls.__name__)
 def test_an_error_keeps_its_kind_over_the_wire(cls):
     error = make(cls)
-    back = error_from_wire(error.kind.value, error.detail)
-    if back.kind is not error.kind:
+    decoded = error_from_wire(error.kind.value, error.detail)
+    if decoded.kind is not error.kind:
         assert cls in (errors.InvalidConfigurationError,)
-    assert error.detail in back.detail
+    assert error.detail in decoded.detail
 
 
 @pytest.mark.parametrize(
--- a/tests/emberring/test_tier_log_lines.py
+++ b/tests/emberring/test_tier_log_lines.py
@@ -13,8 +13,8 @@
 LEVELS = {"warning", "error", "exception", "critical"}
 
 
-def told_events() -> set[tuple[str, str]]:
-    """Event and module of each such line."""
+def warning_events() -> set[tuple[str, str]]:
+    """Return the event and the module of each call that logs at level warning or above."""
     found = set()
     for path in sorted((ROOT / "emberring").rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -28,12 +28,12 @@
     return found
 
 
-@pytest.mark.parametrize(("event", "module"), sorted(told_events()))
-def test_a_line_of_level_warning_stands_on_the_page(event, module):
-    assert f"`event={event}`" in PAGE, f"{module} writes it; say on docs/operate/logs.md what to do"
+@pytest.mark.parametrize(("event", "module"), sorted(warning_events()))
+def test_the_page_describes_each_event_of_level_warning(event, module):
+    assert f"`event={event}`" in PAGE, f"{module} writes it; describe it in docs/operate/logs.md"
 
 
-def test_the_page_has_no_line_that_is_gone():
+def test_the_page_describes_no_event_that_the_code_does_not_log():
     above = PAGE.split("## Lines of level INFO")[0]
     named = set(re.findall(r"^\| `event=([a-z_]+)`", above, flags=re.MULTILINE))
-    assert named == {event for event, _ in told_events()}
+    assert named == {event for event, _ in warning_events()}
--- a/tests/emberring/test_tier_logs.py
+++ b/tests/emberring/test_tier_logs.py
@@ -1,4 +1,4 @@
-"""Log lines: one line of keys and values, with a time that can be read, and nothing below the level."""
+"""Log lines: one line of keys and values with a parsable time, and no line below the level."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 """
 
 
-def test_a_line_holds_time_level_part_node_and_event() -> None:
+def test_a_line_contains_time_level_part_node_and_event() -> None:
     before = time.time()
     done = subprocess.run(
         [sys.executable, "-c", SCRIPT], capture_output=True, text=True, timeout=30, check=True
--- a/tests/emberring/test_tier_settings.py
+++ b/tests/emberring/test_tier_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: read whole, every mistake named at once, unknown keys skipped."""
+"""The settings file: it is fully validated, all errors are reported at once, and unknown keys are ignored."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     settings_path,
 )
 
-WHOLE = """
+COMPLETE = """
 NodeName = "core-erl-a-1"
 Role = "control"
 MachineClass = "core"
@@ -55,7 +55,7 @@
 pass_ms = 120
 SomethingNew = [1, 2]
 """
-LEAST = """
+MINIMAL = """
 NodeName = "n"
 Ip = "10.0.0.1"
 Zone = "z"
@@ -65,7 +65,7 @@
 
 
 def test_a_complete_file():
-    found = parse_settings(WHOLE)
+    found = parse_settings(COMPLETE)
     assert found.node_name == "core-erl-a-1"
     assert found.port_range == (7720, 7735)
     assert found.bootstrap
@@ -79,7 +79,7 @@
 
 
 def test_internal_addresses_follow_from_the_port_range():
-    found = parse_settings(WHOLE)
+    found = parse_settings(COMPLETE)
     offsets = (GATEWAY_PORT_OFFSET, CONTROL_PORT_OFFSET, STORE_PORT_OFFSET)
     addresses = [found.internal_address(offset) for offset in offsets]
     assert len(set(addresses)) == 3
@@ -89,14 +89,14 @@
 
 
 def test_missing_keys_have_defaults():
-    found = parse_settings(LEAST)
+    found = parse_settings(MINIMAL)
     assert found == Settings("n", "10.0.0.1", "z", (7720, 7735), ())
     assert not found.bootstrap
     assert found.listen.frontend == ""
 
 
 @pytest.mark.parametrize(
-    ("line", "instead", "key"),
+    ("line", "replacement", "key"),
     [
         ('NodeName = "n"', "", "NodeName"),
         ('NodeName = "n"', "NodeName = 3", "NodeName"),
@@ -125,31 +125,31 @@
         ("SeedNodes = []", 'SeedNodes = []\n[FaultTolerance]\nMachines = "1"', "FaultTolerance.Machines"),
     ],
 )
-def test_an_error_is_reported_with_file_and_key(line, instead, key):
-    assert line in LEAST
+def test_an_error_is_reported_with_file_and_key(line, replacement, key):
+    assert line in MINIMAL
     with pytest.raises(SettingsError) as caught:
-        parse_settings(LEAST.replace(line, instead), "/etc/x.toml")
+        parse_settings(MINIMAL.replace(line, replacement), "/etc/x.toml")
     assert caught.value.detail.startswith("/etc/x.toml: ")
     assert f"{key}:" in caught.value.detail
     assert "\n" not in caught.value.detail
 
 
 def test_all_errors_are_reported_at_once():
-    wrong = LEAST.replace('Zone = "z"', "Zone = 1").replace('Ip = "10.0.0.1"', "") + "Bootstrap = 0\n"
+    invalid = MINIMAL.replace('Zone = "z"', "Zone = 1").replace('Ip = "10.0.0.1"', "") + "Bootstrap = 0\n"
     with pytest.raises(SettingsError) as caught:
-        parse_settings(wrong)
+        parse_settings(invalid)
     for key in ("Zone", "Ip", "Bootstrap"):
         assert f"{key}:" in caught.value.detail
 
 
 @pytest.mark.parametrize("content", [None, b"NodeName = ", b"\xff\xfe", b"= 3"])
 def test_a_file_that_cannot_be_read(content, tmp_path):
-    place = tmp_path / "local.toml"
+    settings_file = tmp_path / "local.toml"
     if content is not None:
-        place.write_bytes(content)
+        settings_file.write_bytes(content)
     with pytest.raises(SettingsError) as caught:
-        load_settings(place)
-    assert str(place) in caught.value.detail
+        load_settings(settings_file)
+    assert str(settings_file) in caught.value.detail
 
 
 @pytest.mark.parametrize(
--- a/tests/emberring/test_tier_structure.py
+++ b/tests/emberring/test_tier_structure.py
@@ -1,4 +1,4 @@
-"""The structure of the tier: which package may import which, how long a file may be, what a role leaves unimported."""
+"""The structure of the tier: allowed imports between packages, file length, and libraries that no role may import."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 ROOT = Path(__file__).parent.parent.parent
 PACKAGE = ROOT / "emberring"
-MOST_LINES = 450
+MAX_LINES = 450
 
-# Every package may import itself and those in the rows below its own; of its own row, itself alone.
+# A package may import itself and packages in the rows below its own, but no other package of its own row.
 LAYERS: tuple[frozenset[str], ...] = (
     frozenset({"__main__"}),
     frozenset({"cli"}),
@@ -30,31 +30,31 @@
     frozenset({"settings", "errors", "logs"}),
     frozenset({"__init__"}),
 )
-# Modules of types alone, which packages below theirs may import too.
+# Modules that define only types; packages in lower rows may import them too.
 TYPES = frozenset({"distribution.records"})
 SETTINGS_ROW = frozenset({"settings", "errors", "logs"})
-# Files that are longer than the most, each with its reason.
-LONG: dict[str, str] = {}
-# click is not among them, as uvicorn imports it by itself.
-HEAVY = frozenset({"typer", "rich", "hypothesis", "numpy", "httpcore", "pydantic"})
-NEVER_NAMED = ("LD_PRELOAD", "ptrace", "shared_memory", "shm_open")
+# Files that are longer than the maximum, each with its reason.
+LONG_FILES: dict[str, str] = {}
+# click is not listed, as uvicorn imports it itself.
+HEAVY_LIBRARIES = frozenset({"typer", "rich", "hypothesis", "numpy", "httpcore", "pydantic"})
+FORBIDDEN_WORDS = ("LD_PRELOAD", "ptrace", "shared_memory", "shm_open")
 
 
-def layer_of(room: str) -> int:
-    return next(at for at, row in enumerate(LAYERS) if room in row)
+def layer_of(package: str) -> int:
+    return next(at for at, row in enumerate(LAYERS) if package in row)
 
 
-def may_import(room: str, name: str) -> bool:
+def may_import(package: str, name: str) -> bool:
     target = name.split(".")[0]
-    if target == room or ".".join(name.split(".")[:2]) in TYPES:
+    if target == package or ".".join(name.split(".")[:2]) in TYPES:
         return True
-    if room in SETTINGS_ROW and target in SETTINGS_ROW:
+    if package in SETTINGS_ROW and target in SETTINGS_ROW:
         return True
-    return layer_of(target) > layer_of(room)
+    return layer_of(target) > layer_of(package)
 
 
 def imported(path: Path) -> set[str]:
-    """Names of the tier that a module imports, below the package."""
+    """Return the names that a module imports from `emberring`, without the prefix `emberring.`."""
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module and node.module.split(".")[0] == "emberring":
@@ -69,42 +69,42 @@
 MODULES = sorted(PACKAGE.rglob("*.py"))
 
 
-def short(path: Path) -> str:
+def relative_name(path: Path) -> str:
     return str(path.relative_to(PACKAGE))
 
 
-@pytest.mark.parametrize("path", MODULES, ids=short)
-def test_imports_point_down(path):
-    room = path.relative_to(PACKAGE).parts[0].removesuffix(".py")
-    wrong = sorted(name for name in imported(path) if not may_import(room, name))
-    assert not wrong, f"{room} imports {wrong}"
+@pytest.mark.parametrize("path", MODULES, ids=relative_name)
+def test_packages_import_only_lower_rows(path):
+    package = path.relative_to(PACKAGE).parts[0].removesuffix(".py")
+    forbidden = sorted(name for name in imported(path) if not may_import(package, name))
+    assert not forbidden, f"{package} imports {forbidden}"
 
 
-@pytest.mark.parametrize("path", MODULES, ids=short)
-def test_modules_say_what_they_are_for_and_stay_short(path):
+@pytest.mark.parametrize("path", MODULES, ids=relative_name)
+def test_modules_have_a_docstring_and_a_limited_length(path):
     text = path.read_text()
     assert ast.get_docstring(ast.parse(text)), "no docstring"
-    assert len(text.splitlines()) <= MOST_LINES or short(path) in LONG
-    for word in NEVER_NAMED:
+    assert len(text.splitlines()) <= MAX_LINES or relative_name(path) in LONG_FILES
+    for word in FORBIDDEN_WORDS:
         assert word not in text
 
 
-def test_no_reason_stands_for_a_file_that_is_short_again():
-    for name in LONG:
+def test_no_exception_is_listed_for_a_short_file():
+    for name in LONG_FILES:
         path = PACKAGE / name
-        assert len(path.read_text().splitlines()) > MOST_LINES, name
+        assert len(path.read_text().splitlines()) > MAX_LINES, name
 
 
-def test_the_node_in_service_does_not_import_the_tier():
+def test_the_load_balancing_node_does_not_import_the_tier():
     for path in sorted((ROOT / "loadbalancer").rglob("*.py")):
         assert not imported(path), path
 
 
 @pytest.mark.parametrize("role", ["gateway", "control", "store"])
-def test_a_role_leaves_heavy_libraries_unimported(role):
+def test_a_role_does_not_import_heavy_libraries(role):
     code = f"import sys, emberring.__main__, emberring.{role}.role; print(' '.join(sorted(sys.modules)))"
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     modules = {name.split(".")[0] for name in done.stdout.split()}
-    assert not HEAVY & modules
-    ours = {name.split(".")[1] for name in done.stdout.split() if name.startswith("emberring.")}
-    assert not {"cli", "simulation", "emulator"} & ours
+    assert not HEAVY_LIBRARIES & modules
+    tier_packages = {name.split(".")[1] for name in done.stdout.split() if name.startswith("emberring.")}
+    assert not {"cli", "simulation", "emulator"} & tier_packages
--- a/tests/emberring/transport/test_tier_bytes.py
+++ b/tests/emberring/transport/test_tier_message_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes in messages come through whole, and a text costs no more than itself."""
+"""Bytes in messages: they are decoded unchanged, and their encoding is compact."""
 
 from __future__ import annotations
 
@@ -25,23 +25,23 @@
     | st.text(max_size=100).map(lambda text: text.encode("utf-8"))
     | st.binary(max_size=40).map(lambda value: b"\xff" + value * 60)
 )
-def test_any_bytes_come_through_whole(value: bytes) -> None:
+def test_any_bytes_are_decoded_unchanged(value: bytes) -> None:
     line = encode(Envelope(1, Carrier(value)))
     assert line.count(b"\n") == 1
     assert decode(line[:-1]) == Envelope(1, Carrier(value))
 
 
-def test_a_document_that_holds_base64_grows_by_its_quotes_alone() -> None:
+def test_a_document_that_contains_base64_grows_only_by_escaped_quotes() -> None:
     document = b'{"Body":"' + b"q83vEjRWeJA" * 1000 + b'"}'
     assert len(encode(Envelope(1, Carrier(document)))) < len(document) * 1.01 + 100
 
 
-def test_packed_records_that_hold_base64_are_sent_in_less_than_their_size() -> None:
+def test_packed_records_that_contain_base64_are_encoded_without_much_overhead() -> None:
     document = b"\xff\x00\x01" + base64.b64encode(random.Random(1).randbytes(48_000))
     assert len(encode(Envelope(1, Carrier(document)))) < len(document) * 1.05
 
 
 @pytest.mark.parametrize("field", ["12", '"x"', '"b!!"', '""', "null", '"zAAAA"', '"zeJwrSS0u"'])
-def test_a_field_that_holds_no_bytes_is_no_message(field: str) -> None:
+def test_an_invalid_encoding_of_bytes_is_rejected(field: str) -> None:
     with pytest.raises(ProtocolViolationError):
         decode(b'{"i":1,"k":"test.bytes","b":{"value":%s}}' % field.encode())
--- a/tests/emberring/transport/test_tier_messages.py
+++ b/tests/emberring/transport/test_tier_messages.py
@@ -1,4 +1,4 @@
-"""Messages and their lines: whatever is encoded comes back, whatever is no message is refused."""
+"""Encoding of messages: every message is decoded unchanged, and invalid lines are rejected."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
 
 
 @given(EVERYTHING, st.integers(-(2**40), 2**40))
-def test_a_message_comes_back_as_it_was(body, number):
+def test_a_message_is_decoded_unchanged(body, number):
     line = encode(Envelope(number, body))
     assert line.endswith(b"\n")
     assert line.count(b"\n") == 1
@@ -77,7 +77,7 @@
     assert kind_of(Ok) == "transport.ok"
 
 
-GOOD = {"i": 1, "k": "transport.ok", "b": {}}
+VALID = {"i": 1, "k": "transport.ok", "b": {}}
 
 
 @pytest.mark.parametrize(
@@ -90,12 +90,12 @@
         b"null",
         b"\xff\xfe",
         b'{"i": 1',
-        orjson.dumps({**GOOD, "k": "no.such.kind"}),
-        orjson.dumps({**GOOD, "k": ["transport.ok"]}),
-        orjson.dumps({**GOOD, "i": "1"}),
-        orjson.dumps({**GOOD, "i": 1.5}),
-        orjson.dumps({**GOOD, "i": True}),
-        orjson.dumps({**GOOD, "i": None}),
+        orjson.dumps({**VALID, "k": "no.such.kind"}),
+        orjson.dumps({**VALID, "k": ["transport.ok"]}),
+        orjson.dumps({**VALID, "i": "1"}),
+        orjson.dumps({**VALID, "i": 1.5}),
+        orjson.dumps({**VALID, "i": True}),
+        orjson.dumps({**VALID, "i": None}),
         orjson.dumps({"k": "transport.ok", "b": {}}),
         orjson.dumps({"i": 1, "b": {}}),
         orjson.dumps({"i": 1, "k": "transport.ok"}),
@@ -105,19 +105,19 @@
         orjson.dumps({"i": 1, "k": "test.everything", "b": None}),
     ],
 )
-def test_bytes_that_are_no_message_are_rejected(line):
+def test_an_invalid_line_is_rejected(line):
     with pytest.raises(ProtocolViolationError):
         decode(line)
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_a_message_or_a_violation(line):
+def test_any_bytes_are_a_message_or_a_protocol_violation(line):
     with contextlib.suppress(ProtocolViolationError):
         assert isinstance(decode(line), Envelope)
 
 
-def test_unknown_fields_are_skipped():
-    line = orjson.dumps({**GOOD, "b": {"new": 1}, "more": 2})
+def test_unknown_fields_are_ignored():
+    line = orjson.dumps({**VALID, "b": {"new": 1}, "more": 2})
     assert decode(line) == Envelope(1, Ok())
 
 
--- a/tests/emberring/transport/test_tier_network.py
+++ b/tests/emberring/transport/test_tier_network.py
@@ -1,4 +1,4 @@
-"""Calls between nodes over real sockets: what a caller may conclude from each way in which a peer fails."""
+"""Calls between nodes over real sockets: the error that the caller receives for each kind of peer failure."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 @message("test.echo")
 @attrs.frozen
 class Echo:
-    """Says itself back."""
+    """A call whose reply is the call itself."""
 
     text: str = ""
 
@@ -36,14 +36,14 @@
 @message("test.other")
 @attrs.frozen
 class Other:
-    """A message that no one handles here."""
+    """A message without a handler."""
 
 
-async def echo(asked: Echo, caller: Caller) -> Echo:
-    return asked
+async def echo(request: Echo, caller: Caller) -> Echo:
+    return request
 
 
-def play(test: Callable[[], Awaitable[None]]) -> None:
+def run_test(test: Callable[[], Awaitable[None]]) -> None:
     async def run() -> None:
         async with asyncio.timeout(20):
             await test()
@@ -52,47 +52,49 @@
 
 
 class Pair:
-    """A caller and an answering node on loopback."""
+    """A client and a server on loopback."""
 
     async def __aenter__(self) -> Pair:
-        self.here, self.there = Network(), Network()
-        self.there.handle(Echo, echo)
-        await self.there.listen("127.0.0.1:0")
-        assert self.there._server is not None
-        self.address = f"127.0.0.1:{self.there._server.sockets[0].getsockname()[1]}"
+        self.client, self.server = Network(), Network()
+        self.server.handle(Echo, echo)
+        await self.server.listen("127.0.0.1:0")
+        assert self.server._server is not None
+        self.address = f"127.0.0.1:{self.server._server.sockets[0].getsockname()[1]}"
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        await self.here.close()
-        await self.there.close()
+        await self.client.close()
+        await self.server.close()
 
-    async def say(self, text: str, timeout_s: float = LONG_S) -> str:
-        return (await self.here.call(self.address, Echo(text), Echo, timeout_s)).text
+    async def call_echo(self, text: str, timeout_s: float = LONG_S) -> str:
+        return (await self.client.call(self.address, Echo(text), Echo, timeout_s)).text
 
 
 class RawPeer:
-    """A peer that does what a test says with each connection."""
+    """A peer that handles each connection by a function of the test."""
 
-    def __init__(self, answer: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]):
-        self._answer = answer
+    def __init__(
+        self, serve_connection: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+    ):
+        self._serve_connection = serve_connection
         self.connections = 0
 
     async def __aenter__(self) -> RawPeer:
         self._server = await asyncio.start_server(self._on_connection, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
-        self.here = Network()
+        self.client = Network()
         return self
 
     async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
-        await self._answer(reader, writer)
+        await self._serve_connection(reader, writer)
 
     async def __aexit__(self, *_: object) -> None:
-        await self.here.close()
+        await self.client.close()
         self._server.close()
 
-    async def say(self, timeout_s: float = LONG_S) -> Echo:
-        return await self.here.call(self.address, Echo("x"), Echo, timeout_s)
+    async def call_echo(self, timeout_s: float = LONG_S) -> Echo:
+        return await self.client.call(self.address, Echo("x"), Echo, timeout_s)
 
 
 # ------------------------------------------------------------------ ordinary calls
@@ -102,174 +104,177 @@
     async def test() -> None:
         async with Pair() as pair:
             texts = [str(number) for number in range(200)]
-            assert await asyncio.gather(*(pair.say(text) for text in texts)) == texts
-            assert len(pair.there.connections) == 1
+            assert await asyncio.gather(*(pair.call_echo(text) for text in texts)) == texts
+            assert len(pair.server.connections) == 1
 
-    play(test)
+    run_test(test)
 
 
 def test_a_slow_call_does_not_delay_the_others():
     async def test() -> None:
         async with Pair() as pair:
-            free = asyncio.Event()
+            released = asyncio.Event()
 
-            async def wait(asked: Echo, caller: Caller) -> Echo:
-                if asked.text == "slow":
-                    await free.wait()
-                return asked
+            async def wait(request: Echo, caller: Caller) -> Echo:
+                if request.text == "slow":
+                    await released.wait()
+                return request
 
-            pair.there.handle(Echo, wait)
-            slow = asyncio.create_task(pair.say("slow"))
-            assert await pair.say("quick") == "quick"
+            pair.server.handle(Echo, wait)
+            slow = asyncio.create_task(pair.call_echo("slow"))
+            assert await pair.call_echo("quick") == "quick"
             assert not slow.done()
-            free.set()
+            released.set()
             assert await slow == "slow"
 
-    play(test)
+    run_test(test)
 
 
-def test_a_call_that_can_not_be_encoded_leaves_nothing_in_flight():
+def test_a_call_that_cannot_be_encoded_leaves_nothing_in_flight():
     async def test() -> None:
         async with Pair() as pair:
-            assert await pair.say("before") == "before"
+            assert await pair.call_echo("before") == "before"
             with pytest.raises(TypeError):
-                await pair.here.call(pair.address, Echo(text=object()), Echo, LONG_S)  # type: ignore[arg-type]
-            (connection,) = pair.here.connections
+                await pair.client.call(pair.address, Echo(text=object()), Echo, LONG_S)  # type: ignore[arg-type]
+            (connection,) = pair.client.connections
             assert connection._calls_in_flight == {}
-            assert await pair.say("after") == "after"
+            assert await pair.call_echo("after") == "after"
 
-    play(test)
+    run_test(test)
 
 
-def test_errors_come_back_as_their_kind():
+def test_errors_of_handlers_are_raised_as_their_kind():
     async def test() -> None:
         async with Pair() as pair:
 
-            async def refuse(asked: Echo, caller: Caller) -> Echo:
-                if asked.text == "fenced":
+            async def fail(request: Echo, caller: Caller) -> Echo:
+                if request.text == "fenced":
                     raise FencedError("term 7")
                 raise ZeroDivisionError("oops")
 
-            pair.there.handle(Echo, refuse)
+            pair.server.handle(Echo, fail)
             with pytest.raises(FencedError, match="term 7"):
-                await pair.say("fenced")
+                await pair.call_echo("fenced")
             with pytest.raises(InternalError, match="oops"):
-                await pair.say("other")
+                await pair.call_echo("other")
             with pytest.raises(ProtocolViolationError):
-                await pair.here.call(pair.address, Other(), Other, LONG_S)
+                await pair.client.call(pair.address, Other(), Other, LONG_S)
 
-    play(test)
+    run_test(test)
 
 
-def test_a_reply_of_another_class_is_a_violation():
+def test_a_reply_of_another_class_is_a_protocol_violation():
     async def test() -> None:
         async with Pair() as pair:
             with pytest.raises(ProtocolViolationError):
-                await pair.here.call(pair.address, Echo("x"), Other, LONG_S)
+                await pair.client.call(pair.address, Echo("x"), Other, LONG_S)
 
-    play(test)
+    run_test(test)
 
 
-def test_a_message_without_reply_arrives_and_its_failure_is_ignored():
+def test_a_one_way_message_is_delivered_and_its_failure_ignored():
     async def test() -> None:
         async with Pair() as pair:
-            heard: list[str] = []
+            received: list[str] = []
 
-            async def hear(asked: Echo, caller: Caller) -> Echo:
-                heard.append(asked.text)
-                raise FencedError("nobody is told")
+            async def record(request: Echo, caller: Caller) -> Echo:
+                received.append(request.text)
+                raise FencedError("not reported")
 
-            pair.there.handle(Echo, hear)
-            await pair.here.tell(pair.address, Echo("hint"))
-            assert await wait_until(lambda: heard == ["hint"], LONG_S)
-            await pair.there.close()
-            await pair.here.tell("127.0.0.1:1", Echo("lost"))
+            pair.server.handle(Echo, record)
+            await pair.client.tell(pair.address, Echo("hint"))
+            assert await wait_until(lambda: received == ["hint"], LONG_S)
+            await pair.server.close()
+            await pair.client.tell("127.0.0.1:1", Echo("lost"))
 
-    play(test)
+    run_test(test)
 
 
-# ------------------------------------------------------------------ peers that vanish
+# ------------------------------------------------------------------ failing peers
 
 
-def test_without_a_listener_the_call_was_certainly_not_carried_out():
+def test_a_call_to_an_address_without_a_listener_is_not_sent():
     async def test() -> None:
-        here = Network()
+        client = Network()
         with pytest.raises(PeerUnavailableError):
-            await here.call("127.0.0.1:1", Echo("x"), Echo, LONG_S)
-        await here.close()
+            await client.call("127.0.0.1:1", Echo("x"), Echo, LONG_S)
+        await client.close()
 
-    play(test)
+    run_test(test)
 
 
-async def say_nothing(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def never_reply(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     await reader.read()
     writer.close()
 
 
-async def hang_up_after_reading(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def close_after_reading(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     await reader.readline()
     writer.close()
 
 
-async def half_a_reply(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def send_incomplete_reply(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     await reader.readline()
     writer.write(b'{"i": -1, "k": "test.echo"')
     writer.close()
 
 
-async def nonsense(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def send_invalid_line(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     await reader.readline()
     writer.write(b"nonsense\n")
     await reader.read()
     writer.close()
 
 
-async def another_id(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def reply_to_another_call(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     await reader.readline()
     writer.write(encode(Envelope(-4711, Echo("not for you"))))
     await reader.read()
     writer.close()
 
 
-@pytest.mark.parametrize("answer", [say_nothing, hang_up_after_reading, half_a_reply, nonsense, another_id])
-def test_without_a_reply_the_outcome_is_unknown(answer):
+@pytest.mark.parametrize(
+    "serve_connection",
+    [never_reply, close_after_reading, send_incomplete_reply, send_invalid_line, reply_to_another_call],
+)
+def test_without_a_reply_the_outcome_is_unknown(serve_connection):
     async def test() -> None:
-        async with RawPeer(answer) as peer:
+        async with RawPeer(serve_connection) as peer:
             with pytest.raises(PeerTimeoutError):
-                await peer.say(SHORT_S)
+                await peer.call_echo(SHORT_S)
 
-    play(test)
+    run_test(test)
 
 
-def test_a_connection_whose_calls_time_out_is_replaced():
+def test_a_connection_with_consecutive_timeouts_is_replaced():
     async def test() -> None:
-        async with RawPeer(say_nothing) as peer:
+        async with RawPeer(never_reply) as peer:
             for _ in range(client_connection.MAX_CONSECUTIVE_TIMEOUTS + 1):
                 with pytest.raises(PeerTimeoutError):
-                    await peer.say(SHORT_S)
+                    await peer.call_echo(SHORT_S)
             assert peer.connections == 2
 
-    play(test)
+    run_test(test)
 
 
 def test_a_restarted_peer_is_reached_again():
     async def test() -> None:
         async with Pair() as pair:
-            assert await pair.say("before") == "before"
-            await pair.there.close()
-            assert await wait_until(lambda: not pair.here.connections, LONG_S)
+            assert await pair.call_echo("before") == "before"
+            await pair.server.close()
+            assert await wait_until(lambda: not pair.client.connections, LONG_S)
             with pytest.raises(PeerUnavailableError):
-                await pair.say("down", SHORT_S)
-            again = Network()
-            again.handle(Echo, echo)
-            await again.listen(pair.address)
-            assert await pair.say("after") == "after"
-            await again.close()
+                await pair.call_echo("down", SHORT_S)
+            restarted = Network()
+            restarted.handle(Echo, echo)
+            await restarted.listen(pair.address)
+            assert await pair.call_echo("after") == "after"
+            await restarted.close()
 
-    play(test)
+    run_test(test)
 
 
-def test_a_peer_that_does_not_read_gets_no_more_calls(monkeypatch):
+def test_calls_to_a_peer_that_does_not_read_fail_at_once(monkeypatch):
     monkeypatch.setattr(client_connection, "MAX_UNSENT_BYTES", 1000)
 
     async def never_read(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -278,16 +283,16 @@
     async def test() -> None:
         async with RawPeer(never_read) as peer:
             large = Echo("x" * 30_000_000)
-            first = asyncio.create_task(peer.here.call(peer.address, large, Echo, LONG_S))
-            assert await wait_until(lambda: peer.here.sent_bytes > 0, LONG_S)
+            first = asyncio.create_task(peer.client.call(peer.address, large, Echo, LONG_S))
+            assert await wait_until(lambda: peer.client.sent_bytes > 0, LONG_S)
             with pytest.raises(PeerUnavailableError):
-                await peer.say(SHORT_S)
+                await peer.call_echo(SHORT_S)
             first.cancel()
 
-    play(test)
+    run_test(test)
 
 
-# ------------------------------------------------------------------ bad bytes
+# ------------------------------------------------------------------ invalid bytes
 
 
 @pytest.mark.parametrize(
@@ -301,23 +306,23 @@
         orjson.dumps({"i": "1", "k": "test.echo", "b": {}}) + b"\n",
     ],
 )
-def test_bad_bytes_end_that_connection_and_no_other(data):
+def test_invalid_bytes_abort_only_their_connection(data):
     async def test() -> None:
         async with Pair() as pair:
-            assert await pair.say("good") == "good"
+            assert await pair.call_echo("good") == "good"
             host, _, port = pair.address.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(data)
             with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
                 await asyncio.wait_for(reader.readexactly(1), LONG_S)
             writer.close()
-            assert await pair.say("still good") == "still good"
-            assert len(pair.there.connections) == 1
+            assert await pair.call_echo("still good") == "still good"
+            assert len(pair.server.connections) == 1
 
-    play(test)
+    run_test(test)
 
 
-def test_a_line_over_the_limit_ends_its_connection(monkeypatch):
+def test_a_line_over_the_limit_aborts_its_connection(monkeypatch):
     monkeypatch.setattr(connection, "MAX_LINE_BYTES", 10_000)
 
     async def test() -> None:
@@ -328,13 +333,13 @@
             with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
                 await asyncio.wait_for(reader.readexactly(1), LONG_S)
             writer.close()
-            assert await pair.say("good") == "good"
+            assert await pair.call_echo("good") == "good"
 
-    play(test)
+    run_test(test)
 
 
 @pytest.mark.parametrize("size", [1, 2, 7, 64])
-def test_lines_are_read_however_their_bytes_arrive(size):
+def test_lines_are_read_in_chunks_of_any_size(size):
     async def test() -> None:
         async with Pair() as pair:
             host, _, port = pair.address.rpartition(":")
@@ -347,4 +352,4 @@
             assert sorted(reply["i"] for reply in replies) == [-3, -2, -1]
             writer.close()
 
-    play(test)
+    run_test(test)
