--- a/emberring/errors.py
+++ b/emberring/errors.py
@@ -215,14 +215,14 @@
 
 def _classes_by_kind() -> dict[ErrorKind, type[EmberringError]]:
     """Return the class that `error_from_wire` instantiates for each kind, with only a detail."""
-    found: dict[ErrorKind, type[EmberringError]] = {}
+    class_by_kind: dict[ErrorKind, type[EmberringError]] = {}
     pending: list[type[EmberringError]] = list(EmberringError.__subclasses__())
     while pending:
         cls = pending.pop()
         if cls not in (InvalidConfigurationError, PeerError):
-            found[cls.kind] = cls
+            class_by_kind[cls.kind] = cls
         pending.extend(cls.__subclasses__())
-    return found
+    return class_by_kind
 
 
 _CLASS_OF_KIND = _classes_by_kind()
--- a/emberring/register/changes.py
+++ b/emberring/register/changes.py
@@ -55,7 +55,7 @@
     if current.joining:
         return ReplicaSet(current.epoch + 1, current.joining)
     names = {member.identity for member in current.members}
-    candidates = [found for found in view.candidates if found.member.identity not in names]
+    candidates = [candidate for candidate in view.candidates if candidate.member.identity not in names]
     if not candidates:
         return None
     outgoing = _member_to_replace(current, view)
@@ -80,9 +80,9 @@
         lambda member: member.identity in view.leaving,
     )
     for matches in criteria:
-        found = [member for member in current.members if matches(member)]
-        if found:
-            return max(found, key=lambda member: view.unreachable_s.get(member.identity, 0.0))
+        matching = [member for member in current.members if matches(member)]
+        if matching:
+            return max(matching, key=lambda member: view.unreachable_s.get(member.identity, 0.0))
     return None
 
 
@@ -104,4 +104,4 @@
 ) -> Candidate:
     """Return the candidate whose zone has the fewest of the remaining replicas, and of equals the lowest identity."""
     zones = [view.zones.get(member.identity, "") for member in remaining]
-    return min(candidates, key=lambda found: (zones.count(found.zone), found.member.identity))
+    return min(candidates, key=lambda candidate: (zones.count(candidate.zone), candidate.member.identity))
--- a/emberring/register/contacts.py
+++ b/emberring/register/contacts.py
@@ -99,16 +99,16 @@
             for member in replicas.all_members:
                 interval_by_address[self.address(member)] = REPLICA_PING_INTERVAL_S
         interval_by_address.pop(self._me.address, None)
-        found = []
+        due = []
         for address, interval_s in interval_by_address.items():
             contact = self._contacts.setdefault(address, _Contact())
             if contact.last_contact_at_s == float("-inf"):
                 interval_s = UNANSWERED_PING_INTERVAL_S
             if not contact.in_flight and now_s - contact.sent_at_s >= interval_s:
                 contact.in_flight, contact.sent_at_s = True, now_s
-                found.append(address)
+                due.append(address)
         self._remove_unlisted(interval_by_address)
-        return found
+        return due
 
     def _non_replica_addresses(self, replicas: ReplicaSet | None) -> list[str]:
         addresses = [peer.member.address for peer in self._peers.values()][:MAX_NON_REPLICAS]
--- a/emberring/register/model.py
+++ b/emberring/register/model.py
@@ -67,8 +67,8 @@
     @property
     def all_members(self) -> tuple[Member, ...]:
         """All replicas, including the joining ones, without duplicates."""
-        found = {member.identity: member for member in (*self.members, *self.joining)}
-        return tuple(found.values())
+        member_by_identity = {member.identity: member for member in (*self.members, *self.joining)}
+        return tuple(member_by_identity.values())
 
     def includes(self, identity: str) -> bool:
         """Whether a replica with this identity is a member or joining."""
--- a/emberring/register/pending_operations.py
+++ b/emberring/register/pending_operations.py
@@ -64,9 +64,9 @@
 
     def expire(self, now_s: float) -> list[Resolve]:
         """Remove the operations whose deadline has passed, and return their outcomes."""
-        expired = [found for found in self._outcomes if found.operation.deadline_s <= now_s]
-        self._outcomes = [found for found in self._outcomes if found.operation.deadline_s > now_s]
-        return [timed_out(found.operation) for found in expired]
+        expired = [outcome for outcome in self._outcomes if outcome.operation.deadline_s <= now_s]
+        self._outcomes = [outcome for outcome in self._outcomes if outcome.operation.deadline_s > now_s]
+        return [timed_out(outcome.operation) for outcome in expired]
 
     @property
     def operations(self) -> tuple[PendingOperation, ...]:
@@ -75,7 +75,9 @@
 
     def resolve(self) -> list[Resolve]:
         """Return the outcomes of all operations after the attempt has committed."""
-        return [Resolve(found.operation.number, found.payload, found.error) for found in self._outcomes]
+        return [
+            Resolve(outcome.operation.number, outcome.payload, outcome.error) for outcome in self._outcomes
+        ]
 
 
 def _rejection(operation: PendingOperation, rejection: EmberringError) -> EmberringError:
--- a/emberring/register/persistence.py
+++ b/emberring/register/persistence.py
@@ -27,7 +27,7 @@
         """Return the append of a record, if there is one; after a failure that of a snapshot in any case."""
         records = [self._acceptor.snapshot()] if self._snapshot_needed else [] if record is None else [record]
         self._snapshot_needed = False
-        return [self._new_append(now_s, found) for found in records]
+        return [self._new_append(now_s, entry) for entry in records]
 
     def _new_append(self, now_s: float, record: bytes) -> Append:
         self._last_number += 1
--- a/emberring/register/proposal_loop.py
+++ b/emberring/register/proposal_loop.py
@@ -22,7 +22,7 @@
 """Timeout of a prepare or accept call, in seconds."""
 
 ATTEMPT_TIMEOUT_S = 0.9
-"""Timeout of a whole attempt, in seconds; longer than `CALL_TIMEOUT_S`."""
+"""Timeout of a complete attempt, in seconds; longer than `CALL_TIMEOUT_S`."""
 
 BACKOFF_FIRST_S = 0.01
 """Maximum backoff after the first failed attempt, in seconds; it doubles with each consecutive failure."""
@@ -67,7 +67,7 @@
         self._queued: deque[PendingOperation] = deque()
         self._in_attempt: deque[PendingOperation] = deque()  # requested before the attempt in flight began
         self._attempt: ProposalAttempt | None = None
-        self._began_s = 0.0
+        self._started_at_s = 0.0
         self._batch: Batch | None = None
         self._reconfiguration: ReconfigurationStep | None = None
         self._consecutive_failures = 0
@@ -81,7 +81,9 @@
     @property
     def next_wake_s(self) -> float:
         """When the next attempt may begin or an operation expires, whichever is earlier; infinite if neither."""
-        wake_s = min((found.deadline_s for found in (*self._queued, *self._in_attempt)), default=float("inf"))
+        wake_s = min(
+            (operation.deadline_s for operation in (*self._queued, *self._in_attempt)), default=float("inf")
+        )
         if self._queued or self._catch_up.confirmation_needed:
             wake_s = min(wake_s, self._retry_at_s)
         return wake_s
@@ -115,7 +117,7 @@
 
     def advance(self, now_s: float) -> None:
         """Fail an attempt that timed out, and begin one if it is needed and the backoff is over."""
-        if self._attempt is not None and now_s - self._began_s > ATTEMPT_TIMEOUT_S:
+        if self._attempt is not None and now_s - self._started_at_s > ATTEMPT_TIMEOUT_S:
             self._fail(now_s, self._attempt)
         if self._attempt is not None or now_s < self._retry_at_s:
             return
@@ -130,22 +132,22 @@
         self._counter += 1
         number = ProposalNumber(self._counter, self._proposer)
         attempt = ProposalAttempt(number, known, self._decide)
-        self._attempt, self._began_s = attempt, now_s
+        self._attempt, self._started_at_s = attempt, now_s
         # An operation that is requested while promises are in flight waits for the next attempt: those promises may be
         # older than a change that another node acknowledged before the operation was requested.
         self._in_attempt, self._queued = self._queued, deque()
         self._send(attempt, attempt.start(known.state.replicas.all_members))
 
-    def _decide(self, found: Proposal, committed: bool) -> State:
+    def _decide(self, base: Proposal, committed: bool) -> State:
         """Return the state that this attempt proposes, based on the newest proposal that it found."""
-        self._batch = Batch(tuple(self._in_attempt), found.state.payload)
+        self._batch = Batch(tuple(self._in_attempt), base.state.payload)
         self._in_attempt.clear()
-        replicas = found.state.replicas
+        replicas = base.state.replicas
         step = self._reconfiguration
         if step is not None and step.previous == replicas and (committed or not replicas.joining):
             replicas = step.following
         state = State(replicas, self._batch.payload)
-        if not (committed and state == found.state):
+        if not (committed and state == base.state):
             self._batch.mark_outcome_unknown()
         return state
 
--- a/emberring/register/proposer.py
+++ b/emberring/register/proposer.py
@@ -159,13 +159,13 @@
             ]
         return self._propose(newest)
 
-    def _propose(self, found: Proposal) -> list[Send]:
+    def _propose(self, base: Proposal) -> list[Send]:
         committed = self._replies.committed
-        state = self._decide(found, committed)
-        if committed and state == found.state:
-            self.phase, self.outcome = Phase.COMMITTED, found
+        state = self._decide(base, committed)
+        if committed and state == base.state:
+            self.phase, self.outcome = Phase.COMMITTED, base
             return []
-        if not committed and not set(state.replicas.quorum_sets) >= set(found.state.replicas.quorum_sets):
+        if not committed and not set(state.replicas.quorum_sets) >= set(base.state.replicas.quorum_sets):
             raise AssertionError(
                 "the proposal drops a replica set of a state that is not known to be committed"
             )
--- a/emberring/register/quorum_reads.py
+++ b/emberring/register/quorum_reads.py
@@ -35,7 +35,7 @@
         self._calls = calls
         self._actions = actions
         self._read: QuorumRead | None = None
-        self._began_s = 0.0
+        self._started_at_s = 0.0
         self._queued: deque[PendingOperation] = deque()
         self._in_read: deque[PendingOperation] = deque()
 
@@ -47,7 +47,9 @@
     @property
     def next_wake_s(self) -> float:
         """The earliest deadline of a waiting operation; infinite if there is none."""
-        return min((found.deadline_s for found in (*self._queued, *self._in_read)), default=float("inf"))
+        return min(
+            (operation.deadline_s for operation in (*self._queued, *self._in_read)), default=float("inf")
+        )
 
     def enqueue(self, operation: PendingOperation) -> None:
         """Add an operation; a quorum read that begins later serves it."""
@@ -60,7 +62,7 @@
 
     def advance(self, now_s: float) -> None:
         """Abort a read that timed out, and begin one if operations wait."""
-        if self._read is not None and now_s - self._began_s > READ_TIMEOUT_S:
+        if self._read is not None and now_s - self._started_at_s > READ_TIMEOUT_S:
             self._fail(self._read)
         if self._queued and self._read is None:
             self.begin(now_s)
@@ -70,7 +72,7 @@
         known = self._catch_up.known
         if known is None:
             return
-        self._read, self._began_s = QuorumRead(known), now_s
+        self._read, self._started_at_s = QuorumRead(known), now_s
         self._in_read, self._queued = self._queued, deque()
         self._send(self._read, self._read.start(known.state.replicas.all_members))
 
--- a/emberring/register/service.py
+++ b/emberring/register/service.py
@@ -111,7 +111,7 @@
         self._node: RegisterNode | None = None
         self._journal: Journal | None = None
         self._snapshot_segment = -1
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
         self._replies: dict[int, asyncio.Future[Answer]] = {}
         self._operations: dict[int, asyncio.Future[bytes | None]] = {}
         self._appends: dict[int, asyncio.Future[Position]] = {}
@@ -210,7 +210,7 @@
         if self._node is None:
             raise NotReadyError("the register has not started")
         loop = asyncio.get_running_loop()
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         future: asyncio.Future[bytes | None] = loop.create_future()
         self._operations[number] = future
         try:
@@ -343,7 +343,7 @@
         return await self._serve(message)
 
     async def _serve(self, message: Request) -> Answer:
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self._replies[number] = future
         try:
--- a/emberring/settings.py
+++ b/emberring/settings.py
@@ -189,11 +189,11 @@
         return tuple(value)
 
     def addresses(self, key: str) -> tuple[str, ...]:
-        found = self.strings(key)
-        for item in found:
+        items = self.strings(key)
+        for item in items:
             if not _is_address(item):
                 self._errors.append(f"{self._prefix}{key}: {item!r} is not an address")
-        return found
+        return items
 
     def address(self, key: str) -> str:
         value = self.string(key)
--- a/emberring/transport/messages.py
+++ b/emberring/transport/messages.py
@@ -45,28 +45,28 @@
     except UnicodeDecodeError:
         pass
     if len(value) >= MIN_DEFLATE_BYTES:
-        packed = zlib.compress(value, DEFLATE_LEVEL)
-        if len(packed) < len(value):
-            return _DEFLATED + base64.b64encode(packed).decode("ascii")
+        compressed = zlib.compress(value, DEFLATE_LEVEL)
+        if len(compressed) < len(value):
+            return _DEFLATED + base64.b64encode(compressed).decode("ascii")
     return _BASE64 + base64.b64encode(value).decode("ascii")
 
 
 def _bytes_from_json(value: object, _: type) -> bytes:
     if not isinstance(value, str):
         raise ValueError("encoded bytes must be a string")
-    form, rest = value[:1], value[1:]
-    if form == _TEXT:
+    encoding, rest = value[:1], value[1:]
+    if encoding == _TEXT:
         return rest.encode("utf-8")
-    if form == _BASE64:
+    if encoding == _BASE64:
         return base64.b64decode(rest, validate=True)
-    if form == _DEFLATED:
+    if encoding == _DEFLATED:
         return _inflate(base64.b64decode(rest, validate=True))
     raise ValueError("unknown encoding of bytes")
 
 
-def _inflate(packed: bytes) -> bytes:
+def _inflate(compressed: bytes) -> bytes:
     inflater = zlib.decompressobj()
-    value = inflater.decompress(packed, MAX_LINE_BYTES)
+    value = inflater.decompress(compressed, MAX_LINE_BYTES)
     if not inflater.eof:
         raise ValueError("compressed bytes are truncated or too large")
     return value
@@ -92,12 +92,12 @@
         overrides = {name: override(rename=key) for name, key in wire_keys.items()}
         # Hook factories resolve the field types lazily: a type may be defined later in the module than this class.
         converter.register_unstructure_hook_factory(
-            lambda found: found is cls,
-            lambda found: make_dict_unstructure_fn(found, converter, **overrides),  # type: ignore[arg-type]
+            lambda candidate_cls: candidate_cls is cls,
+            lambda candidate_cls: make_dict_unstructure_fn(candidate_cls, converter, **overrides),  # type: ignore[arg-type]
         )
         converter.register_structure_hook_factory(
-            lambda found: found is cls,
-            lambda found: make_dict_structure_fn(found, converter, **overrides),  # type: ignore[arg-type]
+            lambda candidate_cls: candidate_cls is cls,
+            lambda candidate_cls: make_dict_structure_fn(candidate_cls, converter, **overrides),  # type: ignore[arg-type]
         )
         return cls
 
