--- a/emberring/configuration/__init__.py
+++ b/emberring/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's configuration: its model, checks, changes, and the state that the control nodes agree on."""
+"""The operator's configuration: its model, validation and changes, and the state replicated by the control nodes."""
--- a/emberring/configuration/change_requests.py
+++ b/emberring/configuration/change_requests.py
@@ -1,6 +1,6 @@
-"""An operator's change, and whether a state accepts it.
+"""Parses an operator's change, and decides whether a state accepts it.
 
-Pure functions: the same change has the same result at any node and any number of times.
+The functions are pure and idempotent: a change has the same result on every node and when it is repeated.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class ChangeRequestKind(Enum):
-    """Whether a change replaces the complete configuration or some named items of it; the value is the HTTP method."""
+    """Whether a change replaces the complete configuration or only named items; the value is the HTTP method."""
 
     REPLACE = "PUT"
     PATCH = "PATCH"
@@ -35,11 +35,11 @@
 
 @attrs.frozen
 class ChangeRequest:
-    """A change that could be parsed.
+    """A parsed change.
 
-    `base_version` is the version that it builds on and `version` the one that it makes current. `digest` identifies the
-    change: it is the same for every spelling of the JSON and differs for another base version. `body` is the JSON as
-    received and `document` its content.
+    `base_version` is the version that it applies to, and `version` the one that it makes current. `digest` identifies
+    the change: it does not depend on the formatting of the JSON, but on the base version. `body` is the JSON as
+    received, and `document` the parsed object.
     """
 
     kind: ChangeRequestKind
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class Accepted:
-    """The state after the change. `is_repeat`: the change had been accepted before, and the state is unchanged."""
+    """The state after the change. `is_repeat`: the change was accepted before, and the state is unchanged."""
 
     state: ControlState
     is_repeat: bool
@@ -60,15 +60,15 @@
 
 @attrs.frozen
 class Rejected:
-    """The change does not apply to this state; `error` says why."""
+    """The change does not apply to this state; `error` is the reason."""
 
     error: EmberringError
 
 
 def read_change_request(kind: ChangeRequestKind, if_match: str | None, body: bytes) -> ChangeRequest:
-    """The change in a call; `if_match` is the header with the base version.
+    """Parse a change; `if_match` is the value of the header with the base version.
 
-    `BadRequestError` or `InvalidConfigurationError` where no state could accept it.
+    Raises `BadRequestError` or `InvalidConfigurationError` if no state could accept it.
     """
     base_version = _parse_if_match(if_match)
     parsed = parse_strictly(body)
@@ -92,12 +92,12 @@
 
 
 def _digest(kind: ChangeRequestKind, base_version: int, canonical: bytes) -> bytes:
-    head = f"{kind.value} {base_version}\n".encode()
-    return hashlib.blake2b(head + canonical, digest_size=DIGEST_BYTES).digest()
+    prefix = f"{kind.value} {base_version}\n".encode()
+    return hashlib.blake2b(prefix + canonical, digest_size=DIGEST_BYTES).digest()
 
 
 def evaluate(state: ControlState, request: ChangeRequest) -> Accepted | Rejected:
-    """Whether this state accepts this change, and the state after it."""
+    """Decide whether this state accepts this change, and compute the state after it."""
     if request.digest in state.accepted_digests:
         return Accepted(state, is_repeat=True)
     if request.base_version != state.version:
--- a/emberring/configuration/checks.py
+++ b/emberring/configuration/checks.py
@@ -1,4 +1,4 @@
-"""What makes a configuration invalid. All mistakes are errors at once, each as a line for the operator."""
+"""Validates a configuration. All errors are reported together, each as one line for the operator."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 def find_configuration_errors(document: Mapping[str, Any]) -> tuple[str, ...]:
-    """Every error in a complete configuration, at most `MAX_REPORTED_ERRORS` and then how many more.
+    """The errors in a complete configuration: at most `MAX_REPORTED_ERRORS`, and a line with the number of the rest.
 
-    Its version is only checked for its type, not against the current one.
+    Of the version only the type is checked; it is not compared with the current version.
     """
     errors = list(_configuration_errors(document))
     if len(errors) > MAX_REPORTED_ERRORS:
@@ -42,12 +42,12 @@
 
 
 def is_integer(value: object) -> TypeGuard[int]:
-    """Whether this is an integer; booleans are none."""
+    """Whether this is an integer, and no boolean."""
     return isinstance(value, int) and not isinstance(value, bool)
 
 
 def is_number(value: object) -> TypeGuard[int | float]:
-    """Whether this is an integer or a float; booleans are none."""
+    """Whether this is an integer or a float, and no boolean."""
     return isinstance(value, int | float) and not isinstance(value, bool)
 
 
--- a/emberring/configuration/model.py
+++ b/emberring/configuration/model.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as typed values. Times are in the unit at the end of each name."""
+"""The operator's configuration as typed values. Names of durations end with their unit."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 @attrs.frozen
 class Route:
-    """Which services the requests of a host below a path prefix go to, and with which limits.
+    """Routes requests for a host and a path prefix to services, with limits.
 
-    `split` gives the services with their weights. `timeout_ms` limits a request and `target_latency_ms` is its latency
-    target. `completion_target_ms`, `retention_s` and `max_queued_tokens` are for batch jobs. `resumable`: a broken
-    stream may be continued by another attempt.
+    `split` has the services with their weights. `timeout_ms` is the timeout of a request, and `target_latency_ms` its
+    latency target. `completion_target_ms`, `retention_s` and `max_queued_tokens` apply to batch jobs. `resumable`: an
+    interrupted stream may be continued by another attempt.
     """
 
     name: str
@@ -69,7 +69,7 @@
 
 @attrs.frozen
 class ClientLimits:
-    """Limits of the size and the duration of clients' requests."""
+    """Limits on the size and the duration of clients' requests."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4194304
@@ -103,7 +103,7 @@
         return {service.name: service for service in self.services}
 
     def route_for(self, host: str, path: str) -> Route | None:
-        """The route of this host with the longest prefix that begins the path; None if there is none."""
+        """The route of this host with the longest prefix of the path; None if no route matches."""
         for route in self._by_host.get(host.lower(), ()):
             if path.startswith(route.path_prefix):
                 return route
--- a/emberring/configuration/patch.py
+++ b/emberring/configuration/patch.py
@@ -11,10 +11,10 @@
 
 
 def apply_patch(document: Mapping[str, Any], change: Mapping[str, Any]) -> dict[str, Any]:
-    """The configuration after `Remove` and then `Upsert`, under the change's version.
+    """Apply `Remove` and then `Upsert`; the result has the change's version.
 
-    Items keep their positions, and new ones are appended. Removing a name that does not exist is no error.
-    `InvalidConfigurationError` where the change cannot be applied.
+    Existing items stay at their positions, and new ones are appended. Removing a name that does not exist is no error.
+    Raises `InvalidConfigurationError` if the change cannot be applied.
     """
     errors: list[str] = []
     upsert = _section(change, "Upsert", errors)
@@ -74,7 +74,7 @@
 def _merge(
     before: list[dict[str, Any]], upserts: Mapping[str, dict[str, Any]], removed_names: set[str]
 ) -> list[dict[str, Any]]:
-    """`before` with the items of `upserts` put in, and without those of `removed_names`."""
+    """Replace or append the items of `upserts`, and remove those of `removed_names` that are not among them."""
     new_items = dict(upserts)
     after: list[dict[str, Any]] = []
     for item in before:
--- a/emberring/configuration/reading.py
+++ b/emberring/configuration/reading.py
@@ -1,4 +1,4 @@
-"""From the operator's JSON to typed values: strict parsing, building, and the compressed form between nodes."""
+"""Parses the operator's JSON strictly, builds typed values from it, and compresses documents for storage."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class DuplicateKeyError(ValueError):
-    """An object holds a key twice."""
+    """An object has a duplicate key."""
 
 
 def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
@@ -45,21 +45,21 @@
 
 @attrs.frozen
 class ParsedDocument:
-    """A parsed object, and the canonical JSON that is the same for every spelling of it."""
+    """A parsed object, and its canonical JSON, which does not depend on the formatting of the source."""
 
     value: dict[str, Any]
     canonical: bytes
 
 
 def parse_object_strictly(body: bytes) -> dict[str, Any]:
-    """The object in this JSON text; `InvalidConfigurationError` as for `parse_strictly`."""
+    """Parse a JSON object; raises `InvalidConfigurationError` as `parse_strictly` does."""
     return parse_strictly(body).value
 
 
 def parse_strictly(body: bytes) -> ParsedDocument:
-    """The object in this JSON text, with its canonical JSON.
+    """Parse a JSON object, and compute its canonical JSON.
 
-    `InvalidConfigurationError` where the text is truncated, has a key twice in one object, or is no JSON object.
+    Raises `InvalidConfigurationError` if the text is truncated, has duplicate keys in an object, or is no JSON object.
     """
     try:
         value = json.loads(
@@ -80,12 +80,12 @@
     try:
         return orjson.dumps(value, option=orjson.OPT_SORT_KEYS)
     except orjson.JSONEncodeError:
-        # Integers of over 64 bits, deep nesting, or half of a surrogate pair, which fails here again.
+        # Integers over 64 bits, deep nesting, or a lone surrogate; the latter fails here as well.
         return json.dumps(value, sort_keys=True, separators=(",", ":"), ensure_ascii=False).encode("utf-8")
 
 
 def build_configuration(document: Mapping[str, Any]) -> Configuration:
-    """The typed form of a document without errors; others may raise `KeyError`, `TypeError` or `ValueError`."""
+    """Build the typed form of a valid document; an invalid one may raise `KeyError`, `TypeError` or `ValueError`."""
     return Configuration(
         version=int(document["Version"]),
         routes=tuple(_route(item) for item in document.get("Routes") or ()),
@@ -140,26 +140,26 @@
 
 
 def pack(document: bytes) -> bytes:
-    """The compressed form in which nodes store and send a document."""
+    """Compress a document, for storage and for messages between nodes."""
     return zlib.compress(document, COMPRESSION_LEVEL)
 
 
 def unpack(packed: bytes) -> bytes:
-    """The document in its compressed form."""
+    """Decompress a document."""
     return zlib.decompress(packed)
 
 
 def unpack_configuration(packed: bytes) -> Configuration:
-    """The typed configuration in a compressed document that was checked before it was accepted."""
+    """Build the typed configuration from a compressed document that was validated before."""
     return build_configuration(parse_validated(unpack(packed)))
 
 
 def parse_validated(document: bytes) -> dict[str, Any]:
-    """The object in a document that was parsed strictly before; `CorruptRecordError` where it is none."""
+    """Parse a document that was parsed strictly before; raises `CorruptRecordError` if it is no JSON object."""
     try:
         value = orjson.loads(document)
     except orjson.JSONDecodeError:
-        value = json.loads(document)  # integers of over 64 bits
+        value = json.loads(document)  # integers over 64 bits
     if not isinstance(value, dict):
         raise CorruptRecordError("the stored configuration is no JSON object")
     return value
--- a/emberring/configuration/state.py
+++ b/emberring/configuration/state.py
@@ -1,4 +1,4 @@
-"""The value of the control register: the configuration, the accepted changes, and the placement of shards."""
+"""The value of the replicated register: the configuration, the accepted changes, and the placement of shards."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 FORMAT = b"emberring-control-1\n"
 DIGEST_BYTES = 16
-MAX_REMEMBERED_DIGESTS = 4096  # of accepted changes; the oldest are dropped
+MAX_REMEMBERED_DIGESTS = 4096  # of accepted changes; the oldest are dropped first
 
 
 @attrs.frozen
 class ControlState:
-    """What the control nodes agree on.
+    """The state replicated by the control nodes.
 
-    `packed` is the compressed configuration, empty before the first one. `accepted_digests` holds the digests of the
-    changes that led to this state, oldest first, so that a repeated change is recognised.
+    `packed` is the compressed configuration, empty before the first one. `accepted_digests` has the digests of the
+    changes that led to this state, oldest first; with them a repeated change is recognised.
     """
 
     version: int = 0
@@ -40,31 +40,31 @@
         return parse_validated(self.document) if self.packed else {}
 
     def with_configuration(self, version: int, document: bytes, digest: bytes) -> ControlState:
-        """The state after the change with this digest; `document` is the new configuration as JSON text."""
+        """The state after a change; `document` is the new configuration as JSON text, `digest` that of the change."""
         digests = (*self.accepted_digests, digest)[-MAX_REMEMBERED_DIGESTS:]
         return attrs.evolve(self, version=version, packed=pack(document), accepted_digests=digests)
 
     def encode(self) -> bytes:
-        """The value for the register."""
-        head = {
+        """Encode the state as the value of the register."""
+        header = {
             "version": self.version,
             "taken": len(self.accepted_digests),
             "packed": len(self.packed),
             "placement": converter.unstructure(self.placement, Placement | None),
         }
-        return b"".join((FORMAT, orjson.dumps(head), b"\n", *self.accepted_digests, self.packed))
+        return b"".join((FORMAT, orjson.dumps(header), b"\n", *self.accepted_digests, self.packed))
 
     @staticmethod
     def decode(value: bytes | None) -> ControlState:
-        """The state in a register's value, the initial state where it is empty or None.
+        """Decode a value of the register; an empty one or None is the initial state.
 
-        `CorruptRecordError` where the bytes are no state.
+        Raises `CorruptRecordError` if the bytes are not an encoded state.
         """
         if not value:
             return ControlState()
         try:
             return _decode(value)
-        except Exception as error:  # any bytes may come, and the readers raise many types
+        except Exception as error:  # the bytes are arbitrary, and the parsers raise many types
             raise CorruptRecordError(f"control state: {type(error).__name__}: {error}") from error
 
 
@@ -72,16 +72,16 @@
     if not value.startswith(FORMAT):
         raise ValueError("unknown format")
     end = value.index(b"\n", len(FORMAT))
-    head = orjson.loads(value[len(FORMAT) : end])
-    packed_start = end + 1 + head["taken"] * DIGEST_BYTES
-    if len(value) != packed_start + head["packed"]:
-        raise ValueError("wrong length")
+    header = orjson.loads(value[len(FORMAT) : end])
+    packed_start = end + 1 + header["taken"] * DIGEST_BYTES
+    if len(value) != packed_start + header["packed"]:
+        raise ValueError("the length does not match the header")
     digests = value[end + 1 : packed_start]
     return ControlState(
-        version=head["version"],
+        version=header["version"],
         packed=value[packed_start:],
         accepted_digests=tuple(
             digests[position : position + DIGEST_BYTES] for position in range(0, len(digests), DIGEST_BYTES)
         ),
-        placement=converter.structure(head["placement"], Placement | None),  # type: ignore[arg-type]
+        placement=converter.structure(header["placement"], Placement | None),  # type: ignore[arg-type]
     )
--- a/emberring/control/__init__.py
+++ b/emberring/control/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's API and the model servers' heartbeats."""
+"""The control role: the operators' API, the model servers' heartbeats, and the status of the tier."""
--- a/emberring/control/app.py
+++ b/emberring/control/app.py
@@ -74,7 +74,7 @@
         )
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one request."""
+        """Handle one request."""
         if scope["type"] != "http":
             return
         try:
@@ -113,7 +113,7 @@
         return Response(200, orjson.dumps({"Version": version}))
 
     async def _configuration(self, request: Request, _: str) -> Response:
-        return Response(200, await self._operator_requests.current())
+        return Response(200, await self._operator_requests.current_document())
 
     async def _retire(self, request: Request, name: str) -> Response:
         return Response(200, orjson.dumps({"State": await self._operator_requests.retire(name)}))
@@ -138,7 +138,7 @@
     while True:
         event = await receive()
         if event["type"] == "http.disconnect":
-            raise BadRequestError("the caller left before its request was whole")
+            raise BadRequestError("the client disconnected before its request was complete")
         chunk = event.get("body", b"")
         size += len(chunk)
         if size > MAX_BODY_BYTES:
--- a/emberring/control/change_notifier.py
+++ b/emberring/control/change_notifier.py
@@ -1,4 +1,4 @@
-"""Wakes all tasks that wait for a change at the moment."""
+"""Wakes the tasks that are waiting for a change."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 
 
 class ChangeNotifier:
-    """Each `notify_all` ends every `wait` under way, in the order in which they began, and none that begins later."""
+    """`notify_all` wakes the current waiters in FIFO order; a `wait` that begins later needs another `notify_all`."""
 
     def __init__(self) -> None:
         self._waiting: dict[asyncio.Future[None], None] = {}
 
     @property
     def waiters(self) -> int:
-        """How many tasks wait at the moment."""
+        """The number of waiting tasks."""
         return len(self._waiting)
 
     def notify_all(self) -> None:
-        """Wake all tasks that wait now."""
+        """Wake all waiting tasks."""
         for future in self._waiting:
             if not future.done():
                 future.set_result(None)
         self._waiting.clear()
 
     async def wait(self, timeout_s: float) -> None:
-        """Wait for the next `notify_all`, at most this long (seconds)."""
+        """Wait for the next `notify_all`, at most `timeout_s`."""
         future = asyncio.get_running_loop().create_future()
         self._waiting[future] = None
         try:
-            # Not `asyncio.wait_for`: in Python 3.11 it loses a cancellation that comes as the future is done.
+            # Not `asyncio.wait_for`: in Python 3.11 it swallows a cancellation that arrives as the future completes.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(max(0.0, timeout_s)):
                     await future
--- a/emberring/control/cluster_state.py
+++ b/emberring/control/cluster_state.py
@@ -22,22 +22,23 @@
 from emberring.registry.heartbeats import Heartbeat
 from emberring.registry.servers import ServerRegistry
 
-QUORUM_LOST_AFTER_S = 1.0  # without contact to a quorum for so long, silence of servers proves nothing
-LAST_SEEN_SPAN_S = 5.0  # an exchange after a pause has the heartbeats of at most so long
+QUORUM_LOST_AFTER_S = 1.0  # after this long without contact with a quorum, missed heartbeats do not count
+LAST_SEEN_SPAN_S = 5.0  # an exchange reports the heartbeats of at most this period
 
 
 class ClusterState:
-    """Owner of all that one control node knows.
+    """The in-memory state of one control node.
 
-    No call waits; every call takes the time in seconds of the monotonic clock.
+    No method blocks; each takes the current time in seconds of the monotonic clock.
 
     Parameters: `me` is this node's record, `seeds` are internal addresses of control nodes, `heartbeat_s` is the
     interval of the servers' heartbeats.
 
-    Attributes for others to read: `state` (the register's newest committed value), `status_table`, `peers`, `load`,
-    `suspicions`. To wait on: `changes` (anything followers should have), `ended_exchanges` (with another control
-    node), `expedite_requests` (other control nodes should have changes at once). `quorum_age_s` is set by the owner:
-    how long ago a quorum of the register was in contact.
+    Attributes to read: `state` (the newest committed value of the register that this node has), `status_table`,
+    `peers`, `load`, `suspicions`. Notifiers: `changes` (something that followers need has changed),
+    `ended_exchanges` (an exchange with another control node has ended), `expedite_requests` (exchanges are due at
+    once). `quorum_age_s` is set by the creator of this object: how long ago (s) a quorum of the register was in
+    contact.
     """
 
     def __init__(self, now_s: float, me: NodeRecord, seeds: Iterable[str], heartbeat_s: float) -> None:
@@ -70,7 +71,7 @@
     # -- changes
 
     def expedite_exchanges(self, now_s: float) -> None:
-        """Have exchanges with the live control nodes begin at once."""
+        """Make exchanges with all live control nodes due immediately."""
         self.peers.expedite(now_s)
         self.expedite_requests.notify_all()
 
@@ -79,12 +80,12 @@
         self.changes.notify_all()
 
     def apply_state(self, state: ControlState) -> None:
-        """The register committed this value."""
+        """Apply a value committed by the register."""
         self.state = state
         self.changes.notify_all()
 
     def announce_shutdown(self, now_s: float) -> None:
-        """Record that this node shuts down."""
+        """Publish that this node is shutting down."""
         self.peers.me = attrs.evolve(self.me, leaving=True)
         self.status_table.write_node(self.me, present=True)
         self._publish_change(now_s)
@@ -92,55 +93,55 @@
     # -- nodes
 
     def live_writers(self, now_s: float) -> set[str]:
-        """Incarnations of the live control nodes, of this one too."""
+        """Incarnations of the live control nodes, including this one."""
         return self._node_records.live_writers(now_s)
 
     def live_nodes(self, now_s: float) -> list[NodeRecord]:
-        """All live nodes that this control node knows of."""
+        """The records of all live nodes known to this control node."""
         roles = (NodeRole.GATEWAY, NodeRole.STORE, NodeRole.CONTROL)
         return list(self._node_records.live_nodes(now_s, roles).values())
 
     def gateways(self, now_s: float) -> int:
-        """The number of live gateways that do not shut down; at least 1."""
+        """The number of live gateways that are not shutting down; at least 1."""
         return self._node_records.gateway_count(now_s)
 
     def stable_for_s(self, now_s: float) -> float:
         """For how long (s) this node has run without a freeze, in contact with a quorum and another control node.
 
-        What it does not know after some time of that does not exist.
+        After a few seconds of this it has received the records of all nodes, so that a node without one does not exist.
         """
         return self._liveness.stable_for_s(now_s)
 
     def on_node_contact(self, now_s: float, record: NodeRecord, report: LoadReport | None = None) -> None:
-        """A gateway or store pulled; `report` is None where it reported no load."""
+        """Process a pull from a gateway or store; `report` is None if the pull has no load report."""
         self._node_records.on_contact(now_s, record, report)
 
     # -- servers
 
     def on_heartbeat(self, now_s: float, heartbeat: Heartbeat) -> None:
-        """A server's heartbeat arrived at this node."""
+        """Process a server's heartbeat received by this node."""
         self._server_records.on_heartbeat(now_s, heartbeat)
 
     def on_goodbye(self, now_s: float, server_id: str) -> None:
-        """A server's goodbye arrived at this node."""
+        """Process a server's goodbye received by this node."""
         self._server_records.on_goodbye(now_s, server_id)
 
     def write_servers(self, now_s: float, records: list[ServerRecord]) -> None:
-        """Write these server records in this node's own name."""
+        """Write these server records as entries of this node."""
         self._server_records.write(now_s, records)
 
-    def peers_knowing_end(self, now_s: float, server_id: str) -> list[NodeRecord]:
-        """The other live control nodes that know that this server drains or is gone."""
-        return self._server_records.peers_knowing_end(now_s, server_id)
+    def peers_with_end_record(self, now_s: float, server_id: str) -> list[NodeRecord]:
+        """The other live control nodes that have received the drain or goodbye of this server."""
+        return self._server_records.peers_with_end_record(now_s, server_id)
 
     # -- load
 
     def _reported_loads(self, now_s: float) -> list[Mapping[str, int]]:
-        """Calls in flight by server id, as reported to this node and to each other control node."""
+        """Calls in flight by server id: one mapping of this node's reports, and one for each other control node."""
         return [self.contacts.load(now_s), *self.peers.loads(now_s)]
 
     def load_age_s(self, now_s: float) -> float:
-        """How long ago (s), in the mean over all calls, the gateways reported what `load` sums."""
+        """The age (s) of the gateways' reports that `load` sums, in the mean weighted by calls."""
         own = sum(self.contacts.load(now_s).values()), self.contacts.load_age_s(now_s)
         reports = [own, *self.peers.load_ages(now_s)]
         calls = sum(count for count, _ in reports)
@@ -149,7 +150,7 @@
     # -- exchanges with other control nodes
 
     def exchange_for(self, now_s: float, peer: Peer) -> Exchange:
-        """The exchange to send to this control node now."""
+        """Build the exchange to send to this control node now."""
         return Exchange(
             sender=self.me,
             receiver_incarnation=peer.incarnation,
@@ -162,7 +163,7 @@
         )
 
     def on_exchange(self, now_s: float, exchange: Exchange) -> Exchanged:
-        """Another control node sent an exchange; the reply has the entries that it lacks."""
+        """Process an exchange of another control node; return the reply with the entries that it lacks."""
         if exchange.receiver_incarnation != self.me.incarnation:
             exchange = attrs.evolve(exchange, receiver_incarnation="", delta=Delta())
         self.apply_exchange(now_s, exchange)
@@ -173,7 +174,7 @@
         )
 
     def apply_exchange(self, now_s: float, exchange: Exchange | Exchanged) -> None:
-        """Apply what another control node sent."""
+        """Apply an exchange, or the reply to one, of another control node."""
         if self.peers.on_exchange(now_s, exchange) is None:
             return
         self._node_records.on_peer(now_s, exchange.sender)
@@ -187,10 +188,10 @@
         self.peers.add(now_s, self._node_records.control_addresses())
         self.changes.notify_all()
 
-    # -- time
+    # -- periodic work
 
     def tick(self, now_s: float) -> None:
-        """Let time pass; to be called about ten times a second."""
+        """Process timeouts and retention; to be called about ten times a second."""
         self._liveness.tick(now_s)
         if self._liveness.frozen:
             self.contacts.restart_timeouts(now_s)
@@ -202,7 +203,7 @@
         self.peers.forget(now_s)
 
     def _in_contact(self, now_s: float) -> bool:
-        """Whether a quorum of the register and, where there is any, another control node are in contact."""
+        """Whether a quorum of the register is in contact and, if other control nodes exist, one of them as well."""
         alone = self.peers.others_exist() and not self.peers.live(now_s)
         return not alone and self.quorum_age_s() < QUORUM_LOST_AFTER_S
 
--- a/emberring/control/exchanger.py
+++ b/emberring/control/exchanger.py
@@ -1,4 +1,4 @@
-"""Sends and answers the exchanges between control nodes, and ticks the cluster state."""
+"""Sends and answers the exchanges between control nodes, and runs the periodic tick of the cluster state."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from emberring.transport.network import Caller, Network
 
 TICK_INTERVAL_S = 0.1
-EXCHANGE_TIMEOUT_S = 0.6  # of one call
+EXCHANGE_TIMEOUT_S = 0.6
 
 logger = get_logger("control")
 
 
 class Exchanger:
-    """Runs the exchanges that are due, each in a task of its own, so that a silent node delays no other."""
+    """Runs the exchanges that are due, each in its own task, so that an unresponsive node does not delay the others."""
 
     def __init__(self, network: Network, cluster_state: ClusterState) -> None:
         self._network = network
@@ -32,7 +32,7 @@
         return reply
 
     async def run(self) -> None:
-        """Exchange and tick until cancelled."""
+        """Run the exchanges and the tick until cancelled."""
         loop = asyncio.get_running_loop()
         next_tick_s = loop.time()
         while True:
@@ -64,6 +64,6 @@
             self._cluster_state.ended_exchanges.notify_all()
 
     async def stop(self) -> None:
-        """Cancel the exchanges under way."""
+        """Cancel the exchanges in flight."""
         for task in list(self._tasks):
             task.cancel()
--- a/emberring/control/heartbeat_handler.py
+++ b/emberring/control/heartbeat_handler.py
@@ -1,8 +1,8 @@
 """Heartbeats and goodbyes of model servers.
 
-A drain is acknowledged when it is replicated on enough control nodes: on as many as survive the losses to be tolerated,
-and on a quorum of the register's replicas. Followers leave a control node that has no quorum in contact, so a drain
-that only a minority knew could reach none of them while a partition lasts.
+A drain is acknowledged once it is replicated on enough control nodes to survive the simultaneous failures to be
+tolerated, and on a quorum of the register's replicas. Followers stop pulling from a control node without a quorum, so
+during a partition a drain known to a minority only would reach no follower.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from emberring.errors import NotReadyError
 from emberring.registry.heartbeats import read_heartbeat
 
-REPLICATION_TIMEOUT_S = 0.8  # of a drain or goodbye, until it is acknowledged or refused
+REPLICATION_TIMEOUT_S = 0.8  # a drain or goodbye that is not replicated by then is rejected
 
 
 class HeartbeatHandler:
     """Handles heartbeats and goodbyes.
 
-    `policy` says on which control nodes a drain must be replicated, `is_quorum` whether the replicas of the register
-    with these identities are a quorum.
+    `policy` decides on which control nodes a drain must be replicated; `is_quorum` returns whether the replicas of the
+    register with these identities are a quorum.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
     async def heartbeat(self, server_id: str, body: bytes) -> None:
         """Handle a heartbeat.
 
-        Raises `BadRequestError` for a malformed one, and `NotReadyError` where a drain was not replicated within
+        Raises `BadRequestError` for a malformed one, and `NotReadyError` if a drain is not replicated within
         `REPLICATION_TIMEOUT_S`.
         """
         heartbeat = read_heartbeat(server_id, body)
@@ -47,7 +47,7 @@
             await self._wait_until_replicated(server_id)
 
     async def goodbye(self, server_id: str) -> None:
-        """Handle a server's goodbye. Raises `NotReadyError` where it was not replicated in time."""
+        """Handle a server's goodbye. Raises `NotReadyError` if it is not replicated in time."""
         self._cluster_state.on_goodbye(asyncio.get_running_loop().time(), server_id)
         await self._wait_until_replicated(server_id)
 
@@ -63,7 +63,7 @@
 
     def _is_replicated(self, now_s: float, server_id: str) -> bool:
         own_record = self._cluster_state.me
-        peers = self._cluster_state.peers_knowing_end(now_s, server_id)
+        peers = self._cluster_state.peers_with_end_record(now_s, server_id)
         if not self._policy.is_satisfied(own_record, peers, self._cluster_state.peers.seen_records()):
             return False
         return self._is_quorum(frozenset(record.identity for record in (own_record, *peers)))
--- a/emberring/control/http_server.py
+++ b/emberring/control/http_server.py
@@ -1,4 +1,4 @@
-"""Serves HTTP with uvicorn inside a role's own event loop, without signal handlers of uvicorn's."""
+"""Serves HTTP with uvicorn in the event loop of a role, without uvicorn's signal handlers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import uvicorn
 
 KEEP_ALIVE_S = 30  # of idle connections
-SHUTDOWN_GRACE_S = 2  # for open requests at the end
+SHUTDOWN_GRACE_S = 2  # for open requests
 BACKLOG = 1024  # connections not yet accepted
 START_POLL_S = 0.005
 
@@ -22,10 +22,10 @@
 """`app(scope, receive, send)` of the ASGI specification."""
 
 
-class _QuietServer(uvicorn.Server):
+class _ServerWithoutSignalHandlers(uvicorn.Server):
     @contextlib.contextmanager
     def capture_signals(self) -> Generator[None, None, None]:
-        """Leave signals to the role."""
+        """Install no signal handlers; the role handles signals."""
         yield
 
 
@@ -52,17 +52,17 @@
             timeout_graceful_shutdown=SHUTDOWN_GRACE_S,
             backlog=BACKLOG,
         )
-        self._server = _QuietServer(config)
+        self._server = _ServerWithoutSignalHandlers(config)
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begin to listen; returns when connections are accepted."""
+        """Start listening; return once connections are accepted."""
         self._task = asyncio.get_running_loop().create_task(self._server.serve())
         while not self._server.started and not self._task.done():
             await asyncio.sleep(START_POLL_S)
 
     async def stop(self) -> None:
-        """Accept no more connections, finish the open requests, and end."""
+        """Stop accepting connections, finish the open requests, and shut down."""
         self._server.should_exit = True
         if self._task is not None:
             await self._task
--- a/emberring/control/liveness.py
+++ b/emberring/control/liveness.py
@@ -1,4 +1,4 @@
-"""Whether a control node may draw conclusions from the silence of others, and which writers' entries it keeps."""
+"""Decides whether missed messages of other nodes count as failures, and how long writers' entries are retained."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from emberring.distribution.status_table import StatusTable
 
-MAX_TICK_GAP_S = 1.0  # after a longer time between two ticks this node counts as frozen in between
-GRACE_S = 1.0  # after that, before the silence of others counts
-FORGET_WRITER_S = 60.0  # entries about nodes by a writer that has ended are dropped after so long
+MAX_TICK_GAP_S = 1.0  # a longer interval between two ticks means that this node was frozen
+GRACE_S = 1.0  # after a freeze no contact times out for this long
+FORGET_WRITER_S = 60.0  # retention of the entries about nodes of a writer that has ended
 
 
 class LivenessTracker:
-    """Freezes of this node, and since when it has run in contact with the others.
+    """Detects freezes of this node, and tracks since when it has run in contact with the others.
 
     Times are seconds of the monotonic clock.
 
-    Attributes: `frozen` is whether this node was frozen before the last tick, `in_grace` whether the silence of
-    others doesn't count yet.
+    Attributes: `frozen` is whether this node was frozen before the last tick, `in_grace` whether the
+    grace period after a freeze is running, in which no contact times out.
     """
 
     def __init__(self, now_s: float) -> None:
@@ -28,7 +28,7 @@
         self._grace_until_s = now_s
 
     def tick(self, now_s: float) -> None:
-        """Note that this node runs now."""
+        """Record that this node is running, and detect a freeze before."""
         gap_s, self._last_tick_s = now_s - self._last_tick_s, now_s
         self.frozen = gap_s > MAX_TICK_GAP_S
         if self.frozen:
@@ -36,7 +36,7 @@
         self.in_grace = now_s < self._grace_until_s
 
     def update_trust(self, now_s: float, in_contact: bool) -> bool:
-        """Whether silence means absence now; `in_contact` is whether a quorum and another control node answer."""
+        """Whether missed heartbeats count as failures now; `in_contact`: a quorum and another control node respond."""
         trusted = in_contact and not self.frozen
         if not trusted:
             self._stable_since_s = now_s
@@ -55,7 +55,7 @@
         self._last_live_s: dict[str, float] = {}
 
     def refresh(self, now_s: float, live_writers: Iterable[str]) -> None:
-        """Note which writers are live now, and drop those that have not been for long."""
+        """Record which writers are live now, and drop the entries of those that ended `FORGET_WRITER_S` ago."""
         for writer in live_writers:
             self._last_live_s[writer] = now_s
         for writer in list(self._status_table.vector):
--- a/emberring/control/load_aggregator.py
+++ b/emberring/control/load_aggregator.py
@@ -1,7 +1,7 @@
-"""Sums of the calls in flight over all gateways: by server, smoothed, and by service. No sockets.
+"""Sums the calls in flight over all gateways: by server, smoothed, and by service. Does no network I/O.
 
-Every gateway requests them several times a second, and each sum is over all servers: sums are cached for a short time,
-which grows with the number of servers.
+Every gateway requests the sums several times a second, and each sum covers all servers. Sums are therefore cached for
+a short time, which grows with the number of servers.
 """
 
 from __future__ import annotations
@@ -14,36 +14,41 @@
 from emberring.distribution.records import ServerRecord
 from emberring.registry.known_load import USUAL_S
 
-CACHE_S = 0.02  # the least time for which sums are cached
-CACHE_PER_SERVER_S = (
-    25e-6  # more for each server with calls, so that summing takes a few hundredths of a core
-)
+CACHE_S = 0.02  # minimum lifetime of cached sums
+# Lifetime of cached sums per server with calls: bounds the CPU time of summing to a few percent of a core.
+CACHE_PER_SERVER_S = 25e-6
 NEGLIGIBLE_CALLS = 0.05  # smoothed calls below this are dropped
 
 LoadSource = Callable[[float], Iterable[Mapping[str, int]]]
-"""At a time: the reported calls in flight by server id, one mapping for each source."""
+"""Returns, for a time, the reported calls in flight by server id: one mapping for each source."""
 LoadAgeSource = Callable[[float], float]
-"""At a time: how long ago (s), in the mean over all calls, they were reported."""
+"""Returns, for a time, the age (s) of these reports, in the mean weighted by calls."""
 
 
 class LoadAggregator:
-    """Sums over what `loads` gives, which is as old as `age` says; `servers` gives the known servers by id."""
+    """Sums the mappings that `load_source` returns.
+
+    `load_age_source` returns their age, and `servers` the known servers by id.
+    """
 
     def __init__(
-        self, loads: LoadSource, age: LoadAgeSource, servers: Callable[[], Mapping[str, ServerRecord]]
+        self,
+        load_source: LoadSource,
+        load_age_source: LoadAgeSource,
+        servers: Callable[[], Mapping[str, ServerRecord]],
     ) -> None:
-        self._loads = loads
-        self._age = age
+        self._load_source = load_source
+        self._load_age_source = load_age_source
         self._servers = servers
-        self._at_s = -math.inf
-        self._age_s = 0.0  # of the sums when they were made
+        self._summed_s = -math.inf
+        self._report_age_s = 0.0  # age of the reports when they were summed
         self._smoothed_s = -math.inf
         self._calls: dict[str, int] = {}
         self._smoothed: dict[str, float] = {}
         self._totals: dict[str, int] = {}
 
     def calls(self, now_s: float) -> dict[str, int]:
-        """Calls in flight by server id; servers without any are left out."""
+        """Calls in flight by server id; servers without calls are omitted."""
         self._refresh(now_s)
         return self._calls
 
@@ -58,27 +63,27 @@
         return self._totals
 
     def age_s(self, now_s: float) -> float:
-        """The age of the sums (s), in the mean over all calls."""
+        """The age (s) of the reports in the sums, in the mean weighted by calls."""
         self._refresh(now_s)
-        return self._age_s + now_s - self._at_s
+        return self._report_age_s + now_s - self._summed_s
 
     def _refresh(self, now_s: float) -> None:
-        age_s = now_s - self._at_s
+        age_s = now_s - self._summed_s
         if age_s < max(CACHE_S, CACHE_PER_SERVER_S * len(self._calls)):
             return
-        self._at_s = now_s
-        self._age_s = self._age(now_s)
-        calls = sum_by_server(self._loads(now_s))
+        self._summed_s = now_s
+        self._report_age_s = self._load_age_source(now_s)
+        calls = sum_by_server(self._load_source(now_s))
         self._calls = {server_id: count for server_id, count in calls.items() if count}
         self._totals = self._by_service()
 
     def _smooth(self, now_s: float) -> None:
-        """Bring the smoothed calls up to date. Done on request only: small tiers never request them."""
+        """Update the smoothed calls. Done on request only, as small tiers never request them."""
         self._refresh(now_s)
-        if self._smoothed_s == self._at_s:
+        if self._smoothed_s == self._summed_s:
             return
-        decay = math.exp((self._smoothed_s - self._at_s) / USUAL_S)
-        self._smoothed_s = self._at_s
+        decay = math.exp((self._smoothed_s - self._summed_s) / USUAL_S)
+        self._smoothed_s = self._summed_s
         smoothed = {server_id: decay * calls for server_id, calls in self._smoothed.items()}
         for server_id, count in self._calls.items():
             smoothed[server_id] = smoothed.get(server_id, 0.0) + (1.0 - decay) * count
--- a/emberring/control/node.py
+++ b/emberring/control/node.py
@@ -39,10 +39,10 @@
 
 
 class ControlNode:
-    """All components of a control node but its HTTP listener.
+    """All components of a control node except its HTTP listener.
 
-    Parameters: `seeds` are internal addresses of control nodes, by default those of the settings; `peer_cache` keeps
-    the addresses of the control nodes seen before; `incarnation` identifies this start, by default a new one.
+    Parameters: `seeds` are internal addresses of control nodes, by default those of the settings; `peer_cache` stores
+    the addresses of control nodes seen before; `incarnation` identifies this start, by default a new one.
     """
 
     def __init__(
@@ -123,17 +123,17 @@
             await asyncio.sleep(PEER_REPORT_INTERVAL_S)
 
     def _cache_peers(self, others: list[NodeRecord]) -> None:
-        """Save the others' addresses in the background, as the disk may stall."""
+        """Save the addresses of the other control nodes in the background, as the disk may stall."""
         if self._peer_cache is not None and (self._save_task is None or self._save_task.done()):
             saving = self._peer_cache.save([record.address for record in others])
             self._save_task = asyncio.get_running_loop().create_task(saving)
 
     def announce_shutdown(self) -> None:
-        """Tell the other nodes that this one shuts down."""
+        """Announce to the other nodes that this one is shutting down."""
         self.cluster_state.announce_shutdown(asyncio.get_running_loop().time())
 
     async def stop(self) -> None:
-        """Cancel the tasks and wait for their end."""
+        """Cancel the tasks and wait until they have ended."""
         for task in self._tasks:
             task.cancel()
         for task in self._tasks:
--- a/emberring/control/node_records.py
+++ b/emberring/control/node_records.py
@@ -1,4 +1,4 @@
-"""The node records that a control node writes: which nodes are in contact with it."""
+"""Writes a control node's entries about other nodes: which of them are in contact with it."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class NodeRecordManager:
-    """Writes node records into the status table, and answers which nodes live.
+    """Writes node records into the status table, and determines which nodes are live.
 
-    `on_change` is called with the time after each record that followers or other control nodes should have at once.
+    `on_change` is called with the time after each record that followers and other control nodes need at once.
     """
 
     def __init__(
@@ -30,13 +30,13 @@
         self._peers = peers
         self._contacts = contacts
         self._on_change = on_change
-        self._counted_nodes: Mapping[str, NodeRecord] = {}
-        self._gateways = 1
+        self._counted_gateways: Mapping[str, NodeRecord] = {}
+        self._gateway_count = 1
 
-    # -- which nodes live
+    # -- live nodes
 
     def live_writers(self, now_s: float) -> set[str]:
-        """Incarnations of the live control nodes, of this one too."""
+        """Incarnations of the live control nodes, including this one."""
         return {
             self._status_table.writer_incarnation,
             *(peer.incarnation for peer in self._peers.live(now_s)),
@@ -47,15 +47,15 @@
         return self._status_table.live_nodes(self.live_writers(now_s), roles)
 
     def gateway_count(self, now_s: float) -> int:
-        """The number of live gateways that do not shut down; at least 1."""
+        """The number of live gateways that are not shutting down; at least 1."""
         live = self.live_nodes(now_s, (NodeRole.GATEWAY,))
-        if live is not self._counted_nodes:
-            self._counted_nodes = live
-            self._gateways = max(1, sum(1 for record in live.values() if not record.leaving))
-        return self._gateways
+        if live is not self._counted_gateways:
+            self._counted_gateways = live
+            self._gateway_count = max(1, sum(1 for record in live.values() if not record.leaving))
+        return self._gateway_count
 
     def control_addresses(self) -> list[str]:
-        """Addresses of the control nodes that any control node is in contact with."""
+        """Addresses of the control nodes with which some control node is in contact."""
         return [
             entry.record.address
             for entry in self._status_table.node_entries()
@@ -65,40 +65,41 @@
     # -- writing
 
     def on_contact(self, now_s: float, record: NodeRecord, report: LoadReport | None) -> None:
-        """A gateway or store pulled; `report` is None where it reported no load."""
+        """Process a pull from a gateway or store; `report` is None if the pull has no load report."""
         if self._contacts.on_contact(now_s, record, report):
             self.write(now_s, record, present=True)
 
     def on_peer(self, now_s: float, record: NodeRecord) -> None:
-        """Another control node exchanged with this one."""
+        """Process an exchange with another control node."""
         own_entry = self._status_table.entry_of(record.name, self._status_table.writer_incarnation)
         if own_entry is None or not own_entry.present or own_entry.record != record:
             self.write(now_s, record, present=True)
 
     def write(self, now_s: float, record: NodeRecord, present: bool) -> None:
-        """Record whether a node is in contact with this one."""
+        """Write whether a node is in contact with this one."""
         presence = "present" if present else "absent"
         logger.info(
             "event=node_%s name=%s role=%s zone=%s", presence, record.name, record.role.value, record.zone
         )
         self._status_table.write_node(record, present)
-        # Gateways are only counted, and their number is sent with other updates.
+        # Followers need only the number of gateways, which is sent with other updates: no update of its own.
         if record.role is not NodeRole.GATEWAY:
             self._on_change(now_s)
 
     def drop_replaced_contacts(self, now_s: float, names: Iterable[str]) -> None:
-        """Drop contacts with incarnations that have ended: those of which another control node has another one."""
+        """Drop contacts whose incarnation has ended: another control node is in contact with a different one."""
         live_writers = self.live_writers(now_s)
         for name in names:
             record = self._contacts.record_of(name)
-            if record is not None and self._other_incarnation_elsewhere(live_writers, record):
+            if record is not None and self._is_replaced_elsewhere(live_writers, record):
                 self._contacts.drop(name)
                 self.write(now_s, record, present=False)
 
-    def _other_incarnation_elsewhere(self, live_writers: set[str], record: NodeRecord) -> bool:
-        """Whether another live control node is in contact with another incarnation.
+    def _is_replaced_elsewhere(self, live_writers: set[str], record: NodeRecord) -> bool:
+        """Whether another live control node is in contact with another incarnation of this node.
 
-        The last entry of a control node that has ended is of its own time and contradicts nothing that came after it.
+        Entries of control nodes that have ended are ignored: they are outdated, and would make this node drop its
+        contact with a newer incarnation.
         """
         return any(
             entry.present
@@ -110,7 +111,7 @@
         )
 
     def expire(self, now_s: float) -> None:
-        """Record the nodes as absent whose contact with this one has timed out."""
+        """Write the nodes whose contact with this one has timed out as absent."""
         for record in self._contacts.expired(now_s):
             self.write(now_s, record, present=False)
         self._expire_peers(now_s)
--- a/emberring/control/operator_requests.py
+++ b/emberring/control/operator_requests.py
@@ -1,7 +1,7 @@
-"""Requests of operators: configurations accepted and read back, stores retired.
+"""Handles operators' requests: changes and reads of the configuration, retirements of stores.
 
-Each ends within the operator's time-out of one second. Where the outcome is not known, the error says so, and the
-operator sends the request again.
+Each ends within the operator's timeout of one second. If the outcome of a change is unknown, the error says so and the
+operator retries the request.
 """
 
 from __future__ import annotations
@@ -29,17 +29,17 @@
 from emberring.placement.retirement import begin_retire, retire_state
 
 REQUEST_TIMEOUT_S = 0.8
-NO_MAJORITY_TIMEOUT_S = 0.25  # while no majority is in contact, so that the operator soon asks another node
-MAJORITY_LOST_AFTER_S = 1.2  # without contact to a majority for so long, `NO_MAJORITY_TIMEOUT_S` holds
+NO_MAJORITY_TIMEOUT_S = 0.25  # without a majority in contact: the operator retries sooner at another node
+MAJORITY_LOST_AFTER_S = 1.2  # after this long without a majority, `NO_MAJORITY_TIMEOUT_S` applies
 LARGE_BODY_BYTES = 256 * 1024
-LARGE_TIMEOUT_S = 1.6  # operators wait longer for large bodies
-STABLE_S = 3.0  # a node started, partitioned or frozen less long ago may not know all stores
+LARGE_TIMEOUT_S = 1.6  # operators use a longer timeout for large bodies
+STABLE_S = 3.0  # a node that started, was partitioned or was frozen more recently may not know all stores
 
 logger = get_logger("control")
 
 
 class OperatorRequests:
-    """Carries out operators' requests on the register. `tolerance` is how many stores may be lost at once."""
+    """Executes operators' requests on the register. `tolerance` is how many stores may fail simultaneously."""
 
     def __init__(self, register: Register, cluster_state: ClusterState, tolerance: int) -> None:
         self._register = register
@@ -52,7 +52,7 @@
         return LARGE_TIMEOUT_S if body_bytes > LARGE_BODY_BYTES else REQUEST_TIMEOUT_S
 
     async def configure(self, kind: ChangeRequestKind, if_match: str | None, body: bytes) -> int:
-        """Accept a configuration or a patch; the version that it made current, now or before.
+        """Commit a configuration or a patch, and return its version; a repeat of a committed change succeeds too.
 
         Raises the error of a rejected request, `NoQuorumError`, or `UnknownOutcomeError`.
         """
@@ -60,7 +60,7 @@
         state = await self._compare_and_swap(
             lambda state: _accepted_state(state, request), self._timeout_s(len(body))
         )
-        outcome = evaluate(state, request)  # on a value that a quorum holds, so a rejection is certain
+        outcome = evaluate(state, request)  # a quorum stores this value, so a rejection is final
         if isinstance(outcome, Rejected):
             raise outcome.error
         logger.info("event=configuration_taken version=%d current=%d", request.version, state.version)
@@ -75,15 +75,15 @@
 
         return ControlState.decode(await self._register.change(decide, timeout_s))
 
-    async def current(self) -> bytes:
-        """The newest configuration's complete document. Raises `NotFoundError` before the first one."""
+    async def current_document(self) -> bytes:
+        """The complete document of the newest configuration. Raises `NotFoundError` before the first one."""
         state = ControlState.decode(await self._register.read(self._timeout_s()))
         if not state.packed:
             raise NotFoundError("no configuration has been taken yet")
         return state.document
 
     async def retire(self, name: str) -> str:
-        """Begin to retire a store; its state. Raises `NotFoundError`, `ConflictError`, or `NotReadyError`."""
+        """Begin to retire a store, and return its state. Raises `NotFoundError`, `ConflictError` or `NotReadyError`."""
         loop = asyncio.get_running_loop()
         rejection: list[NotFoundError | ConflictError] = []
 
@@ -108,9 +108,9 @@
         return retire_state(state.placement, name)
 
     def _require_stable_view(self, state: ControlState) -> None:
-        """Raise `NotReadyError` on a node that just started, or was partitioned or frozen until now.
+        """Raise `NotReadyError` if this node started, was partitioned or was frozen less than `STABLE_S` ago.
 
-        It may not know all stores, so its rejection is not certain.
+        It may not know all stores then, so a rejection might be wrong.
         """
         is_stable = self._cluster_state.stable_for_s(asyncio.get_running_loop().time()) > STABLE_S
         if state.placement is None or not is_stable:
@@ -122,7 +122,7 @@
         return retire_state(state.placement, name)
 
     async def on_placement_moved(self, shard: int, epoch: int) -> None:
-        """The owner of a shard reports that its joining group holds all records."""
+        """Commit the end of a move: the shard's owner reports that the joining group stores all records."""
 
         def next_state(state: ControlState) -> ControlState | None:
             if state.placement is None:
--- a/emberring/control/peer_cache.py
+++ b/emberring/control/peer_cache.py
@@ -1,7 +1,7 @@
 """Addresses of the control nodes seen by this one, cached on disk.
 
-After a restart it finds them although the seeds of its settings are down, partitioned or replaced. The file is only a
-hint: where it is lost or torn, nothing else is.
+With them a restarted node finds the others even if the configured seeds are down, partitioned or replaced. The file is
+only a hint: the node works without it, and with a file that is damaged.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from emberring.logs import get_logger
 
-MAX_ADDRESSES = 16  # the newest first
+MAX_ADDRESSES = 16  # the most recently seen are retained
 
 _ADDRESS = re.compile(r"[0-9A-Za-z.\-]+:[0-9]{1,5}")
 
@@ -22,14 +22,14 @@
 
 
 class PeerCache:
-    """Addresses in a small file, one a line. `path` is the file; its folder is created where it is missing."""
+    """Addresses in a small file, one per line. `path` is the file; its directory is created if it is missing."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
         self._known: list[str] = []
 
     def load(self) -> list[str]:
-        """The cached addresses; none where the file can't be read. Lines that are no address are skipped."""
+        """The cached addresses; none if the file cannot be read. Lines that are not addresses are skipped."""
         try:
             lines = self._path.read_text(encoding="utf-8", errors="replace").splitlines()
         except OSError:
@@ -38,9 +38,9 @@
         return list(self._known)
 
     async def save(self, addresses: Iterable[str]) -> None:
-        """Add these addresses before the older ones. An error of the disk is logged and not raised."""
-        fresh = list(addresses)
-        known = [*fresh, *(address for address in self._known if address not in fresh)][:MAX_ADDRESSES]
+        """Store these addresses, before the older ones. A disk error is logged and not raised."""
+        recent = list(addresses)
+        known = [*recent, *(address for address in self._known if address not in recent)][:MAX_ADDRESSES]
         if set(known) == set(self._known):
             return
         self._known = known
@@ -51,14 +51,14 @@
 
     def _write(self, text: str) -> None:
         self._path.parent.mkdir(parents=True, exist_ok=True)
-        fresh = self._path.with_suffix(".new")
-        with open(fresh, "w", encoding="utf-8") as file:
+        temporary = self._path.with_suffix(".new")
+        with open(temporary, "w", encoding="utf-8") as file:
             file.write(text)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(fresh, self._path)
-        folder = os.open(self._path.parent, os.O_RDONLY)
+        os.replace(temporary, self._path)
+        directory = os.open(self._path.parent, os.O_RDONLY)
         try:
-            os.fsync(folder)
+            os.fsync(directory)
         finally:
-            os.close(folder)
+            os.close(directory)
--- a/emberring/control/placement_loop.py
+++ b/emberring/control/placement_loop.py
@@ -1,6 +1,7 @@
-"""Plans the placement of shards on one control node at a time: of the live ones, the one with the lowest name.
+"""Plans the placement of shards on stores. Of the live control nodes only the one with the lowest name plans.
 
-Two that take each other for dead do no harm, as every plan is committed by compare-and-swap on the register.
+Two nodes that consider each other dead may both plan; this is safe, as every plan is committed by compare-and-swap on
+the register.
 """
 
 from __future__ import annotations
@@ -19,17 +20,16 @@
 
 PLAN_INTERVAL_S = 0.3
 CHANGE_TIMEOUT_S = 1.0
-MAJORITY_LOST_AFTER_S = (
-    1.0  # after longer without a majority or without running, what this node knows of absences is stale
-)
+# After this long without a majority, or frozen, this node's information about absent stores is stale.
+MAJORITY_LOST_AFTER_S = 1.0
 
 logger = get_logger("control")
 
 
 class PlacementLoop:
-    """Compares the placement with the live stores, and changes it where they differ.
+    """Compares the placement with the live stores, and changes it if they differ.
 
-    `tolerance` is how many stores may be lost at once.
+    `tolerance` is how many stores may fail simultaneously.
     """
 
     def __init__(self, register: Register, cluster_state: ClusterState, tolerance: int) -> None:
@@ -58,22 +58,22 @@
             self._memory = PlanMemory()
             return
         live = self._cluster_state.live_nodes(now_s)
-        before = self._cluster_state.state.placement
-        wanted = plan(before, live, now_s, self._tolerance, self._memory)
-        if wanted is None or wanted == before or not self._is_planner(now_s):
+        current = self._cluster_state.state.placement
+        planned = plan(current, live, now_s, self._tolerance, self._memory)
+        if planned is None or planned == current or not self._is_planner(now_s):
             return
 
         def decide(value: bytes | None) -> bytes | None:
             state = ControlState.decode(value)
-            if state.placement != before:
+            if state.placement != current:
                 return None
-            return attrs.evolve(state, placement=wanted).encode()
+            return attrs.evolve(state, placement=planned).encode()
 
         await self._register.change(decide, CHANGE_TIMEOUT_S)
-        logger.info("event=placement_changed epoch=%d stores=%d", wanted.epoch, len(wanted.stores))
+        logger.info("event=placement_changed epoch=%d stores=%d", planned.epoch, len(planned.stores))
 
     def _is_planner(self, now_s: float) -> bool:
-        """Whether this node plans now: no live control node that stays has a lower name."""
+        """Whether this node plans: no live control node with a lower name, other than one shutting down, exists."""
         live = self._cluster_state.live_nodes(now_s)
         names = [record.name for record in live if record.role is NodeRole.CONTROL and not record.leaving]
         return not names or self._cluster_state.me.name <= min(names)
--- a/emberring/control/role.py
+++ b/emberring/control/role.py
@@ -14,7 +14,7 @@
 from emberring.settings import CONTROL_PORT_OFFSET, Settings
 from emberring.transport.network import Network
 
-SHUTDOWN_NOTICE_S = 0.3  # between the announcement of the shutdown and its start
+SHUTDOWN_NOTICE_S = 0.3  # from the announcement of the shutdown to its start
 
 logger = get_logger("control")
 
@@ -25,7 +25,7 @@
     shutdown_requested = asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, shutdown_requested.set)
     loop.add_signal_handler(signal.SIGINT, shutdown_requested.set)
-    loop.add_signal_handler(signal.SIGHUP, lambda: None)  # no setting of this role changes while it runs
+    loop.add_signal_handler(signal.SIGHUP, lambda: None)  # this role has no settings to reload
     network = Network()
     register = RegisterService(settings, network, Path(settings.data_dir) / "register")
     await register.start()
--- a/emberring/control/server_records.py
+++ b/emberring/control/server_records.py
@@ -1,4 +1,4 @@
-"""The server records that a control node writes: on heartbeats, goodbyes, time-outs, and records of its peers."""
+"""Writes a control node's entries about model servers: on heartbeats, goodbyes, timeouts, and entries of its peers."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from emberring.distribution.records import NodeRecord, ServerRecord
 from emberring.distribution.status_table import StatusTable
 from emberring.registry.heartbeats import Heartbeat
-from emberring.registry.merge import level, merged
+from emberring.registry.merge import merged, shutdown_stage
 from emberring.registry.servers import ServerRegistry
 
 
 class ServerRecordManager:
     """Writes server records into the status table.
 
-    `on_change` is called with the time after each write; `live_writers` gives the incarnations of the live control
-    nodes at a time.
+    `on_change` is called with the time after each write; `live_writers` returns the incarnations of the live
+    control nodes at a time.
     """
 
     def __init__(
@@ -35,26 +35,26 @@
         self._on_change = on_change
 
     def on_heartbeat(self, now_s: float, heartbeat: Heartbeat) -> None:
-        """A server's heartbeat arrived at this node."""
+        """Process a server's heartbeat received by this node."""
         live_record = self._live_record(self._live_writers(now_s), heartbeat.record.id)
         known = self._status_table.servers()
         self.write(now_s, self._registry.on_heartbeat(now_s, heartbeat, known, live_record))
 
     def on_goodbye(self, now_s: float, server_id: str) -> None:
-        """A server's goodbye arrived at this node."""
+        """Process a server's goodbye received by this node."""
         self.write(now_s, self._registry.on_goodbye(server_id, self._status_table.servers()))
 
     def on_changed(self, now_s: float, server_ids: Iterable[str]) -> None:
-        """Peers wrote records of these servers; a record of a lost server may be contradicted by heartbeats here."""
+        """Correct records of these servers that peers wrote as lost, if this node has received newer heartbeats."""
         known = self._status_table.servers()
         for server_id in server_ids:
             if server_id in known:
                 self.write(now_s, self._registry.on_record_changed(now_s, known[server_id]))
 
     def tick(self, now_s: float, trusted: bool) -> None:
-        """Write the servers that have timed out, and drop those that ended long ago.
+        """Write records of the servers that have timed out, and drop those that ended long ago.
 
-        `trusted` is whether silence means absence now.
+        `trusted` is whether missed heartbeats count as failures now.
         """
         known = self._status_table.servers()
         live_writers = self._live_writers(now_s)
@@ -66,14 +66,14 @@
             self._status_table.forget_server(server_id)
 
     def write(self, now_s: float, records: list[ServerRecord]) -> None:
-        """Write these records in this node's own name."""
+        """Write these records as entries of this node."""
         for record in records:
             self._status_table.write_server(record)
         if records:
             self._on_change(now_s)
 
     def _live_record(self, live_writers: set[str], server_id: str) -> ServerRecord | None:
-        """The merged record of this server over the live control nodes; None where none of them has one."""
+        """The merge of the live control nodes' records of this server; None if none of them has one."""
         records = [
             entry.record
             for entry in self._status_table.server_entries(server_id)
@@ -81,10 +81,12 @@
         ]
         return functools.reduce(merged, records) if records else None
 
-    def peers_knowing_end(self, now_s: float, server_id: str) -> list[NodeRecord]:
-        """The other live control nodes that know that this server drains or is gone."""
+    def peers_with_end_record(self, now_s: float, server_id: str) -> list[NodeRecord]:
+        """The other live control nodes that have received the drain or goodbye of this server."""
         entries = [
-            entry for entry in self._status_table.server_entries(server_id) if level(entry.record.state) > 0
+            entry
+            for entry in self._status_table.server_entries(server_id)
+            if shutdown_stage(entry.record.state) > 0
         ]
         return [
             peer.record
--- a/emberring/control/status_page.py
+++ b/emberring/control/status_page.py
@@ -1,4 +1,4 @@
-"""The status of the tier as one control node knows it: nodes, model servers, configuration, placement."""
+"""The status of the tier as seen by one control node: nodes, model servers, configuration, placement."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
         self._cluster_state = cluster_state
 
     def render(self, now_s: float) -> bytes:
-        """The page in JSON.
+        """The status as JSON.
 
-        `MajorityAgeS` is how long ago a majority of the register was in contact; null where it never was.
+        `MajorityAgeS` is how long ago a majority of the register was in contact; null if it never was.
         """
         cluster_state = self._cluster_state
         age_s = cluster_state.quorum_age_s()
--- a/emberring/control/suspicion_table.py
+++ b/emberring/control/suspicion_table.py
@@ -1,8 +1,8 @@
-"""Which model servers are suspected by enough gateways of the tier to count as failing. No sockets.
+"""Aggregates the gateways' suspicions of model servers. Does no network I/O.
 
-One gateway may be mistaken, or partitioned itself; where two suspect a server, or the only one does, it counts as
-failing, in the log and on the status page. The line of the log is a warning unless they only find it slow, as servers
-are in any burst.
+A single gateway may be mistaken, or partitioned itself. A server counts as failing, in the log and on the status page,
+if at least two gateways suspect it, or the only one does. The failure is logged as a warning, except where the server
+is only slow, which is usual in a burst of requests.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from emberring.logs import get_logger
 from emberring.registry.faults import Fault, FaultCounts
 
-MIN_GATEWAYS = 2  # gateways that must suspect a server; all of them where there are fewer
-RECOVERED_AFTER_S = 2.0  # without enough suspicions for so long, a server counts as recovered
+MIN_GATEWAYS = 2  # that must suspect a server; if there are fewer, all of them
+RECOVERED_AFTER_S = 2.0  # a server without enough suspicions for this long has recovered
 
 logger = get_logger("control")
 
@@ -25,8 +25,8 @@
 class FailingServer:
     """A server that enough gateways suspect.
 
-    Times are seconds of the monotonic clock; `faults` has how many gateways report which fault; `warned` is whether
-    it was logged as failing already, and not only as slow.
+    Times are seconds of the monotonic clock; `faults` is the number of gateways that report each fault; `warned` is
+    whether the warning has been logged, and not only that the server is slow.
     """
 
     since_s: float
@@ -36,9 +36,9 @@
 
 
 class SuspicionTable:
-    """The failing servers by id, brought up to date at each check; logs where a server begins to fail or recovers.
+    """The failing servers by id, updated at each check; logs when a server begins to fail and when it recovers.
 
-    `servers` gives the known servers by id.
+    `servers` returns the known servers by id.
     """
 
     def __init__(self, servers: Callable[[], Mapping[str, ServerRecord]]) -> None:
@@ -46,7 +46,7 @@
         self.failing: dict[str, FailingServer] = {}
 
     def check(self, now_s: float, suspicions: FaultCounts, gateways: int) -> None:
-        """Apply the suspicions that gateways report now; `gateways` is the number of live gateways."""
+        """Apply the suspicions that the gateways report now; `gateways` is the number of live gateways."""
         required = min(MIN_GATEWAYS, gateways)
         for server_id, faults in suspicions.items():
             if sum(faults.values()) >= required:
@@ -59,10 +59,10 @@
         failing = self.failing.get(server_id)
         if failing is None:
             failing = self.failing[server_id] = FailingServer(now_s, now_s, faults)
-            if not _is_more_than_slow(faults, required):
+            if not _has_fault_besides_slowness(faults, required):
                 logger.info("event=server_slow %s", self._description(server_id, faults))
         failing.last_suspected_s, failing.faults = now_s, faults
-        if not failing.warned and _is_more_than_slow(faults, required):
+        if not failing.warned and _has_fault_besides_slowness(faults, required):
             failing.warned = True
             logger.warning("event=server_failing %s", self._description(server_id, faults))
 
@@ -81,6 +81,6 @@
         )
 
 
-def _is_more_than_slow(faults: Mapping[str, int], required: int) -> bool:
-    """Whether so many gateways report a fault other than slowness."""
+def _has_fault_besides_slowness(faults: Mapping[str, int], required: int) -> bool:
+    """Whether at least `required` gateways report a fault other than slowness."""
     return sum(count for name, count in faults.items() if name != Fault.SLOW.value) >= required
--- a/emberring/control/update_stream.py
+++ b/emberring/control/update_stream.py
@@ -1,4 +1,4 @@
-"""Answers the pulls of gateways and stores: at once where they lack an update, otherwise at the next change."""
+"""Answers the long polls of gateways and stores: at once if they lack an update, otherwise at the next change."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from emberring.distribution.records import NodeRole
 from emberring.transport.network import Caller
 
-MAX_WAIT_S = 2.0  # the longest time for which a reply is held back
-NO_MAJORITY_AGE_MS = 1e9  # reported where no majority was in contact since the start
-BATCH_DELAY_S = 0.004  # after a change, so that changes at nearly the same time go into one reply
-BATCH_DELAY_PER_WAITER_S = 0.0005  # the same, in addition, for each follower that waits
+MAX_WAIT_S = 2.0  # maximum delay of a reply without an update
+NO_MAJORITY_AGE_MS = 1e9  # reported if no majority has been in contact since the start
+BATCH_DELAY_S = 0.004  # after a change, so that nearly simultaneous changes are sent in one reply
+BATCH_DELAY_PER_WAITER_S = 0.0005  # added for each waiting follower
 MAX_BATCH_DELAY_S = 0.1
 
 
 class UpdateStream:
-    """Sends followers the updates that they lack."""
+    """Replies to pulls with the updates that the sender lacks."""
 
     def __init__(self, cluster_state: ClusterState) -> None:
         self._cluster_state = cluster_state
 
     async def on_pull(self, pull: Pull, caller: Caller) -> Update:
-        """The reply to a pull, when there is an update or its waiting time is over."""
+        """Reply to a pull once there is an update, or its waiting time has elapsed."""
         loop = asyncio.get_running_loop()
         self._cluster_state.on_node_contact(loop.time(), pull.sender, _load_report_of(pull))
         deadline_s = loop.time() + min(MAX_WAIT_S, pull.wait_ms / 1000)
@@ -38,7 +38,7 @@
             await asyncio.sleep(min(MAX_BATCH_DELAY_S, BATCH_DELAY_S + BATCH_DELAY_PER_WAITER_S * waiters))
 
     def _has_updates(self, pull: Pull) -> bool:
-        """Whether the sender lacks an update that it should have at once."""
+        """Whether the sender lacks an update that it needs at once."""
         state = self._cluster_state.state
         return (
             state.version > pull.configuration_version
@@ -71,7 +71,7 @@
         )
 
     def _server_load(self, now_s: float, pull: Pull) -> dict[str, int]:
-        """The calls in flight at each server, as far as requested."""
+        """The calls in flight at each server that the pull requests."""
         if pull.sender.role is not NodeRole.GATEWAY or pull.load_detail is LoadReportDetail.TOTALS:
             return {}
         calls = self._cluster_state.load.calls(now_s)
@@ -81,8 +81,8 @@
 
 
 def _load_report_of(pull: Pull) -> LoadReport | None:
-    """The sender's load report; None where it reports to another control node.
+    """The sender's load report; None if it reports to another control node.
 
-    A load without `reports_load` comes from a node of an older version.
+    A load without `reports_load` comes from a node of an older version, which does not set that field.
     """
     return LoadReport(pull.load, pull.suspects) if pull.reports_load or pull.load else None
--- a/emberring/distribution/__init__.py
+++ b/emberring/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Facts carried to every node: version vectors, pulls, followers."""
+"""Replication of status records to every node: version vectors, exchanges, pulls, followers."""
--- a/emberring/distribution/contacts.py
+++ b/emberring/distribution/contacts.py
@@ -1,4 +1,4 @@
-"""The gateways and stores in contact with a control node, and the load that they reported. No sockets."""
+"""The gateways and stores in contact with a control node, and their load reports. Does no network I/O."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from emberring.distribution.records import NodeRecord
 from emberring.registry.faults import sum_suspicions
 
-CONTACT_TIMEOUT_S = 1.4  # a node that did not pull for so long is no longer in contact
-LOAD_FRESH_S = 1.2  # load reported longer ago does not count
+CONTACT_TIMEOUT_S = 1.4  # a node that has not pulled for this long is no longer in contact
+LOAD_FRESH_S = 1.2  # older load reports are ignored
 
 
 @attrs.define
@@ -22,9 +22,9 @@
 
 @attrs.frozen
 class LoadReport:
-    """What a node reported of model servers, by server id.
+    """A node's report about model servers, by server id.
 
-    Its calls in flight, and the value of the `Fault` suspected.
+    `calls` are its calls in flight, `suspects` the values of the `Fault` that it suspects.
     """
 
     calls: Mapping[str, int]
@@ -38,14 +38,14 @@
 
 
 class Contacts:
-    """Contacts by the name of the node, and the load reports. Times are seconds of the monotonic clock."""
+    """Contacts and load reports by the name of the node. Times are seconds of the monotonic clock."""
 
     def __init__(self) -> None:
         self._contacts: dict[str, _Contact] = {}
         self._reports: dict[str, _ReceivedReport] = {}
 
     def on_contact(self, now_s: float, record: NodeRecord, report: LoadReport | None = None) -> bool:
-        """A node pulled, and may have reported its load; whether its record is new or changed."""
+        """Process a pull, with the load report if it has one; return whether the record is new or changed."""
         if report is not None:
             self._reports[record.name] = _ReceivedReport(report, now_s)
         contact = self._contacts.get(record.name)
@@ -69,31 +69,31 @@
         return absent
 
     def restart_timeouts(self, now_s: float) -> None:
-        """Restart the time-outs of all contacts, as this node was frozen."""
+        """Restart the timeouts of all contacts, as this node was frozen."""
         for contact in self._contacts.values():
             contact.last_seen_s = now_s
 
     def drop(self, name: str) -> NodeRecord | None:
-        """Remove a contact, as another control node has one with a newer incarnation; its record."""
+        """Remove a contact whose node has a newer incarnation elsewhere, and return its record."""
         contact = self._contacts.pop(name, None)
         return contact.record if contact is not None else None
 
     def record_of(self, name: str) -> NodeRecord | None:
-        """The record of a node in contact; None where there is no contact."""
+        """The record of a node in contact; None if it is not in contact."""
         contact = self._contacts.get(name)
         return contact.record if contact is not None else None
 
     def load(self, now_s: float) -> dict[str, int]:
-        """Calls in flight by server id, over the nodes that reported to this control node."""
+        """Calls in flight by server id, summed over the nodes that report to this control node."""
         return sum_by_server(received.report.calls for received in self._fresh_reports(now_s))
 
     def load_age_s(self, now_s: float) -> float:
-        """How long ago (s), in the mean, the nodes reported the calls that `load` sums; 0 if none did."""
+        """The mean age (s) of the load reports that `load` sums; 0 if there are none."""
         ages = [now_s - received.received_s for received in self._fresh_reports(now_s)]
         return sum(ages) / len(ages) if ages else 0.0
 
     def suspects(self, now_s: float) -> dict[str, dict[str, int]]:
-        """By server id: how many nodes that report to this control node suspect it of which fault."""
+        """The number of nodes reporting to this control node that suspect a fault, by server id and fault."""
         return sum_suspicions(
             {server_id: {fault: 1} for server_id, fault in received.report.suspects.items()}
             for received in self._fresh_reports(now_s)
--- a/emberring/distribution/follower.py
+++ b/emberring/distribution/follower.py
@@ -1,4 +1,4 @@
-"""Keeps a gateway or store up to date: it pulls configuration, servers and nodes from two control nodes."""
+"""Keeps a gateway or store up to date by pulling configuration, servers and nodes from two control nodes."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
 from emberring.registry.known_load import NO_LOAD, KnownLoad
 from emberring.transport.network import Network
 
-PULLERS = 2  # control nodes asked at the same time
-WAIT_S = 0.5  # how long a control node may hold back a reply
-REPORT_WAIT_S = 0.3  # the same where this node reports load
-DETAIL_WAIT_S = 0.1  # the least where the reply to a report has the calls at every server
-DETAIL_WAIT_PER_SERVER_S = 0.001  # more for each of them, so that the bytes in a second are bounded
-REPLY_SLACK_S = 0.5  # after that wait the pull times out
-MIN_PULL_INTERVAL_S = 0.02  # after a faster pull a puller pauses so long, to batch changes
+PULLERS = 2  # concurrent pulls, each from a different control node
+WAIT_S = 0.5  # how long a control node may delay the reply to a pull (long poll)
+REPORT_WAIT_S = 0.3  # the same if this node reports load
+DETAIL_WAIT_S = 0.1  # the minimum if the reply to a load report has the calls at every server
+DETAIL_WAIT_PER_SERVER_S = 0.001  # the same per server, which bounds the bytes per second
+REPLY_SLACK_S = 0.5  # timeout of a pull beyond its wait
+MIN_PULL_INTERVAL_S = 0.02  # pause after a pull that took less than this, to batch changes
 
 logger = get_logger("distribution")
 
 
 class Follower:
-    """This node's knowledge of the tier, kept up to date in the background.
-
-    `configuration` never goes back to an older version and is None until one committed by a quorum is known;
-    `servers` has those that are ready or drain, `nodes` the live stores and control nodes by name. All of it stays as
-    it is while no control node replies. `report`, where it is set, returns this node's calls in flight by server id;
-    its argument is whether the reply will have the load of single servers, these calls among it. `load` is the sum
-    over all gateways. `suspects`, where it is set, returns the value of the fault suspected by server id. `me` may be
-    replaced at any time, for instance to announce a shutdown.
+    """This node's view of the tier, updated in the background.
+
+    `configuration` never returns to an older version, and is None until one committed by a quorum is received;
+    `servers` has those that are ready or draining, `nodes` the live stores and control nodes by name. The view does
+    not change while no control node replies. `report`, if set, returns this node's calls in flight by server id; its
+    argument is whether the reply will have the load of single servers, including these calls. `load` is the sum over
+    all gateways. `suspects`, if set, returns the value of the suspected fault by server id. `me` may be replaced at
+    any time, for instance to announce a shutdown.
     """
 
     def __init__(self, network: Network, me: NodeRecord, seeds: Sequence[str]) -> None:
@@ -54,13 +54,13 @@
         self._load_report_schedule = LoadReportSchedule()
 
     async def start(self) -> None:
-        """Start to pull; returns at once."""
+        """Start pulling; returns immediately."""
         loop = asyncio.get_running_loop()
         self._view = view = FollowerView(loop.time())
         self._tasks = [loop.create_task(self._pull_repeatedly(slot, view)) for slot in range(PULLERS)]
 
     async def stop(self) -> None:
-        """Stop pulling; what is known stays."""
+        """Stop pulling; the view stays as it is."""
         for task in self._tasks:
             task.cancel()
         for task in self._tasks:
@@ -70,12 +70,12 @@
 
     @property
     def configuration(self) -> Configuration | None:
-        """The newest configuration known."""
+        """The newest configuration received."""
         return self._view.configuration if self._view is not None else None
 
     @property
     def servers(self) -> dict[str, ServerRecord]:
-        """Servers that are ready or drain, by id."""
+        """Servers that are ready or draining, by id."""
         return self._view.servers if self._view is not None else {}
 
     @property
@@ -85,34 +85,34 @@
 
     @property
     def gateway_count(self) -> int:
-        """How many gateways live; at least 1."""
+        """The number of live gateways; at least 1."""
         return self._view.gateways if self._view is not None else 1
 
     @property
     def placement(self) -> Placement | None:
-        """Which stores hold which shard; None until known."""
+        """The stores of each shard; None until received."""
         return self._view.placement if self._view is not None else None
 
     @property
     def load(self) -> KnownLoad:
-        """Calls in flight over all gateways, as last reported."""
+        """Calls in flight over all gateways, as last received."""
         return self._view.load if self._view is not None else NO_LOAD
 
     @property
     def in_contact(self) -> bool:
-        """Whether a control node with a majority answered lately (`sources.CONTACT_S`)."""
+        """Whether a control node with a majority replied within `sources.CONTACT_S`."""
         return self._sources.in_contact(asyncio.get_running_loop().time())
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Call this after any change other than of the load."""
+        """Call `callback` after each change other than one of the load."""
         self._callbacks.append(callback)
 
     def subscribe_load(self, callback: Callable[[], None]) -> None:
-        """Call this after each reply that has calls in flight at single servers."""
+        """Call `callback` after each reply that has the calls in flight at single servers."""
         self._load_callbacks.append(callback)
 
-    def note_controls(self, addresses: Iterable[str]) -> None:
-        """Add internal addresses of control nodes found in other ways."""
+    def add_control_addresses(self, addresses: Iterable[str]) -> None:
+        """Add internal addresses of control nodes found by other means."""
         self._sources.add(addresses)
 
     async def _pull_repeatedly(self, slot: int, view: FollowerView) -> None:
@@ -159,9 +159,9 @@
         ]
 
     def _wait_s(self, load_detail: LoadReportDetail, servers: int, slot: int) -> float:
-        """How long the reply to a pull may be held back.
+        """How long the reply to a pull may be delayed.
 
-        The load of every server is of little use once it is old, as a call occupies its slot for about a second.
+        The load of every server must be recent to be useful, as a call occupies its slot for about a second.
         """
         if self.report is None:
             return WAIT_S
@@ -170,7 +170,7 @@
         return min(REPORT_WAIT_S, max(DETAIL_WAIT_S, DETAIL_WAIT_PER_SERVER_S * servers))
 
     def _load_detail(self, now_s: float, view: FollowerView, slot: int) -> LoadReportDetail:
-        """The load detail to request."""
+        """The detail of the load to request."""
         if self.report is None:
             return LoadReportDetail.TOTALS
         return self._load_report_schedule.next(now_s, view.gateways, len(view.servers), reporting=slot == 0)
@@ -178,10 +178,10 @@
     def _pull_request(
         self, view: FollowerView, slot: int, load_detail: LoadReportDetail, wait_s: float
     ) -> Pull:
-        """The pull to send.
+        """Build the pull to send.
 
-        Only the first of the two control nodes receives this node's load, and is asked for that of single servers
-        where it is requested rarely: a reply of the other would not match that report.
+        Only the first of the two control nodes receives this node's load report. If the load of single servers is
+        requested rarely, then only from that node too: the reply of the other would not match the report.
         """
         report = self.report
         reported_load = (
--- a/emberring/distribution/load_report.py
+++ b/emberring/distribution/load_report.py
@@ -1,4 +1,4 @@
-"""Which detail of the load a gateway requests from control nodes, and how often."""
+"""Decides which detail of the load a gateway requests from control nodes, and how often."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from emberring.registry.known_load import GATEWAYS_BY_WORD, USUAL_S
 
-DETAIL_INTERVAL_S = USUAL_S  # between requests for single servers, where these are rare
-MAX_PAIRS_FOR_EVERY_SERVER = 12_000  # gateways times servers up to which each reply may have every server
+DETAIL_INTERVAL_S = USUAL_S  # between rare requests for the load of single servers
+MAX_PAIRS_FOR_EVERY_SERVER = 12_000  # gateways times servers; up to this, every reply has all servers
 
 
 class LoadReportDetail(Enum):
-    """What a reply has of calls in flight besides the totals.
+    """The calls in flight that a reply has in addition to the totals by service.
 
-    Nothing, those at every server, or those at the servers that the sender uses, smoothed as well.
+    In this order: none, those at every server, or those at the servers that the sender uses, also smoothed.
     """
 
     TOTALS = "totals"
@@ -22,11 +22,11 @@
 
 
 class LoadReportSchedule:
-    """When a gateway requests the calls at single servers; the totals come with every reply.
+    """Decides when a gateway requests the calls at single servers; every reply has the totals.
 
-    Where gateways are few, or gateways times servers are, every reply has them. Elsewhere a gateway goes by the
-    smoothed calls at a server, which change slowly: it requests them rarely, and of the servers in use alone, so that
-    replies do not grow with the number of servers.
+    With few gateways, or a small product of gateways and servers, every reply has the calls at all servers. Otherwise
+    a gateway uses smoothed calls, which change slowly: it requests them rarely, and only for the servers in use, so
+    that the size of replies does not depend on the number of servers.
     """
 
     def __init__(self) -> None:
@@ -35,8 +35,8 @@
     def next(self, now_s: float, gateways: int, servers: int, reporting: bool) -> LoadReportDetail:
         """The detail to request now.
 
-        `reporting` is whether the same pull reports this node's load: what comes of the servers in use includes its
-        calls as reported.
+        `reporting` is whether the same pull reports this node's load. The load of the servers in use is requested only
+        then, as it includes the reported calls.
         """
         if gateways <= GATEWAYS_BY_WORD or gateways * servers <= MAX_PAIRS_FOR_EVERY_SERVER:
             return LoadReportDetail.EVERY_SERVER
@@ -44,6 +44,6 @@
         return LoadReportDetail.SERVERS_IN_USE if due and reporting else LoadReportDetail.TOTALS
 
     def answered(self, requested_s: float, load_detail: LoadReportDetail) -> None:
-        """A reply came to the pull sent at `requested_s`."""
+        """Record the reply to the pull sent at `requested_s`."""
         if load_detail is not LoadReportDetail.TOTALS:
             self._requested_s = requested_s
--- a/emberring/distribution/messages.py
+++ b/emberring/distribution/messages.py
@@ -1,8 +1,8 @@
-"""Messages of distribution: what control nodes exchange, and what gateways and stores pull from them.
+"""Messages of distribution: exchanges between control nodes, and pulls of gateways and stores.
 
-A writer is one incarnation of a control node. It numbers its entries from 1 on; a version vector holds, for each
-writer, the number up to which every entry is known. Of the entries of one writer about the same node or server only
-the newest travels.
+A writer is one incarnation of a control node. It numbers its entries from 1 on; a version vector has, for each writer,
+the number up to which all its entries have been received. Of a writer's entries about the same node or server only
+the newest is sent.
 """
 
 from __future__ import annotations
@@ -14,15 +14,14 @@
 from emberring.placement.model import Placement
 from emberring.transport.messages import message, wire_record
 
-UNREPORTED_LOAD_AGE_MS = (
-    300.0  # assumed age of a load report by a node of an older version, which reports no age
-)
+# The assumed age of a load report by a node of an older version, which sends no age.
+UNREPORTED_LOAD_AGE_MS = 300.0
 
 
 @wire_record({"writer_incarnation": "origin", "record": "fact"})
 @attrs.frozen
 class ServerEntry:
-    """What a writer recorded about a model server, under this number."""
+    """A writer's numbered entry about a model server."""
 
     writer_incarnation: str
     number: int
@@ -32,7 +31,7 @@
 @wire_record({"writer_incarnation": "origin", "record": "fact"})
 @attrs.frozen
 class NodeEntry:
-    """Whether a node is in contact with a writer, under this number."""
+    """A writer's numbered entry about a node: whether the node is in contact with it."""
 
     writer_incarnation: str
     number: int
@@ -42,7 +41,7 @@
 
 @attrs.frozen
 class Delta:
-    """All entries that are newer than the requester's vector; who applies it knows every entry up to `vector`."""
+    """All entries newer than the requester's vector; with them the requester has every entry up to `vector`."""
 
     vector: dict[str, int] = attrs.field(factory=dict)
     servers: tuple[ServerEntry, ...] = ()
@@ -50,19 +49,19 @@
 
     @property
     def empty(self) -> bool:
-        """Whether it has no entries."""
+        """Whether the delta has no entries."""
         return not self.servers and not self.nodes
 
 
 @message("distribution.pull", wire_keys={"sender": "me", "reports_load": "tells_load", "load_detail": "word"})
 @attrs.frozen
 class Pull:
-    """Request of a gateway or store to a control node for the updates that it lacks.
+    """Long poll of a gateway or store to a control node for the updates that it lacks.
 
-    The reply is held back up to `wait_ms` until there is an update. `load` is the sender's calls in flight by server
-    id; only one control node receives it (`reports_load`), and with it which servers the sender suspects (`suspects`:
-    the value of a `Fault` by server id). `load_detail` is the detail requested of the load of all gateways; the servers
-    in use are those in `load`, also those where the sender has no calls at the moment.
+    The reply is delayed up to `wait_ms` until there is an update. `load` is the sender's calls in flight by server id;
+    it is sent to one control node only (`reports_load`), together with the servers that the sender suspects
+    (`suspects`: the value of a `Fault` by server id). `load_detail` is the requested detail of the load of all
+    gateways; the servers in use are those in `load`, including those with 0 calls.
     """
 
     sender: NodeRecord
@@ -89,13 +88,12 @@
 class Update:
     """Reply to a pull.
 
-    `writer_incarnation` is the incarnation of the control node that replies, `live_writers` are those of all control
-    nodes that it takes for live. `quorum_age_ms` is how long ago it was in contact with a majority; `configuration` is
-    the compressed document of `configuration_version` if that is newer than the requester's. `control_addresses` has
-    all control nodes that this one has heard of, also those it can't reach. Calls in flight over all gateways:
-    `service_load` by service, and as far as requested by server `server_load` and, smoothed, `smoothed_load`; entries
-    of 0 are left out, unless they were requested by name. `load_age_ms` is how long ago, in the mean, the gateways
-    reported them.
+    `writer_incarnation` is the incarnation of the replying control node, `live_writers` has those of all control nodes
+    that it considers live. `quorum_age_ms` is how long ago it was in contact with a majority; `configuration` is the
+    compressed document of `configuration_version` if that is newer than the requester's. `control_addresses` has all
+    control nodes known to the replying one, including unreachable ones. Calls in flight over all gateways are in
+    `service_load` by service and, if requested, in `server_load` and (smoothed) `smoothed_load` by server; zeros are
+    omitted, except for servers requested by id. `load_age_ms` is the mean age of the gateways' reports of them.
     """
 
     writer_incarnation: str
@@ -121,10 +119,10 @@
 class Exchange:
     """A control node sends another the entries that it lacks, and its own vector.
 
-    `receiver_incarnation` is the incarnation for which `delta` was made; any other applies nothing of it.
-    `last_seen_sequences` has, by server id, the newest sequence of the heartbeats received here lately; `load` the
-    calls in flight that nodes reported to the sender (`load_age_ms` ago in the mean); `suspects` how many of them
-    suspect a server of which fault (by server id and value of a `Fault`).
+    `receiver_incarnation` is the incarnation for which `delta` was computed; any other ignores the delta.
+    `last_seen_sequences` has the newest sequence of the heartbeats that the sender received recently, by server id;
+    `load` the calls in flight reported to the sender (`load_age_ms` ago in the mean); `suspects` the number of nodes
+    that suspect a fault, by server id and value of the `Fault`.
     """
 
     sender: NodeRecord
@@ -140,7 +138,7 @@
 @message("distribution.exchanged", wire_keys={"sender": "me"})
 @attrs.frozen
 class Exchanged:
-    """Reply to an exchange: the entries that the requester lacked. `vector` includes what the exchange brought."""
+    """Reply to an exchange: the entries that the requester lacks. `vector` covers the entries of the exchange too."""
 
     sender: NodeRecord
     delta: Delta
@@ -150,7 +148,7 @@
 @message("placement.moved")
 @attrs.frozen
 class PlacementMoved:
-    """The owner of a shard reports that the group that joins at this epoch holds all of its records."""
+    """A shard's owner reports that the group that joins at this epoch stores all records of the shard."""
 
     shard: int
     epoch: int
--- a/emberring/distribution/peers.py
+++ b/emberring/distribution/peers.py
@@ -1,4 +1,4 @@
-"""The other control nodes as one knows them: which live, what each has, when to exchange next. No sockets."""
+"""The peers of a control node: which are live, which entries each has, when to exchange next. Does no network I/O."""
 
 from __future__ import annotations
 
@@ -9,21 +9,22 @@
 from emberring.distribution.messages import Exchange, Exchanged
 from emberring.distribution.records import NodeRecord
 
-MAX_EXCHANGE_INTERVAL_S = 0.3  # among many control nodes; among few it is shorter:
-EXCHANGE_INTERVAL_PER_PEER_S = 0.025  # so much for each other control node,
-MIN_EXCHANGE_INTERVAL_S = 0.1  # but no less than this
-RETRY_S = 0.8  # an address that does not answer is retried after so long
-LIVE_S = 1.3  # a control node not seen for so long counts as absent
-FORGET_S = 60.0  # an address that is no seed is forgotten after so long without contact
-LOAD_FRESH_S = 1.6  # load reported longer ago does not count
+# The interval between exchanges with one peer grows with the number of control nodes, within these limits.
+MAX_EXCHANGE_INTERVAL_S = 0.3
+EXCHANGE_INTERVAL_PER_PEER_S = 0.025
+MIN_EXCHANGE_INTERVAL_S = 0.1
+RETRY_S = 0.8  # delay before an unresponsive address is retried
+LIVE_S = 1.3  # a control node not seen for this long counts as absent
+FORGET_S = 60.0  # retention of an address without contact that is not a seed
+LOAD_FRESH_S = 1.6  # older load reports are ignored
 
 
 @attrs.define
 class Peer:
     """Another control node.
 
-    Times are seconds of the monotonic clock; `answered_s` is when the last exchange that it answered began, `repeat`
-    whether another exchange is to follow the one in flight at once.
+    Times are seconds of the monotonic clock; `answered_s` is when the last exchange that it answered began, `repeat` is
+    whether another exchange must follow immediately after the one in flight.
     """
 
     address: str
@@ -33,7 +34,7 @@
     vector: dict[str, int] = attrs.field(factory=dict)
     load: dict[str, int] = attrs.field(factory=dict)
     load_reported_s: float = -1e9
-    load_age_s: float = 0.0  # of that load when it was reported
+    load_age_s: float = 0.0  # age of the load at the time of the report
     suspects: dict[str, dict[str, int]] = attrs.field(factory=dict)
     last_seen_s: float = -1e9
     answered_s: float = -1e9
@@ -49,7 +50,7 @@
 
 
 class PeerTable:
-    """The other control nodes by address. `me` is the record of this one; `seeds` are addresses never forgotten."""
+    """The other control nodes by address. `me` is this node's record; `seeds` are addresses that are never dropped."""
 
     def __init__(self, me: NodeRecord, seeds: Iterable[str]) -> None:
         self.me = me
@@ -65,7 +66,7 @@
                 self._peers[address] = Peer(address, False, now_s, next_exchange_s=now_s)
 
     def on_exchange(self, now_s: float, exchange: Exchange | Exchanged) -> Peer | None:
-        """Note an exchange, or the reply to one; its sender, None if that is this very node."""
+        """Process an exchange, or the reply to one; return its sender, or None if that is this node itself."""
         if exchange.sender.incarnation == self.me.incarnation:
             return None
         self.add(now_s, [exchange.sender.address])
@@ -83,15 +84,15 @@
         return peer
 
     def live(self, now_s: float) -> list[Peer]:
-        """The peers seen lately."""
+        """The peers seen within `LIVE_S`."""
         return [peer for peer in self._peers.values() if now_s - peer.last_seen_s < LIVE_S]
 
     def addresses(self) -> tuple[str, ...]:
-        """Addresses of all known control nodes, of this one too."""
+        """Addresses of all known control nodes, including this one."""
         return (self.me.address, *self._peers)
 
     def seen_records(self) -> list[NodeRecord]:
-        """The records of the peers seen at any time."""
+        """The records of all peers that have been seen."""
         return [peer.record for peer in self._peers.values() if peer.record is not None]
 
     def others_exist(self) -> bool:
@@ -103,17 +104,17 @@
         return [peer for peer in self._peers.values() if not peer.in_flight and peer.next_exchange_s <= now_s]
 
     def expedite(self, now_s: float) -> None:
-        """Make exchanges with all live peers due, as something changed."""
+        """Make exchanges with all live peers due immediately, as there is a change."""
         for peer in self.live(now_s):
             peer.next_exchange_s = now_s
             peer.repeat = peer.in_flight
 
     def exchange_began(self, now_s: float, peer: Peer) -> None:
-        """An exchange with this peer began."""
+        """Record that an exchange with this peer begins."""
         peer.in_flight, peer.repeat, peer.exchange_began_s = True, False, now_s
 
     def exchange_ended(self, now_s: float, peer: Peer, answered: bool) -> None:
-        """An exchange with this peer ended; `answered` is whether it replied."""
+        """Record the end of an exchange with this peer; `answered` is whether it replied."""
         peer.in_flight = False
         if answered:
             peer.answered_s = peer.exchange_began_s
@@ -125,7 +126,8 @@
     def _interval_s(self) -> float:
         """The time between exchanges with one peer.
 
-        The shorter it is, the fresher is the load reported; the number of exchanges of a node in a second is bounded.
+        A short interval keeps the reported load recent; its growth with the number of peers bounds a node's exchanges
+        per second.
         """
         return min(
             MAX_EXCHANGE_INTERVAL_S,
@@ -133,11 +135,11 @@
         )
 
     def loads(self, now_s: float) -> Iterable[Mapping[str, int]]:
-        """The loads that peers reported lately."""
+        """The loads that peers reported within `LOAD_FRESH_S`."""
         return [peer.load for peer in self._peers.values() if now_s - peer.load_reported_s < LOAD_FRESH_S]
 
     def load_ages(self, now_s: float) -> Iterable[tuple[int, float]]:
-        """For each of these loads: the number of calls, and its age (s)."""
+        """The number of calls in each of these loads, and its age (s)."""
         return [
             (sum(peer.load.values()), now_s - peer.load_reported_s + peer.load_age_s)
             for peer in self._peers.values()
@@ -145,12 +147,12 @@
         ]
 
     def suspects(self, now_s: float) -> Iterable[Mapping[str, Mapping[str, int]]]:
-        """Which servers are suspected by how many of the nodes that report to these peers."""
+        """The suspicions that each of these peers reported: numbers of nodes by server id and fault."""
         return [peer.suspects for peer in self._peers.values() if now_s - peer.load_reported_s < LOAD_FRESH_S]
 
     def forget(self, now_s: float) -> None:
-        """Drop addresses that were not seen for long."""
+        """Drop addresses that have not been seen for `FORGET_S`."""
         for address, peer in list(self._peers.items()):
-            silent_s = now_s - max(peer.last_seen_s, peer.known_since_s)
-            if not peer.is_seed and not peer.in_flight and silent_s > FORGET_S:
+            unseen_s = now_s - max(peer.last_seen_s, peer.known_since_s)
+            if not peer.is_seed and not peer.in_flight and unseen_s > FORGET_S:
                 del self._peers[address]
--- a/emberring/distribution/records.py
+++ b/emberring/distribution/records.py
@@ -16,7 +16,7 @@
 
 
 class ServerState(Enum):
-    """The state of a model server; `GONE` after its goodbye, `LOST` after missed heartbeats."""
+    """The state of a model server: `GONE` after its goodbye, `LOST` after missed heartbeats."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -28,8 +28,8 @@
 class NodeRecord:
     """A node of the tier.
 
-    `address` is its internal address, `identity` is kept on its disk ("" without one), `incarnation` is new at each
-    start, `leaving` is whether it shuts down.
+    `address` is its internal address, `identity` is stored on its disk ("" without one), `incarnation` is new at each
+    start, `leaving` is whether it is shutting down.
     """
 
     name: str
@@ -45,7 +45,8 @@
 class ServerRecord:
     """One incarnation of a model server, as its newest heartbeat reported.
 
-    `capacity` is in calls, `sequence` rises with each call of the server, `cold_ms` is how much longer it warms up.
+    `capacity` is in concurrent calls, `sequence` increases with each heartbeat, `cold_ms` is the
+    remaining time of its warm-up.
     """
 
     id: str
--- a/emberring/distribution/sources.py
+++ b/emberring/distribution/sources.py
@@ -1,7 +1,7 @@
-"""Selects the control nodes that a follower pulls from: two that answer and have a majority, if possible. No sockets.
+"""Selects the control nodes that a follower pulls from: two that respond and have a majority, if possible.
 
-The first of the two is asked most often, so it is one of the follower's own zone where one answers: bytes between zones
-are paid for. The second is any other, so that one is left where a zone fails.
+The first one receives most of the pulls. It is preferably in the follower's own zone, as traffic between zones is
+charged. The second is any other, so that one remains if a zone fails. Does no network I/O.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 import attrs
 
 QUORUM_FRESH_S = 1.0  # a control node without a majority for longer is replaced by another
-CONTACT_S = 1.2  # an answer of a node with a majority within this time counts as contact
-FIRST_BACKOFF_S = 0.1  # after the first failure; it doubles with each further one in a row
+CONTACT_S = 1.2  # a reply of a node with a majority within this time counts as contact
+FIRST_BACKOFF_S = 0.1  # after the first failure; doubles with each consecutive one
 MAX_BACKOFF_S = 1.5
-NO_QUORUM_RETRY_S = 0.5  # a node without a majority is asked again after so long, if there is none better
-SAME_ZONE_RETRY_S = 5.0  # one of the same zone that failed is retried after so long, though others answer
+NO_QUORUM_RETRY_S = 0.5  # delay before a node without a majority is retried, if there is no better one
+SAME_ZONE_RETRY_S = 5.0  # delay before a failed node of the same zone is retried, even if others respond
 SAME_ZONE_SLOT = 0  # the puller that prefers control nodes of the same zone
-FORGET_FAILURES = 20  # a node that is no seed and failed so often in a row is forgotten
+FORGET_FAILURES = 20  # consecutive failures after which a node that is not a seed is dropped
 
 
 @attrs.define
@@ -30,10 +30,10 @@
     without_quorum: bool = False
     answers: int = 0
     answered_s: float = -1e9
-    failed_s: float = -1e9  # when it last failed, or answered without a majority
+    failed_s: float = -1e9  # time of the last failure, or reply without a majority
 
     def is_preferable(self, now_s: float) -> bool:
-        """Whether to replace a current source of another zone by this one."""
+        """Whether this source should replace the current source of another zone."""
         healthy = self.failures == 0 and not self.without_quorum
         return (healthy or now_s - self.failed_s >= SAME_ZONE_RETRY_S) and self.not_before_s <= now_s
 
@@ -41,7 +41,7 @@
 class SourceSelector:
     """Selects a control node for each puller, a different one for each. Times are seconds of the monotonic clock.
 
-    `seeds` are addresses never forgotten; `rng` makes the random choices.
+    `seeds` are addresses that are never dropped; `rng` makes the random choices.
     """
 
     def __init__(self, seeds: Sequence[str], rng: random.Random) -> None:
@@ -63,19 +63,19 @@
         self._same_zone = frozenset(addresses)
 
     def has_answered(self, address: str) -> bool:
-        """Whether this node has answered, and not failed since, so that its replies may be held back."""
+        """Whether this node has replied and not failed since, so that long polls to it are allowed."""
         source = self._sources.get(address)
         return source is not None and source.answers > 0 and source.failures == 0
 
     def in_contact(self, now_s: float) -> bool:
-        """Whether a node with a majority answered lately."""
+        """Whether a node with a majority replied within `CONTACT_S`."""
         return any(
             not source.without_quorum and now_s - source.answered_s < CONTACT_S
             for source in self._sources.values()
         )
 
     def answered(self, now_s: float, address: str, quorum_age_s: float) -> None:
-        """A node answered a pull; `quorum_age_s` is how long ago it was in contact with a majority."""
+        """Record a reply to a pull; `quorum_age_s` is how long ago the node was in contact with a majority."""
         source = self._sources.get(address)
         if source is None:
             return
@@ -89,7 +89,7 @@
             self._release(address)
 
     def failed(self, now_s: float, address: str) -> None:
-        """A node did not answer a pull."""
+        """Record that a pull failed."""
         source = self._sources.get(address)
         if source is None:
             return
@@ -106,17 +106,17 @@
             del self._current[slot]
 
     def pick(self, now_s: float, slot: int) -> str | None:
-        """The address to pull from now; None if none may be asked yet."""
+        """The address to pull from now; None if all others are in use or in backoff."""
         current = self._current.get(slot)
         if current is not None and current in self._sources:
             selected = self._same_zone_instead(now_s, slot, current)
             self._current[slot] = selected
             return selected
-        taken = {address for other, address in self._current.items() if other != slot}
+        in_use = {address for other, address in self._current.items() if other != slot}
         free = [
             source
             for source in self._sources.values()
-            if source.address not in taken and source.not_before_s <= now_s
+            if source.address not in in_use and source.not_before_s <= now_s
         ]
         if not free:
             return None
@@ -130,7 +130,7 @@
         return source.without_quorum, min(source.failures, 3), other_zone
 
     def _same_zone_instead(self, now_s: float, slot: int, current: str) -> str:
-        """The current address, or one of this zone that can be asked instead."""
+        """The address of this zone that replaces the current one, or else the current address."""
         if slot != SAME_ZONE_SLOT or current in self._same_zone:
             return current
         candidates = [
@@ -142,14 +142,14 @@
             return current
         chosen = self._random.choice(candidates)
         for other, address in self._current.items():
-            if address == chosen:  # the other puller takes the one released here
+            if address == chosen:  # the other puller continues with the source released here
                 self._current[other] = current
         return chosen
 
     def pause_s(self, now_s: float) -> float:
-        """How long (s) until a node may be asked again."""
-        taken = set(self._current.values())
+        """How long (s) until a node may be pulled from again."""
+        in_use = set(self._current.values())
         waits = [
-            source.not_before_s - now_s for source in self._sources.values() if source.address not in taken
+            source.not_before_s - now_s for source in self._sources.values() if source.address not in in_use
         ]
         return min(MAX_BACKOFF_S, max(0.02, min(waits, default=0.2)))
--- a/emberring/distribution/status_table.py
+++ b/emberring/distribution/status_table.py
@@ -1,4 +1,4 @@
-"""Replicated status records of servers and nodes, and the entries that another node lacks. No sockets."""
+"""The replicated status records of servers and nodes, and deltas for nodes that lack entries. Does no network I/O."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from emberring.distribution.records import NodeRecord, NodeRole, ServerRecord
 from emberring.registry.merge import dominates, merged
 
-MAX_CACHED_LIVE_SETS = 8  # results of `live_nodes`, each for a set of writers and roles
+MAX_CACHED_LIVE_SETS = 8  # cached results of `live_nodes`, one for each set of writers and roles
 
 
 @attrs.frozen
 class TableChanges:
-    """What applying a delta changed: ids of servers and names of nodes."""
+    """The ids of servers and names of nodes whose records were changed by a delta."""
 
     servers: frozenset[str] = frozenset()
     nodes: frozenset[str] = frozenset()
@@ -26,10 +26,10 @@
 
 
 class StatusTable:
-    """Entries by writer and number. `writer` is the incarnation of this node; empty where it writes none.
+    """Entries by writer and number. `writer` is the incarnation of this node, empty if it writes no entries.
 
-    `vector` holds, for each writer, the number up to which every entry is known. Entries of a writer that has ended
-    are dropped where those of another one include them.
+    `vector` has, for each writer, the number up to which all its entries have been received. An ended writer's entry
+    is dropped if the entry of another writer includes it.
     """
 
     def __init__(self, writer: str = "") -> None:
@@ -40,7 +40,7 @@
         self._nodes: dict[str, dict[str, NodeEntry]] = {}
         self._arrivals: dict[tuple[str, str], int] = {}
         self._arrival_count = 0
-        self._entries_by_number: dict[str, SortedDict] = {}  # of each writer
+        self._entries_by_number: dict[str, SortedDict] = {}  # by writer
         self._live_nodes: dict[tuple[frozenset[str], tuple[NodeRole, ...]], dict[str, NodeRecord]] = {}
 
     # -- entries of this node
@@ -51,9 +51,9 @@
         return number
 
     def write_server(self, record: ServerRecord) -> ServerEntry:
-        """Write a server record, merged with what is known.
+        """Write a server record, merged with the known one.
 
-        An entry replaces the older ones of its writer about the server, and must include all that they did.
+        The entry replaces older ones of this writer about the server, so it must include what they reported.
         """
         known = self._merged.get(record.id)
         complete = merged(known, record) if known is not None else record
@@ -89,7 +89,7 @@
     def live_nodes(self, live: Collection[str], roles: Collection[NodeRole]) -> Mapping[str, NodeRecord]:
         """Nodes of these roles in contact with a live writer, by name.
 
-        Of two incarnations the one that arrived last.
+        Of two incarnations of a node, the result has the one whose entry arrived last.
         """
         key = (frozenset(live), tuple(roles))
         cached = self._live_nodes.get(key)
@@ -110,13 +110,13 @@
         return {name: entry.record for name, entry in found.items()}
 
     def arrival_order(self, entry: NodeEntry) -> int:
-        """The position of an entry about a node in the order of arrival here."""
+        """The position of an entry about a node in the order of arrival at this table."""
         return self._arrivals.get((entry.record.name, entry.writer_incarnation), 0)
 
     # -- exchange
 
     def newer_than(self, vector: Mapping[str, int], gateways: bool = True) -> Delta:
-        """The entries that a node with this vector lacks; without those of gateways where it does not need them."""
+        """The entries that a node with this vector lacks; `gateways` is whether to include those about gateways."""
         if all(vector.get(writer, 0) >= number for writer, number in self.vector.items()):
             return Delta(vector=dict(self.vector))
         servers: list[ServerEntry] = []
@@ -131,7 +131,7 @@
         return Delta(dict(self.vector), tuple(servers), tuple(nodes))
 
     def has_newer_than(self, vector: Mapping[str, int]) -> bool:
-        """Whether a node with this vector, which does not need entries of gateways, lacks any."""
+        """Whether a node with this vector lacks entries other than those about gateways."""
         for writer, numbered in self._entries_by_number.items():
             known = vector.get(writer, 0)
             if self.vector.get(writer, 0) <= known:
@@ -156,7 +156,7 @@
                 del self._entries_by_number[entry.writer_incarnation]
 
     def apply(self, delta: Delta) -> TableChanges:
-        """Apply what another node sent, and advance this table's vector to its."""
+        """Apply a delta of another node, and advance this table's vector to that of the delta."""
         servers = {
             entry.record.id
             for entry in delta.servers
@@ -176,7 +176,7 @@
         return entry.number > self.vector.get(entry.writer_incarnation, 0)
 
     def _apply_server_entry(self, entry: ServerEntry) -> bool:
-        """Keep a writer's newest entry; whether the merged record of the server changed."""
+        """Store a writer's newest entry; return whether the merged record of the server changed."""
         by_writer = self._servers.setdefault(entry.record.id, {})
         self._index(entry, by_writer.get(entry.writer_incarnation))
         by_writer[entry.writer_incarnation] = entry
@@ -195,7 +195,7 @@
         self._arrivals[(entry.record.name, entry.writer_incarnation)] = self._arrival_count
         return before is None or (before.record, before.present) != (entry.record, entry.present)
 
-    # -- forgetting
+    # -- removal
 
     def forget_server(self, server_id: str) -> None:
         """Drop all entries of a server."""
@@ -204,9 +204,9 @@
         self._merged.pop(server_id, None)
 
     def forget_writer(self, writer: str) -> None:
-        """Drop an ended writer's entries about nodes, and those about servers that entries of others include.
+        """Drop an ended writer's entries about nodes, and those about servers that other writers' entries include.
 
-        Its position in the vector too if nothing of it is kept.
+        Its number in the vector is dropped too if no entry of it is left.
         """
         self._live_nodes.clear()
         for name in list(self._nodes):
@@ -220,7 +220,7 @@
             self.vector.pop(writer, None)
 
     def _prune_server_entries(self, writer: str) -> bool:
-        """Drop an ended writer's entries about servers that entries of others include; whether any is left."""
+        """Drop an ended writer's server entries that other writers' entries include; return whether any is left."""
         left = False
         for by_writer in self._servers.values():
             entry = by_writer.get(writer)
--- a/emberring/registry/faults.py
+++ b/emberring/registry/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a model server that gateways detect in its answers."""
+"""Faults of a model server that gateways detect in its responses."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from enum import Enum
 
 FaultCounts = Mapping[str, Mapping[str, int]]
-"""By server id and the value of a `Fault`: how many gateways suspect it. Values and not members, as nodes of another
-version may know faults that this one does not."""
+"""How many gateways suspect a fault, by server id and the value of a `Fault`. The keys are values instead of members,
+as nodes of another version may report faults that this one does not define."""
 
 
 class Fault(Enum):
-    """What is wrong with a server.
+    """A fault of a model server.
 
-    Its connections aren't established, it sends no events, it breaks off answers, it fails a part of its calls, its
-    first events come late.
+    In this order: connections to it cannot be established; it sends no events; it aborts responses; it fails a part of
+    its calls; its first events are late.
     """
 
     UNREACHABLE = "unreachable"
@@ -26,7 +26,7 @@
 
 
 def sum_suspicions(parts: Iterable[FaultCounts]) -> dict[str, dict[str, int]]:
-    """Sum the counts by server and fault."""
+    """Sum the counts of several sources by server and fault."""
     total: dict[str, Counter[str]] = {}
     for part in parts:
         for server_id, faults in part.items():
--- a/emberring/registry/heartbeats.py
+++ b/emberring/registry/heartbeats.py
@@ -15,18 +15,18 @@
 
 @attrs.frozen
 class Heartbeat:
-    """A server's report of itself; `record.sequence` rises with each call of the server."""
+    """A server's report of its own state; `record.sequence` increases with each heartbeat."""
 
     record: ServerRecord
 
     @property
     def draining(self) -> bool:
-        """Whether the server drains."""
+        """Whether the server is draining."""
         return self.record.state is ServerState.DRAINING
 
 
 def read_heartbeat(server_id: str, body: bytes) -> Heartbeat:
-    """Parse the JSON body of a heartbeat; unknown fields are skipped. Raises `BadRequestError` for a malformed one."""
+    """Parse the JSON body of a heartbeat; unknown fields are ignored. Raises `BadRequestError` if it is malformed."""
     try:
         table = orjson.loads(body)
         record = ServerRecord(
--- a/emberring/registry/known_load.py
+++ b/emberring/registry/known_load.py
@@ -1,4 +1,4 @@
-"""Calls in flight at model servers, over all gateways, as control nodes report them."""
+"""Calls in flight at model servers, summed over all gateways, as reported by control nodes."""
 
 from __future__ import annotations
 
@@ -7,17 +7,16 @@
 
 import attrs
 
-USUAL_S = 3.0  # time constant of the smoothing of a server's calls: much longer than their reports take
-GATEWAYS_BY_WORD = 8  # so many gateways can go by the newest report without all choosing the same server
+USUAL_S = 3.0  # time constant for smoothing a server's calls: much longer than the delay of the reports
+GATEWAYS_BY_WORD = 8  # more gateways than this, all using the newest report, would choose the same server
 
 
 @attrs.frozen
 class KnownLoad:
-    """Calls in flight by server id (`calls`) and by service (`totals`), those of the gateway that reads this included.
+    """Calls in flight by server id (`calls`) and by service (`totals`), including those of the gateway that reads this.
 
-    `usual` is None where `calls` has every server; otherwise it has the requested servers, their calls smoothed over
-    some seconds. `true_s` is the time (s, of this process's monotonic clock) at which the gateways reported this in the
-    mean.
+    `usual` is None if `calls` has every server; otherwise it has the requested servers' calls, smoothed over some
+    seconds. `true_s` is the mean time (s, of this process's monotonic clock) at which the gateways reported the calls.
     """
 
     calls: Mapping[str, int] = attrs.field(factory=dict)
--- a/emberring/registry/servers.py
+++ b/emberring/registry/servers.py
@@ -1,7 +1,7 @@
-"""Decides which server records a control node writes: on heartbeats, goodbyes and time-outs. No sockets.
+"""Decides which server records a control node writes: on heartbeats, goodbyes and timeouts. Does no network I/O.
 
-The caller keeps the records of all control nodes merged; this module decides what has to be added to them. Of
-heartbeats without changes only the time is kept, for the time-out.
+The caller stores the merged records of all control nodes; this module returns the records to add. Of a heartbeat
+without changes only the time is stored, for the timeout.
 """
 
 from __future__ import annotations
@@ -14,16 +14,15 @@
 from emberring.registry.heartbeats import Heartbeat
 from emberring.registry.merge import merged
 
-MISSED_HEARTBEATS = 4  # so many missed in a row, and the slack, are a time-out
+MISSED_HEARTBEATS = 4  # in a row; with the slack, these make the timeout
 TIMEOUT_SLACK_S = 0.6
-ORPHAN_TIMEOUT_SLACK_S = (
-    6.0  # more for servers whose control node can't be asked: it may get heartbeats still
-)
-ADDRESS_REUSE_TIMEOUT_S = (
-    1.0  # a server without heartbeats for so long has ended if another one reports its address
-)
-MAX_TICK_GAP_S = 1.0  # after a longer time between two ticks this node was frozen and received nothing
-FORGET_S = 120.0  # a server that is gone or lost is dropped after so long
+# Added for a server without a record of a live control node: an unreachable one may still receive its heartbeats.
+ORPHAN_TIMEOUT_SLACK_S = 6.0
+# A server without heartbeats for this long counts as gone if another server reports its address.
+ADDRESS_REUSE_TIMEOUT_S = 1.0
+# A longer interval between two ticks means that this node was frozen and received nothing.
+MAX_TICK_GAP_S = 1.0
+FORGET_S = 120.0  # retention of a server that is gone or lost
 
 
 @attrs.define
@@ -33,7 +32,7 @@
 
 
 class ServerRegistry:
-    """When this control node, or another one, last received a heartbeat of each server.
+    """Tracks when a heartbeat of each server was last received, by this control node or another one.
 
     Times are seconds of the monotonic clock; `heartbeat_s` is the interval of heartbeats; `timeout_s` is how long a
     server may miss them.
@@ -43,25 +42,25 @@
         self._last_tick_s = now_s
         self.timeout_s = MISSED_HEARTBEATS * heartbeat_s + TIMEOUT_SLACK_S
         self._last_seen: dict[str, _LastSeen] = {}
-        self._gone_since: dict[str, float] = {}
+        self._ended_since_s: dict[str, float] = {}
 
     def sequences_since(self, since_s: float) -> dict[str, int]:
-        """The newest sequence of each server seen at or after this time, by id."""
+        """The newest sequence of each server seen at or after `since_s`, by id."""
         return {
-            server: last_seen.sequence
-            for server, last_seen in self._last_seen.items()
+            server_id: last_seen.sequence
+            for server_id, last_seen in self._last_seen.items()
             if last_seen.received_s >= since_s
         }
 
     def on_sequences(self, now_s: float, sequences: Mapping[str, int]) -> None:
-        """Another control node received heartbeats of these servers with these sequences."""
-        for server, sequence in sequences.items():
-            self._note(now_s, server, sequence)
+        """Apply the newest sequences of heartbeats that another control node received, by server id."""
+        for server_id, sequence in sequences.items():
+            self._record_seen(now_s, server_id, sequence)
 
-    def _note(self, now_s: float, server: str, sequence: int) -> bool:
-        last_seen = self._last_seen.get(server)
+    def _record_seen(self, now_s: float, server_id: str, sequence: int) -> bool:
+        last_seen = self._last_seen.get(server_id)
         if last_seen is None:
-            self._last_seen[server] = _LastSeen(sequence, now_s)
+            self._last_seen[server_id] = _LastSeen(sequence, now_s)
         elif sequence > last_seen.sequence:
             last_seen.sequence, last_seen.received_s = sequence, now_s
         else:
@@ -77,11 +76,11 @@
     ) -> list[ServerRecord]:
         """The records to write after a heartbeat.
 
-        `known` has the merged records by server id; `live_record` is that of the live control nodes about this
-        server, which other nodes go by.
+        `known` has the merged records by server id; `live_record` is the merge of the live control nodes' records of
+        this server, which followers use.
         """
         record = heartbeat.record
-        self._note(now_s, record.id, record.sequence)
+        self._record_seen(now_s, record.id, record.sequence)
         before = known.get(record.id)
         if before is None:
             return [record, *self._replaced_at(now_s, record, known)]
@@ -90,15 +89,16 @@
         after = merged(before, record)
         if before.state is ServerState.GONE:
             return []
-        # Both: followers go by the live control nodes' record unless the merged one says that the server has ended. One
-        # that an ended node had taken for lost, at a live one's sequence, was never listed again.
+        # Both must be unchanged: followers use the live control nodes' record, unless the merged one is draining or
+        # gone. With the first check alone, a server that an ended node had written as lost, at the sequence of a live
+        # node's record, would never be listed again.
         unchanged = live_record is not None and _equivalent(live_record, after) and _equivalent(before, after)
         return [] if unchanged else [after]
 
     def _replaced_at(
         self, now_s: float, record: ServerRecord, known: Mapping[str, ServerRecord]
     ) -> list[ServerRecord]:
-        """Records of older servers at the address of a new one: they have ended."""
+        """Records that mark older servers at the address of a new one as gone."""
         replaced = []
         for other in known.values():
             if other.address != record.address or other.id == record.id or other.state is ServerState.GONE:
@@ -109,7 +109,7 @@
         return replaced
 
     def on_goodbye(self, server_id: str, known: Mapping[str, ServerRecord]) -> list[ServerRecord]:
-        """The records to write after a goodbye, also of a server not known before."""
+        """The records to write after a goodbye, which may be that of an unknown server."""
         before = known.get(server_id)
         if before is None:
             return [ServerRecord(server_id, "", "", "", 0, ServerState.GONE, 0)]
@@ -118,7 +118,7 @@
         return [attrs.evolve(before, state=ServerState.GONE)]
 
     def on_record_changed(self, now_s: float, record: ServerRecord) -> list[ServerRecord]:
-        """The records to write after another control node wrote one: that a server lives which it took for lost."""
+        """The records to write after another control node wrote a live server as lost: the server is ready."""
         last_seen = self._last_seen.get(record.id)
         if record.state is not ServerState.LOST or last_seen is None or last_seen.sequence <= record.sequence:
             return []
@@ -135,8 +135,8 @@
     ) -> list[ServerRecord]:
         """The records to write of servers that have timed out.
 
-        `is_listed` is whether a live control node has a record of a server. `trusted` is false where silence proves
-        nothing, as this node is partitioned or was frozen; then every time-out starts again.
+        `is_listed` returns whether a live control node has a record of a server. `trusted` is false while missed
+        heartbeats prove nothing, as this node is partitioned or was frozen; then every timeout restarts.
         """
         gap_s, self._last_tick_s = now_s - self._last_tick_s, now_s
         if not trusted or gap_s > MAX_TICK_GAP_S:
@@ -162,24 +162,26 @@
         return attrs.evolve(record, state=state, sequence=max(record.sequence, last_seen.sequence))
 
     def expired(self, now_s: float, known: Mapping[str, ServerRecord]) -> list[str]:
-        """Ids of the servers gone or lost for `FORGET_S`, of which nothing needs to be kept."""
+        """Remove and return the ids of the servers that have been gone or lost for `FORGET_S`."""
         ended = {
             record.id for record in known.values() if record.state in (ServerState.GONE, ServerState.LOST)
         }
-        for server in list(self._gone_since):
-            if server not in ended:
-                del self._gone_since[server]
-        for server in ended:
-            self._gone_since.setdefault(server, now_s)
-        old = [server for server, since_s in self._gone_since.items() if now_s - since_s > FORGET_S]
-        for server in old:
-            del self._gone_since[server]
-            self._last_seen.pop(server, None)
-        return old
+        for server_id in list(self._ended_since_s):
+            if server_id not in ended:
+                del self._ended_since_s[server_id]
+        for server_id in ended:
+            self._ended_since_s.setdefault(server_id, now_s)
+        expired = [
+            server_id for server_id, since_s in self._ended_since_s.items() if now_s - since_s > FORGET_S
+        ]
+        for server_id in expired:
+            del self._ended_since_s[server_id]
+            self._last_seen.pop(server_id, None)
+        return expired
 
 
 def _equivalent(first: ServerRecord, second: ServerRecord) -> bool:
-    """Whether two records differ in nothing that other nodes need: of the warm-up time only whether it is over."""
+    """Whether two records differ only in the sequence and in the progress of the warm-up, which other nodes ignore."""
     return _without_progress(first) == _without_progress(second)
 
 
--- a/tests/emberring/control/test_tier_cluster_state_simulation.py
+++ b/tests/emberring/control/test_tier_cluster_state_simulation.py
@@ -148,7 +148,7 @@
             control.cluster_state.on_heartbeat(self.now_s, server.send_heartbeat())
             if server.state is ServerState.DRAINING and server.drained_s is None:
                 self.exchange()
-                if control.cluster_state.peers_knowing_end(self.now_s, server.name) and self._stable():
+                if control.cluster_state.peers_with_end_record(self.now_s, server.name) and self._stable():
                     server.drained_s = self.now_s
                     if not self.is_calm and self.random.random() < 0.3:
                         self.kill(control)
