--- a/tests/emberring/configuration/test_tier_change_requests.py
+++ b/tests/emberring/configuration/test_tier_change_requests.py
@@ -1,4 +1,4 @@
-"""What becomes of an operator's change on a state: accepted, accepted before, or rejected."""
+"""The outcomes of an operator's change on a state: accepted, repeated, or rejected."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     }
 
 
-def whole(version: int, *routes: dict[str, Any], base: int = 0) -> ChangeRequest:
+def replacement(version: int, *routes: dict[str, Any], base: int = 0) -> ChangeRequest:
     document = {"Version": version, "Routes": list(routes), "Services": [{"Name": "s"}]}
     return read_change_request(ChangeRequestKind.REPLACE, str(base), json.dumps(document).encode())
 
@@ -57,7 +57,7 @@
     return outcome.state
 
 
-FIRST = accepted(ControlState(), whole(5, route("one"), route("two")))
+FIRST = accepted(ControlState(), replacement(5, route("one"), route("two")))
 
 
 def test_the_first_change_is_accepted_and_kept_as_it_was_sent() -> None:
@@ -68,12 +68,13 @@
 
 
 REJECTED = [
-    (whole(6), VersionConflictError),  # on 0, as if there were no version yet
-    (whole(9, base=4), VersionConflictError),
-    (whole(9, base=6), VersionConflictError),
-    (whole(5, base=5), InvalidConfigurationError),
-    (whole(4, base=5), InvalidConfigurationError),
-    (whole(5, route("one"), route("two"), base=5), InvalidConfigurationError),  # the current one on itself
+    (replacement(6), VersionConflictError),  # based on version 0
+    (replacement(9, base=4), VersionConflictError),
+    (replacement(9, base=6), VersionConflictError),
+    (replacement(5, base=5), InvalidConfigurationError),
+    (replacement(4, base=5), InvalidConfigurationError),
+    # The current configuration, based on itself.
+    (replacement(5, route("one"), route("two"), base=5), InvalidConfigurationError),
     (patch(9, 4), VersionConflictError),
     (patch(5, 5), InvalidConfigurationError),
     (patch(9, 5, Upsert={"Routes": [route("new", service="nobody")]}), InvalidConfigurationError),
@@ -84,12 +85,12 @@
     (patch(9, 5, Upsert=[]), InvalidConfigurationError),
     (patch(9, 5, Upsert={"Routes": {}}), InvalidConfigurationError),
     (patch(9, 5, Remove={"Routes": "one"}), InvalidConfigurationError),
-    (patch(9, 5, Remove={"Services": ["s"]}), InvalidConfigurationError),  # routes name it still
+    (patch(9, 5, Remove={"Services": ["s"]}), InvalidConfigurationError),  # routes still use it
 ]
 
 
 @pytest.mark.parametrize(("change", "error"), REJECTED, ids=range(len(REJECTED)))
-def test_a_change_that_does_not_fit_the_state_is_rejected(
+def test_a_change_that_does_not_apply_to_the_state_is_rejected(
     change: ChangeRequest, error: type[Exception]
 ) -> None:
     outcome = evaluate(FIRST, change)
@@ -111,11 +112,11 @@
 ]
 
 
-@pytest.mark.parametrize(("parts", "wanted"), PATCHES, ids=range(len(PATCHES)))
-def test_a_patch_changes_named_items_alone(parts: dict[str, Any], wanted: list[tuple[str, int]]) -> None:
+@pytest.mark.parametrize(("parts", "expected"), PATCHES, ids=range(len(PATCHES)))
+def test_a_patch_changes_named_items_alone(parts: dict[str, Any], expected: list[tuple[str, int]]) -> None:
     document = json.loads(accepted(FIRST, patch(9, 5, **parts)).document)
     assert document["Version"] == 9
-    assert [(item["Name"], item["TimeoutMs"]) for item in document["Routes"]] == wanted
+    assert [(item["Name"], item["TimeoutMs"]) for item in document["Routes"]] == expected
     assert document["Services"][0] == {"Name": "s"}
 
 
@@ -150,7 +151,7 @@
 def test_a_repeated_change_is_recognised_hundreds_of_changes_later_and_after_a_restart() -> None:
     state, requests = ControlState(), []
     for number in range(1, 801):
-        request = whole(number * 3, route(f"r{number}"), base=state.version)
+        request = replacement(number * 3, route(f"r{number}"), base=state.version)
         requests.append(request)
         state = accepted(state, request)
     state = ControlState.decode(state.encode())
@@ -159,11 +160,11 @@
     assert state.version == 2400
 
 
-def test_the_digests_kept_are_bounded() -> None:
+def test_the_number_of_stored_digests_is_bounded() -> None:
     state = ControlState(
         accepted_digests=tuple(number.to_bytes(16, "big") for number in range(MAX_REMEMBERED_DIGESTS))
     )
-    state = accepted(state, whole(1))
+    state = accepted(state, replacement(1))
     assert len(state.accepted_digests) == MAX_REMEMBERED_DIGESTS
     assert state.accepted_digests[0] == (1).to_bytes(16, "big")
 
@@ -177,7 +178,7 @@
 
 
 @pytest.mark.parametrize("state", [ControlState(), FIRST, attrs.evolve(FIRST, placement=PLACEMENT)])
-def test_a_state_survives_its_encoding(state: ControlState) -> None:
+def test_a_state_is_the_same_after_encoding_and_decoding(state: ControlState) -> None:
     assert ControlState.decode(state.encode()) == state
 
 
@@ -193,7 +194,7 @@
 
 
 class OperatorMachine(RuleBasedStateMachine):
-    """Repeated changes of two operators, beside a plain model of what was accepted."""
+    """Changes of operators, also repeated, compared with a simple model of the accepted ones."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -204,7 +205,7 @@
 
     @initialize()
     def begin(self) -> None:
-        self.send(whole(1, route("one")))
+        self.send(replacement(1, route("one")))
 
     def send(self, request: ChangeRequest) -> None:
         outcome = evaluate(self.state, request)
--- a/tests/emberring/configuration/test_tier_checks.py
+++ b/tests/emberring/configuration/test_tier_checks.py
@@ -1,4 +1,4 @@
-"""What makes a configuration invalid, and that all errors are reported at once."""
+"""Validation: which configurations are invalid, and that all errors are reported together."""
 
 from __future__ import annotations
 
@@ -107,18 +107,18 @@
     assert unpack_configuration(packed) == build_configuration(given)
 
 
-@pytest.mark.parametrize(("given", "mistake"), INVALID)
-def test_an_invalid_configuration_reports_its_error(given: dict[str, Any], mistake: str) -> None:
-    assert any(mistake in line for line in find_configuration_errors(given)), find_configuration_errors(given)
+@pytest.mark.parametrize(("given", "error"), INVALID)
+def test_an_invalid_configuration_reports_its_error(given: dict[str, Any], error: str) -> None:
+    assert any(error in line for line in find_configuration_errors(given)), find_configuration_errors(given)
 
 
 def test_all_errors_are_reported_at_once_up_to_a_limit() -> None:
     given = document(route(TimeoutMs=0, Service="nobody"), route(Name="q", TrafficSplit=split(0)))
     assert len(find_configuration_errors(given)) == 4
     many = document(*[route(Name=f"r{number}", Host=f"h{number}", TimeoutMs=0) for number in range(200)])
-    told = find_configuration_errors(many)
-    assert len(told) == MAX_REPORTED_ERRORS + 1
-    assert told[-1] == "and 150 more"
+    reported = find_configuration_errors(many)
+    assert len(reported) == MAX_REPORTED_ERRORS + 1
+    assert reported[-1] == "and 150 more"
 
 
 UNREADABLE = [
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize("body", UNREADABLE, ids=range(len(UNREADABLE)))
-def test_what_cannot_be_read_completely_is_invalid(body: bytes) -> None:
+def test_text_that_is_not_a_strict_json_object_is_rejected(body: bytes) -> None:
     with pytest.raises(InvalidConfigurationError):
         parse_object_strictly(body)
 
@@ -162,10 +162,10 @@
 
 
 @pytest.mark.parametrize("body", READABLE, ids=range(len(READABLE)))
-def test_odd_values_are_read_and_have_one_spelling(body: bytes) -> None:
-    reading = parse_strictly(body)
-    assert reading.value == json.loads(body)
-    assert parse_strictly(reading.canonical) == reading
+def test_unusual_values_are_parsed_and_have_a_stable_canonical_form(body: bytes) -> None:
+    parsed = parse_strictly(body)
+    assert parsed.value == json.loads(body)
+    assert parse_strictly(parsed.canonical) == parsed
 
 
 def test_every_prefix_of_a_document_is_unreadable() -> None:
--- a/tests/emberring/control/test_tier_cluster_state_simulation.py
+++ b/tests/emberring/control/test_tier_cluster_state_simulation.py
@@ -1,7 +1,7 @@
-"""Control nodes' boards, followers and servers under seeded troubles: kills, freezes, cuts, restarts, lost calls.
+"""Simulates control nodes, followers and servers under seeded faults: kills, freezes, partitions, restarts, lost calls.
 
-Time is a number. Every seed plays troubles and then a calm time, after which all must agree with the truth; a drain
-that was acknowledged must never be taken back at a follower that is in contact.
+Time is simulated. Each seed runs a period with faults and one without, after which all nodes must agree with the actual
+state; a follower in contact must never list a server as ready after its drain was acknowledged.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 @attrs.define
-class AServer:
+class SimulatedServer:
     name: str
     address: str
     sequence: int = 0
@@ -34,7 +34,7 @@
     next_heartbeat_s: float = 0.0
     drained_s: float | None = None
 
-    def send_heartbeat(self) -> Heartbeat:
+    def make_heartbeat(self) -> Heartbeat:
         self.sequence += 1
         return Heartbeat(
             ServerRecord(self.name, "engine", self.address, "zone", 48, self.state, self.sequence)
@@ -42,42 +42,44 @@
 
 
 @attrs.define
-class AControl:
+class SimulatedControlNode:
     address: str
     cluster_state: ClusterState
     up: bool = True
     frozen: bool = False
 
     @property
-    def answers(self) -> bool:
+    def responds(self) -> bool:
         return self.up and not self.frozen
 
 
 @attrs.define
-class AFollower:
+class SimulatedFollower:
     record: NodeRecord
     view: FollowerView
-    cut_until_s: float = 0.0
-    next_s: float = 0.0
+    partitioned_until_s: float = 0.0
+    next_pull_s: float = 0.0
 
 
-class World:
+class Simulation:
     """Three control nodes, two gateways, a store and four servers."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
         self.now_s = 0.0
         self.starts = 0
-        self.cuts: set[frozenset[str]] = set()
+        self.partitions: set[frozenset[str]] = set()
         self.seeds = ["c0", "c1", "c2"]
-        self.controls = [AControl(address, self._new_cluster_state(address)) for address in self.seeds]
+        self.controls = [
+            SimulatedControlNode(address, self._new_cluster_state(address)) for address in self.seeds
+        ]
         self.followers = [
-            AFollower(NodeRecord(name, role, name, "zone", name, "1"), FollowerView(0.0))
+            SimulatedFollower(NodeRecord(name, role, name, "zone", name, "1"), FollowerView(0.0))
             for name, role in (("e0", NodeRole.GATEWAY), ("e1", NodeRole.GATEWAY), ("s0", NodeRole.STORE))
         ]
-        self.servers = [AServer(f"i{number}", f"10.0.0.{number}:80") for number in range(4)]
+        self.servers = [SimulatedServer(f"i{number}", f"10.0.0.{number}:80") for number in range(4)]
         self.last_control_fault_s = -CONTACT_S
-        self.is_calm = False
+        self.faults_ended = False
 
     def _new_cluster_state(self, address: str) -> ClusterState:
         self.starts += 1
@@ -90,79 +92,80 @@
 
     def _has_majority(self, address: str) -> bool:
         return (
-            sum(1 for other in self.controls if other.answers and self._linked(address, other.address)) >= 2
+            sum(1 for other in self.controls if other.responds and self._connected(address, other.address))
+            >= 2
         )
 
-    def _linked(self, one: str, other: str) -> bool:
-        return one == other or frozenset((one, other)) not in self.cuts
+    def _connected(self, one: str, other: str) -> bool:
+        return one == other or frozenset((one, other)) not in self.partitions
 
     # -- a step
 
     def step(self) -> None:
         self.now_s += STEP_S
         for control in self.controls:
-            if control.answers:
+            if control.responds:
                 control.cluster_state.tick(self.now_s)
         self.exchange()
-        self.send_heartbeat()
+        self.send_heartbeats()
         for follower in self.followers:
-            if follower.next_s <= self.now_s:
+            if follower.next_pull_s <= self.now_s:
                 self.pull(follower)
         self.exchange()
         self.check_drains()
 
     def exchange(self) -> None:
         for control in self.controls:
-            if not control.answers:
+            if not control.responds:
                 continue
             for peer in control.cluster_state.peers.due(self.now_s):
                 control.cluster_state.peers.exchange_began(self.now_s, peer)
                 answered = self._exchange_with(control, peer)
                 control.cluster_state.peers.exchange_ended(self.now_s, peer, answered)
 
-    def _exchange_with(self, control: AControl, peer: Peer) -> bool:
+    def _exchange_with(self, control: SimulatedControlNode, peer: Peer) -> bool:
         address = peer.address
         other = next((one for one in self.controls if one.address == address), None)
-        if other is None or not other.answers or not self._linked(control.address, address):
+        if other is None or not other.responds or not self._connected(control.address, address):
             return False
-        said = control.cluster_state.exchange_for(self.now_s, peer)
-        fate = self.random.random()
-        if fate < 0.03:
+        exchange = control.cluster_state.exchange_for(self.now_s, peer)
+        draw = self.random.random()
+        if draw < 0.03:  # the request is lost
             return False
-        answer = other.cluster_state.on_exchange(self.now_s, said)
-        if fate < 0.06:
+        reply = other.cluster_state.on_exchange(self.now_s, exchange)
+        if draw < 0.06:  # the reply is lost
             return False
-        control.cluster_state.apply_exchange(self.now_s, answer)
+        control.cluster_state.apply_exchange(self.now_s, reply)
         return True
 
-    def send_heartbeat(self) -> None:
+    def send_heartbeats(self) -> None:
         for server in self.servers:
             if not server.alive or server.next_heartbeat_s > self.now_s:
                 continue
             server.next_heartbeat_s = self.now_s + HEARTBEAT_S * self.random.uniform(0.9, 1.1)
-            ready = [control for control in self.controls if control.answers]
+            ready = [control for control in self.controls if control.responds]
             if not ready:
                 server.next_heartbeat_s = self.now_s + 0.2
                 continue
             control = self.random.choice(ready)
-            control.cluster_state.on_heartbeat(self.now_s, server.send_heartbeat())
+            control.cluster_state.on_heartbeat(self.now_s, server.make_heartbeat())
             if server.state is ServerState.DRAINING and server.drained_s is None:
                 self.exchange()
                 if control.cluster_state.peers_with_end_record(self.now_s, server.name) and self._stable():
                     server.drained_s = self.now_s
-                    if not self.is_calm and self.random.random() < 0.3:
+                    if not self.faults_ended and self.random.random() < 0.3:
                         self.kill(control)
 
-    def pull(self, follower: AFollower) -> None:
-        follower.next_s = self.now_s + self.random.uniform(0.1, 0.4)
-        if follower.cut_until_s > self.now_s:
+    def pull(self, follower: SimulatedFollower) -> None:
+        follower.next_pull_s = self.now_s + self.random.uniform(0.1, 0.4)
+        if follower.partitioned_until_s > self.now_s:
             return
-        asked = [control for control in self.controls if control.answers]
-        self.random.shuffle(asked)
-        for control in asked[:2]:
-            follower.view.apply_update(self.now_s, self._answer(control, follower))
+        responding = [control for control in self.controls if control.responds]
+        self.random.shuffle(responding)
+        for control in responding[:2]:
+            follower.view.apply_update(self.now_s, self._reply_to_pull(control, follower))
 
-    def _answer(self, control: AControl, follower: AFollower) -> Update:
+    def _reply_to_pull(self, control: SimulatedControlNode, follower: SimulatedFollower) -> Update:
         view, cluster_state = follower.view, control.cluster_state
         pull = Pull(follower.record, dict(view.status_table.vector))
         cluster_state.on_node_contact(self.now_s, pull.sender)
@@ -174,13 +177,13 @@
             gateways=cluster_state.gateways(self.now_s),
         )
 
-    # -- troubles
+    # -- faults
 
-    def kill(self, control: AControl) -> None:
+    def kill(self, control: SimulatedControlNode) -> None:
         control.up = False
         self.last_control_fault_s = self.now_s
 
-    def restart(self, control: AControl) -> None:
+    def restart(self, control: SimulatedControlNode) -> None:
         if not control.up:
             control.up, control.frozen = True, False
             control.cluster_state = self._new_cluster_state(control.address)
@@ -199,11 +202,11 @@
         elif kind == 3:
             self.restart(control)
         elif kind == 4:
-            self.cuts.add(frozenset(self.random.sample(self.seeds, 2)))
+            self.partitions.add(frozenset(self.random.sample(self.seeds, 2)))
         elif kind == 5:
-            self.cuts.clear()
+            self.partitions.clear()
         elif kind == 6:
-            self.random.choice(self.followers).cut_until_s = self.now_s + self.random.uniform(0.5, 8)
+            self.random.choice(self.followers).partitioned_until_s = self.now_s + self.random.uniform(0.5, 8)
         else:
             self.server_fault()
 
@@ -215,19 +218,21 @@
         elif server.alive:
             server.alive = False
         else:
-            fresh = AServer(f"{server.name}x", server.address, next_heartbeat_s=self.now_s + 2.0)
-            self.servers[self.servers.index(server)] = fresh
-
-    def calm(self) -> None:
-        self.is_calm = True
-        self.cuts.clear()
+            replacement = SimulatedServer(
+                f"{server.name}x", server.address, next_heartbeat_s=self.now_s + 2.0
+            )
+            self.servers[self.servers.index(server)] = replacement
+
+    def end_faults(self) -> None:
+        self.faults_ended = True
+        self.partitions.clear()
         for control in self.controls:
             control.frozen = False
             self.restart(control)
         for follower in self.followers:
-            follower.cut_until_s = 0.0
+            follower.partitioned_until_s = 0.0
 
-    # -- what must hold
+    # -- invariants
 
     def check_drains(self) -> None:
         if not self._stable():
@@ -236,23 +241,23 @@
             if server.drained_s is None or self.now_s - server.drained_s < DRAIN_SEEN_S:
                 continue
             for follower in self.followers:
-                if self.now_s - follower.cut_until_s < CONTACT_S:
+                if self.now_s - follower.partitioned_until_s < CONTACT_S:
                     continue
                 record = follower.view.servers.get(server.name)
-                what = (self.now_s, server, follower.record.name)
-                assert record is None or record.state is not ServerState.READY, what
+                context = (self.now_s, server, follower.record.name)
+                assert record is None or record.state is not ServerState.READY, context
 
     def _stable(self) -> bool:
-        """Whether most of the core has been up and connected, and left alone, for a while."""
+        """Whether a majority of the control nodes is up and connected, and no fault hit them within `CONTACT_S`."""
         return self.now_s - self.last_control_fault_s >= CONTACT_S and all(
-            self._has_majority(control.address) for control in self.controls if control.answers
+            self._has_majority(control.address) for control in self.controls if control.responds
         )
 
-    def check_truth(self) -> None:
-        wanted = {server.name: server.state for server in self.servers if server.alive}
+    def check_agreement(self) -> None:
+        expected = {server.name: server.state for server in self.servers if server.alive}
         for follower in self.followers:
-            shown = {name: record.state for name, record in follower.view.servers.items()}
-            assert shown == wanted, (follower.record.name, shown, wanted)
+            listed = {name: record.state for name, record in follower.view.servers.items()}
+            assert listed == expected, (follower.record.name, listed, expected)
             assert set(follower.view.nodes) == {"core-c0", "core-c1", "core-c2", "s0"}
             assert follower.view.gateways == 2
         for control in self.controls:
@@ -260,41 +265,43 @@
             assert live == {"core-c0", "core-c1", "core-c2", "s0", "e0", "e1"}
 
 
-def play(seed: int, faults_s: float, calm_s: float) -> World:
-    world = World(seed)
+def simulate(seed: int, faults_s: float, quiet_s: float) -> Simulation:
+    simulation = Simulation(seed)
     next_fault_s = 3.0
-    while world.now_s < faults_s:
-        world.step()
-        if world.now_s >= next_fault_s:
-            next_fault_s = world.now_s + world.random.choice((0.05, 0.5, 1.5, 4.0))
-            world.fault()
-    world.calm()
-    while world.now_s < faults_s + calm_s:
-        world.step()
-    return world
+    while simulation.now_s < faults_s:
+        simulation.step()
+        if simulation.now_s >= next_fault_s:
+            next_fault_s = simulation.now_s + simulation.random.choice((0.05, 0.5, 1.5, 4.0))
+            simulation.fault()
+    simulation.end_faults()
+    while simulation.now_s < faults_s + quiet_s:
+        simulation.step()
+    return simulation
 
 
-@pytest.mark.parametrize("seed", [*range(40), 700])  # 700: the others took a server for lost
-def test_all_agree_with_the_truth_after_any_faults(seed: int) -> None:
-    play(seed, 30.0, 20.0).check_truth()
+@pytest.mark.parametrize(
+    "seed", [*range(40), 700]
+)  # 700: the other control nodes had written a live server as lost
+def test_all_nodes_agree_with_the_actual_state_after_faults(seed: int) -> None:
+    simulate(seed, 30.0, 20.0).check_agreement()
 
 
-def test_all_agree_where_nothing_happens() -> None:
-    world = play(0, 2.9, 0.0)
-    world.check_truth()
+def test_all_nodes_agree_without_faults() -> None:
+    simulation = simulate(0, 2.9, 0.0)
+    simulation.check_agreement()
 
 
 def test_a_delta_for_another_incarnation_is_not_applied() -> None:
-    world = World(1)
+    simulation = Simulation(1)
     for _ in range(20):
-        world.step()
-    first, second = world.controls[0], world.controls[1]
-    peer = next(peer for peer in first.cluster_state.peers.live(world.now_s) if peer.address == "c1")
-    said = first.cluster_state.exchange_for(world.now_s, peer)
-    world.kill(second)
-    world.restart(second)
+        simulation.step()
+    first, second = simulation.controls[0], simulation.controls[1]
+    peer = next(peer for peer in first.cluster_state.peers.live(simulation.now_s) if peer.address == "c1")
+    exchange = first.cluster_state.exchange_for(simulation.now_s, peer)
+    simulation.kill(second)
+    simulation.restart(second)
     second.cluster_state.on_exchange(
-        world.now_s, attrs.evolve(said, delta=attrs.evolve(said.delta, vector={"c0.1": 99}))
+        simulation.now_s, attrs.evolve(exchange, delta=attrs.evolve(exchange.delta, vector={"c0.1": 99}))
     )
     assert "c0.1" not in second.cluster_state.status_table.vector
-    assert second.cluster_state.on_exchange(world.now_s, said).delta != Delta()
+    assert second.cluster_state.on_exchange(simulation.now_s, exchange).delta != Delta()
--- a/tests/emberring/control/test_tier_control_hard.py
+++ b/tests/emberring/control/test_tier_control_hard.py
@@ -1,4 +1,4 @@
-"""Control nodes over loopback in hard cases: acknowledgements lost, operators at once, cuts, kills, retirements."""
+"""Control nodes over loopback under faults: lost acknowledgements, concurrent operators, partitions, kills."""
 
 from __future__ import annotations
 
@@ -24,30 +24,30 @@
 from emberring.transport.messages import Ok
 from emberring.transport.network import Network
 
-FIRST_CONFIGURATION_TIMEOUT_S = 1.0  # an operator's, for a small order
+OPERATOR_TIMEOUT_S = 1.0  # of an operator's small request
 
 
 async def put(cluster: Cluster, index: int, version: int, base: int, **changes: object) -> int:
-    answer = await cluster.http(
+    response = await cluster.http(
         index, "PUT", "/v1/config", a_document(version, **changes), If_Match=str(base)
     )
-    return answer.status
+    return response.status
 
 
-async def settled(cluster: Cluster, name: str) -> int:
-    """The status of an order to empty a store, once it isn't that the node can't know."""
-    give_up_at = now() + 5.0
+async def retire_status(cluster: Cluster, name: str) -> int:
+    """The HTTP status of a request to retire a store, after retries while the node is not ready (503)."""
+    deadline = now() + 5.0
     while True:
-        answer = await cluster.http(0, "POST", f"/v1/retire/{name}", {"DurationS": 10})
-        if answer.status != 503 or now() > give_up_at:
-            return answer.status
+        response = await cluster.http(0, "POST", f"/v1/retire/{name}", {"DurationS": 10})
+        if response.status != 503 or now() > deadline:
+            return response.status
 
 
-@pytest.mark.parametrize("took", [True, False])
-def test_a_request_with_unknown_outcome_is_retried_and_acknowledged(took: bool) -> None:
+@pytest.mark.parametrize("committed", [True, False])
+def test_a_request_with_unknown_outcome_is_retried_and_acknowledged(committed: bool) -> None:
     async def scenario(cluster: Cluster) -> None:
         assert await put(cluster, 0, 2, 0) == 200
-        cluster.registers[1].doubts.append(took)
+        cluster.registers[1].unknown_outcomes.append(committed)
         assert await put(cluster, 1, 5, 2) >= 500
         assert await put(cluster, 2, 5, 2) == 200
         assert await put(cluster, 1, 5, 2) == 200
@@ -56,10 +56,10 @@
     on_cluster(scenario)
 
 
-def test_a_request_with_unknown_outcome_that_another_overtook_is_rejected_and_never_in_force() -> None:
+def test_a_request_with_unknown_outcome_is_rejected_and_never_applied_after_a_concurrent_change() -> None:
     async def scenario(cluster: Cluster) -> None:
         assert await put(cluster, 0, 2, 0) == 200
-        cluster.registers[1].doubts.append(False)
+        cluster.registers[1].unknown_outcomes.append(False)
         assert await put(cluster, 1, 5, 2) >= 500
         assert await put(cluster, 0, 5, 2, Limits={"MaxBodyBytes": 9}) == 200
         assert await put(cluster, 1, 5, 2) == 412
@@ -71,14 +71,14 @@
 def test_of_eight_concurrent_requests_on_one_version_one_is_accepted() -> None:
     async def scenario(cluster: Cluster) -> None:
         assert await put(cluster, 0, 1, 0) == 200
-        orders = [put(cluster, number % 3, 10 + number // 2, 1, Mark=number) for number in range(8)]
-        answers = await asyncio.gather(*orders)
-        assert sorted(answers) == [200] + [412] * 7
-        winner = answers.index(200)
-        again = await asyncio.gather(
+        requests = [put(cluster, number % 3, 10 + number // 2, 1, Mark=number) for number in range(8)]
+        statuses = await asyncio.gather(*requests)
+        assert sorted(statuses) == [200] + [412] * 7
+        winner = statuses.index(200)
+        repeated = await asyncio.gather(
             *[put(cluster, index, 10 + winner // 2, 1, Mark=winner) for index in range(3)]
         )
-        assert again == [200] * 3
+        assert repeated == [200] * 3
         assert (await cluster.http(0, "GET", "/v1/config")).json["Mark"] == winner
 
     on_cluster(scenario)
@@ -89,8 +89,8 @@
         assert await put(cluster, 0, 3, 0) == 200
         for number in range(1, 301):
             patch = {"Version": 3 + number, "Remove": {"Routes": [f"never-{number}"]}}
-            answer = await cluster.http(number % 3, "PATCH", "/v1/config", patch, If_Match=str(2 + number))
-            assert answer.status == 200
+            response = await cluster.http(number % 3, "PATCH", "/v1/config", patch, If_Match=str(2 + number))
+            assert response.status == 200
         await cluster.stop()
         await cluster.start()
         assert await put(cluster, 1, 3, 0) == 200
@@ -120,9 +120,9 @@
     async def scenario(cluster: Cluster) -> None:
         assert await put(cluster, 0, 2, 0) == 200
         for number, (method, body, base) in enumerate(INVALID):
-            answer = await cluster.http(number % 3, method, "/v1/config", body, If_Match=base)
-            assert 400 <= answer.status < 500, (method, body)
-            assert "Error" in answer.json
+            response = await cluster.http(number % 3, method, "/v1/config", body, If_Match=base)
+            assert 400 <= response.status < 500, (method, body)
+            assert "Error" in response.json
         assert cluster.shared.changes == 1
 
     on_cluster(scenario)
@@ -134,9 +134,9 @@
         cluster.shared.up.discard("identity-0")
         began = now()
         assert await put(cluster, 0, 5, 2) >= 500
-        assert await put(cluster, 0, 5, 1) >= 500  # it can't know which version is current
+        assert await put(cluster, 0, 5, 1) >= 500  # it does not know which version is current
         assert (await cluster.http(0, "GET", "/v1/config")).status >= 500
-        assert now() - began < FIRST_CONFIGURATION_TIMEOUT_S
+        assert now() - began < OPERATOR_TIMEOUT_S
         assert await put(cluster, 1, 5, 2) == 200
 
     on_cluster(scenario)
@@ -149,8 +149,8 @@
         document = a_document(4, Routes=routes)
         assert len(json.dumps(document)) > 4_000_000
         async with AFollower(cluster.seeds) as follower:
-            answer = await cluster.http(0, "PUT", "/v1/config", document, If_Match="0")
-            assert answer.status == 200
+            response = await cluster.http(0, "PUT", "/v1/config", document, If_Match="0")
+            assert response.status == 200
             await eventually(lambda: follower.configuration is not None)
             assert follower.configuration is not None
             assert len(follower.configuration.routes) == 13500
@@ -163,9 +163,9 @@
     async def scenario(cluster: Cluster) -> None:
         await cluster.stop(1, 2)
         began = now()
-        answer = await cluster.http(0, "PUT", "/v1/instances/i-1", a_heartbeat(1, "draining"))
-        assert answer.status == 503
-        assert now() - began < FIRST_CONFIGURATION_TIMEOUT_S
+        response = await cluster.http(0, "PUT", "/v1/instances/i-1", a_heartbeat(1, "draining"))
+        assert response.status == 503
+        assert now() - began < OPERATOR_TIMEOUT_S
         assert (await cluster.http(0, "PUT", "/v1/instances/i-2", a_heartbeat(1))).status == 200
         assert (await cluster.http(0, "DELETE", "/v1/instances/i-2")).status == 503
         await cluster.start(1)
@@ -179,13 +179,13 @@
 
 
 def test_a_drain_that_no_quorum_of_replicas_knows_is_not_acknowledged() -> None:
-    """Nodes that pull leave a side without a quorum: what only that side knew could not reach them during a cut."""
+    """Followers stop pulling from nodes without a quorum: during a partition a drain known only there reaches none."""
 
     async def scenario(cluster: Cluster) -> None:
         cluster.shared.members = {"identity-0", "identity-1", "identity-2"}
         await cluster.stop(1, 2)
         drain = await cluster.http(0, "PUT", "/v1/instances/i-1", a_heartbeat(1, "draining"))
-        assert drain.status == 503  # the fourth node knows it, but is no replica
+        assert drain.status == 503  # the fourth node has received it, but is no replica
         assert cluster.node(3).cluster_state.status_table.servers()["i-1"].state is ServerState.DRAINING
         assert (await cluster.http(3, "DELETE", "/v1/instances/i-1")).status == 503
         await cluster.start(1)
@@ -203,18 +203,16 @@
             AFollower(cluster.seeds, "store-3", NodeRole.STORE),
         ):
             await eventually(lambda: first.placement is not None)
-            assert await settled(cluster, "store-9") == 404
+            assert await retire_status(cluster, "store-9") == 404
             cluster.shared.up.discard("identity-0")
             await eventually(lambda: cluster.node(0).cluster_state.stable_for_s(now()) < 0.5)
             cluster.shared.up.add("identity-0")
-            for name in (
-                "store-9",
-                "store-1",
-            ):  # unknown here, too few left here: as far as this node can know
-                answer = await cluster.http(0, "POST", f"/v1/retire/{name}", {"DurationS": 10})
-                assert answer.status == 503
-            assert await settled(cluster, "store-9") == 404
-            assert await settled(cluster, "store-1") == 409
+            # This node cannot be sure that store-9 does not exist, or that too few stores would remain without store-1.
+            for name in ("store-9", "store-1"):
+                response = await cluster.http(0, "POST", f"/v1/retire/{name}", {"DurationS": 10})
+                assert response.status == 503
+            assert await retire_status(cluster, "store-9") == 404
+            assert await retire_status(cluster, "store-1") == 409
 
     on_cluster(scenario)
 
@@ -224,10 +222,10 @@
         async with AFollower(cluster.seeds) as follower:
             assert (await cluster.http(0, "PUT", "/v1/instances/i-1", a_heartbeat(1))).status == 200
             await eventually(lambda: "i-1" in follower.servers)
-            answer = await cluster.http(0, "PUT", "/v1/instances/i-1", a_heartbeat(2, "draining"))
+            response = await cluster.http(0, "PUT", "/v1/instances/i-1", a_heartbeat(2, "draining"))
             acknowledged = now()
             await cluster.stop(0)
-            assert answer.status == 200
+            assert response.status == 200
             await eventually(lambda: follower.servers["i-1"].state is ServerState.DRAINING)
             assert now() - acknowledged < 1.5
             late = await cluster.http(1, "PUT", "/v1/instances/i-1", a_heartbeat(1))
@@ -239,8 +237,8 @@
 
 def test_a_node_alone_in_its_tier_acknowledges_drains() -> None:
     async def scenario(cluster: Cluster) -> None:
-        answer = await cluster.http(0, "PUT", "/v1/instances/i-1", a_heartbeat(1, "draining"))
-        assert answer.status == 200
+        response = await cluster.http(0, "PUT", "/v1/instances/i-1", a_heartbeat(1, "draining"))
+        assert response.status == 200
 
     on_cluster(scenario, count=1)
 
@@ -270,11 +268,11 @@
         async with AFollower(cluster.seeds) as follower:
             assert await put(cluster, 0, 2, 0) == 200
             await eventually(lambda: follower.configuration is not None)
-            for cut_off in range(3):
-                cluster.shared.up = {f"identity-{index}" for index in range(3) if index != cut_off}
-                version = 10 + cut_off
-                base = 2 if cut_off == 0 else version - 1
-                assert await put(cluster, (cut_off + 1) % 3, version, base) == 200
+            for partitioned in range(3):
+                cluster.shared.up = {f"identity-{index}" for index in range(3) if index != partitioned}
+                version = 10 + partitioned
+                base = 2 if partitioned == 0 else version - 1
+                assert await put(cluster, (partitioned + 1) % 3, version, base) == 200
                 await eventually(lambda: follower.configuration.version == version, 1.5)  # noqa: B023
 
     on_cluster(scenario)
@@ -290,7 +288,7 @@
             assert follower.configuration is not None
             async with AFollower(cluster.seeds, "edge-2") as fresh:
                 await eventually(lambda: bool(fresh.nodes))
-                assert fresh.configuration is None  # what these hold may be old
+                assert fresh.configuration is None  # the configuration of these nodes may be old
                 cluster.shared.up = {"identity-0", "identity-1"}
                 await eventually(lambda: fresh.configuration is not None)
 
@@ -303,7 +301,7 @@
             return ControlState.decode(cluster.shared.value).placement
 
         unknown = await cluster.http(0, "POST", "/v1/retire/store-9", {"DurationS": 10})
-        assert unknown.status == 503  # this node has just started and cannot know
+        assert unknown.status == 503  # this node has just started and may not know all stores
         async with (
             AFollower(cluster.seeds, "store-1", NodeRole.STORE) as first,
             AFollower(cluster.seeds, "store-2", NodeRole.STORE),
@@ -313,19 +311,19 @@
             assert first.placement is not None
             assert len(first.placement.stores) == 3
             await eventually(lambda: len(cluster.node(0).cluster_state.live_nodes(now())) == 6)
-            assert await settled(cluster, "store-9") == 404
-            assert await settled(cluster, "store-1") == 409
+            assert await retire_status(cluster, "store-9") == 404
+            assert await retire_status(cluster, "store-1") == 409
             async with AFollower(cluster.seeds, "store-4", NodeRole.STORE):
                 await eventually(lambda: len(cluster.node(1).cluster_state.live_nodes(now())) == 7)
-                answer = await cluster.http(1, "POST", "/v1/retire/store-1", {"DurationS": 10})
-                assert (answer.status, answer.json) == (200, {"State": "active"})
-                again = await cluster.http(2, "POST", "/v1/retire/store-1", {"DurationS": 10})
-                assert again.status == 200
+                response = await cluster.http(1, "POST", "/v1/retire/store-1", {"DurationS": 10})
+                assert (response.status, response.json) == (200, {"State": "active"})
+                repeated = await cluster.http(2, "POST", "/v1/retire/store-1", {"DurationS": 10})
+                assert repeated.status == 200
                 await eventually(lambda: any(group.joining for group in first.placement.groups))
                 caller = Network()
-                found = placement()
-                assert found is not None
-                for group in found.groups:
+                current = placement()
+                assert current is not None
+                for group in current.groups:
                     if group.joining:
                         moved = PlacementMoved(group.shard, group.epoch)
                         await caller.call(cluster.seeds[2], moved, Ok, 1.0)
@@ -338,20 +336,20 @@
     on_cluster(scenario)
 
 
-ODD = [
+OTHER_REQUESTS = [
     ("GET", "/", 404),
     ("GET", "/v1/config/", 404),
     ("POST", "/v1/config", 404),
-    ("GET", "/v1/config", 404),  # none was taken yet
+    ("GET", "/v1/config", 404),  # there is no configuration yet
     ("PUT", "/v1/instances/", 404),
     ("PUT", "/v1/instances/i-1", 400),
     ("GET", "/v1/readyz", 200),
 ]
 
 
-def test_other_calls_are_answered_too() -> None:
+def test_other_requests_are_answered() -> None:
     async def scenario(cluster: Cluster) -> None:
-        for method, path, status in ODD:
+        for method, path, status in OTHER_REQUESTS:
             assert (await cluster.http(0, method, path)).status == status, (method, path)
         assert (await cluster.http(0, "PUT", "/v1/instances/a%2Fb", a_heartbeat(1))).status == 200
         assert "a/b" in cluster.node(0).cluster_state.status_table.servers()
--- a/tests/emberring/control/test_tier_control_node.py
+++ b/tests/emberring/control/test_tier_control_node.py
@@ -1,4 +1,4 @@
-"""Control nodes over loopback: orders, heartbeats and drains, and what followers learn of them."""
+"""Control nodes over loopback: how configurations, heartbeats and drains reach followers."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 def test_a_configuration_reaches_a_follower_and_is_read_back() -> None:
     async def scenario(cluster: Cluster) -> None:
         async with AFollower(cluster.seeds) as follower:
-            answer = await cluster.http(0, "PUT", "/v1/config", a_document(3), If_Match="0")
-            assert answer.status == 200, answer.body
+            response = await cluster.http(0, "PUT", "/v1/config", a_document(3), If_Match="0")
+            assert response.status == 200, response.body
             began = now()
             await eventually(
                 lambda: follower.configuration is not None and follower.configuration.version == 3
@@ -44,8 +44,8 @@
             await eventually(lambda: "i-1" in follower.servers, 0.5)
             drain = await cluster.http(1, "PUT", "/v1/instances/i-1", a_heartbeat(2, "draining"))
             assert drain.status == 200
-            holders = [node.cluster_state.status_table.servers()["i-1"].state for node in alive(cluster)]
-            assert holders.count(ServerState.DRAINING) >= 2
+            states = [node.cluster_state.status_table.servers()["i-1"].state for node in alive(cluster)]
+            assert states.count(ServerState.DRAINING) >= 2
             await eventually(lambda: follower.servers["i-1"].state is ServerState.DRAINING, 0.5)
             late = await cluster.http(2, "PUT", "/v1/instances/i-1", a_heartbeat(1))
             assert late.status == 200
@@ -62,10 +62,10 @@
             AFollower(cluster.seeds, "edge-2") as second,
             AFollower(cluster.seeds, "store-1", NodeRole.STORE) as store,
         ):
-            first.report = lambda word_follows: {"i-1": 2}
-            second.report = lambda word_follows: {"i-1": 3, "i-2": 1}
-            wanted = {"core-0", "core-1", "core-2", "store-1"}
-            await eventually(lambda: set(first.nodes) == wanted and set(store.nodes) == wanted)
+            first.report = lambda detail_requested: {"i-1": 2}
+            second.report = lambda detail_requested: {"i-1": 3, "i-2": 1}
+            expected = {"core-0", "core-1", "core-2", "store-1"}
+            await eventually(lambda: set(first.nodes) == expected and set(store.nodes) == expected)
             await eventually(lambda: first.gateway_count == 2 and second.gateway_count == 2)
             await eventually(lambda: first.load.calls == {"i-1": 5, "i-2": 1})
 
--- a/tests/emberring/control/test_tier_peer_cache.py
+++ b/tests/emberring/control/test_tier_peer_cache.py
@@ -1,4 +1,4 @@
-"""Control nodes met before are found again without the seeds."""
+"""The peer cache: control nodes seen before are found again without the seeds."""
 
 from __future__ import annotations
 
@@ -16,22 +16,24 @@
     assert nodes.load() == []
     asyncio.run(nodes.save(["10.0.0.1:70", "10.0.0.2:70"]))
     asyncio.run(nodes.save(["10.0.0.3:70"]))
-    again = PeerCache(tmp_path / "data" / "nodes")
-    assert again.load() == ["10.0.0.3:70", "10.0.0.1:70", "10.0.0.2:70"]
-    asyncio.run(again.save([f"10.0.1.{number}:70" for number in range(40)]))
-    assert len(again.load()) == MAX_ADDRESSES
+    reopened = PeerCache(tmp_path / "data" / "nodes")
+    assert reopened.load() == ["10.0.0.3:70", "10.0.0.1:70", "10.0.0.2:70"]
+    asyncio.run(reopened.save([f"10.0.1.{number}:70" for number in range(40)]))
+    assert len(reopened.load()) == MAX_ADDRESSES
 
 
-TORN = [(b"", []), (b"10.0.0.1:70\n10.0.0", ["10.0.0.1:70"]), (b"\xff\x00\n10.0.0.1:70", ["10.0.0.1:70"])]
+DAMAGED = [(b"", []), (b"10.0.0.1:70\n10.0.0", ["10.0.0.1:70"]), (b"\xff\x00\n10.0.0.1:70", ["10.0.0.1:70"])]
 
 
-@pytest.mark.parametrize(("content", "wanted"), TORN)
-def test_a_torn_file_gives_what_can_be_read(tmp_path: Path, content: bytes, wanted: list[str]) -> None:
+@pytest.mark.parametrize(("content", "expected"), DAMAGED)
+def test_the_valid_lines_of_a_damaged_file_are_read(
+    tmp_path: Path, content: bytes, expected: list[str]
+) -> None:
     (tmp_path / "nodes").write_bytes(content)
-    assert PeerCache(tmp_path / "nodes").load() == wanted
+    assert PeerCache(tmp_path / "nodes").load() == expected
 
 
-def test_an_error_of_the_disk_is_not_raised(tmp_path: Path) -> None:
+def test_a_disk_error_is_not_raised(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
     nodes = PeerCache(tmp_path / "file" / "nodes")
     asyncio.run(nodes.save(["10.0.0.1:70"]))
@@ -39,7 +41,7 @@
 
 
 def test_a_follower_whose_seeds_are_partitioned_finds_the_others_through_them() -> None:
-    """Its only seed was restarted while it was cut off from the others, and remembers them."""
+    """The follower's only seed was restarted while partitioned from the others, and has their cached addresses."""
 
     async def scenario(cluster: Cluster) -> None:
         cluster.shared.up = {"identity-1", "identity-2"}
--- a/tests/emberring/control/test_tier_replaced_nodes.py
+++ b/tests/emberring/control/test_tier_replaced_nodes.py
@@ -1,4 +1,4 @@
-"""A control node and then a store are replaced: what an ended control node said contradicts no new incarnation."""
+"""Replaced nodes: entries of an ended control node do not make its successor drop a newer incarnation of a node."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def control(number: int, start: int) -> ClusterState:
-    """A control node's state right after its start with this number."""
+    """A control node's state right after the start with this number."""
     me = NodeRecord(
         f"core-{number}", NodeRole.CONTROL, ADDRESSES[number], "zone", f"disk-{number}", f"c{number}-{start}"
     )
@@ -24,20 +24,20 @@
 
 
 def exchange(now_s: float, first: ClusterState, second: ClusterState) -> None:
-    """Two exchanges each way."""
+    """Two exchanges in each direction."""
     for _ in range(2):
-        for asker, asked in ((first, second), (second, first)):
-            peer = next(peer for peer in asker.peers.due(now_s) if peer.address == asked.me.address)
-            asker.apply_exchange(now_s, asked.on_exchange(now_s, asker.exchange_for(now_s, peer)))
+        for sender, receiver in ((first, second), (second, first)):
+            peer = next(peer for peer in sender.peers.due(now_s) if peer.address == receiver.me.address)
+            sender.apply_exchange(now_s, receiver.on_exchange(now_s, sender.exchange_for(now_s, peer)))
 
 
 def replace_control_node_then(role: NodeRole) -> tuple[ClusterState, ClusterState]:
-    """The control nodes that live after one of them, and after that a node of this role, were replaced."""
+    """The live control nodes after one of them, and then a node of this role, have been replaced."""
     first, second = control(0, start=1), control(1, start=1)
     for each in (first, second):
         each.on_node_contact(0.1, node(role, start=1))
     exchange(0.2, first, second)
-    replacement = control(0, start=2)  # learns from the second what its own ended incarnation stated
+    replacement = control(0, start=2)  # receives the entries of its own ended incarnation from the second
     exchange(0.5, replacement, second)
     for each in (replacement, second):
         each.on_node_contact(2.0, node(role, start=2))
--- a/tests/emberring/control/test_tier_replication_policy.py
+++ b/tests/emberring/control/test_tier_replication_policy.py
@@ -1,4 +1,4 @@
-"""Where a drain must be known before it is acknowledged."""
+"""On which control nodes a drain must be replicated before it is acknowledged."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 CASES = [
     (ONE, 2, [], ["a1", "a2"], False),
     (ONE, 2, ["a1"], ["a1", "a2"], True),
-    (ONE, 0, [], [], True),  # there is no other
+    (ONE, 0, [], [], True),  # there is no other control node
     (TWO, 4, ["a1"], ["a1", "a2", "b1", "b1"], False),
     (TWO, 4, ["a1", "a2"], ["a1", "a2", "b1", "b1"], True),
-    (TWO, 1, ["a1"], ["a1"], True),  # there are no more
-    (ZONE, 2, ["a1"], ["a1", "a2"], False),  # they would go together
+    (TWO, 1, ["a1"], ["a1"], True),  # there are no more control nodes
+    (ZONE, 2, ["a1"], ["a1", "a2"], False),  # both nodes are in one zone
     (ZONE, 2, ["a2"], ["a1", "a2"], True),
     (ZONE, 2, ["a1"], ["a1", "a1"], True),  # there is no other zone
     (REGION, 2, ["a2"], ["a2", "b1"], False),
@@ -36,12 +36,12 @@
 ]
 
 
-@pytest.mark.parametrize(("tolerance", "others", "holders", "met", "enough"), CASES)
-def test_a_record_survives_the_losses_to_be_tolerated(
-    tolerance: FaultTolerance, others: int, holders: list[str], met: list[str], enough: bool
+@pytest.mark.parametrize(("tolerance", "others", "peers", "seen", "sufficient"), CASES)
+def test_replication_is_sufficient_for_the_failures_to_be_tolerated(
+    tolerance: FaultTolerance, others: int, peers: list[str], seen: list[str], sufficient: bool
 ) -> None:
     policy = ReplicationPolicy(others, tolerance, REGIONS)
-    assert policy.is_satisfied(at("a1")[0], at(*holders), at(*met)) is enough
+    assert policy.is_satisfied(at("a1")[0], at(*peers), at(*seen)) is sufficient
 
 
 def test_max_simultaneous_failures() -> None:
--- a/tests/emberring/control/test_tier_suspicion_table.py
+++ b/tests/emberring/control/test_tier_suspicion_table.py
@@ -1,4 +1,4 @@
-"""Servers that gateways hold to be in trouble, over the whole tier."""
+"""Gateways' suspicions of servers, aggregated over the tier."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 SERVER = ServerRecord("i-1", "llm", "10.0.0.9:80", "z", 12, ServerState.READY, 1)
 
 
-class Lines:
-    """Stands for the logger."""
+class LogRecorder:
+    """Replaces the logger and records warnings."""
 
     def __init__(self) -> None:
         self.warnings: list[str] = []
@@ -45,7 +45,7 @@
         ({"silent": 1}, 5, False),  # one gateway may be mistaken
         ({"silent": 2}, 5, True),
         ({"silent": 1, "slow": 1}, 5, True),
-        ({"silent": 1}, 1, True),  # there is no other
+        ({"silent": 1}, 1, True),  # the only gateway
     ],
 )
 def test_how_many_gateways_must_suspect_a_server(
@@ -57,26 +57,26 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "warned"),
+    ("reports", "warned"),
     [
         ([{"slow": 5}], False),
-        ([{"slow": 5, "silent": 1}], False),  # one gateway alone finds more than slowness
+        ([{"slow": 5, "silent": 1}], False),  # only one gateway reports more than slowness
         ([{"silent": 2}], True),
-        ([{"slow": 2}, {"slow": 1, "failing": 2}], True),  # it got worse
+        ([{"slow": 2}, {"slow": 1, "failing": 2}], True),  # first only slow, then failing too
         ([{"failing": 2}, {"slow": 2}], True),
     ],
 )
-def test_a_warning_is_written_once_and_not_where_servers_are_only_slow(
-    told: list[dict[str, int]], warned: bool, monkeypatch: pytest.MonkeyPatch
+def test_a_warning_is_logged_once_and_not_for_servers_that_are_only_slow(
+    reports: list[dict[str, int]], warned: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    lines = Lines()
-    monkeypatch.setattr(suspicion_table, "logger", lines)
+    log = LogRecorder()
+    monkeypatch.setattr(suspicion_table, "logger", log)
     table = SuspicionTable(lambda: {SERVER.id: SERVER})
-    for turn, faults in enumerate(told * 3):
-        table.check(1.0 + 0.1 * turn, {SERVER.id: faults}, 5)
+    for step, faults in enumerate(reports * 3):
+        table.check(1.0 + 0.1 * step, {SERVER.id: faults}, 5)
     assert table.failing[SERVER.id].warned is warned
-    assert len(lines.warnings) == int(warned)
-    assert all(SERVER.address in line for line in lines.warnings)
+    assert len(log.warnings) == int(warned)
+    assert all(SERVER.address in line for line in log.warnings)
 
 
 def test_a_server_recovers_when_it_was_not_suspected_for_a_while() -> None:
@@ -84,8 +84,8 @@
     table.check(1.0, {"i-1": {"silent": 2}}, 5)
     table.check(3.0, {"i-1": {"failing": 3}}, 5)
     table.check(3.0 + RECOVERED_AFTER_S - 0.1, {}, 5)
-    held = table.failing["i-1"]
-    assert (held.since_s, held.faults) == (1.0, {"failing": 3})
+    failing = table.failing["i-1"]
+    assert (failing.since_s, failing.faults) == (1.0, {"failing": 3})
     table.check(3.0 + RECOVERED_AFTER_S, {}, 5)
     assert table.failing == {}
 
@@ -94,7 +94,7 @@
     contacts = Contacts()
     contacts.on_contact(0.0, gateway(1), LoadReport({}, {"i-1": "silent"}))
     contacts.on_contact(0.0, gateway(2), LoadReport({}, {"i-1": "silent", "i-2": "slow"}))
-    contacts.on_contact(0.1, gateway(2))  # a pull that tells nothing takes nothing back
+    contacts.on_contact(0.1, gateway(2))  # a pull without a load report does not withdraw its suspicions
     assert contacts.suspects(0.2) == {"i-1": {"silent": 2}, "i-2": {"slow": 1}}
     contacts.on_contact(0.3, gateway(2), LoadReport({}))
     assert contacts.suspects(0.4) == {"i-1": {"silent": 1}}
@@ -113,13 +113,16 @@
     second.on_node_contact(0.1, gateway(2), LoadReport({}, {SERVER.id: "failing"}))
     for one in (first, second):
         one.tick(0.2)
-        assert one.suspicions.failing[SERVER.id].faults.keys() < {"silent", "failing"}  # the one it heard
-    for asker, asked in ((first, second), (second, first), (first, second)):
-        peer = next(iter(asker.peers.due(1.0)))
-        asker.apply_exchange(0.3, asked.on_exchange(0.3, asker.exchange_for(0.3, peer)))
+        assert one.suspicions.failing[SERVER.id].faults.keys() < {
+            "silent",
+            "failing",
+        }  # its own gateway's only
+    for sender, receiver in ((first, second), (second, first), (first, second)):
+        peer = next(iter(sender.peers.due(1.0)))
+        sender.apply_exchange(0.3, receiver.on_exchange(0.3, sender.exchange_for(0.3, peer)))
     for one in (first, second):
         one.tick(0.4)
         assert one.suspicions.failing[SERVER.id].faults == {"silent": 1, "failing": 1}
-    shown = orjson.loads(StatusPage(first).render(1.4))["Servers"][0]
-    assert shown["Troubles"] == {"silent": 1, "failing": 1}
-    assert shown["FailingForS"] >= 1.0
+    rendered = orjson.loads(StatusPage(first).render(1.4))["Servers"][0]
+    assert rendered["Troubles"] == {"silent": 1, "failing": 1}
+    assert rendered["FailingForS"] >= 1.0
--- a/tests/emberring/control/tier_control_fixture.py
+++ b/tests/emberring/control/tier_control_fixture.py
@@ -1,4 +1,4 @@
-"""Control nodes on loopback with a register in memory, for tests."""
+"""Control nodes on loopback with an in-memory register, for tests."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 
 class SharedValue:
-    """The value that all replicas of a fake register agree on."""
+    """The committed value that all replicas of a fake register share."""
 
     def __init__(self) -> None:
         self.value: bytes | None = None
         self.changes = 0
         self.replicas: list[FakeRegister] = []
-        self.members: set[str] | None = None  # the replica set, where not all nodes are in it
+        self.members: set[str] | None = None  # the replica set, if some nodes are not in it
         self.up: set[str] = set()
 
     @property
     def has_majority(self) -> bool:
         return len(self.up) * 2 > len(self.replicas)
 
-    def choose(self, value: bytes) -> None:
+    def commit(self, value: bytes) -> None:
         self.value = value
         self.changes += 1
         for replica in self.replicas:
@@ -42,16 +42,15 @@
 
 
 class FakeRegister:
-    """One replica: cut off from the others when its identity is not in `shared.up`."""
+    """One replica; it is partitioned from the others while its identity is not in `shared.up`."""
 
     def __init__(self, shared: SharedValue, identity: str) -> None:
         self.identity = identity
         self.shared = shared
         self.callbacks: list[Callable[[bytes], None]] = []
         self.peers: list[NodeRecord] = []
-        self.doubts: list[
-            bool
-        ] = []  # for coming changes: whether the change takes place although nobody is told
+        # For each of the next changes, which end with an unknown outcome: whether the value is committed.
+        self.unknown_outcomes: list[bool] = []
         self.age_s = 0.0
         shared.replicas.append(self)
         shared.up.add(identity)
@@ -71,13 +70,13 @@
     async def change(self, decide: Callable[[bytes | None], bytes | None], timeout_s: float) -> bytes | None:
         await asyncio.sleep(0)
         self._check()
-        wanted = decide(self.shared.value)
-        if self.doubts:
-            if self.doubts.pop(0) and wanted is not None:
-                self.shared.choose(wanted)
-            raise UnknownOutcomeError("no word of the outcome")
-        if wanted is not None:
-            self.shared.choose(wanted)
+        proposed = decide(self.shared.value)
+        if self.unknown_outcomes:
+            if self.unknown_outcomes.pop(0) and proposed is not None:
+                self.shared.commit(proposed)
+            raise UnknownOutcomeError("the outcome is unknown")
+        if proposed is not None:
+            self.shared.commit(proposed)
         return self.shared.value
 
     async def read(self, timeout_s: float) -> bytes | None:
@@ -102,7 +101,7 @@
 
 
 class Cluster:
-    """Some control nodes that know one another as seeds."""
+    """Several control nodes whose seeds are one another."""
 
     def __init__(self, count: int = 3, heartbeat_ms: float = 1200.0) -> None:
         self.shared = SharedValue()
@@ -155,13 +154,15 @@
             await node.stop()
             await network.close()
 
-    async def http(self, index: int, method: str, path: str, body: Any = None, **headers: str) -> Answer:
+    async def http(
+        self, index: int, method: str, path: str, body: Any = None, **headers: str
+    ) -> HttpResponse:
         raw = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
         return await http(self.outer[index], method, path, raw, headers)
 
 
-class Answer:
-    """An HTTP answer."""
+class HttpResponse:
+    """An HTTP response, filled in by the parser."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -181,35 +182,35 @@
 
 async def http(
     port: int, method: str, path: str, body: bytes, headers: dict[str, str], host: str = "127.0.0.1"
-) -> Answer:
-    """One call over a connection of its own."""
+) -> HttpResponse:
+    """Send one request over its own connection, and return the response."""
     reader, writer = await asyncio.open_connection(host, port)
-    lines = [f"{method} {path} HTTP/1.1", "Host: control", f"Content-Length: {len(body)}"]
-    lines += [f"{key.replace('_', '-')}: {value}" for key, value in headers.items()]
-    writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
-    answer = Answer()
-    parser = httptools.HttpResponseParser(answer)
-    while not answer.done:
+    head = [f"{method} {path} HTTP/1.1", "Host: control", f"Content-Length: {len(body)}"]
+    head += [f"{key.replace('_', '-')}: {value}" for key, value in headers.items()]
+    writer.write("\r\n".join(head).encode() + b"\r\n\r\n" + body)
+    response = HttpResponse()
+    parser = httptools.HttpResponseParser(response)
+    while not response.done:
         data = await reader.read(65536)
         if not data:
             break
         parser.feed_data(data)
-    answer.status = parser.get_status_code()
+    response.status = parser.get_status_code()
     writer.close()
-    return answer
+    return response
 
 
 async def eventually(condition: Callable[[], bool], within_s: float = 5.0) -> None:
-    """Wait until this holds; fail where it does not in time."""
+    """Wait until the condition is true; fail if it is not within `within_s`."""
     loop = asyncio.get_running_loop()
-    give_up_at = loop.time() + within_s
+    deadline = loop.time() + within_s
     while not condition():
-        assert loop.time() < give_up_at, "did not come to hold in time"
+        assert loop.time() < deadline, "the condition did not become true in time"
         await asyncio.sleep(0.005)
 
 
 def on_cluster(scenario: Callable[[Cluster], Awaitable[None]], count: int = 3) -> None:
-    """Run a scenario on control nodes that are up."""
+    """Run a scenario on a cluster of running control nodes."""
 
     async def run() -> None:
         cluster = Cluster(count)
@@ -234,7 +235,7 @@
 
 
 class AFollower:
-    """A follower with a network of its own."""
+    """A running follower with its own network."""
 
     def __init__(self, seeds: list[str], name: str = "edge-1", role: NodeRole = NodeRole.GATEWAY) -> None:
         self.network = Network()
@@ -303,8 +304,8 @@
 
 
 def a_heartbeat(sequence: int, state: str = "ready", **changes: Any) -> dict[str, Any]:
-    """What a model server says."""
-    send_heartbeat = {
+    """The body of a model server's heartbeat."""
+    body = {
         "Service": "engine",
         "Address": "10.0.0.9:8080",
         "Zone": "zone-0",
@@ -314,4 +315,4 @@
         "ColdRemainingMs": 0,
         "Sequence": sequence,
     }
-    return {**send_heartbeat, **changes}
+    return {**body, **changes}
--- a/tests/emberring/distribution/test_tier_peers.py
+++ b/tests/emberring/distribution/test_tier_peers.py
@@ -1,4 +1,4 @@
-"""Which control nodes are talked to, and when."""
+"""Which control nodes a control node exchanges with, and when."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return NodeRecord(f"core-{number}", NodeRole.CONTROL, f"c{number}", "zone", "", f"{incarnation}{number}")
 
 
-def said(record: NodeRecord, vector: dict[str, int] | None = None) -> Exchange:
+def exchange_from(record: NodeRecord, vector: dict[str, int] | None = None) -> Exchange:
     return Exchange(record, "x0", Delta(), vector or {}, {}, {"i": 2})
 
 
@@ -36,7 +36,7 @@
     assert not PeerTable(control(0), ["c0"]).others_exist()
 
 
-def test_exchanges_recur_and_silent_nodes_are_retried_less_often() -> None:
+def test_exchanges_recur_and_unresponsive_nodes_are_retried_less_often() -> None:
     peers = table()
     first, second = peers.due(0.0)
     for peer in (first, second):
@@ -62,7 +62,7 @@
 
 def test_the_age_of_a_peer_s_load_starts_as_reported_and_grows() -> None:
     peers = table()
-    peers.on_exchange(1.0, attrs.evolve(said(control(1)), load_age_ms=150.0))
+    peers.on_exchange(1.0, attrs.evolve(exchange_from(control(1)), load_age_ms=150.0))
     assert list(peers.load_ages(1.1)) == [(2, pytest.approx(0.25))]
     assert list(peers.load_ages(10.0)) == []
 
@@ -70,7 +70,7 @@
 def test_changes_expedite_exchanges_with_live_peers_also_while_one_is_in_flight() -> None:
     peers = table()
     first, second = peers.due(0.0)
-    peers.on_exchange(0.0, said(control(1)))
+    peers.on_exchange(0.0, exchange_from(control(1)))
     peers.exchange_ended(0.0, first, answered=True)
     peers.exchange_ended(0.0, second, answered=False)
     peers.expedite(0.01)
@@ -82,40 +82,40 @@
     assert peers.due(0.03) == [first]
 
 
-def test_a_peer_lives_while_it_is_seen() -> None:
+def test_a_peer_is_live_while_it_is_seen() -> None:
     peers = table()
-    peers.on_exchange(1.0, said(control(1), {"x1": 4}))
+    peers.on_exchange(1.0, exchange_from(control(1), {"x1": 4}))
     assert [peer.incarnation for peer in peers.live(1.0 + LIVE_S / 2)] == ["x1"]
     assert list(peers.loads(1.5)) == [{"i": 2}]
     assert peers.live(1.1 + LIVE_S) == []
 
 
-def test_a_new_incarnation_has_forgotten_everything() -> None:
+def test_the_vector_of_a_new_incarnation_starts_empty() -> None:
     peers = table()
-    peers.on_exchange(1.0, said(control(1), {"x1": 4, "x2": 9}))
-    peer = peers.on_exchange(2.0, said(control(1, "y"), {"x2": 3}))
+    peers.on_exchange(1.0, exchange_from(control(1), {"x1": 4, "x2": 9}))
+    peer = peers.on_exchange(2.0, exchange_from(control(1, "y"), {"x2": 3}))
     assert peer is not None
     assert peer.vector == {"x2": 3}
 
 
-def test_answers_out_of_order_do_not_lower_what_a_node_has() -> None:
+def test_replies_out_of_order_do_not_lower_a_vector() -> None:
     peers = table()
-    peers.on_exchange(1.0, said(control(1), {"x1": 4}))
-    peer = peers.on_exchange(1.1, said(control(1), {"x1": 3}))
+    peers.on_exchange(1.0, exchange_from(control(1), {"x1": 4}))
+    peer = peers.on_exchange(1.1, exchange_from(control(1), {"x1": 3}))
     assert peer is not None
     assert peer.vector == {"x1": 4}
 
 
-def test_this_node_is_no_peer_of_its_own() -> None:
+def test_this_node_is_not_its_own_peer() -> None:
     peers = table()
-    assert peers.on_exchange(0.0, said(control(0))) is None
+    assert peers.on_exchange(0.0, exchange_from(control(0))) is None
     peers.add(0.0, ["c0"])
     assert len(peers.due(0.0)) == 2
 
 
-def test_nodes_that_exchange_are_known_and_forgotten_when_silent() -> None:
+def test_nodes_that_exchange_are_added_and_dropped_without_contact() -> None:
     peers = table()
-    peers.on_exchange(1.0, said(control(3)))
+    peers.on_exchange(1.0, exchange_from(control(3)))
     assert len(peers.due(10.0)) == 3
     peers.forget(1.0 + FORGET_S + 1)
     assert len(peers.due(100.0)) == 2
--- a/tests/emberring/registry/test_tier_registry.py
+++ b/tests/emberring/registry/test_tier_registry.py
@@ -1,4 +1,4 @@
-"""Statements about model servers: how they join, and which ones a control node makes."""
+"""Server records: how they merge, and which ones a control node writes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     return attrs.evolve(base, **changes)
 
 
-# -- the join
+# -- merging
 
 records = st.builds(record, st.sampled_from(list(ServerState)), st.integers(0, 4))
 
@@ -43,20 +43,25 @@
 @given(st.lists(records, min_size=1, max_size=6))
 def test_dropping_a_dominated_record_loses_nothing(records_to_merge: list[ServerRecord]) -> None:
     kept: list[ServerRecord] = []
-    whole = records_to_merge[0]
-    for live_record in records_to_merge:
-        whole = merged(whole, live_record)
-        if not any(dominates(other, live_record) for other in kept):
-            kept = [other for other in kept if not dominates(live_record, other)] + [live_record]
-    joined = kept[0]
-    for live_record in kept[1:]:
-        joined = merged(joined, live_record)
-    assert joined == whole
-
-
-JOINS = [
+    merge_of_all = records_to_merge[0]
+    for one in records_to_merge:
+        merge_of_all = merged(merge_of_all, one)
+        if not any(dominates(other, one) for other in kept):
+            kept = [other for other in kept if not dominates(one, other)] + [one]
+    merge_of_kept = kept[0]
+    for one in kept[1:]:
+        merge_of_kept = merged(merge_of_kept, one)
+    assert merge_of_kept == merge_of_all
+
+
+MERGES = [
     (record(READY, 5), record(READY, 6), READY, 6),
-    (record(DRAINING, 5), record(READY, 9), DRAINING, 9),  # a late or wrong word revives nothing
+    (
+        record(DRAINING, 5),
+        record(READY, 9),
+        DRAINING,
+        9,
+    ),  # a drain is permanent, also against later heartbeats
     (record(GONE, 0), record(READY, 9), GONE, 9),
     (record(GONE, 5), record(DRAINING, 9), GONE, 9),
     (record(LOST, 5), record(READY, 5), LOST, 5),
@@ -66,12 +71,12 @@
 ]
 
 
-@pytest.mark.parametrize(("first", "second", "state", "sequence"), JOINS)
+@pytest.mark.parametrize(("first", "second", "state", "sequence"), MERGES)
 def test_what_two_records_merge_to(
     first: ServerRecord, second: ServerRecord, state: ServerState, sequence: int
 ) -> None:
-    joined = merged(first, second)
-    assert (joined.state, joined.sequence) == (state, sequence)
+    result = merged(first, second)
+    assert (result.state, result.sequence) == (state, sequence)
 
 
 # -- heartbeats
@@ -120,124 +125,126 @@
         read_heartbeat("i-7", body)
 
 
-# -- what a control node states
+# -- which records a control node writes
 
 
-class ANode:
-    """A registry with the statements that it made, joined."""
+class NodeWithRegistry:
+    """A registry, with the merge of the records that it wrote."""
 
     def __init__(self) -> None:
         self.registry = ServerRegistry(0.0, HEARTBEAT_S)
         self.known: dict[str, ServerRecord] = {}
         self.live = True
 
-    def take(self, stated: list[ServerRecord]) -> list[ServerRecord]:
-        for one in stated:
+    def add(self, written: list[ServerRecord]) -> list[ServerRecord]:
+        for one in written:
             before = self.known.get(one.id)
             self.known[one.id] = merged(before, one) if before is not None else one
-        return stated
+        return written
 
-    def send_heartbeat(self, now_s: float, record: ServerRecord, listed: bool = True) -> list[ServerRecord]:
+    def receive_heartbeat(
+        self, now_s: float, record: ServerRecord, listed: bool = True
+    ) -> list[ServerRecord]:
         live_record = self.known.get(record.id) if listed else None
-        return self.take(self.registry.on_heartbeat(now_s, Heartbeat(record), self.known, live_record))
+        return self.add(self.registry.on_heartbeat(now_s, Heartbeat(record), self.known, live_record))
 
     def tick(self, now_s: float, trusted: bool = True) -> list[ServerRecord]:
-        return self.take(self.registry.on_tick(now_s, self.known, lambda _: self.live, trusted))
+        return self.add(self.registry.on_tick(now_s, self.known, lambda _: self.live, trusted))
 
     def pass_time(self, begin_s: float, end_s: float, trusted: bool = True) -> list[ServerRecord]:
-        stated = []
+        written = []
         steps = int((end_s - begin_s) / 0.1)
         for step in range(steps + 1):
-            stated += self.tick(begin_s + step * 0.1, trusted)
-        return stated
+            written += self.tick(begin_s + step * 0.1, trusted)
+        return written
 
 
 def test_only_changes_are_written() -> None:
-    node = ANode()
-    assert node.send_heartbeat(0.0, record(READY, 1)) == [record(READY, 1)]
-    assert node.send_heartbeat(1.2, record(READY, 2)) == []
-    assert node.send_heartbeat(2.4, record(READY, 3, capacity=20)) == [record(READY, 3, capacity=20)]
-    assert node.send_heartbeat(2.5, record(READY, 3, capacity=20), listed=False) == [
+    node = NodeWithRegistry()
+    assert node.receive_heartbeat(0.0, record(READY, 1)) == [record(READY, 1)]
+    assert node.receive_heartbeat(1.2, record(READY, 2)) == []
+    assert node.receive_heartbeat(2.4, record(READY, 3, capacity=20)) == [record(READY, 3, capacity=20)]
+    assert node.receive_heartbeat(2.5, record(READY, 3, capacity=20), listed=False) == [
         record(READY, 3, capacity=20)
     ]
 
 
 def test_the_end_of_a_warm_up_is_written_once() -> None:
-    node = ANode()
-    assert node.send_heartbeat(0.0, record(READY, 1, cold_ms=3000.0)) != []
-    assert node.send_heartbeat(1.2, record(READY, 2, cold_ms=1800.0)) == []
-    assert node.send_heartbeat(2.4, record(READY, 3, cold_ms=0.0)) != []
-    assert node.send_heartbeat(3.6, record(READY, 4, cold_ms=0.0)) == []
+    node = NodeWithRegistry()
+    assert node.receive_heartbeat(0.0, record(READY, 1, cold_ms=3000.0)) != []
+    assert node.receive_heartbeat(1.2, record(READY, 2, cold_ms=1800.0)) == []
+    assert node.receive_heartbeat(2.4, record(READY, 3, cold_ms=0.0)) != []
+    assert node.receive_heartbeat(3.6, record(READY, 4, cold_ms=0.0)) == []
 
 
 def test_wrong_records_of_live_control_nodes_are_corrected() -> None:
-    """An ended control node heard more than the others, who took the server for lost."""
-    node = ANode()
-    node.take([record(READY, 13), record(LOST, 6)])
+    """An ended control node had newer heartbeats than the others, which wrote the server as lost."""
+    node = NodeWithRegistry()
+    node.add([record(READY, 13), record(LOST, 6)])
     heartbeat = Heartbeat(record(READY, 41))
     assert node.registry.on_heartbeat(0.0, heartbeat, node.known, record(LOST, 6)) == [record(READY, 41)]
     assert node.registry.on_heartbeat(0.0, heartbeat, node.known, record(READY, 6)) == []
 
 
-def test_a_server_that_an_ended_node_took_for_lost_is_written_as_ready_again() -> None:
-    """At the sequence of a live node, which says ready: so no heartbeat was written, and no gateway listed it."""
-    node = ANode()
-    node.take([record(READY, 12), record(LOST, 12)])
+def test_a_server_that_an_ended_node_wrote_as_lost_is_written_as_ready_again() -> None:
+    """Guards against ignoring heartbeats because a live node has a ready record with the sequence of the lost one."""
+    node = NodeWithRegistry()
+    node.add([record(READY, 12), record(LOST, 12)])
     heartbeat = Heartbeat(record(READY, 13))
     assert node.registry.on_heartbeat(0.0, heartbeat, node.known, record(READY, 12)) == [record(READY, 13)]
-    node.take([record(READY, 13)])
+    node.add([record(READY, 13)])
     later = Heartbeat(record(READY, 14))
     assert node.registry.on_heartbeat(1.0, later, node.known, record(READY, 13)) == []
 
 
-def test_a_drain_sticks_and_a_late_heartbeat_revives_nothing() -> None:
-    node = ANode()
-    node.send_heartbeat(0.0, record(READY, 5))
-    assert node.send_heartbeat(1.0, record(DRAINING, 6)) == [record(DRAINING, 6)]
-    assert node.send_heartbeat(1.1, record(READY, 5)) == []
-    assert node.send_heartbeat(1.2, record(READY, 7)) == []
+def test_a_drain_is_permanent_and_late_heartbeats_are_ignored() -> None:
+    node = NodeWithRegistry()
+    node.receive_heartbeat(0.0, record(READY, 5))
+    assert node.receive_heartbeat(1.0, record(DRAINING, 6)) == [record(DRAINING, 6)]
+    assert node.receive_heartbeat(1.1, record(READY, 5)) == []
+    assert node.receive_heartbeat(1.2, record(READY, 7)) == []
     assert node.known["i-1"].state is DRAINING
-    assert node.take(node.registry.on_goodbye("i-1", node.known))[0].state is GONE
-    assert node.send_heartbeat(1.3, record(READY, 8)) == []
-    assert node.send_heartbeat(1.3, record(DRAINING, 9)) == []
+    assert node.add(node.registry.on_goodbye("i-1", node.known))[0].state is GONE
+    assert node.receive_heartbeat(1.3, record(READY, 8)) == []
+    assert node.receive_heartbeat(1.3, record(DRAINING, 9)) == []
     assert node.registry.on_goodbye("i-1", node.known) == []
     assert node.known["i-1"].state is GONE
 
 
 def test_a_drain_that_overtook_a_heartbeat_counts() -> None:
-    node = ANode()
-    node.send_heartbeat(0.0, record(READY, 7))
-    assert node.send_heartbeat(0.1, record(DRAINING, 6)) != []
+    node = NodeWithRegistry()
+    node.receive_heartbeat(0.0, record(READY, 7))
+    assert node.receive_heartbeat(0.1, record(DRAINING, 6)) != []
     assert node.known["i-1"].state is DRAINING
 
 
 def test_a_goodbye_of_an_unknown_server_is_written() -> None:
-    node = ANode()
-    stated = node.take(node.registry.on_goodbye("i-9", node.known))
-    assert [(one.id, one.state) for one in stated] == [("i-9", GONE)]
-    assert node.send_heartbeat(0.1, record(READY, 3, id="i-9")) == []
+    node = NodeWithRegistry()
+    written = node.add(node.registry.on_goodbye("i-9", node.known))
+    assert [(one.id, one.state) for one in written] == [("i-9", GONE)]
+    assert node.receive_heartbeat(0.1, record(READY, 3, id="i-9")) == []
 
 
 def test_a_server_is_lost_after_four_missed_heartbeats_until_the_next_one() -> None:
-    node = ANode()
-    node.send_heartbeat(0.0, record(READY, 1))
-    node.send_heartbeat(1.2, record(READY, 2))
+    node = NodeWithRegistry()
+    node.receive_heartbeat(0.0, record(READY, 1))
+    node.receive_heartbeat(1.2, record(READY, 2))
     assert node.pass_time(1.2, 6.5) == []
-    stated = node.pass_time(6.6, 8.0)
-    assert [(one.state, one.sequence) for one in stated] == [(LOST, 2)]
-    assert node.send_heartbeat(8.1, record(READY, 2)) == []
-    assert [one.state for one in node.send_heartbeat(8.2, record(READY, 3))] == [READY]
+    written = node.pass_time(6.6, 8.0)
+    assert [(one.state, one.sequence) for one in written] == [(LOST, 2)]
+    assert node.receive_heartbeat(8.1, record(READY, 2)) == []
+    assert [one.state for one in node.receive_heartbeat(8.2, record(READY, 3))] == [READY]
 
 
 def test_a_draining_server_that_times_out_is_gone() -> None:
-    node = ANode()
-    node.send_heartbeat(0.0, record(DRAINING, 1))
+    node = NodeWithRegistry()
+    node.receive_heartbeat(0.0, record(DRAINING, 1))
     assert [one.state for one in node.pass_time(0.0, 7.0)] == [GONE]
 
 
 def test_a_node_that_was_frozen_or_partitioned_restarts_all_timeouts() -> None:
-    node = ANode()
-    node.send_heartbeat(0.0, record(READY, 1))
+    node = NodeWithRegistry()
+    node.receive_heartbeat(0.0, record(READY, 1))
     node.pass_time(0.0, 3.0)
     assert node.pass_time(20.0, 25.0) == []  # no tick for 17 s: it was frozen
     assert node.pass_time(25.1, 40.0, trusted=False) == []
@@ -245,54 +252,54 @@
     assert [one.state for one in node.pass_time(45.1, 47.0)] == [LOST]
 
 
-def test_servers_of_a_control_node_that_cannot_be_asked_get_more_time() -> None:
-    node = ANode()
-    node.send_heartbeat(0.0, record(READY, 1))
+def test_servers_of_an_unreachable_control_node_get_a_longer_timeout() -> None:
+    node = NodeWithRegistry()
+    node.receive_heartbeat(0.0, record(READY, 1))
     node.live = False
     assert node.pass_time(0.0, 11.0) == []
     assert [one.state for one in node.pass_time(11.1, 13.0)] == [LOST]
 
 
 def test_heartbeats_received_elsewhere_count() -> None:
-    node = ANode()
-    node.send_heartbeat(0.0, record(READY, 1))
+    node = NodeWithRegistry()
+    node.receive_heartbeat(0.0, record(READY, 1))
     for step in range(1, 20):
         node.registry.on_sequences(step * 1.2, {"i-1": step + 1})
         assert node.pass_time(step * 1.2, step * 1.2 + 1.1) == []
     assert node.registry.sequences_since(19 * 1.2) == {"i-1": 20}
 
 
-def test_a_live_server_that_others_take_for_lost_is_written_as_ready() -> None:
-    node = ANode()
-    node.send_heartbeat(0.0, record(READY, 1))
-    node.send_heartbeat(1.2, record(READY, 2))
-    node.take([record(LOST, 1)])
-    stated = node.registry.on_record_changed(1.3, node.known["i-1"])
-    assert [(one.state, one.sequence) for one in stated] == [(READY, 2)]
+def test_a_live_server_that_others_wrote_as_lost_is_written_as_ready() -> None:
+    node = NodeWithRegistry()
+    node.receive_heartbeat(0.0, record(READY, 1))
+    node.receive_heartbeat(1.2, record(READY, 2))
+    node.add([record(LOST, 1)])
+    written = node.registry.on_record_changed(1.3, node.known["i-1"])
+    assert [(one.state, one.sequence) for one in written] == [(READY, 2)]
     assert node.registry.on_record_changed(1.3, record(LOST, 2)) == []
     assert node.registry.on_record_changed(9.0, record(LOST, 1)) == []
     assert node.registry.on_record_changed(1.3, record(DRAINING, 1)) == []
 
 
 REUSE = [
-    (2.5, True),  # the older one was silent for long: it has ended
-    (0.5, False),  # it beat a moment ago: whoever is there, nothing is certain
+    (2.5, True),  # no recent heartbeat of the older server: it has ended
+    (0.5, False),  # it sent a heartbeat recently: which server has ended is uncertain
 ]
 
 
 @pytest.mark.parametrize(("after_s", "ended"), REUSE)
 def test_an_address_used_again_ends_the_older_server(after_s: float, ended: bool) -> None:
-    node = ANode()
-    node.send_heartbeat(0.0, record(READY, 9))
-    node.send_heartbeat(after_s, record(READY, 1, id="i-2"))
+    node = NodeWithRegistry()
+    node.receive_heartbeat(0.0, record(READY, 9))
+    node.receive_heartbeat(after_s, record(READY, 1, id="i-2"))
     assert (node.known["i-1"].state is GONE) is ended
     assert node.known["i-2"].state is READY
 
 
-def test_what_is_gone_for_long_is_forgotten() -> None:
-    node = ANode()
-    node.send_heartbeat(0.0, record(READY, 1))
-    node.take(node.registry.on_goodbye("i-1", node.known))
+def test_servers_gone_for_long_are_dropped() -> None:
+    node = NodeWithRegistry()
+    node.receive_heartbeat(0.0, record(READY, 1))
+    node.add(node.registry.on_goodbye("i-1", node.known))
     assert node.registry.expired(1.0, node.known) == []
     assert node.registry.expired(FORGET_S, node.known) == []
     assert node.registry.expired(FORGET_S + 1.1, node.known) == ["i-1"]
