--- a/emberring/control/operator_requests.py
+++ b/emberring/control/operator_requests.py
@@ -110,7 +110,7 @@
     def _require_stable_view(self, state: ControlState) -> None:
         """Raise `NotReadyError` if this node started, was partitioned or was frozen less than `STABLE_S` ago.
 
-        It may not know all stores then, so a rejection might be wrong.
+        It may not know all stores then, so a rejection might be wrong. The same applies before the first placement.
         """
         is_stable = self._cluster_state.stable_for_s(asyncio.get_running_loop().time()) > STABLE_S
         if state.placement is None or not is_stable:
--- a/emberring/registry/merge.py
+++ b/emberring/registry/merge.py
@@ -27,7 +27,7 @@
 
 
 def dominates(first: ServerRecord, second: ServerRecord) -> bool:
-    """Whether merging the second record into the first changes nothing, so that the second may be dropped."""
+    """Whether merging in the second record changes neither state nor sequence, so that it may be dropped."""
     joined = merged(first, second)
     return joined.state is first.state and joined.sequence == first.sequence
 
