--- a/emberring/admission/__init__.py
+++ b/emberring/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admission control and server selection: whether a call is taken, and by which server. No I/O, no clock of its own."""
+"""Admission control and server selection: whether a call is admitted, and to which server. No I/O and no clock."""
 
 from emberring.admission.admission import Admission
 from emberring.admission.attempts import AttemptBudget
--- a/emberring/admission/admission.py
+++ b/emberring/admission/admission.py
@@ -1,4 +1,4 @@
-"""Admission control over all services of a gateway: whether a call is taken, and by which server.
+"""Admission control over all services of a gateway: whether a call is admitted, and to which server.
 
 Sans-I/O: the current time is an argument of every call.
 """
@@ -23,17 +23,17 @@
 
 
 def always_connected(server_id: str) -> bool:
-    """Return True: the default where connections are not known, so that none has to be opened."""
+    """Return True; the default for callers without a connection pool, so that no connection cost is added."""
     return True
 
 
 class AdmissionStatus(NamedTuple):
-    """The figures that admission decisions go by, for operators.
+    """The state behind admission decisions, for operators.
 
     Args:
         cursor: position of the threshold table's cursor.
-        batch_slot_share: share of the slots that batch items may use.
-        load_report_age_s: age of the reported load of other gateways; infinite without any.
+        batch_slot_share: share of the slots that batch items may occupy.
+        load_report_age_s: age of the latest load report of other gateways; infinite if there is none.
     """
 
     cursor: int
@@ -42,22 +42,22 @@
 
 
 @attrs.frozen
-class _Placement:
-    """A call that was admitted, and the pool of its server."""
+class _AdmittedCall:
+    """An admitted call and the pool that its server belongs to."""
 
     pool: Pool
     call: PlacedCall
 
 
 class Admission:
-    """The decisions of one gateway over all services.
+    """Admission decisions of one gateway for all services.
 
     `finished` must be called once for every `Admitted`.
 
     Args:
-        settings: what the deployment sets.
-        seed: seed of all draws.
-        connected: whether an idle connection to a server (by id) can carry the next call.
+        settings: settings of the deployment.
+        seed: seed of the random number generator.
+        connected: whether an idle connection to a server (by id) is available.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         self._random = Random(seed)
         self._connected = connected
         self._pools: dict[str, Pool] = {}
-        self._placements: dict[str, _Placement] = {}
+        self._admitted_calls: dict[str, _AdmittedCall] = {}
 
     def set_servers(
         self,
@@ -84,10 +84,10 @@
 
         Args:
             now_s: the current time (monotonic clock).
-            servers: all known servers; draining ones may be among them and get nothing new.
+            servers: all known servers; draining ones may be included and get no new calls.
             service_info: settings of the services by name.
-            gateways: live gateways, this one included.
-            load: calls in flight of all gateways as the control nodes last reported them.
+            gateways: number of live gateways, this one included.
+            load: calls in flight of all gateways, from the latest report of the control nodes.
         """
         gateways = max(1, gateways)
         by_service: dict[str, dict[str, ServerView]] = {}
@@ -114,46 +114,46 @@
             pool.set_servers(views, gateways, total, load.true_s)
 
     def offer(self, now_s: float, call: CallInfo) -> Decision:
-        """Decide on a call at once; an admitted call counts against its server from now on."""
+        """Decide on a call without waiting; an admitted call counts against its server from now on."""
         pool = self._pools.get(call.service)
         if pool is None:
             return NoServer()
         decision = pool.offer(now_s, call)
         if isinstance(decision, Admitted):
-            placed = pool.servers[decision.server_id].calls[call.id]
-            self._placements[call.id] = _Placement(pool, placed)
+            placed_call = pool.servers[decision.server_id].calls[call.id]
+            self._admitted_calls[call.id] = _AdmittedCall(pool, placed_call)
         return decision
 
     def started(self, now_s: float, call_id: str, server_id: str) -> None:
         """Record that the request of a call has been sent."""
-        placement = self._placements.get(call_id)
-        if placement is not None:
-            placement.pool.outcomes.started(now_s, placement.call)
+        admitted = self._admitted_calls.get(call_id)
+        if admitted is not None:
+            admitted.pool.outcomes.started(now_s, admitted.call)
 
     def first_event(self, now_s: float, call_id: str) -> None:
-        """Record the first event of an answer, or its head if it is not a stream."""
-        placement = self._placements.get(call_id)
-        if placement is not None:
-            placement.pool.outcomes.first_event(now_s, placement.call)
+        """Record the first event of a streamed response, or the head of any other response."""
+        admitted = self._admitted_calls.get(call_id)
+        if admitted is not None:
+            admitted.pool.outcomes.first_event(now_s, admitted.call)
 
     def progress(self, now_s: float, call_id: str) -> None:
-        """Record a later event of an answer."""
-        placement = self._placements.get(call_id)
-        if placement is not None:
-            placement.pool.outcomes.progress(now_s, placement.call)
+        """Record a later event of a streamed response."""
+        admitted = self._admitted_calls.get(call_id)
+        if admitted is not None:
+            admitted.pool.outcomes.progress(now_s, admitted.call)
 
     def finished(self, now_s: float, call_id: str, outcome: CallOutcome) -> None:
         """Record how an attempt ended; the call no longer counts against its server."""
-        placement = self._placements.pop(call_id, None)
-        if placement is not None:
-            placement.pool.outcomes.finished(now_s, placement.call, outcome)
+        admitted = self._admitted_calls.pop(call_id, None)
+        if admitted is not None:
+            admitted.pool.outcomes.finished(now_s, admitted.call, outcome)
 
     def batch_room(self, now_s: float) -> int:
         """Return how many more batch items would be admitted now, over all services."""
         return sum(pool.batch_room(now_s) for pool in self._pools.values())
 
     def status(self, now_s: float) -> AdmissionStatus:
-        """Return the figures that decisions go by now, for operators; of all services the worst."""
+        """Return the current state for operators: the maximum of each figure over all services."""
         pools = self._pools.values()
         return AdmissionStatus(
             max((pool.table.cursor for pool in pools), default=0),
@@ -174,16 +174,16 @@
 
     @property
     def in_flight_count(self) -> int:
-        """The calls of this gateway in flight."""
-        return len(self._placements)
+        """The number of calls of this gateway in flight."""
+        return len(self._admitted_calls)
 
     def in_flight(self, server_loads_follow: bool = True) -> dict[str, int]:
-        """Return this gateway's calls in flight by server id; for `Follower.report` alone.
+        """Return this gateway's calls in flight by server id; must be called by `Follower.report` only.
 
-        Load that the control nodes report later is assumed to include these calls.
+        The returned counts are subtracted from load reports of the control nodes, which include them.
 
         Args:
-            server_loads_follow: whether the report will include the load of each server, and not only of each service.
+            server_loads_follow: whether the next load report has the load of each server, and not only of each service.
         """
         report = {}
         for pool in self._pools.values():
@@ -196,14 +196,14 @@
 ) -> None:
     """Update the other gateways' calls at each server of a service.
 
-    Where control nodes were asked about some servers only, the others are assumed to have the mean load of a server.
+    If the load was requested for some servers only, the others are assumed to have the mean load of a server.
 
     Args:
         now_s: the current time (monotonic clock).
         views: the servers of the service by id.
         load: the load as reported by the control nodes.
-        gateways: live gateways, this one included.
-        total: calls of all gateways at the service; None where every server was reported.
+        gateways: number of live gateways, this one included.
+        total: calls of all gateways at the service; None if the report has every server.
     """
     others_share = 1.0 - 1.0 / gateways
     mean = others_share * total / len(views) if total is not None else 0.0
--- a/emberring/admission/affinity.py
+++ b/emberring/admission/affinity.py
@@ -1,7 +1,7 @@
-"""The preferred servers of a shared prompt prefix, by rendezvous hashing: all gateways agree without communication.
+"""The preferred servers of a shared prompt prefix, by rendezvous hashing, so that gateways agree without communication.
 
-Only the largest shared part decides, and only if it is large enough that recomputing it costs more than queueing:
-small parts that many requests have in common would otherwise send them all to one server.
+Only the largest shared part is used, and only if recomputing it costs more than queueing. Small parts that many
+requests share would otherwise direct all of these requests to one server.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from emberring.admission.types import PrefixPart
 
-AFFINITY_MIN_TOKENS = 1500  # shared parts from this size on have preferred servers
+AFFINITY_MIN_TOKENS = 1500  # smallest shared part that has preferred servers
 
 
 def affinity_key(parts: Sequence[PrefixPart]) -> str | None:
@@ -28,14 +28,14 @@
 
 
 def preferred_servers(key: str, server_ids: Iterable[str], count: int) -> list[str]:
-    """Return the first `count` servers in the order of preference for this key; the same at every gateway."""
+    """Return the `count` most preferred servers for this key, the most preferred first; the same at every gateway."""
     return heapq.nlargest(count, server_ids, key=lambda server_id: (_score(key, server_id), server_id))
 
 
 def _score(key: str, server_id: str) -> int:
-    """Return a pseudo-random score that depends on both names only.
+    """Return a pseudo-random score that depends on the two arguments only.
 
-    CRC is linear, so its bits are mixed before scores are compared.
+    CRC is linear: without the mixing of bits, the order of servers would be similar for all keys.
     """
     mixed = zlib.crc32(server_id.encode(), zlib.crc32(key.encode())) * 0x9E3779B1 & 0xFFFFFFFF
     mixed ^= mixed >> 15
--- a/emberring/admission/attempts.py
+++ b/emberring/admission/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of a request: which failures allow another server, within the route's `MaxAttempts`."""
+"""The retry policy of a request: which failures allow another attempt, within the route's `MaxAttempts`."""
 
 from __future__ import annotations
 
@@ -6,27 +6,27 @@
 
 from emberring.admission.types import CallOutcome
 
-# Outcomes by which a server guarantees that it did not execute the request.
+# Outcomes with which a server guarantees that it did not execute the request.
 NOT_EXECUTED = frozenset({CallOutcome.FULL, CallOutcome.WRONG_SERVER})
 # Outcomes after which no byte of the request was sent.
 NEVER_SENT = frozenset({CallOutcome.CONNECT_FAILED, CallOutcome.NOT_SENT})
 # Outcomes after which an idempotent request may be retried.
 RETRYABLE = frozenset({CallOutcome.BROKEN, CallOutcome.SILENT, CallOutcome.FAILED})
-MAX_UNEXECUTED_SENDS = 2  # beyond MaxAttempts, that were not executed or never sent
+MAX_UNEXECUTED_SENDS = 2  # retries beyond MaxAttempts after attempts that were not executed
 
 
 @attrs.frozen
 class AttemptBudget:
-    """The attempts of one request so far, and whether another one is allowed.
+    """Counts the attempts of one request and decides whether another one is allowed.
 
-    `MaxAttempts` limits the servers that may have executed the request. A server that guaranteed that it did not, or to
-    which no byte was sent, does not count, but at most `MAX_UNEXECUTED_SENDS` of these are retried.
+    `MaxAttempts` limits the attempts that may have executed the request. Attempts without execution (guaranteed by the
+    server, or no byte was sent) are not counted, but at most `MAX_UNEXECUTED_SENDS` of them are retried.
 
     Args:
-        max_attempts: servers that may have executed the request.
-        idempotent: whether the route allows a request to be executed more than once.
-        executed: attempts that may have executed the request.
-        not_executed: attempts that certainly have not.
+        max_attempts: limit of the attempts that may have executed the request.
+        idempotent: whether the request may be executed more than once.
+        executed: number of attempts that may have executed the request.
+        not_executed: number of attempts that certainly did not execute it.
     """
 
     max_attempts: int
@@ -41,7 +41,7 @@
         return attrs.evolve(self, executed=self.executed + 1)
 
     def allows_another(self, outcome: CallOutcome) -> bool:
-        """Return whether another server may be tried after this outcome, which is already counted."""
+        """Return whether another attempt is allowed after this outcome, which `after` has already counted."""
         if outcome in NOT_EXECUTED or outcome in NEVER_SENT:
             return self.executed < self.max_attempts and self.not_executed <= MAX_UNEXECUTED_SENDS
         if outcome not in RETRYABLE:
@@ -50,5 +50,5 @@
 
     @property
     def certainly_not_executed(self) -> bool:
-        """Whether no server can have executed the request."""
+        """Whether no attempt can have executed the request."""
         return self.executed == 0
--- a/emberring/admission/eligibility.py
+++ b/emberring/admission/eligibility.py
@@ -1,7 +1,7 @@
-"""Whether a server may be sent a call now: its slots, connections, warm-up, failures.
+"""Whether a server may be sent a call now, by its slots, connections, warm-up and failures.
 
-A server that failed is ejected for a short time that doubles with each consecutive failure; afterwards it is probed by
-single calls until one of them is answered.
+A server that failed is ejected for a short time that doubles with each consecutive failure. Afterwards it gets one call
+at a time until one of them is answered.
 """
 
 from __future__ import annotations
@@ -12,43 +12,47 @@
 from emberring.admission.types import CallOutcome
 from loadbalancer.slow_start import COLD_SHARE
 
-EJECTION_BASE_S = 0.15  # ejection after the first failure that counts, doubled for each further one
-EJECTION_MAX_S = 3.0  # longest ejection
-FULL_BACKOFF_S = 0.15  # mean time without calls after a server said that it is full
-TOLERATED_BREAKS = 1  # consecutive broken answers that may be an accident while others continue
-RECENT_EVENT_S = 0.3  # an event within this time shows that the server's other answers continue
-UNTESTED_SLOT_SHARE = 0.5  # of this gateway's part of the slots, for a server that has not answered yet
-SILENCE_MIN_S = 0.3  # shorter silences are never suspicious
-SILENCE_WAIT_FACTOR = 3.0  # allowed silence over the longest predicted wait of a call there
-SILENCE_MAX_MS = 900.0  # longer silences are always suspicious
-
-# Outcomes that eject a server at the first occurrence.
+EJECTION_BASE_S = 0.15  # first ejection; doubled for each further consecutive failure
+EJECTION_MAX_S = 3.0  # upper limit, before randomization
+FULL_BACKOFF_S = 0.15  # mean time without new calls after a server rejected one as full
+TOLERATED_BREAKS = 1  # consecutive broken responses that do not eject while other responses continue
+RECENT_EVENT_S = 0.3  # an event within this time shows that the server's other responses continue
+UNTESTED_SLOT_SHARE = 0.5  # of this gateway's even share of the slots, until the server's first response
+SILENCE_MIN_S = 0.3  # shorter silences never count as unresponsive
+SILENCE_WAIT_FACTOR = 3.0  # allowed silence as a multiple of the longest predicted wait
+SILENCE_MAX_MS = 900.0  # longer silences always count as unresponsive
+
+# Outcomes that eject a server at their first occurrence.
 CERTAIN_FAILURES = frozenset({CallOutcome.CONNECT_FAILED, CallOutcome.SILENT})
 
 
 def record_failure(now_s: float, server: ServerView, outcome: CallOutcome, random: Random) -> None:
-    """Record an attempt that failed otherwise than by a complete answer; may eject the server."""
+    """Record an attempt that failed without a complete response; may eject the server."""
     server.last_failure = outcome
     server.consecutive_failures += 1 if outcome not in CERTAIN_FAILURES else TOLERATED_BREAKS + 1
-    answering = now_s - server.last_received_s <= RECENT_EVENT_S
-    if outcome not in CERTAIN_FAILURES and server.consecutive_failures <= TOLERATED_BREAKS and answering:
+    other_responses_continue = now_s - server.last_received_s <= RECENT_EVENT_S
+    if (
+        outcome not in CERTAIN_FAILURES
+        and server.consecutive_failures <= TOLERATED_BREAKS
+        and other_responses_continue
+    ):
         return
     ejection_s = EJECTION_BASE_S * 2.0 ** min(server.consecutive_failures - 1, 6)
     server.ejected_until_s = now_s + min(EJECTION_MAX_S, ejection_s) * random.uniform(0.75, 1.25)
 
 
 def failing(server: ServerView) -> bool:
-    """Return whether the server failed so that its slots do not count until it has answered again."""
+    """Return whether the server has failed too often; its slots are not counted until it answers again."""
     return server.consecutive_failures > TOLERATED_BREAKS
 
 
 def record_full(now_s: float, server: ServerView, random: Random) -> None:
-    """Record that the server rejected a call for lack of capacity."""
+    """Record that the server rejected a call as full; it gets no new calls for a short random time."""
     server.full_until_s = now_s + FULL_BACKOFF_S * random.uniform(0.5, 1.5)
 
 
 def unresponsive(now_s: float, server: ServerView, usual_event_gap_ms: float) -> bool:
-    """Return whether the server has been silent for longer than its pending calls explain."""
+    """Return whether the server has sent no event for longer than its pending calls explain."""
     silence_s = server.seconds_without_event(now_s)
     if silence_s <= SILENCE_MIN_S:
         return False
@@ -58,7 +62,7 @@
 
 
 def eligible(now_s: float, server: ServerView, usual_event_gap_ms: float) -> bool:
-    """Return whether nothing speaks against sending to the server, its load apart."""
+    """Return whether the server may be sent calls, regardless of its load."""
     return (
         not server.replaced
         and now_s >= server.ejected_until_s
@@ -67,13 +71,13 @@
 
 
 def remaining_capacity(now_s: float, server: ServerView, share: float, gateways: int) -> float:
-    """Return how many more calls the server may get while all gateways together use this share of its slots.
+    """Return how many more calls this gateway may send to the server.
 
     Args:
         now_s: the current time (monotonic clock).
         server: the server.
-        share: share of the slots that may be used; above 1 calls may queue there.
-        gateways: live gateways.
+        share: share of the slots that all gateways together may occupy; above 1, calls queue at the server.
+        gateways: number of live gateways.
     """
     if now_s < server.full_until_s:
         return 0.0
@@ -81,9 +85,9 @@
     if server.record.cold_ms > 0.0 and now_s - server.known_since_s < server.record.cold_ms / 1000.0:
         slots *= COLD_SHARE
     remaining = min(slots - server.estimated_load(gateways), server.connections - len(server.calls))
-    if failing(server):  # reinstatement: one call at a time
+    if failing(server):  # until reinstatement: one call at a time
         return min(remaining, 1.0 - len(server.calls))
     if server.first_received_s is None:
-        most = max(1.0, UNTESTED_SLOT_SHARE * slots / gateways)
-        return min(remaining, most - len(server.calls))
+        limit = max(1.0, UNTESTED_SLOT_SHARE * slots / gateways)
+        return min(remaining, limit - len(server.calls))
     return remaining
--- a/emberring/admission/known_calls.py
+++ b/emberring/admission/known_calls.py
@@ -9,45 +9,45 @@
 
 
 class KnownCalls:
-    """The servers of a pool by id, and the sums over them that decisions go by."""
+    """The servers of a pool by id, and the calls in flight at them."""
 
     def __init__(self) -> None:
         self.servers: dict[str, ServerView] = {}
-        self.own_calls_at_report = 0  # this gateway's calls when the load was last reported
-        self._reported = 0  # this gateway's calls in its own latest report
-        self.load_measured_s = -math.inf  # when the reported load was measured
-        self._other_calls_total: float | None = None  # all other gateways' calls, if reported
+        self.own_calls_at_report = 0  # this gateway's calls when the latest load report arrived
+        self._own_calls_reported = 0  # this gateway's calls in the latest report that it sent
+        self.load_measured_s = -math.inf  # when the load in the latest report was measured
+        self._other_calls_total: float | None = None  # of the other gateways; None if not reported
 
     def update(self, servers: dict[str, ServerView], total: int | None, load_measured_s: float) -> None:
-        """Replace the servers, whose reports of other gateways' calls are already updated.
+        """Replace the servers and the total; `other_calls` of each server must already be up to date.
 
         Args:
             servers: the servers of the pool.
-            total: calls in flight of all gateways at the service; None where it was not reported.
+            total: calls in flight of all gateways at the service; None if it was not reported.
             load_measured_s: when the reported load was measured (monotonic clock).
         """
         self.servers = servers
         self.load_measured_s = load_measured_s
         self.own_calls_at_report = own_calls(self.servers.values())
-        self._other_calls_total = None if total is None else max(0.0, total - self._reported)
+        self._other_calls_total = None if total is None else max(0.0, total - self._own_calls_reported)
 
     def report(self, server_loads_follow: bool) -> dict[str, int]:
-        """Return this gateway's calls by server id, and remember them as reported.
+        """Return this gateway's calls by server id, and store them as reported.
 
         Args:
             server_loads_follow: whether the next load report will include the load of each server.
         """
         calls = {server_id: len(server.calls) for server_id, server in self.servers.items()}
-        self._reported = sum(calls.values())
+        self._own_calls_reported = sum(calls.values())
         if server_loads_follow:
             for server_id, server in self.servers.items():
                 server.reported_calls = calls[server_id]
         return calls
 
     def other_calls_at(self, servers: Sequence[ServerView]) -> float:
-        """Return the other gateways' calls at these servers.
+        """Return the estimated calls of the other gateways at these servers.
 
-        It is their part, by the reports of single servers (maybe seconds old), of the newer total of the service.
+        The latest total of the service is divided by the loads of the single servers, which may be seconds older.
         """
         at_these = sum(server.other_calls for server in servers)
         if self._other_calls_total is None:
@@ -67,5 +67,5 @@
 
 
 def slots(servers: Iterable[ServerView]) -> int:
-    """Return the requests that these servers process concurrently."""
+    """Return how many requests these servers process concurrently."""
     return sum(server.capacity for server in servers)
--- a/emberring/admission/load_meter.py
+++ b/emberring/admission/load_meter.py
@@ -1,9 +1,9 @@
-"""The load of a pool of servers, from latency over its quiet baseline and from answers that said "full".
+"""The load of a pool of servers, from the rise of latency over its baseline and from calls rejected as full.
 
-A load of 1 is the target; above it the cursor of the threshold table steps right. The baseline, its rate of change and
-its slack are those of the node (`loadbalancer.load_estimate`). What differs: the measured values are waits
-for a first event, each as a share of its own latency target, and since prompt lengths differ a hundredfold, the wait
-that the prompt itself explains is subtracted first.
+A load of 1 is the target; above it the cursor of the threshold table moves right. The baseline, its rate of change and
+its slack are those of the node (`loadbalancer.load_estimate`). Unlike there, the measured values are waits for the
+first event, each as a share of its call's latency target. Prompt lengths differ by a factor of 100, so the time to
+compute the call's own prompt is subtracted first.
 """
 
 from __future__ import annotations
@@ -18,37 +18,38 @@
     UNCROWDED_SLACK,
 )
 
-OUTCOMES_FOR_HALF_WEIGHT = 10.0  # in a period, for half the weight in the smoothed wait
-MAX_WAIT_SHARE = 3.0  # a wait counts as no more, so that a jam is forgotten once it has passed
-IDLE_DECAY = 0.97  # of the smoothed wait in a period without outcomes: unobserved load must decay
+OUTCOMES_FOR_HALF_WEIGHT = 10.0  # in a period; the median of so many gets half the weight
+MAX_WAIT_SHARE = 3.0  # larger waits are capped, so that the estimate recovers soon after congestion
+IDLE_DECAY = 0.97  # factor of the smoothed wait in a period without waits, so that unobserved load decays
 
 
 class LoadMeter:
-    """Collects the outcomes of a period; `close_period` turns them into the load."""
+    """Collects the outcomes of a period; `close_period` computes the load from them."""
 
     def __init__(self) -> None:
         self.smoothed_wait = 0.0  # as a share of the latency target
         self.baseline: float | None = None  # the smoothed wait without load
         self._period_waits: list[float] = []
-        self._first_waits: list[float] = []
-        self._outcomes_since_step = 0  # outcomes since the last step right
+        self._initial_waits: list[float] = []
+        self._outcomes_since_step = 0  # waits recorded since the cursor last moved right
         self._period_outcomes = 0
         self._period_full = 0
 
     def record_wait(self, target_share: float) -> None:
-        """Record a first event: its wait, less its own prompt's, as a share of the latency target."""
+        """Record the wait for a first event as a share of the latency target, without the time for its own prompt."""
         self._period_waits.append(min(MAX_WAIT_SHARE, max(0.0, target_share)))
         self._outcomes_since_step += 1
 
     def record_outcome(self, full: bool) -> None:
-        """Record the end of an attempt; `full`: the server rejected it for lack of capacity."""
+        """Record the end of an attempt; `full` is whether the server rejected it for lack of capacity."""
         self._period_outcomes += 1
         self._period_full += full
 
     def may_step_right(self) -> bool:
-        """Return whether enough outcomes came since the last step right to know that another one is needed.
+        """Return whether the cursor may move right again.
 
-        The effect of a step shows only in calls sent after it. A jam does not wait for that.
+        The effect of a step shows only in calls sent after it, so a number of outcomes is required between two steps.
+        Severe congestion is exempt.
         """
         if self._outcomes_since_step < OUTCOMES_FOR_HALF_WEIGHT and not self.jammed:
             return False
@@ -57,14 +58,18 @@
 
     @property
     def jammed(self) -> bool:
-        """Whether waits are near the latency target itself."""
+        """Whether waits are close to the latency target."""
         return self.smoothed_wait > JAMMED_LEVEL
 
-    def close_period(self, quiet: bool) -> float:
-        """End the period and return its load; `quiet`: the table is fully open, so the baseline may rise."""
+    def close_period(self, may_raise_baseline: bool) -> float:
+        """End the period and return its load.
+
+        `may_raise_baseline` must be True only while the threshold table admits all calls: the waits of an overloaded
+        pool must not become its baseline.
+        """
         if self._period_waits:
             median = sorted(self._period_waits)[len(self._period_waits) // 2]
-            self._update_smoothed_wait(median, quiet)
+            self._update_smoothed_wait(median, may_raise_baseline)
         else:
             self.smoothed_wait *= IDLE_DECAY
         load = 0.0
@@ -75,16 +80,16 @@
         self._period_waits, self._period_outcomes, self._period_full = [], 0, 0
         return load
 
-    def _update_smoothed_wait(self, median: float, quiet: bool) -> None:
+    def _update_smoothed_wait(self, median: float, may_raise_baseline: bool) -> None:
         count = len(self._period_waits)
-        if self.baseline is None or len(self._first_waits) < BASELINE_MIN_OUTCOMES:
-            self._first_waits += self._period_waits
+        if self.baseline is None or len(self._initial_waits) < BASELINE_MIN_OUTCOMES:
+            self._initial_waits += self._period_waits
             self.smoothed_wait = self.baseline = min(
-                JAMMED_LEVEL, sorted(self._first_waits)[len(self._first_waits) // 2]
+                JAMMED_LEVEL, sorted(self._initial_waits)[len(self._initial_waits) // 2]
             )
             return
         self.smoothed_wait += count / (count + OUTCOMES_FOR_HALF_WEIGHT) * (median - self.smoothed_wait)
         if self.smoothed_wait < self.baseline:
             self.baseline += BASELINE_FALL_GAIN * (self.smoothed_wait - self.baseline)
-        elif quiet:
+        elif may_raise_baseline:
             self.baseline += BASELINE_RISE_GAIN * (self.smoothed_wait - self.baseline)
--- a/emberring/admission/placement.py
+++ b/emberring/admission/placement.py
@@ -1,4 +1,4 @@
-"""The selection of the server for a call: the candidate with the lowest cost."""
+"""Selection of the server for a call: the candidate with the lowest cost."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from emberring.admission.types import CallInfo
 
 JITTER = 0.05  # width of the random factor on costs, which breaks ties
-PREFERRED_SERVERS = 2  # of a large shared prompt part, in order of preference
+PREFERRED_SERVERS = 2  # number of preferred servers of a large shared prompt part
 
 
 @attrs.frozen
@@ -29,8 +29,8 @@
     """The server chosen for a call.
 
     Args:
-        expected_miss_tokens: tokens of the prompt that the server is expected to have to compute.
-        tokens_ahead: prompt tokens queued there before the call's own.
+        expected_miss_tokens: expected tokens of the prompt that the server has not cached and must compute.
+        tokens_ahead: prompt tokens queued at the server ahead of the call's own.
     """
 
     server: ServerView
@@ -45,11 +45,11 @@
     connected: Callable[[str], bool],
     random: Random,
 ) -> Choice:
-    """Return the server with the lowest cost of these, of which there must be at least one."""
-    key = affinity_key(call.parts)
+    """Return the server with the lowest cost; `servers` must not be empty."""
+    affinity_id = affinity_key(call.parts)
     preferred = (
-        preferred_servers(key, [one.record.id for one in servers], PREFERRED_SERVERS)
-        if key is not None
+        preferred_servers(affinity_id, [server.record.id for server in servers], PREFERRED_SERVERS)
+        if affinity_id is not None
         else []
     )
     ranked: list[tuple[float, Choice]] = []
@@ -60,20 +60,20 @@
         random,
         still_running_share(context.load_report_age_s, context.service_rate.hold_s),
     ):
-        miss_tokens = expected_miss_tokens(call, server, preferred, key)
+        miss_tokens = expected_miss_tokens(call, server, preferred, affinity_id)
         tokens_ahead = server.waiting_tokens(context.now_s, context.service_rate.ms_per_token)
         tokens_ahead += context.waiting_tokens_per_call * context.mean_other_calls
         cost = cost_ms(context, server, tokens_ahead, miss_tokens)
         cost += 0.0 if connected(server.record.id) else CONNECT_COST_MS
         cost *= 1.0 + JITTER * (random.random() - 0.5)
         ranked.append((cost, Choice(server, miss_tokens, tokens_ahead)))
-    return min(ranked, key=lambda entry: entry[0])[1]
+    return min(ranked, key=lambda cost_and_choice: cost_and_choice[0])[1]
 
 
 def place_call(context: RankingContext, call: CallInfo, choice: Choice) -> PlacedCall:
-    """Count the call at the server chosen for it."""
+    """Record the call at the server chosen for it."""
     server = choice.server
-    placed = PlacedCall(
+    placed_call = PlacedCall(
         call,
         server,
         context.now_s,
@@ -83,6 +83,6 @@
         had_free_slot=server.load < server.capacity,
         exclusive_tokens=exclusive_tokens(call),
     )
-    server.calls[call.id] = placed
+    server.calls[call.id] = placed_call
     server.prefix_cache.record_prompt(call.parts, server.kv_tokens / context.gateways)
-    return placed
+    return placed_call
--- a/emberring/admission/pool.py
+++ b/emberring/admission/pool.py
@@ -1,4 +1,4 @@
-"""Admission for one service: which of its servers takes a call, and when a call is refused."""
+"""Admission for one service: to which of its servers a call is admitted, and when a call is refused."""
 
 from __future__ import annotations
 
@@ -25,21 +25,22 @@
 )
 from emberring.distribution.records import ServerState
 
-BATCH_FLOOR_SHARE = 0.34  # of the slots; below it the table holds back no batch item
-LIVE_FLOOR_SHARE = 0.75  # of the slots; below it the table refuses no live call
-MAX_CATCH_UP_PERIODS = 50  # periods closed at once after a time without calls
+BATCH_FLOOR_SHARE = 0.34  # of the slots; below this utilization the table refuses no batch item
+LIVE_FLOOR_SHARE = 0.75  # of the slots; below this utilization the table refuses no live call
+MAX_CATCH_UP_PERIODS = 50  # periods closed in one step after a time without calls
 MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 0.1, 1.0
-BATCH_PROMPTS_PER_SERVER = 3.0  # items of all gateways that may wait for prefill at a server
-BATCH_CLAIM_SHARE = 1.0  # of its part of the free slots a gateway may fill before the next load report
+BATCH_PROMPTS_PER_SERVER = 3.0  # batch items of all gateways that may await their first event, per server
+# The part of its even share of the free slots that a gateway may fill before the next load report.
+BATCH_CLAIM_SHARE = 1.0
 
 
 class Pool:
-    """The servers of one service as this gateway knows them, and the decisions over them.
+    """The servers of one service as known to this gateway, and the admission decisions for them.
 
     Args:
-        settings: what the deployment sets.
-        random: source of all draws of this pool.
-        connected: whether an idle connection to a server (by id) can carry the next call.
+        settings: settings of the deployment.
+        random: random number generator.
+        connected: whether an idle connection to a server (by id) is available.
     """
 
     def __init__(self, settings: AdmissionSettings, random: Random, connected: Callable[[str], bool]) -> None:
@@ -58,7 +59,7 @@
 
     @property
     def servers(self) -> dict[str, ServerView]:
-        """The servers known now, by id."""
+        """The known servers by id."""
         return self.calls.servers
 
     def set_servers(
@@ -72,8 +73,8 @@
 
         Args:
             servers: the servers of the service by id.
-            gateways: live gateways, this one included.
-            total: calls in flight of all gateways at this service; None where it was not reported.
+            gateways: number of live gateways, this one included.
+            total: calls in flight of all gateways at this service; None if it was not reported.
             load_measured_s: when the reported load was measured (monotonic clock).
         """
         self.gateways = gateways
@@ -84,14 +85,14 @@
         return self.suspicions.check(now_s, self.servers.values(), self.outcomes.usual_event_gap_ms)
 
     def advance(self, now_s: float) -> None:
-        """Close the measurement periods that have passed, and move the table's cursor for each."""
+        """Close the measurement periods that have ended, and move the table's cursor for each of them."""
         period_s = self._settings.period_s
         if self._period_end_s == math.inf:
             self._period_end_s = now_s + period_s
         for _ in range(MAX_CATCH_UP_PERIODS):
             if now_s < self._period_end_s:
                 return
-            load = self.outcomes.meter.close_period(quiet=self.table.cursor == 0)
+            load = self.outcomes.meter.close_period(may_raise_baseline=self.table.cursor == 0)
             if load <= 1.0:
                 self.table.move(False)
             elif self.outcomes.meter.may_step_right():
@@ -108,19 +109,23 @@
             and server.record.id not in excluded
         ]
 
-    def _working(self) -> list[ServerView]:
-        """Return the ready servers whose slots count; all ready ones if every one of them is failing."""
+    def _working_servers(self) -> list[ServerView]:
+        """Return the ready servers that are not failing; all ready servers if all of them are failing."""
         ready = self._ready(frozenset())
         return [server for server in ready if not eligibility.failing(server)] or ready
 
     def _eligible(self, now_s: float, servers: list[ServerView]) -> list[ServerView]:
-        """Return those of these servers that nothing speaks against now."""
-        return [one for one in servers if eligibility.eligible(now_s, one, self.outcomes.usual_event_gap_ms)]
+        """Return the servers that may be sent calls now, regardless of their load."""
+        return [
+            server
+            for server in servers
+            if eligibility.eligible(now_s, server, self.outcomes.usual_event_gap_ms)
+        ]
 
     # ------------------------------------------------------------- decisions
 
     def offer(self, now_s: float, call: CallInfo) -> Decision:
-        """Decide on a call at once: its server, or why it gets none.
+        """Decide on a call without waiting.
 
         An admitted call counts against its server from now on.
         """
@@ -133,7 +138,9 @@
         eligible = self._eligible(now_s, ready)
         share = self._batch_share(now_s) if call.batch else 1.0 + self._settings.live_queue_share
         available = [
-            one for one in eligible if eligibility.remaining_capacity(now_s, one, share, self.gateways) > 0.0
+            server
+            for server in eligible
+            if eligibility.remaining_capacity(now_s, server, share, self.gateways) > 0.0
         ]
         if not available and not call.batch:
             available = self._fallback_servers(now_s, ready, eligible)
@@ -144,44 +151,48 @@
     def _fallback_servers(
         self, now_s: float, ready: list[ServerView], eligible: list[ServerView]
     ) -> list[ServerView]:
-        """Return servers for a live call for which no server has remaining capacity.
+        """Return the servers where a live call may queue although no server has remaining capacity.
 
-        None are returned once the pool as a whole is full, its queue share included.
+        The list is empty if the pool as a whole is full, including the queue share.
         """
-        if self.calls.utilization(self._working()) >= 1.0 + self._settings.live_queue_share:
+        if self.calls.utilization(self._working_servers()) >= 1.0 + self._settings.live_queue_share:
             return []
-        candidates = eligible or ready
-        return [one for one in candidates if len(one.calls) < one.connections and now_s >= one.full_until_s]
+        candidate_servers = eligible or ready
+        return [
+            server
+            for server in candidate_servers
+            if len(server.calls) < server.connections and now_s >= server.full_until_s
+        ]
 
     def _over_threshold(self, now_s: float, call: CallInfo) -> bool:
-        """Return whether this gateway's calls in flight have reached the threshold of the call's row."""
-        servers = self._working()
-        own = own_calls(servers)
+        """Return whether this gateway's calls in flight have reached the threshold of the call's table row."""
+        servers = self._working_servers()
+        own_count = own_calls(servers)
         if call.batch:
-            if own >= self._batch_threshold(now_s, servers):
+            if own_count >= self._batch_threshold(now_s, servers):
                 return True
             return self._prompt_capacity(len(servers), self._eligible(now_s, servers)) <= 0
         if self.calls.utilization(servers) < LIVE_FLOOR_SHARE:
             return False
-        return own >= self._live_threshold(servers, call.priority)
+        return own_count >= self._live_threshold(servers, call.priority)
 
     def _batch_share(self, now_s: float) -> float:
         """Return the share of the slots up to which batch items are admitted.
 
-        It is the share of the table's batch row at the cursor, raised by the pressure of items whose time runs out.
-        It never falls below `BATCH_FLOOR_SHARE`: after congestion the row stayed at zero for seconds while servers
-        stood idle, and long waits in an idle pool have another cause than batch jobs.
+        It is the share by job pressure times the share of the table's batch row at the cursor, and at least
+        `BATCH_FLOOR_SHARE`. The lower limit is needed because the row stays at zero for seconds after congestion, when
+        servers are idle again. Long waits in a nearly idle pool are not caused by batch items.
         """
         return max(BATCH_FLOOR_SHARE, self.pressure.slot_share(now_s) * self.table.batch_share())
 
     def _batch_threshold(self, now_s: float, servers: list[ServerView]) -> float:
         """Return the calls in flight of this gateway up to which batch items are admitted.
 
-        That is the calls it had when the load was last reported plus its part of the slots that were free then, and at
-        most an even share of all slots. The even share is needed because the other gateways' calls are known some
-        hundred ms late and are reported in parts: gateways that relied on the reports alone admitted items for the same
-        free slots again and again (330 items for 163 slots), and then none for seconds. Even shares never add up to
-        more than the slots, whatever is known.
+        It is the number of its calls at the latest load report plus its even share of the slots that were free then,
+        limited to an even share of all slots. The limit is needed because reports of the other gateways' calls are
+        partial and some hundred ms late. With the reports alone, gateways repeatedly admitted items for the same free
+        slots (330 items for 163 slots) and then none for seconds. The sum of even shares never exceeds the slots,
+        however old the reports are.
         """
         limit = slots(servers) * self._batch_share(now_s)
         reported = self.calls.own_calls_at_report + self.calls.other_calls_at(servers)
@@ -190,30 +201,33 @@
         return min(self.calls.own_calls_at_report + claimable, max(1.0, limit / self.gateways))
 
     def _prompt_capacity(self, count: int, eligible: list[ServerView]) -> int:
-        """Return how many more items may wait for their first event, by this gateway's even share.
+        """Return how many more items may await their first event, by this gateway's even share.
 
-        Items arrive in batch jobs: admitted all at once, their prompts were queued ahead of those of live calls. Only
-        items at the `eligible` ones of the `count` servers are counted, because those at an unresponsive server are not
-        being processed, and counting them blocked all other items until they timed out.
+        Without the limit, the items of a batch job would be admitted all at once and their prompts would delay those of
+        live calls. Of the `count` servers, only items at `eligible` ones are counted. Items at an unresponsive server
+        are not processed, and counting them would block all other items until they time out.
         """
-        unread_prompts = sum(
-            1 for one in eligible for placed in one.awaiting_first_event() if placed.call.batch
+        awaiting_prefill = sum(
+            1
+            for server in eligible
+            for placed_call in server.awaiting_first_event()
+            if placed_call.call.batch
         )
-        return max(1, math.floor(BATCH_PROMPTS_PER_SERVER * count / self.gateways + 0.5)) - unread_prompts
+        return max(1, math.floor(BATCH_PROMPTS_PER_SERVER * count / self.gateways + 0.5)) - awaiting_prefill
 
     def _live_threshold(self, servers: list[ServerView], priority: int) -> float:
         """Return the calls in flight of this gateway up to which live calls of this priority are admitted.
 
-        All slots that the other gateways leave are open to it, and at least an even share of all slots.
+        It is the number of slots that the other gateways leave free, and at least an even share of all slots.
         """
         limit = slots(servers) * (1.0 + self._settings.live_queue_share)
         other_calls = self.calls.other_calls_at(servers)
         return max(limit / self.gateways, limit - other_calls) * self.table.live_share(priority)
 
     def _retry_after_s(self) -> float:
-        """Return after how many seconds the table may admit the call again.
+        """Return after how many seconds a refused call may be retried.
 
-        It is the time in which the cursor returns to its first slot, randomized so that callers do not return at once.
+        It is the time in which the cursor returns to its first slot, randomized so that retries are spread over time.
         """
         wait_s = self._settings.period_s * self.table.cursor
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s)) * self._random.uniform(0.75, 1.25)
@@ -236,31 +250,34 @@
         return Admitted(choice.server.record.id)
 
     def _waiting_tokens_per_call(self, now_s: float) -> float:
-        """Return the prompt tokens waiting for prefill for each call in flight.
+        """Return the mean number of prompt tokens awaiting prefill per call in flight.
 
-        Calls of the other gateways are assumed to be like this gateway's.
+        It is computed from this gateway's calls and assumed for those of the other gateways.
         """
         calls = own_calls(self.servers.values())
         if not calls:
             return 0.0
-        mine = sum(
+        waiting_tokens = sum(
             server.waiting_tokens(now_s, self.outcomes.service_rate.ms_per_token)
             for server in self.servers.values()
         )
-        return mine / (calls + 1.0)
+        return waiting_tokens / (calls + 1.0)
 
     def batch_room(self, now_s: float) -> int:
         """Return how many more batch items would be admitted now."""
         self.advance(now_s)
-        servers = self._working()
+        servers = self._working_servers()
         if not servers:
             return 0
-        own = own_calls(servers)
+        own_count = own_calls(servers)
         share, eligible = self._batch_share(now_s), self._eligible(now_s, servers)
-        room = sum(
-            max(0.0, eligibility.remaining_capacity(now_s, one, share, self.gateways)) for one in eligible
+        capacity = sum(
+            max(0.0, eligibility.remaining_capacity(now_s, server, share, self.gateways))
+            for server in eligible
         )
-        most = min(
-            room, self._batch_threshold(now_s, servers) - own, self._prompt_capacity(len(servers), eligible)
+        limit = min(
+            capacity,
+            self._batch_threshold(now_s, servers) - own_count,
+            self._prompt_capacity(len(servers), eligible),
         )
-        return max(0, math.ceil(most))
+        return max(0, math.ceil(limit))
--- a/emberring/admission/prefix_cache.py
+++ b/emberring/admission/prefix_cache.py
@@ -1,7 +1,7 @@
-"""An estimate of which prompt parts a server has cached, from what this gateway sent there.
+"""An estimate of which prompt parts a server has cached, from the prompts that this gateway sent to it.
 
-A server caches parts until others evict them, least recently used first. This gateway sees only its share of the
-requests, so its model of a server's cache has that share of the cache's capacity.
+A server evicts the least recently used parts first. This gateway sees only its own share of the requests, so its model
+of a server's cache has that share of the cache's capacity.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
         self._total_tokens = 0
 
     def cached_parts(self, parts: Sequence[PrefixPart]) -> int:
-        """Return how many leading parts of a prompt are expected to be cached."""
+        """Return how many of the first parts of a prompt are expected to be cached."""
         chain = ""
         for index, part in enumerate(parts):
             chain = f"{chain}/{part.id}"
@@ -29,7 +29,7 @@
         return len(parts)
 
     def record_prompt(self, parts: Sequence[PrefixPart], limit_tokens: float) -> None:
-        """Record that a prompt was sent to the server, and evict what exceeds `limit_tokens`."""
+        """Record that a prompt was sent to the server, and evict parts beyond `limit_tokens`."""
         chain = ""
         for part in parts:
             chain = f"{chain}/{part.id}"
@@ -42,6 +42,6 @@
             self._total_tokens -= tokens
 
     def clear(self) -> None:
-        """Forget everything: the state of the server's cache is unknown."""
+        """Remove all parts; called when the state of the server's cache is unknown."""
         self._chains.clear()
         self._total_tokens = 0
--- a/emberring/admission/suspicion.py
+++ b/emberring/admission/suspicion.py
@@ -1,7 +1,7 @@
-"""The servers that this gateway suspects of a fault, and since when; for operators, not for decisions.
+"""The servers that this gateway suspects of a fault, for operators; admission decisions do not use them.
 
-A server may fail calls while its health check passes. Server selection uses the estimates of each server, which change
-with every call; here they become states with hysteresis, so that each change is worth a log line.
+A server may fail calls while its health check passes. Server selection uses estimates that change with every call. This
+module derives states with hysteresis from them, so that changes are rare enough to be logged.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from emberring.admission.types import CallOutcome
 from emberring.registry.faults import Fault
 
-REINSTATE_AFTER_S = 2.0  # without a sign of a fault
+REINSTATE_AFTER_S = 2.0  # time without a fault after which a suspected server is reinstated
 
 
 _FAULT_OF_OUTCOME = {
@@ -27,7 +27,7 @@
 
 
 def detect_fault(now_s: float, server: ServerView, usual_event_gap_ms: float) -> Fault | None:
-    """Return the gravest fault that the server shows now; None if it shows none."""
+    """Return the most severe fault that the server shows now; None if it shows none."""
     if eligibility.failing(server) and server.last_failure is not None:
         return _FAULT_OF_OUTCOME.get(server.last_failure, Fault.FAILING)
     if eligibility.unresponsive(now_s, server, usual_event_gap_ms):
@@ -44,8 +44,8 @@
     """A server became suspected, or was reinstated.
 
     Args:
-        fault: what it is suspected of; None if it was reinstated.
-        duration_s: how long it showed the fault; 0 if it became suspected only now.
+        fault: the suspected fault; None if the server was reinstated.
+        duration_s: for how long the server showed faults; 0 if it has just become suspected.
     """
 
     server: ServerView
@@ -57,26 +57,26 @@
 class _Suspicion:
     fault: Fault
     since_s: float
-    last_sign_s: float
+    last_fault_s: float
 
 
 class SuspicionTable:
-    """The suspicions held now, by server id."""
+    """The currently suspected servers by id."""
 
     def __init__(self) -> None:
         self._suspicions: dict[str, _Suspicion] = {}
 
     @property
     def faults(self) -> dict[str, Fault]:
-        """The fault that each suspected server shows, by id."""
+        """The fault of each suspected server, by id."""
         return {server_id: suspicion.fault for server_id, suspicion in self._suspicions.items()}
 
     def check(
         self, now_s: float, servers: Iterable[ServerView], usual_event_gap_ms: float
     ) -> list[SuspicionChange]:
-        """Check all servers of a pool and return what changed.
+        """Check all servers of a pool and return the changes.
 
-        A server that is no longer among them is dropped without a change.
+        A suspected server that is no longer in the pool is removed without a change.
         """
         changes: list[SuspicionChange] = []
         present: set[str] = set()
@@ -97,9 +97,9 @@
         if suspicion is None:
             return None
         if fault is not None:
-            suspicion.fault, suspicion.last_sign_s = fault, now_s
+            suspicion.fault, suspicion.last_fault_s = fault, now_s
             return None
-        if now_s - suspicion.last_sign_s < REINSTATE_AFTER_S:
+        if now_s - suspicion.last_fault_s < REINSTATE_AFTER_S:
             return None
         del self._suspicions[server.record.id]
-        return SuspicionChange(server, None, suspicion.last_sign_s - suspicion.since_s)
+        return SuspicionChange(server, None, suspicion.last_fault_s - suspicion.since_s)
--- a/emberring/admission/types.py
+++ b/emberring/admission/types.py
@@ -1,4 +1,4 @@
-"""The inputs and outputs of admission. Seconds (`_s`) are of the monotonic clock."""
+"""The inputs and outputs of admission. Points in time (`_s`) are seconds of the monotonic clock."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
         tokens_in: tokens of the prompt; 0 if unknown.
         tokens_out: tokens of the output at most; 0 if unknown.
         parts: the parts of `Prefix-Hash` in order; the last one is the request's own or its session's.
-        latency_target_ms: time to the first event that earns the full value.
-        deadline_s: when the caller gives up or, for an item, when it is due.
-        target_s: time that an item's job had in all.
-        excluded: ids of servers that were tried and must not be tried again.
-        admitted: whether the table has admitted the call before (a retry, a resumed stream): it is not refused by the
-            table again.
+        latency_target_ms: target for the time to the first event.
+        deadline_s: deadline of the caller or, for a batch item, when it is due.
+        target_s: completion target of a batch item's job.
+        excluded: ids of servers that must not be chosen, because earlier attempts used them.
+        admitted: whether the call was admitted before (a retry, a resumed stream); the threshold table is then not
+            applied again.
     """
 
     id: str
@@ -50,21 +50,21 @@
 
 @attrs.frozen
 class Admitted:
-    """The call is taken and counts against this server until `Admission.finished` is called."""
+    """The call is admitted and counts against this server until `Admission.finished` is called."""
 
     server_id: str
 
 
 @attrs.frozen
 class Refused:
-    """The call is not taken now; it may come back after `retry_after_s` seconds (an item is held back)."""
+    """The call is not admitted; it may be retried after `retry_after_s` seconds."""
 
     retry_after_s: float
 
 
 @attrs.frozen
 class NoServer:
-    """No server of the service is known that was not tried before."""
+    """The service has no ready server, apart from excluded ones."""
 
 
 Decision = Admitted | Refused | NoServer
@@ -73,27 +73,27 @@
 class CallOutcome(Enum):
     """How an attempt at a server ended."""
 
-    COMPLETED = "completed"  # a complete answer, 422 included
-    FAILED = "failed"  # a complete answer that is a failure of an executed request (500, 504)
+    COMPLETED = "completed"  # a complete response, 422 included
+    FAILED = "failed"  # a complete response that reports a failure of an executed request (500, 504)
     FULL = "full"  # 503 or 429 with Not-Executed: the server is full
-    WRONG_SERVER = "wrong_server"  # 421: another server has the address now
-    CONNECT_FAILED = "connect_failed"  # no connection came up; nothing was sent
-    BROKEN = "broken"  # reset, closed early, or not a valid answer
-    SILENT = "silent"  # nothing came within the time-out
-    CANCELLED = "cancelled"  # the caller disconnected, or the tier ended it for reasons of its own
-    NOT_SENT = "not_sent"  # given up before any byte was sent, through no fault of the server
+    WRONG_SERVER = "wrong_server"  # 421: another server has taken over the address
+    CONNECT_FAILED = "connect_failed"  # no connection could be opened; nothing was sent
+    BROKEN = "broken"  # connection reset or closed early, or an invalid response
+    SILENT = "silent"  # nothing was received within the timeout
+    CANCELLED = "cancelled"  # the caller disconnected, or the tier cancelled it itself
+    NOT_SENT = "not_sent"  # abandoned before any byte was sent, without a fault of the server
 
 
 @attrs.frozen
 class AdmissionSettings:
-    """What a deployment may set.
+    """Settings of a deployment.
 
     Args:
-        period_s: period after which the load moves the table's cursor.
-        live_queue_share: calls that may queue beyond the slots, as a share of the slots.
+        period_s: measurement period, after which the load moves the table's cursor.
+        live_queue_share: live calls that may queue beyond the slots, as a share of the slots.
         start_prefill_tokens_per_ms: assumed prefill speed before any outcome.
-        start_hold_s: assumed time for which a call holds its slot before any outcome.
-        zone: the gateway's zone; servers of other zones cost a little more to use.
+        start_hold_s: assumed time for which a call occupies its slot before any outcome.
+        zone: the gateway's zone; servers in other zones have a higher cost.
     """
 
     period_s: float = 0.05
--- a/emberring/gateway/__init__.py
+++ b/emberring/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The clients' side: listeners, routes, forwarding of streams, the batch interface."""
+"""The gateway: client listeners, routing, forwarding of requests and streams to servers, the batch interface."""
--- a/emberring/gateway/app.py
+++ b/emberring/gateway/app.py
@@ -1,4 +1,4 @@
-"""The application behind the clients' listener: reads a complete request, finds its route, has it executed."""
+"""The ASGI application of the client listener: reads a complete request, finds its route and executes it."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from emberring.gateway.responses import GatewayResponse, response_to_error
 from emberring.logs import get_logger
 
-BODY_TIMEOUT_S = 10.0  # for a body without a route; otherwise the route's time-out applies
-DISCARD_S = 0.5  # for reading on after the response to a request that is too large
+BODY_TIMEOUT_S = 10.0  # for the body of a request without a route; otherwise the route's timeout applies
+DISCARD_S = 0.5  # for discarding the rest of a request body that is too large
 
 logger = get_logger("gateway")
 
@@ -34,17 +34,19 @@
         self._jobs = jobs
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one request; a client that disconnects cancels all work for it at once."""
+        """Answer one request; if the client disconnects, all work for the request is cancelled."""
         connection: ClientConnection = scope["state"]["connection"]
         task = asyncio.current_task()
         if task is not None:
             connection.on_disconnected = lambda: _cancel(task)
-        response = ClientResponse(send, connection, _header(scope, b"request-id"), scope["method"] == "HEAD")
+        response = ClientResponse(
+            send, connection, _first_header(scope, b"request-id"), scope["method"] == "HEAD"
+        )
         try:
             await self._handle(scope, receive, response)
         except asyncio.CancelledError:
             connection.cycle.disconnected = True
-        except Exception:  # outermost loop: a programming error fails this request alone, not the process
+        except Exception:  # an unexpected exception fails this request only, not the process
             logger.exception("event=request_failed target=%r", scope["state"]["target"])
             if response.started:
                 response.abort_response()
@@ -55,13 +57,13 @@
 
     async def _handle(self, scope: Scope, receive: Receive, response: ClientResponse) -> None:
         try:
-            final = await self._carry_out(scope, receive, response)
+            local_response = await self._process(scope, receive, response)
         except EmberringError as error:
-            final = response_to_error(error)
-        if final is not None:
-            await response.send_local(final)
+            local_response = response_to_error(error)
+        if local_response is not None:
+            await response.send_local(local_response)
 
-    async def _carry_out(
+    async def _process(
         self, scope: Scope, receive: Receive, response: ClientResponse
     ) -> GatewayResponse | None:
         if scope["http_version"] != "1.1":
@@ -71,15 +73,15 @@
             raise NotReadyError("no configuration is known yet")
         if scope["state"]["head_bytes"] > configuration.limits.max_header_bytes:
             return GatewayResponse(431, "the head is too long", close=True)
-        request = _request_of(scope)
-        route = _route_of(configuration, request)
-        limit_s = route.timeout_ms / 1000.0 if route else BODY_TIMEOUT_S
-        body = await _read_body(scope, receive, configuration.limits, limit_s)
+        request = _build_request(scope)
+        route = _find_route(configuration, request)
+        timeout_s = route.timeout_ms / 1000.0 if route else BODY_TIMEOUT_S
+        body = await _read_body(scope, receive, configuration.limits, timeout_s)
         if isinstance(body, GatewayResponse):
             return body
         request = attrs.evolve(request, body=body)
-        # The configuration in force once the request is complete decides.
-        route = _route_of(self._directory.configuration or configuration, request)
+        # The configuration may have changed while the body was read; the latest one is used.
+        route = _find_route(self._directory.configuration or configuration, request)
         if self._jobs.handles(request, route):
             return await self._jobs.answer(request, route, response)
         return await self._forward(request, route, response)
@@ -94,18 +96,18 @@
         return await self._executor.run_live(request, route, response)
 
 
-def _header(scope: Scope, name: bytes) -> bytes:
-    for found, value in scope["headers"]:
-        if found == name:
+def _first_header(scope: Scope, name: bytes) -> bytes:
+    for header_name, value in scope["headers"]:
+        if header_name == name:
             return bytes(value)
     return b""
 
 
-def _request_of(scope: Scope) -> ClientRequest:
-    """Return the request of a scope, its body still to come.
+def _build_request(scope: Scope) -> ClientRequest:
+    """Return the request of a scope, with an empty body.
 
     Raises:
-        BadRequestError: it does not name exactly one host.
+        BadRequestError: the request does not have exactly one `Host` header.
     """
     hosts = [value for name, value in scope["headers"] if name == b"host"]
     if len(hosts) != 1:
@@ -120,28 +122,28 @@
     )
 
 
-def _route_of(configuration: Configuration, request: ClientRequest) -> Route | None:
+def _find_route(configuration: Configuration, request: ClientRequest) -> Route | None:
     return configuration.route_for(request.host_name, request.path)
 
 
 async def _read_body(
-    scope: Scope, receive: Receive, limits: ClientLimits, limit_s: float
+    scope: Scope, receive: Receive, limits: ClientLimits, timeout_s: float
 ) -> bytes | GatewayResponse:
-    """Return the complete body, or the response to one that is too long or arrives too slowly."""
-    announced = _header(scope, b"content-length")
-    if announced.isdigit() and int(announced) > limits.max_body_bytes:
-        return await _refuse(receive)
+    """Return the complete body, or an error response if it is too long or arrives too slowly."""
+    content_length = _first_header(scope, b"content-length")
+    if content_length.isdigit() and int(content_length) > limits.max_body_bytes:
+        return await _reject_long_body(receive)
     chunks: list[bytes] = []
     size = 0
     try:
-        async with asyncio.timeout(limit_s):
+        async with asyncio.timeout(timeout_s):
             while True:
                 message = await receive()
                 if message["type"] == "http.disconnect":
                     raise asyncio.CancelledError
                 size += len(message["body"])
                 if size > limits.max_body_bytes:
-                    return await _refuse(receive)
+                    return await _reject_long_body(receive)
                 chunks.append(message["body"])
                 if not message["more_body"]:
                     return chunks[0] if len(chunks) == 1 else b"".join(chunks)
@@ -149,8 +151,8 @@
         return GatewayResponse(408, "the body came too slowly", close=True)
 
 
-async def _refuse(receive: Receive) -> GatewayResponse:
-    """Read on for a moment, so that the client reads the response before a reset."""
+async def _reject_long_body(receive: Receive) -> GatewayResponse:
+    """Discard input for a short time: closing the connection at once would reset it before the client reads the 413."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(DISCARD_S):
             while (await receive()).get("more_body"):
--- a/emberring/gateway/attempt.py
+++ b/emberring/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a call sent to one server, its response forwarded as it arrives, admission notified of each step."""
+"""One attempt: sends a call to one server, forwards the response as it arrives, and notifies admission of each step."""
 
 from __future__ import annotations
 
@@ -18,46 +18,47 @@
 from emberring.gateway.responses import OUTCOME_BY_CLASS, ResponseClass, classify_response
 from emberring.gateway.upstream import ServerConnection
 
-BUFFERED_BODY_BYTES = 256 * 1024  # of a response that is not a stream; up to this it can still be retried
-SILENT_AFTER_S = 0.9  # a server silent for this long before the client left counts as unresponsive
-MAX_FAILURE_BYTES = 256 * 1024  # of the body of a failure that is forwarded
+BUFFERED_BODY_BYTES = 256 * 1024  # a longer response without a stream is forwarded and cannot be retried
+SILENT_AFTER_S = 0.9  # without data before the call was cancelled; then the server counts as unresponsive
+MAX_FAILURE_BYTES = 256 * 1024  # largest body of a failure response that is forwarded
 
 
 def always_allowed() -> bool:
-    """Return True: a live request may be sent as long as its server is routable."""
+    """Return True; the default for live requests, which have no further condition."""
     return True
 
 
 class Receiver(Protocol):
-    """The destination of a successful response. Each call returns once the receiver can take more."""
+    """The destination of a response. Each method returns when the receiver can accept more data."""
 
     @property
     def started(self) -> bool:
-        """Whether a part of a response has been forwarded, so that no other response may follow."""
+        """Whether a part of a response has been forwarded, so that another response is no longer possible."""
 
     async def events(self, head: ResponseHead, events: list[Event]) -> None:
-        """Forward complete events of a stream; the head of the first call is the one that counts."""
+        """Forward complete events of a stream; only the head of the first call is used."""
 
     async def body_chunk(self, head: ResponseHead, data: bytes) -> None:
         """Forward a part of a body that is too long to be buffered."""
 
     async def end(self, head: ResponseHead, data: bytes) -> None:
-        """Forward the rest of the response, or all of it if nothing was forwarded before."""
+        """Forward the rest of a response, or all of it if nothing was forwarded before."""
 
 
 @attrs.define(eq=False)
 class UpstreamCall:
-    """A request on its way through its attempts.
+    """A request and its state over all attempts.
 
     Args:
-        idempotent: whether the route allows the request to be executed more than once.
-        deadline_s: when the call is given up (the event loop's time).
+        idempotent: whether the request may be executed more than once.
+        deadline_s: deadline of the call (the event loop's time).
         send_deadline: whether the remaining time is sent to the server as `Deadline-Ms`.
-        stream_only: whether a response that is not an event stream is invalid.
-        allowed: whether the call may still be sent; checked right before it is sent.
-        last_event_id: id of the last event that was forwarded; None before the first one.
-        resumed: whether the next event must directly follow `last_event_id`.
-        possibly_sent: whether a server that gave no guarantee may have received a byte of the request.
+        stream_only: whether a successful response must be an event stream.
+        allowed: returns whether the call may still be sent; called immediately before it is sent.
+        last_event_id: id of the last forwarded event; None before the first one.
+        resumed: whether the next event must have the id that follows `last_event_id`.
+        possibly_sent: whether a server may have received a byte of the request and has not guaranteed that it did
+            not execute it.
     """
 
     id: str
@@ -72,7 +73,7 @@
     possibly_sent: bool = False
 
     def accept_event(self, event: Event) -> bool:
-        """Record the id of an event; return False if the event cannot be the next one."""
+        """Record the id of an event; return False, without recording, if the event is out of order."""
         if event.id is None:
             return True
         last = self.last_event_id
@@ -85,7 +86,7 @@
 
 @attrs.frozen
 class AttemptResult:
-    """How an attempt ended; `head` and `body` are of a complete response that was not forwarded."""
+    """How an attempt ended; `head` and `body` are those of a response that was not forwarded."""
 
     outcome: CallOutcome
     head: ResponseHead | None = None
@@ -123,7 +124,7 @@
         self._response: PendingResponse | None = None
 
     async def run(self) -> AttemptResult:
-        """Send the request and forward the response; the connection and the slot are released however it ends."""
+        """Send the request and forward the response; the connection and the slot are always released at the end."""
         outcome = CallOutcome.CANCELLED
         try:
             result = await self._run()
@@ -153,7 +154,7 @@
         return await self._forward_response(response, head)
 
     def _send(self, connection: ServerConnection) -> PendingResponse | None:
-        """Send the request; None if the connection was closed before a byte was sent."""
+        """Send the request; return None if the connection was closed before a byte was sent."""
         call = self._call
         now_s = self._loop.time()
         remaining_ms = int((call.deadline_s - now_s) * 1000) if call.send_deadline else None
@@ -175,7 +176,7 @@
         if response_class is ResponseClass.FORWARD and 200 <= head.status < 300:
             if head.is_event_stream:
                 return await self._forward_stream(response, head)
-            # A response that continues a stream must be a stream itself.
+            # A stream can only be continued by another stream.
             if self._receiver.started or self._call.stream_only:
                 return AttemptResult(CallOutcome.BROKEN)
             return await self._forward_body(response, head)
@@ -183,14 +184,14 @@
 
     async def _forward_stream(self, response: PendingResponse, head: ResponseHead) -> AttemptResult:
         parser = EventParser()
-        received_first = False
+        received_event = False
         while True:
             finished = response.finished
-            events = parser.feed(response.take())
+            events = parser.feed(response.read_buffered())
             if events:
-                self._record_events(first=not received_first)
-                received_first = True
-            valid = self._consecutive(events)
+                self._record_events(first=not received_event)
+                received_event = True
+            valid = self._events_in_order(events)
             if valid:
                 await self._receiver.events(head, valid)
             if len(valid) < len(events) or parser.too_long:
@@ -209,8 +210,8 @@
         record = admission.first_event if first else admission.progress
         record(self._loop.time(), self._call.id)
 
-    def _consecutive(self, events: list[Event]) -> list[Event]:
-        """Return the events up to the first that cannot follow the one before it."""
+    def _events_in_order(self, events: list[Event]) -> list[Event]:
+        """Return the events before the first one that is out of order."""
         for index, event in enumerate(events):
             if not self._call.accept_event(event):
                 return events[:index]
@@ -221,7 +222,7 @@
         buffered = b""
         while True:
             finished = response.finished
-            buffered += response.take()
+            buffered += response.read_buffered()
             if finished and response.completed:
                 await self._receiver.end(head, buffered)
                 return AttemptResult(CallOutcome.COMPLETED)
@@ -239,7 +240,7 @@
         body = b""
         while True:
             finished = response.finished
-            body += response.take()
+            body += response.read_buffered()
             if finished and response.completed:
                 return AttemptResult(outcome, head, body)
             if finished or len(body) > MAX_FAILURE_BYTES:
@@ -248,8 +249,8 @@
             if not response.finished and not response.buffered_bytes:
                 await response.wait_for_change()
 
-    def _server_was_silent(self, response: PendingResponse, now_s: float) -> bool:
-        """Return whether the client left, or its time ended, while the server was silent on all connections."""
+    def _server_was_unresponsive(self, response: PendingResponse, now_s: float) -> bool:
+        """Return whether the server has sent nothing on any connection for at least `SILENT_AFTER_S`."""
         last_received_s = self._context.activity.last_received_s(self._server.id)
         return (
             not response.received_any
@@ -274,7 +275,7 @@
         if (
             outcome is CallOutcome.CANCELLED
             and response is not None
-            and self._server_was_silent(response, now_s)
+            and self._server_was_unresponsive(response, now_s)
         ):
             outcome = CallOutcome.SILENT
         if outcome in (CallOutcome.FULL, CallOutcome.WRONG_SERVER, CallOutcome.CONNECT_FAILED):
--- a/emberring/gateway/calls.py
+++ b/emberring/gateway/calls.py
@@ -1,4 +1,4 @@
-"""What admission needs to know of a request: service, tokens, parts of the prompt. Pure functions."""
+"""Derives the admission inputs of a request: service, token counts, prompt parts. Pure functions."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 
 def choose_service(route: Route, key: bytes, has_servers: Callable[[str], bool]) -> str | None:
-    """Return the service of a request by the route's weights, the same for the same key.
+    """Return the service of a request by the route's weights and a hash of `key`; the same key gives the same service.
 
-    A service without servers is chosen only if none has any; None is returned if no weight is above 0.
+    A service without servers is chosen only if no service has servers. Returns None if no weight is above 0.
     """
     shares = [share for share in route.split if share.weight > 0]
     if not shares:
         return None
     shares = [share for share in shares if has_servers(share.service)] or shares
-    point = zlib.crc32(key) / HASH_RANGE * sum(share.weight for share in shares)
+    position = zlib.crc32(key) / HASH_RANGE * sum(share.weight for share in shares)
     for share in shares:
-        point -= share.weight
-        if point < 0:
+        position -= share.weight
+        if position < 0:
             return share.service
     return shares[-1].service
 
 
 def read_token_count(value: bytes | None) -> tuple[int, int]:
-    """Read `Token-Count`: tokens of the prompt, and of the output at most; (0, 0) if it is invalid."""
+    """Return the tokens of the prompt and the maximum of the output from `Token-Count`; (0, 0) if it is invalid."""
     numbers = (value or b"").split(b",")
     if len(numbers) != 2 or not all(number.strip().isdigit() for number in numbers):
         return (0, 0)
@@ -37,7 +37,7 @@
 
 
 def read_prefix_parts(value: bytes | None) -> tuple[PrefixPart, ...]:
-    """Read the parts of a prompt from `Prefix-Hash`, those up to the first invalid one."""
+    """Return the parts of a prompt from `Prefix-Hash`, up to the first invalid one."""
     parts: list[PrefixPart] = []
     for item in (value or b"").split(b","):
         part_id, _, tokens = item.strip().partition(b":")
@@ -48,9 +48,9 @@
 
 
 def read_milliseconds(value: bytes | None) -> float | None:
-    """Read a number of milliseconds; None if there is none."""
+    """Return a header value in milliseconds; None if it is missing or invalid."""
     try:
-        found = float(value or b"")
+        milliseconds = float(value or b"")
     except ValueError:
         return None
-    return found if 0.0 <= found < 1e9 else None
+    return milliseconds if 0.0 <= milliseconds < 1e9 else None
--- a/emberring/gateway/client_response.py
+++ b/emberring/gateway/client_response.py
@@ -1,4 +1,4 @@
-"""The client's end of one request: writes go out through ASGI and wait while the client reads slowly."""
+"""Writes the response to one client request through ASGI; writes wait while the client reads slowly."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ClientResponse:
-    """Writes one response. A response has one head, the first that is sent."""
+    """Writes one response. The head is sent once, with the first part of the response."""
 
     def __init__(self, send: Send, connection: ClientConnection, request_id: bytes, is_head: bool) -> None:
         self._send = send
@@ -25,13 +25,13 @@
         return self._started
 
     async def events(self, head: ResponseHead, events: list[Event]) -> None:
-        """Write complete events, in chunks: the length of a stream that may be resumed is not known before."""
+        """Write complete events, without `Content-Length`: the length of a stream that may be resumed is not known."""
         if not self._started:
             await self._start(head.status, _without_length(head))
         await self._write(b"".join([event.raw for event in events]), True)
 
     async def body_chunk(self, head: ResponseHead, data: bytes) -> None:
-        """Write a part of a body whose length is in the head, or which comes in chunks."""
+        """Write a part of a body, with the length or the chunked encoding of the server's response."""
         if not self._started:
             await self._start(head.status, end_to_end_headers(head.headers))
         await self._write(data, True)
@@ -47,14 +47,14 @@
         await self._write(data, False)
 
     async def send_local(self, response: GatewayResponse) -> None:
-        """Write a response of the gateway's own."""
+        """Write a response that the gateway generated, usually an error."""
         if response.close:
             self._connection.close_after_response()
         await self._start(response.status, response.headers(self._request_id))
         await self._write(response.body, False)
 
     async def send_complete(self, status: int, content_type: bytes, body: bytes) -> None:
-        """Write a successful response of the tier itself, with a body."""
+        """Write a successful response that the gateway generated."""
         headers = [(b"content-type", content_type), (b"content-length", b"%d" % len(body))]
         if self._request_id:
             headers.append((b"request-id", self._request_id))
@@ -62,7 +62,7 @@
         await self._write(body, False)
 
     def abort_response(self) -> None:
-        """End a response that was begun so that it cannot look complete."""
+        """End a partly sent response so that the client detects that it is incomplete."""
         self._connection.listener.responses["broken_off"] += 1
         self._connection.abort_response()
 
@@ -79,4 +79,4 @@
 
 
 def _without_length(head: ResponseHead) -> list[Header]:
-    return [item for item in end_to_end_headers(head.headers) if item[0] != b"content-length"]
+    return [header for header in end_to_end_headers(head.headers) if header[0] != b"content-length"]
--- a/emberring/gateway/connect_timeout.py
+++ b/emberring/gateway/connect_timeout.py
@@ -1,44 +1,44 @@
-"""The time-out for opening a connection to a server, learned from connections that were opened.
+"""The timeout for opening a connection to a server, estimated from earlier connections.
 
-A machine that lost power, or that is partitioned, sends nothing: a call that waits for a connection there can still be
-answered in time by another server if the time-out is short. What is usual differs by deployment (zones, regions) and by
-how busy this process is, so the time-out is a multiple of the usual time and not a fixed figure.
+A machine that lost power or is partitioned does not reply at all. With a short timeout, another server can still answer
+the call in time. The usual time to open a connection depends on the deployment (zones, regions) and on the load of this
+process, so the timeout is a multiple of that time and not a constant.
 """
 
 from __future__ import annotations
 
 import attrs
 
-MAX_CONNECT_TIMEOUT_S = 0.3  # also used until `MIN_SAMPLES` connections were opened
-MIN_CONNECT_TIMEOUT_S = 0.08  # shortest time-out
-TIMEOUT_FACTOR = 8.0  # time-out over the usual time
-GAIN = 0.1  # smoothing, of each connection
-MIN_SAMPLES = 8  # opened connections before the estimate is used
+MAX_CONNECT_TIMEOUT_S = 0.3  # also the timeout until `MIN_SAMPLES` connections have been opened
+MIN_CONNECT_TIMEOUT_S = 0.08  # lower limit of the estimated timeout
+TIMEOUT_FACTOR = 8.0  # ratio of the timeout to the mean time
+GAIN = 0.1  # smoothing factor per connection
+MIN_SAMPLES = 8  # connections opened before the estimate is used
 
 
 @attrs.define
 class ConnectTimeoutEstimator:
-    """An estimate of the usual time to open a connection, and the time-out that follows from it."""
+    """Estimates the mean time to open a connection and derives the timeout."""
 
     _mean_s: float = 0.0
     _count: int = 0
 
     def record_connected(self, seconds: float) -> None:
-        """Record that a connection was opened in this time."""
+        """Record how long opening a connection took."""
         self._count += 1
         gain = max(GAIN, 1.0 / self._count)
         self._mean_s += gain * (seconds - self._mean_s)
 
     def record_timeout(self, limit_s: float) -> None:
-        """Record that no connection was opened within this time-out, and lengthen the estimate.
+        """Record that opening a connection timed out, and increase the estimate.
 
-        Otherwise a time-out that had become too short, as this process or the network turned slow, would fail all
-        connections from then on.
+        Without this, a timeout that is too short after the process or the network became slow would fail all
+        further connections.
         """
         self._mean_s += GAIN * max(0.0, limit_s - self._mean_s)
 
     def timeout_s(self, max_s: float = MAX_CONNECT_TIMEOUT_S) -> float:
-        """Return the time-out for the next connection in seconds, at most `max_s`."""
+        """Return the timeout for the next connection in seconds, at most `max_s`."""
         if self._count < MIN_SAMPLES:
             return max_s
         return min(max_s, max(MIN_CONNECT_TIMEOUT_S, TIMEOUT_FACTOR * self._mean_s))
--- a/emberring/gateway/connection_pool.py
+++ b/emberring/gateway/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to model servers, within this gateway's part of each server's `MaxConnections`, last used first."""
+"""Connections to model servers, within this gateway's share of `MaxConnections`; the last used one is reused first."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 from emberring.gateway.connect_timeout import MAX_CONNECT_TIMEOUT_S, ConnectTimeoutEstimator
 from emberring.gateway.upstream import ServerConnection
 
-CONNECT_TIMEOUT_S = MAX_CONNECT_TIMEOUT_S  # upper limit; less where connections are usually opened sooner
-# A server resets a connection beyond its limit right after it was opened. A request that may be sent only once waits
-# for that: as long as opening took, and this much longer.
+CONNECT_TIMEOUT_S = MAX_CONNECT_TIMEOUT_S  # upper limit; the estimated timeout may be shorter
+# A server resets a connection beyond its limit immediately after it was opened. Before a request that is not idempotent
+# is sent, the pool waits for such a reset: for the time that opening the connection took, plus this.
 RESET_GRACE_S = 0.003
-TCP_USER_TIMEOUT_MS = 1500  # a connection with bytes unacknowledged for this long is closed
-DEFAULT_IDLE_TIMEOUT_S = 4.0  # where a server has not sent `Keep-Alive`
-IDLE_MARGIN_S = 1.0  # before the server's idle time-out (in whole seconds) a connection is no longer used
-IDLE_FRACTION = 0.5  # of an idle time-out that is too short for this margin
-SWEEP_S = 1.0  # between two sweeps of idle connections
+TCP_USER_TIMEOUT_MS = 1500  # the kernel closes a connection with data unacknowledged for this long
+DEFAULT_IDLE_TIMEOUT_S = 4.0  # if the server has not sent `Keep-Alive`
+IDLE_MARGIN_S = 1.0  # before the server's idle timeout (whole seconds); connections are no longer used
+IDLE_FRACTION = 0.5  # usable share of an idle timeout that is too short for this margin
+EXPIRY_CHECK_S = 1.0  # interval between two checks of idle connections
 
 
 class ConnectionUnavailable(Enum):
-    """Why there is no connection; in each case no byte was sent."""
+    """Why no connection is available; no byte was sent in either case."""
 
     UNREACHABLE = "unreachable"
     POOL_FULL = "no_room"
 
 
 @attrs.define(eq=False)
-class _Server:
-    """The connections to one incarnation of a server; `idle` has the latest used one last."""
+class _ServerConnections:
+    """The connections to one incarnation of a server; `idle` is ordered by last use, the latest last."""
 
     address: str
     idle: list[ServerConnection] = attrs.field(factory=list)
@@ -46,25 +46,25 @@
 
 
 class ConnectionPool:
-    """All connections to servers, by the id of the incarnation that they were opened for."""
+    """All connections to servers, by incarnation id."""
 
     def __init__(self) -> None:
-        self._servers: dict[str, _Server] = {}
+        self._servers: dict[str, _ServerConnections] = {}
         self._limit: Callable[[str], int] = lambda server_id: 1
-        self._sweep_timer: asyncio.TimerHandle | None = None
+        self._expiry_timer: asyncio.TimerHandle | None = None
         self._connect_timeout = ConnectTimeoutEstimator()
         self.opened_total = 0
-        self.last_unreachable_s = 0.0  # when a connection last failed to open (the event loop's time)
+        self.last_unreachable_s = 0.0  # when opening a connection last failed (the event loop's time)
 
     def set_limits(self, limit: Callable[[str], int]) -> None:
-        """Set how many connections this gateway may hold to a server, by its id, and close idle ones beyond."""
+        """Set the limit of connections per server id, and close idle connections beyond it."""
         self._limit = limit
         for server_id, server in self._servers.items():
             while server.idle and server.size > limit(server_id):
                 server.idle.pop(0).retire()
 
     def keep_only(self, usable: Callable[[str], bool]) -> None:
-        """Close idle connections to servers that get nothing new; those in use are closed when released."""
+        """Close the idle connections to servers for which `usable` returns False."""
         for server_id in list(self._servers):
             if not usable(server_id):
                 self.close_idle(server_id)
@@ -93,38 +93,38 @@
     async def acquire(
         self, server_id: str, address: str, request_id: bytes, verify: bool
     ) -> ServerConnection | ConnectionUnavailable:
-        """Return an unused connection: an idle one that still stands, or a new one.
+        """Return a connection without a pending request: an idle one that is still open, or a new one.
 
         Args:
             server_id: id of the server's incarnation.
             address: its `ip:port`.
-            request_id: id of the request to be sent. A connection on which a request of this id has failed is not used:
-                a late duplicate of that response could not be told from the response to come.
-            verify: whether to wait until a new connection was not reset right after it was opened.
+            request_id: id of the request to be sent. A connection on which a request with this id failed is not used,
+                because a late duplicate of that response cannot be distinguished from the new one.
+            verify: whether to wait after opening a connection, to detect a reset by a server that is at its limit.
         """
-        server = self._servers.setdefault(server_id, _Server(address))
-        found = self._take_idle(server, request_id)
-        if found is not None:
-            return found
+        server = self._servers.setdefault(server_id, _ServerConnections(address))
+        idle_connection = self._take_idle(server, request_id)
+        if idle_connection is not None:
+            return idle_connection
         if server.size >= max(1, self._limit(server_id)) and not self._evict_idle(server):
             return ConnectionUnavailable.POOL_FULL
         return await self._open(server, verify)
 
     @staticmethod
-    def _take_idle(server: _Server, request_id: bytes) -> ServerConnection | None:
-        now = asyncio.get_running_loop().time()
+    def _take_idle(server: _ServerConnections, request_id: bytes) -> ServerConnection | None:
+        now_s = asyncio.get_running_loop().time()
         while server.idle:
             connection = server.idle.pop()
             if request_id in connection.failed_request_ids:
                 connection.retire()
                 continue
-            if now - connection.idle_since < _idle_limit(connection) and connection.usable:
+            if now_s - connection.idle_since < _idle_limit_s(connection) and connection.usable:
                 return connection
             connection.retire()
         return None
 
     @staticmethod
-    def _evict_idle(server: _Server) -> bool:
+    def _evict_idle(server: _ServerConnections) -> bool:
         if not server.idle:
             return False
         connection = server.idle.pop(0)
@@ -132,29 +132,31 @@
         connection.retire()
         return True
 
-    async def _open(self, server: _Server, verify: bool) -> ServerConnection | ConnectionUnavailable:
+    async def _open(
+        self, server: _ServerConnections, verify: bool
+    ) -> ServerConnection | ConnectionUnavailable:
         loop = asyncio.get_running_loop()
         host, _, port = server.address.rpartition(":")
         server.opening += 1
-        began = loop.time()
-        limit_s = self._connect_timeout.timeout_s(CONNECT_TIMEOUT_S)
+        began_s = loop.time()
+        timeout_s = self._connect_timeout.timeout_s(CONNECT_TIMEOUT_S)
         try:
-            async with asyncio.timeout(limit_s) as limit:
+            async with asyncio.timeout(timeout_s) as limit:
                 transport, connection = await loop.create_connection(
                     lambda: ServerConnection(server.open.discard), host, int(port)
                 )
-            self._connect_timeout.record_connected(loop.time() - began)
+            self._connect_timeout.record_connected(loop.time() - began_s)
             if verify:
-                await _wait_for_reset(connection, loop.time() - began + RESET_GRACE_S)
+                await _wait_for_reset(connection, loop.time() - began_s + RESET_GRACE_S)
         except (OSError, TimeoutError):
             if limit.expired():
-                self._connect_timeout.record_timeout(limit_s)
+                self._connect_timeout.record_timeout(timeout_s)
             self.last_unreachable_s = loop.time()
             return ConnectionUnavailable.UNREACHABLE
         finally:
             server.opening -= 1
         self.opened_total += 1
-        if not connection.usable:  # reset at once, as servers do beyond their limit
+        if not connection.usable:  # reset by a server that is at its limit
             connection.abort()
             return ConnectionUnavailable.UNREACHABLE
         _set_socket_options(transport)
@@ -162,7 +164,7 @@
         return connection
 
     def release(self, server_id: str, connection: ServerConnection) -> None:
-        """Return a connection whose response is complete; it becomes idle, or is closed."""
+        """Release a connection whose response is complete; it becomes idle or is closed."""
         server = self._servers.get(server_id)
         if server is None or not connection.usable or server.size > self._limit(server_id):
             connection.retire()
@@ -170,26 +172,26 @@
         loop = asyncio.get_running_loop()
         connection.idle_since = loop.time()
         server.idle.append(connection)
-        if self._sweep_timer is None:
-            self._sweep_timer = loop.call_later(SWEEP_S, self._sweep)
+        if self._expiry_timer is None:
+            self._expiry_timer = loop.call_later(EXPIRY_CHECK_S, self._close_expired)
 
-    def _sweep(self) -> None:
-        """Close the connections that have been idle for too long."""
+    def _close_expired(self) -> None:
+        """Close the connections whose idle time limit has passed."""
         loop = asyncio.get_running_loop()
-        now = loop.time()
-        self._sweep_timer = None
+        now_s = loop.time()
+        self._expiry_timer = None
         for server_id, server in list(self._servers.items()):
-            while server.idle and now - server.idle[0].idle_since >= _idle_limit(server.idle[0]):
+            while server.idle and now_s - server.idle[0].idle_since >= _idle_limit_s(server.idle[0]):
                 server.idle.pop(0).retire()
             if not server.size:
                 del self._servers[server_id]
         if any(server.idle for server in self._servers.values()):
-            self._sweep_timer = loop.call_later(SWEEP_S, self._sweep)
+            self._expiry_timer = loop.call_later(EXPIRY_CHECK_S, self._close_expired)
 
     def close(self) -> None:
         """Abort all connections."""
-        if self._sweep_timer is not None:
-            self._sweep_timer.cancel()
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
         for server in self._servers.values():
             for connection in list(server.open):
                 connection.abort()
@@ -204,11 +206,11 @@
         raise
 
 
-def _idle_limit(connection: ServerConnection) -> float:
-    granted = connection.keep_alive_s
-    if granted is None:
+def _idle_limit_s(connection: ServerConnection) -> float:
+    server_timeout_s = connection.keep_alive_s
+    if server_timeout_s is None:
         return DEFAULT_IDLE_TIMEOUT_S
-    return max(granted - IDLE_MARGIN_S, granted * IDLE_FRACTION)
+    return max(server_timeout_s - IDLE_MARGIN_S, server_timeout_s * IDLE_FRACTION)
 
 
 def _set_socket_options(transport: asyncio.Transport) -> None:
--- a/emberring/gateway/execution.py
+++ b/emberring/gateway/execution.py
@@ -1,4 +1,4 @@
-"""Execution of calls at the model servers: live requests with all their attempts, batch items with one attempt each."""
+"""Executes calls at the model servers: live requests with retries, batch items with one attempt each."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
 from emberring.gateway.routable_servers import RoutableServers
 from emberring.jobs.items import ItemCall, ItemEvent, ItemOutcome, OutcomeKind
 
-# For calls that may be retried at another server. Clients leave after 2 s of silence at the earliest; a server that
-# sends on other connections is working on earlier requests.
+# For calls that may be retried at another server. Clients disconnect after 2 s without data at the earliest. A server
+# that sends on other connections is still processing earlier requests, so it gets more time.
 LIVE_RESPONSE_TIMEOUTS = ResponseTimeouts(unresponsive_server_s=1.1, active_server_s=10.0)
 ITEM_RESPONSE_TIMEOUTS = ResponseTimeouts(unresponsive_server_s=2.5, active_server_s=10.0)
-ISOLATED_AFTER_S = 1.0  # without a byte from any server, while connections to them fail
-ITEM_LIMIT_S = 60.0  # an item that still runs after this is retried later
+ISOLATED_AFTER_S = 1.0  # without a byte from any server while connections fail
+ITEM_LIMIT_S = 60.0  # an attempt of a batch item is cancelled after this time; the item is retried later
 
 
 class LiveReceiver(Receiver, Protocol):
-    """The client's end of a live request."""
+    """The destination of the response to a live request."""
 
     def abort_response(self) -> None:
-        """End a response that was begun so that it cannot look complete."""
+        """End a partly sent response so that the client detects that it is incomplete."""
 
 
 class Executor:
-    """All calls of this process. A call counts in admission from `offer` until its attempt has ended."""
+    """Runs all calls of this process. A call counts in admission from `offer` until its attempt has ended."""
 
     def __init__(self, admission: AdmissionPort, pool: ConnectionPool, servers: RoutableServers) -> None:
         self._admission = admission
@@ -45,7 +45,7 @@
         self._pool = pool
         self._activity = ServerActivity()
         self._context = AttemptContext(pool, admission, self._activity, servers.routable)
-        self._numbers = count(1)
+        self._call_numbers = count(1)
         self.on_misdirected: Callable[[], None] = lambda: None
 
     # ----------------------------------------------------------------- live requests
@@ -55,18 +55,18 @@
     ) -> GatewayResponse | None:
         """Execute a live request.
 
-        Returns the response that is still to be sent; None if the receiver already has the response.
+        Returns a response of the gateway itself that must still be sent; None if the receiver got the response.
         """
         call = self._live_call(request, route)
-        budget = _Progress(AttemptBudget(route.max_attempts, route.may_repeat))
+        progress = _Progress(AttemptBudget(route.max_attempts, route.may_repeat))
         try:
             async with asyncio.timeout_at(call.deadline_s):
-                return await self._serve(call, route, receiver, budget)
+                return await self._run_attempts(call, route, receiver, progress)
         except TimeoutError:
             if receiver.started:
                 receiver.abort_response()
                 return None
-            if budget.value.certainly_not_executed and not call.possibly_sent:
+            if progress.value.certainly_not_executed and not call.possibly_sent:
                 return GatewayResponse(503, "no server took it in time", DEFAULT_RETRY_AFTER_S)
             return GatewayResponse(504, "no answer in time")
 
@@ -77,27 +77,27 @@
             limit_ms = min(limit_ms, deadline_ms)
         resume_after = request.header(b"last-event-id")
         return UpstreamCall(
-            id=f"r{next(self._numbers)}",
+            id=f"r{next(self._call_numbers)}",
             request=request,
             idempotent=route.may_repeat,
             deadline_s=request.arrived_s + limit_ms / 1000.0,
             last_event_id=int(resume_after) if resume_after and resume_after.isdigit() else None,
         )
 
-    async def _serve(
+    async def _run_attempts(
         self, call: UpstreamCall, route: Route, receiver: LiveReceiver, progress: _Progress
     ) -> GatewayResponse | None:
         excluded: set[str] = set()
-        broken: set[str] = set()  # excluded servers that may be retried if there is no other one
+        broken_servers: set[str] = set()  # excluded servers that may be used again if no other server is left
         last: AttemptResult | None = None
         while True:
             decision = self._offer(call, route, excluded, admitted=last is not None)
-            if isinstance(decision, NoServer) and broken:
-                excluded -= broken
-                broken.clear()
+            if isinstance(decision, NoServer) and broken_servers:
+                excluded -= broken_servers
+                broken_servers.clear()
                 decision = self._offer(call, route, excluded, admitted=True)
             if not isinstance(decision, Admitted):
-                return await self._give_up(receiver, progress, last, decision)
+                return await self._respond_to_failure(receiver, progress, last, decision)
             excluded.add(decision.server_id)
             last = await self._attempt(
                 call, decision.server_id, receiver, self._response_timeouts(route, progress)
@@ -107,20 +107,20 @@
                     await receiver.end(last.head, last.body)
                 return None
             if last.outcome is CallOutcome.BROKEN:
-                broken.add(decision.server_id)
+                broken_servers.add(decision.server_id)
             progress.value = progress.value.after(last.outcome)
             resumable = not receiver.started or (route.resumable and call.last_event_id is not None)
             if not resumable or not progress.value.allows_another(last.outcome):
-                return await self._give_up(receiver, progress, last, None)
+                return await self._respond_to_failure(receiver, progress, last, None)
             call.resumed = receiver.started
 
     @staticmethod
     def _response_timeouts(route: Route, progress: _Progress) -> ResponseTimeouts | None:
-        """Return the time-outs of the next attempt: none unless another server may be tried after it."""
-        another = route.may_repeat and progress.value.executed + 1 < route.max_attempts
-        return LIVE_RESPONSE_TIMEOUTS if another else None
+        """Return the timeouts of the next attempt; None if no retry is possible after it."""
+        retry_possible = route.may_repeat and progress.value.executed + 1 < route.max_attempts
+        return LIVE_RESPONSE_TIMEOUTS if retry_possible else None
 
-    async def _give_up(
+    async def _respond_to_failure(
         self,
         receiver: LiveReceiver,
         progress: _Progress,
@@ -133,7 +133,7 @@
         if progress.value.certainly_not_executed:
             return GatewayResponse(503, "not taken", _retry_after_s(decision, last))
         failed = last.head if last is not None and last.outcome is CallOutcome.FAILED else None
-        # A status that guarantees what the server did not guarantee is not forwarded.
+        # The client reads such a status as "not executed", which the server did not guarantee.
         if last is not None and failed is not None and failed.status not in NOT_EXECUTED_STATUSES:
             await receiver.end(failed, last.body)
             return None
@@ -142,7 +142,7 @@
         return GatewayResponse(502, "the server's answer broke off or was none")
 
     def isolated(self, now_s: float) -> bool:
-        """Return whether connections to servers fail and no server has answered since, for `ISOLATED_AFTER_S`."""
+        """Return whether connections fail and no server has sent a byte for `ISOLATED_AFTER_S`."""
         return (
             self._pool.last_unreachable_s > self._activity.latest_s
             and now_s - self._activity.latest_s > ISOLATED_AFTER_S
@@ -151,14 +151,14 @@
     # ---------------------------------------------------------------- batch items
 
     def batch_room(self) -> int:
-        """Return how many more batch items admission would take now."""
+        """Return how many more batch items would be admitted now."""
         return self._admission.batch_room(asyncio.get_running_loop().time())
 
     async def run_item(self, item: ItemCall, on_events: Callable[[list[ItemEvent]], None]) -> ItemOutcome:
-        """Run a batch item once, at one server."""
+        """Run one attempt of a batch item."""
         loop = asyncio.get_running_loop()
         call = UpstreamCall(
-            id=f"i{next(self._numbers)}",
+            id=f"i{next(self._call_numbers)}",
             request=item_request(item, loop.time()),
             idempotent=True,
             deadline_s=loop.time() + ITEM_LIMIT_S,
@@ -180,7 +180,7 @@
             return ItemOutcome(OutcomeKind.BROKEN)
         return item_outcome(result)
 
-    # ---------------------------------------------------------------- live and batch
+    # ---------------------------------------------------------------- both
 
     def _offer(
         self,
@@ -190,7 +190,7 @@
         admitted: bool = False,
         due_s: float | None = None,
     ) -> Decision:
-        """Offer a call to admission; `due_s` is when an item is due, None for a live request."""
+        """Offer a call to admission; `due_s` is when a batch item is due, and None for a live request."""
         request = call.request
         batch = due_s is not None
         service = choose_service(route, request.request_id, self._servers.has_servers)
@@ -229,19 +229,19 @@
         return result
 
     def forget_absent(self, present: set[str]) -> None:
-        """Drop what is stored about servers that no longer exist."""
+        """Remove the state of servers that no longer exist."""
         self._activity.keep_only(present)
 
 
 class _Progress:
-    """The attempt budget of a live request, stored where the time-out handler can read it."""
+    """The attempt budget of a live request, mutable so that the timeout handler of `run_live` sees its latest value."""
 
     def __init__(self, value: AttemptBudget) -> None:
         self.value = value
 
 
 def _retry_after_s(decision: Decision | None, last: AttemptResult | None) -> float:
-    """Return after how many seconds a refused request may be retried."""
+    """Return after how many seconds the client may retry a refused request."""
     if isinstance(decision, Refused):
         return max(0.001, decision.retry_after_s)
     retry_after = last.head.header(b"retry-after") if last is not None and last.head is not None else None
--- a/emberring/gateway/items.py
+++ b/emberring/gateway/items.py
@@ -1,4 +1,4 @@
-"""Batch items as calls: the request that a server gets, the events handed on, how the run ended."""
+"""Batch items as calls: the request to the server, the forwarding of events, the outcome."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from emberring.jobs.items import ItemCall, ItemEvent, ItemOutcome, OutcomeKind
 
 UNPROCESSABLE_STATUS = 422
-FAILED_STATUS = 500
+EXECUTION_FAILED_STATUS = 500
 
-_NOT_RUN = frozenset(
+_NOT_RUN_OUTCOMES = frozenset(
     (CallOutcome.FULL, CallOutcome.WRONG_SERVER, CallOutcome.CONNECT_FAILED, CallOutcome.NOT_SENT)
 )
 
 
 def item_request(item: ItemCall, now_s: float) -> ClientRequest:
-    """Return the request of an item: a `POST` of its body with its own headers, its id as `Request-Id`."""
+    """Return the request of an item: a `POST` of its body with its headers, and its id as `Request-Id`."""
     headers = [
         (name.lower().encode("latin-1"), value.encode("latin-1"))
         for name, value in item.headers
@@ -36,22 +36,22 @@
     )
 
 
-def item_outcome(ended: AttemptResult) -> ItemOutcome:
-    """Return what the result of an attempt means for an item."""
-    if ended.outcome in _NOT_RUN:
+def item_outcome(result: AttemptResult) -> ItemOutcome:
+    """Return the outcome of an item for the result of its attempt."""
+    if result.outcome in _NOT_RUN_OUTCOMES:
         return ItemOutcome(OutcomeKind.NOT_RUN)
-    status = ended.head.status if ended.head else 0
+    status = result.head.status if result.head else 0
     if status == UNPROCESSABLE_STATUS:
         return ItemOutcome(OutcomeKind.IMPOSSIBLE_422)
-    if status == FAILED_STATUS:
+    if status == EXECUTION_FAILED_STATUS:
         return ItemOutcome(OutcomeKind.FAILED_500)
-    if ended.outcome is CallOutcome.COMPLETED and ended.head is None:
+    if result.outcome is CallOutcome.COMPLETED and result.head is None:
         return ItemOutcome(OutcomeKind.COMPLETED)
     return ItemOutcome(OutcomeKind.BROKEN)
 
 
 class ItemReceiver:
-    """Hands on an item's events as they arrive."""
+    """Forwards the events of an item as they arrive."""
 
     def __init__(self, on_events: Callable[[list[ItemEvent]], None]) -> None:
         self._on_events = on_events
@@ -59,22 +59,22 @@
 
     @property
     def started(self) -> bool:
-        """Whether events were handed on."""
+        """Whether events were received."""
         return self._started
 
     async def events(self, head: ResponseHead, events: list[Event]) -> None:
-        """Hand on complete events; those without an id carry no text of the item."""
+        """Forward complete events; those without an id have no text of the item and are skipped."""
         self._started = True
-        found = [
+        item_events = [
             ItemEvent(event.id, event.data.decode("utf-8", "replace"))
             for event in events
             if event.id is not None
         ]
-        if found:
-            self._on_events(found)
+        if item_events:
+            self._on_events(item_events)
 
     async def body_chunk(self, head: ResponseHead, data: bytes) -> None:
-        """Ignore a part of a response that is not a stream: it holds no events."""
+        """Ignore a part of a response that is not a stream, because it has no events."""
 
     async def end(self, head: ResponseHead, data: bytes) -> None:
-        """Do nothing: all events have been handed on."""
+        """Do nothing: all events have already been forwarded."""
--- a/emberring/gateway/messages.py
+++ b/emberring/gateway/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses as the gateway handles them, and their HTTP/1.1 form towards servers. No sockets."""
+"""Requests and responses in the gateway, and the HTTP/1.1 form of requests to servers. No I/O."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 Header = tuple[bytes, bytes]
 
-# Headers that concern one connection (RFC 9110, section 7.6.1), and those that are written anew for each send.
+# Hop-by-hop headers (RFC 9110, section 7.6.1).
 CONNECTION_HEADERS = frozenset(
     (
         b"connection",
@@ -20,6 +20,7 @@
         b"upgrade",
     )
 )
+# End-to-end headers that the gateway sets itself in each request to a server.
 _REWRITTEN = frozenset(
     (b"content-length", b"expect", b"host", b"expected-instance", b"deadline-ms", b"last-event-id")
 )
@@ -29,7 +30,7 @@
 
 @attrs.frozen
 class ClientRequest:
-    """A request that was received completely.
+    """A request from a client.
 
     Args:
         target: path and query as received.
@@ -50,7 +51,7 @@
         return self.target.partition(b"?")[0].decode("latin-1")
 
     def header(self, name: bytes) -> bytes | None:
-        """Return the first value under this lower-case name; None if there is none."""
+        """Return the first value of the header with this lower-case name; None if there is none."""
         return first_header(self.headers, name)
 
     @property
@@ -61,44 +62,44 @@
 
     @property
     def request_id(self) -> bytes:
-        """The id that the client gave this request; empty if it gave none."""
+        """The `Request-Id` header; empty if there is none."""
         return self.header(b"request-id") or b""
 
 
 @attrs.frozen
 class ResponseHead:
-    """The head of a server's response. Header names are in lower case; `length` is None if the body is chunked."""
+    """The head of a server's response, with header names in lower case. `length` is None without `Content-Length`."""
 
     status: int
     headers: tuple[Header, ...]
     length: int | None
 
     def header(self, name: bytes) -> bytes | None:
-        """Return the first value under this lower-case name; None if there is none."""
+        """Return the first value of the header with this lower-case name; None if there is none."""
         return first_header(self.headers, name)
 
     @property
     def is_event_stream(self) -> bool:
-        """Whether the body is a sequence of server-sent events."""
-        kind = self.header(b"content-type")
-        return kind is not None and kind.lower().startswith(b"text/event-stream")
+        """Whether the body is a stream of server-sent events."""
+        content_type = self.header(b"content-type")
+        return content_type is not None and content_type.lower().startswith(b"text/event-stream")
 
 
 def first_header(headers: tuple[Header, ...], name: bytes) -> bytes | None:
-    """Return the first value under this lower-case name; None if there is none."""
-    for found, value in headers:
-        if found == name:
+    """Return the first value of the header with this lower-case name; None if there is none."""
+    for header_name, value in headers:
+        if header_name == name:
             return value
     return None
 
 
 def end_to_end_headers(headers: tuple[Header, ...]) -> list[Header]:
-    """Return the headers to forward: all but hop-by-hop headers and those that `Connection` names."""
-    named = set(CONNECTION_HEADERS)
+    """Return the headers to forward: all except hop-by-hop headers and those listed in `Connection`."""
+    excluded = set(CONNECTION_HEADERS)
     for name, value in headers:
         if name == b"connection":
-            named.update(token.strip().lower() for token in value.split(b","))
-    return [(name, value) for name, value in headers if name not in named]
+            excluded.update(token.strip().lower() for token in value.split(b","))
+    return [(name, value) for name, value in headers if name not in excluded]
 
 
 def render_request(
@@ -108,9 +109,9 @@
 
     Args:
         request: the client's request.
-        server_id: the incarnation that must answer it.
-        remaining_ms: time left for the request; None: the client's `Deadline-Ms` is forwarded.
-        last_event_id: event after which a stream is resumed; None: the client's `Last-Event-Id` is forwarded.
+        server_id: id of the server incarnation that must answer it.
+        remaining_ms: time left for the request; if None, the client's `Deadline-Ms` is forwarded.
+        last_event_id: event after which a stream is resumed; if None, the client's `Last-Event-Id` is forwarded.
     """
     lines = [
         request.method + b" " + request.target + b" HTTP/1.1",
--- a/emberring/gateway/ports.py
+++ b/emberring/gateway/ports.py
@@ -1,4 +1,4 @@
-"""The interfaces that the gateway needs of other packages, as they are used here."""
+"""The interfaces of other packages that the gateway depends on."""
 
 from __future__ import annotations
 
@@ -11,38 +11,38 @@
 
 
 class Directory(Protocol):
-    """The latest configuration and the model servers, as known from the control nodes."""
+    """The latest configuration and model servers that the control nodes have reported."""
 
     @property
     def configuration(self) -> Configuration | None:
-        """The configuration in force; None until one chosen by a quorum is known."""
+        """The current configuration; None until one that a quorum has chosen is known."""
 
     @property
     def servers(self) -> Mapping[str, ServerRecord]:
-        """The servers by the id of their incarnation, draining ones included."""
+        """The servers by incarnation id, draining ones included."""
 
     @property
     def gateway_count(self) -> int:
-        """Live gateways, this one included."""
+        """The number of live gateways, this one included."""
 
 
 class AdmissionPort(Protocol):
-    """Admission control, as every attempt uses it."""
+    """Admission control as used by attempts."""
 
     def offer(self, now_s: float, call: CallInfo) -> Decision:
-        """Decide whether a call is taken, and by which server."""
+        """Decide whether a call is admitted, and to which server."""
 
     def started(self, now_s: float, call_id: str, server_id: str) -> None:
-        """Record that the request has been sent."""
+        """Record that the request of a call has been sent."""
 
     def first_event(self, now_s: float, call_id: str) -> None:
-        """Record the first event, or the head of a response that is not a stream."""
+        """Record the first event of a streamed response, or the head of any other response."""
 
     def progress(self, now_s: float, call_id: str) -> None:
-        """Record later events."""
+        """Record later events of a streamed response."""
 
     def finished(self, now_s: float, call_id: str, outcome: CallOutcome) -> None:
-        """Record how the attempt ended."""
+        """Record how an attempt ended."""
 
     def batch_room(self, now_s: float) -> int:
         """Return how many more batch items would be admitted now."""
--- a/emberring/gateway/readiness.py
+++ b/emberring/gateway/readiness.py
@@ -1,4 +1,4 @@
-"""Whether this gateway reports itself ready, and the page of its metrics."""
+"""The readiness of this gateway, and the HTTP pages of readiness and metrics."""
 
 from __future__ import annotations
 
@@ -10,52 +10,52 @@
 
 READY_PATH = "/v1/readyz"
 METRICS_PATH = "/metrics"
-SERVERS_WAIT_S = 2.0  # with a configuration and no server known, the gateway is ready after this time
+SERVERS_WAIT_S = 2.0  # with a configuration but no known server, the gateway becomes ready after this time
 
 
 class Readiness:
     """The readiness of this gateway.
 
-    It is not ready until a configuration chosen by a quorum and its servers are known. From then on it is ready until
-    shutdown, except while this node is partitioned from the control nodes and from the servers alike.
+    The gateway becomes ready when a configuration chosen by a quorum and a server are known. Then it stays ready until
+    shutdown, except while it is partitioned from both the control nodes and the servers.
     """
 
     def __init__(self, directory: Directory, isolated: Callable[[], bool] = lambda: False) -> None:
         self._directory = directory
         self._isolated = isolated
-        self._configured_s: float | None = None
+        self._configuration_known_s: float | None = None
         self._was_ready = False
         self.shutting_down = False
 
     def ready(self, now_s: float) -> bool:
-        """Return whether new connections should come here."""
+        """Return whether this gateway should get new connections."""
         if self.shutting_down or self._directory.configuration is None:
             return False
-        if self._configured_s is None:
-            self._configured_s = now_s
+        if self._configuration_known_s is None:
+            self._configuration_known_s = now_s
         if not self._was_ready:
-            waited = now_s - self._configured_s >= SERVERS_WAIT_S
+            waited = now_s - self._configuration_known_s >= SERVERS_WAIT_S
             self._was_ready = bool(self._directory.servers) or waited
         return self._was_ready and not self._isolated()
 
 
 def render_metrics(metrics: Mapping[str, float]) -> bytes:
-    """Return metrics in the text format of Prometheus; those that end in `_total` are counters."""
+    """Return the metrics in the Prometheus text format; names that end in `_total` are counters."""
     lines = []
-    typed = set()
+    families_seen = set()
     for name, value in metrics.items():
         family = name.partition("{")[0]
-        if family not in typed:
-            typed.add(family)
-            kind = "counter" if family.endswith("_total") else "gauge"
-            lines.append(f"# TYPE emberring_gateway_{family} {kind}\n")
-        shown = "+Inf" if value == math.inf else f"{value:g}"
-        lines.append(f"emberring_gateway_{name} {shown}\n")
+        if family not in families_seen:
+            families_seen.add(family)
+            metric_type = "counter" if family.endswith("_total") else "gauge"
+            lines.append(f"# TYPE emberring_gateway_{family} {metric_type}\n")
+        text = "+Inf" if value == math.inf else f"{value:g}"
+        lines.append(f"emberring_gateway_{name} {text}\n")
     return "".join(lines).encode()
 
 
 class ReadinessPages:
-    """An ASGI application with the pages of readiness and metrics."""
+    """An ASGI application that serves the readiness and metrics pages."""
 
     def __init__(self, ready: Callable[[], bool], metrics: Callable[[], Mapping[str, float]]) -> None:
         self._ready = ready
--- a/emberring/gateway/response.py
+++ b/emberring/gateway/response.py
@@ -1,4 +1,4 @@
-"""A server's response on its way to one consumer: buffered within a limit, with time-outs for silence."""
+"""A server's response, buffered for one consumer, with backpressure and timeouts for unresponsive servers."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from emberring.gateway.messages import ResponseHead
 from emberring.gateway.upstream import ServerConnection
 
-HIGH_WATER_BYTES = 64 * 1024  # buffered and not taken; above this the server is read no more
+HIGH_WATER_BYTES = 64 * 1024  # buffered; above this, reading from the server is paused
 
 
 @attrs.frozen
 class ResponseTimeouts:
-    """How long a server may send nothing before the attempt is given up.
+    """How long a server may send nothing before the attempt is abandoned.
 
     Args:
         unresponsive_server_s: limit if the server sends nothing on any connection.
@@ -33,26 +33,26 @@
         self._received_s: dict[str, float] = {}
 
     def record(self, server_id: str, now_s: float) -> None:
-        """Record that bytes came from this server."""
+        """Record that bytes were received from this server."""
         self._received_s[server_id] = now_s
 
     def last_received_s(self, server_id: str) -> float:
-        """Return when bytes last came from this server; 0 if never."""
+        """Return when bytes were last received from this server; 0 if never."""
         return self._received_s.get(server_id, 0.0)
 
     @property
     def latest_s(self) -> float:
-        """When bytes last came from any server; 0 if never."""
+        """When bytes were last received from any server; 0 if never."""
         return max(self._received_s.values(), default=0.0)
 
     def keep_only(self, server_ids: set[str]) -> None:
-        """Drop all other servers."""
+        """Remove all other servers."""
         for server_id in self._received_s.keys() - server_ids:
             del self._received_s[server_id]
 
 
 class PendingResponse:
-    """The response to one request, for one consumer, which takes what has arrived and awaits `wait_for_change`."""
+    """The response to one request. Its consumer calls `read_buffered` and awaits `wait_for_change` in turn."""
 
     def __init__(self, connection: ServerConnection, server_id: str, activity: ServerActivity) -> None:
         self._connection = connection
@@ -80,7 +80,7 @@
         self._record_receipt()
 
     def body(self, data: bytes) -> None:
-        """Buffer a part of the body; above `HIGH_WATER_BYTES` the connection is paused."""
+        """Buffer a part of the body; above `HIGH_WATER_BYTES`, reading from the connection is paused."""
         self._chunks.append(data)
         self._buffered_bytes += len(data)
         if self._buffered_bytes > HIGH_WATER_BYTES and not self._paused:
@@ -94,24 +94,24 @@
         self._record_receipt()
 
     def lost(self, sent: bool) -> None:
-        """Record that the response broke off."""
+        """Record that the connection was lost before the response was complete."""
         self.broken = True
-        self._wake()
+        self._wake_consumer()
 
     # ------------------------------------------------------------------- for the consumer
 
     @property
     def finished(self) -> bool:
-        """Whether nothing more will arrive."""
+        """Whether no more data will arrive."""
         return self.completed or self.broken or self.timed_out
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes that have arrived and were not taken."""
+        """The number of bytes that have arrived and were not read."""
         return self._buffered_bytes
 
-    def take(self) -> bytes:
-        """Return what has arrived of the body since the last call, and let a paused connection read on."""
+    def read_buffered(self) -> bytes:
+        """Return the part of the body received since the last call, and resume a paused connection."""
         if not self._chunks:
             return b""
         data = self._chunks.popleft() if len(self._chunks) == 1 else b"".join(self._chunks)
@@ -119,12 +119,12 @@
         self._buffered_bytes = 0
         if self._paused:
             self._paused = False
-            self.last_received_s = self._loop.time()  # the silence until now was caused by this gateway
+            self.last_received_s = self._loop.time()  # the pause is not silence of the server
             self._connection.resume()
         return data
 
     async def wait_for_change(self) -> None:
-        """Wait until something more has arrived or is known."""
+        """Wait until more data has arrived or the response has finished."""
         self._waiter = self._loop.create_future()
         try:
             await self._waiter
@@ -132,13 +132,13 @@
             self._waiter = None
 
     async def wait_for_head(self) -> ResponseHead | None:
-        """Wait for the head of the response and return it; None if there will be none."""
+        """Wait for the head of the response and return it; None if the response finished without one."""
         while self.response_head is None and not self.finished:
             await self.wait_for_change()
         return self.response_head
 
     def set_timeouts(self, timeouts: ResponseTimeouts | None) -> None:
-        """Give the response up after these silences; None: never."""
+        """Set the timeouts of the response; None: no timeouts."""
         self._timeouts = timeouts
         if self._timer is not None:
             self._timer.cancel()
@@ -147,7 +147,7 @@
             self._timer = self._loop.call_later(timeouts.unresponsive_server_s, self._check_silence)
 
     def close(self) -> None:
-        """Stop the time-outs and let a paused connection read on: the consumer is done."""
+        """Stop the timeouts and resume a paused connection; called when the consumer has finished."""
         self.set_timeouts(None)
         if self._paused:
             self._paused = False
@@ -159,9 +159,9 @@
         self.received_any = True
         self.last_received_s = self._loop.time()
         self._activity.record(self._server_id, self.last_received_s)
-        self._wake()
+        self._wake_consumer()
 
-    def _wake(self) -> None:
+    def _wake_consumer(self) -> None:
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
@@ -170,19 +170,19 @@
         timeouts = self._timeouts
         if timeouts is None or self.finished:
             return
-        now = self._loop.time()
-        silence_s = 0.0 if self._buffered_bytes else now - self.last_received_s
+        now_s = self._loop.time()
+        silence_s = 0.0 if self._buffered_bytes else now_s - self.last_received_s
         unresponsive = self._activity.last_received_s(self._server_id) <= self.last_received_s
         limit_s = timeouts.unresponsive_server_s if unresponsive else timeouts.active_server_s
         if silence_s >= limit_s:
             self.timed_out = True
-            self._wake()
+            self._wake_consumer()
             return
-        step_s = (
+        next_check_s = (
             timeouts.unresponsive_server_s - silence_s
             if silence_s < timeouts.unresponsive_server_s
             else timeouts.active_server_s - silence_s
         )
         self._timer = self._loop.call_later(
-            max(0.01, min(step_s, timeouts.unresponsive_server_s)), self._check_silence
+            max(0.01, min(next_check_s, timeouts.unresponsive_server_s)), self._check_silence
         )
--- a/emberring/gateway/responses.py
+++ b/emberring/gateway/responses.py
@@ -1,4 +1,4 @@
-"""The meaning of servers' responses, and the responses that the gateway gives itself. Pure functions."""
+"""Classification of servers' responses, and the responses that the gateway generates. Pure functions."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 NOT_EXECUTED_STATUSES = frozenset(
     (408, 421, 429, 503)
-)  # they guarantee to a client that nothing was or will be executed
+)  # guarantee to the client that the request was not and will not be executed
 EXECUTED_FAILURE_STATUSES = frozenset((500, 502, 504))  # failures of requests that may have been executed
-DEFAULT_RETRY_AFTER_S = 0.2  # after a failure that says nothing about load
+DEFAULT_RETRY_AFTER_S = 0.2  # after a failure without load information
 
 
 class ResponseClass(Enum):
-    """What is done with a response whose head has arrived."""
+    """The class of a response by its head, which determines how the gateway handles it."""
 
     FORWARD = "pass_on"
     FULL = "full"
@@ -28,7 +28,7 @@
 
 
 def classify_response(head: ResponseHead) -> ResponseClass:
-    """Return what a server's response means.
+    """Return the class of a server's response.
 
     Only `Not-Executed` and status 421 guarantee that the request was not executed.
     """
@@ -55,7 +55,7 @@
 
 @attrs.frozen
 class GatewayResponse:
-    """A response of the gateway's own: never with a server's signature, its body one line."""
+    """A response that the gateway generated: it has no server signature, and its body is one line of text."""
 
     status: int
     detail: str = ""
@@ -64,11 +64,11 @@
 
     @property
     def body(self) -> bytes:
-        """One line for a person."""
+        """The body: one line of text for a human reader."""
         return (self.detail + "\n").encode() if self.detail else b""
 
     def headers(self, request_id: bytes) -> list[Header]:
-        """Return the headers of this response, with the request's id if it has one."""
+        """Return the headers of this response, with `Request-Id` if the request has one."""
         headers = [(b"content-type", b"text/plain"), (b"content-length", b"%d" % len(self.body))]
         if request_id:
             headers.append((b"request-id", request_id))
@@ -80,9 +80,9 @@
 
 
 def response_to_error(error: EmberringError) -> GatewayResponse:
-    """Return the response to an error, by the table of error kinds.
+    """Return the response for an error, with the status of its error kind.
 
-    A response that guarantees that nothing was executed says when to retry.
+    A response that guarantees that nothing was executed has `Retry-After`.
     """
     retry_after_s = 0.0
     if error.response.promises_not_executed:
--- a/emberring/gateway/role.py
+++ b/emberring/gateway/role.py
@@ -1,4 +1,4 @@
-"""The gateway process: all its parts put together, its signals and its shutdown."""
+"""The gateway process: construction of its components, signals and shutdown."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
 from emberring.settings import GATEWAY_PORT_OFFSET, Settings
 from emberring.transport.network import Network
 
-REFRESH_S = 0.2  # between two updates of admission
-SHUTDOWN_POLL_S = 0.05  # between two steps of the shutdown
-SEED_BITS = 32  # of the seed of admission's draws
-ITEM_GRACE_SHARE = 0.6  # of the grace, within which running batch items may finish here
+REFRESH_S = 0.2  # between two updates of admission and the connection pool
+SHUTDOWN_POLL_S = 0.05  # between two checks during the shutdown
+SEED_BITS = 32  # length of the seed of admission's random number generator
+ITEM_GRACE_SHARE = 0.6  # share of the grace period in which running batch items may finish
 
 logger = get_logger("gateway")
 
 
 class Gateway:
-    """The parts of a gateway, connected to one another."""
+    """The components of a gateway process."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
@@ -67,12 +67,12 @@
         self.clients = ClientListener(Application(self.follower, self.executor, jobs), self._limits)
         self.probes = ClientListener(ReadinessPages(self._ready, self._metrics), ClientLimits)
         self._suspicions = SuspicionReport(self.admission)
-        self._refresher: asyncio.TimerHandle | None = None
+        self._refresh_timer: asyncio.TimerHandle | None = None
         self._refresh_scheduled = False
         self._reported_ready = False
 
     async def start(self) -> None:
-        """Listen, and start to follow the control nodes."""
+        """Start to listen, and to receive updates from the control nodes."""
         self.follower.report = self._report
         self.follower.suspects = self._suspicions.suspected
         self.follower.subscribe(self._on_change)
@@ -90,8 +90,8 @@
         """Return calls in flight by server id.
 
         Args:
-            server_loads_follow: whether the reply has the load of each server; servers with an idle connection are then
-                included.
+            server_loads_follow: whether the reply will have the load of each reported server; servers with an idle
+                connection are then included.
         """
         calls = self.admission.in_flight(server_loads_follow)
         return {
@@ -120,12 +120,12 @@
             self._loop.call_soon(self._refresh)
 
     def _tick(self) -> None:
-        self._refresher = self._loop.call_later(REFRESH_S, self._tick)
+        self._refresh_timer = self._loop.call_later(REFRESH_S, self._tick)
         self._refresh()
         self._suspicions.check(self._loop.time())
 
     def _refresh(self) -> None:
-        """Update admission and the connection pool with what is known now."""
+        """Update admission and the connection pool with the current configuration, servers and load."""
         self._refresh_scheduled = False
         follower = self.follower
         if follower.configuration is None:
@@ -167,7 +167,7 @@
         return metrics
 
     async def shut_down_gracefully(self) -> None:
-        """Finish all that is open and all that still arrives, within the grace."""
+        """Finish open requests and those that still arrive, within the grace period."""
         self.readiness.shutting_down = True
         self.clients.shutting_down = True
         self.follower.me = attrs.evolve(self.follower.me, leaving=True)
@@ -175,8 +175,8 @@
         shutdown = GracefulShutdown(self._loop.time(), grace_s)
         returning_items = self._loop.create_task(self.runner.leave(grace_s * ITEM_GRACE_SHARE))
         while True:
-            open_now = len(self.clients.connections) + self.runner.running
-            open_connections = OpenConnections(self.clients.accepted_s, open_now, self.clients.busy)
+            open_count = len(self.clients.connections) + self.runner.running
+            open_connections = OpenConnections(self.clients.accepted_s, open_count, self.clients.busy)
             stage = shutdown.step(self._loop.time(), open_connections)
             if stage is Stage.END:
                 break
@@ -188,9 +188,9 @@
         returning_items.cancel()
 
     async def stop(self) -> None:
-        """Close what is left."""
-        if self._refresher is not None:
-            self._refresher.cancel()
+        """Close all connections, listeners and background tasks."""
+        if self._refresh_timer is not None:
+            self._refresh_timer.cancel()
         await self.runner.stop()
         await self.clients.stop_listening()
         await self.probes.stop_listening()
@@ -204,7 +204,10 @@
 
 
 async def run(settings: Settings) -> None:
-    """Run a gateway until SIGTERM. SIGHUP changes nothing: what can change comes with the configuration."""
+    """Run a gateway until SIGTERM or SIGINT.
+
+    SIGHUP is ignored: settings that can change at run time are part of the configuration from the control nodes.
+    """
     loop = asyncio.get_running_loop()
     stop_requested = asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, stop_requested.set)
--- a/emberring/gateway/routable_servers.py
+++ b/emberring/gateway/routable_servers.py
@@ -5,11 +5,11 @@
 from emberring.distribution.records import ServerRecord, ServerState
 from emberring.gateway.ports import Directory
 
-DEFAULT_CONNECTION_LIMIT = 64  # connections to a server whose service sets no limit
+DEFAULT_CONNECTION_LIMIT = 64  # connections to a server of a service without a limit
 
 
 class RoutableServers:
-    """The routable servers; the directory is read at each call, so that a drain holds as soon as it is known here."""
+    """The routable servers. The directory is read at each call, so that draining takes effect without delay."""
 
     def __init__(self, directory: Directory) -> None:
         self._directory = directory
@@ -23,11 +23,11 @@
         return record
 
     def has_servers(self, service: str) -> bool:
-        """Return whether a server of this service may be sent a new request."""
+        """Return whether this service has a server to which a new request may be sent."""
         return any(record.service == service for record in self.all_routable())
 
     def all_routable(self) -> list[ServerRecord]:
-        """Return all servers that may be sent a new request."""
+        """Return all servers to which a new request may be sent."""
         return [
             record
             for record in self._directory.servers.values()
@@ -35,15 +35,15 @@
         ]
 
     def mark_misdirected(self, server_id: str) -> None:
-        """Record that another server answered at this one's address: this incarnation is gone for good."""
+        """Record that another server has taken over the address: this incarnation no longer exists."""
         self._misdirected.add(server_id)
 
     def forget_absent(self) -> None:
-        """Drop what is stored about servers that the directory no longer lists."""
+        """Remove the state of servers that the directory no longer lists."""
         self._misdirected &= set(self._directory.servers)
 
     def connection_limit(self, server_id: str) -> int:
-        """Return how many connections this gateway may hold to a server; at least one."""
+        """Return the limit of connections from this gateway to a server; at least 1."""
         record = self._directory.servers.get(server_id)
         configuration = self._directory.configuration
         service = configuration.service(record.service) if configuration and record else None
--- a/emberring/gateway/suspicion_report.py
+++ b/emberring/gateway/suspicion_report.py
@@ -1,4 +1,4 @@
-"""What this gateway reports of suspected servers: a log line at each change, metrics, a report to the control nodes."""
+"""Reports the servers that this gateway suspects: log lines of changes, metrics, reports to the control nodes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SuspicionReport:
-    """The report of this gateway's suspicions."""
+    """Reports the suspected servers of this gateway."""
 
     def __init__(self, admission: Admission) -> None:
         self._admission = admission
@@ -47,7 +47,7 @@
         )
 
     def suspected(self) -> dict[str, str]:
-        """Return the servers suspected now and the fault of each, for `Follower.suspects`."""
+        """Return the fault of each suspected server by id, for `Follower.suspects`."""
         return {server_id: fault.value for server_id, fault in self._admission.suspected_servers().items()}
 
     def metrics(self) -> dict[str, float]:
--- a/emberring/gateway/upstream.py
+++ b/emberring/gateway/upstream.py
@@ -1,4 +1,4 @@
-"""One connection to a model server: one exchange at a time, responses matched by `Request-Id`, nothing sent twice."""
+"""A connection to a model server: one exchange at a time, responses matched by `Request-Id`, nothing sent twice."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 MAX_HEAD_BYTES = 32 * 1024  # of a response, interim responses included
 SUCCESS_FROM, SUCCESS_BELOW = 200, 300
-FINAL_FROM = 200  # statuses below are interim responses
+FINAL_FROM = 200  # lower statuses are interim responses
 
 
 class Exchange(Protocol):
-    """The receiver of the response to one request. After `complete` or `lost` no more calls come."""
+    """The receiver of the response to one request. `complete` or `lost` is the last call."""
 
     def head(self, head: ResponseHead) -> None:
-        """Receive the head of the response to this very request."""
+        """Receive the head of the response, which is known to belong to this request."""
 
     def body(self, data: bytes) -> None:
         """Receive a part of the body."""
@@ -28,11 +28,11 @@
         """Receive the end of the body."""
 
     def lost(self, sent: bool) -> None:
-        """Receive the failure of the response; `sent`: a byte of the request may have been sent."""
+        """Receive the failure of the exchange; `sent` is whether a byte of the request may have been sent."""
 
 
-class _Relay:
-    """The exchange as `loadbalancer.core.outgoing` sees it, which handles complete responses only."""
+class _ExchangeAdapter:
+    """Adapts an `Exchange` to `loadbalancer.core.outgoing.Exchange`, which handles complete responses only."""
 
     def __init__(self, connection: ServerConnection, exchange: Exchange) -> None:
         self.connection = connection
@@ -46,42 +46,42 @@
 
 
 class ServerConnection(Outgoing):
-    """The client end of a connection to a server. `on_closed` is called when it is closed."""
+    """The client end of a connection to a server. `on_closed` is called when the connection is closed."""
 
     def __init__(self, on_closed: Callable[[ServerConnection], None]) -> None:
         super().__init__(on_closed)
         self._parser = httptools.HttpResponseParser(self)
-        self._relay: _Relay | None = None
+        self._adapter: _ExchangeAdapter | None = None
         self._request_id = b""
         self._bodiless = False
         self._headers: list[Header] = []
         self._head_bytes = 0
-        self._in_head = False
+        self._reading_head = False
         self._discarding = False
         self._completed = False
         self.possibly_sent = False
         self.keep_alive_s: float | None = None
-        self.failed_request_ids: set[bytes] = set()  # of requests that were answered with a failure here
+        self.failed_request_ids: set[bytes] = set()  # ids of requests that failed here
 
     def start(self, data: bytes, request_id: bytes, bodiless: bool, exchange: Exchange) -> None:
-        """Send a request; afterwards `possibly_sent` tells whether a byte may have been sent.
+        """Send a request; afterwards `possibly_sent` is whether a byte may have been sent.
 
         Args:
             data: the bytes of the request.
             request_id: its `Request-Id`; empty if it has none.
-            bodiless: whether its method is HEAD.
+            bodiless: whether the response has no body, because the method is HEAD.
             exchange: receiver of the response.
         """
         self._request_id = request_id
         self._bodiless = bodiless
-        self._in_head, self._head_bytes, self._completed, self._discarding = True, 0, False, False
-        self._relay = _Relay(self, exchange)
-        self._send(data, self._relay)
-        # A write that fails at once has sent no byte; anything else may have.
+        self._reading_head, self._head_bytes, self._completed, self._discarding = True, 0, False, False
+        self._adapter = _ExchangeAdapter(self, exchange)
+        self._send(data, self._adapter)
+        # Only a write that fails immediately is known to have sent no byte.
         self.possibly_sent = self._transport is not None and not self._transport.is_closing()
 
     def pause(self) -> None:
-        """Stop reading until `resume`: the consumer is slower than the server."""
+        """Stop reading until `resume` is called: backpressure from a consumer that is slower than the server."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.pause_reading()
 
@@ -94,57 +94,57 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse received bytes; called by asyncio."""
-        if self._relay is None:  # no request is pending: these bytes belong to none
+        if self._adapter is None:  # no request is pending, so the bytes belong to no response
             self.abort()
             return
-        if self._in_head:  # the parser holds an incomplete header back; interim responses count too
+        if self._reading_head:  # an incomplete header is buffered by the parser; interim responses count too
             self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._spoilt = True
-        if self._in_head and self._head_bytes > MAX_HEAD_BYTES:
+        if self._reading_head and self._head_bytes > MAX_HEAD_BYTES:
             self._spoilt = True
         if self._completed:
             self._finish_exchange()
         elif self._spoilt:
-            self._relay = None
+            self._adapter = None
             self._lose(self._written)
 
     def _finish_exchange(self) -> None:
         if self._bodiless:
-            self._parser = httptools.HttpResponseParser(self)  # the old one may still expect a body
-        self._relay = None
+            self._parser = httptools.HttpResponseParser(self)  # the previous parser may still expect a body
+        self._adapter = None
         self._answer(None)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Release the parser; called by asyncio."""
         super().connection_lost(exc)
-        self._relay = None
-        del self._parser  # parser and connection reference each other
+        self._adapter = None
+        del self._parser  # breaks the reference cycle of parser and connection
 
     # --------------------------------------------------------- httptools callbacks
 
     def on_message_begin(self) -> None:
         """Start a message; called by httptools."""
         self._headers = []
-        self._in_head = True
+        self._reading_head = True
         if self._completed:
-            self._spoilt = True  # a surplus response: the connection is not reused
+            self._spoilt = True  # an unsolicited response: the connection is not reused
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Collect a header; called by httptools."""
-        if self._in_head:  # a trailer changes nothing
+        if self._reading_head:  # trailers are ignored
             self._headers.append((name.lower(), value.rstrip(b" \t")))
 
     def on_headers_complete(self) -> None:
-        """Check the head and give it to the exchange; called by httptools."""
+        """Validate the head and pass it to the exchange; called by httptools."""
         status = self._parser.get_status_code()
         if self._completed or status < FINAL_FROM:
             return
-        self._in_head = False
+        self._reading_head = False
         head = self._read_head(status)
-        if head is None or self._relay is None:
+        if head is None or self._adapter is None:
             self._spoilt = True
             return
         if self._discarding:
@@ -153,29 +153,29 @@
             self.failed_request_ids.add(self._request_id)
         bodiless = self._bodiless or status in BODILESS_STATUSES
         if not bodiless and head.length is None and not self._is_chunked():
-            self._spoilt = True  # only the connection's end would end the body, and that may be a failure
+            self._spoilt = True  # the body would end with the connection, which cannot be told from a failure
             return
-        self._relay.exchange.head(head)
+        self._adapter.exchange.head(head)
         if bodiless:
             self._completed, self._bodiless = True, True
             if not self._parser.should_keep_alive():
                 self._spoilt = True
 
     def _read_head(self, status: int) -> ResponseHead | None:
-        """Return the head, or None if it cannot be trusted; set whether the response is another request's."""
-        length = found_id = None
+        """Return the head, or None if it is invalid; sets `_discarding` if the response belongs to another request."""
+        length = response_id = None
         for name, value in self._headers:
             if name == b"content-length":
                 if not value.isdigit():
                     return None
                 length = int(value)
             elif name == b"request-id":
-                found_id = value
+                response_id = value
             elif name == b"keep-alive":
-                self.keep_alive_s = _timeout_of(value, self.keep_alive_s)
-        self._discarding = found_id is not None and found_id != self._request_id
+                self.keep_alive_s = _parse_keep_alive(value, self.keep_alive_s)
+        self._discarding = response_id is not None and response_id != self._request_id
         success = SUCCESS_FROM <= status < SUCCESS_BELOW
-        if found_id is None and self._request_id and success:
+        if response_id is None and self._request_id and success:
             return None
         return ResponseHead(status, tuple(self._headers), length)
 
@@ -183,31 +183,31 @@
         return any(name == b"transfer-encoding" for name, _ in self._headers)
 
     def on_body(self, body: bytes) -> None:
-        """Give a part of the body to the exchange; called by httptools."""
+        """Pass a part of the body to the exchange; called by httptools."""
         if self._completed or self._spoilt:
             self._spoilt = True
-        elif not self._discarding and self._relay is not None:
-            self._relay.exchange.body(body)
+        elif not self._discarding and self._adapter is not None:
+            self._adapter.exchange.body(body)
 
     def on_message_complete(self) -> None:
-        """End a message, which may have been an interim or a surplus one; called by httptools."""
+        """End a message, which may be an interim or an unsolicited response; called by httptools."""
         if self._completed or self._spoilt:
             return
         if not self._parser.should_keep_alive():
             self._spoilt = True
-        if self._in_head or self._discarding:  # an interim or a surplus response: the right one may follow
+        if self._reading_head or self._discarding:  # interim or unsolicited: the expected response may follow
             self._discarding = False
-            self._in_head, self._head_bytes = True, 0
+            self._reading_head, self._head_bytes = True, 0
             return
         self._completed = True
 
 
-def _timeout_of(value: bytes, known: float | None) -> float | None:
-    """Return the seconds that a `Keep-Alive` header grants; `known` if it names none."""
+def _parse_keep_alive(value: bytes, default: float | None) -> float | None:
+    """Return the timeout in seconds from a `Keep-Alive` header; `default` if it has none."""
     for part in value.split(b","):
-        name, _, number = part.strip().partition(b"=")
-        if name.strip().lower() == b"timeout" and number.strip().isdigit():
-            return float(number)
+        name, _, seconds = part.strip().partition(b"=")
+        if name.strip().lower() == b"timeout" and seconds.strip().isdigit():
+            return float(seconds)
     if value.strip().isdigit():
         return float(value)
-    return known
+    return default
--- a/emberring/placement/__init__.py
+++ b/emberring/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which stores hold which shard of the batch jobs: the placement in the register, and its changes."""
+"""The placement of shards of batch jobs on stores, and its changes."""
--- a/emberring/placement/model.py
+++ b/emberring/placement/model.py
@@ -1,8 +1,8 @@
-"""The placement: which stores hold which shard, as it is kept in the register. Pure data and functions.
+"""The placement: which stores have replicas of which shard. It is stored in the register. Pure data and functions.
 
-A group changes in two steps. `planning.plan` names the next members as `joining`; from then on every quorum is a
-majority of both sets. When the shard's owner reports that all records are on the joining set, `finish_move` makes that
-set the members. Only `joining` may change in between.
+The replicas of a shard change in two steps. First, `planning.plan` sets `joining` to the next members; from then on,
+each quorum needs a majority of `members` and a majority of `joining`. When the shard's owner reports that all records
+are on the joining stores, `finish_move` makes them the members. Only `joining` may change in between.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class StoreMember:
-    """A store. `identity` is created with its disk; `address` is `ip:port` for messages between nodes."""
+    """A store. `identity` is created with its disk; `address` is the `ip:port` for messages between nodes."""
 
     identity: str
     name: str
@@ -30,8 +30,8 @@
 class Group:
     """The replicas of a shard, by the identities of their stores.
 
-    While `joining` is not empty, every quorum is a majority of `members` and of `joining`. `epoch` rises with each
-    change.
+    While `joining` is not empty, each quorum needs a majority of `members` and a majority of `joining`. `epoch`
+    increases with each change.
     """
 
     shard: int
@@ -41,7 +41,7 @@
 
     @property
     def everyone(self) -> tuple[str, ...]:
-        """All identities of `members` and `joining`, each once."""
+        """The identities of `members` and `joining`, without duplicates."""
         return self.members + tuple(identity for identity in self.joining if identity not in self.members)
 
 
@@ -49,8 +49,8 @@
 class Placement:
     """The stores by identity and the group of each shard.
 
-    `epoch` rises with each change. `retiring` and `retired` hold names of stores whose shards are being, or have been,
-    moved to others.
+    `epoch` increases with each change. `retiring` and `retired` are names of stores whose shards are being moved, or
+    have been moved, to other stores.
     """
 
     epoch: int
@@ -61,30 +61,33 @@
 
 
 def shard_of(host: str) -> int:
-    """The shard of all batch jobs with this `Host`."""
+    """Return the shard of the batch jobs with this `Host`."""
     digest = hashlib.blake2b(host.lower().encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") % SHARDS
 
 
 @functools.lru_cache(maxsize=1024)
 def score(shard: int, identity: str) -> int:
-    """The rendezvous-hashing score of a store for a shard; the highest is preferred."""
+    """Return the rendezvous-hashing score of a store for a shard; the store with the highest score is preferred."""
     digest = hashlib.blake2b(f"{shard}/{identity}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
 
 def in_order(shard: int, identities: Sequence[str]) -> list[str]:
-    """These identities in the order in which they are preferred as owners of a shard."""
+    """Return the identities sorted by preference as owner of a shard, the most preferred first."""
     return sorted(identities, key=lambda identity: -score(shard, identity))
 
 
 def quorum(members: Sequence[str]) -> int:
-    """The number of members that is a majority."""
+    """Return the size of a majority of the members."""
     return len(members) // 2 + 1
 
 
 def finish_move(placement: Placement, shard: int, epoch: int) -> Placement:
-    """The placement once all records of a shard are on its joining set; unchanged where its epoch is another one."""
+    """Return the placement with the joining stores of a shard as its members.
+
+    Called when all records are on the joining stores. The placement is unchanged if the epoch of the group differs.
+    """
     group = placement.groups[shard]
     if group.epoch != epoch or not group.joining:
         return placement
--- a/emberring/placement/planning.py
+++ b/emberring/placement/planning.py
@@ -1,6 +1,6 @@
-"""Plans which stores hold each shard: members that are lost or leave get successors.
+"""Plans the stores of each shard: members that are lost, leaving or retiring are replaced.
 
-Pure functions: they take a placement and return another.
+Pure functions that compute a new placement from the current one.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 from emberring.distribution.records import NodeRecord, NodeRole
 from emberring.placement.model import SHARDS, Group, Placement, StoreMember, in_order
 
-# Once enough stores are known, the first placement waits for this long, as more may come.
+# Delay of the first placement after enough stores are live, because more stores may start in this time.
 FIRST_PLACEMENT_DELAY_S = 0.4
-# After this long the first placement is made with fewer stores than there should be.
+# After this time the first placement is made even with too few stores.
 FIRST_PLACEMENT_TIMEOUT_S = 8.0
-# A member that is absent for this long is replaced by a store that has just joined.
+# A member that is absent for this long is replaced if a new store is available.
 MAX_ABSENCE_WITH_NEW_STORE_S = 1.0
-# A member that is absent for this long is replaced by any other store.
+# A member that is absent for this long is replaced by any available store.
 MAX_ABSENCE_S = 4.0
-# A store counts as new for this long.
+# A store counts as new for this time after it was first seen.
 NEW_STORE_S = 10.0
 
 
 @attrs.define
 class PlanMemory:
-    """When one control node has first and last seen each store, by identity (seconds of its clock).
+    """When one control node first and last saw each store as live, by identity (seconds of its clock).
 
-    `started_s` is the first plan, `enough_since_s` when enough stores were live for the first placement.
+    `started_s` is the time of the first plan, `enough_since_s` when enough stores for the first placement were live.
     """
 
     first_seen: dict[str, float] = attrs.field(factory=dict)
@@ -37,7 +37,7 @@
     enough_since_s: float | None = None
 
     def observe(self, now_s: float, live: Sequence[NodeRecord], placement: Placement | None) -> None:
-        """Record who is live now. A member that was never seen counts as last seen when it is first asked for."""
+        """Record the live stores. A placed store that was never live counts as last seen at the first call with it."""
         if self.started_s is None:
             self.started_s = now_s
         for node in live:
@@ -47,11 +47,11 @@
             self.last_seen.setdefault(identity, now_s)
 
     def absence_s(self, identity: str, now_s: float) -> float:
-        """For how many seconds this store has not been live."""
+        """Return for how many seconds this store has not been live."""
         return now_s - self.last_seen.get(identity, now_s)
 
     def is_new(self, identity: str, now_s: float) -> bool:
-        """Whether this store has joined within `NEW_STORE_S`, and after the first plan."""
+        """Return whether this store was first seen within the last `NEW_STORE_S` and after the first plan."""
         first = self.first_seen.get(identity, now_s)
         return now_s - first <= NEW_STORE_S and first > (self.started_s or 0.0)
 
@@ -59,17 +59,17 @@
 def plan(
     current: Placement | None, live: Sequence[NodeRecord], now_s: float, tolerance: int, memory: PlanMemory
 ) -> Placement | None:
-    """The placement that should hold now: `current` itself where nothing changes, None while there can be none yet.
+    """Return the next placement: `current` itself if nothing changes, None if no first placement is possible yet.
 
-    `live` are the nodes that are alive, `tolerance` is how many stores may be lost at the same time.
+    `live` are the live nodes, `tolerance` is how many stores may be lost at the same time.
     """
     stores = [node for node in live if node.role is NodeRole.STORE and node.identity]
     memory.observe(now_s, stores, current)
     replica_count = 2 * tolerance + 1
     if current is None:
         return _first_placement(stores, now_s, replica_count, memory)
-    changed = _PlacementChange(current, stores, now_s, replica_count, memory).apply()
-    return current if attrs.evolve(changed, epoch=current.epoch) == current else changed
+    updated = _PlacementUpdate(current, stores, now_s, replica_count, memory).apply()
+    return current if attrs.evolve(updated, epoch=current.epoch) == current else updated
 
 
 def _first_placement(
@@ -96,7 +96,7 @@
 
 
 def _choose_replicas(shard: int, stores: dict[str, StoreMember], replica_count: int) -> tuple[str, ...]:
-    """The preferred stores of a shard, in as many different zones as there are."""
+    """Return the preferred stores of a shard, from as many different zones as possible."""
     chosen: list[str] = []
     candidates = in_order(shard, list(stores))
     while candidates and len(chosen) < replica_count:
@@ -109,8 +109,8 @@
     return tuple(chosen)
 
 
-class _PlacementChange:
-    """One pass over a placement: members that are lost or leave get successors."""
+class _PlacementUpdate:
+    """Computes the next placement: members that are lost, leaving or retiring are replaced."""
 
     def __init__(
         self,
@@ -135,24 +135,24 @@
         self.successors = self._find_successors()
 
     def _still_retired(self) -> tuple[str, ...]:
-        """The retired names; one whose machine returned with another disk is an ordinary store again."""
+        """Return the retired names, except those that are live with a new disk and are ordinary stores again."""
         returned = {node.name for node in self.live.values() if node.identity not in self.current.stores}
         return tuple(name for name in self.current.retired if name not in returned)
 
     def _find_successors(self) -> dict[str, str]:
-        """The successors of identities whose disk is lost: another identity is live under their name or address."""
-        found: dict[str, str] = {}
+        """Return the successors of lost disks by identity: live stores with the same name or address."""
+        successors: dict[str, str] = {}
         for identity, member in self.current.stores.items():
             if identity in self.live:
                 continue
             for node in self.live.values():
                 if node.name == member.name or node.address == member.address:
-                    found[identity] = node.identity
-        return found
+                    successors[identity] = node.identity
+        return successors
 
     def apply(self) -> Placement:
-        """The placement after this pass."""
-        groups = tuple(self._changed_group(group) for group in self.current.groups)
+        """Return the next placement."""
+        groups = tuple(self._update_group(group) for group in self.current.groups)
         in_use = {identity for group in groups for identity in group.everyone}
         names_in_use = {self.known_stores[identity].name for identity in in_use}
         newly_retired = tuple(name for name in self.current.retiring if name not in names_in_use)
@@ -172,7 +172,7 @@
             retired=retired,
         )
 
-    def _changed_group(self, group: Group) -> Group:
+    def _update_group(self, group: Group) -> Group:
         target = self._target_replicas(group)
         if target == set(group.joining or group.members):
             return group
@@ -180,7 +180,10 @@
         return attrs.evolve(group, epoch=group.epoch + 1, joining=joining)
 
     def _target_replicas(self, group: Group) -> set[str]:
-        """Who should hold this shard, in this order: members that may stay, successors, joining stores, spares."""
+        """Return the stores that should have this shard.
+
+        They are chosen in this order: members that may stay, successors, joining stores, spare stores.
+        """
         target = [identity for identity in group.members if not self._must_be_replaced(identity, group)]
         self._add_usable(target, [self.successors.get(identity) for identity in group.members])
         self._add_usable(target, group.joining)
@@ -188,7 +191,7 @@
             len(target) < self.replica_count and (spare := self._find_spare(group.shard, target)) is not None
         ):
             target.append(spare)
-        # Without enough of these a lost member stays: one that may return is better than one replica fewer.
+        # With too few stores a lost member stays: it may return, and removing it would leave one replica fewer.
         for identity in group.members:
             if len(target) < min(self.replica_count, len(group.members)) and identity not in target:
                 target.append(identity)
@@ -214,5 +217,5 @@
     def _find_spare(self, shard: int, target: Sequence[str]) -> str | None:
         zones = {self.known_stores[identity].zone for identity in target}
         spares = in_order(shard, [identity for identity in self.usable if identity not in target])
-        elsewhere = [identity for identity in spares if self.usable[identity].zone not in zones]
-        return next(iter(elsewhere or spares), None)
+        in_other_zones = [identity for identity in spares if self.usable[identity].zone not in zones]
+        return next(iter(in_other_zones or spares), None)
