--- a/emberring/admission/placement.py
+++ b/emberring/admission/placement.py
@@ -48,7 +48,7 @@
     """Return the server with the lowest cost; `servers` must not be empty."""
     affinity_id = affinity_key(call.parts)
     preferred = (
-        preferred_servers(affinity_id, [server.record.id for server in servers], PREFERRED_SERVERS)
+        preferred_servers(affinity_id, [candidate.record.id for candidate in servers], PREFERRED_SERVERS)
         if affinity_id is not None
         else []
     )
--- a/tests/emberring/admission/test_tier_admission.py
+++ b/tests/emberring/admission/test_tier_admission.py
@@ -1,4 +1,4 @@
-"""Admission as a whole: which calls are taken, by which server, and which are refused."""
+"""Admission: which calls are admitted, to which server, and which are refused."""
 
 from __future__ import annotations
 
@@ -50,24 +50,24 @@
 
 def test_an_excluded_server_is_not_chosen() -> None:
     admission = admission_of(record("s1"), record("s2"))
-    for at in range(6):
-        decision = admission.offer(0.0, call(f"c{at}", excluded=frozenset({"s1"})))
+    for number in range(6):
+        decision = admission.offer(0.0, call(f"c{number}", excluded=frozenset({"s1"})))
         assert decision == Admitted("s2")
 
 
 def test_nothing_is_refused_while_half_the_slots_are_free() -> None:
     admission = admission_of(record("s1"), record("s2"))
-    decisions = [admission.offer(0.0, call(f"c{at}")) for at in range(8)]
+    decisions = [admission.offer(0.0, call(f"c{number}")) for number in range(8)]
     assert all(isinstance(decision, Admitted) for decision in decisions)
 
 
 def test_jobs_are_held_back_before_live_calls_are_refused() -> None:
     admission = admission_of(record("s1"), record("s2"))
-    taken = 0
-    while isinstance(admission.offer(0.0, call(f"b{taken}", batch=True)), Admitted):
-        taken += 1
+    admitted_count = 0
+    while isinstance(admission.offer(0.0, call(f"b{admitted_count}", batch=True)), Admitted):
+        admitted_count += 1
     assert admission.batch_room(0.0) == 0
-    assert taken < 16
+    assert admitted_count < 16
     assert isinstance(admission.offer(0.0, call("live")), Admitted)
 
 
@@ -75,7 +75,7 @@
 
 
 def gateways_with_stale_reports(servers: int) -> tuple[list[Admission], list[ServerRecord]]:
-    """Return gateways before these servers, to which the others' load was reported as zero."""
+    """Return gateways of these servers whose load reports are stale: they show no calls of other gateways."""
     records = [record(f"s{number}") for number in range(servers)]
     gateways = [Admission(AdmissionSettings(), seed=number) for number in range(GATEWAYS)]
     for one in gateways:
@@ -83,25 +83,25 @@
     return gateways, records
 
 
-def take_items(gateway: Admission, name: str, now_s: float) -> int:
-    """Admit items, each with a first event at once, until one is refused; return how many were admitted."""
-    taken = 0
-    while isinstance(gateway.offer(now_s, call(f"{name}/{taken}", batch=True)), Admitted):
-        gateway.started(now_s, f"{name}/{taken}", "")
-        gateway.first_event(now_s, f"{name}/{taken}")
-        taken += 1
-    return taken
+def admit_items(gateway: Admission, name: str, now_s: float) -> int:
+    """Offer items, each with an immediate first event, until one is refused; return how many were admitted."""
+    admitted_count = 0
+    while isinstance(gateway.offer(now_s, call(f"{name}/{admitted_count}", batch=True)), Admitted):
+        gateway.started(now_s, f"{name}/{admitted_count}", "")
+        gateway.first_event(now_s, f"{name}/{admitted_count}")
+        admitted_count += 1
+    return admitted_count
 
 
 def test_items_of_all_gateways_fit_the_slots_without_reports_of_each_other() -> None:
     gateways, records = gateways_with_stale_reports(12)
-    taken = 0
-    for round_number in range(10):  # each round tells the gateways anew, and each time of no one else's calls
+    admitted_count = 0
+    for round_number in range(10):  # each round repeats the report without calls of other gateways
         for number, gateway in enumerate(gateways):
             gateway.set_servers(0.0, records, SERVICES, GATEWAYS, NO_LOAD)
-            taken += take_items(gateway, f"{number}/{round_number}", 0.0)
+            admitted_count += admit_items(gateway, f"{number}/{round_number}", 0.0)
     slots = 12 * 8
-    assert 0.7 * slots <= taken <= slots
+    assert 0.7 * slots <= admitted_count <= slots
 
 
 def test_live_calls_of_a_gateway_leave_its_items_less_capacity() -> None:
@@ -109,35 +109,35 @@
     quiet, busy = gateways[0], gateways[1]
     for number in range(8):
         assert isinstance(busy.offer(0.0, call(f"live/{number}")), Admitted)
-    assert take_items(busy, "busy", 0.0) == take_items(quiet, "quiet", 0.0) - 8
+    assert admit_items(busy, "busy", 0.0) == admit_items(quiet, "quiet", 0.0) - 8
 
 
 def test_items_wait_for_the_prompts_of_those_before_them() -> None:
     gateways, _ = gateways_with_stale_reports(12)
     gateway = gateways[0]
-    room = gateway.batch_room(0.0)
-    names = [f"b{number}" for number in range(room + 1)]
+    capacity = gateway.batch_room(0.0)
+    names = [f"b{number}" for number in range(capacity + 1)]
     decisions = [gateway.offer(0.0, call(name, batch=True)) for name in names]
-    assert [isinstance(one, Admitted) for one in decisions] == [True] * room + [False]
-    assert room < 0.85 * 12 * 8 / GATEWAYS  # places are left
+    assert [isinstance(one, Admitted) for one in decisions] == [True] * capacity + [False]
+    assert capacity < 0.85 * 12 * 8 / GATEWAYS  # there are free slots
     assert isinstance(gateway.offer(0.0, call("live")), Admitted)
     gateway.started(0.0, names[0], "")
     gateway.first_event(0.02, names[0])
     assert gateway.batch_room(0.02) == 1
 
 
-def test_prompts_at_an_unresponsive_server_block_no_other_items() -> None:
+def test_prompts_at_unresponsive_servers_do_not_block_other_items() -> None:
     gateways, _ = gateways_with_stale_reports(12)
     gateway = gateways[0]
-    room = gateway.batch_room(0.0)
+    capacity = gateway.batch_room(0.0)
     placed: dict[str, str] = {}
-    for number in range(room):
+    for number in range(capacity):
         decision = gateway.offer(0.0, call(f"b{number}", batch=True))
         assert isinstance(decision, Admitted)
         placed[f"b{number}"] = decision.server_id
         gateway.started(0.0, f"b{number}", decision.server_id)
     assert gateway.batch_room(0.1) == 0
-    assert gateway.batch_room(SILENCE_MAX_MS / 1000.0 + 0.01) > 0  # all of them are silent by now
+    assert gateway.batch_room(SILENCE_MAX_MS / 1000.0 + 0.01) > 0  # the items are now at unresponsive servers
     assert isinstance(gateway.offer(SILENCE_MAX_MS / 1000.0 + 0.01, call("next", batch=True)), Admitted)
 
 
@@ -146,15 +146,15 @@
     for number in range(4):
         assert isinstance(admission.offer(0.0, call(f"c{number}")), Admitted)
     admission.in_flight(server_loads_follow=True)
-    word = KnownLoad({"s1": 4, "s2": 4}, None, {"llm": 8})
-    admission.set_servers(0.1, [record("s1"), record("s2")], SERVICES, 2, word)
+    load = KnownLoad({"s1": 4, "s2": 4}, None, {"llm": 8})
+    admission.set_servers(0.1, [record("s1"), record("s2")], SERVICES, 2, load)
     other_calls = [view.other_calls for view in admission._pools["llm"].servers.values()]
     assert sum(other_calls) == 4
     for number in range(4):
         admission.finished(0.2, f"c{number}", CallOutcome.COMPLETED)
-    admission.in_flight(server_loads_follow=False)  # the same word stands beside a newer report
+    admission.in_flight(server_loads_follow=False)  # the report of servers is older than the new total
     admission.set_servers(
-        0.3, [record("s1"), record("s2")], SERVICES, 2, attrs.evolve(word, totals={"llm": 4})
+        0.3, [record("s1"), record("s2")], SERVICES, 2, attrs.evolve(load, totals={"llm": 4})
     )
     assert [view.other_calls for view in admission._pools["llm"].servers.values()] == other_calls
 
@@ -166,26 +166,26 @@
     records = [record("s1"), record("s2"), record("s3")]
     admission = Admission(AdmissionSettings(), seed=1)
     admission.in_flight()
-    word = KnownLoad({"s1": 0, "s2": 0, "s3": 0}, {"s1": 0.0, "s2": 0.0, "s3": 0.0}, {"llm": total})
-    admission.set_servers(0.0, records, SERVICES, 1, word)
-    taken = take_items(admission, "b", 0.0)
-    assert most - 6 <= taken <= most
+    load = KnownLoad({"s1": 0, "s2": 0, "s3": 0}, {"s1": 0.0, "s2": 0.0, "s3": 0.0}, {"llm": total})
+    admission.set_servers(0.0, records, SERVICES, 1, load)
+    admitted_count = admit_items(admission, "b", 0.0)
+    assert most - 6 <= admitted_count <= most
 
 
 def test_a_reported_smoothed_load_is_used_as_reported() -> None:
     admission = Admission(AdmissionSettings(), seed=1)
-    word = KnownLoad({"s1": 0}, {"s1": 6.0}, {})
-    admission.set_servers(0.0, [record("s1")], SERVICES, 60, word)
+    load = KnownLoad({"s1": 0}, {"s1": 6.0}, {})
+    admission.set_servers(0.0, [record("s1")], SERVICES, 60, load)
     view = admission._pools["llm"].servers["s1"]
-    assert view.smoothed_other_calls == pytest.approx(6.0 * 59 / 60)  # without this gateway's part
+    assert view.smoothed_other_calls == pytest.approx(6.0 * 59 / 60)  # without this gateway's own share
     assert view.estimated_load(60) > 5.0
 
 
 def test_a_server_without_a_report_is_assumed_to_have_the_mean_load() -> None:
     records = [record("s1"), record("s2"), record("s3")]
     admission = Admission(AdmissionSettings(), seed=1)
-    word = KnownLoad({"s1": 2}, {"s1": 2.0}, {"llm": 12})  # s1 alone was in use
-    admission.set_servers(0.0, records, SERVICES, 60, word)
+    load = KnownLoad({"s1": 2}, {"s1": 2.0}, {"llm": 12})  # only s1 is in the report
+    admission.set_servers(0.0, records, SERVICES, 60, load)
     views = admission._pools["llm"].servers
     assert views["s1"].other_calls == 2
     assert views["s2"].other_calls == pytest.approx(12 / 3 * 59 / 60)
@@ -194,12 +194,12 @@
 
 def test_a_single_gateway_uses_all_batch_slots() -> None:
     admission = admission_of(record("s1"), record("s2"))
-    assert take_items(admission, "b", 0.0) >= 0.8 * 16
+    assert admit_items(admission, "b", 0.0) >= 0.8 * 16
 
 
 def test_a_full_pool_refuses_with_a_retry_delay() -> None:
     admission = admission_of(record("s1"))
-    decisions = [admission.offer(0.0, call(f"c{at}")) for at in range(200)]
+    decisions = [admission.offer(0.0, call(f"c{number}")) for number in range(200)]
     refused = decisions[-1]
     assert isinstance(refused, Refused)
     assert refused.retry_after_s > 0.0
@@ -221,7 +221,7 @@
     assert isinstance(first, Admitted)
     admission.finished(0.0, "c1", CallOutcome.CONNECT_FAILED)
     other = {"s1": "s2", "s2": "s1"}[first.server_id]
-    assert {admission.offer(0.1, call(f"d{at}")) for at in range(4)} == {Admitted(other)}
+    assert {admission.offer(0.1, call(f"d{number}")) for number in range(4)} == {Admitted(other)}
 
 
 def test_servers_of_the_gateways_zone_come_first_until_they_are_busier() -> None:
--- a/tests/emberring/admission/test_tier_admission_machine.py
+++ b/tests/emberring/admission/test_tier_admission_machine.py
@@ -1,4 +1,7 @@
-"""Admission under any order of events: slots are counted correctly, and no guarantee of the table is broken."""
+"""Admission under random sequences of events: slots are counted correctly and the guarantees of the table hold.
+
+The source text of `AdmissionMachine` seeds the random cases (derandomized Hypothesis): its names stay as they are.
+"""
 
 from __future__ import annotations
 
--- a/tests/emberring/admission/test_tier_affinity.py
+++ b/tests/emberring/admission/test_tier_affinity.py
@@ -1,4 +1,4 @@
-"""Affinity: large shared parts have preferred servers that all gateways agree on; small ones have none."""
+"""Prefix affinity: large shared parts have the same preferred servers at all gateways; small ones have none."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from emberring.admission.affinity import AFFINITY_MIN_TOKENS, affinity_key, preferred_servers
 from emberring.admission.types import PrefixPart
 
-SERVERS = [f"i-{at:04x}" for at in range(6)]
+SERVERS = [f"i-{number:04x}" for number in range(6)]
 
 
 @pytest.mark.parametrize(
@@ -33,13 +33,13 @@
 
 
 def test_a_removed_server_moves_only_its_own_prefixes() -> None:
-    keys = [f"part-{at}" for at in range(500)]
+    keys = [f"part-{number}" for number in range(500)]
     before = {key: preferred_servers(key, SERVERS, 1)[0] for key in keys}
     after = {key: preferred_servers(key, SERVERS[1:], 1)[0] for key in keys}
     assert all(after[key] == before[key] for key in keys if before[key] != SERVERS[0])
 
 
 def test_preferred_servers_are_spread_evenly() -> None:
-    counts = Counter(preferred_servers(f"part-{at}", SERVERS, 1)[0] for at in range(3000))
+    counts = Counter(preferred_servers(f"part-{number}", SERVERS, 1)[0] for number in range(3000))
     assert min(counts.values()) > 0.8 * 500
     assert max(counts.values()) < 1.2 * 500
--- a/tests/emberring/admission/test_tier_attempts.py
+++ b/tests/emberring/admission/test_tier_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: which failures allow another server, within MaxAttempts."""
+"""The attempt budget: which failures allow a retry, within MaxAttempts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(
-    ("outcome", "idempotent", "max_attempts", "another", "promise"),
+    ("outcome", "idempotent", "max_attempts", "allowed", "not_executed"),
     [
         (CallOutcome.FULL, False, 1, True, True),
         (CallOutcome.WRONG_SERVER, False, 1, True, True),
@@ -26,19 +26,19 @@
     ],
 )
 def test_after_one_attempt(
-    outcome: CallOutcome, idempotent: bool, max_attempts: int, another: bool, promise: bool
+    outcome: CallOutcome, idempotent: bool, max_attempts: int, allowed: bool, not_executed: bool
 ) -> None:
     budget = AttemptBudget(max_attempts, idempotent).after(outcome)
-    assert budget.allows_another(outcome) is another
-    assert budget.certainly_not_executed is promise
+    assert budget.allows_another(outcome) is allowed
+    assert budget.certainly_not_executed is not_executed
 
 
 def test_attempts_that_were_not_executed_are_limited() -> None:
     budget = AttemptBudget(1, False)
-    sends = 1
+    attempts = 1
     while budget.after(CallOutcome.FULL).allows_another(CallOutcome.FULL):
-        budget, sends = budget.after(CallOutcome.FULL), sends + 1
-    assert sends == 1 + MAX_UNEXECUTED_SENDS
+        budget, attempts = budget.after(CallOutcome.FULL), attempts + 1
+    assert attempts == 1 + MAX_UNEXECUTED_SENDS
 
 
 def test_no_more_servers_than_max_attempts_may_have_executed_it() -> None:
--- a/tests/emberring/admission/test_tier_prefix_cache.py
+++ b/tests/emberring/admission/test_tier_prefix_cache.py
@@ -1,4 +1,4 @@
-"""The prompt parts that a server is expected to cache."""
+"""The estimate of the prompt parts that a server has cached."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sent", "asked", "known"),
+    ("sent", "prompt", "cached"),
     [
         ([], (A, B), 0),
         ([(A, B)], (A, B), 2),
@@ -21,11 +21,13 @@
         ([(A,), (A, B, C)], (A, B, C), 3),
     ],
 )
-def test_cached_parts(sent: list[tuple[PrefixPart, ...]], asked: tuple[PrefixPart, ...], known: int) -> None:
+def test_cached_parts(
+    sent: list[tuple[PrefixPart, ...]], prompt: tuple[PrefixPart, ...], cached: int
+) -> None:
     prefix_cache = PrefixCacheEstimate()
     for parts in sent:
         prefix_cache.record_prompt(parts, 1000.0)
-    assert prefix_cache.cached_parts(asked) == known
+    assert prefix_cache.cached_parts(prompt) == cached
 
 
 def test_the_least_recently_used_parts_are_evicted() -> None:
--- a/tests/emberring/admission/test_tier_threshold_table.py
+++ b/tests/emberring/admission/test_tier_threshold_table.py
@@ -1,4 +1,4 @@
-"""The threshold table: batch items are held back first, then the least urgent live calls."""
+"""The threshold table: batch items are refused first, then live calls, the least urgent first."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     assert table.cursor == table.last_slot
 
 
-def test_live_rows_fall_only_once_batch_items_have_nothing() -> None:
+def test_live_rows_fall_only_after_the_batch_row_is_zero() -> None:
     table = ThresholdTable()
     for _ in range(table.last_slot):
         if table.batch_share() > 0.0:
--- a/tests/emberring/gateway/gateway_world.py
+++ b/tests/emberring/gateway/gateway_world.py
@@ -1,4 +1,4 @@
-"""A gateway on loopback sockets between scripted servers and raw clients, for tests."""
+"""Test fixture: a gateway on loopback sockets, with scripted servers and raw clients."""
 
 from __future__ import annotations
 
@@ -21,10 +21,9 @@
 from emberring.gateway.routable_servers import RoutableServers
 
 HOST = "bank.example"
-PATIENCE_S = 20.0  # after which a test has failed
-OWN_CONNECT_TIMEOUT_S = (
-    connection_pool.CONNECT_TIMEOUT_S
-)  # the program's; tests wait longer where they are not about it
+PATIENCE_S = 20.0  # timeout of a test
+# The timeout of the program; `conftest.py` replaces it by a longer one for most tests.
+OWN_CONNECT_TIMEOUT_S = connection_pool.CONNECT_TIMEOUT_S
 
 
 @attrs.define
@@ -35,7 +34,7 @@
 
 
 class FakeAdmission:
-    """Takes the servers in the order in which they were added; `script` may hold other decisions."""
+    """Admits each call to the first server that is not excluded, unless `script` has a decision for it."""
 
     def __init__(self, directory: FakeDirectory) -> None:
         self.directory = directory
@@ -43,7 +42,7 @@
         self.calls: list[CallInfo] = []
         self.log: list[tuple[str, str]] = []
         self.in_flight = 0
-        self.batch_places = 4
+        self.batch_capacity = 4
 
     def offer(self, now_s: float, call: CallInfo) -> Decision:
         self.calls.append(call)
@@ -53,9 +52,9 @@
         return decision
 
     def _next(self, call: CallInfo) -> Decision:
-        for fact in self.directory.servers.values():
-            if fact.service == call.service and fact.id not in call.excluded:
-                return Admitted(fact.id)
+        for record in self.directory.servers.values():
+            if record.service == call.service and record.id not in call.excluded:
+                return Admitted(record.id)
         return NoServer()
 
     def started(self, now_s: float, call_id: str, server_id: str) -> None:
@@ -72,7 +71,7 @@
         self.log.append(("finished", outcome.value))
 
     def batch_room(self, now_s: float) -> int:
-        return self.batch_places
+        return self.batch_capacity
 
     @property
     def outcomes(self) -> list[str]:
@@ -81,7 +80,7 @@
 
 @attrs.frozen
 class ReceivedRequest:
-    """A request as a server received it."""
+    """A request as received by a server."""
 
     start: bytes
     headers: dict[str, str]
@@ -90,7 +89,7 @@
 
 
 class ServerSide:
-    """A server's end of a connection, controlled by a script."""
+    """The server's end of a connection, controlled by a script."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -100,7 +99,7 @@
         await self.writer.drain()
 
     async def answer(self, seen: ReceivedRequest, status: int = 200, body: bytes = b"", **more: str) -> None:
-        """Send a complete response with a length."""
+        """Send a complete response with `Content-Length`."""
         await self.write(head(seen, status, len(body), **more) + body)
 
     async def stream(self, seen: ReceivedRequest, ids: Iterable[int], end: bool = True, **more: str) -> None:
@@ -117,8 +116,8 @@
     def close(self) -> None:
         self.writer.close()
 
-    async def gone(self) -> None:
-        """Wait until the other side has ended."""
+    async def wait_closed(self) -> None:
+        """Discard received data until the gateway closes the connection."""
         with contextlib.suppress(OSError):
             while await self.reader.read(1000):
                 pass
@@ -157,7 +156,7 @@
 
 
 class ScriptedServer:
-    """Answers each request by the next script; the last one is repeated."""
+    """Answers each request with the next script; the last script is repeated."""
 
     def __init__(self, server_id: str, scripts: tuple[Script, ...]) -> None:
         self.id = server_id
@@ -213,7 +212,7 @@
 
 @attrs.frozen
 class Received:
-    """What a client received; `whole`: the response was complete."""
+    """A response as received by a client; `whole` is whether it was complete."""
 
     status: int
     headers: dict[str, str]
@@ -222,7 +221,7 @@
 
 
 class Client:
-    """A raw client on one connection."""
+    """An HTTP client with one connection that reads and writes raw bytes."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -269,7 +268,7 @@
         return True
 
     async def ended(self) -> bool:
-        """Whether the gateway has closed the connection with nothing more on it."""
+        """Return whether the gateway closes the connection without sending more data."""
         try:
             return await self.reader.read(1) == b""
         except OSError:
@@ -299,9 +298,9 @@
 
 
 def route(prefix: str, kind: RouteType, **more: Any) -> Route:
-    terms = {"timeout_ms": 3000.0, "max_attempts": 2} | more
+    options = {"timeout_ms": 3000.0, "max_attempts": 2} | more
     return Route(
-        name=prefix.strip("/"), host=HOST, path_prefix=prefix, type=kind, split=(Share("s", 1.0),), **terms
+        name=prefix.strip("/"), host=HOST, path_prefix=prefix, type=kind, split=(Share("s", 1.0),), **options
     )
 
 
@@ -316,7 +315,7 @@
 
 
 class World:
-    """The gateway and its environment."""
+    """A gateway with its scripted servers, clients, directory and admission."""
 
     def __init__(self, routes: tuple[Route, ...] = ROUTES, limits: ClientLimits | None = None) -> None:
         services = (Service("s", max_connections=100, capacity=8),)
@@ -329,13 +328,13 @@
         self.jobs: Any = UnavailableJobs()
         self.servers: list[ScriptedServer] = []
         self.clients: list[Client] = []
-        self.port: ClientListener
+        self.listener: ClientListener
 
     async def start(self) -> None:
-        self.port = ClientListener(
+        self.listener = ClientListener(
             Application(self.directory, self.executor, JobsApi(self.jobs)), self.limits
         )
-        await self.port.listen("127.0.0.1:0")
+        await self.listener.listen("127.0.0.1:0")
 
     def limits(self) -> ClientLimits:
         assert self.directory.configuration is not None
@@ -345,22 +344,22 @@
         server = ScriptedServer(name or f"i-{len(self.servers) + 1}", scripts)
         await server.start()
         self.servers.append(server)
-        self.know(server.id, server.address)
+        self.set_server_record(server.id, server.address)
         return server
 
-    def know(self, server_id: str, address: str, state: ServerState = ServerState.READY) -> None:
+    def set_server_record(self, server_id: str, address: str, state: ServerState = ServerState.READY) -> None:
         self.directory.servers[server_id] = ServerRecord(server_id, "s", address, "z", 8, state, 1)
 
     async def client(self) -> Client:
-        client = await Client.connect(self.port.port)
+        client = await Client.connect(self.listener.port)
         self.clients.append(client)
         return client
 
     async def stop(self) -> None:
         for client in self.clients:
             client.close()
-        await self.port.stop_listening()
-        self.port.abort()
+        await self.listener.stop_listening()
+        self.listener.abort()
         self.pool.close()
         for server in self.servers:
             server.close()
@@ -368,22 +367,22 @@
             await asyncio.sleep(0)
 
 
-def play(story: Callable[[World], Awaitable[None]], world: Callable[[], World] = World) -> None:
-    """Run a story in a new world; it fails if it hangs."""
+def play(scenario: Callable[[World], Awaitable[None]], world: Callable[[], World] = World) -> None:
+    """Run a test scenario in a new world, with a timeout."""
 
     async def run() -> None:
-        place = world()
-        await place.start()
+        new_world = world()
+        await new_world.start()
         try:
             async with asyncio.timeout(PATIENCE_S):
-                await story(place)
+                await scenario(new_world)
         finally:
-            await place.stop()
+            await new_world.stop()
 
     asyncio.run(run())
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait until a condition holds; the story's time-out is the limit."""
+    """Wait until a condition holds; limited by the timeout of `play`."""
     while not condition():
         await asyncio.sleep(0.002)
--- a/tests/emberring/gateway/test_tier_connect_timeout.py
+++ b/tests/emberring/gateway/test_tier_connect_timeout.py
@@ -1,4 +1,4 @@
-"""The time-out for opening a connection."""
+"""The timeout for opening a connection."""
 
 from __future__ import annotations
 
@@ -15,44 +15,44 @@
 
 @pytest.fixture
 def long_connect_timeouts() -> None:
-    """Leave the program's own limits unchanged here."""
+    """Override the fixture of `conftest.py`: these tests use the limits of the program."""
 
 
-def learned(seconds: float, count: int = 50) -> ConnectTimeoutEstimator:
-    patience = ConnectTimeoutEstimator()
+def estimator_after(seconds: float, count: int = 50) -> ConnectTimeoutEstimator:
+    estimator = ConnectTimeoutEstimator()
     for _ in range(count):
-        patience.record_connected(seconds)
-    return patience
+        estimator.record_connected(seconds)
+    return estimator
 
 
 @pytest.mark.parametrize(
     ("usual_s", "limit_s"),
     [(0.002, MIN_CONNECT_TIMEOUT_S), (0.02, 0.02 * TIMEOUT_FACTOR), (0.1, MAX_CONNECT_TIMEOUT_S)],
 )
-def test_the_time_out_follows_the_usual_time_within_limits(usual_s: float, limit_s: float) -> None:
-    assert learned(usual_s).timeout_s() == pytest.approx(limit_s)
+def test_the_timeout_is_a_multiple_of_the_usual_time_within_limits(usual_s: float, limit_s: float) -> None:
+    assert estimator_after(usual_s).timeout_s() == pytest.approx(limit_s)
 
 
 def test_a_few_connections_are_not_enough_for_an_estimate() -> None:
-    assert learned(0.002, MIN_SAMPLES - 1).timeout_s() == MAX_CONNECT_TIMEOUT_S
-    assert learned(0.002, MIN_SAMPLES).timeout_s() == MIN_CONNECT_TIMEOUT_S
+    assert estimator_after(0.002, MIN_SAMPLES - 1).timeout_s() == MAX_CONNECT_TIMEOUT_S
+    assert estimator_after(0.002, MIN_SAMPLES).timeout_s() == MIN_CONNECT_TIMEOUT_S
 
 
-def test_a_process_that_turned_slow_gets_longer_time_outs() -> None:
-    """All connections take longer than the time-out now: each failure lengthens it, up to its limit."""
-    patience = learned(0.002)
+def test_timeouts_increase_the_estimate_up_to_its_limit() -> None:
+    """If all connections take longer than the timeout, each failure increases it up to its upper limit."""
+    estimator = estimator_after(0.002)
     limits = []
     for _ in range(60):
-        limits.append(patience.timeout_s())
-        patience.record_timeout(patience.timeout_s())
+        limits.append(estimator.timeout_s())
+        estimator.record_timeout(estimator.timeout_s())
     assert limits == sorted(limits)
-    assert patience.timeout_s() == pytest.approx(MAX_CONNECT_TIMEOUT_S, abs=0.01)
+    assert estimator.timeout_s() == pytest.approx(MAX_CONNECT_TIMEOUT_S, abs=0.01)
 
 
-def test_one_unreachable_server_among_many_leaves_the_time_out_short() -> None:
-    patience = learned(0.002)
+def test_one_unreachable_server_among_many_leaves_the_timeout_short() -> None:
+    estimator = estimator_after(0.002)
     for _ in range(20):
         for _ in range(9):
-            patience.record_connected(0.002)
-        patience.record_timeout(patience.timeout_s())
-    assert patience.timeout_s() <= 2 * MIN_CONNECT_TIMEOUT_S
+            estimator.record_connected(0.002)
+        estimator.record_timeout(estimator.timeout_s())
+    assert estimator.timeout_s() <= 2 * MIN_CONNECT_TIMEOUT_S
--- a/tests/emberring/gateway/test_tier_gateway_clients.py
+++ b/tests/emberring/gateway/test_tier_gateway_clients.py
@@ -1,4 +1,4 @@
-"""What clients may send and how long they may take; how a gateway shuts down."""
+"""Limits on the size and the time of client requests, and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -34,21 +34,21 @@
     return World(limits=TIGHT)
 
 
-async def say_ok(side: ServerSide, seen: ReceivedRequest) -> None:
+async def answer_ok(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.answer(seen, 200, b"ok")
 
 
-def set_limits(world: World, **more: float) -> None:
+def set_limits(world: World, **changes: float) -> None:
     configuration = world.directory.configuration
     assert configuration is not None
-    limits = attrs.evolve(configuration.limits, **more)
+    limits = attrs.evolve(configuration.limits, **changes)
     world.directory.configuration = attrs.evolve(configuration, limits=limits)
 
 
 @pytest.mark.parametrize("whole", [True, False])
 def test_a_head_that_is_too_long(whole: bool) -> None:
-    async def story(world: World) -> None:
-        server = await world.server(say_ok)
+    async def scenario(world: World) -> None:
+        server = await world.server(answer_ok)
         client = await world.client()
         data = request("/once/1", X_Long="y" * 2000)
         await client.send(data if whole else data[:1000])
@@ -57,13 +57,13 @@
         assert await client.ended()
         assert not server.seen
 
-    play(story, tight)
+    play(scenario, tight)
 
 
 @pytest.mark.parametrize("chunked", [True, False])
 def test_a_body_that_is_too_long(chunked: bool) -> None:
-    async def story(world: World) -> None:
-        server = await world.server(say_ok)
+    async def scenario(world: World) -> None:
+        server = await world.server(answer_ok)
         client = await world.client()
         answer = await client.ask("/once/1", body=b"z" * 1001, chunked=chunked)
         assert (answer.status, answer.headers["connection"]) == (413, "close")
@@ -71,44 +71,44 @@
         assert not server.seen
         assert (await (await world.client()).ask("/once/1", body=b"z" * 1000, chunked=chunked)).status == 200
 
-    play(story, tight)
+    play(scenario, tight)
 
 
-def test_an_announced_body_that_is_too_long_is_refused_before_it_comes() -> None:
-    async def story(world: World) -> None:
+def test_a_content_length_over_the_limit_is_rejected_without_the_body() -> None:
+    async def scenario(world: World) -> None:
         client = await world.client()
         await client.send(f"POST /once/1 HTTP/1.1\r\nHost: {HOST}\r\nContent-Length: 5000\r\n\r\n".encode())
         assert (await client.receive()).status == 413
 
-    play(story, tight)
+    play(scenario, tight)
 
 
-def test_a_head_that_comes_too_slowly() -> None:
-    async def story(world: World) -> None:
+def test_a_head_that_arrives_too_slowly() -> None:
+    async def scenario(world: World) -> None:
         client = await world.client()
         await client.send(b"POST /once/1 HTTP/1.1\r\nHost:")
         assert (await client.receive()).status == 408
         assert await client.ended()
 
-    play(story, tight)
+    play(scenario, tight)
 
 
-def test_a_body_that_comes_too_slowly_was_not_executed() -> None:
-    async def story(world: World) -> None:
-        server = await world.server(say_ok)
+def test_a_request_whose_body_arrives_too_slowly_is_not_executed() -> None:
+    async def scenario(world: World) -> None:
+        server = await world.server(answer_ok)
         client = await world.client()
         await client.send(request("/short/1", body=b"0123456789")[:-1])
         answer = await client.receive()
         assert (answer.status, answer.headers["connection"]) == (408, "close")
         assert not server.seen
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("used", [True, False])
-def test_an_idle_connection_is_closed_in_time(used: bool) -> None:
-    async def story(world: World) -> None:
-        await world.server(say_ok)
+def test_an_idle_connection_is_closed_at_the_idle_timeout(used: bool) -> None:
+    async def scenario(world: World) -> None:
+        await world.server(answer_ok)
         client = await world.client()
         if used:
             assert (await client.ask("/once/1")).status == 200
@@ -116,35 +116,35 @@
         assert await client.ended()
         assert 0.18 < asyncio.get_running_loop().time() - began < 1.0
 
-    play(story, tight)
+    play(scenario, tight)
 
 
 def test_the_idle_limit_changes_while_a_connection_is_idle() -> None:
-    async def story(world: World) -> None:
-        await world.server(say_ok)
+    async def scenario(world: World) -> None:
+        await world.server(answer_ok)
         client = await world.client()
         assert (await client.ask("/once/1")).status == 200
-        (connection,) = world.port.connections
+        (connection,) = world.listener.connections
         set_limits(world, idle_timeout_ms=60_000.0)
-        connection.timeout_keep_alive_handler()  # the old limit is over
+        connection.timeout_keep_alive_handler()  # the previous limit has passed
         assert not connection.transport.is_closing()
         assert (await client.ask("/once/1")).status == 200
 
-    play(story, tight)
+    play(scenario, tight)
 
 
-def test_a_request_that_arrives_as_its_connection_becomes_too_old_is_answered() -> None:
-    async def story(world: World) -> None:
-        await world.server(say_ok)
+def test_a_request_that_arrives_at_the_idle_timeout_is_answered() -> None:
+    async def scenario(world: World) -> None:
+        await world.server(answer_ok)
         client = await world.client()
         assert (await client.ask("/once/1")).status == 200
-        (connection,) = world.port.connections
+        (connection,) = world.listener.connections
         set_limits(world, idle_timeout_ms=0.0)
         client.writer.write(request("/once/2"))
-        connection.timeout_keep_alive_handler()  # before the loop has read what waits in the kernel
+        connection.timeout_keep_alive_handler()  # before the event loop has read the received bytes
         assert (await client.receive()).status == 200
 
-    play(story, tight)
+    play(scenario, tight)
 
 
 @pytest.mark.parametrize(
@@ -157,83 +157,83 @@
         b"POST /once/1 HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     ],
 )
-def test_what_could_be_read_in_two_ways_is_refused(data: bytes) -> None:
-    async def story(world: World) -> None:
-        server = await world.server(say_ok)
+def test_invalid_and_ambiguous_requests_are_rejected(data: bytes) -> None:
+    async def scenario(world: World) -> None:
+        server = await world.server(answer_ok)
         client = await world.client()
         await client.send(data)
         assert (await client.receive()).status == 400
         assert not server.seen
 
-    play(story)
+    play(scenario)
 
 
 def test_requests_that_come_at_once_are_answered_in_turn() -> None:
-    async def story(world: World) -> None:
-        server = await world.server(say_ok)
+    async def scenario(world: World) -> None:
+        server = await world.server(answer_ok)
         client = await world.client()
         await client.send(b"".join(request("/once/1", request_id=f"r{number}") for number in range(5)))
         for number in range(5):
             assert (await client.receive()).headers["request-id"] == f"r{number}"
         assert [seen.headers["request-id"] for seen in server.seen] == [f"r{number}" for number in range(5)]
 
-    play(story)
+    play(scenario)
 
 
-# ------------------------------------------------------------------------------------- the end
+# ------------------------------------------------------------------------------------ shutdown
 
 
 def test_during_shutdown_responses_say_close_and_streams_continue() -> None:
-    async def story(world: World) -> None:
-        told = asyncio.Event()
+    async def scenario(world: World) -> None:
+        may_continue = asyncio.Event()
 
         async def slow(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.write(stream_head(seen) + chunk(event(1)))
-            await told.wait()
+            await may_continue.wait()
             await side.write(chunk(event(2)) + b"0\r\n\r\n")
 
-        server = await world.server(slow, say_ok)
-        streaming, resting, half = [await world.client() for _ in range(3)]
+        server = await world.server(slow, answer_ok)
+        streaming, idle, partial = [await world.client() for _ in range(3)]
         await streaming.send(request("/live/1"))
         await server.arrived.wait()
-        assert (await resting.ask("/once/1")).headers.get("connection") is None
+        assert (await idle.ask("/once/1")).headers.get("connection") is None
         data = request("/once/2")
-        await half.send(data[:30])
-        world.port.shutting_down = True
-        answer = await resting.ask("/once/3")
+        await partial.send(data[:30])
+        world.listener.shutting_down = True
+        answer = await idle.ask("/once/3")
         assert (answer.status, answer.headers["connection"]) == (200, "close")
-        late = await world.client()
-        await world.port.stop_listening()
-        world.port.close_idle()
-        await half.send(data[30:])
-        assert (await half.receive()).status == 200
-        assert await late.ended()
-        told.set()
+        in_accept_queue = await world.client()
+        await world.listener.stop_listening()
+        world.listener.close_idle()
+        await partial.send(data[30:])
+        assert (await partial.receive()).status == 200
+        assert await in_accept_queue.ended()
+        may_continue.set()
         answer = await streaming.receive()
         assert (answer.body, answer.whole) == (events(1, 2), True)
-        await until(lambda: not world.port.busy)
+        await until(lambda: not world.listener.busy)
 
-    play(story)
+    play(scenario)
 
 
 def test_connections_in_the_accept_queue_are_answered() -> None:
-    async def story(world: World) -> None:
-        await world.server(say_ok)
-        clients = [await Client.connect(world.port.port) for _ in range(20)]
+    async def scenario(world: World) -> None:
+        await world.server(answer_ok)
+        clients = [await Client.connect(world.listener.port) for _ in range(20)]
         for client in clients:
             client.writer.write(request("/once/1"))
-        world.port.shutting_down = True
-        await world.port.stop_listening()
-        world.port.close_idle()
+        world.listener.shutting_down = True
+        await world.listener.stop_listening()
+        world.listener.close_idle()
         for client in clients:
             assert (await client.receive()).status == 200
             client.close()
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize(
-    ("now_s", "seen", "stage"),
+    ("now_s", "open_connections", "stage"),
     [
         (0.0, Open(-9.0, 0, 0), Stage.SERVE),
         (2.3, Open(-9.0, 0, 0), Stage.SERVE),
@@ -243,12 +243,12 @@
         (7.3, Open(7.2, 3, 1), Stage.END),
     ],
 )
-def test_departure_first_step(now_s: float, seen: Open, stage: Stage) -> None:
-    assert GracefulShutdown(0.0, 8.0).step(now_s, seen) is stage
+def test_the_first_stage_of_a_shutdown(now_s: float, open_connections: Open, stage: Stage) -> None:
+    assert GracefulShutdown(0.0, 8.0).step(now_s, open_connections) is stage
 
 
 @pytest.mark.parametrize(
-    ("now_s", "seen", "stage"),
+    ("now_s", "open_connections", "stage"),
     [
         (2.5, Open(0.0, 2, 1), Stage.FINISH),
         (2.5, Open(0.0, 1, 0), Stage.FINISH),
@@ -257,7 +257,7 @@
         (7.3, Open(0.0, 2, 2), Stage.END),
     ],
 )
-def test_departure_after_listening(now_s: float, seen: Open, stage: Stage) -> None:
+def test_the_stage_after_listening_has_stopped(now_s: float, open_connections: Open, stage: Stage) -> None:
     shutdown = GracefulShutdown(0.0, 8.0)
     assert shutdown.step(2.4, Open(0.0, 2, 1)) is Stage.STOP_LISTENING
-    assert shutdown.step(now_s, seen) is stage
+    assert shutdown.step(now_s, open_connections) is stage
--- a/tests/emberring/gateway/test_tier_gateway_fuzz.py
+++ b/tests/emberring/gateway/test_tier_gateway_fuzz.py
@@ -1,4 +1,7 @@
-"""Servers that misbehave at random, requests of all kinds: no rule of the responses is broken."""
+"""Servers with random faults and requests of all kinds: the rules of the responses always hold.
+
+The source text of the tests seeds the random cases (derandomized Hypothesis): their names stay as they are.
+"""
 
 from __future__ import annotations
 
@@ -22,18 +25,18 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-LAST = 4  # events of a whole stream
+LAST = 4  # id of the last event of a complete stream
 PATHS = ("/live/1", "/again/1", "/plain/1", "/once/1")
 MAX_ATTEMPTS = 2
 
 
 @attrs.frozen
 class Behaviour:
-    """What a server does with a request; `runs`: it begins to execute it."""
+    """What a server does with a request."""
 
     kind: str
-    at: int = 0  # events before a break
-    copy: bool = False  # another answer of the same request follows later
+    at: int = 0  # events before the connection is closed
+    duplicate: bool = False  # a duplicate of the response follows later
 
 
 KINDS = (
@@ -56,12 +59,12 @@
 BEHAVIOURS = st.builds(Behaviour, st.sampled_from(KINDS), st.integers(0, LAST), st.booleans())
 
 
-def stamp(server: str, seen: ReceivedRequest) -> str:
+def signature(server: str, seen: ReceivedRequest) -> str:
     return f"{server}/{seen.headers['request-id']}"
 
 
 class Server:
-    """A server that does the next deed of its list, and keeps book of what it ran."""
+    """A server that follows a list of behaviours and records the requests that it executes."""
 
     def __init__(self, name: str, behaviours: list[Behaviour], runs: list[tuple[str, str, int]]) -> None:
         self.name, self.behaviours, self.runs = name, behaviours, runs
@@ -75,27 +78,29 @@
         late, self.late = self.late, b""
         if late:
             await side.write(late)
-        await self._do(behaviour, side, seen, after)
-        if behaviour.copy and behaviour.kind in ("whole", "error"):
+        await self._follow(behaviour, side, seen, after)
+        if behaviour.duplicate and behaviour.kind in ("whole", "error"):
             self.late = (
                 await self._whole_bytes(seen, after) if behaviour.kind == "whole" else self._error(seen)
             )
 
     def _error(self, seen: ReceivedRequest) -> bytes:
-        return head(seen, 500, 0, Response_Signature=stamp(self.name, seen))
+        return head(seen, 500, 0, Response_Signature=signature(self.name, seen))
 
     async def _whole_bytes(self, seen: ReceivedRequest, after: int) -> bytes:
-        name = stamp(self.name, seen)
+        name = signature(self.name, seen)
         if b" /live" not in seen.start and b" /again" not in seen.start:
             body = b"body of " + seen.headers["request-id"].encode()
             return head(seen, 200, len(body), Response_Signature=name) + body
         data = b"".join(chunk(event(number)) for number in range(after + 1, LAST + 1))
         return stream_head(seen, Response_Signature=name) + data + b"0\r\n\r\n"
 
-    async def _do(self, behaviour: Behaviour, side: ServerSide, seen: ReceivedRequest, after: int) -> None:
+    async def _follow(
+        self, behaviour: Behaviour, side: ServerSide, seen: ReceivedRequest, after: int
+    ) -> None:
         whole = await self._whole_bytes(seen, after)
-        begun, _, rest = whole.partition(b"\r\n\r\n")
-        part = begun + b"\r\n\r\n" + rest[: len(rest) * behaviour.at // (LAST + 1)]
+        head_bytes, _, rest = whole.partition(b"\r\n\r\n")
+        part = head_bytes + b"\r\n\r\n" + rest[: len(rest) * behaviour.at // (LAST + 1)]
         match behaviour.kind:
             case "whole":
                 await side.write(whole)
@@ -120,8 +125,8 @@
                 await side.write(b"\x16\x03\x01 junk\r\n\r\n")
                 side.close()
             case "garble_inside":
-                # Junk that fills a stated length can't be told from a body; only chunks show it.
-                await side.write(part + (b"zz\r\njunk" if b"chunked" in begun else b""))
+                # Invalid bytes within `Content-Length` cannot be distinguished from a body; within chunks they can.
+                await side.write(part + (b"zz\r\njunk" if b"chunked" in head_bytes else b""))
                 side.close()
             case "unsigned":
                 await side.write(head(seen, 200, 2, signed=False) + b"ok")
@@ -132,18 +137,18 @@
 
 
 def check(path: str, request_id: str, answer: Received, runs: list[tuple[str, str, int]]) -> None:
-    """The rules of one request's answer."""
-    mine = [run for run in runs if run[0] == request_id]
-    repeatable = path.startswith(("/again", "/plain"))
-    assert len(mine) <= (MAX_ATTEMPTS if repeatable else 1), "TWICE or BUDGET"
+    """Assert the rules for the response to one request."""
+    own_runs = [run for run in runs if run[0] == request_id]
+    idempotent = path.startswith(("/again", "/plain"))
+    assert len(own_runs) <= (MAX_ATTEMPTS if idempotent else 1), "TWICE or BUDGET"
     if answer.status in (408, 421, 429, 503):
         assert answer.whole
-        assert repeatable or not mine, "REFUSED"
+        assert idempotent or not own_runs, "REFUSED"
         assert "response-signature" not in answer.headers
         return
     if answer.status == 200:
         server = answer.headers["response-signature"]
-        assert server == f"{mine[0][1]}/{request_id}" or repeatable, "MIXED"
+        assert server == f"{own_runs[0][1]}/{request_id}" or idempotent, "MIXED"
         assert server.endswith("/" + request_id), "MIXED"
         check_body(path, request_id, answer)
     elif answer.status == 500:
@@ -155,9 +160,9 @@
 
 def check_body(path: str, request_id: str, answer: Received) -> None:
     if path.startswith(("/live", "/again")):
-        pieces = answer.body.count(b"\n\n")
-        assert answer.body == b"".join(event(number) for number in range(1, pieces + 1)), "ORDER"
-        assert not answer.whole or pieces == LAST, "ORDER"
+        event_count = answer.body.count(b"\n\n")
+        assert answer.body == b"".join(event(number) for number in range(1, event_count + 1)), "ORDER"
+        assert not answer.whole or event_count == LAST, "ORDER"
     else:
         whole = b"body of " + request_id.encode()
         assert answer.body == whole or (not answer.whole and whole.startswith(answer.body)), "MIXED"
--- a/tests/emberring/gateway/test_tier_gateway_items.py
+++ b/tests/emberring/gateway/test_tier_gateway_items.py
@@ -1,4 +1,4 @@
-"""Batch items at the servers: request, events and outcome of an attempt; responses of the batch interface."""
+"""Attempts of batch items (request, events, outcome), and responses of the batch interface."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 from emberring.jobs.items import ItemCall, ItemEvent, OutcomeKind
 
 ROUTE = route("/lots/", RouteType.BATCH)
-SHORT = ResponseTimeouts(0.1, 0.2)
+SHORT_TIMEOUTS = ResponseTimeouts(0.1, 0.2)
 
 
 def item(resume_after: int | None = None, allowed: Callable[[], bool] = lambda: True) -> ItemCall:
@@ -54,92 +54,92 @@
     )
 
 
-async def three(side: ServerSide, seen: ReceivedRequest) -> None:
+async def stream_to_three(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.stream(seen, range(int(seen.headers.get("last-event-id", "0")) + 1, 4))
 
 
-async def two_and_a_break(side: ServerSide, seen: ReceivedRequest) -> None:
+async def close_after_two_events(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.write(stream_head(seen) + chunk(event(1) + event(2) + event(3)[:5]))
     side.close()
 
 
-async def fail(side: ServerSide, seen: ReceivedRequest) -> None:
+async def answer_500(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.answer(seen, 500)
 
 
-async def impossible(side: ServerSide, seen: ReceivedRequest) -> None:
+async def answer_422(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.answer(seen, 422)
 
 
-async def out_of_time(side: ServerSide, seen: ReceivedRequest) -> None:
+async def answer_504(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.answer(seen, 504)
 
 
-async def odd(side: ServerSide, seen: ReceivedRequest) -> None:
+async def answer_404(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.answer(seen, 404)
 
 
-async def no_stream(side: ServerSide, seen: ReceivedRequest) -> None:
+async def answer_without_stream(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.answer(seen, 200, b"plain")
 
 
-async def full(side: ServerSide, seen: ReceivedRequest) -> None:
+async def answer_503_not_executed(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.answer(seen, 503, Not_Executed="1")
 
 
-async def unpromised(side: ServerSide, seen: ReceivedRequest) -> None:
+async def answer_503_without_guarantee(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.answer(seen, 503)
 
 
-async def garble(side: ServerSide, seen: ReceivedRequest) -> None:
+async def send_invalid_bytes(side: ServerSide, seen: ReceivedRequest) -> None:
     await side.write(b"\x01\x02\r\n\r\n")
 
 
-async def silent(side: ServerSide, seen: ReceivedRequest) -> None:
-    await side.gone()
+async def send_nothing(side: ServerSide, seen: ReceivedRequest) -> None:
+    await side.wait_closed()
 
 
 @pytest.mark.parametrize(
     ("script", "kind", "ids"),
     [
-        (three, OutcomeKind.COMPLETED, [1, 2, 3]),
-        (two_and_a_break, OutcomeKind.BROKEN, [1, 2]),
-        (fail, OutcomeKind.FAILED_500, []),
-        (impossible, OutcomeKind.IMPOSSIBLE_422, []),
-        (out_of_time, OutcomeKind.BROKEN, []),
-        (odd, OutcomeKind.BROKEN, []),
-        (no_stream, OutcomeKind.BROKEN, []),
-        (unpromised, OutcomeKind.BROKEN, []),
-        (garble, OutcomeKind.BROKEN, []),
-        (silent, OutcomeKind.BROKEN, []),
-        (full, OutcomeKind.NOT_RUN, []),
+        (stream_to_three, OutcomeKind.COMPLETED, [1, 2, 3]),
+        (close_after_two_events, OutcomeKind.BROKEN, [1, 2]),
+        (answer_500, OutcomeKind.FAILED_500, []),
+        (answer_422, OutcomeKind.IMPOSSIBLE_422, []),
+        (answer_504, OutcomeKind.BROKEN, []),
+        (answer_404, OutcomeKind.BROKEN, []),
+        (answer_without_stream, OutcomeKind.BROKEN, []),
+        (answer_503_without_guarantee, OutcomeKind.BROKEN, []),
+        (send_invalid_bytes, OutcomeKind.BROKEN, []),
+        (send_nothing, OutcomeKind.BROKEN, []),
+        (answer_503_not_executed, OutcomeKind.NOT_RUN, []),
     ],
 )
 def test_the_outcome_of_an_attempt(
     script: Script, kind: OutcomeKind, ids: list[int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Only silence is to be found out soon.
+    # Short timeouts only for the script that needs them, so that load does not fail the others.
     monkeypatch.setattr(
         execution,
         "ITEM_RESPONSE_TIMEOUTS",
-        SHORT if script is silent else ResponseTimeouts(PATIENCE_S, PATIENCE_S),
+        SHORT_TIMEOUTS if script is send_nothing else ResponseTimeouts(PATIENCE_S, PATIENCE_S),
     )
 
-    async def story(world: World) -> None:
-        first, second = await world.server(script), await world.server(three)
-        found: list[ItemEvent] = []
-        outcome = await world.executor.run_item(item(), found.extend)
+    async def scenario(world: World) -> None:
+        first, second = await world.server(script), await world.server(stream_to_three)
+        received: list[ItemEvent] = []
+        outcome = await world.executor.run_item(item(), received.extend)
         assert outcome.kind is kind
-        assert found == [ItemEvent(number, f"text {number}") for number in ids]
+        assert received == [ItemEvent(number, f"text {number}") for number in ids]
         assert (len(first.seen), len(second.seen)) == (1, 0)
         assert world.admission.in_flight == 0
 
-    play(story)
+    play(scenario)
 
 
 def test_the_request_of_an_item() -> None:
-    async def story(world: World) -> None:
-        server = await world.server(three)
+    async def scenario(world: World) -> None:
+        server = await world.server(stream_to_three)
         await world.executor.run_item(item(), lambda events: None)
         (seen,) = server.seen
         assert seen.start == b"POST /lots/3/91c4?q=1 HTTP/1.1"
@@ -156,131 +156,131 @@
         (info,) = world.admission.calls
         assert (info.batch, info.tokens_in, info.tokens_out, len(info.parts)) == (True, 5, 6, 2)
 
-    play(story)
+    play(scenario)
 
 
 def test_an_item_continues_after_the_stored_events() -> None:
-    async def story(world: World) -> None:
-        server = await world.server(three)
-        found: list[ItemEvent] = []
-        outcome = await world.executor.run_item(item(resume_after=2), found.extend)
+    async def scenario(world: World) -> None:
+        server = await world.server(stream_to_three)
+        received: list[ItemEvent] = []
+        outcome = await world.executor.run_item(item(resume_after=2), received.extend)
         assert outcome.kind is OutcomeKind.COMPLETED
-        assert [event.id for event in found] == [3]
+        assert [event.id for event in received] == [3]
         assert server.seen[0].headers["last-event-id"] == "2"
 
-    play(story)
+    play(scenario)
 
 
 def test_a_late_duplicate_of_a_failure_is_not_taken_for_the_next_attempt() -> None:
-    async def story(world: World) -> None:
-        async def fail_twice(side: ServerSide, seen: ReceivedRequest) -> None:
+    async def scenario(world: World) -> None:
+        async def answer_500_first(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.answer(seen, 500)
 
-        async def copy_first(side: ServerSide, seen: ReceivedRequest) -> None:
+        async def late_duplicate_first(side: ServerSide, seen: ReceivedRequest) -> None:
             if seen.connection == 1:
                 await side.answer(seen, 500)
             await side.stream(seen, (1, 2, 3))
 
-        await world.server(fail_twice, copy_first)
+        await world.server(answer_500_first, late_duplicate_first)
         assert (await world.executor.run_item(item(), lambda events: None)).kind is OutcomeKind.FAILED_500
         assert (await world.executor.run_item(item(), lambda events: None)).kind is OutcomeKind.COMPLETED
 
-    play(story)
+    play(scenario)
 
 
 def test_an_attempt_from_the_start_is_not_joined_to_stored_events() -> None:
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         async def from_the_start(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.stream(seen, (1, 2, 3))
 
         await world.server(from_the_start)
-        found: list[ItemEvent] = []
-        outcome = await world.executor.run_item(item(resume_after=2), found.extend)
-        assert (outcome.kind, found) == (OutcomeKind.BROKEN, [])
+        received: list[ItemEvent] = []
+        outcome = await world.executor.run_item(item(resume_after=2), received.extend)
+        assert (outcome.kind, received) == (OutcomeKind.BROKEN, [])
 
-    play(story)
+    play(scenario)
 
 
 def test_an_item_that_is_no_longer_allowed_is_not_sent() -> None:
-    async def story(world: World) -> None:
-        server = await world.server(three)
+    async def scenario(world: World) -> None:
+        server = await world.server(stream_to_three)
         outcome = await world.executor.run_item(item(allowed=lambda: False), lambda events: None)
         assert outcome.kind is OutcomeKind.NOT_RUN
         assert not server.seen
 
-    play(story)
+    play(scenario)
 
 
 def test_an_item_that_admission_refuses_was_not_executed() -> None:
-    async def story(world: World) -> None:
-        server = await world.server(three)
+    async def scenario(world: World) -> None:
+        server = await world.server(stream_to_three)
         world.admission.script.append(Refused(0.1))
         outcome = await world.executor.run_item(item(), lambda events: None)
         assert outcome.kind is OutcomeKind.NOT_RUN
         assert not server.seen
-        assert world.executor.batch_room() == world.admission.batch_places
+        assert world.executor.batch_room() == world.admission.batch_capacity
 
-    play(story)
+    play(scenario)
 
 
 def test_a_cancelled_item_ends_at_its_server() -> None:
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         ended = asyncio.Event()
 
-        async def work(side: ServerSide, seen: ReceivedRequest) -> None:
+        async def stream_until_closed(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.write(stream_head(seen) + chunk(event(1)))
-            await side.gone()
+            await side.wait_closed()
             ended.set()
 
-        server = await world.server(work)
+        server = await world.server(stream_until_closed)
         task = asyncio.create_task(world.executor.run_item(item(), lambda events: None))
         await server.arrived.wait()
         task.cancel()
         await ended.wait()
         assert world.admission.outcomes == ["cancelled"]
 
-    play(story)
+    play(scenario)
 
 
 # -------------------------------------------------------------------------- the batch interface
 
 
 class FakeJobs:
-    """Does what a test says, and records its calls."""
+    """A client of the store nodes that records its calls and fails or hangs if the test requests it."""
 
     def __init__(self, error: EmberringError | None = None, hang: bool = False) -> None:
         self.error, self.hang = error, hang
-        self.asked: list[tuple[object, ...]] = []
+        self.calls: list[tuple[object, ...]] = []
 
-    async def _do(self, *asked: object) -> None:
-        self.asked.append(asked)
+    async def _record_call(self, *call: object) -> None:
+        self.calls.append(call)
         if self.hang:
             await asyncio.Event().wait()
         if self.error is not None:
             raise self.error
 
     async def submit(self, host: str, route: Route, job: str, body: bytes) -> None:
-        await self._do("submit", host, route.name, job, body)
+        await self._record_call("submit", host, route.name, job, body)
 
     async def read(self, host: str, job: str, start_after: int, wait_ms: float) -> bytes:
-        await self._do("read", host, job, start_after, wait_ms)
+        await self._record_call("read", host, job, start_after, wait_ms)
         return b'{"Total":0}'
 
     async def item(self, host: str, job: str, item: str) -> bytes:
-        await self._do("item", host, job, item)
+        await self._record_call("item", host, job, item)
         return b"\x00bytes"
 
     async def end(self, host: str, job: str) -> None:
-        await self._do("end", host, job)
+        await self._record_call("end", host, job)
 
 
 def with_jobs(jobs: FakeJobs) -> Callable[[], World]:
-    def make() -> World:
+    def new_world() -> World:
         world = World((route("/lots/", RouteType.BATCH, timeout_ms=300.0), route("/", RouteType.IDEMPOTENT)))
         world.jobs = jobs
         return world
 
-    return make
+    return new_world
 
 
 HOST = "bank.example"
@@ -291,7 +291,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "status", "body", "asked"),
+    ("data", "status", "body", "call"),
     [
         (SUBMIT, 202, b"{}", ("submit", HOST, "lots", "lot1", b'{"Requests":[]}')),
         (READ, 200, b'{"Total":0}', ("read", HOST, "lot1", 12, 1000.0)),
@@ -300,22 +300,22 @@
     ],
 )
 def test_calls_of_the_batch_interface(
-    data: bytes, status: int, body: bytes, asked: tuple[object, ...]
+    data: bytes, status: int, body: bytes, call: tuple[object, ...]
 ) -> None:
     jobs = FakeJobs()
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         client = await world.client()
         await client.send(data)
         answer = await client.receive()
         assert (answer.status, answer.body) == (status, body)
-        assert jobs.asked == [asked]
+        assert jobs.calls == [call]
 
-    play(story, with_jobs(jobs))
+    play(scenario, with_jobs(jobs))
 
 
 @pytest.mark.parametrize(
-    ("data", "error", "status", "again"),
+    ("data", "error", "status", "retryable"),
     [
         (SUBMIT, QuotaExceededError(), 429, True),
         (SUBMIT, NotReadyError(), 503, True),
@@ -332,16 +332,16 @@
     ],
 )
 def test_failures_of_the_batch_interface(
-    data: bytes, error: EmberringError, status: int, again: bool
+    data: bytes, error: EmberringError, status: int, retryable: bool
 ) -> None:
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         client = await world.client()
         await client.send(data)
         answer = await client.receive()
         assert answer.status == status
-        assert ("retry-after" in answer.headers) == again
+        assert ("retry-after" in answer.headers) == retryable
 
-    play(story, with_jobs(FakeJobs(error)))
+    play(scenario, with_jobs(FakeJobs(error)))
 
 
 @pytest.mark.parametrize(("data", "status"), [(SUBMIT, 504), (READ, 503), (ITEM, 503), (END, 504)])
@@ -350,12 +350,12 @@
         monkeypatch.setattr(jobs_api, name, 0.1)
     monkeypatch.setattr(jobs_api, "MAX_WAIT_MS", 50.0)
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         client = await world.client()
         await client.send(data)
         assert (await client.receive()).status == status
 
-    play(story, with_jobs(FakeJobs(hang=True)))
+    play(scenario, with_jobs(FakeJobs(hang=True)))
 
 
 @pytest.mark.parametrize(
@@ -369,22 +369,22 @@
 def test_invalid_requests(data: bytes) -> None:
     jobs = FakeJobs()
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         client = await world.client()
         await client.send(data)
         assert (await client.receive()).status == 400
-        assert not jobs.asked
+        assert not jobs.calls
 
-    play(story, with_jobs(jobs))
+    play(scenario, with_jobs(jobs))
 
 
 def test_a_complete_response_without_events_completes_nothing() -> None:
-    async def story(world: World) -> None:
-        async def empty(side: ServerSide, seen: ReceivedRequest) -> None:
+    async def scenario(world: World) -> None:
+        async def answer_without_body(side: ServerSide, seen: ReceivedRequest) -> None:
             await side.write(head(seen, 200, 0))
 
-        await world.server(empty)
+        await world.server(answer_without_body)
         outcome = await world.executor.run_item(item(), lambda events: None)
         assert outcome.kind is OutcomeKind.BROKEN
 
-    play(story)
+    play(scenario)
--- a/tests/emberring/gateway/test_tier_gateway_pure.py
+++ b/tests/emberring/gateway/test_tier_gateway_pure.py
@@ -1,4 +1,4 @@
-"""The parts without sockets: event parser, headers, choice of a service, classes of responses, readiness."""
+"""Parts of the gateway without I/O: event parser, headers, choice of a service, response classes, readiness."""
 
 from __future__ import annotations
 
@@ -59,8 +59,8 @@
     ],
 )
 def test_the_id_and_data_of_an_event(raw: bytes, number: int | None, data: bytes) -> None:
-    (found,) = EventParser().feed(raw)
-    assert (found.raw, found.id, found.data) == (raw, number, data)
+    (parsed,) = EventParser().feed(raw)
+    assert (parsed.raw, parsed.id, parsed.data) == (raw, number, data)
 
 
 def test_an_incomplete_event_is_buffered() -> None:
@@ -109,14 +109,14 @@
 def test_responses_that_guarantee_not_executed_say_when_to_retry(
     error: NotReadyError, status: int, retry_after: bytes
 ) -> None:
-    answer = response_to_error(error)
-    assert answer.status == status
-    assert dict(answer.headers(b"r1"))[b"retry-after"] == retry_after
-    assert dict(answer.headers(b"r1"))[b"request-id"] == b"r1"
+    response = response_to_error(error)
+    assert response.status == status
+    assert dict(response.headers(b"r1"))[b"retry-after"] == retry_after
+    assert dict(response.headers(b"r1"))[b"request-id"] == b"r1"
 
 
 @pytest.mark.parametrize(
-    ("value", "found"),
+    ("value", "expected"),
     [
         (b"1460,80", (1460, 80)),
         (b" 1 , 2 ", (1, 2)),
@@ -126,12 +126,12 @@
         (b"-1,2", (0, 0)),
     ],
 )
-def test_token_counts(value: bytes | None, found: tuple[int, int]) -> None:
-    assert read_token_count(value) == found
+def test_token_counts(value: bytes | None, expected: tuple[int, int]) -> None:
+    assert read_token_count(value) == expected
 
 
 @pytest.mark.parametrize(
-    ("value", "found"),
+    ("value", "expected"),
     [
         (b"5c1e:800,91bd:410", (PrefixPart("5c1e", 800), PrefixPart("91bd", 410))),
         (b" a:1 , b:x,c:3", (PrefixPart("a", 1),)),
@@ -139,12 +139,12 @@
         (None, ()),
     ],
 )
-def test_parts_of_a_prompt(value: bytes | None, found: tuple[PrefixPart, ...]) -> None:
-    assert read_prefix_parts(value) == found
+def test_parts_of_a_prompt(value: bytes | None, expected: tuple[PrefixPart, ...]) -> None:
+    assert read_prefix_parts(value) == expected
 
 
 @pytest.mark.parametrize(
-    ("value", "found"),
+    ("value", "expected"),
     [
         (b"900", 900.0),
         (b"1.5", 1.5),
@@ -155,8 +155,8 @@
         (b"inf", None),
     ],
 )
-def test_milliseconds(value: bytes | None, found: float | None) -> None:
-    assert read_milliseconds(value) == found
+def test_milliseconds(value: bytes | None, expected: float | None) -> None:
+    assert read_milliseconds(value) == expected
 
 
 def test_services_are_chosen_by_weight() -> None:
@@ -172,13 +172,13 @@
     assert choose_service(none, b"k", lambda service: True) is None
 
 
-def made(**headers: str) -> ClientRequest:
-    found = tuple((name.replace("_", "-").encode(), value.encode()) for name, value in headers.items())
-    return ClientRequest(b"POST", b"/a?b", HOST, found, b"body", 0.0)
+def client_request(**headers: str) -> ClientRequest:
+    encoded = tuple((name.replace("_", "-").encode(), value.encode()) for name, value in headers.items())
+    return ClientRequest(b"POST", b"/a?b", HOST, encoded, b"body", 0.0)
 
 
 @pytest.mark.parametrize(
-    ("headers", "remaining_ms", "last", "there", "absent"),
+    ("headers", "remaining_ms", "last_event_id", "present", "absent"),
     [
         ({"deadline_ms": "9"}, 5, None, [b"Deadline-Ms: 5"], [b"deadline-ms: 9"]),
         ({"deadline_ms": "9"}, None, None, [b"deadline-ms: 9"], [b"Deadline-Ms"]),
@@ -193,14 +193,14 @@
 def test_the_bytes_that_a_server_gets(
     headers: dict[str, str],
     remaining_ms: int | None,
-    last: int | None,
-    there: list[bytes],
+    last_event_id: int | None,
+    present: list[bytes],
     absent: list[bytes],
 ) -> None:
-    data = render_request(made(**headers), "i-1", remaining_ms, last)
+    data = render_request(client_request(**headers), "i-1", remaining_ms, last_event_id)
     assert data.startswith(b"POST /a?b HTTP/1.1\r\nHost: bank.example\r\n")
     assert data.endswith(b"\r\n\r\nbody")
-    for line in there:
+    for line in present:
         assert line + b"\r\n" in data
     for text in absent:
         assert text not in data
@@ -208,70 +208,70 @@
 
 def directory() -> FakeDirectory:
     services = (Service("s", max_connections=70), Service("t"))
-    found = FakeDirectory(Configuration(1, ROUTES, services, ClientLimits()))
+    new_directory = FakeDirectory(Configuration(1, ROUTES, services, ClientLimits()))
     for number, (service, state) in enumerate(
         [("s", ServerState.READY), ("s", ServerState.DRAINING), ("t", ServerState.READY)]
     ):
-        found.servers[f"i-{number}"] = ServerRecord(f"i-{number}", service, "a:1", "z", 4, state, 1)
-    return found
+        new_directory.servers[f"i-{number}"] = ServerRecord(f"i-{number}", service, "a:1", "z", 4, state, 1)
+    return new_directory
 
 
 def test_which_servers_are_routable() -> None:
-    known = directory()
-    book = RoutableServers(known)
-    assert [fact.id for fact in book.all_routable()] == ["i-0", "i-2"]
-    assert book.routable("i-1") is None
-    assert book.routable("i-9") is None
-    book.mark_misdirected("i-0")
-    assert book.routable("i-0") is None
-    assert not book.has_servers("s")
-    book.forget_absent()
-    assert book.routable("i-0") is None
-    del known.servers["i-0"]
-    book.forget_absent()
-    assert book.has_servers("t")
-
-
-@pytest.mark.parametrize(("gateways", "share"), [(1, 70), (7, 10), (40, 1), (500, 1)])
-def test_the_connection_limit_of_a_gateway(gateways: int, share: int) -> None:
-    known = directory()
-    known.gateway_count = gateways
-    assert RoutableServers(known).connection_limit("i-0") == share
-    assert RoutableServers(known).connection_limit("i-2") == DEFAULT_CONNECTION_LIMIT
-    assert RoutableServers(known).connection_limit("i-9") == DEFAULT_CONNECTION_LIMIT
+    directory_state = directory()
+    routable_servers = RoutableServers(directory_state)
+    assert [record.id for record in routable_servers.all_routable()] == ["i-0", "i-2"]
+    assert routable_servers.routable("i-1") is None
+    assert routable_servers.routable("i-9") is None
+    routable_servers.mark_misdirected("i-0")
+    assert routable_servers.routable("i-0") is None
+    assert not routable_servers.has_servers("s")
+    routable_servers.forget_absent()
+    assert routable_servers.routable("i-0") is None
+    del directory_state.servers["i-0"]
+    routable_servers.forget_absent()
+    assert routable_servers.has_servers("t")
+
+
+@pytest.mark.parametrize(("gateways", "limit"), [(1, 70), (7, 10), (40, 1), (500, 1)])
+def test_the_connection_limit_of_a_gateway(gateways: int, limit: int) -> None:
+    directory_state = directory()
+    directory_state.gateway_count = gateways
+    assert RoutableServers(directory_state).connection_limit("i-0") == limit
+    assert RoutableServers(directory_state).connection_limit("i-2") == DEFAULT_CONNECTION_LIMIT
+    assert RoutableServers(directory_state).connection_limit("i-9") == DEFAULT_CONNECTION_LIMIT
 
 
 def test_ready_with_a_configuration_and_servers_until_shutdown() -> None:
-    known = directory()
-    configuration, servers = known.configuration, known.servers
-    known.configuration, known.servers = None, {}
-    readiness = Readiness(known)
+    directory_state = directory()
+    configuration, servers = directory_state.configuration, directory_state.servers
+    directory_state.configuration, directory_state.servers = None, {}
+    readiness = Readiness(directory_state)
     assert not readiness.ready(0.0)
-    known.configuration = configuration
+    directory_state.configuration = configuration
     assert not readiness.ready(1.0)
     assert not readiness.ready(1.0 + SERVERS_WAIT_S - 0.1)
-    known.servers = servers
+    directory_state.servers = servers
     assert readiness.ready(1.5)
-    known.servers = {}
+    directory_state.servers = {}
     assert readiness.ready(1.6)
     readiness.shutting_down = True
     assert not readiness.ready(1.7)
 
 
 def test_not_ready_while_isolated() -> None:
-    cut: list[bool] = []
-    readiness = Readiness(directory(), lambda: bool(cut))
+    isolated: list[bool] = []
+    readiness = Readiness(directory(), lambda: bool(isolated))
     assert readiness.ready(0.0)
-    cut.append(True)
+    isolated.append(True)
     assert not readiness.ready(1.0)
-    cut.clear()
+    isolated.clear()
     assert readiness.ready(2.0)
 
 
-def test_ready_without_any_server_after_a_while() -> None:
-    known = directory()
-    known.servers = {}
-    readiness = Readiness(known)
+def test_ready_without_any_server_after_the_wait() -> None:
+    directory_state = directory()
+    directory_state.servers = {}
+    readiness = Readiness(directory_state)
     assert not readiness.ready(0.0)
     assert readiness.ready(SERVERS_WAIT_S)
 
--- a/tests/emberring/gateway/test_tier_gateway_role.py
+++ b/tests/emberring/gateway/test_tier_gateway_role.py
@@ -1,4 +1,4 @@
-"""The complete process: what it learns from a control node, readiness, signals and shutdown."""
+"""The complete gateway process: updates from a control node, readiness, signals and shutdown."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from emberring.settings import Bounds, Listen, Settings
 from emberring.transport.network import Caller, Network
 
-HELD_S = 0.02
+PULL_DELAY_S = 0.02
 PATIENCE_S = 10.0
 ROOT = Path(__file__).parent.parent.parent.parent
 
@@ -42,7 +42,7 @@
 
 
 class FakeControl:
-    """A control node that reports what a test puts into it."""
+    """A control node that reports the configuration version and the servers that a test sets."""
 
     def __init__(self) -> None:
         self.network = Network()
@@ -53,10 +53,10 @@
 
     async def _pull(self, pull: Pull, caller: Caller) -> Update:
         self.pulls.append(pull)
-        await asyncio.sleep(HELD_S)
+        await asyncio.sleep(PULL_DELAY_S)
         known = pull.vector.get("c1", 0)
         entries = tuple(
-            ServerEntry("c1", number, fact) for number, fact in enumerate(self.facts, 1) if number > known
+            ServerEntry("c1", number, record) for number, record in enumerate(self.facts, 1) if number > known
         )
         return Update(
             "c1",
@@ -97,63 +97,63 @@
 PROBE = b"GET /v1/readyz HTTP/1.1\r\nHost: n\r\n\r\n"
 
 
-async def with_control(story: Any, grace_s: float) -> None:
+async def with_control(scenario: Any, grace_s: float) -> None:
     settings = settings_for(grace_s)
     control = FakeControl()
-    # The follower finds control nodes at the second internal port of the seeds' machines.
+    # The follower expects the control node at the internal address that belongs to the seed node.
     await control.network.listen(settings.internal_seeds()[0])
     server = ScriptedServer("i-1", (stream_two,))
     await server.start()
     try:
         async with asyncio.timeout(PATIENCE_S):
-            await story(settings, control, server)
+            await scenario(settings, control, server)
     finally:
         server.close()
         await control.network.close()
 
 
 def test_ready_once_configuration_and_servers_are_known_and_not_during_shutdown() -> None:
-    async def story(settings: Settings, control: FakeControl, server: ScriptedServer) -> None:
+    async def scenario(settings: Settings, control: FakeControl, server: ScriptedServer) -> None:
         gateway = Gateway(settings)
         await gateway.start()
-        front, probe = gateway.clients.port, gateway.probes.port
-        assert (await ask(probe, PROBE)).status == 503
-        assert (await ask(front, request())).status == 503
+        client_port, probe_port = gateway.clients.port, gateway.probes.port
+        assert (await ask(probe_port, PROBE)).status == 503
+        assert (await ask(client_port, request())).status == 503
         control.version = 3
         await until(lambda: gateway.follower.configuration is not None)
-        assert (await ask(probe, PROBE)).status == 503
+        assert (await ask(probe_port, PROBE)).status == 503
         control.facts.append(ServerRecord("i-1", "s", server.address, "z", 4, ServerState.READY, 1))
         await until(lambda: "i-1" in gateway.follower.servers)
-        assert (await ask(probe, PROBE)).status == 200
-        assert (await ask(front, request())).body == events(1, 2)
-        metrics = await ask(probe, b"GET /metrics HTTP/1.1\r\nHost: n\r\n\r\n")
+        assert (await ask(probe_port, PROBE)).status == 200
+        assert (await ask(client_port, request())).body == events(1, 2)
+        metrics = await ask(probe_port, b"GET /metrics HTTP/1.1\r\nHost: n\r\n\r\n")
         assert b"emberring_gateway_configuration_version 3\n" in metrics.body
         assert b"emberring_gateway_admission_cursor 0\n" in metrics.body
         assert b"emberring_gateway_admission_lot_share 0.85\n" in metrics.body
-        assert (await ask(probe, b"GET /x HTTP/1.1\r\nHost: n\r\n\r\n")).status == 404
+        assert (await ask(probe_port, b"GET /x HTTP/1.1\r\nHost: n\r\n\r\n")).status == 404
         control.facts.append(ServerRecord("i-1", "s", server.address, "z", 4, ServerState.DRAINING, 2))
         await until(lambda: gateway.routable_servers.routable("i-1") is None)
-        assert (await ask(front, request())).status == 503
+        assert (await ask(client_port, request())).status == 503
         assert len(server.seen) == 1
         leaving = asyncio.create_task(gateway.shut_down_gracefully())
         await until(lambda: gateway.clients.shutting_down)
-        assert (await ask(probe, PROBE)).status == 503
-        assert (await ask(front, request())).headers["connection"] == "close"
+        assert (await ask(probe_port, PROBE)).status == 503
+        assert (await ask(client_port, request())).headers["connection"] == "close"
         await leaving
         await gateway.stop()
         assert any(pull.sender.leaving for pull in control.pulls)
 
-    asyncio.run(with_control(story, 1.0))
+    asyncio.run(with_control(scenario, 1.0))
 
 
 def test_a_gateway_shutting_down_answers_open_requests(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(graceful_shutdown, "READINESS_DETECTION_S", 0.1)
 
-    async def story(settings: Settings, control: FakeControl, server: ScriptedServer) -> None:
-        told = asyncio.Event()
+    async def scenario(settings: Settings, control: FakeControl, server: ScriptedServer) -> None:
+        may_continue = asyncio.Event()
 
         async def wait_and_stream(side: ServerSide, seen: ReceivedRequest) -> None:
-            await told.wait()
+            await may_continue.wait()
             await side.stream(seen, (1, 2))
 
         server.scripts = [wait_and_stream]
@@ -168,17 +168,17 @@
         leaving = asyncio.create_task(gateway.shut_down_gracefully())
         await until(lambda: gateway.clients._server is None)
         assert not leaving.done()
-        told.set()
+        may_continue.set()
         answer = await client.receive()
         assert (answer.body, answer.whole) == (events(1, 2), True)
         await leaving
         await gateway.stop()
 
-    asyncio.run(with_control(story, 8.0))
+    asyncio.run(with_control(scenario, 8.0))
 
 
 def test_the_process_ignores_sighup_and_ends_at_sigterm(tmp_path: Path) -> None:
-    async def story(settings: Settings, control: FakeControl, server: ScriptedServer) -> None:
+    async def scenario(settings: Settings, control: FakeControl, server: ScriptedServer) -> None:
         control.version = 1
         control.facts.append(ServerRecord("i-1", "s", server.address, "z", 4, ServerState.READY, 1))
         path = tmp_path / "local.toml"
@@ -196,12 +196,12 @@
             env={**os.environ, "EMBERRING_NODE_FILE": str(path)},
         )
         try:
-            front = int(settings.listen.frontend.rsplit(":", 1)[1])
-            probe = int(settings.listen.readiness.rsplit(":", 1)[1])
-            await until_ready(probe)
+            client_port = int(settings.listen.frontend.rsplit(":", 1)[1])
+            probe_port = int(settings.listen.readiness.rsplit(":", 1)[1])
+            await until_ready(probe_port)
             process.send_signal(signal.SIGHUP)
             path.write_text("nonsense")
-            assert (await ask(front, request())).body == events(1, 2)
+            assert (await ask(client_port, request())).body == events(1, 2)
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
         finally:
@@ -217,4 +217,4 @@
                 pass
             await asyncio.sleep(0.01)
 
-    asyncio.run(with_control(story, 1.0))
+    asyncio.run(with_control(scenario, 1.0))
--- a/tests/emberring/placement/test_tier_placement.py
+++ b/tests/emberring/placement/test_tier_placement.py
@@ -1,4 +1,4 @@
-"""The placement of shards: the first one, successors, moves, retirement."""
+"""The placement of shards: first placement, successors of lost disks, moves, retirement."""
 
 from __future__ import annotations
 
@@ -49,9 +49,9 @@
     memory = PlanMemory()
     assert plan(None, stores("a", "b"), 0.0, 1, memory) is None
     assert plan(None, stores("a", "b"), FIRST_PLACEMENT_TIMEOUT_S - 0.1, 1, memory) is None
-    few = plan(None, stores("a", "b"), FIRST_PLACEMENT_TIMEOUT_S, 1, memory)
-    assert few is not None
-    assert all(len(group.members) == 2 for group in few.groups)
+    small_placement = plan(None, stores("a", "b"), FIRST_PLACEMENT_TIMEOUT_S, 1, memory)
+    assert small_placement is not None
+    assert all(len(group.members) == 2 for group in small_placement.groups)
     live = [store("a", zone="x"), store("b", zone="x"), store("c", zone="y"), store("d", zone="z")]
     placement = first_placement(live)
     assert len(placement.groups) == SHARDS
@@ -67,7 +67,7 @@
         assert plan(placement, live, 1.0 + step, 1, memory) is placement
 
 
-def test_a_lost_disk_has_a_successor_at_once() -> None:
+def test_a_lost_disk_has_a_successor_without_delay() -> None:
     memory = PlanMemory()
     placement = first_placement(stores("a", "b", "c"), memory)
     live = [store("a"), store("b"), store("c", identity="id-c2")]
@@ -104,12 +104,12 @@
 def test_a_move_is_cancelled_when_the_absent_store_returns() -> None:
     memory = PlanMemory()
     placement = first_placement(stores("a", "b", "c"), memory)
-    away = plan(placement, stores("a", "b", "d"), 10.0, 1, memory)
-    assert away is not None
-    assert away.groups[0].joining
-    back = plan(away, stores("a", "b", "c"), 10.5, 1, memory)
-    assert back is not None
-    assert back.groups[0] == Group(0, away.groups[0].epoch + 1, placement.groups[0].members)
+    moving = plan(placement, stores("a", "b", "d"), 10.0, 1, memory)
+    assert moving is not None
+    assert moving.groups[0].joining
+    returned = plan(moving, stores("a", "b", "c"), 10.5, 1, memory)
+    assert returned is not None
+    assert returned.groups[0] == Group(0, moving.groups[0].epoch + 1, placement.groups[0].members)
 
 
 def test_without_a_spare_an_absent_store_stays_a_member() -> None:
@@ -128,19 +128,19 @@
         begin_retire(None, "a", live)
     with pytest.raises(NotFoundError):
         retire_state(placement, "a")
-    begun = begin_retire(placement, "a", live)
-    assert begin_retire(begun, "a", live) is begun
-    assert retire_state(begun, "a") == "active"
+    retiring = begin_retire(placement, "a", live)
+    assert begin_retire(retiring, "a", live) is retiring
+    assert retire_state(retiring, "a") == "active"
     with pytest.raises(ConflictError):
-        begin_retire(begun, "b", live)
-    changed = plan(begun, live, 1.0, 1, memory)
+        begin_retire(retiring, "b", live)
+    changed = plan(retiring, live, 1.0, 1, memory)
     assert changed is not None
     assert retire_state(changed, "a") == "active"
-    done = plan(finish_all(changed), live, 2.0, 1, memory)
-    assert done is not None
-    assert retire_state(done, "a") == "completed"
-    assert not any("id-a" in group.everyone for group in done.groups)
-    assert begin_retire(done, "a", live) is done
+    retired = plan(finish_all(changed), live, 2.0, 1, memory)
+    assert retired is not None
+    assert retire_state(retired, "a") == "completed"
+    assert not any("id-a" in group.everyone for group in retired.groups)
+    assert begin_retire(retired, "a", live) is retired
 
 
 def test_a_retirement_that_leaves_too_few_stores_is_rejected() -> None:
@@ -155,11 +155,11 @@
     placement = first_placement(live, memory)
     changed = plan(begin_retire(placement, "a", live), live, 1.0, 1, memory)
     assert changed is not None
-    done = plan(finish_all(changed), live, 2.0, 1, memory)
-    assert done is not None
-    again = plan(done, [*stores("b", "c", "d"), store("a", identity="id-a2")], 3.0, 1, memory)
-    assert again is not None
-    assert again.retired == ()
+    retired = plan(finish_all(changed), live, 2.0, 1, memory)
+    assert retired is not None
+    replanned = plan(retired, [*stores("b", "c", "d"), store("a", identity="id-a2")], 3.0, 1, memory)
+    assert replanned is not None
+    assert replanned.retired == ()
 
 
 def test_a_move_is_finished_only_for_its_epoch() -> None:
