--- a/emberring/admission/candidates.py
+++ b/emberring/admission/candidates.py
@@ -54,14 +54,14 @@
     return list({server.record.id: server for server in sampled}.values())
 
 
-def still_running_share(age_s: float, hold_s: float) -> float:
+def still_running_share(age_s: float, slot_time_s: float) -> float:
     """Return the estimated share of the reported calls that have not ended yet.
 
     Args:
         age_s: age of the report.
-        hold_s: mean time for which a call occupies its slot.
+        slot_time_s: mean time for which a call occupies its slot.
     """
-    return math.exp(-max(MIN_REPORT_AGE_S, age_s) / hold_s) if hold_s > 0.0 else 0.0
+    return math.exp(-max(MIN_REPORT_AGE_S, age_s) / slot_time_s) if slot_time_s > 0.0 else 0.0
 
 
 def sampling_weights(servers: Sequence[ServerView], still_running: float) -> list[float]:
--- a/emberring/admission/eligibility.py
+++ b/emberring/admission/eligibility.py
@@ -15,7 +15,9 @@
 EJECTION_BASE_S = 0.15  # first ejection; doubled for each further consecutive failure
 EJECTION_MAX_S = 3.0  # upper limit, before randomization
 FULL_BACKOFF_S = 0.15  # mean time without new calls after a server rejected one as full
-TOLERATED_BREAKS = 1  # consecutive broken responses that do not eject while other responses continue
+TOLERATED_BROKEN_RESPONSES = (
+    1  # consecutive broken responses that do not eject while other responses continue
+)
 RECENT_EVENT_S = 0.3  # an event within this time shows that the server's other responses continue
 UNTESTED_SLOT_SHARE = 0.5  # of this gateway's even share of the slots, until the server's first response
 SILENCE_MIN_S = 0.3  # shorter silences never count as unresponsive
@@ -29,11 +31,11 @@
 def record_failure(now_s: float, server: ServerView, outcome: CallOutcome, random: Random) -> None:
     """Record an attempt that failed without a complete response; may eject the server."""
     server.last_failure = outcome
-    server.consecutive_failures += 1 if outcome not in CERTAIN_FAILURES else TOLERATED_BREAKS + 1
+    server.consecutive_failures += 1 if outcome not in CERTAIN_FAILURES else TOLERATED_BROKEN_RESPONSES + 1
     other_responses_continue = now_s - server.last_received_s <= RECENT_EVENT_S
     if (
         outcome not in CERTAIN_FAILURES
-        and server.consecutive_failures <= TOLERATED_BREAKS
+        and server.consecutive_failures <= TOLERATED_BROKEN_RESPONSES
         and other_responses_continue
     ):
         return
@@ -43,7 +45,7 @@
 
 def failing(server: ServerView) -> bool:
     """Return whether the server has failed too often; its slots are not counted until it answers again."""
-    return server.consecutive_failures > TOLERATED_BREAKS
+    return server.consecutive_failures > TOLERATED_BROKEN_RESPONSES
 
 
 def record_full(now_s: float, server: ServerView, random: Random) -> None:
--- a/emberring/admission/job_pressure.py
+++ b/emberring/admission/job_pressure.py
@@ -28,7 +28,7 @@
     _updated_s: float = -math.inf
 
     def record_item(self, now_s: float, due_s: float, target_s: float) -> None:
-        """Record an admitted item; one that is already late is ignored, because more slots cannot make it punctual.
+        """Record an admitted item; one that is already late is ignored, because more slots no longer help it.
 
         Args:
             now_s: the current time (monotonic clock).
--- a/emberring/admission/load_meter.py
+++ b/emberring/admission/load_meter.py
@@ -31,33 +31,33 @@
         self.baseline: float | None = None  # the smoothed wait without load
         self._period_waits: list[float] = []
         self._initial_waits: list[float] = []
-        self._outcomes_since_step = 0  # waits recorded since the cursor last moved right
+        self._outcomes_since_move = 0  # waits recorded since the cursor last moved right
         self._period_outcomes = 0
         self._period_full = 0
 
     def record_wait(self, target_share: float) -> None:
         """Record the wait for a first event as a share of the latency target, without the time for its own prompt."""
         self._period_waits.append(min(MAX_WAIT_SHARE, max(0.0, target_share)))
-        self._outcomes_since_step += 1
+        self._outcomes_since_move += 1
 
     def record_outcome(self, full: bool) -> None:
         """Record the end of an attempt; `full` is whether the server rejected it for lack of capacity."""
         self._period_outcomes += 1
         self._period_full += full
 
-    def may_step_right(self) -> bool:
+    def may_move_right(self) -> bool:
         """Return whether the cursor may move right again.
 
         The effect of a step shows only in calls sent after it, so a number of outcomes is required between two steps.
         Severe congestion is exempt.
         """
-        if self._outcomes_since_step < OUTCOMES_FOR_HALF_WEIGHT and not self.jammed:
+        if self._outcomes_since_move < OUTCOMES_FOR_HALF_WEIGHT and not self.congested:
             return False
-        self._outcomes_since_step = 0
+        self._outcomes_since_move = 0
         return True
 
     @property
-    def jammed(self) -> bool:
+    def congested(self) -> bool:
         """Whether waits are close to the latency target."""
         return self.smoothed_wait > JAMMED_LEVEL
 
--- a/emberring/admission/outcomes.py
+++ b/emberring/admission/outcomes.py
@@ -28,7 +28,9 @@
 
     def __init__(self, settings: AdmissionSettings, random: Random) -> None:
         self.meter = LoadMeter()
-        self.service_rate = ServiceRateEstimator(settings.start_prefill_tokens_per_ms, settings.start_hold_s)
+        self.service_rate = ServiceRateEstimator(
+            settings.initial_prefill_tokens_per_ms, settings.initial_slot_time_s
+        )
         self.usual_event_gap_ms = 0.0
         self._random = random
 
--- a/emberring/admission/placement.py
+++ b/emberring/admission/placement.py
@@ -58,7 +58,7 @@
         preferred,
         connected,
         random,
-        still_running_share(context.load_report_age_s, context.service_rate.hold_s),
+        still_running_share(context.load_report_age_s, context.service_rate.slot_time_s),
     ):
         miss_tokens = expected_miss_tokens(call, server, preferred, affinity_id)
         tokens_ahead = server.waiting_tokens(context.now_s, context.service_rate.ms_per_token)
--- a/emberring/admission/pool.py
+++ b/emberring/admission/pool.py
@@ -95,7 +95,7 @@
             load = self.outcomes.meter.close_period(may_raise_baseline=self.table.cursor == 0)
             if load <= 1.0:
                 self.table.move(False)
-            elif self.outcomes.meter.may_step_right():
+            elif self.outcomes.meter.may_move_right():
                 self.table.move(True)
             self._period_end_s += period_s
         self._period_end_s = now_s + period_s
--- a/emberring/admission/ranking.py
+++ b/emberring/admission/ranking.py
@@ -118,7 +118,7 @@
     )
     queued = len(server.calls) + other_calls + 1.0 - server.capacity
     if queued > 0.0:
-        wait_ms += queued * context.service_rate.hold_s * 1000.0 / server.capacity
+        wait_ms += queued * context.service_rate.slot_time_s * 1000.0 / server.capacity
     return wait_ms
 
 
--- a/emberring/admission/service_rate.py
+++ b/emberring/admission/service_rate.py
@@ -10,7 +10,7 @@
 MIN_TOKENS_PER_MS, MAX_TOKENS_PER_MS = 5.0, 5000.0  # limits of the estimated prefill speed
 PRIOR_OUTCOMES = 10.0  # weight of the assumed speed, in outcomes
 PRIOR_TOKENS = 8000.0  # prompt length of these outcomes
-HOLD_GAIN = 0.02  # smoothing factor of the time for which a call occupies its slot
+SLOT_TIME_GAIN = 0.02  # smoothing factor of the time for which a call occupies its slot
 LATE_OUTCOME_WEIGHT = 0.3  # of a wait longer than estimated, which may have unobserved causes
 
 
@@ -19,11 +19,11 @@
 
     Args:
         tokens_per_ms: assumed prefill speed before any outcome.
-        hold_s: assumed time for which a call occupies its slot before any outcome.
+        slot_time_s: assumed time for which a call occupies its slot before any outcome.
     """
 
-    def __init__(self, tokens_per_ms: float, hold_s: float) -> None:
-        self.hold_s = hold_s
+    def __init__(self, tokens_per_ms: float, slot_time_s: float) -> None:
+        self.slot_time_s = slot_time_s
         self._prior_ms_per_token = 1.0 / tokens_per_ms
         self._weight = self._weighted_x = self._weighted_y = self._weighted_xx = self._weighted_xy = 0.0
         self.ms_per_token = self._prior_ms_per_token
@@ -47,7 +47,7 @@
 
     def record_completion(self, seconds: float) -> None:
         """Record how long a completed call occupied its slot."""
-        self.hold_s += HOLD_GAIN * (seconds - self.hold_s)
+        self.slot_time_s += SLOT_TIME_GAIN * (seconds - self.slot_time_s)
 
     def wait_ms(self, tokens: float) -> float:
         """Return the expected wait for a first event if this many tokens have to be computed before it."""
--- a/emberring/admission/types.py
+++ b/emberring/admission/types.py
@@ -91,13 +91,13 @@
     Args:
         period_s: measurement period, after which the load moves the table's cursor.
         live_queue_share: live calls that may queue beyond the slots, as a share of the slots.
-        start_prefill_tokens_per_ms: assumed prefill speed before any outcome.
-        start_hold_s: assumed time for which a call occupies its slot before any outcome.
+        initial_prefill_tokens_per_ms: assumed prefill speed before any outcome.
+        initial_slot_time_s: assumed time for which a call occupies its slot before any outcome.
         zone: the gateway's zone; servers in other zones have a higher cost.
     """
 
     period_s: float = 0.05
     live_queue_share: float = 0.5
-    start_prefill_tokens_per_ms: float = 100.0
-    start_hold_s: float = 0.5
+    initial_prefill_tokens_per_ms: float = 100.0
+    initial_slot_time_s: float = 0.5
     zone: str = ""
--- a/emberring/gateway/execution.py
+++ b/emberring/gateway/execution.py
@@ -58,7 +58,7 @@
         Returns a response of the gateway itself that must still be sent; None if the receiver got the response.
         """
         call = self._live_call(request, route)
-        progress = _Progress(AttemptBudget(route.max_attempts, route.may_repeat))
+        progress = _AttemptProgress(AttemptBudget(route.max_attempts, route.may_repeat))
         try:
             async with asyncio.timeout_at(call.deadline_s):
                 return await self._run_attempts(call, route, receiver, progress)
@@ -85,7 +85,7 @@
         )
 
     async def _run_attempts(
-        self, call: UpstreamCall, route: Route, receiver: LiveReceiver, progress: _Progress
+        self, call: UpstreamCall, route: Route, receiver: LiveReceiver, progress: _AttemptProgress
     ) -> GatewayResponse | None:
         excluded: set[str] = set()
         broken_servers: set[str] = set()  # excluded servers that may be used again if no other server is left
@@ -115,7 +115,7 @@
             call.resumed = receiver.started
 
     @staticmethod
-    def _response_timeouts(route: Route, progress: _Progress) -> ResponseTimeouts | None:
+    def _response_timeouts(route: Route, progress: _AttemptProgress) -> ResponseTimeouts | None:
         """Return the timeouts of the next attempt; None if no retry is possible after it."""
         retry_possible = route.may_repeat and progress.value.executed + 1 < route.max_attempts
         return LIVE_RESPONSE_TIMEOUTS if retry_possible else None
@@ -123,7 +123,7 @@
     async def _respond_to_failure(
         self,
         receiver: LiveReceiver,
-        progress: _Progress,
+        progress: _AttemptProgress,
         last: AttemptResult | None,
         decision: Decision | None,
     ) -> GatewayResponse | None:
@@ -233,7 +233,7 @@
         self._activity.keep_only(present)
 
 
-class _Progress:
+class _AttemptProgress:
     """The attempt budget of a live request, mutable so that the timeout handler of `run_live` sees its latest value."""
 
     def __init__(self, value: AttemptBudget) -> None:
--- a/emberring/gateway/graceful_shutdown.py
+++ b/emberring/gateway/graceful_shutdown.py
@@ -11,9 +11,9 @@
 import attrs
 
 READINESS_DETECTION_S = 2.4  # the platform probes once a second and needs two failed probes
-QUIET_S = 0.6  # after this time without a new connection, no more connections are expected
+QUIET_PERIOD_S = 0.6  # after this time without a new connection, no more connections are expected
 LISTEN_SHARE = 0.5  # share of the grace period after which no new connection is accepted in any case
-END_BEFORE_S = 0.7  # the process ends this long before the end of the grace period
+END_MARGIN_S = 0.7  # the process ends this long before the end of the grace period
 
 
 class Stage(Enum):
@@ -47,7 +47,7 @@
         self._began_s = began_s
         self._min_listen_until_s = began_s + max(0.0, min(READINESS_DETECTION_S, grace_s * LISTEN_SHARE))
         self._max_listen_until_s = began_s + grace_s * LISTEN_SHARE
-        self._end_s = began_s + max(0.0, grace_s - END_BEFORE_S)
+        self._end_s = began_s + max(0.0, grace_s - END_MARGIN_S)
         self._listening = True
 
     def step(self, now_s: float, open_connections: OpenConnections) -> Stage:
@@ -55,7 +55,7 @@
         if now_s >= self._end_s:
             return Stage.END
         if self._listening:
-            quiet = now_s - open_connections.last_accepted_s >= QUIET_S
+            quiet = now_s - open_connections.last_accepted_s >= QUIET_PERIOD_S
             if now_s < self._min_listen_until_s or not (quiet or now_s >= self._max_listen_until_s):
                 return Stage.SERVE
             self._listening = False
--- a/emberring/gateway/upstream.py
+++ b/emberring/gateway/upstream.py
@@ -11,8 +11,8 @@
 from loadbalancer.core.outgoing import Outgoing
 
 MAX_HEAD_BYTES = 32 * 1024  # of a response, interim responses included
-SUCCESS_FROM, SUCCESS_BELOW = 200, 300
-FINAL_FROM = 200  # lower statuses are interim responses
+MIN_SUCCESS_STATUS, MIN_REDIRECT_STATUS = 200, 300
+MIN_FINAL_STATUS = 200  # lower statuses are interim responses
 
 
 class Exchange(Protocol):
@@ -140,7 +140,7 @@
     def on_headers_complete(self) -> None:
         """Validate the head and pass it to the exchange; called by httptools."""
         status = self._parser.get_status_code()
-        if self._completed or status < FINAL_FROM:
+        if self._completed or status < MIN_FINAL_STATUS:
             return
         self._reading_head = False
         head = self._read_head(status)
@@ -149,7 +149,7 @@
             return
         if self._discarding:
             return
-        if status >= SUCCESS_BELOW:
+        if status >= MIN_REDIRECT_STATUS:
             self.failed_request_ids.add(self._request_id)
         bodiless = self._bodiless or status in BODILESS_STATUSES
         if not bodiless and head.length is None and not self._is_chunked():
@@ -174,7 +174,7 @@
             elif name == b"keep-alive":
                 self.keep_alive_s = _parse_keep_alive(value, self.keep_alive_s)
         self._discarding = response_id is not None and response_id != self._request_id
-        success = SUCCESS_FROM <= status < SUCCESS_BELOW
+        success = MIN_SUCCESS_STATUS <= status < MIN_REDIRECT_STATUS
         if response_id is None and self._request_id and success:
             return None
         return ResponseHead(status, tuple(self._headers), length)
--- a/tests/emberring/admission/test_tier_candidates.py
+++ b/tests/emberring/admission/test_tier_candidates.py
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize(
-    ("age_s", "hold_s", "least", "most"),
+    ("age_s", "slot_time_s", "least", "most"),
     [
         (0.0, 1.0, 0.85, 0.95),
         (0.2, 1.0, 0.8, 0.85),
@@ -148,6 +148,6 @@
     ],
 )
 def test_the_share_of_calls_still_running_falls_with_the_age_of_the_report(
-    age_s: float, hold_s: float, least: float, most: float
+    age_s: float, slot_time_s: float, least: float, most: float
 ) -> None:
-    assert least <= still_running_share(age_s, hold_s) <= most
+    assert least <= still_running_share(age_s, slot_time_s) <= most
--- a/tests/emberring/admission/test_tier_load_meter.py
+++ b/tests/emberring/admission/test_tier_load_meter.py
@@ -23,7 +23,7 @@
     meter = LoadMeter()
     load_after(meter, 0.2, 20)
     assert load_after(meter, 0.9, 10) > 1.0
-    assert meter.jammed
+    assert meter.congested
     assert load_after(meter, 0.2, 20) < 1.0
 
 
@@ -55,8 +55,8 @@
 def test_a_further_step_requires_enough_new_outcomes() -> None:
     meter = LoadMeter()
     load_after(meter, 0.2, 8)
-    assert meter.may_step_right()
-    assert not meter.may_step_right()
+    assert meter.may_move_right()
+    assert not meter.may_move_right()
     for _ in range(int(OUTCOMES_FOR_HALF_WEIGHT)):
         meter.record_wait(0.3)
-    assert meter.may_step_right()
+    assert meter.may_move_right()
