--- a/emberring/admission/eligibility.py
+++ b/emberring/admission/eligibility.py
@@ -1,7 +1,7 @@
 """Whether a server may be sent a call now, by its slots, connections, warm-up and failures.
 
-A server that failed is ejected for a short time that doubles with each consecutive failure. Afterwards it gets one call
-at a time until one of them is answered.
+A server that failed is ejected for a short time that grows exponentially with consecutive failures. Afterwards it gets
+one call at a time until one of them is answered.
 """
 
 from __future__ import annotations
@@ -12,13 +12,11 @@
 from emberring.admission.types import CallOutcome
 from loadbalancer.slow_start import COLD_SHARE
 
-EJECTION_BASE_S = 0.15  # first ejection; doubled for each further consecutive failure
+EJECTION_BASE_S = 0.15  # for a count of 1 consecutive failure; doubled with each further count
 EJECTION_MAX_S = 3.0  # upper limit, before randomization
 FULL_BACKOFF_S = 0.15  # mean time without new calls after a server rejected one as full
-TOLERATED_BROKEN_RESPONSES = (
-    1  # consecutive broken responses that do not eject while other responses continue
-)
-RECENT_EVENT_S = 0.3  # an event within this time shows that the server's other responses continue
+TOLERATED_BROKEN_RESPONSES = 1  # consecutive; they do not eject while other responses continue
+RECENT_EVENT_S = 0.3  # an event within this time shows that other responses of the server continue
 UNTESTED_SLOT_SHARE = 0.5  # of this gateway's even share of the slots, until the server's first response
 SILENCE_MIN_S = 0.3  # shorter silences never count as unresponsive
 SILENCE_WAIT_FACTOR = 3.0  # allowed silence as a multiple of the longest predicted wait
--- a/emberring/admission/known_calls.py
+++ b/emberring/admission/known_calls.py
@@ -47,7 +47,7 @@
     def other_calls_at(self, servers: Sequence[ServerView]) -> float:
         """Return the estimated calls of the other gateways at these servers.
 
-        The latest total of the service is divided by the loads of the single servers, which may be seconds older.
+        The latest total of the service is split in proportion to the reports per server, which may be seconds older.
         """
         at_these = sum(server.other_calls for server in servers)
         if self._other_calls_total is None:
--- a/emberring/admission/load_meter.py
+++ b/emberring/admission/load_meter.py
@@ -18,7 +18,7 @@
     UNCROWDED_SLACK,
 )
 
-OUTCOMES_FOR_HALF_WEIGHT = 10.0  # in a period; the median of so many gets half the weight
+OUTCOMES_FOR_HALF_WEIGHT = 10.0  # waits in a period that get half the weight in the smoothed wait
 MAX_WAIT_SHARE = 3.0  # larger waits are capped, so that the estimate recovers soon after congestion
 IDLE_DECAY = 0.97  # factor of the smoothed wait in a period without waits, so that unobserved load decays
 
@@ -48,8 +48,8 @@
     def may_move_right(self) -> bool:
         """Return whether the cursor may move right again.
 
-        The effect of a step shows only in calls sent after it, so a number of outcomes is required between two steps.
-        Severe congestion is exempt.
+        The effect of a move shows only in calls sent after it, so a number of outcomes is required between two moves,
+        except during severe congestion.
         """
         if self._outcomes_since_move < OUTCOMES_FOR_HALF_WEIGHT and not self.congested:
             return False
--- a/emberring/admission/pool.py
+++ b/emberring/admission/pool.py
@@ -203,9 +203,9 @@
     def _prompt_capacity(self, count: int, eligible: list[ServerView]) -> int:
         """Return how many more items may await their first event, by this gateway's even share.
 
-        Without the limit, the items of a batch job would be admitted all at once and their prompts would delay those of
-        live calls. Of the `count` servers, only items at `eligible` ones are counted. Items at an unresponsive server
-        are not processed, and counting them would block all other items until they time out.
+        Without the limit, the items of a batch job would be admitted simultaneously, and their prompts would delay
+        those of live calls. Of the `count` servers, only items at `eligible` ones are counted. Items at an
+        unresponsive server are not processed, and counting them would block all other items until they time out.
         """
         awaiting_prefill = sum(
             1
--- a/emberring/admission/types.py
+++ b/emberring/admission/types.py
@@ -1,4 +1,4 @@
-"""The inputs and outputs of admission. Points in time (`_s`) are seconds of the monotonic clock."""
+"""The inputs and outputs of admission. Times of events are seconds of the monotonic clock."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 @attrs.frozen
 class CallInfo:
-    """A live request or a batch item that asks for a server.
+    """A live request or a batch item that needs a server.
 
     Args:
         priority: the route's priority; 0 is the most urgent.
         batch: whether it is an item of a batch job.
         tokens_in: tokens of the prompt; 0 if unknown.
-        tokens_out: tokens of the output at most; 0 if unknown.
+        tokens_out: maximum tokens of the output; 0 if unknown.
         parts: the parts of `Prefix-Hash` in order; the last one is the request's own or its session's.
         latency_target_ms: target for the time to the first event.
         deadline_s: deadline of the caller or, for a batch item, when it is due.
--- a/emberring/gateway/app.py
+++ b/emberring/gateway/app.py
@@ -152,7 +152,7 @@
 
 
 async def _reject_long_body(receive: Receive) -> GatewayResponse:
-    """Discard input for a short time: closing the connection at once would reset it before the client reads the 413."""
+    """Discard input for a short time: an immediate close would reset the connection before the client reads the 413."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(DISCARD_S):
             while (await receive()).get("more_body"):
--- a/emberring/gateway/clients.py
+++ b/emberring/gateway/clients.py
@@ -105,7 +105,7 @@
         self.listener: ClientListener = app_state["listener"]
         self.on_disconnected: Callable[[], None] | None = None
         self._reading_head = False
-        self._requests_begun = 0  # number of requests begun
+        self._requests_begun = 0
         self._head_received_bytes = 0  # approximate bytes received since the head began
         self._head_bytes = 0  # bytes in complete header names and values
         self._request_began_s = 0.0
--- a/emberring/gateway/upstream.py
+++ b/emberring/gateway/upstream.py
@@ -153,7 +153,7 @@
             self.failed_request_ids.add(self._request_id)
         bodiless = self._bodiless or status in BODILESS_STATUSES
         if not bodiless and head.length is None and not self._is_chunked():
-            self._spoilt = True  # the body would end with the connection, which cannot be told from a failure
+            self._spoilt = True  # the body would end with the connection, which looks the same as a failure
             return
         self._adapter.exchange.head(head)
         if bodiless:
