--- a/emberring/admission/service_rate.py
+++ b/emberring/admission/service_rate.py
@@ -38,10 +38,10 @@
         self._weighted_xx = self._weighted_xx * DECAY_PER_OUTCOME + weight * tokens * tokens
         self._weighted_xy = self._weighted_xy * DECAY_PER_OUTCOME + weight * tokens * wait_ms
         mean_x, mean_y = self._weighted_x / self._weight, self._weighted_y / self._weight
-        sum_xx = self._weighted_xx - self._weight * mean_x * mean_x
-        sum_xy = self._weighted_xy - self._weight * mean_x * mean_y
+        centered_xx = self._weighted_xx - self._weight * mean_x * mean_x
+        centered_xy = self._weighted_xy - self._weight * mean_x * mean_y
         prior_weight = PRIOR_OUTCOMES * PRIOR_TOKENS * PRIOR_TOKENS
-        slope = (sum_xy + prior_weight * self._prior_ms_per_token) / (sum_xx + prior_weight)
+        slope = (centered_xy + prior_weight * self._prior_ms_per_token) / (centered_xx + prior_weight)
         self.ms_per_token = min(1.0 / MIN_TOKENS_PER_MS, max(1.0 / MAX_TOKENS_PER_MS, slope))
         self.base_ms = max(0.0, mean_y - self.ms_per_token * mean_x)
 
