--- a/loadbalancer/__main__.py
+++ b/loadbalancer/__main__.py
@@ -1,4 +1,4 @@
-"""One real node: `python -m loadbalancer`, told what it is by the file that PROXY_CONFIG names."""
+"""The node process: `python -m loadbalancer`, configured by the file that PROXY_CONFIG names."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 async def serve() -> int:
-    """Run the node until SIGTERM or SIGINT; SIGHUP has it read its configuration again. Returns the exit code."""
+    """Run the node until SIGTERM or SIGINT; SIGHUP reloads the configuration. Returns the exit code."""
     stop, hangup = signals()
     try:
         config = read_config()
@@ -32,26 +32,26 @@
         return 2
     node = Node(config)
     await node.start()
-    reloading = asyncio.create_task(_reload(node, hangup))
+    reload_task = asyncio.create_task(_reload(node, hangup))
     gc.collect()
-    gc.freeze()  # the collector need not check what stays for the process's life
-    logging.info("%s serves on %s:%d", config.name, *node.server.address)
+    gc.freeze()  # exempt long-lived objects from garbage collection
+    logging.info("%s listening on %s:%d", config.name, *node.server.address)
     await stop.wait()
-    reloading.cancel()
-    logging.info("%s stops", config.name)
+    reload_task.cancel()
+    logging.info("%s stopping", config.name)
     await node.stop()
     return 0
 
 
 async def _reload(node: Node, hangup: asyncio.Event) -> None:
-    """Read the configuration again at each hang-up; a bad file leaves the one that is in force."""
+    """Reload the configuration at each SIGHUP; an invalid file leaves the current one active."""
     while True:
         await hangup.wait()
         hangup.clear()
         try:
             node.reconfigure(read_config())
         except (OSError, ValueError) as error:
-            logging.error("bad configuration, the old one stays: %s", _one_line(error))
+            logging.error("bad configuration, keeping the current one: %s", _one_line(error))
 
 
 def _one_line(error: Exception) -> str:
@@ -59,7 +59,7 @@
 
 
 def main() -> int:
-    """Run the node; returns its exit code: 2 for a bad configuration, 1 if it can't listen."""
+    """Run the node; returns the exit code: 2 for an invalid configuration, 1 if it can't listen."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     try:
         return asyncio.run(serve())
--- a/loadbalancer/interface.py
+++ b/loadbalancer/interface.py
@@ -1,6 +1,6 @@
-"""The interface of the balancer: its settings, the events it takes and the actions it returns.
+"""The interface of the balancer: its settings, the events it handles and the actions it returns.
 
-Times are milliseconds on one clock that only advances; rates are per second.
+Times are in milliseconds on one monotonic clock; rates are per second.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 
 class Effect(Enum):
-    """What a repeat of a request does."""
+    """Whether a request may be executed more than once."""
 
-    SAFE = "safe"  # may be repeated freely
-    KEYED = "keyed"  # one group of servers drops a repeat while it remembers the key
-    UNSAFE = "unsafe"  # must never run twice
+    SAFE = "safe"  # idempotent: may be executed any number of times
+    KEYED = "keyed"  # a group of servers deduplicates by idempotency key, for a limited time
+    UNSAFE = "unsafe"  # must not be executed twice
 
 
 class Scope(Enum):
-    """The group of servers that drops repeats of a keyed request."""
+    """The group of servers within which repeats of a keyed request are deduplicated."""
 
     ALL = "all"
     ZONE = "zone"
@@ -28,7 +28,7 @@
 
 
 class Result(Enum):
-    """How an attempt ended; `never_ran` marks the results that prove it had no effect."""
+    """How an attempt ended; `never_ran` is true of the results that prove that it had no effect."""
 
     OK = "ok"
     ERROR = "error"
@@ -38,14 +38,14 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     MOOT = "moot"
-    NO_ROOM = "no_room"  # this process had no connection to send it on: says nothing of the server
+    NO_ROOM = "no_room"  # no connection was available in this process: not evidence about the server
 
     @property
     def never_ran(self) -> bool:
-        """Whether it proves that the attempt had no effect."""
+        """Whether this result proves that the attempt had no effect."""
         return self in _NEVER_RAN
 
-    # Enum's own hash is written in Python, and each attempt's result is looked up.
+    # Enum.__hash__ is implemented in Python and is too slow for one lookup per attempt.
     __hash__ = object.__hash__
 
 
@@ -53,17 +53,17 @@
 
 
 class ServerState(Enum):
-    """What a server list says of a server."""
+    """The state that a server list reports for a server."""
 
     UP = "up"
-    DEGRADED = "degraded"  # works, and gets requests only when healthy servers don't suffice
-    SICK = "sick"  # unhealthy: gets no requests, unless so many are that health is not believed
+    DEGRADED = "degraded"  # works, but is used only when the healthy servers lack capacity
+    SICK = "sick"  # unhealthy: gets no requests, except in panic mode (`Levels.panic`)
     DRAINING = "draining"
     REMOVED = "removed"
 
 
 class ListForm(Enum):
-    """What a server list says: changes, the whole, a remembered whole, or that asking failed."""
+    """The form of a `Membership`: changes, a complete list, a cached one, or a failed discovery call."""
 
     DELTA = "delta"
     FULL = "full"
@@ -76,19 +76,19 @@
 
 @dataclass(slots=True, frozen=True)
 class ServiceClass:
-    """A class of requests, and what may be done with them."""
+    """A class of requests: latency target, worth, and what may be retried."""
 
     name: str
-    aim_ms: float  # latency target: an answer within it earns its whole worth
-    give_up_ms: float  # the client's time-out over all its attempts
+    aim_ms: float  # latency target: a response within it earns the full worth
+    give_up_ms: float  # the client's timeout over all attempts
     worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth earned after the latency target
+    late_worth: float = 0.0  # share of the worth that a response after the latency target earns
     effect: Effect = Effect.UNSAFE
     scope: Scope = Scope.ALL
-    memory_ms: float = 0.0  # how long the group of servers remembers a key
+    memory_ms: float = 0.0  # how long servers remember an idempotency key
     stream: bool = False
-    max_attempts: int = 0  # for one request, within the settings'; 0: the settings'
-    hedge: bool = False  # a safe class of which a second copy may go out beside a slow first one
+    max_attempts: int = 0  # per request, at most `Settings.max_attempts`; 0: that limit alone
+    hedge: bool = False  # only safe classes: a slow first attempt may be hedged by a second one
 
 
 @dataclass(slots=True, frozen=True)
@@ -96,7 +96,7 @@
     """A tenant and its quota."""
 
     name: str
-    quota_per_s: float  # over all balancers of the tier together
+    quota_per_s: float  # for all balancers of the tier together
 
 
 @dataclass(slots=True, frozen=True)
@@ -106,11 +106,11 @@
     classes: tuple[ServiceClass, ...]
     tenants: tuple[Tenant, ...] = ()
     zone: str = ""
-    tier: int = 0  # 0 is the tier that clients reach
-    siblings: int = 1  # balancers that send to this tier, this one included
-    start_calls: float = 7.0  # in flight for each ready server, over all siblings, until its rate is known
-    quiet_calls: float = 2.0  # the same once it is, while latency is no load
-    near_ms: float = 0.0  # latencies that differ by less differ by little
+    tier: int = 0  # 0 is the edge tier, which clients call
+    siblings: int = 1  # balancers that send to the same servers, including this one
+    start_calls: float = 7.0  # in flight per ready server, over all siblings, until rates are known
+    quiet_calls: float = 2.0  # the same afterwards, while latency shows no load
+    near_ms: float = 0.0  # latency differences below this have little effect on ranking
     ask_discovery: bool = False
     worth_by_work: bool = False
     over_share_worth: float = 1.0
@@ -122,22 +122,20 @@
     cross_zone_price: float = 0.0
     cold_from: float = 1.0
     cold_ms: float = 0.0
-    starts_told: bool = True  # whether lists tell when a server was restarted
-    overload_factor: float = 2.0  # a cold server sent more than this many times its capacity falls over
-    retry_share: float | None = (
-        None  # attempts beyond first ones, as a share of these; None: no budget for them
-    )
-    retry_floor_per_s: float = 0.0  # and so many more
-    retry_window_ms: float = 10_000.0  # over which both are counted
-    retry_after_spread: float = 0.0  # share by which a told time to come back is drawn shorter or longer
-    backoff_ms: float = (
-        0.0  # ceiling of the first wait before a retry in a pool that fails; doubled each time
-    )
-    # While discovery fails, a list is used as it is for so long after it was complete; None: for good.
+    starts_told: bool = True  # whether server lists include the start time of servers
+    overload_factor: float = 2.0  # load over capacity from which a cold server fails
+    # Retry budget: retries and hedges as a share of first attempts; None: no budget, retries are unlimited.
+    retry_share: float | None = None
+    retry_floor_per_s: float = 0.0  # retries and hedges allowed in addition to that share
+    retry_window_ms: float = 10_000.0  # window of the retry budget
+    retry_after_spread: float = 0.0  # random spread of Retry-After, as a share of it in each direction
+    # Upper limit of the first backoff before a retry while the pool is failing; doubled for each attempt.
+    backoff_ms: float = 0.0
+    # While discovery fails, a list expires this long after it was last complete; None: it never expires.
     list_expires_ms: float | None = None
 
     def __post_init__(self) -> None:
-        """Check all values; raises ValueError that names the first setting that is wrong."""
+        """Check all values; raises ValueError naming the first invalid setting."""
         if not self.classes:
             raise ValueError("classes: at least one class is needed")
         self._check_classes()
@@ -171,7 +169,7 @@
             if not isinstance(getattr(self, key), bool):
                 raise ValueError(f"{key}: {getattr(self, key)!r} is not true or false")
         if not isinstance(self.zone, str):
-            raise ValueError(f"zone: {self.zone!r} is not a text")
+            raise ValueError(f"zone: {self.zone!r} is not a string")
 
     def _check_retries(self) -> None:
         if self.retry_share is not None:
@@ -180,9 +178,7 @@
         _within("retry_after_spread", self.retry_after_spread, 0, 1)
         for at, item in enumerate(self.classes):
             if item.hedge and (item.effect is not Effect.SAFE or self.retry_share is None):
-                raise ValueError(
-                    f"classes[{at}].hedge: only a safe class may be hedged, and from a retry budget"
-                )
+                raise ValueError(f"classes[{at}].hedge: hedging requires a safe class and a retry budget")
 
 
 def _within(key: str, value: object, low: float, high: float = math.inf) -> None:
@@ -194,13 +190,13 @@
 def _unique(key: str, names: Iterable[str]) -> None:
     seen = list(names)
     if len(set(seen)) != len(seen):
-        raise ValueError(f"{key}: a name stands twice")
+        raise ValueError(f"{key}: a name is used more than once")
 
 
 def warmth(age_ms: float, cold_from: float, cold_ms: float) -> float:
-    """Return a server's speed as a share of a warm one's, `age_ms` after its start.
+    """Return a server's capacity `age_ms` after its start, as a share of its capacity when warm.
 
-    It rises evenly from `cold_from` over `cold_ms`.
+    The share rises linearly from `cold_from` to 1 over `cold_ms`.
     """
     if age_ms >= cold_ms:
         return 1.0
@@ -218,52 +214,54 @@
     zone: str = ""
     cell: int = 0
     state: ServerState = ServerState.UP
-    launched_ms: float | None = None  # time of its start, on the clock of the events; None: long ago
-    weight: float = 1.0  # 0: nothing new
-    priority: int = 0  # 0 is the first to be used
+    launched_ms: float | None = None  # start time on the clock of the events; None: long ago
+    weight: float = 1.0  # 0: no new requests
+    priority: int = 0  # 0 is the preferred level
     locality: str = ""
-    locality_weight: float | None = None  # share of its level that its locality gets; None: not weighed
+    locality_weight: float | None = None  # weight of its locality in its level; None: not weighted
 
 
 @dataclass(slots=True, frozen=True)
 class Levels:
-    """How the priority levels of a list replace one another."""
+    """How load spills over between the priority levels of a list."""
 
-    overprovisioning: float = 1.4  # a level takes all its calls while this times its healthy share is 1
-    panic: float = 0.5  # healthy share under which health is not believed, once levels together lack some
-    drop: float = 0.0  # share of requests to refuse whatever the load
+    overprovisioning: float = 1.4  # a level overflows once this times its healthy share is below 1
+    panic: float = 0.5  # below this healthy share, health is ignored if all levels together lack capacity
+    drop: float = 0.0  # share of requests to reject regardless of load
 
 
 @dataclass(slots=True)
 class Membership:
-    """A server list, changes of one, or that asking for one failed."""
+    """A server list, changes to it, or the failure of a call of discovery."""
 
     form: ListForm
     servers: tuple[Server, ...] = ()
-    levels: Levels | None = None  # None: as before; all servers are one level until it is given
-    complete_until_ms: float | None = None  # of a failure: no change before then is missing; None: until now
+    levels: Levels | None = None  # None: unchanged; without any, all servers form one level
+    complete_until_ms: float | None = (
+        None  # for a failure: the list has all changes until then; None: until now
+    )
 
 
 @dataclass(slots=True)
 class Request:
-    """A request to decide on."""
+    """A new request that needs a decision."""
 
     id: str
-    service: str  # the class's name
+    service: str  # name of its service class
     give_up_at_ms: float
     tenant: str | None = None
     cost_hint_ms: float | None = None
     is_retry: bool = False
-    paid: bool = False  # such a repeat was taken from a budget of a tier before: it costs none here
-    attempts: int = 0  # at most, within the class's; 0: the class's
-    worth: float | None = None  # at most, within the class's
-    admitted: bool = False  # the threshold table has let it in (`Balancer.turns_away`)
-    earlier: Earlier | None = None  # where an earlier copy of it, with its key, may have run
+    paid: bool = False  # the retry was charged to the retry budget of an earlier tier: not charged here
+    attempts: int = 0  # upper limit below that of the class; 0: the limit of the class
+    worth: float | None = None  # upper limit below the worth of the class
+    admitted: bool = False  # already admitted by the threshold table (`Balancer.turns_away`)
+    earlier: Earlier | None = None  # an earlier request with the same key that may have been executed
 
 
 @dataclass(slots=True, frozen=True)
 class Earlier:
-    """An attempt of an earlier copy that may have run."""
+    """An attempt of an earlier request with the same idempotency key that may have been executed."""
 
     server: str
     sent_ms: float
@@ -271,7 +269,7 @@
 
 @dataclass(slots=True)
 class Started:
-    """A streamed answer has begun; the attempt now belongs to the client."""
+    """A streamed response has begun; the request can no longer move to another attempt."""
 
     id: str
     attempt: int
@@ -285,29 +283,29 @@
     attempt: int
     server: str
     result: Result
-    latency_ms: float  # without the time that the balancer's process took
-    done: bool  # the request has ended, by this or earlier
+    latency_ms: float  # without the processing time of the balancer's own process
+    done: bool  # the request has ended, with this attempt or before
     report: dict[str, float] | None = None
-    own_ms: float = 0.0  # time that the balancer's process took
+    own_ms: float = 0.0  # processing time of the balancer's own process
 
 
 @dataclass(slots=True)
 class Lapsed:
-    """The client has gone; no answer is owed any more."""
+    """The client has disconnected or its deadline has passed; no response is needed."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Alarm:
-    """The time of a `Wake` has come."""
+    """The timer of a `Wake` has fired."""
 
     name: str
 
 
 @dataclass(slots=True)
 class Probed:
-    """A health check of a server has ended, with the report that it brought."""
+    """A health check of a server has ended, possibly with a load report."""
 
     server: str
     result: Result
@@ -327,13 +325,13 @@
 
     id: str
     server: str
-    timeout_ms: float = 0.0  # 0: until the client gives up
-    begin_within_ms: float = 0.0  # given up unless it is written completely within so long; 0: no such limit
+    timeout_ms: float = 0.0  # 0: until the deadline of the request
+    begin_within_ms: float = 0.0  # the request must be written completely within this time; 0: no limit
 
 
 @dataclass(slots=True)
 class Refuse:
-    """Reject the request; final, and a retry is harmless."""
+    """Reject the request. Final; the client may retry safely."""
 
     id: str
     retry_after_ms: float = 0.0
@@ -341,7 +339,7 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Fail the request; final, and nothing is promised about effects."""
+    """Fail the request. Final; the request may or may not have had an effect."""
 
     id: str
 
@@ -356,12 +354,12 @@
 
 @dataclass(slots=True)
 class Watch:
-    """Subscribe to changes of the server list."""
+    """Subscribe to changes of the server list in discovery."""
 
 
 @dataclass(slots=True)
 class Wake:
-    """Ask for an `Alarm` of this name after a time."""
+    """Start a timer that delivers an `Alarm` with this name."""
 
     delay_ms: float
     name: str
--- a/loadbalancer/outlier_detection.py
+++ b/loadbalancer/outlier_detection.py
@@ -1,6 +1,6 @@
-"""What this balancer knows of one server: its errors, latency, reports, ejection and reinstatement.
+"""State of one server: errors, latency, load reports, ejection and reinstatement.
 
-Part of the decision module. A server that failed is never excluded for good: trial calls find out how it is.
+Part of the decision module. A failed server is never excluded permanently: trial calls detect its recovery.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 
 from loadbalancer.interface import Result, Server
 
-GAIN = 0.2  # smoothing of a server's latency and errors, per outcome
-PANIC_ERROR_SHARE = 0.5  # share of errors at the median server from which
-PANIC_DECAY_MS = 5000.0  # errors are forgotten at this pace
-EJECT_FAILURES = 2  # failures in a row from which a server is ejected
-REINSTATE_KEEP = 0.5  # share of its errors that a server which was ejected keeps at each answer,
-REINSTATED_ERROR_SHARE = 0.05  # until it has less than these, and its rank has it sent calls as any other
-IDLE_BEFORE_TRIAL_MS = 15_000.0  # a server with errors that was sent nothing for so long gets a trial call
+SMOOTHING_GAIN = 0.2  # smoothing factor of a server's latency and error share, per outcome
+PANIC_ERROR_SHARE = 0.5  # error share of the median server from which
+PANIC_DECAY_MS = 5000.0  # error shares decay with this time constant
+EJECT_FAILURES = 2  # consecutive failures from which a server is ejected
+REINSTATE_KEEP = 0.5  # factor of the error share of a server in reinstatement, per success,
+REINSTATED_ERROR_SHARE = 0.05  # until the share is below this and the server is ranked like any other
+IDLE_BEFORE_TRIAL_MS = 15_000.0  # idle time after which a server with errors gets a trial call
 
 
 @dataclass(slots=True, frozen=True)
 class PendingCall:
-    """An attempt that is with a server."""
+    """A pending attempt at a server."""
 
     service_class: str
     sent_ms: float
@@ -30,100 +30,104 @@
 
 @dataclass(slots=True)
 class TrackedServer:
-    """State of one server, from its appearance in the server list until it is gone or restarts."""
+    """State of one server, from its first appearance in the server list until its removal or restart."""
 
     info: Server
-    latency_factor: float | None = None  # smoothed latency over its class's mean
+    latency_factor: float | None = None  # smoothed latency over the mean of the class
     error_share: float = 0.0  # smoothed share of failed attempts
-    measured_ms: float = -math.inf  # when a latency was last measured
-    load: float = 0.0  # calls in flight from here, by weight, abandoned ones too while they may run on
-    # Abandoned calls: when each is held to end, and its weight.
+    latency_measured_ms: float = -math.inf  # time of the last latency measurement
+    load: float = 0.0  # weight of our calls in flight, with abandoned ones that may still run
+    # Abandoned calls: estimated end and weight of each.
     abandoned: deque[tuple[float, float]] = field(default_factory=deque)
     reported_queue: float = 0.0  # waiting requests
     reported_ms: float = -math.inf
     reported_utilisation: float | None = None
-    failures: int = 0  # in a row
-    may_have_restarted: bool = False  # one of them was no answer at all
-    reinstating: bool = False  # it was ejected, and has answered since
+    consecutive_failures: int = 0
+    may_have_restarted: bool = False  # one of the consecutive failures was without a response
+    reinstating: bool = False  # it was ejected and has responded since
     last_sent_ms: float = -math.inf
-    answered_sent_ms: float = (
-        -math.inf
-    )  # when the latest call was sent that it answered well; none since has failed
-    recovered_ms: float | None = None  # since when it answers again, where lists don't tell of starts
-    # By request and number of the attempt, oldest first.
+    # Send time of the latest successful call; reset by a failure.
+    last_success_sent_ms: float = -math.inf
+    recovered_ms: float | None = None  # time of its recovery, if server lists have no start times
+    # Pending calls by request id and attempt number, oldest first.
     pending: dict[tuple[str, int], PendingCall] = field(default_factory=dict)
 
-    def take_report(self, now: float, report: dict[str, float]) -> None:
-        """Note what the server reported of itself."""
+    def record_report(self, now: float, report: dict[str, float]) -> None:
+        """Store a load report of the server."""
         self.reported_queue, self.reported_ms = report.get("queue", 0.0), now
         self.reported_utilisation = report.get("util", self.reported_utilisation)
 
-    def note_full(self, now: float) -> None:
-        """Take a rejection for a report of a queue as long as our calls in flight."""
+    def note_rejection(self, now: float) -> None:
+        """Treat a rejection as a report of a queue as long as our calls in flight."""
         self.reported_queue, self.reported_ms = max(self.reported_queue, self.load), now
 
-    def abandon(self, ends_ms: float, units: float) -> None:
-        """Keep a call that was given up in the load until it is held to end."""
-        # A server works on at what was given up; while callers left early, servers held to be half empty were
-        # crowded until they turned slow.
-        self.abandoned.append((ends_ms, units))
+    def abandon(self, ends_ms: float, queue_weight: float) -> None:
+        """Keep counting an abandoned call as load until its estimated end."""
+        # Servers continue to process abandoned calls. If these did not count, servers that seem half idle
+        # would be overloaded while callers disconnect early.
+        self.abandoned.append((ends_ms, queue_weight))
 
-    def drop_abandoned(self, now: float) -> None:
-        """Take what has ended by now off the load."""
+    def remove_ended_abandoned(self, now: float) -> None:
+        """Remove abandoned calls from the load after their estimated end."""
         while self.abandoned and self.abandoned[0][0] <= now:
             self.finish(self.abandoned.popleft()[1])
 
-    def finish(self, units: float) -> None:
-        """Take an ended call off the load."""
-        self.load = max(0.0, self.load - units)
+    def finish(self, queue_weight: float) -> None:
+        """Remove an ended call from the load."""
+        self.load = max(0.0, self.load - queue_weight)
 
     def note_failure(self, result: Result) -> None:
-        """Count a failed attempt towards ejection."""
-        self.failures += 1
+        """Count a failed attempt for ejection."""
+        self.consecutive_failures += 1
         self.reinstating = False
-        self.answered_sent_ms = -math.inf
+        self.last_success_sent_ms = -math.inf
         self.may_have_restarted |= result not in (Result.ERROR, Result.FULL)
 
     def note_error_share(self, failed: bool) -> None:
-        """Smooth an outcome into the error share."""
-        self.error_share += GAIN * (failed - self.error_share)
+        """Add an outcome to the smoothed error share."""
+        self.error_share += SMOOTHING_GAIN * (failed - self.error_share)
 
     def note_latency(self, now: float, factor: float) -> None:
-        """Smooth a latency, given over its class's mean, into the latency factor."""
-        former = self.latency_factor
-        self.latency_factor = factor if former is None else former + GAIN * (factor - former)
-        self.measured_ms = now
+        """Add a latency, as a multiple of its class's mean, to the smoothed latency factor."""
+        previous = self.latency_factor
+        self.latency_factor = factor if previous is None else previous + SMOOTHING_GAIN * (factor - previous)
+        self.latency_measured_ms = now
 
     def note_success(self, now: float, sent_ms: float, idle_ms: float, starts_are_listed: bool) -> None:
-        """Begin or go on with reinstatement after a good answer; the server was idle for `idle_ms` before."""
-        self.answered_sent_ms = max(self.answered_sent_ms, sent_ms)
-        if self.error_share > 0.0 and (self.failures >= EJECT_FAILURES or idle_ms >= IDLE_BEFORE_TRIAL_MS):
-            # What it was before tells little of what it is now.
+        """Start or continue reinstatement after a success; the server had been idle for `idle_ms`."""
+        self.last_success_sent_ms = max(self.last_success_sent_ms, sent_ms)
+        if self.error_share > 0.0 and (
+            self.consecutive_failures >= EJECT_FAILURES or idle_ms >= IDLE_BEFORE_TRIAL_MS
+        ):
+            # Its earlier latency is no longer representative.
             self.reinstating, self.latency_factor = True, None
-            # A pool that had answered errors was held to be cold when it did well again.
-            if self.may_have_restarted and not starts_are_listed:  # by server lists
+            # Only after failures without a response: a server that responded with errors did not restart.
+            if self.may_have_restarted and not starts_are_listed:
                 self.recovered_ms = now
-        self.failures, self.may_have_restarted = 0, False
+        self.consecutive_failures, self.may_have_restarted = 0, False
         if self.reinstating:
             self.error_share *= REINSTATE_KEEP
             self.reinstating = self.error_share >= REINSTATED_ERROR_SHARE
 
     @property
     def ejected(self) -> bool:
-        """Whether it fails on after its ejection."""
-        return self.failures > EJECT_FAILURES
+        """Whether it has failed again after its ejection."""
+        return self.consecutive_failures > EJECT_FAILURES
 
     def needs_trial(self, now: float) -> bool:
-        """Whether its rank may keep it from being sent calls, so that nothing would be learned of it."""
-        if self.failures >= EJECT_FAILURES or self.reinstating:
+        """Whether it may get no calls by rank, so that only a trial call can detect its recovery."""
+        if self.consecutive_failures >= EJECT_FAILURES or self.reinstating:
             return True
-        return self.error_share > REINSTATE_KEEP * GAIN and now - self.last_sent_ms >= IDLE_BEFORE_TRIAL_MS
+        return (
+            self.error_share > REINSTATE_KEEP * SMOOTHING_GAIN
+            and now - self.last_sent_ms >= IDLE_BEFORE_TRIAL_MS
+        )
 
 
 def forget_errors_in_panic(servers: list[TrackedServer], median_error_share: float, period_ms: float) -> None:
-    """Let errors fade with time while most servers fail."""
-    # When all servers had failed, the first that did well again got all calls for good, and the others none
-    # that could have cleared them: 40% were refused at a third of the load, without end.
+    """Let error shares decay with time while most servers fail."""
+    # Otherwise, after a failure of all servers, the first to recover gets all calls, and the others none that
+    # could clear their error share: 40% of requests were rejected at a third of the load, permanently.
     if median_error_share > PANIC_ERROR_SHARE:
         for server in servers:
             server.error_share *= math.exp(-period_ms / PANIC_DECAY_MS)
--- a/loadbalancer/server_table.py
+++ b/loadbalancer/server_table.py
@@ -1,4 +1,4 @@
-"""The servers of a pool as lists give them, and which of them are in use; part of the decision module."""
+"""The servers of a pool by the server list, and which of them are in use. Part of the decision module."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class ServerTable:
-    """Owns the state of each server."""
+    """Stores the state of each server and selects the servers in use."""
 
     def __init__(self, slow_start: SlowStart) -> None:
         self.by_address: dict[str, TrackedServer] = {}
         self.ready: list[TrackedServer] = []  # the servers in use
-        self.levels: Levels | None = None  # None until a list has them
-        self.groups: list[Group[TrackedServer]] = []  # with levels: who gets which share of the calls
+        self.levels: Levels | None = None  # None until a list defines them
+        self.groups: list[Group[TrackedServer]] = []  # groups and their shares of calls, if there are levels
         self._slow_start = slow_start
 
     def in_flight(self) -> float:
@@ -23,10 +23,10 @@
         return sum([server.load for server in self.ready])
 
     def update(self, now: float, event: Membership) -> None:
-        """Take a server list: changes to it, or a whole one."""
-        if event.form is not ListForm.DELTA:  # a server absent from a whole list is gone
-            named = {server.address for server in event.servers}
-            kept = [server for address, server in self.by_address.items() if address in named]
+        """Apply a complete server list or changes to it."""
+        if event.form is not ListForm.DELTA:  # servers missing from a complete list are removed
+            listed = {server.address for server in event.servers}
+            kept = [server for address, server in self.by_address.items() if address in listed]
             self.by_address = {server.info.address: server for server in kept}
         for info in event.servers:
             if info.state is ServerState.REMOVED:
@@ -41,7 +41,7 @@
         self._select_ready(now)
 
     def _select_ready(self, now: float) -> None:
-        """Choose the servers in use: those that are up, or those of the groups where there are levels."""
+        """Select the servers in use: those that are up, or with levels those of the groups."""
         servers = self.by_address.values()
         if self.levels is None:
             self.ready = [server for server in servers if server.info.state is ServerState.UP]
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -1,4 +1,4 @@
-"""Settings and load reports, as both hosts of the balancer (simulator adapter and node) read them."""
+"""Parsers of settings and load reports, shared by the simulator adapter and the node."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 Row = dict[str, Any]
 
 EFFECTS = {"free": Effect.SAFE, "guarded": Effect.KEYED, "single_shot": Effect.UNSAFE}
-REPORTS = {
+REPORT_FIELDS = {
     "concurrent": "inflight",
     "depth": "queue",
     "load_share": "util",
@@ -18,25 +18,25 @@
     "tps": "qps",
     "err_ps": "eps",
 }
-FIGURE = re.compile(r"[0-9]{1,6}(\.[0-9]{1,9})?")
+REPORTED_NUMBER = re.compile(r"[0-9]{1,6}(\.[0-9]{1,9})?")
 
 
 def settings_from(config: Row) -> Settings:
-    """Read the settings of a node from its first message; keys that are not known are ignored."""
+    """Parse the settings of a node from a configuration row; unknown keys are ignored."""
     bounds: Row = config.get("bounds") or {}
     rules: Row = config.get("invariants") or {}
     prices: Row = config.get("prices") or {}
     feedback: Row = config.get("feedback") or {}
     if not config.get("categories"):
         raise ValueError("categories: none, where at least one class is needed")
-    given: Row = {
+    values: Row = {
         "zone": config.get("locality"),
         "tier": config.get("tier"),
         "siblings": config.get("siblings"),
         "ask_discovery": config.get("registryMode") == "ask",
         "worth_by_work": config.get("valueBy") == "work",
         "over_share_worth": config.get("overShareWorth"),
-        "report_fields": tuple(REPORTS.get(name, name) for name in feedback.get("fields") or ()),
+        "report_fields": tuple(REPORT_FIELDS.get(name, name) for name in feedback.get("fields") or ()),
         "may_cancel": bounds.get("cancel"),
         "retry_after": bounds.get("retryAfter"),
         "max_retry_after_ms": bounds.get("maxRetryAfterMs"),
@@ -53,7 +53,7 @@
             for row in config.get("accounts") or ()
             if row.get("quotaPerS") is not None
         ),
-        **{key: value for key, value in given.items() if value is not None},
+        **{key: value for key, value in values.items() if value is not None},
     )
 
 
@@ -80,18 +80,18 @@
 
 
 def report_from(text: str, fields: tuple[str, ...]) -> dict[str, float] | None:
-    """Parse a report's text form, `TEXT name=value, name=value`, cut down to the fields that the settings name.
+    """Parse a load report in text form, `TEXT name=value, name=value`, and return the configured fields.
 
-    One with anything in it that is no figure, or none that a server could mean, is no report.
+    A report with any malformed or out-of-range number is ignored as a whole.
     """
-    kind, _, pairs = text.partition(" ")
+    form, _, pairs = text.partition(" ")
     report: dict[str, float] = {}
     for pair in pairs.split(","):
-        name, _, figure = pair.strip().partition("=")
-        # Float() reads signs, words and underscores, and a huge queue would shut a server out.
-        if kind != "TEXT" or not FIGURE.fullmatch(figure):
+        name, _, number = pair.strip().partition("=")
+        # float() accepts signs, words and underscores, and a huge queue length would exclude the server.
+        if form != "TEXT" or not REPORTED_NUMBER.fullmatch(number):
             return None
-        name = REPORTS.get(name, name)
+        name = REPORT_FIELDS.get(name, name)
         if name in fields:
-            report[name] = float(figure)
+            report[name] = float(number)
     return report or None
--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -1,7 +1,6 @@
-"""The adapter to the simulator: reads the simulator's batches on standard input and writes replies on standard output.
+"""Adapter to the simulator: reads batches of events on standard input, writes replies to standard output.
 
-Translation only; every decision is made by loadbalancer.balancer. One process hosts many nodes, which share
-nothing.
+It only translates; all decisions are made by loadbalancer.balancer. One process hosts many independent nodes.
 """
 
 from __future__ import annotations
@@ -37,7 +36,7 @@
 )
 from loadbalancer.settings import Row, settings_from
 
-RESULTS = {
+RESULT_BY_CODE = {
     0: Result.OK,
     255: Result.ERROR,
     254: Result.FULL,
@@ -47,22 +46,22 @@
     250: Result.CANCELLED,
     249: Result.MOOT,
 }
-IGNORED = ("PEER",)
+IGNORED_KINDS = ("PEER",)
 
 
 class WireError(Exception):
-    """Input that is not in the simulator's form, and that names no node to which to report it."""
+    """Malformed input that can't be attributed to a node."""
 
 
 class Node:
-    """One hosted balancer and the names of the fields of its load reports."""
+    """One hosted balancer and its settings."""
 
     def __init__(self, config: Row, seed: int, now_ms: float) -> None:
         self.settings = settings_from(config)
         self.balancer = Balancer(self.settings, seed, now_ms)
 
     def report(self, values: list[float | None] | None) -> dict[str, float] | None:
-        """Return a load report by field; None without one."""
+        """Return a load report as a dictionary by field name; None if there is none."""
         if not values:
             return None
         pairs = zip(self.settings.report_fields, values, strict=False)
@@ -70,7 +69,7 @@
 
 
 class Host:
-    """All nodes of one process; `event` turns a line of a batch into the lines of its reply."""
+    """All nodes of one process; `event` handles one event of a batch and returns the rows of the reply."""
 
     def __init__(self) -> None:
         self.nodes: dict[int, Node] = {}
@@ -78,7 +77,7 @@
         self.now = 0.0
 
     def event(self, row: Row) -> list[Row]:
-        """Handle one event; a fault of a node is reported as its PANIC, and ends it."""
+        """Handle one event; an exception in a node is reported as PANIC and removes that node."""
         kind = row.get("kind")
         if kind == "CATALOG":
             self.catalogs[row["ref"]] = tuple(_server(line) for line in row["rows"])
@@ -89,7 +88,7 @@
         try:
             return self._node_event(kind, number, row)
         except Exception as error:
-            # A fault of one node must not end the others, which share this process.
+            # An exception in one node must not affect the other nodes of this process.
             traceback.print_exc(file=sys.stderr)
             self.nodes.pop(number, None)
             text = f"{kind}: {type(error).__name__}: {error}"
@@ -105,15 +104,17 @@
         if kind == "STOP":
             del self.nodes[number]
             return []
-        if kind in IGNORED:
+        if kind in IGNORED_KINDS:
             return []
-        read = READERS.get(str(kind))
+        read = EVENT_READERS.get(str(kind))
         if read is None:
             raise ValueError("unknown kind of event")
-        return [_written(number, action) for action in node.balancer.handle(self.now, read(self, node, row))]
+        return [
+            _action_row(number, action) for action in node.balancer.handle(self.now, read(self, node, row))
+        ]
 
     def members(self, _node: Node, row: Row) -> Event:
-        """Make a membership event of a catalog that came before."""
+        """Return a membership event that refers to an earlier catalog."""
         form = ListForm(row["form"])
         return Membership(form, () if form is ListForm.FAILED else self.catalogs[row["ref"]])
 
@@ -142,13 +143,13 @@
 
 
 def _outcome(_host: Host, node: Node, row: Row) -> Event:
-    if row["rc"] not in RESULTS:
-        raise ValueError(f"rc: {row['rc']!r} is not one of {', '.join(map(str, RESULTS))}")
+    if row["rc"] not in RESULT_BY_CODE:
+        raise ValueError(f"rc: {row['rc']!r} is not one of {', '.join(map(str, RESULT_BY_CODE))}")
     return Outcome(
         id=row["txn"],
         attempt=row["attempt"],
         server=row["server"],
-        result=RESULTS[row["rc"]],
+        result=RESULT_BY_CODE[row["rc"]],
         latency_ms=row["latencyMs"],
         done=bool(row.get("doneFlag")),
         report=node.report(row.get("telemetry")),
@@ -156,11 +157,11 @@
 
 
 def _probed(_host: Host, node: Node, row: Row) -> Event:
-    result = RESULTS.get(row["rc"], Result.ERROR)
+    result = RESULT_BY_CODE.get(row["rc"], Result.ERROR)
     return Probed(row["server"], result, row["latencyMs"], node.report(row.get("telemetry")))
 
 
-READERS: dict[str, Callable[[Host, Node, Row], Event]] = {
+EVENT_READERS: dict[str, Callable[[Host, Node, Row], Event]] = {
     "MEMBERSHIP": Host.members,
     "NEW_REQUEST": _request,
     "FIRST": lambda _host, _node, row: Started(row["txn"], row["attempt"]),
@@ -171,7 +172,7 @@
 }
 
 
-def _written(node: int, action: Action) -> Row:
+def _action_row(node: int, action: Action) -> Row:
     match action:
         case Send():
             row: Row = {"kind": "ISSUE", "txn": action.id, "server": action.server}
@@ -190,7 +191,7 @@
     return row
 
 
-def _parsed(line: bytes) -> Row:
+def _parse_line(line: bytes) -> Row:
     try:
         row = orjson.loads(line)
     except orjson.JSONDecodeError as error:
@@ -200,8 +201,8 @@
     return row
 
 
-def _replies(host: Host, row: Row) -> list[bytes]:
-    """Return the lines that answer an event; raises WireError on one that is malformed."""
+def _reply_lines(host: Host, row: Row) -> list[bytes]:
+    """Return the reply lines for an event; raises WireError for a malformed one."""
     try:
         return [orjson.dumps(action) for action in host.event(row)]
     except (KeyError, TypeError, ValueError) as error:
@@ -209,35 +210,35 @@
 
 
 def run(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Handle batches until the end of the input."""
     host = Host()
     seq: object = None
-    within = False
+    in_batch = False
     reply: list[bytes] = []
     for line in source:
-        row = _parsed(line)
+        row = _parse_line(line)
         kind = row.get("kind")
         if kind == "FRAME":
-            if within:
-                raise WireError("a batch begins within a batch")
+            if in_batch:
+                raise WireError("FRAME within an open batch")
             if not isinstance(row.get("nowMs"), int | float) or "seq" not in row:
                 raise WireError("FRAME lacks nowMs or seq")
-            host.now, seq, within, reply = float(row["nowMs"]), row["seq"], True, []
-        elif not within:
-            raise WireError(f"{kind!r} stands outside a batch")
+            host.now, seq, in_batch, reply = float(row["nowMs"]), row["seq"], True, []
+        elif not in_batch:
+            raise WireError(f"{kind!r} outside of a batch")
         elif kind == "GO":
             reply.append(orjson.dumps({"kind": "READY", "seq": seq}))
             sink.write(b"\n".join(reply) + b"\n")
             sink.flush()
-            within = False
+            in_batch = False
         else:
-            reply.extend(_replies(host, row))
-    if within:
-        raise WireError("the input ended within a batch")
+            reply.extend(_reply_lines(host, row))
+    if in_batch:
+        raise WireError("end of input within an open batch")
 
 
 def main() -> int:
-    """Run on standard input and output; the exit code."""
+    """Serve standard input and output; returns the exit code."""
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/loadbalancer/tenant_quota.py
+++ b/loadbalancer/tenant_quota.py
@@ -1,10 +1,10 @@
-"""A tenant's quota at one balancer; part of the decision module."""
+"""Quota of a tenant at one balancer. Part of the decision module."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """A token bucket, full at first, of one second of this balancer's share of a tenant's requests."""
+    """Token bucket that holds one second of this balancer's share of a tenant's quota; full at the start."""
 
     def __init__(self, share_per_s: float, now_ms: float) -> None:
         self.share_per_s = share_per_s
@@ -12,7 +12,7 @@
         self._filled_ms = now_ms
 
     def take(self, now: float) -> bool:
-        """Whether a request is within the quota; it then counts."""
+        """Consume a token for a request; returns False if the request is over the quota."""
         refill = self.share_per_s * (now - self._filled_ms) / 1000.0
         self.tokens = min(self.share_per_s, self.tokens + refill)
         self._filled_ms = now
--- a/orchidledge/__init__.py
+++ b/orchidledge/__init__.py
@@ -1,1 +1,1 @@
-"""Alias of the package `loadbalancer`, whose name this was before landing 13."""
+"""Alias of the package `loadbalancer`, kept for deployments that use its former name."""
--- a/orchidledge/__main__.py
+++ b/orchidledge/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m orchidledge` starts the node as `python -m loadbalancer` does."""
+"""Entry point `python -m orchidledge`, the same as `python -m loadbalancer`."""
 
 from __future__ import annotations
 
--- a/tests/test_list_validity.py
+++ b/tests/test_list_validity.py
@@ -9,7 +9,7 @@
 from loadbalancer.interface import Server
 from loadbalancer.list_validity import (
     ACCEPTED_WHILE_DRAINING_MS,
-    LEAST_SERVERS_AGE_MS,
+    FALLBACK_ACCEPTED_WITHIN_MS,
     ListState,
     ListValidity,
 )
@@ -74,9 +74,9 @@
     ([0.0, 100.0, 200.0, LATELY_MS], [0, 1, 2]),
     # Fewer than three: the next ones up to three, if it is not much longer ago.
     ([0.0, 100.0, LATELY_MS, LATELY_MS + 1.0], [0, 1, 2]),
-    ([0.0, LEAST_SERVERS_AGE_MS - 1.0, LEAST_SERVERS_AGE_MS], [0, 1]),
-    ([LEAST_SERVERS_AGE_MS - 1.0], [0]),
-    ([LEAST_SERVERS_AGE_MS], []),
+    ([0.0, FALLBACK_ACCEPTED_WITHIN_MS - 1.0, FALLBACK_ACCEPTED_WITHIN_MS], [0, 1]),
+    ([FALLBACK_ACCEPTED_WITHIN_MS - 1.0], [0]),
+    ([FALLBACK_ACCEPTED_WITHIN_MS], []),
     ([math.inf, math.inf], []),
     ([], []),
 ]
@@ -89,7 +89,7 @@
     validity.on_failure(1000.0, None)
     servers = [TrackedServer(Server(f"s{at}")) for at in range(len(ages_ms))]
     for server, age_ms in zip(servers, ages_ms, strict=True):
-        server.answered_sent_ms = now - age_ms
+        server.last_success_sent_ms = now - age_ms
     found = {server.info.address for server in validity.usable(now, servers)}
     assert found == {f"s{at}" for at in usable}
 
@@ -106,5 +106,5 @@
     now = 10_000.0 + after_ms
     servers = [TrackedServer(Server(f"s{at}")) for at in range(6)]
     for server in servers[:accepting]:
-        server.answered_sent_ms = now - 10.0
+        server.last_success_sent_ms = now - 10.0
     assert len(validity.usable(now, servers)) == (6 if all_used else accepting)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -8,7 +8,7 @@
 from helpers import KEYED, SAFE, UNSAFE, Bed, kinds, sent
 
 from loadbalancer import interface as api
-from loadbalancer.retry_policy import MIN_LATENCIES, Quantile, RetryBudget, Spent, backoff_ms
+from loadbalancer.retry_policy import MIN_QUANTILE_SAMPLES, ExtraAttempt, Quantile, RetryBudget, backoff_ms
 
 HEDGED = api.ServiceClass("read", aim_ms=1000, give_up_ms=2500, worth=12, effect=api.Effect.SAFE, hedge=True)
 BUDGET = {"retry_share": 0.1, "retry_window_ms": 10_000.0}
@@ -29,10 +29,14 @@
 
 def test_a_window_has_its_share_of_first_attempts_and_the_floor():
     budget = RetryBudget(0.1, 0.2, 10_000.0)
-    assert [budget.take(0.0, "read", Spent.RETRY) for _ in range(3)] == [True, True, False]  # the floor: 2
+    assert [budget.withdraw(0.0, "read", ExtraAttempt.RETRY) for _ in range(3)] == [
+        True,
+        True,
+        False,
+    ]  # the floor: 2
     for _ in range(50):
-        budget.first(1.0, "read")
-    assert [budget.take(2.0, "read", Spent.RETRY) for _ in range(6)] == [True] * 5 + [False]
+        budget.note_first_attempt(1.0, "read")
+    assert [budget.withdraw(2.0, "read", ExtraAttempt.RETRY) for _ in range(6)] == [True] * 5 + [False]
     assert budget.counts["read", "retry"] == 7
     assert budget.counts["read", "denied retry"] == 2
 
@@ -40,10 +44,10 @@
 def test_what_a_window_was_given_does_not_last_beyond_it():
     budget = RetryBudget(0.1, 0.0, 10_000.0)
     for _ in range(1000):
-        budget.first(0.0, "read")
+        budget.note_first_attempt(0.0, "read")
     assert budget.left(9_999.0) == pytest.approx(100.0)
     assert budget.left(10_000.0) == 0.0
-    assert not budget.take(10_000.0, "read", Spent.RETRY)
+    assert not budget.withdraw(10_000.0, "read", ExtraAttempt.RETRY)
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -54,9 +58,9 @@
     for _ in range(6000):
         now += rng.expovariate(1 / rng.choice([3.0, 30.0]))
         if rng.random() < 0.5:
-            budget.first(now, "read")
+            budget.note_first_attempt(now, "read")
             firsts.append(now)
-        elif budget.take(now, "read", Spent.RETRY):
+        elif budget.withdraw(now, "read", ExtraAttempt.RETRY):
             spent.append(now)
             # The slices may forget up to one slice early, never late.
             within = [at for at in spent if at > now - 9_000.0]
@@ -66,15 +70,15 @@
 
 def test_what_was_not_sent_is_given_back():
     budget = RetryBudget(0.0, 0.1, 10_000.0)
-    assert budget.take(0.0, "read", Spent.HEDGE)
-    assert not budget.take(0.0, "read", Spent.HEDGE)
-    budget.give_back(1.0, "read", Spent.HEDGE)
-    assert budget.take(2.0, "read", Spent.HEDGE)
+    assert budget.withdraw(0.0, "read", ExtraAttempt.HEDGE)
+    assert not budget.withdraw(0.0, "read", ExtraAttempt.HEDGE)
+    budget.refund(1.0, "read", ExtraAttempt.HEDGE)
+    assert budget.withdraw(2.0, "read", ExtraAttempt.HEDGE)
 
 
 def test_a_quantile_follows_the_latest():
     found = Quantile(0.95)
-    for at in range(MIN_LATENCIES - 1):
+    for at in range(MIN_QUANTILE_SAMPLES - 1):
         found.add(float(at))
     assert found.value is None
     for _ in range(400):
@@ -267,7 +271,7 @@
 
 def hedging(**more) -> Bed:
     one = bed(retry_share=1.0, classes=(HEDGED, UNSAFE, KEYED), **more)
-    for _ in range(MIN_LATENCIES + 5):
+    for _ in range(MIN_QUANTILE_SAMPLES + 5):
         one.serve(latency=20.0)
     return one
 
--- a/tests/test_return.py
+++ b/tests/test_return.py
@@ -22,7 +22,7 @@
 def away(fails: int = 4, result: api.Result = api.Result.TIMEOUT, **changes) -> Bed:
     """A bed whose s0 has failed so often in a row, beside three servers that are quick."""
     bed = Bed(**changes)
-    while bed.brain.peers["s0"].failures < fails:
+    while bed.brain.peers["s0"].consecutive_failures < fails:
         name, acts = bed.ask()
         at, server = 0, sent(acts)[0].server
         if server == "s0":
@@ -128,7 +128,7 @@
 def test_a_list_that_restarts_a_server_forgets_what_was_learned():
     bed = away()
     bed.give(api.Membership(api.ListForm.FULL, servers(4, launched_ms=bed.now - 60_000.0)))
-    assert bed.brain.peers["s0"].failures == 0
+    assert bed.brain.peers["s0"].consecutive_failures == 0
 
 
 def test_a_server_that_turns_all_away_is_left_and_is_no_load_of_the_pool():
