--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What all tests share: drawn cases are the same in every run, and none fails for the time that it takes."""
+"""Hypothesis settings of all tests: deterministic examples and no time limit per example."""
 
 from hypothesis import settings
 
--- a/tests/free_ports.py
+++ b/tests/free_ports.py
@@ -1,4 +1,4 @@
-"""Ports of loopback for tests that must know an address before anything listens there."""
+"""Free loopback ports for tests that need an address before a server listens on it."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 import re
 import socket
 
-# Guard: a port that the system itself gave out and that was closed again may be given to an outgoing connection the
-# next moment; tests that listened there failed now and then. These lie below the ports the system gives out.
-FIRST, LAST = 20_000, 32_000
-WORKERS = 16  # of the test run, each with ports of its own
+# Guard: the system may reassign a closed ephemeral port to an outgoing connection, and tests that then listened on it
+# failed occasionally. These ports are below the ephemeral range.
+FIRST_PORT, END_PORT = 20_000, 32_000
+WORKERS = 16  # of the test run, each with its own range of ports
 
 
-def _slice() -> range:
-    """The ports of this worker of the test run."""
+def _worker_ports() -> range:
+    """Return the ports of this worker of the test run."""
     worker = re.search(r"\d+", os.environ.get("PYTEST_XDIST_WORKER", "0"))
     number = int(worker.group()) % WORKERS if worker else 0
-    width = (LAST - FIRST) // WORKERS
-    return range(FIRST + number * width, FIRST + (number + 1) * width)
+    width = (END_PORT - FIRST_PORT) // WORKERS
+    return range(FIRST_PORT + number * width, FIRST_PORT + (number + 1) * width)
 
 
 def _is_free(port: int) -> bool:
@@ -31,31 +31,31 @@
 
 
 class _Cursor:
-    """Goes round the worker's ports, so that none is given out twice before all others were."""
+    """Iterates over the ports of the worker, so that each is reused as late as possible."""
 
     def __init__(self) -> None:
-        self._ports = _slice()
+        self._ports = _worker_ports()
         self._next = random.randrange(len(self._ports))
 
     def take(self, count: int) -> list[int]:
         if self._next + count > len(self._ports):
             self._next = 0
-        row = list(self._ports[self._next : self._next + count])
+        ports = list(self._ports[self._next : self._next + count])
         self._next += count
-        return row
+        return ports
 
 
 _CURSOR = _Cursor()
 
 
 def free_ports(count: int) -> list[int]:
-    """So many ports in a row on which nothing listens."""
+    """Return `count` consecutive ports on which nothing listens."""
     while True:
-        row = _CURSOR.take(count)
-        if all(_is_free(port) for port in row):
-            return row
+        ports = _CURSOR.take(count)
+        if all(_is_free(port) for port in ports):
+            return ports
 
 
 def free_port() -> int:
-    """A port on which nothing listens."""
+    """Return a port on which nothing listens."""
     return free_ports(1)[0]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Small builders that the tests share."""
+"""Shared builders of settings, servers and balancers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def settings(**changes: Any) -> api.Settings:
-    given: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "classes": (SAFE, UNSAFE, KEYED),
         "zone": "a",
         "siblings": 2,
@@ -31,7 +31,7 @@
         "cold_ms": 10000.0,
         "overload_factor": 2.5,
     }
-    return api.Settings(**{**given, **changes})
+    return api.Settings(**{**defaults, **changes})
 
 
 def servers(count: int, **changes: Any) -> tuple[api.Server, ...]:
@@ -39,12 +39,12 @@
 
 
 class Bed:
-    """A balancer with a clock, a server list and a record of what it sent."""
+    """A balancer with a simulated clock and a server list; its methods deliver events and return the actions."""
 
     def __init__(self, count: int = 4, seed: int = 7, **changes: Any) -> None:
         self.now = 1000.0
         self.brain = Balancer(settings(**changes), seed=seed, now_ms=self.now)
-        self.names = 0
+        self.request_count = 0
         self.give(api.Membership(api.ListForm.CACHED, servers(count)))
 
     def give(self, event: api.Event, after: float = 0.0) -> list[api.Action]:
@@ -52,8 +52,8 @@
         return self.brain.handle(self.now, event)
 
     def ask(self, service: str = "read", left: float = 2000.0, **more: Any) -> tuple[str, list[api.Action]]:
-        self.names += 1
-        name = f"r{self.names}"
+        self.request_count += 1
+        name = f"r{self.request_count}"
         return name, self.give(api.Request(name, service, self.now + left, **more))
 
     def end(
@@ -69,7 +69,7 @@
         return self.give(api.Outcome(name, attempt, server, result, latency, done, **more))
 
     def serve(self, service: str = "read", latency: float = 100.0, **more: Any) -> str:
-        """One request answered after `latency`; returns the server that took it."""
+        """Send one request and answer it after `latency`; returns the server that received it."""
         name, acts = self.ask(service)
         server = sent(acts)[0].server
         self.now += latency
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Loopback stand-ins for what a node talks to, scripted by each test: a caller, servers and discovery."""
+"""Scripted loopback peers of a node: a client, servers and discovery."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         "retryAfter": True,
         "maxRetryAfterMs": 2000.0,
         "connIdleMs": 10000.0,
-        "connectTimeoutMs": 20000.0,  # nothing is given up because this machine is slow
+        "connectTimeoutMs": 20000.0,  # long, so that no timeout fires on a slow machine
     },
     "categories": [
         {"name": "read", "aimMs": 20000.0, "giveUpMs": 30000.0, "credit": 12.0, "effect": "free"},
@@ -38,7 +38,7 @@
 
 @dataclass
 class Message:
-    """A parsed request or answer: its first line's words, headers by lower-case name, body."""
+    """A parsed request or response: the words of its first line, headers by lower-case name, and body."""
 
     first: list[str]
     headers: dict[str, str]
@@ -67,7 +67,7 @@
 
 
 class Peer:
-    """Something that answers requests as its script says: None closes the connection unanswered."""
+    """A server that answers requests by its script; a response of None closes the connection."""
 
     def __init__(self, script: Script | None = None) -> None:
         self.script = script
@@ -107,7 +107,7 @@
 
 
 class Held(Peer):
-    """A server that answers nothing until it is released."""
+    """A server that does not respond until it is released."""
 
     def __init__(self) -> None:
         super().__init__(self._wait)
@@ -119,7 +119,7 @@
 
 
 class Discovery(Peer):
-    """Hands out `news`, one a call, and lets further calls wait."""
+    """Returns one of the responses `news` per call; further calls stay pending."""
 
     def __init__(self, *news: bytes | None) -> None:
         super().__init__(self._next)
@@ -163,7 +163,7 @@
 
 @contextlib.asynccontextmanager
 async def running(*servers: Peer, discovery: Peer | None = None, **more: Any) -> AsyncIterator[Node]:
-    """A node that knows these servers, as s0, s1 and so on."""
+    """Run a node whose server list has these servers as s0, s1 and so on."""
     found = await (discovery or Discovery()).start()
     for server in servers:
         await server.start()
@@ -179,7 +179,7 @@
 
 
 class Scripted:
-    """Stands in for the decision module: records events and acts as told."""
+    """A replacement for the decision module: records events and returns the actions of a function."""
 
     table = SimpleNamespace(cursor=0)
 
@@ -205,7 +205,7 @@
 
 
 class Caller:
-    """A client's connection to the node."""
+    """A client connection to the node."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -231,7 +231,7 @@
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Wait for something that must come about; a test that waits in vain fails by this limit."""
+    """Wait until a condition is true; raises TimeoutError after 20 s."""
     async with asyncio.timeout(20):
         while not condition():
             await asyncio.sleep(0.005)
--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -1,6 +1,6 @@
-"""docs/architecture.md names modules, functions and log lines that exist; a wrong name on the page is found.
+"""Modules, functions and log lines named in docs/architecture.md exist.
 
-The table of docs/design/structure.md is the one that the structure tests enforce.
+The table of docs/design/structure.md matches the one that the structure tests enforce.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 ROOT = Path(__file__).parent.parent
 PAGE = ROOT / "docs" / "architecture.md"
 STRUCTURE = ROOT / "docs" / "design" / "structure.md"
-MOST_COLUMNS = 120
+MAX_COLUMNS = 120
 
 QUOTED = re.compile(r"`([^`\n]+)`")
 PATH = re.compile(r"(?:[\w.-]+/)*[\w-]+\.(?:py|md|toml)")
@@ -28,8 +28,8 @@
 ROW_OF_EVENTS = re.compile(r"\| `event=")
 EVENT = re.compile(r"event=(\w+)")
 EVENT_IN_CODE = re.compile(r"event=([\w%]+)")
-# Events whose names the code puts together, by what stands there.
-MADE_UP = {
+# Events whose names the code formats at run time, with the format string.
+FORMATTED_EVENTS = {
     "node_present": "node_%s",
     "node_absent": "node_%s",
     "ready": "%s",
@@ -44,7 +44,7 @@
 
 
 def member(path: Path, name: str) -> ast.AST | None:
-    """The class, function or constant of this dotted name in a module; None where there is none."""
+    """Return the class, function or constant of this dotted name in a module; None if there is none."""
     found: ast.AST = tree_of(path)
     for part in name.split("."):
         for node in getattr(found, "body", []):
@@ -65,11 +65,11 @@
 
 
 def module_exists(name: str) -> bool:
-    """Whether a dotted name is a package or a module, or a member of one."""
+    """Return whether a dotted name is a package, a module or a member of one."""
     parts = name.split(".")
     for count in range(len(parts), 0, -1):
-        place = ROOT.joinpath(*parts[:count])
-        path = place / "__init__.py" if place.is_dir() else place.with_suffix(".py")
+        base = ROOT.joinpath(*parts[:count])
+        path = base / "__init__.py" if base.is_dir() else base.with_suffix(".py")
         if path.is_file():
             rest = ".".join(parts[count:])
             return not rest or member(path, rest) is not None
@@ -77,7 +77,7 @@
 
 
 def names_on(text: str) -> list[str]:
-    """The names in backquotes that this test can check."""
+    """Return the names in backquotes that this test can check."""
     return [
         name
         for name in QUOTED.findall(text)
@@ -99,7 +99,7 @@
 
 
 def wrong_rejections(text: str) -> list[str]:
-    """The quoted lines that do not stand in the function named before them."""
+    """Return the quoted lines that are not in the function named before them."""
     wrong = []
     for path, name, line in ROW_OF_REJECTION.findall(text):
         found = member(ROOT / path, name)
@@ -110,7 +110,7 @@
 
 
 def wrong_events(text: str) -> list[str]:
-    """The events that the module named in their row does not write."""
+    """Return the events that the module named in their row does not log."""
     wrong = []
     for row in text.splitlines():
         if not ROW_OF_EVENTS.match(row):
@@ -119,7 +119,9 @@
         path = QUOTED.findall(modules)[0].partition(":")[0]
         written = set(EVENT_IN_CODE.findall((ROOT / path).read_text()))
         wrong += [
-            f"{path}: {name}" for name in EVENT.findall(lines) if MADE_UP.get(name, name) not in written
+            f"{path}: {name}"
+            for name in EVENT.findall(lines)
+            if FORMATTED_EVENTS.get(name, name) not in written
         ]
     return wrong
 
@@ -136,7 +138,7 @@
     assert not [link for link in links if not (PAGE.parent / link).is_file()]
 
 
-def test_lines_that_reject_stand_in_their_functions():
+def test_rejection_lines_exist_in_their_functions():
     text = PAGE.read_text()
     assert len(ROW_OF_REJECTION.findall(text)) >= 20
     assert not wrong_rejections(text)
@@ -149,7 +151,7 @@
 def test_each_event_of_the_tier_is_on_the_page():
     rows = [row for row in PAGE.read_text().splitlines() if ROW_OF_EVENTS.match(row)]
     listed = {
-        (QUOTED.findall(row.split("|")[2])[0].partition(":")[0], MADE_UP.get(name, name))
+        (QUOTED.findall(row.split("|")[2])[0].partition(":")[0], FORMATTED_EVENTS.get(name, name))
         for row in rows
         for name in EVENT.findall(row.split("|")[1])
     }
@@ -164,7 +166,7 @@
 
 def test_no_line_of_the_page_is_too_long():
     for page in (PAGE, STRUCTURE):
-        assert not [line for line in page.read_text().splitlines() if len(line) > MOST_COLUMNS], page
+        assert not [line for line in page.read_text().splitlines() if len(line) > MAX_COLUMNS], page
 
 
 @pytest.mark.parametrize(
@@ -209,20 +211,20 @@
 
 
 class Row(NamedTuple):
-    """A row of the table of layers; rows that go on with its imports are joined to it."""
+    """A row of the table of layers; continuation rows are joined to it."""
 
     layer: int
     imports: tuple[str, ...]
-    free: str  # what the last column says beside names
+    free: str  # text of the last column without the names
 
 
-def beside_names(cell: str) -> str:
+def text_without_names(cell: str) -> str:
     parts = (part.strip() for part in QUOTED.sub("", cell).split(","))
     return ", ".join(part for part in parts if part)
 
 
 def rows_of(text: str) -> dict[str, Row]:
-    """The table of layers, by the full name of the package."""
+    """Return the table of layers, by the full name of the package."""
     table: list[tuple[str, str, str]] = []
     for line in text.partition("| layer | package |")[2].splitlines()[2:]:
         if not line.startswith("|"):
@@ -235,7 +237,7 @@
             table.append((name, layer, f"{before} {imports}"))
     assert len({name for name, _, _ in table}) == len(table)
     return {
-        name: Row(int(layer), tuple(QUOTED.findall(imports)), beside_names(imports))
+        name: Row(int(layer), tuple(QUOTED.findall(imports)), text_without_names(imports))
         for name, layer, imports in table
     }
 
@@ -251,29 +253,35 @@
 
 
 def wrong_rows(text: str) -> list[str]:
-    """The packages whose rows are not what the structure tests enforce."""
+    """Return the packages whose rows differ from what the structure tests enforce."""
     rows = rows_of(text)
     node, tier = module_of("tests/test_structure.py"), module_of("tests/emberring/test_tier_structure.py")
     used: dict[str, set[str]] = {}
     for path in tier.MODULES:
-        room = path.relative_to(tier.PACKAGE).parts[0].removesuffix(".py")
-        used.setdefault(room, set()).update(
+        package_name = path.relative_to(tier.PACKAGE).parts[0].removesuffix(".py")
+        used.setdefault(package_name, set()).update(
             f"loadbalancer.{name.split('.')[0]}" for name in node.imported(path)
         )
-    wanted: dict[str, Row] = {}
+    expected: dict[str, Row] = {}
     for at, row in enumerate(tier.LAYERS):
-        for room in row:
+        for package_name in row:
             free = "layers below, this layer" if row == tier.SETTINGS_ROW else "layers below"
             last = at == len(tier.LAYERS) - 1
-            names = tuple(sorted(used.get(room, ())))
-            wanted[f"emberring.{room}"] = Row(len(tier.LAYERS) - at, names, "nothing" if last else free)
-    for room, may in node.MAY.items():
-        names = {f"core.{one}" for one in node.CORE_ONLY.get(room, ())} if "core" in may else set()
-        names |= may - {"core"} if names else may
-        below = [rows[f"loadbalancer.{one}"].layer for one in may if f"loadbalancer.{one}" in rows]
+            names = tuple(sorted(used.get(package_name, ())))
+            expected[f"emberring.{package_name}"] = Row(
+                len(tier.LAYERS) - at, names, "nothing" if last else free
+            )
+    for package_name, allowed in node.MAY.items():
+        names = (
+            {f"core.{one}" for one in node.CORE_ONLY.get(package_name, ())} if "core" in allowed else set()
+        )
+        names |= allowed - {"core"} if names else allowed
+        below = [rows[f"loadbalancer.{one}"].layer for one in allowed if f"loadbalancer.{one}" in rows]
         layer = 1 + max(below, default=0)
-        wanted[f"loadbalancer.{room}"] = Row(layer, tuple(sorted(names)), "" if names else "nothing")
-    return sorted(name for name in wanted.keys() | rows.keys() if wanted.get(name) != rows.get(name))
+        expected[f"loadbalancer.{package_name}"] = Row(
+            layer, tuple(sorted(names)), "" if names else "nothing"
+        )
+    return sorted(name for name in expected.keys() | rows.keys() if expected.get(name) != rows.get(name))
 
 
 def test_the_table_of_layers_is_the_one_that_is_enforced():
--- a/tests/test_finished_packages.py
+++ b/tests/test_finished_packages.py
@@ -1,4 +1,4 @@
-"""The linter holds finished packages to its rules on documentation and shape; the list of others gets shorter."""
+"""The linter enforces its rules on documentation and structure, except for a list of paths that may only shrink."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 LINT = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["ruff"]["lint"]
 RULES = {"D", "C901", "PLR0913", "ANN401", "TRY", "BLE"}
 
-# Not brought to the rules yet. A path that is finished is taken out here and in pyproject.toml; none may be added.
+# Paths that do not follow the rules yet. A finished path is removed here and in pyproject.toml; none may be added.
 UNFINISHED = {
     "tests/**",
     "benchmarks/**",
@@ -28,19 +28,19 @@
     "loadbalancer/thrift/**",
     "loadbalancer/xds/**",
 }
-MOST_SINGLE_FILES = 15
+MAX_SINGLE_FILES = 15
 
 
-def test_the_rules_are_on_and_nothing_finished_is_taken_out():
+def test_lint_rules_are_enabled_and_only_unfinished_paths_are_exempt():
     assert set(LINT["select"]) >= RULES
     assert set(LINT["ignore"]) == {"D105", "D107", "D417", "TRY003"}
-    left_out = LINT["per-file-ignores"]
-    assert {path for path, rules in left_out.items() if set(rules) == RULES} == UNFINISHED
+    exempt = LINT["per-file-ignores"]
+    assert {path for path, rules in exempt.items() if set(rules) == RULES} == UNFINISHED
 
 
-def test_single_files_leave_out_single_rules():
+def test_single_files_are_exempt_from_single_rules_only():
     single = {path: rules for path, rules in LINT["per-file-ignores"].items() if path not in UNFINISHED}
-    assert len(single) <= MOST_SINGLE_FILES
+    assert len(single) <= MAX_SINGLE_FILES
     for path, rules in single.items():
         assert (ROOT / path).is_file(), path
         assert not set(rules) & {"D", "TRY", "BLE"}, path
--- a/tests/test_glossary.py
+++ b/tests/test_glossary.py
@@ -1,4 +1,4 @@
-"""The glossary leads to names that exist, and the identifiers of finished packages are in the field's words."""
+"""Names in the glossary exist, and identifiers of finished packages contain no withdrawn word."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
     lot lots told whole held heard mishap trouble troubles beat news word holder keeper fellow fellows kin mates errand
     desk shelf ledger book ballot ballots doubt patience hurry hurried apart standin lab mend mended crowd handicap
     surroundings anew letter
-    """.split()  # noqa: SIM905 - one word a line would be a page
+    """.split()  # noqa: SIM905 - one word per line would be too long
 )
-# What is left, each with its reason. The list may only get shorter.
+# Remaining identifiers, each with its reason. The list may only shrink.
 EXCEPTIONS = {
     "IN_DOUBT": "member whose value is the error kind on the wire",
     "DEAD_LETTER": "the state of an item on the given pages",
@@ -64,7 +64,7 @@
 
 
 def finished_modules() -> list[Path]:
-    """The modules that are held to the field's words."""
+    """Return the modules in which withdrawn words are not allowed."""
     tier, library = ROOT / "emberring", ROOT / "loadbalancer"
     found = [path for package in FINISHED_TIER for path in (tier / package).rglob("*.py")]
     found += [tier / name for name in ("settings.py", "errors.py", "logs.py")]
@@ -73,7 +73,7 @@
 
 
 def identifiers(text: str) -> Iterator[str]:
-    """Every name that a module defines or uses."""
+    """Yield every name that a module defines or uses."""
     for node in ast.walk(ast.parse(text)):
         match node:
             case ast.FunctionDef(name=name) | ast.AsyncFunctionDef(name=name) | ast.ClassDef(name=name):
@@ -85,7 +85,7 @@
 
 
 def withdrawn_in(text: str) -> set[str]:
-    """The identifiers of a module that hold a withdrawn word."""
+    """Return the identifiers of a module that contain a withdrawn word."""
     return {
         name
         for name in identifiers(text)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,4 +1,4 @@
-"""The exceptions: what each guards against, seen from outside the module."""
+"""Special cases of the decision module, each with the failure that it guards against."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 MAY_HAVE_RUN = [api.Result.ERROR, api.Result.TIMEOUT, api.Result.RESET, api.Result.CANCELLED]
 
 
-# ------------------------------------------------------- no effect happens twice
+# ------------------------------------------------- no request is executed twice
 
 
 @pytest.mark.parametrize("result", NEVER_RAN)
 @pytest.mark.parametrize("service", ["read", "post", "points"])
-def test_what_never_ran_goes_elsewhere_then_is_refused(result, service):
+def test_attempts_that_never_ran_are_retried_elsewhere_and_then_rejected(result, service):
     bed = Bed()
     name, acts = bed.ask(service)
     used = []
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("result", MAY_HAVE_RUN)
-def test_a_safe_request_is_sent_again_up_to_the_most_attempts(result):
+def test_a_safe_request_is_retried_up_to_max_attempts(result):
     bed = Bed(count=8, max_attempts=3)
     name, acts = bed.ask("read")
     used = []
@@ -69,7 +69,7 @@
             assert second.cell == first.cell
 
 
-def test_a_keyed_request_is_not_sent_again_once_its_key_may_be_forgotten():
+def test_a_keyed_request_is_not_retried_after_its_key_may_have_expired():
     bed = Bed()
     name, acts = bed.ask("points")
     bed.now += 900
@@ -83,10 +83,10 @@
     assert kinds(bed.end(name, sent(acts)[0].server, api.Result.FULL, attempt=1)) == [api.Refuse]
 
 
-# ------------------------------------------------------------ one final answer
+# ---------------------------------------------------------- one final response
 
 
-def test_nothing_after_the_end():
+def test_no_action_follows_the_end_of_a_request():
     bed = Bed()
     name, acts = bed.ask("read")
     server = sent(acts)[0].server
@@ -97,7 +97,7 @@
     assert bed.brain.requests == {}
 
 
-def test_a_timeout_at_the_deadline_gets_its_answer_at_once():
+def test_a_timeout_at_the_deadline_ends_the_request_at_once():
     bed = Bed()
     name, acts = bed.ask("post", left=300.0)
     bed.now += 300.0
@@ -108,19 +108,19 @@
 
 
 def test_late_work_worth_nothing_is_stopped_at_the_latency_target():
-    """Guard: answers after the aim earned nothing while they crowded out others."""
+    """Guard: responses after the latency target earned nothing but used capacity that others needed."""
     bed = Bed()
     assert 900.0 < sent(bed.ask("post", left=2000.0)[1])[0].timeout_ms < 1000.0
     assert sent(bed.ask("post", left=500.0)[1])[0].timeout_ms <= 500.0
 
 
-def test_work_worth_something_late_runs_on():
+def test_an_attempt_with_late_worth_may_run_until_the_deadline():
     kind = api.ServiceClass("slow", aim_ms=500, give_up_ms=5000, late_worth=0.3, effect=api.Effect.SAFE)
     bed = Bed(classes=(kind,))
     assert sent(bed.ask("slow", left=2000.0)[1])[0].timeout_ms == 2000.0
 
 
-def test_a_stream_keeps_its_attempt():
+def test_a_streamed_response_is_not_retried():
     kind = api.ServiceClass("s", aim_ms=500, give_up_ms=5000, stream=True, effect=api.Effect.SAFE)
     bed = Bed(classes=(kind,))
     name, acts = bed.ask("s")
@@ -132,15 +132,15 @@
 # --------------------------------------------------------------------- health
 
 
-def test_no_second_copy_beside_a_running_attempt():
-    """Guard: copies of slow calls added load just when there was too much."""
+def test_a_slow_attempt_is_not_hedged_by_default():
+    """Guard: hedges of slow calls added load to pools that were already overloaded."""
     bed = Bed()
     bed.ask("read")
     assert sent(bed.period(600.0)) == []
 
 
-def test_a_hanging_server_is_avoided_long_before_its_time_out():
-    """Guard: a server that takes calls and answers none kept its good rank until time-outs came."""
+def test_a_hanging_server_is_avoided_long_before_its_timeout():
+    """Guard: a server that accepts calls but does not respond kept its good rank until the first timeouts."""
     bed = Bed(count=4)
     for _ in range(20):
         bed.serve()
@@ -161,21 +161,21 @@
     assert hung in {act.server for _ in range(8) for act in sent(bed.ask("read")[1])}
 
 
-def test_fast_errors_do_not_look_fast():
+def test_fast_errors_do_not_improve_the_rank():
     bed = Bed(count=4)
-    took = 0
+    used_servers = 0
     for _ in range(80):
         name, acts = bed.ask("post")
         server = sent(acts)[0].server
         broken = server == "s0"
-        took += broken
+        used_servers += broken
         bed.now += 5.0 if broken else 100.0
         bed.end(name, server, api.Result.ERROR if broken else api.Result.OK, 5.0 if broken else 100.0)
         bed.period(0.0)
-    assert took <= 4
+    assert used_servers <= 4
 
 
-def test_a_server_that_was_slow_and_fell_silent_is_tried_again_in_time():
+def test_a_slow_server_without_calls_is_used_again_after_a_while():
     bed = Bed(count=2)
     for _ in range(40):
         name, acts = bed.ask()
@@ -185,7 +185,7 @@
         bed.end(name, server, api.Result.OK, latency)
 
     def first_use(bed: Bed) -> int:
-        """How many calls the other server holds when the slow one gets its first."""
+        """Return the number of calls sent to the other server before the slow one gets its first."""
         calls = [act.server for _ in range(12) for act in sent(bed.ask()[1])]
         return calls.index("s1") if "s1" in calls else len(calls)
 
@@ -194,18 +194,18 @@
     assert first_use(later) < first_use(bed)
 
 
-def test_a_fault_of_all_leaves_all_in_use():
+def test_if_all_servers_slow_down_all_stay_in_use():
     bed = Bed(count=6)
     for _ in range(6):
         bed.serve()
     for _ in range(12):
         bed.serve(latency=900.0)
-    took = [act.server for _ in range(10) for act in sent(bed.ask("read")[1])]
-    assert set(took) == {f"s{at}" for at in range(6)}
+    used_servers = [act.server for _ in range(10) for act in sent(bed.ask("read")[1])]
+    assert set(used_servers) == {f"s{at}" for at in range(6)}
 
 
-def test_errors_at_the_front_move_the_cursor():
-    """Guard: a tier below that refuses reached the front as errors only, and the front went on."""
+def test_errors_move_the_cursor_in_tier_0_only():
+    """Guard: tier 0 sees rejections of lower tiers only as errors, and did not shed load on them."""
     cursors = []
     for tier in (0, 1):
         bed = Bed(tier=tier)
@@ -217,8 +217,8 @@
     assert cursors == [1, 0]
 
 
-def test_an_old_utilisation_does_not_count():
-    """Guard: a node that refuses hears nothing new, and its last reports kept it refusing."""
+def test_an_outdated_utilisation_is_ignored():
+    """Guard: a node that rejects all requests gets no new reports, and its last reports kept it rejecting."""
     bed = Bed(count=2)
     for _ in range(6):
         bed.serve(latency=50.0, report={"util": 1.0})
@@ -229,24 +229,24 @@
     assert bed.brain.table.cursor == 0
 
 
-@pytest.mark.parametrize(("held", "moved"), [(0, 0), (30, 1)])
-def test_slower_answers_count_as_load_sooner_where_servers_may_be_crowded(held, moved):
-    """Guard: chance in few latencies moved the cursor and shed work that the servers had room for."""
+@pytest.mark.parametrize(("in_flight", "cursor"), [(0, 0), (30, 1)])
+def test_slower_responses_count_as_load_only_if_servers_may_be_crowded(in_flight, cursor):
+    """Guard: noise in few latencies moved the cursor and shed work that servers had capacity for."""
     bed = Bed(count=4, siblings=1)
     for _ in range(30):
         bed.serve(latency=300.0)
     bed.period()
-    for _ in range(held):
+    for _ in range(in_flight):
         bed.ask()
     for _ in range(2):
         for _ in range(12):
             bed.serve(latency=450.0)
         bed.period()
-    assert bed.brain.table.cursor == moved
+    assert bed.brain.table.cursor == cursor
 
 
-def test_a_call_given_up_counts_until_its_server_may_have_done_it():
-    """Guard: a server works on at what its caller left; counted as gone, it crowded the server."""
+def test_an_abandoned_call_counts_as_load_until_its_estimated_end():
+    """Guard: servers continue abandoned calls; without counting them, the server was overloaded."""
     bed = Bed(count=1)
     for _ in range(3):
         bed.serve(latency=400.0)
@@ -262,8 +262,8 @@
     assert (peer.load, len(peer.abandoned)) == (0.0, 0)
 
 
-def test_slow_calls_that_their_callers_left_count_as_slow():
-    """Guard: only the quick ones were left to be judged by, and a jam looked quick."""
+def test_abandoned_slow_calls_raise_the_smoothed_latency():
+    """Guard: without the latency of abandoned calls, an overloaded pool looked fast."""
     bed = Bed(count=4)
     for _ in range(30):
         bed.serve(latency=300.0)
@@ -279,15 +279,15 @@
 
 
 def test_the_floor_of_the_table_is_shared_by_all_balancers():
-    """Guard: a floor for each balancer summed, over hundreds of them, to a threshold that never bound."""
+    """Guard: a floor per balancer, summed over hundreds of balancers, was a threshold that never took effect."""
     for siblings in (4, 100):
         bed = Bed(count=20, siblings=siblings)
         taken = sum(len(sent(bed.ask()[1])) for _ in range(400))
         assert taken * siblings <= 20 * 7.0 + siblings * (1 + 2.0 * (20 * 7.0 / siblings) ** 0.5)
 
 
-def test_many_balancers_aim_at_a_lower_utilisation():
-    """Guard: at size the servers over the median were jammed one by one while the median was under target."""
+def test_many_balancers_have_a_lower_utilisation_target():
+    """Guard: with many balancers, servers above the median were overloaded while it was under the target."""
     cursors = []
     for siblings in (4, 100):
         bed = Bed(count=2, siblings=siblings)
@@ -298,8 +298,8 @@
     assert cursors == [0, 1]
 
 
-def test_a_period_without_answers_does_not_move_the_cursor_left_in_a_jam():
-    """Guard: with one answer in two periods the cursor fell back at each silent one, and the jam stayed."""
+def test_a_period_without_responses_does_not_move_the_cursor_left_in_overload():
+    """Guard: with one response in two periods, each empty period moved the cursor left; overload persisted."""
     bed = Bed(count=2)
     for _ in range(20):
         bed.serve(latency=50.0)
@@ -317,11 +317,11 @@
     bed = Bed(count=2)
     bed.brain.table.cursor = 3
     bed.period()
-    assert bed.brain.table.cursor == 2  # nothing in flight: no load
+    assert bed.brain.table.cursor == 2  # nothing in flight: not overloaded
 
 
-def test_a_threshold_of_less_than_one_call_admits_some():
-    """Guard: one call from each of hundreds of balancers kept jammed servers jammed."""
+def test_a_threshold_below_one_call_admits_some_requests():
+    """Guard: one call from each of hundreds of balancers kept overloaded servers overloaded."""
     admitted = 0
     for seed in range(200):
         bed = Bed(count=2, seed=seed, siblings=200)
@@ -334,19 +334,19 @@
 
 
 @pytest.mark.parametrize("state", [api.ServerState.DRAINING, api.ServerState.REMOVED])
-def test_nothing_new_to_a_server_that_drains_or_is_gone(state):
+def test_no_calls_to_a_draining_or_removed_server(state):
     bed = Bed(count=3)
     bed.give(api.Membership(api.ListForm.DELTA, (api.Server("s1", "b", state=state),)))
     assert "s1" not in {bed.serve() for _ in range(12)}
 
 
-def test_a_server_absent_from_a_complete_list_is_gone():
+def test_a_server_missing_from_a_complete_list_is_removed():
     bed = Bed(count=3)
     bed.give(api.Membership(api.ListForm.FULL, servers(2)))
     assert "s2" not in {bed.serve() for _ in range(12)}
 
 
-def test_discovery_is_watched_at_once_and_again_after_failures_with_growing_waits():
+def test_discovery_is_subscribed_at_once_and_with_backoff_after_failures():
     bed = Bed(count=0, ask_discovery=True)
     first = type(bed.brain)(bed.brain.cfg, 1, 0.0).handle(0.0, api.Membership(api.ListForm.CACHED))
     assert api.Watch in kinds(first)
@@ -359,14 +359,14 @@
     assert waits[0] <= 500.0 < 6000.0 <= waits[-1] <= 12_000.0
 
 
-def test_a_failed_list_keeps_the_old_one():
+def test_a_failed_discovery_call_keeps_the_current_list():
     bed = Bed(count=2, ask_discovery=True)
     bed.give(api.Membership(api.ListForm.FAILED))
     assert sent(bed.ask()[1])
 
 
-def learn(bed, draining=()):
-    """One call after another, each answered after 500 ms by a server that takes it or rejected by one that drains."""
+def run_calls(bed, draining=()):
+    """Send calls one by one; draining servers reject them, others respond after 500 ms. Returns the servers called."""
     taken = []
     for _ in range(24):
         name, acts = bed.ask()
@@ -384,45 +384,45 @@
     return taken
 
 
-def test_while_discovery_fails_no_server_is_asked_that_may_have_begun_to_drain_long_ago():
-    """A node that a crowded discovery rejected for 8 s sent calls to servers that had been draining for 6.6 s."""
+def test_an_expired_list_excludes_servers_that_may_be_draining():
+    """Guard: while an overloaded discovery failed for 8 s, calls were sent to servers that had drained for 6.6 s."""
     bed = Bed(count=12, ask_discovery=True, max_attempts=3, list_expires_ms=6000.0)
-    learn(bed)
+    run_calls(bed)
     bed.give(api.Membership(api.ListForm.FAILED))
     draining = {f"s{at}" for at in range(6)}
-    learn(bed, draining)  # 12 s: more than the 6 s after which a drain counts as notified
-    assert not draining & set(learn(bed, draining))
+    run_calls(bed, draining)  # takes 12 s: more than the 6 s after which the list expires
+    assert not draining & set(run_calls(bed, draining))
 
 
-def test_once_discovery_answers_all_servers_are_asked_again():
+def test_all_servers_are_used_again_once_discovery_responds():
     bed = Bed(count=12, ask_discovery=True, max_attempts=3, list_expires_ms=6000.0)
-    learn(bed)
+    run_calls(bed)
     bed.give(api.Membership(api.ListForm.FAILED))
-    away = {f"s{at}" for at in range(6)}
-    learn(bed, away)
+    draining = {f"s{at}" for at in range(6)}
+    run_calls(bed, draining)
     bed.give(api.Membership(api.ListForm.DELTA))
-    back = [server for _ in range(8) for server in learn(bed)]
-    assert set(back) >= away
+    used = [server for _ in range(8) for server in run_calls(bed)]
+    assert set(used) >= draining
 
 
-def test_a_burst_while_discovery_fails_is_not_left_to_the_few_that_answered_last():
+def test_an_unconfirmed_list_spreads_a_burst_over_most_servers():
     bed = Bed(count=12, ask_discovery=True, max_attempts=3, list_expires_ms=6000.0)
     bed.serve()
     bed.give(api.Membership(api.ListForm.FAILED))
-    took = {send.server for _ in range(24) for send in sent(bed.ask()[1])}
-    assert len(took) >= 8
+    used_servers = {send.server for _ in range(24) for send in sent(bed.ask()[1])}
+    assert len(used_servers) >= 8
 
 
-def expired(bed):
-    """Let discovery fail until the list has expired, and no server has answered a call lately."""
+def expire_list(bed):
+    """Fail discovery until the list has expired without a recently accepted call."""
     bed.give(api.Membership(api.ListForm.FAILED))
     bed.now += 6000.0
 
 
 @pytest.mark.parametrize("service", ["read", "post", "points"])
-def test_an_expired_list_of_which_no_server_accepted_a_call_lately_has_requests_rejected_at_once(service):
+def test_an_expired_list_without_recently_accepted_calls_rejects_requests_at_once(service):
     bed = Bed(count=6, ask_discovery=True, max_attempts=3, list_expires_ms=6000.0)
-    expired(bed)
+    expire_list(bed)
     assert kinds(bed.ask(service)[1]) == [api.Refuse]
     bed.give(api.Membership(api.ListForm.DELTA))
     assert sent(bed.ask(service)[1])
@@ -434,11 +434,11 @@
     bed.now += 5999.0
     name, acts = bed.ask("read")
     server = sent(acts)[0].server
-    bed.now += 1.0  # a moment later, the first attempt's failure finds no server that may be asked
+    bed.now += 1.0  # the list has expired, so the failed attempt finds no usable server for a retry
     assert kinds(bed.end(name, server, api.Result.CONNECT_FAILED)) == [api.Refuse]
 
 
-def test_a_keyed_repeat_goes_to_no_server_that_may_drain_though_its_group_has_no_other():
+def test_a_keyed_retry_fails_if_all_servers_of_its_group_may_be_draining():
     bed = Bed(count=6, ask_discovery=True, max_attempts=3, list_expires_ms=6000.0)
     bed.give(api.Membership(api.ListForm.FAILED))
     bed.now += 5999.0
@@ -448,17 +448,17 @@
     assert kinds(bed.end(name, server, api.Result.RESET)) == [api.Fail]
 
 
-def test_an_attempt_after_the_list_has_expired_goes_to_a_server_that_accepted_a_call_lately():
+def test_with_an_expired_list_attempts_go_to_servers_that_accepted_a_call_recently():
     bed = Bed(count=6, ask_discovery=True, max_attempts=3, list_expires_ms=6000.0)
     bed.give(api.Membership(api.ListForm.FAILED))
     bed.now += 5900.0
-    accepted = bed.serve()  # 100 ms
+    accepted = bed.serve()  # takes 100 ms
     assert {send.server for _ in range(6) for send in sent(bed.ask()[1])} == {accepted}
     bed.now += 5000.0
     assert kinds(bed.ask()[1]) == [api.Refuse]
 
 
-def test_a_call_that_a_server_holds_counts_as_accepted_once_a_rejection_would_have_come():
+def test_a_pending_call_counts_as_accepted_after_the_maximum_time_of_a_rejection():
     bed = Bed(count=6, ask_discovery=True, max_attempts=3, list_expires_ms=6000.0)
     bed.give(api.Membership(api.ListForm.FAILED))
     bed.now += 5900.0
@@ -469,7 +469,7 @@
     assert [send.server for send in sent(bed.ask()[1])] == [server]
 
 
-def test_a_process_that_has_just_started_uses_its_cached_list_until_servers_have_accepted_calls():
+def test_after_a_start_the_cached_list_is_used_until_servers_have_accepted_calls():
     bed = Bed(count=6, ask_discovery=True, max_attempts=3, list_expires_ms=6000.0)
     bed.give(api.Membership(api.ListForm.FAILED, complete_until_ms=float("-inf")))
     accepting = set()
@@ -485,7 +485,7 @@
     assert kinds(bed.ask()[1]) == [api.Refuse]
 
 
-def test_a_failure_tells_until_when_the_list_was_complete_and_later_failures_do_not_count():
+def test_only_the_first_of_consecutive_failures_sets_when_the_list_was_complete():
     bed = Bed(count=6, ask_discovery=True, max_attempts=3, list_expires_ms=6000.0)
     bed.now = 20_000.0
     bed.give(api.Membership(api.ListForm.FAILED, complete_until_ms=18_000.0))
@@ -501,7 +501,7 @@
     assert kinds(bed.ask()[1]) == [api.Refuse]
 
 
-def test_a_restart_is_a_new_cold_server():
+def test_a_restarted_server_is_treated_as_new_and_cold():
     bed = Bed(count=2)
     for _ in range(6):
         bed.serve()
@@ -510,10 +510,10 @@
     assert [bed.serve(latency=1.0) for _ in range(20)].count("s0") < 10
 
 
-# ----------------------------------------------------------------------- cold
+# ----------------------------------------------------------------- slow start
 
 
-def test_a_cold_server_gets_its_present_share_of_what_warm_ones_get():
+def test_a_cold_server_gets_calls_in_proportion_to_its_warmth():
     bed = Bed(count=4)
     bed.give(api.Membership(api.ListForm.DELTA, (api.Server("cold", "a", launched_ms=bed.now),)))
     counts: dict[str, int] = {}
@@ -527,7 +527,7 @@
 
 
 def test_many_balancers_together_keep_a_cold_server_to_its_share():
-    """Guard: one send a window from each of many balancers summed to a tip-over at full size."""
+    """Guard: one call per window from each of many balancers added up to an overload of the cold server."""
     nodes, warm = 120, 20
     cold = api.Server("cold", "a", launched_ms=1000.0)
     beds = []
@@ -535,21 +535,21 @@
         bed = Bed(count=0, seed=seed, siblings=nodes)
         bed.give(api.Membership(api.ListForm.FULL, (*servers(warm), cold)))
         beds.append(bed)
-    took = [bed.serve(latency=1.0) for _ in range(40) for bed in beds]
-    mean = len(took) / (warm + 1)
-    assert 0 < took.count("cold") <= 2.5 * 0.2 * mean
+    used_servers = [bed.serve(latency=1.0) for _ in range(40) for bed in beds]
+    mean = len(used_servers) / (warm + 1)
+    assert 0 < used_servers.count("cold") <= 2.5 * 0.2 * mean
 
 
-def test_a_cold_pool_still_serves_but_not_all():
+def test_a_cold_pool_serves_a_part_of_the_requests():
     bed = Bed(count=0)
     bed.give(api.Membership(api.ListForm.FULL, servers(20, launched_ms=bed.now)))
     count = sum(len(sent(bed.ask()[1])) for _ in range(100))
     assert 10 <= count <= 40
 
 
-def test_one_quick_first_outcome_is_not_taken_for_the_quiet_latency():
+def test_one_fast_first_response_does_not_set_the_baseline():
     bed = Bed()
-    bed.serve(latency=200.0)  # a fifth of the aim, where this idle pool's usual is 350
+    bed.serve(latency=200.0)  # the usual latency of this idle pool is 350
     bed.period()
     for _ in range(40):
         for _ in range(3):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The decision module's limits, and that every decision setting is used."""
+"""Limits of the decision module: file size, allowed imports, and no unused constants."""
 
 from __future__ import annotations
 
--- a/tests/test_list_validity.py
+++ b/tests/test_list_validity.py
@@ -1,4 +1,4 @@
-"""Until when a list may be used while discovery fails: a table of moments, and which servers may be used after it."""
+"""State of a server list while discovery fails, and the servers that are usable after the list has expired."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 CASES = [
     ("no call has failed", [], 99_000.0, ListState.CURRENT),
     ("a call has just failed", [(1000.0, FAILURE, None)], 1000.0, ListState.UNCONFIRMED),
-    ("6 s less a moment", [(1000.0, FAILURE, None)], 6999.9, ListState.UNCONFIRMED),
+    ("just before 6 s", [(1000.0, FAILURE, None)], 6999.9, ListState.UNCONFIRMED),
     ("6 s after it was complete", [(1000.0, FAILURE, None)], 7000.0, ListState.EXPIRED),
     ("complete until before the failure", [(1000.0, FAILURE, 400.0)], 6400.0, ListState.EXPIRED),
     (
-        "further failures bring nothing",
+        "further failures do not count",
         [(1000.0, FAILURE, None), (6500.0, FAILURE, None)],
         7000.0,
         ListState.EXPIRED,
@@ -37,7 +37,7 @@
         ListState.CURRENT,
     ),
     (
-        "a failure after an answer counts anew",
+        "a failure after an answer starts again",
         [(1000.0, FAILURE, None), (9000.0, ANSWER, None), (9500.0, FAILURE, None)],
         15_499.0,
         ListState.UNCONFIRMED,
@@ -48,7 +48,7 @@
 @pytest.mark.parametrize(
     ("events", "now", "state"), [case[1:] for case in CASES], ids=[case[0] for case in CASES]
 )
-def test_the_state_at_a_moment(events, now, state):
+def test_list_state(events, now, state):
     validity = ListValidity(EXPIRES_MS)
     for at, kind, complete_until_ms in events:
         if kind == ANSWER:
@@ -66,14 +66,14 @@
     assert validity.usable(1e9, servers) == servers
 
 
-LATELY_MS = EXPIRES_MS - ACCEPTED_WHILE_DRAINING_MS
+RECENT_MS = EXPIRES_MS - ACCEPTED_WHILE_DRAINING_MS
 
-AGES = [  # for how long ago servers accepted a call, and which of them are used
-    ([0.0, 100.0, LATELY_MS - 1.0], [0, 1, 2]),
-    ([0.0, 100.0, 200.0, LATELY_MS - 1.0, LATELY_MS], [0, 1, 2, 3]),
-    ([0.0, 100.0, 200.0, LATELY_MS], [0, 1, 2]),
-    # Fewer than three: the next ones up to three, if it is not much longer ago.
-    ([0.0, 100.0, LATELY_MS, LATELY_MS + 1.0], [0, 1, 2]),
+AGES = [  # time since each server accepted a call, and the indexes of the usable ones
+    ([0.0, 100.0, RECENT_MS - 1.0], [0, 1, 2]),
+    ([0.0, 100.0, 200.0, RECENT_MS - 1.0, RECENT_MS], [0, 1, 2, 3]),
+    ([0.0, 100.0, 200.0, RECENT_MS], [0, 1, 2]),
+    # With fewer than three, the next most recent ones within a longer time are added, up to three.
+    ([0.0, 100.0, RECENT_MS, RECENT_MS + 1.0], [0, 1, 2]),
     ([0.0, FALLBACK_ACCEPTED_WITHIN_MS - 1.0, FALLBACK_ACCEPTED_WITHIN_MS], [0, 1]),
     ([FALLBACK_ACCEPTED_WITHIN_MS - 1.0], [0]),
     ([FALLBACK_ACCEPTED_WITHIN_MS], []),
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize(("ages_ms", "usable"), AGES)
-def test_an_expired_list_leaves_the_servers_that_accepted_a_call_lately(ages_ms, usable):
+def test_an_expired_list_leaves_servers_that_accepted_a_call_recently(ages_ms, usable):
     now = 50_000.0
     validity = ListValidity(EXPIRES_MS)
     validity.on_failure(1000.0, None)
@@ -97,9 +97,7 @@
 @pytest.mark.parametrize(
     ("accepting", "after_ms", "all_used"), [(2, 5999.0, True), (2, 6000.0, False), (3, 100.0, False)]
 )
-def test_a_process_that_has_just_started_uses_its_cached_list_until_three_servers_accept(
-    accepting, after_ms, all_used
-):
+def test_after_a_start_the_cached_list_is_used_until_three_servers_accept(accepting, after_ms, all_used):
     validity = ListValidity(EXPIRES_MS)
     validity.on_cached(10_000.0)
     validity.on_failure(10_000.0, -math.inf)
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -1,4 +1,4 @@
-"""The program: configuration, start, and leaving service on SIGTERM."""
+"""The node process: configuration, start, reload on SIGHUP and draining on SIGTERM."""
 
 from __future__ import annotations
 
@@ -57,27 +57,27 @@
     path = tmp_path / "config.json"
     path.write_bytes(orjson.dumps(row))
     program = start(path)
-    _, said = program.communicate(timeout=60)
+    _, stderr = program.communicate(timeout=60)
     assert program.returncode == 2
-    assert said.count("\n") == 1
+    assert stderr.count("\n") == 1
 
 
-def test_a_missing_or_unreadable_configuration_too(tmp_path):
+def test_a_missing_or_unreadable_configuration_is_one_line_and_exit_code_2(tmp_path):
     (tmp_path / "bad.json").write_text("{")
     for path in (None, tmp_path / "none.json", tmp_path / "bad.json"):
         program = start(path)
-        _, said = program.communicate(timeout=60)
+        _, stderr = program.communicate(timeout=60)
         assert program.returncode == 2
-        assert said.count("\n") == 1
+        assert stderr.count("\n") == 1
 
 
-def test_sigterm_serves_what_still_comes_finishes_what_is_held_and_exits_with_0(tmp_path):
+def test_sigterm_drains_the_node_and_it_exits_with_0(tmp_path):
     async def main():
-        hold = asyncio.Event()
+        release = asyncio.Event()
 
         async def script(message):
             if message.headers["req-id"] == "held":
-                await hold.wait()
+                await release.wait()
             return reply()
 
         server, discovery = await Peer(script).start(), await Discovery().start()
@@ -107,23 +107,23 @@
                 await until(lambda: server.seen)
                 program.send_signal(signal.SIGTERM)
 
-                async def ask_anew(data: bytes) -> Message:
-                    """As a client does: once more on a new connection where the node closed one."""
+                async def ask_on_new_connection(data: bytes) -> Message:
+                    """Send a request like a client: retry on a new connection if the node closed it."""
                     while True:
                         try:
                             return await (await connect()).ask(data)
                         except (ConnectionError, asyncio.IncompleteReadError):
                             continue
 
-                while (answer := await ask_anew(UP)).status == 200:
+                while (answer := await ask_on_new_connection(UP)).status == 200:
                     pass
                 assert answer.status == 503
-                answer = await idle.ask(request(name="kept"))  # what callers have goes on being of use
+                answer = await idle.ask(request(name="kept"))  # existing connections stay usable
                 assert (answer.status, answer.headers.get("connection")) == (200, None)
-                assert (await ask_anew(request(name="new"))).status == 200
-                assert await idle.reader.read() == b""  # closed between requests, in the end
+                assert (await ask_on_new_connection(request(name="new"))).status == 200
+                assert await idle.reader.read() == b""  # closed between requests at the end of the drain
                 assert program.poll() is None
-                hold.set()
+                release.set()
                 answer = await read_message(caller.reader)
                 assert (answer.status, answer.headers["connection"]) == (200, "close")
                 assert await asyncio.to_thread(program.wait) == 0
@@ -154,8 +154,10 @@
                 path.write_bytes(orjson.dumps(config_row(second.endpoint)))
                 program.send_signal(signal.SIGHUP)
                 await until(lambda: second.seen)
-                assert "since=7&" in second.seen[0].first[1]  # what is held stays
-                await until(lambda: all(reader.at_eof() for reader in first.readers))  # the old watch is over
+                assert "since=7&" in second.seen[0].first[1]  # the current list is kept
+                await until(
+                    lambda: all(reader.at_eof() for reader in first.readers)
+                )  # the previous watch has ended
                 program.send_signal(signal.SIGTERM)
                 await asyncio.to_thread(program.communicate)
                 assert program.returncode == 0
@@ -176,11 +178,11 @@
         ({"categories": [{"name": "read", "aimMs": 1.0, "giveUpMs": 0, "effect": "free"}]}, "giveUpMs"),
     ],
 )
-def test_classes_that_no_request_could_belong_to_are_a_bad_configuration(tmp_path, change, named):
+def test_invalid_classes_are_a_bad_configuration(tmp_path, change, named):
     path = tmp_path / "config.json"
     path.write_bytes(orjson.dumps(config_row("127.0.0.1:1", settings=change)))
     program = start(path)
-    _, said = program.communicate(timeout=60)
+    _, stderr = program.communicate(timeout=60)
     assert program.returncode == 2
-    assert said.count("\n") == 1
-    assert named in said
+    assert stderr.count("\n") == 1
+    assert named in stderr
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""The ordinary path: table, cursor, rows, refusal, ranking, and how the pool's load is read."""
+"""Ordinary decisions: threshold table, cursor, rejection, ranking, and the load of the pool."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     assert bed.brain.table.cursor == 0
 
 
-def test_table_is_flat_then_falls_and_never_to_nothing():
+def test_thresholds_are_flat_then_decrease_and_stay_positive():
     brain = Bed().brain
     entries = []
     for cursor in range(len(brain.table.shape)):
@@ -44,7 +44,7 @@
     assert brain.threshold(1e-9, 1) > 0.0
 
 
-def test_low_worth_is_shed_first_and_bends_further():
+def test_low_worth_is_shed_first_and_more_steeply():
     brain = Bed().brain
     high, low = brain.threshold(1.0, 20), brain.threshold(1 / 12, 20)
     assert low < high
@@ -52,7 +52,7 @@
     assert brain.threshold(1 / 12, 20) / low < brain.threshold(1.0, 20) / high
 
 
-def test_a_call_at_the_threshold_is_refused_at_once_low_rows_first():
+def test_requests_over_the_threshold_are_rejected_at_once_and_low_worth_first():
     bed = Bed(count=4)
     outcome = {}
     for service in ("post", "read"):
@@ -65,7 +65,7 @@
     assert outcome["post"] < outcome["read"]
 
 
-def test_marked_retries_and_over_quota_tenants_fall_to_lower_rows():
+def test_marked_retries_and_tenants_over_quota_get_a_lower_worth():
     bed = Bed(tenants=(api.Tenant("t", 4.0),), over_share_worth=0.2)
     fresh = api.Request("a", "read", 9e9)
     worth = bed.brain._worth(bed.now, fresh, SAFE)
@@ -76,7 +76,7 @@
     assert bed.brain._worth(bed.now + 1000, api.Request("d", "read", 9e9, tenant="t"), SAFE) == worth
 
 
-def test_over_quota_counts_at_the_front_only():
+def test_quotas_apply_in_tier_0_only():
     bed = Bed(tenants=(api.Tenant("t", 0.0),), over_share_worth=0.2, tier=1)
     assert bed.brain._worth(bed.now, api.Request("c", "read", 9e9, tenant="t"), SAFE) == 1.0
 
@@ -96,37 +96,37 @@
     bed = Bed(count=2)
     for _ in range(30):
         for server, latency in (("s0", 300.0), ("s1", 100.0)):
-            bed.brain._record_outcome(bed.now, *judged(bed, server, latency))
-    took = [bed.serve() for _ in range(10)]
-    assert took.count("s1") == 10
+            bed.brain._record_outcome(bed.now, *successful_attempt(bed, server, latency))
+    used = [bed.serve() for _ in range(10)]
+    assert used.count("s1") == 10
 
 
-def judged(bed: Bed, server: str, latency: float):
+def successful_attempt(bed: Bed, server: str, latency: float):
     from loadbalancer.attempts import Attempt, RequestState
 
     request = api.Request("x", "read", 9e9)
     attempt = Attempt(bed.brain.peers[server], bed.now - latency, 0.0)
-    job = RequestState(request, SAFE, bed.now, 1.0, [attempt])
-    return job, attempt, api.Outcome("x", 0, server, api.Result.OK, latency, True)
+    state = RequestState(request, SAFE, bed.now, 1.0, [attempt])
+    return state, attempt, api.Outcome("x", 0, server, api.Result.OK, latency, True)
 
 
-def test_a_crossing_costs_rank_where_it_has_a_price():
+def test_calls_to_another_zone_are_penalised_if_they_have_a_price():
     free, priced = Bed(count=2), Bed(count=2, cross_zone_price=0.1)
     assert {free.serve() for _ in range(12)} == {"s0", "s1"}
     assert {priced.serve() for _ in range(12)} == {"s0"}
 
 
-def test_a_crowded_zone_spills_over():
+def test_a_loaded_zone_spills_over_to_another():
     bed = Bed(count=2, cross_zone_price=0.03)
-    took = []
+    used = []
     for _ in range(6):
         _, acts = bed.ask()
-        took += [act.server for act in sent(acts)]
-    assert took[0] == "s0"
-    assert "s1" in took
+        used += [act.server for act in sent(acts)]
+    assert used[0] == "s0"
+    assert "s1" in used
 
 
-def test_a_reported_queue_counts_and_fades():
+def test_a_reported_queue_counts_and_decays():
     bed = Bed(count=2)
     name, acts = bed.ask()
     server = sent(acts)[0].server
@@ -145,7 +145,7 @@
     assert bed.brain.table.cursor == 1
 
 
-def test_answers_refused_as_full_move_the_cursor():
+def test_rejections_by_servers_move_the_cursor():
     bed = Bed()
     name, acts = bed.ask()
     bed.end(name, sent(acts)[0].server, api.Result.FULL, 1.0)
@@ -154,7 +154,7 @@
 
 
 def test_few_outcomes_of_a_period_do_not_move_the_cursor():
-    """Guard: on quiet pools a single heavy answer pushed the cursor right and refused calls."""
+    """Guard: in idle pools, a single slow response moved the cursor right and requests were rejected."""
     bed = Bed()
     for _ in range(3):
         load_period(bed, 200.0)
@@ -162,13 +162,13 @@
     assert bed.brain.table.cursor == 0
 
 
-def test_start_does_not_refuse_an_ordinary_load():
-    """Guard: a table sized before anything was learned refused a fifth of the first seconds."""
+def test_an_ordinary_load_is_admitted_right_after_the_start():
+    """Guard: thresholds without any known rate rejected a fifth of the requests of the first seconds."""
     bed = Bed(count=10)
     assert all(sent(bed.ask("post")[1]) for _ in range(8))
 
 
-def test_work_counts_where_worth_goes_by_work():
+def test_queue_weight_follows_the_cost_hint_if_worth_is_counted_by_work():
     bed = Bed(worth_by_work=True)
     bed.ask(cost_hint_ms=10.0)
     bed.ask(cost_hint_ms=100.0)
@@ -176,12 +176,12 @@
     assert loads[-1] > loads[-2] > 0
 
 
-def test_no_server_no_send():
+def test_a_request_without_servers_is_rejected():
     bed = Bed(count=0)
     assert kinds(bed.ask("post")[1]) == [api.Refuse]
 
 
-def test_refusals_carry_a_wait_at_the_front_only():
+def test_rejections_have_a_retry_after_in_tier_0_only():
     for tier, expected in ((0, True), (1, False)):
         bed = Bed(count=0, tier=tier, retry_after=True, max_retry_after_ms=1000.0)
         bed.brain.table.cursor = 3
@@ -190,7 +190,7 @@
         assert (refusal.retry_after_ms > 0) is expected
 
 
-def test_settings_name_the_bad_key():
+def test_invalid_settings_are_reported_with_their_key():
     with pytest.raises(ValueError, match="siblings"):
         api.Settings(classes=(SAFE,), siblings=0)
     with pytest.raises(ValueError, match="classes"):
@@ -202,7 +202,7 @@
 
 
 @pytest.mark.parametrize(("key", "value"), [("may_cancel", "yes"), ("zone", 3), ("max_attempts", "2")])
-def test_settings_of_the_wrong_type_are_named_with_their_value(key, value):
+def test_settings_of_the_wrong_type_are_reported_with_their_value(key, value):
     with pytest.raises(ValueError, match=f"{key}: {value!r}"):
         api.Settings(classes=(SAFE,), **{key: value})
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The node over loopback: requests, answers, the decision module's events, and the server list."""
+"""The node over loopback: requests, responses, events of the decision module, and the server list."""
 
 from __future__ import annotations
 
@@ -34,19 +34,19 @@
 
 
 def send_to(*names):
-    """Acts for a scripted module: each request goes to the first name, and on each failure to the next."""
-    tries = {}
+    """Return a scripted decision: send each request to the first server, and after each failure to the next."""
+    sent_counts = {}
 
     def act(event):
         if isinstance(event, api.Request) or (isinstance(event, api.Outcome) and not event.done):
-            at = tries[event.id] = tries.get(event.id, -1) + 1
+            at = sent_counts[event.id] = sent_counts.get(event.id, -1) + 1
             return [api.Send(event.id, names[at])] if at < len(names) else [api.Fail(event.id)]
         return []
 
     return act
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back():
+def test_a_request_is_forwarded_unchanged_and_its_response_returned():
     async def main():
         async def script(message):
             return reply(200, b"posted", Srv_Load="TEXT inflight=7, queue=3, util=0.61")
@@ -68,7 +68,7 @@
     asyncio.run(main())
 
 
-def test_the_balancer_receives_what_the_request_says():
+def test_the_balancer_receives_the_headers_of_the_request():
     async def main():
         async with running(Peer()) as node:
             node.pool.balancer = scripted = Scripted(lambda event: [api.Refuse(event.id, 250.0)])
@@ -78,21 +78,21 @@
                 request(Req_Owner="acme", Req_Retry="1", Req_Cost="1500", Req_Deadline_Ms="5000"),
             )
             assert (answer.status, answer.headers["retry-after"]) == (503, "0.250")
-            heard = scripted.of(api.Request)[0]
-            assert (heard.service, heard.tenant, heard.is_retry, heard.cost_hint_ms) == (
+            received = scripted.of(api.Request)[0]
+            assert (received.service, received.tenant, received.is_retry, received.cost_hint_ms) == (
                 "read",
                 "acme",
                 True,
                 1.5,
             )
-            assert heard.give_up_at_ms < node.clock.ms() + 5000  # the way there and back comes off
-            assert heard.give_up_at_ms > before + 4900
+            assert received.give_up_at_ms < node.clock.ms() + 5000  # less the time on the network
+            assert received.give_up_at_ms > before + 4900
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize("kind", ["post", "read"])
-def test_nothing_is_sent_again_but_by_the_balancer(kind):
+def test_only_the_balancer_retries_requests(kind):
     async def main():
         async def script(message):
             return None if len(server.seen) == 2 else reply()
@@ -101,15 +101,15 @@
         async with running(server) as node:
             node.pool.balancer = scripted = Scripted(send_to("s0"))
             assert (await ask(node, request(kind, "q1"))).status == 200
-            await until(lambda: node.back._servers["s0"].idle)  # it rests after an answer
-            assert (await ask(node, request(kind, "q2"))).status == 502  # on the connection kept from before
+            await until(lambda: node.back._servers["s0"].idle)  # idle after the response
+            assert (await ask(node, request(kind, "q2"))).status == 502  # sent on the idle connection
             assert (server.connections, len(server.seen)) == (1, 2)
             assert [event.result for event in scripted.of(api.Outcome)] == [api.Result.OK, api.Result.RESET]
 
     asyncio.run(main())
 
 
-def test_an_unsafe_request_that_may_have_run_fails_and_a_declined_one_is_tried_elsewhere():
+def test_an_unsafe_request_that_may_have_run_fails_and_a_declined_one_is_retried():
     async def main():
         async def script(message):
             return reply(503, Srv_Declined="1") if message.headers["req-id"] == "q1" else reply(500)
@@ -124,7 +124,7 @@
     asyncio.run(main())
 
 
-def test_a_send_past_the_attempts_allowed_or_for_an_ended_request_is_moot():
+def test_a_send_over_the_attempt_limit_or_for_an_ended_request_is_moot():
     async def main():
         async def script(message):
             return reply(500)
@@ -154,7 +154,7 @@
     asyncio.run(main())
 
 
-def test_a_caller_that_closes_has_lapsed_and_its_attempt_still_gets_its_outcome():
+def test_a_disconnect_lapses_the_request_and_its_attempt_still_gets_an_outcome():
     async def main():
         server = Held()
         async with running(server) as node:
@@ -170,7 +170,7 @@
     asyncio.run(main())
 
 
-def test_a_second_copys_loser_gets_its_outcome_after_the_request_is_over():
+def test_the_slower_of_two_attempts_gets_its_outcome_after_the_request_has_ended():
     async def main():
         server = Held()
         async with running(server, Peer()) as node:
@@ -191,7 +191,7 @@
 
 
 @pytest.mark.parametrize("kind", [api.Request, api.Outcome])
-def test_a_fault_of_the_balancer_leaves_no_request_unanswered(kind):
+def test_an_exception_in_the_balancer_leaves_no_request_unanswered(kind):
     async def main():
         async with running(Peer(lambda message: asyncio.sleep(0, reply(500)))) as node:
 
@@ -209,7 +209,7 @@
     asyncio.run(main())
 
 
-def test_a_fault_on_an_alarm_does_not_stop_the_modules_clockwork(monkeypatch):
+def test_an_exception_on_an_alarm_does_not_stop_the_timer(monkeypatch):
     async def main():
         monkeypatch.setattr(pool_module, "FAULT_PAUSE_S", 0.01)
 
@@ -226,7 +226,7 @@
     asyncio.run(main())
 
 
-def test_a_request_that_the_balancer_forgets_is_answered_at_its_deadline():
+def test_a_request_without_a_decision_is_answered_at_its_deadline():
     async def main():
         async with running(Peer()) as node:
             node.pool.balancer = scripted = Scripted()
@@ -236,7 +236,7 @@
     asyncio.run(main())
 
 
-def test_an_attempt_ends_before_the_deadline_whatever_time_out_it_was_given():
+def test_the_deadline_of_a_request_limits_the_timeout_of_its_attempts():
     async def main():
         async with running(Held()) as node:
 
@@ -247,7 +247,7 @@
 
             node.pool.balancer = scripted = Scripted(act)
             assert (await ask(node, request(Req_Deadline_Ms="300"))).status == 504
-            # The module's answer to its time-out came first, not the node's own.
+            # The timeout of the attempt came first, not the node's own deadline timer.
             assert [event.result for event in scripted.of(api.Outcome)] == [api.Result.TIMEOUT]
             assert not scripted.of(api.Lapsed)
 
@@ -281,7 +281,7 @@
         ),
     ],
 )
-def test_bad_callers_are_answered_and_never_reach_the_balancer(data, status):
+def test_invalid_requests_are_answered_and_never_reach_the_balancer(data, status):
     async def main():
         async with running(Peer()) as node:
             node.pool.balancer = scripted = Scripted()
@@ -292,7 +292,7 @@
     asyncio.run(main())
 
 
-def test_a_body_of_64_kib_passes_in_both_forms():
+def test_a_body_of_64_kib_and_a_chunked_body_are_forwarded():
     async def main():
         server = Peer()
         async with running(server) as node:
@@ -304,7 +304,7 @@
     asyncio.run(main())
 
 
-def test_the_same_id_twice_at_once_is_not_sent_twice():
+def test_a_duplicate_id_in_flight_is_rejected():
     async def main():
         server = Held()
         async with running(server) as node:
@@ -318,7 +318,7 @@
     asyncio.run(main())
 
 
-def test_requests_that_come_at_once_are_answered_in_turn():
+def test_pipelined_requests_are_answered_in_order():
     async def main():
         async with running(Peer(lambda message: asyncio.sleep(0, reply(200, message.body)))) as node:
             caller = await Caller.to(node)
@@ -330,7 +330,7 @@
     asyncio.run(main())
 
 
-def test_more_open_requests_than_allowed_are_refused_at_once():
+def test_more_open_requests_than_allowed_are_rejected_at_once():
     async def main():
         server = Held()
         async with running(server, bounds={"maxOpen": 1}) as node:
@@ -344,7 +344,7 @@
     asyncio.run(main())
 
 
-def test_a_flood_of_connections_stays_within_its_share_and_all_are_taken():
+def test_a_flood_of_connections_stays_within_the_limit_and_all_are_accepted():
     async def main():
         async with running(Peer(), limits={"sockets": 132}) as node:
             callers = [await Caller.to(node) for _ in range(200)]
@@ -357,11 +357,11 @@
     asyncio.run(main())
 
 
-def test_a_burst_of_connections_stays_within_the_descriptors_while_it_is_taken_in():
+def test_a_burst_of_connections_stays_within_the_descriptor_limit_while_it_is_accepted():
     async def main():
         async with running(Peer(), limits={"sockets": 132}) as node, contextlib.AsyncExitStack() as stack:
             before = len(os.listdir("/proc/self/fd"))
-            # All are in the kernel's queue before the node has a turn.
+            # All connections are in the accept queue before the event loop runs again.
             burst = [stack.enter_context(socket.create_connection(node.server.address)) for _ in range(200)]
             burst[-1].sendall(request())
             peak = 0
@@ -375,10 +375,10 @@
     asyncio.run(main())
 
 
-def test_busy_connections_over_the_limit_are_refused_at_once_and_closed():
+def test_busy_connections_over_the_limit_are_rejected_at_once_and_closed():
     async def main():
         async with running(Peer(), limits={"sockets": 132}) as node:
-            node.pool.balancer = scripted = Scripted()  # holds every request
+            node.pool.balancer = scripted = Scripted()  # leaves every request open
             callers = [await Caller.to(node) for _ in range(node.server.limit)]
             for at, caller in enumerate(callers):
                 caller.writer.write(request(name=f"q{at}"))
@@ -396,7 +396,7 @@
 
 
 def test_a_request_takes_the_slot_of_a_connection_that_has_just_become_idle():
-    """Guard: connections idle for under 2 s held all the room, and requests were refused."""
+    """Guard: connections idle for under 2 s used up the limit, and requests were rejected."""
 
     async def main():
         async with running(Peer(), limits={"sockets": 132}) as node:
@@ -404,10 +404,12 @@
             for at, caller in enumerate(callers):
                 assert (await caller.ask(request(name=f"q{at}"))).status == 200
             late = await Caller.to(node)
-            await until(lambda: len(node.server.connections) > node.server.limit)  # it alone takes no place
+            await until(
+                lambda: len(node.server.connections) > node.server.limit
+            )  # accepted over the limit, before it has sent a request
             assert (await late.ask(request(name="late"))).status == 200
             assert node.pool.counts["over the limit"] == 0
-            assert await callers[0].reader.read() == b""  # the one idle for longest
+            assert await callers[0].reader.read() == b""  # the longest idle one was closed
             assert (await callers[1].ask(request(name="again"))).status == 200
             for caller in [*callers, late]:
                 caller.writer.close()
@@ -426,7 +428,7 @@
         )
         async with running(Peer(), discovery=discovery) as node:
             node.pool.balancer = scripted = Scripted()
-            # The module's first act, on the known list, was to ask for a watch.
+            # The first action of the balancer, on the cached list, was to start a watch.
             await until(lambda: len(scripted.of(api.Membership)) == 3)
             forms = [event.form for event in scripted.of(api.Membership)]
             assert forms == [api.ListForm.FULL, api.ListForm.DELTA, api.ListForm.FAILED]
@@ -443,13 +445,13 @@
     asyncio.run(main())
 
 
-def test_the_known_list_comes_first_and_as_cached():
+def test_the_configured_list_is_delivered_first_as_cached():
     async def main():
         async with running(Peer()) as node:
             node.pool.balancer = scripted = Scripted()
             await node.start()
             assert [event.form for event in scripted.of(api.Membership)] == [api.ListForm.CACHED]
-            assert scripted.events[0].servers[0].launched_ms is None  # 0 means long ago
+            assert scripted.events[0].servers[0].launched_ms is None  # 0 means unknown
 
     asyncio.run(main())
 
@@ -466,19 +468,19 @@
         None,
     ],
 )
-def test_any_bad_discovery_call_is_a_failure_and_keeps_the_list(news):
+def test_an_invalid_discovery_response_is_a_failure_and_keeps_the_list(news):
     async def main():
         async with running(Peer(), discovery=Discovery(news)) as node:
             node.pool.balancer = scripted = Scripted()
             await until(lambda: scripted.of(api.Membership))
             assert [event.form for event in scripted.of(api.Membership)] == [api.ListForm.FAILED]
             assert (set(node.back._servers), node.server.ready) == ({"s0"}, True)
-            assert node.watcher._task is None  # it is for the module to ask again
+            assert node.watcher._task is None  # only the balancer starts the next watch
 
     asyncio.run(main())
 
 
-def test_a_hung_discovery_call_fails_and_the_balancer_asks_again(monkeypatch):
+def test_a_hanging_discovery_call_fails_and_is_repeated(monkeypatch):
     async def main():
         monkeypatch.setattr("loadbalancer.discovery.watcher.ANSWER_GRACE_S", 0.05)
         monkeypatch.setattr("loadbalancer.discovery.watcher.PROBE_TIMEOUT_S", 0.05)
@@ -490,13 +492,15 @@
             waits = [message.first[1].rpartition("=")[2] for message in discovery.seen[:3]]
             assert 37 <= int(waits[0]) <= 50
             assert waits[1] == "0"
-            assert 37 <= int(waits[2]) <= 50  # at once whether it speaks, then when the module asks
+            assert (
+                37 <= int(waits[2]) <= 50
+            )  # a probe without wait after the timeout, then the watch of the balancer
             assert node.pool.counts["list failed"] >= 1
 
     asyncio.run(main())
 
 
-def test_a_pushed_list_is_followed_unasked_and_through_failures(monkeypatch):
+def test_pushed_lists_are_applied_without_a_watch_and_after_failures(monkeypatch):
     async def main():
         monkeypatch.setattr("loadbalancer.discovery.watcher.PUSH_RETRY_PAUSE_S", 0.01)
         discovery = Discovery(reply(503), listing(5, True, s9=("127.0.0.1:9", "Ready")))
@@ -507,7 +511,7 @@
     asyncio.run(main())
 
 
-def test_a_drain_moves_what_waits_to_connect_to_another_server():
+def test_a_drain_fails_attempts_that_wait_for_a_connection():
     async def main():
         server = Peer()
         async with running(server) as node:
@@ -518,7 +522,7 @@
             async def never(endpoint):
                 await hold.wait()
 
-            node.back.open = never  # a connection that does not come up
+            node.back.open = never  # never connects
             caller.writer.write(request())
             await until(lambda: node.back.size)
             row = ServerListUpdate(
@@ -533,7 +537,7 @@
     asyncio.run(main())
 
 
-def test_ready_only_with_a_server_to_send_to():
+def test_the_node_is_ready_only_with_a_usable_server():
     async def main():
         up = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
         discovery = Discovery(listing(5, True, s9=("127.0.0.1:9", "Ready")))
@@ -545,7 +549,7 @@
     asyncio.run(main())
 
 
-def test_the_clock_is_unix_time_once_and_never_goes_back(monkeypatch):
+def test_the_clock_starts_at_unix_time_and_is_monotonic(monkeypatch):
     class Loop:
         def __init__(self):
             self.times = itertools.count(100.0, 0.5)
@@ -565,7 +569,7 @@
     assert config("127.0.0.1:1").seed == 0x8C1F30D27A5BE964
 
 
-def test_a_send_whose_time_is_over_is_moot_and_touches_no_socket():
+def test_a_send_after_the_deadline_is_moot_and_opens_no_connection():
     async def main():
         server = Peer()
         async with running(server) as node:
@@ -601,7 +605,7 @@
 
 
 class Shifted(Turns):
-    """Has answers come so much later than they do, by the times that a test sets."""
+    """Shifts the arrival times of responses by a time that the test sets."""
 
     def __init__(self):
         super().__init__()
@@ -611,8 +615,8 @@
         return now + self.shift
 
 
-def test_a_step_of_the_cursor_is_given_time_to_show_in_the_answers():
-    """Guard: each period stepped right on answers from before, and what servers bore was refused."""
+def test_the_cursor_waits_until_a_step_shows_in_the_responses():
+    """Guard: each period moved the cursor right on responses to older calls, and admissible calls were rejected."""
 
     async def main():
         server = Held()
@@ -620,7 +624,7 @@
             node.back.turns = clock = Shifted()
 
             async def calls(count, latency_s):
-                """So many answers with this latency, and the end of the module's period."""
+                """Answer `count` requests with this latency, then end the period of the balancer."""
                 seen, clock.shift = len(server.seen), 0.0
                 server.release.clear()
                 names = [f"q{seen + at}" for at in range(count)]
@@ -630,18 +634,18 @@
                 server.release.set()
                 assert [answer.status for answer in await asked] == [200] * count
                 node.pool.handle(api.Alarm("period"))
-                node.pool.timers["period"].cancel()  # the next one ends when the test says so
+                node.pool.timers["period"].cancel()  # the test ends the next period
 
             node.pool.timers["period"].cancel()
             for _ in range(3):
                 await calls(8, 0.0)
             assert node.pool.balancer.table.cursor == 0
             for _ in range(12):
-                await calls(8, 10.0)  # half of what is wanted: too slow, and no jam
+                await calls(8, 10.0)  # half of the latency target: load, but no overload
             assert 0 < node.pool.balancer.table.cursor <= 12 * 8 / 20
             high = node.pool.balancer.table.cursor
             for _ in range(6):
                 await calls(8, 0.0)
-            assert node.pool.balancer.table.cursor < high  # back left it waits for nothing
+            assert node.pool.balancer.table.cursor < high  # steps to the left do not wait
 
     asyncio.run(main())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules over random legal sequences of events, against a small referee of the wire's rules."""
+"""Safety rules of the balancer, checked for random valid sequences of events by a small model."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass
 class Call:
-    """What the referee knows of one request."""
+    """The model's state of one request."""
 
     kind: api.ServiceClass
     give_up: float
@@ -64,7 +64,10 @@
             self.calls[event.id] = Call(kind, event.give_up_at_ms)
         for act in self.brain.handle(self.now, event):
             self.check(act)
-        for name, call in self.calls.items():  # an open request with nothing out would never be answered
+        for (
+            name,
+            call,
+        ) in self.calls.items():  # an open request without a pending attempt would never be answered
             assert call.ended or call.out(), name
 
     def check(self, act: api.Action) -> None:
@@ -72,11 +75,13 @@
             self.check_send(act)
         elif isinstance(act, api.Refuse | api.Fail):
             call = self.calls[act.id]
-            assert not call.ended, "a second final answer"
+            assert not call.ended, "a second final response"
             ran = call.may_have_run()
             if isinstance(act, api.Refuse) and ran:
                 keyed_all = call.kind.effect is api.Effect.KEYED and call.kind.scope is api.Scope.ALL
-                assert call.kind.effect is api.Effect.SAFE or keyed_all, "a refusal that is not true"
+                assert call.kind.effect is api.Effect.SAFE or keyed_all, (
+                    "a rejection of a request that may have run"
+                )
             call.ended = True
         elif isinstance(act, api.Cancel):
             assert self.cfg.may_cancel
@@ -84,22 +89,22 @@
 
     def check_send(self, act: api.Send) -> None:
         call, server = self.calls[act.id], self.listed[act.server]
-        assert not call.ended, "a send after the end"
-        assert server.state is api.ServerState.UP, "a send to a server that drains or is gone"
+        assert not call.ended, "a send after the end of the request"
+        assert server.state is api.ServerState.UP, "a send to a draining or removed server"
         assert len(call.tries) < self.cfg.max_attempts
         assert act.timeout_ms >= 0
         ran = call.may_have_run()
         if call.kind.effect is not api.Effect.SAFE and ran:
-            assert call.kind.effect is api.Effect.KEYED, "an unsafe request sent twice"
+            assert call.kind.effect is api.Effect.KEYED, "a retry of an unsafe request that may have run"
             first, then = ran[0]
-            assert self.now - then <= call.kind.memory_ms, "sent after the key may be forgotten"
+            assert self.now - then <= call.kind.memory_ms, "a retry after the key may have expired"
             if call.kind.scope is not api.Scope.ALL:
                 assert server.zone == first.zone
             if call.kind.scope is api.Scope.CELL:
                 assert server.cell == first.cell
         call.tries.append((server, self.now))
 
-    # the moves that a day may make
+    # Moves: events that a test may generate.
 
     def request(self, kind: int, patience: float) -> None:
         self.names += 1
@@ -116,8 +121,8 @@
         call.results[at] = result
         if not call.ended and (result is api.Result.OK or call.streaming == at):
             call.ended = True
-        told = {"queue": 2.0, "util": 0.97} if report else None
-        self.give(api.Outcome(name, at, server.address, result, self.now - then, call.ended, told))
+        load_report = {"queue": 2.0, "util": 0.97} if report else None
+        self.give(api.Outcome(name, at, server.address, result, self.now - then, call.ended, load_report))
 
     def lapse(self, pick: int) -> None:
         if self.calls:
--- a/tests/test_rules_page.py
+++ b/tests/test_rules_page.py
@@ -1,4 +1,4 @@
-"""docs/design/rules.md names functions and tests that exist; a wrong name on it is found."""
+"""Functions and tests named in docs/design/rules.md exist."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
     assert wrong_names(text) == list(wrong)
 
 
-def test_each_row_names_a_test_or_says_that_there_is_none():
+def test_each_row_names_a_test_or_states_that_there_is_none():
     rows = [line for line in PAGE.read_text().splitlines() if ROW.match(line)]
     assert len(rows) > 25
-    silent = [
+    incomplete = [
         row
         for row in rows
         if ":test_" not in row and "WORST_DAYS" not in row and "none in the code" not in row
     ]
-    assert silent == []
+    assert incomplete == []
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The wire adapter on transcripts."""
+"""The simulator adapter on batches of events."""
 
 from __future__ import annotations
 
@@ -81,7 +81,7 @@
     return b"".join(orjson.dumps(row) + b"\n" for row in rows)
 
 
-def talk(*batches: bytes) -> list[dict[str, Any]]:
+def replies_to(*batches: bytes) -> list[dict[str, Any]]:
     sink = io.BytesIO()
     run(io.BytesIO(b"".join(batches)), sink)
     return [orjson.loads(line) for line in sink.getvalue().splitlines()]
@@ -92,11 +92,11 @@
 
 
 def test_an_empty_batch_is_answered():
-    assert talk(batch(8412.25, 1)) == [{"kind": "READY", "seq": 1}]
+    assert replies_to(batch(8412.25, 1)) == [{"kind": "READY", "seq": 1}]
 
 
 def test_a_first_batch_subscribes_and_sends():
-    rows = talk(batch(1000.0, 1, catalog(), *start(), request("q1")))
+    rows = replies_to(batch(1000.0, 1, catalog(), *start(), request("q1")))
     assert rows[-1] == {"kind": "READY", "seq": 1}
     assert len(of(rows, "OBSERVE")) == 1
     assert len(of(rows, "SLEEP")) == 1
@@ -129,7 +129,7 @@
     assert [row["kind"] for row in host.event(returned("q", server, rc, False))] == [answer]
 
 
-def test_an_outcome_of_an_ended_request_and_a_lapse_of_one_are_quiet():
+def test_an_outcome_and_a_lapse_of_an_ended_request_cause_no_action():
     host = Host()
     host.now = 1000.0
     rows = [row for event in (catalog(), *start(), request("q")) for row in host.event(event)]
@@ -181,12 +181,12 @@
     assert list(host.nodes[0].balancer.peers) == ["10.0.0.0:1"]
 
 
-def test_other_events_are_taken():
+def test_other_events_are_accepted():
     host = Host()
     host.now = 1000.0
     for event in (catalog(), *start()):
         host.event(event)
-    quiet = [
+    events = [
         {"kind": "PEER", "node": 0, "by": 1, "contents": "aGk="},
         {
             "kind": "HEALTH",
@@ -206,7 +206,7 @@
         },
         {"kind": "ALARM", "node": 0, "name": "not ours"},
     ]
-    assert [host.event(event) for event in quiet] == [[], [], [], []]
+    assert [host.event(event) for event in events] == [[], [], [], []]
     assert host.nodes[0].balancer.peers["10.0.0.1:1"].reported_queue == 4
 
 
@@ -226,7 +226,7 @@
         {"kind": "NONSENSE", "node": 3},
     ],
 )
-def test_what_goes_wrong_at_a_node_is_its_panic(event, capsys):
+def test_an_invalid_event_for_a_node_is_reported_as_its_panic(event, capsys):
     rows = Host().event(event)
     assert [(row["kind"], row["node"]) for row in rows] == [("PANIC", 3)]
     assert rows[0]["bodyText"]
@@ -240,7 +240,7 @@
     assert host.event({"kind": "NONSENSE", "node": 0})[0]["kind"] == "PANIC"
 
 
-def test_a_request_of_an_unknown_class_is_a_panic_not_a_guess():
+def test_a_request_of_an_unknown_class_is_a_panic():
     host = Host()
     for event in (catalog(), *start()):
         host.event(event)
@@ -260,12 +260,12 @@
         b'{"kind":"FRAME","nowMs":1,"seq":1}\n',
     ],
 )
-def test_bad_input_is_named(lines):
+def test_malformed_input_raises(lines):
     with pytest.raises(WireError):
         run(io.BytesIO(lines), io.BytesIO())
 
 
-def test_the_process_exits_cleanly_at_the_end_and_plainly_on_nonsense():
+def test_the_process_exits_with_0_at_the_end_and_with_an_error_on_malformed_input():
     command = [sys.executable, "-m", "loadbalancer.simulator_adapter"]
     good = subprocess.run(command, input=batch(1.0, 1), capture_output=True, cwd=ROOT, check=False)
     assert (good.returncode, good.stdout, good.stderr) == (0, b'{"kind":"READY","seq":1}\n', b"")
@@ -277,40 +277,40 @@
 
 def test_many_nodes_in_one_process_act_as_in_several():
     def events(node: int) -> list[dict[str, Any]]:
-        made = [catalog(), *start(node)]
-        made += [request(f"n{node}-{at}", node, ("read", "post", "points")[at % 3]) for at in range(30)]
-        return [*made, {"kind": "ALARM", "node": node, "name": "period"}]
+        rows = [catalog(), *start(node)]
+        rows += [request(f"n{node}-{at}", node, ("read", "post", "points")[at % 3]) for at in range(30)]
+        return [*rows, {"kind": "ALARM", "node": node, "name": "period"}]
 
-    def played(nodes: list[int]) -> dict[int, list[dict[str, Any]]]:
+    def run_nodes(nodes: list[int]) -> dict[int, list[dict[str, Any]]]:
         host = Host()
         host.now = 1000.0
         mixed = [row for rows in zip(*(events(node) for node in nodes), strict=True) for row in rows]
         acts = [act for event in mixed for act in host.event(event)]
         return {node: [act for act in acts if act["node"] == node] for node in nodes}
 
-    together = played([0, 1, 2])
-    assert together == {node: played([node])[node] for node in range(3)}
+    together = run_nodes([0, 1, 2])
+    assert together == {node: run_nodes([node])[node] for node in range(3)}
 
 
 @pytest.mark.parametrize(
-    ("event", "said"),
+    ("event", "message"),
     [
         (request("q", lane="unheard of"), "lane: 'unheard of'"),
         (returned("q", "10.0.0.0:1", 42, False), "rc: 42"),
     ],
 )
-def test_a_panic_names_the_event_and_the_bad_value(event, said):
+def test_a_panic_names_the_event_and_the_bad_value(event, message):
     host = Host()
     for one in (catalog(), *start()):
         host.event(one)
     (row,) = host.event(event)
     assert row["kind"] == "PANIC"
     assert event["kind"] in row["bodyText"]
-    assert said in row["bodyText"]
+    assert message in row["bodyText"]
 
 
 @pytest.mark.parametrize("key", ["name", "aimMs", "giveUpMs"])
-def test_a_missing_setting_is_named(key):
+def test_a_missing_setting_is_reported(key):
     lane = {name: value for name, value in CONFIG["categories"][0].items() if name != key}
     with pytest.raises(ValueError, match=f"categories.{key}: missing"):
         settings_from({"categories": [lane]})
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -1,4 +1,4 @@
-"""Callers and servers that keep to no rule: what they may hold, how long, and what is believed of them."""
+"""Clients and servers that violate the protocol: resource limits, timeouts, and handling of malformed input."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 @pytest.fixture
-def short(monkeypatch):
+def short_request_timeout(monkeypatch):
     monkeypatch.setattr(server_module, "REQUEST_S", 0.2)
 
 
-@pytest.mark.usefixtures("short")
-def test_a_caller_that_says_nothing_is_closed():
+@pytest.mark.usefixtures("short_request_timeout")
+def test_a_connection_without_a_request_is_closed():
     async def main():
         async with running(Peer()) as node:
             caller = await Caller.to(node)
@@ -34,8 +34,8 @@
     asyncio.run(main())
 
 
-@pytest.mark.usefixtures("short")
-def test_no_further_byte_moves_the_deadline_of_a_request():
+@pytest.mark.usefixtures("short_request_timeout")
+def test_a_slow_request_header_does_not_extend_its_timeout():
     async def main():
         async with running(Peer()) as node:
             caller = await Caller.to(node)
@@ -55,7 +55,7 @@
     asyncio.run(main())
 
 
-def test_an_idle_caller_is_closed_in_the_end(monkeypatch):
+def test_an_idle_connection_is_closed_after_the_idle_timeout(monkeypatch):
     monkeypatch.setattr(server_module, "IDLE_S", 0.1)
 
     async def main():
@@ -67,21 +67,21 @@
     asyncio.run(main())
 
 
-def test_strangers_free_a_slot_for_a_caller_and_do_not_get_it_refused():
+def test_connections_without_requests_are_closed_first_at_the_limit():
     async def main():
         async with running(Peer(), limits={"sockets": 132}) as node:
             good = await Caller.to(node)
             assert (await good.ask(request(name="q0"))).status == 200
-            strangers = [await Caller.to(node) for _ in range(2 * node.server.limit)]
-            for at, stranger in enumerate(strangers):
+            silent_callers = [await Caller.to(node) for _ in range(2 * node.server.limit)]
+            for at, silent_caller in enumerate(silent_callers):
                 if at % 2:
-                    stranger.writer.write(b"GET /read/1 HTTP/1.1\r\n")
+                    silent_caller.writer.write(b"GET /read/1 HTTP/1.1\r\n")
             await until(lambda: len(node.server.connections) == node.server.limit)
-            # The one that has asked before is not among those that were closed.
+            # The connection that has already sent a request was not closed.
             assert (await good.ask(request(name="q1"))).status == 200
             assert (await ask(node, request(name="q2"))).status == 200
             assert node.pool.counts["over the limit"] == 0
-            for caller in (good, *strangers):
+            for caller in (good, *silent_callers):
                 caller.writer.close()
 
     asyncio.run(main())
@@ -106,7 +106,7 @@
         "Content-Length: 5\r\nReq-Deadline-Ms: nan\r\n",
     ],
 )
-def test_what_two_readers_could_read_in_two_ways_goes_no_further(head):
+def test_ambiguous_requests_are_rejected(head):
     async def main():
         server = Peer()
         async with running(server) as node:
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize("name", ["a b", "q\xe9", "q" * 129])
-def test_odd_ids_are_rejected(name):
+def test_invalid_ids_are_rejected(name):
     async def main():
         server = Peer()
         async with running(server) as node:
@@ -131,7 +131,7 @@
     asyncio.run(main())
 
 
-def test_a_trailer_and_a_body_where_there_is_none_are_rejected():
+def test_a_trailer_and_an_unexpected_body_are_rejected():
     async def main():
         server = Peer()
         async with running(server) as node:
@@ -145,7 +145,7 @@
     asyncio.run(main())
 
 
-def test_only_headers_that_servers_are_meant_to_see_go_on():
+def test_only_known_headers_are_forwarded():
     async def main():
         server = Peer()
         async with running(server) as node:
@@ -157,7 +157,7 @@
     asyncio.run(main())
 
 
-def test_of_a_flood_of_requests_at_once_only_so_many_are_held():
+def test_the_number_of_pipelined_requests_is_limited():
     async def main():
         server = Held()
         async with running(server) as node:
@@ -174,7 +174,7 @@
     asyncio.run(main())
 
 
-def test_a_caller_that_leaves_with_more_behind_its_request_is_seen_to_go():
+def test_a_disconnect_is_detected_while_pipelined_requests_wait():
     async def main():
         server = Held()
         async with running(server) as node:
@@ -188,7 +188,7 @@
     asyncio.run(main())
 
 
-def test_a_taken_id_leaves_the_request_that_has_it_alone():
+def test_a_duplicate_id_does_not_affect_the_request_in_flight():
     async def main():
         server = Held()
         async with running(server) as node:
@@ -213,7 +213,7 @@
 
 
 async def outcome(answer: bytes, more: bytes = b"") -> tuple[Result, int]:
-    """The result of one attempt answered so, with `more` sent without end, and the connections then kept."""
+    """Answer one attempt with `answer`, then with `more` repeatedly; returns its result and the open connections."""
 
     async def serve(reader, writer):
         await read_message(reader)
@@ -230,10 +230,10 @@
     servers.send("s", data, 20.0, lambda result, *_: done.set_result(result))
     result = await done
     await asyncio.sleep(0)
-    kept = servers.size
+    open_connections = servers.size
     servers.close()
     server.close()
-    return result, kept
+    return result, open_connections
 
 
 OK_HEAD = b"HTTP/1.1 200 OK\r\n"
@@ -253,13 +253,13 @@
         (OK_HEAD + b"no colon\r\nContent-Length: 0\r\n\r\n", b""),
     ],
 )
-def test_a_spoilt_answer_is_a_reset_at_once_and_ends_its_connection(answer, more):
+def test_a_malformed_response_is_a_reset_at_once_and_closes_its_connection(answer, more):
     assert asyncio.run(outcome(answer, more)) == (Result.RESET, 0)
 
 
-@pytest.mark.parametrize("behind", [reply(), random.Random(7).randbytes(40) + b"\r\n\r\n"])
-def test_a_good_answer_with_more_behind_it_is_served_and_its_connection_ended(behind):
-    assert asyncio.run(outcome(reply() + behind)) == (Result.OK, 0)
+@pytest.mark.parametrize("extra", [reply(), random.Random(7).randbytes(40) + b"\r\n\r\n"])
+def test_a_response_followed_by_extra_bytes_is_served_and_its_connection_closed(extra):
+    assert asyncio.run(outcome(reply() + extra)) == (Result.OK, 0)
 
 
 BAD_REPORTS = """{"
@@ -278,12 +278,12 @@
 
 
 @pytest.mark.parametrize("text", BAD_REPORTS.splitlines())
-def test_a_report_with_anything_wrong_in_it_is_none(text):
+def test_a_malformed_report_is_ignored(text):
     assert report_from(text, ("queue",)) is None
     assert report_from("TEXT inflight=7, queue=3, util=0.61", ("queue",)) == {"queue": 3.0}
 
 
-def test_a_report_that_can_not_be_read_leaves_its_answer_good():
+def test_a_response_with_a_malformed_report_is_still_a_success():
     async def main():
         server = Peer(lambda message: asyncio.sleep(0, reply(200, Srv_Load='{"')))
         async with running(server) as node:
@@ -293,19 +293,19 @@
     asyncio.run(main())
 
 
-def test_nothing_of_a_connection_that_is_over_waits_for_the_collector():
+def test_closed_connections_leave_no_reference_cycles():
     async def main():
         async with running(Peer()) as node:
             caller = await Caller.to(node)
             assert (await caller.ask(request("post", "q1"))).status == 200
             (inbound,), (outbound,) = node.server.connections, node.back._open
-            gone = [weakref.ref(inbound), weakref.ref(outbound)]
+            references = [weakref.ref(inbound), weakref.ref(outbound)]
             del inbound, outbound
             caller.writer.close()
             node.back.remove("s0")
             gc.disable()
             try:
-                await until(lambda: [one() for one in gone] == [None, None])
+                await until(lambda: [reference() for reference in references] == [None, None])
             finally:
                 gc.enable()
 
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -1,5 +1,5 @@
-"""The structure that docs/design/structure.md states: which package may import which, and what the platform's node
-leaves unimported."""
+"""Import rules of docs/design/structure.md: which package may import which, and what the platform's node must not
+import."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 ROOT = Path(__file__).parent.parent
 PACKAGE = ROOT / "loadbalancer"
 
-# A room may import these of our own, and itself.
+# Packages and modules that each package or module of ours may import, besides itself.
 MAY: dict[str, set[str]] = {
     "interface": set(),
     "balancer": {
@@ -90,7 +90,7 @@
     "__main__": {"core", "node"},
     "__init__": {"balancer", "interface"},
 }
-# Modules of core that rooms without sockets and stand-ins may use.
+# Modules of core that packages without sockets, and emulators, may import.
 CORE_ONLY: dict[str, set[str]] = {
     "sidecar": {"address"},
     "emulator": {"address"},
@@ -100,7 +100,7 @@
 
 
 def imported(path: Path) -> set[str]:
-    """Names of our own that a module imports, below the package."""
+    """Return the names that a module imports from `loadbalancer`, relative to it."""
     found = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module and node.module.split(".")[0] == "loadbalancer":
@@ -119,15 +119,15 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: str(path.relative_to(PACKAGE)))
-def test_arrows_point_down(path):
-    room = path.relative_to(PACKAGE).parts[0].removesuffix(".py")
+def test_packages_import_only_what_they_may(path):
+    importer = path.relative_to(PACKAGE).parts[0].removesuffix(".py")
     for name in imported(path):
         target = name.split(".")[0]
         if target in ("Balancer", "Settings"):
             target = "balancer"
-        assert target == room or target in MAY[room], f"{room} imports {name}"
-        if target == "core" and room in CORE_ONLY:
-            assert name.split(".")[1] in CORE_ONLY[room], f"{room} imports {name}"
+        assert target == importer or target in MAY[importer], f"{importer} imports {name}"
+        if target == "core" and importer in CORE_ONLY:
+            assert name.split(".")[1] in CORE_ONLY[importer], f"{importer} imports {name}"
 
 
 def test_the_platforms_node_imports_nothing_that_it_does_not_use():
@@ -163,7 +163,7 @@
     assert not {"pydantic", "rich", "argparse", "tomllib"} & set(modules)
 
 
-def test_decisions_stand_in_modules_that_do_no_io():
+def test_decision_packages_do_no_io():
     pure = [
         *(PACKAGE / "router").glob("*.py"),
         *(PACKAGE / "budget").glob("*.py"),
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Attempts and pooled connections against scripted servers."""
+"""Attempts and pooled upstream connections against scripted servers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Bytes(PlatformWire):
-    """Messages that are the bytes to send."""
+    """A wire format whose messages are the bytes to send."""
 
     def __init__(self) -> None:
         super().__init__(())
@@ -40,12 +40,12 @@
 
 async def result(pool: HttpConnectionPool, timeout_s: float = 20.0, data: bytes = DATA) -> Result:
     done: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
-    # set_result raises on a second result, and asyncio's debug mode is not needed to see it
+    # set_result raises InvalidStateError on a second result
     pool.send("s", data, timeout_s, lambda result, response, report, own: done.set_result(result))
     return await done
 
 
-def against(answer: bytes | None) -> Peer:
+def server_answering(answer: bytes | None) -> Peer:
     async def script(message: Message) -> bytes | None:
         return answer
 
@@ -68,19 +68,19 @@
         (b"not http at all\r\n\r\n", Result.RESET),
     ],
 )
-def test_what_comes_back_is_the_outcome_of_the_protocols_table(answer, expected):
+def test_each_response_has_the_outcome_of_the_protocols_table(answer, expected):
     async def main():
-        server, servers = await against(answer).start(), pool()
+        server, servers = await server_answering(answer).start(), pool()
         servers.add("s", ("127.0.0.1", server.port))
         assert await result(servers) is expected
-        assert len(server.seen) == 1  # nothing is ever sent again by itself
+        assert len(server.seen) == 1  # the pool itself never retries
         servers.close()
         server.stop()
 
     asyncio.run(main())
 
 
-def test_a_200_cut_short_is_a_reset():
+def test_a_truncated_response_is_a_reset():
     async def main():
         async def serve(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
@@ -96,7 +96,7 @@
     asyncio.run(main())
 
 
-def test_a_refused_connection_could_not_connect():
+def test_a_refused_connection_is_connect_failed():
     async def main():
         with socket.create_server(("127.0.0.1", 0)) as free:
             address = free.getsockname()
@@ -108,7 +108,7 @@
     asyncio.run(main())
 
 
-def test_silence_is_a_time_out_and_closes_the_connection():
+def test_no_response_is_a_timeout_and_closes_the_connection():
     async def main():
         with socket.create_server(("127.0.0.1", 0)) as listener:
             servers = pool()
@@ -117,14 +117,14 @@
             peer, _ = listener.accept()
             with peer:
                 assert peer.recv(1000) == DATA
-                await asyncio.sleep(0)  # asyncio closes the socket in the loop's next turn
+                await asyncio.sleep(0)  # asyncio closes the socket in the next turn of the loop
                 peer.settimeout(20)
                 assert peer.recv(1000) == b""
 
     asyncio.run(main())
 
 
-def test_a_break_before_the_last_byte_is_written_could_not_connect():
+def test_a_reset_before_the_last_byte_is_written_is_connect_failed():
     async def main():
         with socket.create_server(("127.0.0.1", 0)) as listener:
             servers = pool()
@@ -142,20 +142,20 @@
     asyncio.run(main())
 
 
-class Recorded:
+class RecordingExchange:
     def __init__(self) -> None:
-        self.told: list[object] = []
+        self.events: list[object] = []
 
     def answered(self, response: Response) -> None:
-        self.told.append(response)
+        self.events.append(response)
 
     def lost(self, written: bool) -> None:
-        self.told.append(written)
+        self.events.append(written)
 
 
 @contextlib.asynccontextmanager
 async def pair():
-    """A connection and the raw socket at its other end, which acts without the event loop's help."""
+    """Yield a connection and the raw socket of its peer, which works without the event loop."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         _, connection = await asyncio.get_running_loop().create_connection(
             lambda: ClientConnection(lambda _: None), *listener.getsockname()
@@ -166,38 +166,38 @@
         connection.abort()
 
 
-def test_a_write_that_fails_at_once_has_not_been_written():
+def test_a_write_that_fails_at_once_counts_as_not_written():
     async def main():
         async with pair() as (connection, peer):
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             peer.close()
             while not readable(connection._transport):
                 pass
-            exchange = Recorded()
+            exchange = RecordingExchange()
             connection.start(DATA, exchange)
-            while not exchange.told:
+            while not exchange.events:
                 await asyncio.sleep(0)
-            assert exchange.told == [False]
+            assert exchange.events == [False]
 
     asyncio.run(main())
 
 
-def test_an_end_still_in_the_kernel_makes_a_connection_unusable():
+def test_a_close_that_the_loop_has_not_read_makes_a_connection_unusable():
     async def main():
         async with pair() as (connection, peer):
             assert connection.usable
             peer.close()
             while not readable(connection._transport):
                 pass
-            assert not connection.usable  # the event loop has had no turn to say so
+            assert not connection.usable  # before the event loop has read the close
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize("answer", [reply(200, Connection="close"), reply(200) + b"more", reply(200) * 2])
-def test_a_connection_that_closes_or_has_bytes_left_over_is_not_used_again(answer):
+def test_a_connection_that_closes_or_has_extra_bytes_is_not_reused(answer):
     async def main():
-        server, servers = await against(answer).start(), pool()
+        server, servers = await server_answering(answer).start(), pool()
         servers.add("s", ("127.0.0.1", server.port))
         assert [await result(servers) for _ in range(2)] == [Result.OK, Result.OK]
         assert server.connections == 2
@@ -207,7 +207,7 @@
     asyncio.run(main())
 
 
-def test_the_newest_idle_connection_is_used_first_and_an_old_one_never():
+def test_the_newest_idle_connection_is_used_first_and_an_expired_one_never():
     async def main():
         server, servers = await Peer().start(), pool()
         servers.add("s", ("127.0.0.1", server.port))
@@ -217,7 +217,7 @@
         old, new = idle
         assert servers.take_idle(servers._servers["s"]) is new
         servers.release(servers._servers["s"], new, 0.01)
-        for connection in idle:  # 5 of the server's 10 seconds have passed
+        for connection in idle:  # as if 5 of the 10 seconds of the idle timeout had passed
             connection.idle_since -= 5.0
         assert await result(servers) is Result.OK
         assert server.connections == 3
@@ -229,7 +229,7 @@
     asyncio.run(main())
 
 
-def test_idle_connections_are_closed_by_themselves_in_time():
+def test_idle_connections_are_closed_after_the_idle_timeout():
     async def main():
         server, servers = await Peer().start(), pool(server_idle_s=0.1)
         servers.add("s", ("127.0.0.1", server.port))
@@ -242,8 +242,8 @@
 
 
 @contextlib.contextmanager
-def never_up():
-    """An address where connections stay half made: its queue is full and nobody accepts."""
+def full_backlog():
+    """Yield a listener whose backlog is full, so that connects never complete."""
     with socket.socket() as listener, contextlib.ExitStack() as stack:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
@@ -254,22 +254,22 @@
         yield listener
 
 
-def test_a_connection_that_never_comes_up_could_not_connect():
+def test_a_connect_timeout_is_connect_failed():
     async def main():
-        with never_up() as listener:
+        with full_backlog() as listener:
             servers = pool(connect_timeout_s=0.1)
             servers.add("s", listener.getsockname())
             assert await result(servers) is Result.CONNECT_FAILED
             servers = pool()
             servers.add("s", listener.getsockname())
-            assert await result(servers, timeout_s=0.1) is Result.CONNECT_FAILED  # nor has it run
+            assert await result(servers, timeout_s=0.1) is Result.CONNECT_FAILED  # it was not sent either
 
     asyncio.run(main())
 
 
-def test_a_drain_gives_up_what_waits_to_connect_and_closes_idle_connections():
+def test_a_drain_fails_attempts_that_wait_to_connect_and_closes_idle_connections():
     async def main():
-        with never_up() as listener:
+        with full_backlog() as listener:
             servers = pool()
             servers.add("s", listener.getsockname())
             outcome = asyncio.create_task(result(servers))
@@ -282,7 +282,7 @@
     asyncio.run(main())
 
 
-def test_what_is_out_when_its_server_drains_is_still_answered():
+def test_a_pending_attempt_is_still_answered_when_its_server_drains():
     async def main():
         server, servers = Held(), pool()
         await server.start()
@@ -293,7 +293,7 @@
         server.release.set()
         assert await outcome is Result.OK
         await asyncio.sleep(0)
-        assert servers.size == 0  # its connection is not kept
+        assert servers.size == 0  # its connection is closed
         server.stop()
 
     asyncio.run(main())
@@ -306,14 +306,14 @@
         servers.add("s", ("127.0.0.1", quiet.port))
         assert await result(servers) is Result.OK
         servers.add("s2", ("127.0.0.1", busy.port))
-        ends: list[Result] = []
+        results: list[Result] = []
         for _ in range(3):
-            servers.send("s2", lambda wait: DATA, 20.0, lambda result, *_: ends.append(result))
+            servers.send("s2", lambda wait: DATA, 20.0, lambda result, *_: results.append(result))
         assert servers._servers["s"].idle == []
-        assert servers.waiting == 1  # the third: all are busy
+        assert servers.waiting == 1  # the third one, because both connections are busy
         busy.release.set()
-        await until(lambda: len(ends) == 3)
-        assert ends == [Result.OK] * 3
+        await until(lambda: len(results) == 3)
+        assert results == [Result.OK] * 3
         assert (servers.waiting, busy.connections) == (0, 2)
         servers.close()
         quiet.stop()
@@ -323,14 +323,14 @@
 
 
 @pytest.mark.parametrize("read", [False, True])
-def test_a_short_rest_in_asyncios_buffer_counts_as_written_once_it_has_left(read):
+def test_buffered_bytes_count_as_written_once_they_have_been_sent(read):
     async def main():
         async with pair() as (connection, peer):
             transport = connection._transport
             transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1)
-            while not transport.get_write_buffer_size():  # until the kernel takes no more
+            while not transport.get_write_buffer_size():  # until the kernel buffer is full
                 transport.write(b"x" * 1000)
-            connection.start(DATA, exchange := Recorded())
+            connection.start(DATA, exchange := RecordingExchange())
             assert 0 < transport.get_write_buffer_size() <= 1000 + len(DATA)
             peer.setblocking(False)
             while read and transport.get_write_buffer_size():
@@ -339,14 +339,14 @@
                 await asyncio.sleep(0)
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             peer.close()
-            await until(lambda: exchange.told)
-            assert exchange.told == [read]
+            await until(lambda: exchange.events)
+            assert exchange.events == [read]
 
     asyncio.run(main())
 
 
 class Busy(Turns):
-    """A loop whose own work has taken all of its time, while `own` is set."""
+    """Turns of an event loop that is always busy while `own` is set."""
 
     own = True
 
@@ -355,7 +355,7 @@
         return asyncio.get_running_loop().time() if self.own else 0.0
 
 
-def test_a_servers_time_to_connect_runs_only_while_the_loop_is_free_and_those_behind_share_its_end():
+def test_the_connect_timeout_counts_only_free_time_of_the_loop_and_queued_attempts_share_it():
     async def main():
         idle, busy = pool(connect_timeout_s=0.01), pool(connect_timeout_s=0.01)
         busy.turns = Busy()
@@ -373,7 +373,7 @@
             back.limit, back.open = 10 * MAX_OPENING, never(back)
             back.add("s", ("127.0.0.1", 9))
             asked[back] = [asyncio.create_task(result(back)) for _ in range(MAX_OPENING + 3)]
-        # The attempts that were made at once are given up, and those behind them with them, unsent.
+        # Attempts that were connecting fail, and the ones queued behind them fail too, without a connect.
         assert set(await asyncio.gather(*asked[idle])) == {Result.CONNECT_FAILED}
         assert not any(task.done() for task in asked[busy])
         assert opened == {idle: MAX_OPENING, busy: MAX_OPENING}
@@ -384,7 +384,7 @@
     asyncio.run(main())
 
 
-def test_who_waits_behind_others_connecting_goes_out_on_what_is_free_first():
+def test_an_attempt_queued_behind_connects_uses_the_first_free_connection():
     async def main():
         held = Held()
         server, servers = await held.start(), pool(limit=10 * MAX_OPENING)
@@ -407,7 +407,7 @@
     asyncio.run(main())
 
 
-def test_who_waits_in_the_queue_until_its_time_is_over_is_not_held_against_the_server():
+def test_a_timeout_in_the_queue_of_the_pool_is_no_room():
     async def main():
         held = Held()
         server, servers = await held.start(), pool(limit=1)
