--- a/loadbalancer/attempts.py
+++ b/loadbalancer/attempts.py
@@ -39,7 +39,7 @@
     done: bool = False
     streaming: bool = False  # the response is being streamed: no other attempt may replace it
     in_flight_at_start: float = 0.0  # weight of the calls in flight when it was admitted, including it
-    retry_scheduled: bool = False  # its next attempt waits for a backoff and is charged to the budget
+    retry_scheduled: bool = False  # its next attempt waits for a backoff, already charged to the budget
 
     def pending(self) -> int:
         """Return the number of pending attempts."""
--- a/loadbalancer/balancer.py
+++ b/loadbalancer/balancer.py
@@ -16,7 +16,7 @@
 from loadbalancer.attempts import Attempt, RequestState
 from loadbalancer.class_latency import ClassLatencies, relative_latency
 from loadbalancer.load_estimate import LoadEstimate, upper_median
-from loadbalancer.outlier_detection import PANIC_ERROR_SHARE, TrackedServer, forget_errors_in_panic
+from loadbalancer.outlier_detection import PANIC_ERROR_SHARE, TrackedServer, decay_errors_in_panic
 from loadbalancer.ranking import Ranking
 from loadbalancer.server_table import ServerTable
 from loadbalancer.slow_start import SlowStart
@@ -299,8 +299,8 @@
 
     def _is_faulty(self, server: TrackedServer) -> bool:
         """Whether rejections are a fault of this server rather than a sign of the pool's load."""
-        # A draining server that is still listed rejects all calls and therefore looks idle. Its rejections
-        # must not count as load of the pool, or the table rejects requests that other servers could handle.
+        # Draining servers that are still listed reject all calls, look idle and so got six attempts of each
+        # request. If their rejections count as load, the table rejects requests that others could handle.
         return server.ejected and self.ejected_share < PANIC_ERROR_SHARE
 
     def _note_abandoned_latency(self, kind: api.ServiceClass, latency_ms: float) -> None:
@@ -324,7 +324,7 @@
         for server in ready:
             server.remove_ended_abandoned(now)
         median_error_share = upper_median([server.error_share for server in ready]) or 0.0
-        forget_errors_in_panic(ready, median_error_share, self.period_ms)
+        decay_errors_in_panic(ready, median_error_share, self.period_ms)
         self.ejected_share = sum([server.ejected for server in ready]) / max(1, len(ready))
         in_flight, utilisation = self.servers.in_flight(), self._utilisation(now)
         table_open = self.table.cursor == 0
--- a/loadbalancer/interface.py
+++ b/loadbalancer/interface.py
@@ -140,29 +140,29 @@
             raise ValueError("classes: at least one class is needed")
         self._check_classes()
         for at, tenant in enumerate(self.tenants):
-            _within(f"tenants[{at}].quota_per_s", tenant.quota_per_s, 0)
+            _check_range(f"tenants[{at}].quota_per_s", tenant.quota_per_s, 0)
         for key in ("tier", "max_retry_after_ms", "cross_zone_price", "cold_ms"):
-            _within(key, getattr(self, key), 0)
+            _check_range(key, getattr(self, key), 0)
         for key in ("retry_floor_per_s", "backoff_ms", "near_ms"):
-            _within(key, getattr(self, key), 0)
+            _check_range(key, getattr(self, key), 0)
         self._check_retries()
         for key in ("siblings", "max_attempts", "start_calls", "quiet_calls"):
-            _within(key, getattr(self, key), 1)
+            _check_range(key, getattr(self, key), 1)
         self._check_types()
-        _within("overload_factor", self.overload_factor, 0.001)
+        _check_range("overload_factor", self.overload_factor, 0.001)
         if self.list_expires_ms is not None:
-            _within("list_expires_ms", self.list_expires_ms, 0)
-        _within("over_share_worth", self.over_share_worth, 0, 1)
-        _within("cold_from", self.cold_from, 0.001, 1)
+            _check_range("list_expires_ms", self.list_expires_ms, 0)
+        _check_range("over_share_worth", self.over_share_worth, 0, 1)
+        _check_range("cold_from", self.cold_from, 0.001, 1)
         for key, names in (("classes", self.classes), ("tenants", self.tenants)):
-            _unique(key, (item.name for item in names))
+            _check_unique(key, (item.name for item in names))
 
     def _check_classes(self) -> None:
         for at, item in enumerate(self.classes):
             for key in ("aim_ms", "give_up_ms"):
-                _within(f"classes[{at}].{key}", getattr(item, key), 0.001)
+                _check_range(f"classes[{at}].{key}", getattr(item, key), 0.001)
             for key in ("worth", "late_worth", "memory_ms", "max_attempts"):
-                _within(f"classes[{at}].{key}", getattr(item, key), 0)
+                _check_range(f"classes[{at}].{key}", getattr(item, key), 0)
 
     def _check_types(self) -> None:
         for key in ("ask_discovery", "worth_by_work", "may_cancel", "retry_after", "starts_told"):
@@ -173,23 +173,23 @@
 
     def _check_retries(self) -> None:
         if self.retry_share is not None:
-            _within("retry_share", self.retry_share, 0, 1)
-        _within("retry_window_ms", self.retry_window_ms, 1)
-        _within("retry_after_spread", self.retry_after_spread, 0, 1)
+            _check_range("retry_share", self.retry_share, 0, 1)
+        _check_range("retry_window_ms", self.retry_window_ms, 1)
+        _check_range("retry_after_spread", self.retry_after_spread, 0, 1)
         for at, item in enumerate(self.classes):
             if item.hedge and (item.effect is not Effect.SAFE or self.retry_share is None):
                 raise ValueError(f"classes[{at}].hedge: hedging requires a safe class and a retry budget")
 
 
-def _within(key: str, value: object, low: float, high: float = math.inf) -> None:
-    good = isinstance(value, int | float) and not isinstance(value, bool) and low <= value <= high
-    if not good or not math.isfinite(float(value)):  # type: ignore[arg-type]
+def _check_range(key: str, value: object, low: float, high: float = math.inf) -> None:
+    in_range = isinstance(value, int | float) and not isinstance(value, bool) and low <= value <= high
+    if not in_range or not math.isfinite(float(value)):  # type: ignore[arg-type]
         raise ValueError(f"{key}: {value!r} is not a number from {low} to {high}")
 
 
-def _unique(key: str, names: Iterable[str]) -> None:
-    seen = list(names)
-    if len(set(seen)) != len(seen):
+def _check_unique(key: str, names: Iterable[str]) -> None:
+    all_names = list(names)
+    if len(set(all_names)) != len(all_names):
         raise ValueError(f"{key}: a name is used more than once")
 
 
--- a/loadbalancer/list_validity.py
+++ b/loadbalancer/list_validity.py
@@ -1,8 +1,8 @@
 """How long a server list may be used while discovery fails, and which servers may be used after that.
 
-Part of the decision module. By the protocol, a balancer is considered notified of a change of the list at
-most 6 s after discovery received it, even if the notification was lost. So a list that was complete at some
-time may be used without restriction for another 6 s. The state of a list is evaluated for each attempt:
+Part of the decision module. By the protocol (its page, "Figures"), a balancer counts as notified of a change
+at most 6 s after discovery received it, even if the notification was lost. So a list that was complete at
+some time may be used without restriction for another 6 s. The state of a list is evaluated for each attempt:
 
 - current: the last call of discovery succeeded or is pending. The list is used without restriction.
 - unconfirmed: the last call failed, but no missed change counts as notified yet. Used without restriction.
--- a/loadbalancer/load_estimate.py
+++ b/loadbalancer/load_estimate.py
@@ -130,8 +130,7 @@
             self.target_level = self.baseline + slack * (1.0 - self.baseline)
             load = self.level / self.target_level
         if utilisation is not None:
-            # With many balancers, the servers above the median become overloaded while it is still under
-            # 0.97.
+            # With many balancers, servers above the median become overloaded while it is still under 0.97.
             margin = UTILISATION_MARGIN * (1.0 - min(1.0, FEW_SIBLINGS / self._siblings))
             load = max(load, utilisation / (UTILISATION_TARGET - margin))
         if self._ended:
--- a/loadbalancer/outlier_detection.py
+++ b/loadbalancer/outlier_detection.py
@@ -124,7 +124,7 @@
         )
 
 
-def forget_errors_in_panic(servers: list[TrackedServer], median_error_share: float, period_ms: float) -> None:
+def decay_errors_in_panic(servers: list[TrackedServer], median_error_share: float, period_ms: float) -> None:
     """Let error shares decay with time while most servers fail."""
     # Otherwise, after a failure of all servers, the first to recover gets all calls, and the others none that
     # could clear their error share: 40% of requests were rejected at a third of the load, permanently.
--- a/loadbalancer/priority_levels.py
+++ b/loadbalancer/priority_levels.py
@@ -13,11 +13,8 @@
 from loadbalancer.interface import Levels, Server, ServerState
 
 Member = TypeVar("Member")
-BY_HEALTH = (
-    ServerState.UP,
-    ServerState.DEGRADED,
-    ServerState.SICK,
-)  # states of servers that may get calls, preferred ones first
+# States of servers that may get calls, preferred ones first.
+USABLE_STATES = (ServerState.UP, ServerState.DEGRADED, ServerState.SICK)
 
 
 @dataclass(slots=True)
@@ -32,7 +29,7 @@
     """Servers of one priority by state; draining ones count only in `total`."""
 
     def __init__(self) -> None:
-        self.by_state: dict[ServerState, list[tuple[Server, Member]]] = {state: [] for state in BY_HEALTH}
+        self.by_state: dict[ServerState, list[tuple[Server, Member]]] = {state: [] for state in USABLE_STATES}
         self.total = 0
 
     def add(self, info: Server, member: Member) -> None:
@@ -42,7 +39,7 @@
 
     def all_usable(self) -> list[tuple[Server, Member]]:
         """Return all servers except draining ones, healthy servers first."""
-        return [item for state in BY_HEALTH for item in self.by_state[state]]
+        return [item for state in USABLE_STATES for item in self.by_state[state]]
 
     def share(self, state: ServerState) -> float:
         return len(self.by_state[state]) / self.total if self.total else 0.0
@@ -70,7 +67,7 @@
     return loads[: len(capacity)], loads[len(capacity) :]
 
 
-def groups_of(servers: Sequence[tuple[Server, Member]], levels: Levels) -> list[Group[Member]]:
+def build_groups(servers: Sequence[tuple[Server, Member]], levels: Levels) -> list[Group[Member]]:
     """Return the groups by level, healthy before degraded; servers that get no calls are in none."""
     by_priority: dict[int, _Level[Member]] = {}
     for info, member in servers:
@@ -99,11 +96,14 @@
 
 
 def _by_locality(
-    members: list[tuple[Server, Member]], known: list[tuple[Server, Member]], share: float, factor: float
+    members: list[tuple[Server, Member]],
+    level_members: list[tuple[Server, Member]],
+    share: float,
+    factor: float,
 ) -> list[Group[Member]]:
     """Return a group for each locality if localities have weights, else a single group.
 
-    The weight of a locality is reduced if few of its servers (among `known`) are in `members`.
+    The weight of a locality is reduced if few of its servers (among `level_members`) are in `members`.
     """
     if not any(info.locality_weight is not None for info, _ in members):
         return [Group(share, [member for _, member in members])]
@@ -112,9 +112,9 @@
     for info, member in members:
         usable.setdefault(info.locality, []).append(member)
         weights[info.locality] = info.locality_weight or 0.0
-    for name, found in usable.items():
-        total = sum(1 for info, _ in known if info.locality == name)
-        weights[name] *= min(1.0, factor * len(found) / total)
+    for name, usable_members in usable.items():
+        total = sum(1 for info, _ in level_members if info.locality == name)
+        weights[name] *= min(1.0, factor * len(usable_members) / total)
     total_weight = sum(weights.values())
-    weighted = [(name, found) for name, found in usable.items() if weights[name] > 0.0]
-    return [Group(share * weights[name] / total_weight, found) for name, found in weighted]
+    weighted = [(name, usable_members) for name, usable_members in usable.items() if weights[name] > 0.0]
+    return [Group(share * weights[name] / total_weight, usable_members) for name, usable_members in weighted]
--- a/loadbalancer/ranking.py
+++ b/loadbalancer/ranking.py
@@ -17,7 +17,7 @@
 from loadbalancer.server_table import ServerTable
 from loadbalancer.slow_start import SlowStart
 
-LATENCY_DRIFT_MS = 8000.0  # time constant with which the latency of an idle server returns to the mean
+LATENCY_DRIFT_MS = 8000.0  # time constant with which a latency without new responses returns to the mean
 REPORTED_QUEUE_DECAY_MS = 500.0  # time constant with which a reported queue decays
 JITTER = 0.1  # relative width of the random tie-break between equal ranks
 ZONE_WEIGHT = 64.0  # queue length that a call to another zone counts as, per unit of its price
@@ -142,7 +142,7 @@
         return factor * queue_length / success_share * (1.0 + JITTER * (self._rng.random() - 0.5))
 
     def _latency_factor(self, now: float, server: TrackedServer) -> float:
-        """Return its latency as a multiple of the mean; it decays towards 1 while the server is idle."""
+        """Return its latency as a multiple of the mean; without new responses it decays towards 1."""
         factor = 1.0
         if server.latency_factor is not None:
             factor += (server.latency_factor - 1.0) * math.exp(
--- a/loadbalancer/server_table.py
+++ b/loadbalancer/server_table.py
@@ -4,7 +4,7 @@
 
 from loadbalancer.interface import Levels, ListForm, Membership, ServerState
 from loadbalancer.outlier_detection import TrackedServer
-from loadbalancer.priority_levels import Group, groups_of
+from loadbalancer.priority_levels import Group, build_groups
 from loadbalancer.slow_start import SlowStart
 
 
@@ -47,6 +47,6 @@
             self.ready = [server for server in servers if server.info.state is ServerState.UP]
             return
         self._slow_start.note_list_change(now, len(self.ready))
-        self.groups = groups_of([(server.info, server) for server in servers], self.levels)
+        self.groups = build_groups([(server.info, server) for server in servers], self.levels)
         members = {id(server): server for group in self.groups for server in group.members}
         self.ready = list(members.values())
--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -113,7 +113,7 @@
             _action_row(number, action) for action in node.balancer.handle(self.now, read(self, node, row))
         ]
 
-    def members(self, _node: Node, row: Row) -> Event:
+    def membership_event(self, _node: Node, row: Row) -> Event:
         """Return a membership event that refers to an earlier catalog."""
         form = ListForm(row["form"])
         return Membership(form, () if form is ListForm.FAILED else self.catalogs[row["ref"]])
@@ -162,7 +162,7 @@
 
 
 EVENT_READERS: dict[str, Callable[[Host, Node, Row], Event]] = {
-    "MEMBERSHIP": Host.members,
+    "MEMBERSHIP": Host.membership_event,
     "NEW_REQUEST": _request,
     "FIRST": lambda _host, _node, row: Started(row["txn"], row["attempt"]),
     "RETURNED": _outcome,
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -27,7 +27,7 @@
 )
 
 ROOT = Path(__file__).parent.parent
-UP = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
+READINESS_REQUEST = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
 def start(path: Path | None) -> subprocess.Popen[str]:
@@ -100,9 +100,9 @@
                         break
                     except OSError:
                         await asyncio.sleep(0.05)
-                assert (await caller.ask(UP)).status == 200
+                assert (await caller.ask(READINESS_REQUEST)).status == 200
                 idle = await connect()
-                await idle.ask(UP)
+                await idle.ask(READINESS_REQUEST)
                 caller.writer.write(request(name="held"))
                 await until(lambda: server.seen)
                 program.send_signal(signal.SIGTERM)
@@ -115,7 +115,7 @@
                         except (ConnectionError, asyncio.IncompleteReadError):
                             continue
 
-                while (answer := await ask_on_new_connection(UP)).status == 200:
+                while (answer := await ask_on_new_connection(READINESS_REQUEST)).status == 200:
                     pass
                 assert answer.status == 503
                 answer = await idle.ask(request(name="kept"))  # existing connections stay usable
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -604,7 +604,7 @@
     asyncio.run(main())
 
 
-class Shifted(Turns):
+class ShiftedTurns(Turns):
     """Shifts the arrival times of responses by a time that the test sets."""
 
     def __init__(self):
@@ -621,7 +621,7 @@
     async def main():
         server = Held()
         async with running(server) as node:
-            node.back.turns = clock = Shifted()
+            node.back.turns = clock = ShiftedTurns()
 
             async def calls(count, latency_s):
                 """Answer `count` requests with this latency, then end the period of the balancer."""
--- a/tests/test_priority_levels.py
+++ b/tests/test_priority_levels.py
@@ -10,7 +10,7 @@
 from loadbalancer import interface as api
 from loadbalancer.balancer import Balancer
 from loadbalancer.interface import ListForm, Membership, ServerState
-from loadbalancer.priority_levels import groups_of, level_loads
+from loadbalancer.priority_levels import build_groups, level_loads
 
 UP, DEGRADED, SICK, DRAINING = ServerState.UP, ServerState.DEGRADED, ServerState.SICK, ServerState.DRAINING
 
@@ -178,6 +178,6 @@
 def test_the_list_of_one_level_is_ranked_as_a_list_without_levels():
     plain = Balancer(settings(zone=""), seed=7, now_ms=0.0)
     plain.handle(0.0, Membership(ListForm.FULL, rows((5, UP, {}))))
-    groups = groups_of([(server, server.address) for server in rows((5, UP, {}))], api.Levels())
+    groups = build_groups([(server, server.address) for server in rows((5, UP, {}))], api.Levels())
     assert [(group.share, group.members) for group in groups] == [(1.0, [f"0-{at}" for at in range(5)])]
     assert [peer.info.address for peer in plain.ready] == groups[0].members
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -64,10 +64,8 @@
             self.calls[event.id] = Call(kind, event.give_up_at_ms)
         for act in self.brain.handle(self.now, event):
             self.check(act)
-        for (
-            name,
-            call,
-        ) in self.calls.items():  # an open request without a pending attempt would never be answered
+        # An open request without a pending attempt would never be answered.
+        for name, call in self.calls.items():
             assert call.ended or call.out(), name
 
     def check(self, act: api.Action) -> None:
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -9,7 +9,7 @@
 
 import pytest
 from loopback import Caller, Held, Peer, Scripted, ask, read_message, reply, request, running, until
-from test_upstream import Bytes
+from test_upstream import RawBytesWire
 
 from loadbalancer import interface as api
 from loadbalancer.http import server as server_module
@@ -223,7 +223,7 @@
             await asyncio.sleep(0)
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
-    servers = HttpConnectionPool(10, 10.0, 20.0, Bytes())
+    servers = HttpConnectionPool(10, 10.0, 20.0, RawBytesWire())
     servers.add("s", server.sockets[0].getsockname())
     done: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
     data = b"POST /post/1 HTTP/1.1\r\nReq-Id: q\r\nContent-Length: 0\r\n\r\n"
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -21,7 +21,7 @@
 DATA = b"GET /read/1 HTTP/1.1\r\nReq-Id: q\r\n\r\n"
 
 
-class Bytes(PlatformWire):
+class RawBytesWire(PlatformWire):
     """A wire format whose messages are the bytes to send."""
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
 def pool(**more: float) -> HttpConnectionPool:
     given = {"limit": 10, "server_idle_s": 10.0, "connect_timeout_s": 20.0} | more
     return HttpConnectionPool(
-        int(given["limit"]), given["server_idle_s"], given["connect_timeout_s"], Bytes()
+        int(given["limit"]), given["server_idle_s"], given["connect_timeout_s"], RawBytesWire()
     )
 
 
@@ -345,7 +345,7 @@
     asyncio.run(main())
 
 
-class Busy(Turns):
+class BusyTurns(Turns):
     """Turns of an event loop that is always busy while `own` is set."""
 
     own = True
@@ -358,7 +358,7 @@
 def test_the_connect_timeout_counts_only_free_time_of_the_loop_and_queued_attempts_share_it():
     async def main():
         idle, busy = pool(connect_timeout_s=0.01), pool(connect_timeout_s=0.01)
-        busy.turns = Busy()
+        busy.turns = BusyTurns()
         opened = dict.fromkeys((idle, busy), 0)
 
         def never(back):
@@ -377,7 +377,7 @@
         assert set(await asyncio.gather(*asked[idle])) == {Result.CONNECT_FAILED}
         assert not any(task.done() for task in asked[busy])
         assert opened == {idle: MAX_OPENING, busy: MAX_OPENING}
-        Busy.own = False
+        BusyTurns.own = False
         assert set(await asyncio.gather(*asked[busy])) == {Result.CONNECT_FAILED}
         assert opened[busy] == MAX_OPENING
 
