--- a/tests/test_reinstatement.py
+++ b/tests/test_reinstatement.py
@@ -120,9 +120,9 @@
 ):
     bed = balancer_with_failed_server(result=result, starts_told=starts_listed, cold_from=0.1)
     run_calls(bed, 1500, every=3.0)
-    start_ms = bed.brain.peers["s0"].recovered_ms
-    assert (start_ms is None) == (starts_listed or result is ERROR)
-    if start_ms is not None:
+    recovered_ms = bed.brain.peers["s0"].recovered_ms
+    assert (recovered_ms is None) == (starts_listed or result is ERROR)
+    if recovered_ms is not None:
         bed.brain.peers["s0"].recovered_ms = bed.now
     share = len(run_calls(bed, 300, every=3.0)) / 300
     assert 0.0 < share <= max_share
