--- a/emberring/jobs/__init__.py
+++ b/emberring/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: shard owners, replicas, the job manager, and the gateways' client and runner."""
+"""Batch jobs: owners and replicas of shards, the job manager, and the client and the item runner of a gateway."""
--- a/emberring/jobs/batch_job.py
+++ b/emberring/jobs/batch_job.py
@@ -1,4 +1,4 @@
-"""A batch job in its owner's memory: its items, their runs, their results."""
+"""In-memory state of a batch job at the owner of its shard: items, runs and positions of results."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 class ItemStatus(IntEnum):
-    """Status of an item. `RESULT_PENDING`: its result has a position and is not committed yet."""
+    """Status of an item.
+
+    `RESULT_PENDING`: its result has a position and is not committed yet. `LISTED`: its result is committed.
+    """
 
     WAITING = 0
     RUNNING = 1
@@ -20,10 +23,10 @@
 
 @attrs.define(eq=False)
 class Run:
-    """An item's run at a gateway.
+    """A run of an item at a gateway; `ticket` identifies it.
 
-    `expires_s`: when its lease expires without a further report; `started_s`: when the run started here.
-    Both in seconds of the monotonic clock.
+    `expires_s`: when its lease expires unless the gateway reports again; `started_s`: when this owner first
+    recorded the run. Both are seconds of the monotonic clock.
     """
 
     ticket: int
@@ -36,68 +39,68 @@
 class Item:
     """An item of a batch job.
 
-    `events` are those of its newest run, `failures` the tickets of runs that ended with status 500.
+    `events`: the events received from its newest run; `failures`: the tickets of runs that ended with status 500.
     """
 
     id: str
     tokens: int
     status: ItemStatus = ItemStatus.WAITING
-    counted: bool = True  # its tokens count as waiting
+    counted: bool = True  # its tokens are included in the waiting tokens of its route
     run: Run | None = None
     events: tuple[EventData, ...] = ()
     failures: frozenset[int] = frozenset()
 
     @property
     def done(self) -> bool:
-        """Whether it has a result."""
+        """Whether the item has a result, committed or not."""
         return self.status >= ItemStatus.RESULT_PENDING
 
 
 @attrs.define(eq=False)
 class BatchJob:
-    """A batch job. The visible positions are the committed ones from 0 on without a gap."""
+    """A batch job. `visible` is the number of positions, counted from 0, that are committed without a gap."""
 
     key: str
     terms: JobTerms
     accepted_s: float
     items: list[Item]
     accepted: bool = False
-    ended: bool = False  # its client asked for the end; nothing of it may run
+    ended: bool = False  # its client has requested the end; no item may run any more
     end_committed: bool = False
     forget_proposed: bool = False
-    positions: dict[int, int] = attrs.field(factory=dict)  # the item at each position
-    committed: set[int] = attrs.field(factory=set)  # committed positions from `visible` on
+    positions: dict[int, int] = attrs.field(factory=dict)  # index of the item, by position
+    committed: set[int] = attrs.field(factory=set)  # committed positions that are not visible yet
     visible: int = 0
 
     @property
     def host(self) -> str:
-        """The host under which it was submitted."""
+        """The host to which the batch job was submitted."""
         return self.key.partition("/")[0]
 
     @property
     def due_s(self) -> float:
-        """When all results are due, in seconds of the monotonic clock."""
+        """When the batch job should be completed, in seconds of the monotonic clock."""
         return self.accepted_s + self.terms.completion_ms / 1000
 
     @property
     def tokens(self) -> int:
-        """The tokens of all its items."""
+        """The total number of tokens of its items."""
         return sum(item.tokens for item in self.items)
 
     @property
     def all_visible(self) -> bool:
-        """Whether every item is listed."""
+        """Whether the results of all items are visible."""
         return self.visible == len(self.items)
 
     def free_position(self) -> int:
-        """Return the first position without a result."""
+        """Return the lowest position that no result has been assigned to."""
         position = self.visible
         while position in self.positions:
             position += 1
         return position
 
     def mark_committed(self, position: int) -> None:
-        """Mark a position's result as committed and show what follows without a gap."""
+        """Mark the result at a position as committed, and make all positions up to the next gap visible."""
         self.committed.add(position)
         self.items[self.positions[position]].status = ItemStatus.LISTED
         while self.visible in self.committed:
--- a/emberring/jobs/calls.py
+++ b/emberring/jobs/calls.py
@@ -1,4 +1,4 @@
-"""Messages between gateways and a shard's owner. A store that is not the owner raises `NotOwnerError`."""
+"""Messages between gateways and the owner of a shard. A store that is not the owner replies with `NotOwnerError`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class JobTerms:
-    """Settings of a batch job's route at the time of its submission; `version` is the configuration's."""
+    """Settings of a batch job's route at the time of its submission; `version` is that of the configuration."""
 
     route: str
     path: str
@@ -23,7 +23,7 @@
 @message("lots.submit", wire_keys={"job": "lot"})
 @attrs.frozen
 class SubmitJob:
-    """Submit a batch job: `body` as the client sent it, compressed."""
+    """Submit a batch job; `body` is the compressed request body."""
 
     host: str
     job: str
@@ -34,7 +34,7 @@
 @message("lots.read", wire_keys={"job": "lot"})
 @attrs.frozen
 class ReadJob:
-    """Read results from position `start_after` on; the answer may wait up to `wait_ms` for the first one."""
+    """Read results from position `start_after` on; the reply waits up to `wait_ms` for the first one."""
 
     host: str
     job: str
@@ -45,7 +45,7 @@
 @message("lots.page")
 @attrs.frozen
 class JobPage:
-    """Results from position `start` on, of a batch job of `total` items: their values back to back."""
+    """Results from position `start` on, of a batch job of `total` items; `results` are their concatenated values."""
 
     total: int
     start: int
@@ -55,7 +55,7 @@
 @message("lots.item", wire_keys={"job": "lot"})
 @attrs.frozen
 class ReadItem:
-    """Read the decoded body of an item."""
+    """Request the decoded body of an item."""
 
     host: str
     job: str
@@ -73,7 +73,7 @@
 @message("lots.end", wire_keys={"job": "lot"})
 @attrs.frozen
 class EndJob:
-    """End a batch job on its client's request."""
+    """End a batch job, as its client requested."""
 
     host: str
     job: str
@@ -90,9 +90,9 @@
 @message("lots.lease", wire_keys={"capacity": "room"})
 @attrs.frozen
 class LeaseItems:
-    """Request up to `capacity` items of any shard that the store owns, for a gateway in this zone.
+    """Request up to `capacity` items from all shards that the store owns, for a gateway in `zone`.
 
-    The answer may wait up to `wait_ms` for the first item.
+    The reply waits up to `wait_ms` for the first item.
     """
 
     gateway: str
@@ -106,8 +106,8 @@
 class Assignment:
     """An item to run under a ticket.
 
-    `events` (packed) are those already received: the run continues after the last. `due_ms`: until it is
-    due.
+    `events` (packed) are those received in earlier runs: the run resumes after the last one. `due_ms`:
+    milliseconds until the item is due.
     """
 
     shard: int
@@ -129,14 +129,14 @@
 @message("lots.leased")
 @attrs.frozen
 class LeaseItemsReply:
-    """The items to run."""
+    """The items leased to the gateway."""
 
     items: tuple[Assignment, ...] = ()
 
 
 @attrs.frozen
 class RunProgress:
-    """Progress of a run: its events (packed) from number `start` (counted from 0) on, which the owner lacks."""
+    """Progress of a run: the events (packed) that the owner lacks, beginning with number `start` (from 0)."""
 
     key: str
     index: int
@@ -148,7 +148,7 @@
 @message("lots.report")
 @attrs.frozen
 class ReportRuns:
-    """Renew the leases of a gateway's runs in a shard and report their progress."""
+    """Renew the leases of the runs of one shard's items at a gateway, and report their progress."""
 
     gateway: str
     shard: int
@@ -158,9 +158,9 @@
 @wire_record({"lease_renewed": "go_on", "events_received": "have"})
 @attrs.frozen
 class RunRenewal:
-    """Result of a run's report.
+    """Result of the report of one run.
 
-    `lease_renewed`: the run may go on. `events_received`: how many events of this run the owner has.
+    `lease_renewed`: the run may continue. `events_received`: the number of its events that the owner has.
     """
 
     ticket: int
@@ -171,7 +171,7 @@
 @message("lots.reported")
 @attrs.frozen
 class ReportRunsReply:
-    """The result for each run."""
+    """Results of `ReportRuns`, one for each run."""
 
     runs: tuple[RunRenewal, ...]
 
@@ -179,9 +179,9 @@
 @message("lots.finish")
 @attrs.frozen
 class FinishRun:
-    """Report the end of a run: `kind` is an `OutcomeKind`'s value.
+    """Report the end of a run; `kind` is the value of an `OutcomeKind`.
 
-    `events` (packed) from number `start` on, of `total` in all.
+    `events` (packed) are those from number `start` on, out of `total`.
     """
 
     gateway: str
@@ -198,6 +198,6 @@
 @message("lots.finished", wire_keys={"acknowledged": "taken"})
 @attrs.frozen
 class FinishRunReply:
-    """`acknowledged`: the run needs no further report. Otherwise send all its events again, from 0 on."""
+    """`acknowledged`: the owner needs no further report of the run. Otherwise send all its events again, from 0 on."""
 
     acknowledged: bool
--- a/emberring/jobs/client.py
+++ b/emberring/jobs/client.py
@@ -1,4 +1,4 @@
-"""Client of the stores at a gateway: finds the owner, retries, and reports an unknown outcome as such."""
+"""Client of the stores at a gateway: finds the owner of a shard, retries, and reports unknown outcomes."""
 
 from __future__ import annotations
 
@@ -43,10 +43,10 @@
 
 SUBMIT_TIMEOUT_S = 2.6  # for all attempts
 END_TIMEOUT_S = 2.8  # for all attempts
-READ_MARGIN_S = 1.1  # for all attempts, beyond the wait that the client allows
+READ_MARGIN_S = 1.1  # for all attempts, in addition to the wait that the client allows
 ITEM_TIMEOUT_S = 1.1  # for all attempts
-ATTEMPT_TIMEOUT_S = 0.8  # for one store's answer, beyond any wait that was allowed
-RETRY_PAUSE_S = 0.04  # between two attempts
+ATTEMPT_TIMEOUT_S = 0.8  # for the reply to one attempt, in addition to the wait that the client allows
+RETRY_PAUSE_S = 0.04  # between attempts
 
 Reply = TypeVar("Reply")
 JobRequest = SubmitJob | ReadJob | ReadItem | EndJob
@@ -64,20 +64,20 @@
 
 @attrs.define
 class _OwnerLookup:
-    """Search for the owner of a shard for one call.
+    """State of one call to the owner of a shard, across its attempts.
 
-    `outcome_unknown`: an attempt may have been carried out; `reason`: why the last attempt failed.
+    `outcome_unknown`: an attempt that failed may have been carried out; `reason`: why the last attempt failed.
     """
 
     shard: int
-    until_s: float
-    attempt_s: float
+    deadline_s: float
+    attempt_timeout_s: float
     outcome_unknown: bool = False
     reason: str = ""
 
 
 class JobClient:
-    """Calls about batch jobs. Used from one event loop."""
+    """Client for calls about batch jobs. Not thread-safe: used from one event loop."""
 
     def __init__(
         self, network: Network, knowledge: TierKnowledge, directory: OwnerDirectory | None = None
@@ -89,8 +89,8 @@
     async def submit(self, host: str, route: Route, job: str, body: bytes) -> None:
         """Submit a batch job; returns once it is durable.
 
-        `QuotaExceededError`, `OverloadedError` and `NotReadyError` are raised only where nothing was
-        written; `UnknownOutcomeError` where that is not certain.
+        Raises `QuotaExceededError`, `OverloadedError` or `NotReadyError` only if nothing was written, and
+        `UnknownOutcomeError` if that is not certain.
         """
         configuration = self._knowledge.configuration
         terms = JobTerms(
@@ -115,22 +115,22 @@
     async def read(self, host: str, job: str, start_after: int, wait_ms: float) -> bytes:
         """Return a page of results as JSON.
 
-        `NotFoundError` where there is certainly no such batch job.
+        Raises `NotFoundError` only if it is certain that there is no such batch job.
         """
         wait_s = wait_ms / 1000
         lookup = self._start_lookup(host, wait_s + READ_MARGIN_S, wait_s + ATTEMPT_TIMEOUT_S)
         loop = asyncio.get_running_loop()
-        wait_until_s = loop.time() + wait_s
+        wait_deadline_s = loop.time() + wait_s
 
         def message() -> ReadJob:
-            return ReadJob(host, job, start_after, max(0, int((wait_until_s - loop.time()) * 1000)))
+            return ReadJob(host, job, start_after, max(0, int((wait_deadline_s - loop.time()) * 1000)))
 
         return page_json(await self._call_owner(lookup, message, JobPage))
 
     async def item(self, host: str, job: str, item: str) -> bytes:
         """Return the body of an item.
 
-        `NotFoundError` where there is certainly no such batch job or item.
+        Raises `NotFoundError` only if it is certain that there is no such batch job or item.
         """
         lookup = self._start_lookup(host, ITEM_TIMEOUT_S, ATTEMPT_TIMEOUT_S)
         return (await self._call_owner(lookup, ReadItem(host, job, item), ItemBody)).body
@@ -145,16 +145,16 @@
                 raise UnknownOutcomeError(lookup.reason) from error
             raise
 
-    def _start_lookup(self, host: str, timeout_s: float, attempt_s: float) -> _OwnerLookup:
+    def _start_lookup(self, host: str, timeout_s: float, attempt_timeout_s: float) -> _OwnerLookup:
         now_s = asyncio.get_running_loop().time()
-        return _OwnerLookup(shard_of(host), now_s + timeout_s, attempt_s)
+        return _OwnerLookup(shard_of(host), now_s + timeout_s, attempt_timeout_s)
 
     async def _call_owner(
         self, lookup: _OwnerLookup, message: JobRequest | Callable[[], JobRequest], reply: type[Reply]
     ) -> Reply:
-        """Call the owner, wherever it is. `NotReadyError` where none answered in time."""
+        """Call the owner of the shard, retrying at other stores; raises `NotReadyError` if none replied in time."""
         loop = asyncio.get_running_loop()
-        while (remaining_s := lookup.until_s - loop.time()) > 0:
+        while (remaining_s := lookup.deadline_s - loop.time()) > 0:
             address = self._directory.address(lookup.shard)
             if address is None:
                 lookup.reason = "no store is known"
@@ -162,18 +162,20 @@
                 continue
             request = message() if callable(message) else message
             try:
-                found = await self._network.call(address, request, reply, min(remaining_s, lookup.attempt_s))
+                received = await self._network.call(
+                    address, request, reply, min(remaining_s, lookup.attempt_timeout_s)
+                )
             except EmberringError as error:
                 self._on_failed_attempt(lookup, address, error)
-                if lookup.until_s - loop.time() > RETRY_PAUSE_S:
+                if lookup.deadline_s - loop.time() > RETRY_PAUSE_S:
                     await asyncio.sleep(RETRY_PAUSE_S)
                 continue
             self._directory.confirm(lookup.shard, address)
-            return found
+            return received
         raise NotReadyError(lookup.reason or "no owner answered in time")
 
     def _on_failed_attempt(self, lookup: _OwnerLookup, address: str, error: EmberringError) -> None:
-        """Note what a failed attempt means; raise an error that is an answer."""
+        """Update the directory and the lookup after a failed attempt; raise the error if it is final."""
         if isinstance(error, NotOwnerError):
             self._directory.redirect(lookup.shard, address, error.detail)
         elif isinstance(error, _OUTCOME_UNKNOWN):
--- a/emberring/jobs/definition.py
+++ b/emberring/jobs/definition.py
@@ -1,4 +1,4 @@
-"""The definition of a batch job: validated on submission, stored as bytes, decoded again when its items run."""
+"""Definition of a batch job: validated when it is submitted, stored as bytes, decoded again to run its items."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class ItemSpec:
-    """One item as submitted; `body` is still in base64."""
+    """An item as submitted; `body` is encoded in base64."""
 
     id: str
     path: str
@@ -28,12 +28,12 @@
     tokens: int
 
     def decoded_body(self) -> bytes:
-        """Return the body's bytes."""
+        """Return the decoded body."""
         return base64.b64decode(self.body)
 
 
 def parse_items(compressed: bytes) -> list[ItemSpec]:
-    """Return the items of a submitted batch job; `BadRequestError` says what is wrong with it."""
+    """Return the items of a submitted batch job; raises `BadRequestError` with the reason if it is not valid."""
     try:
         document = orjson.loads(decompress(compressed))
     except (orjson.JSONDecodeError, CorruptRecordError) as error:
@@ -51,16 +51,16 @@
     if not isinstance(entry, dict):
         raise BadRequestError(f"Requests[{number}]: not an object")
     headers = entry.get("Headers") or {}
-    named = {
+    checks = {
         "Id": isinstance(entry.get("Id"), str) and bool(entry["Id"]),
         "Path": isinstance(entry.get("Path"), str) and entry["Path"].startswith("/"),
         "Headers": isinstance(headers, dict) and all(isinstance(value, str) for value in headers.values()),
         "Body": isinstance(entry.get("Body", ""), str) and _is_base64(entry.get("Body", "")),
         "Tokens": _is_count(entry.get("Tokens", 0)),
     }
-    wrong = [name for name, good in named.items() if not good]
-    if wrong:
-        raise BadRequestError(f"Requests[{number}]: {', '.join(wrong)}")
+    invalid = [name for name, valid in checks.items() if not valid]
+    if invalid:
+        raise BadRequestError(f"Requests[{number}]: {', '.join(invalid)}")
     return _spec(entry)
 
 
@@ -83,12 +83,12 @@
 
 
 def encode_definition(terms: JobTerms, compressed: bytes) -> bytes:
-    """Encode a definition: the terms on one line, then the compressed body."""
+    """Encode a definition: a line with the terms as JSON, then the compressed request body."""
     return orjson.dumps(attrs.asdict(terms)) + _END_OF_TERMS + compressed
 
 
 def decode_terms(value: bytes) -> JobTerms:
-    """Return the terms in a definition's value; `CorruptRecordError` where it is damaged."""
+    """Decode the terms of a definition; raises `CorruptRecordError` if it is damaged."""
     try:
         return JobTerms(**orjson.loads(value[: value.index(_END_OF_TERMS)]))
     except (ValueError, TypeError) as error:
@@ -96,7 +96,7 @@
 
 
 def decode_items(value: bytes) -> list[ItemSpec]:
-    """Return the items in a definition's value; `CorruptRecordError` where it is damaged."""
+    """Decode the items of a definition; raises `CorruptRecordError` if it is damaged."""
     try:
         document = orjson.loads(decompress(memoryview(value)[value.index(_END_OF_TERMS) + 1 :]))
         return [_spec(entry) for entry in document["Requests"]]
--- a/emberring/jobs/directory.py
+++ b/emberring/jobs/directory.py
@@ -1,4 +1,4 @@
-"""A gateway's knowledge of the stores that own the shards, and the search for an owner."""
+"""Directory of the owners of shards, as a gateway knows them, and the search for an unknown owner."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 
 
 class TierKnowledge(Protocol):
-    """The state of the tier that is read here; `distribution.follower.Follower` provides it."""
+    """State of the tier that the directory reads; `distribution.follower.Follower` implements it."""
 
     @property
     def configuration(self) -> Configuration | None:
-        """The newest configuration known; None before the first."""
+        """The newest known configuration; None until one is received."""
 
     @property
     def placement(self) -> Placement | None:
-        """The newest placement of shards known; None before the first."""
+        """The newest known placement of shards; None until one is received."""
 
     @property
     def nodes(self) -> dict[str, NodeRecord]:
         """Live stores and control nodes, by name."""
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Call `callback` after each change."""
+        """Call `callback` after each change of this state."""
 
 
 class OwnerDirectory:
-    """The owner's address of each shard, learned from replies and dropped after failures."""
+    """Address of the owner of each shard: stored after a reply, removed after a failure."""
 
     def __init__(self, knowledge: TierKnowledge) -> None:
         self._knowledge = knowledge
@@ -38,7 +38,7 @@
         self._next_candidate: dict[int, int] = {}
 
     def address(self, shard: int) -> str | None:
-        """Return whom to ask next: the owner, else the group's members in turn; None where no store is known."""
+        """Return the address to call next: the owner's, else each replica's in turn; None if no store is known."""
         known = self._owners.get(shard)
         if known is not None:
             return known
@@ -64,18 +64,18 @@
         ]
 
     def confirm(self, shard: int, address: str) -> None:
-        """Note that this store answered as the owner."""
+        """Store the address of a store that replied as the owner."""
         self._owners[shard] = address
 
     def redirect(self, shard: int, address: str, owner: str) -> None:
-        """Note that the store at `address` is not the owner; `owner` is what it knows of the owner's address."""
+        """Handle a reply of a store that is not the owner; `owner` is the owner's address as it knows it, or empty."""
         if owner and owner != address:
             self._owners[shard] = owner
         else:
             self.forget(shard, address)
 
     def forget(self, shard: int, address: str) -> None:
-        """Note that this store did not answer."""
+        """Remove the owner of a shard if it is the store at `address`, which did not reply."""
         if self._owners.get(shard) == address:
             del self._owners[shard]
 
--- a/emberring/jobs/execution.py
+++ b/emberring/jobs/execution.py
@@ -1,4 +1,4 @@
-"""Execution of items: leases to gateways, events of runs, results of runs."""
+"""Execution of items at the owner of a shard: leases to gateways, events and results of runs."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 from emberring.jobs.packing import pack_events, unpack_events
 from emberring.jobs.results import ResultState
 
-RUN_LEASE_S = 2.0  # the owner's side of a gateway's lease of 1.5 s, which counts from the gateway's sending
-TAKEOVER_GRACE_S = 0.7  # a new owner waits so long for reports of gateways that run items already
-RETENTION_GRACE_S = 0.3
+RUN_LEASE_S = 2.0  # since a report arrived; longer than the gateway's lease of 1.5 s since it sent the report
+TAKEOVER_GRACE_S = 0.7  # for which a new owner waits for reports of runs that gateways have already started
+RETENTION_GRACE_S = 0.3  # after the retention of a batch job, until its unfinished items expire
 TICKET_BITS = 52
 
 
 class JobExecution:
-    """Runs of one shard's items."""
+    """Runs of the items of one shard."""
 
     def __init__(self, table: JobTable, seed: int) -> None:
         self._table = table
         self._random = random.Random(seed)
-        self._takeover_waits: list[tuple[float, str, int]] = []  # until when, key, index of the item
+        self._takeover_waits: list[tuple[float, str, int]] = []  # end of the wait (s), key, index of the item
         self._waiting_finishes: dict[tuple[str, int], list[int]] = {}
         self._running: dict[tuple[str, int], None] = {}
 
@@ -40,16 +40,16 @@
 
     @property
     def waiting(self) -> int:
-        """An upper bound of the number of items that wait."""
+        """An upper bound of the number of waiting items."""
         return len(self._table.schedule)
 
     @property
     def idle(self) -> bool:
-        """Whether nothing runs and no item waits for its former gateway."""
+        """Whether no item is running and none waits for a report of a run under the previous owner."""
         return not (self._running or self._takeover_waits)
 
     def load(self, now_s: float, job: BatchJob, index: int, known: Item | None) -> None:
-        """Load an item without a result. A run known here goes on; otherwise wait for a gateway's report of one."""
+        """Load an item without a result. A run in `known` continues; otherwise a gateway may still report one."""
         item = job.items[index]
         if known is not None:
             item.events, item.failures = known.events, known.failures
@@ -60,13 +60,13 @@
 
     def lease_items(self, now_s: float, gateway: str, capacity: int, shard: int) -> list[Assignment]:
         """Lease up to `capacity` items to a gateway, each under a new ticket."""
-        taken: list[Assignment] = []
-        while len(taken) < capacity and (entry := self._table.schedule.pop(now_s)) is not None:
+        assignments: list[Assignment] = []
+        while len(assignments) < capacity and (entry := self._table.schedule.pop(now_s)) is not None:
             job = self._table.jobs.get(entry.key)
             if job is None or job.ended or job.items[entry.index].status is not ItemStatus.WAITING:
                 continue
-            taken.append(self._assign(now_s, gateway, shard, job, entry.index))
-        return taken
+            assignments.append(self._assign(now_s, gateway, shard, job, entry.index))
+        return assignments
 
     def _assign(self, now_s: float, gateway: str, shard: int, job: BatchJob, index: int) -> Assignment:
         item, spec = job.items[index], self._table.specs(job)[index]
@@ -98,21 +98,23 @@
         item = job.items[index]
         item.status, item.run = ItemStatus.WAITING, None
         self._running.pop((job.key, index), None)
-        self._table.queue(job, index)
+        self._table.enqueue(job, index)
 
     # Reports of gateways.
 
     def report_runs(self, now_s: float, message: ReportRuns) -> ReportRunsReply:
-        """Renew the leases of runs and store their events. A run that is not an item's newest must stop."""
-        answers = [self._report(now_s, message.gateway, run) for run in message.runs]
-        return ReportRunsReply(tuple(answers))
+        """Renew the leases of runs and store their events. A run that is not the newest of its item must stop."""
+        renewals = [self._report(now_s, message.gateway, run) for run in message.runs]
+        return ReportRunsReply(tuple(renewals))
 
     def _report(self, now_s: float, gateway: str, run: RunProgress) -> RunRenewal:
         job = self._table.jobs.get(run.key)
         if job is None or job.ended or run.index >= len(job.items):
             return RunRenewal(run.ticket, False, 0)
         item = job.items[run.index]
-        if item.status is ItemStatus.WAITING:  # known to its gateway alone: it goes on under its ticket
+        if (
+            item.status is ItemStatus.WAITING
+        ):  # a run of which only its gateway knows continues under its ticket
             self._begin(now_s, job, run.index, run.ticket, gateway)
             item.events = ()
         if item.run is None or item.run.ticket != run.ticket:
@@ -123,7 +125,7 @@
         return RunRenewal(run.ticket, True, len(item.events))
 
     def finish_run(self, now_s: float, call: int, message: FinishRun) -> None:
-        """Handle the end of a run. Its gateway is answered once nothing can be lost any more."""
+        """Handle the end of a run. A result is acknowledged to the gateway once it is durable."""
         job = self._table.jobs.get(message.key)
         item = job.items[message.index] if job and message.index < len(job.items) else None
         if job is None or item is None or (job.ended and not item.done) or item.status is ItemStatus.LISTED:
@@ -156,7 +158,7 @@
     def _on_unsuccessful_run(
         self, message: FinishRun, job: BatchJob, item: Item, events: tuple[EventData, ...] | None
     ) -> None:
-        """Let the item wait again, or make it a dead letter after too many responses with status 500."""
+        """Queue the item again, or make it a dead letter after too many responses with status 500."""
         current = item.run is not None and item.run.ticket == message.ticket
         if message.kind == OutcomeKind.FAILED_500.value:
             item.failures |= {message.ticket}
@@ -170,7 +172,7 @@
                 self._requeue(job, message.index)
 
     def _events_of(self, message: FinishRun, item: Item, current: bool) -> tuple[EventData, ...] | None:
-        """Return all events of the run; None where its gateway must send them again."""
+        """Return all events of the run, or None if its gateway must send them again from the first one."""
         if message.start == 0:
             return unpack_events(message.events)
         if current and message.start <= len(item.events):
@@ -182,14 +184,14 @@
         self._table.assign_position(job, index, state, text)
 
     def on_result_committed(self, job: BatchJob, index: int) -> None:
-        """Answer the gateways that wait for an item's result to be durable."""
+        """Acknowledge an item's result, which is durable now, to the gateways that delivered it."""
         for call in self._waiting_finishes.pop((job.key, index), ()):
             self._table.actions.append(AnswerCall(call, FinishRunReply(True)))
 
     # Time.
 
     def tick(self, now_s: float) -> None:
-        """Queue items again whose gateway reported in time neither a run before nor after a change of owner."""
+        """Queue items again whose run was not reported in time, by a lease or after a change of owner."""
         for key, index in list(self._running):
             job = self._table.jobs.get(key)
             run = job.items[index].run if job else None
@@ -201,19 +203,19 @@
             _, key, index = self._takeover_waits.pop(0)
             job = self._table.jobs.get(key)
             if job is not None and job.items[index].status is ItemStatus.WAITING:
-                self._table.queue(job, index)
+                self._table.enqueue(job, index)
 
     def expire_items(self, now_s: float, job: BatchJob) -> None:
-        """Turn unfinished items into dead letters where the batch job is past its retention or has no route."""
-        too_old = now_s - job.accepted_s > self._table.retention_s(job) + RETENTION_GRACE_S
-        if job.ended or not job.accepted or not (too_old or self._table.route_gone(job)):
+        """Make unfinished items dead letters if the batch job is past its retention or its route was removed."""
+        past_retention = now_s - job.accepted_s > self._table.retention_s(job) + RETENTION_GRACE_S
+        if job.ended or not job.accepted or not (past_retention or self._table.route_gone(job)):
             return
         for index, item in enumerate(job.items):
             if not item.done:
                 self._assign_position(job, index, ResultState.DEAD_LETTER, "")
 
     def on_ownership_lost(self) -> None:
-        """Drop all runs: another store may own the shard, and gateways report their runs to it."""
+        """Drop all runs: another store may own the shard, to which gateways then report them."""
         for calls in self._waiting_finishes.values():
             self._table.actions.extend(AnswerCall(call, FinishRunReply(False)) for call in calls)
         self._waiting_finishes.clear()
--- a/emberring/jobs/items.py
+++ b/emberring/jobs/items.py
@@ -1,4 +1,4 @@
-"""Interface between the runner of items and the program that executes them."""
+"""Interface between the runner of items and the code that sends them to servers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class ItemEvent:
-    """One complete event of an item's response: its ascending id and its data (lines joined by line feeds)."""
+    """A complete event of an item's response. Ids are ascending; the lines of `data` are joined by line feeds."""
 
     id: int
     data: str
@@ -21,12 +21,12 @@
 
 @attrs.frozen
 class ItemCall:
-    """One item to be executed once.
+    """A single execution of an item.
 
-    `headers` are the item's own, names as submitted; `resume_after` is the id of the last event already
-    received (None for a run from the start); `due_s` is the event loop's time by which the item is due.
-    `still_allowed()` is called right before bytes are sent: False means that nothing may be sent any
-    more.
+    `headers` are those of the item, with names as submitted; `resume_after` is the id of the last event
+    already received (None for a run from the start); `due_s` is when the item is due, by the clock of the
+    event loop. `still_allowed()` is called right before bytes are sent: if it returns False, the lease has
+    expired and nothing may be sent.
     """
 
     id: str
@@ -42,7 +42,10 @@
 
 
 class OutcomeKind(Enum):
-    """Outcome of a run. `NOT_RUN`: no server started it. `BROKEN`: it may have started and is incomplete."""
+    """Outcome of a run.
+
+    `NOT_RUN`: no server started the item. `BROKEN`: a server may have started it, but its response is incomplete.
+    """
 
     COMPLETED = "completed"
     FAILED_500 = "failed_500"
@@ -53,16 +56,16 @@
 
 @attrs.frozen
 class ItemOutcome:
-    """Outcome of a run; its events were passed to `on_events` before."""
+    """Outcome of a run; `on_events` has received its events before."""
 
     kind: OutcomeKind
 
 
 class ItemExecutor(Protocol):
-    """Executes items at the servers under the admission of batch traffic."""
+    """Sends items to servers, subject to the admission of batch traffic."""
 
     def batch_room(self) -> int:
         """Return how many more items may be started now."""
 
     async def run_item(self, item: ItemCall, on_events: Callable[[list[ItemEvent]], None]) -> ItemOutcome:
-        """Execute an item once. Each event is passed on once, in order, after it has arrived completely."""
+        """Execute an item once. `on_events` receives each event once, in order, when it is complete."""
--- a/emberring/jobs/job_manager.py
+++ b/emberring/jobs/job_manager.py
@@ -1,7 +1,8 @@
-"""Batch jobs of one shard at its owner: submission, execution, queries, ends, retention. No I/O.
+"""Batch jobs of one shard at its owner: submission, execution, queries, end, retention. No I/O.
 
-Calls that wait have a number and are answered by an `AnswerCall` or a `RejectCall` with it. What must be durable is
-returned as a `ProposeValue`; `on_committed` says when it is. Times are seconds of the monotonic clock.
+Each call has a number and is answered by an `AnswerCall` or a `RejectCall` with that number, at once or later. A
+value to be made durable is returned as a `ProposeValue`; call `on_committed` once it is. Times are seconds of the
+monotonic clock.
 """
 
 from __future__ import annotations
@@ -29,15 +30,15 @@
 from emberring.jobs.submission import JobSubmission
 
 SCAN_INTERVAL_S = 0.5  # between checks of all batch jobs
-RETENTION_MARGIN_S = 5.0  # an ended batch job is kept for so much longer than `StatusS`
-UNENDED_RETENTION_MARGIN_S = 30.0  # the same of one whose results are all listed but that is not ended
+RETENTION_MARGIN_S = 5.0  # for which an ended batch job is kept after `StatusS`
+UNENDED_RETENTION_MARGIN_S = 30.0  # the same for one that is not ended but whose results are all visible
 
 
 class JobManager:
-    """Manager of one shard's batch jobs.
+    """Manager of the batch jobs of one shard.
 
-    Parameters: the `shard` and its owner's `records`; `status_s`, for how many seconds after its submission an ended
-    batch job can be read; the `seed` of the tickets of runs.
+    Parameters: the `shard` and the `records` of its owner; `status_s`, the number of seconds after its submission
+    for which an ended batch job can be read; `seed`, from which the tickets of runs are generated.
     """
 
     def __init__(self, shard: int, records: OwnedRecords, status_s: float, seed: int) -> None:
@@ -51,17 +52,17 @@
 
     @property
     def waiting(self) -> int:
-        """An upper bound of the number of items that wait for a server."""
+        """An upper bound of the number of items waiting for a server."""
         return self._execution.waiting
 
     @property
     def jobs(self) -> dict[str, BatchJob]:
-        """All batch jobs by key."""
+        """All batch jobs of the shard, by key."""
         return self._table.jobs
 
     @property
     def waiting_tokens(self) -> dict[str, int]:
-        """Tokens of waiting items, by route."""
+        """Tokens of unfinished items, by route."""
         return self._table.waiting_tokens
 
     def configure(self, configuration: Configuration) -> None:
@@ -73,7 +74,7 @@
     def on_ownership_gained(self, now_s: float, jobs: dict[str, OwnedJob]) -> list[JobManagerAction]:
         """Load the complete records of the shard, which this store owns now.
 
-        Runs that are known here go on; calls that wait for a commit are rejected, to be sent again.
+        Runs that this job manager knows continue; calls that wait for a commit are rejected, so that they are retried.
         """
         before = dict(self._table.jobs)
         self._reject_waiting_calls()
@@ -100,17 +101,17 @@
     def _load_unfinished_items(self, now_s: float, job: BatchJob, known: BatchJob | None) -> None:
         for index, item in enumerate(job.items):
             if not item.done:
-                self._table.count(job, item)
+                self._table.add_waiting_tokens(job, item)
                 self._execution.load(now_s, job, index, known.items[index] if known else None)
 
     def on_ownership_lost(self) -> list[JobManagerAction]:
-        """Drop all state: another store may own the shard."""
+        """Drop all batch jobs: another store may own the shard."""
         self._reject_waiting_calls()
         self._table.clear()
         return self._drain_actions()
 
     def _reject_waiting_calls(self) -> None:
-        """Tell whoever waits that the outcome is unknown."""
+        """Reject all waiting calls, as their outcome is unknown."""
         self._submission.on_ownership_lost()
         self._queries.on_ownership_lost()
         self._execution.on_ownership_lost()
@@ -174,7 +175,7 @@
     # Time.
 
     def tick(self, now_s: float) -> list[JobManagerAction]:
-        """Carry out what is due now."""
+        """Handle timeouts, leases and retention that are due now."""
         if not self._queries.idle:
             self._queries.tick(now_s)
         if not self._execution.idle:
--- a/emberring/jobs/job_table.py
+++ b/emberring/jobs/job_table.py
@@ -1,4 +1,4 @@
-"""Batch jobs of one shard in its owner's memory, and the actions that the job manager returns."""
+"""In-memory batch jobs of one shard at its owner, and the actions that the job manager returns."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class ProposeValue:
-    """Write this value into a slot; `accepted_s` is when the batch job was accepted."""
+    """Write a value into a slot; `accepted_s` is when the batch job was accepted."""
 
     key: str
     slot: int
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class ForgetJob:
-    """Delete this batch job everywhere."""
+    """Delete a batch job from all replicas."""
 
     key: str
 
@@ -59,7 +59,7 @@
 
 
 class JobTable:
-    """All batch jobs, the order in which items run, the waiting tokens, and the actions not returned yet."""
+    """All batch jobs, the schedule of their items, the waiting tokens, and the actions not returned yet."""
 
     def __init__(self, records: OwnedRecords) -> None:
         self.records = records
@@ -77,32 +77,32 @@
         self._route_names = frozenset(route.name for route in configuration.routes)
 
     def clear(self) -> None:
-        """Drop everything but the configuration."""
+        """Drop everything except the configuration and the actions."""
         self.jobs.clear()
         self.schedule = Schedule()
         self.waiting_tokens.clear()
         self._cached_specs.clear()
 
     def route_of(self, job: BatchJob) -> Route | None:
-        """Return the batch job's route as now configured; None where it is not known here."""
+        """Return the currently configured route of the batch job; None if there is none or no configuration yet."""
         if self.configuration is None:
             return None
         route = self.configuration.route_for(job.host, job.terms.path)
         return route if route is not None and route.type is RouteType.BATCH else None
 
     def route_gone(self, job: BatchJob) -> bool:
-        """Whether a configuration not older than the batch job's certainly has no such route."""
+        """Whether the route was removed, by a configuration that is not older than that of the submission."""
         if self.configuration is None or self.configuration.version < job.terms.version:
             return False
         return job.terms.route not in self._route_names and self.route_of(job) is None
 
     def max_attempts(self, job: BatchJob) -> int:
-        """Return after how many responses with status 500 an item becomes a dead letter."""
+        """Return the number of responses with status 500 after which an item becomes a dead letter."""
         route = self.route_of(job)
         return max(1, job.terms.max_attempts, route.max_attempts if route else 0)
 
     def retention_s(self, job: BatchJob) -> float:
-        """Return after how many seconds from its acceptance its items may be expired."""
+        """Return the number of seconds after its acceptance for which the batch job's items are retained."""
         route = self.route_of(job)
         return max(job.terms.retention_s, route.retention_s if route else 0.0)
 
@@ -118,21 +118,21 @@
                 self._cached_specs.popitem(last=False)
         return specs
 
-    def count(self, job: BatchJob, item: Item) -> None:
-        """Count the item's tokens as waiting."""
+    def add_waiting_tokens(self, job: BatchJob, item: Item) -> None:
+        """Include the item's tokens in the waiting tokens of its route."""
         if not item.counted:
             item.counted = True
             route = job.terms.route
             self.waiting_tokens[route] = self.waiting_tokens.get(route, 0) + item.tokens
 
-    def release(self, job: BatchJob, item: Item) -> None:
-        """Count the item's tokens as waiting no longer."""
+    def remove_waiting_tokens(self, job: BatchJob, item: Item) -> None:
+        """Remove the item's tokens from the waiting tokens of its route."""
         if item.counted:
             item.counted = False
             self.waiting_tokens[job.terms.route] -= item.tokens
 
-    def queue(self, job: BatchJob, index: int) -> None:
-        """Let the item wait for a server."""
+    def enqueue(self, job: BatchJob, index: int) -> None:
+        """Add the item to the schedule, where it waits for a server."""
         expires_s = job.accepted_s + self.retention_s(job)
         self.schedule.add(QueuedItem(job.due_s, expires_s, job.key, index))
 
@@ -142,6 +142,6 @@
         position = job.free_position()
         job.positions[position] = index
         item.status, item.run, item.events = ItemStatus.RESULT_PENDING, None, ()
-        self.release(job, item)
+        self.remove_waiting_tokens(job, item)
         value = encode_result(index, item.id, state, message)
         self.actions.append(ProposeValue(job.key, position, value, job.accepted_s))
--- a/emberring/jobs/lease.py
+++ b/emberring/jobs/lease.py
@@ -1,4 +1,4 @@
-"""The lease under which an owner answers reads: a quorum renewed it a short while ago."""
+"""Lease of an owner: while it is active, the owner may answer reads without asking a quorum again."""
 
 from __future__ import annotations
 
@@ -6,13 +6,12 @@
 
 from emberring.placement.model import Group, quorum
 
-OWNER_LEASE_S = (
-    0.6  # after the sending of a lease renewal that a quorum granted; replicas refuse others for longer
-)
+# Since a renewal was sent that a quorum granted; shorter than the time for which replicas reject other claims.
+OWNER_LEASE_S = 0.6
 
 
 def has_quorum(group: Group, identities: set[str]) -> bool:
-    """Whether these are a majority of the members, and of the joining members if there are any."""
+    """Whether these replicas are a majority of the members, and also of the joining members if there are any."""
     return all(
         len(identities.intersection(members)) >= quorum(members)
         for members in (group.members, group.joining)
@@ -21,21 +20,21 @@
 
 
 class OwnerLease:
-    """Times at which the lease renewals were sent that each replica granted last."""
+    """For each replica, the time at which the latest renewal was sent that it granted."""
 
     def __init__(self) -> None:
         self._granted: dict[str, float] = {}
 
     def grant(self, identity: str, sent_s: float) -> None:
-        """Note that a replica granted a renewal that was sent at `sent_s`."""
+        """Record that a replica granted a renewal that was sent at `sent_s`."""
         self._granted[identity] = max(sent_s, self._granted.get(identity, -math.inf))
 
     def clear(self) -> None:
-        """Drop all grants: a new term begins."""
+        """Remove all grants, as a new term begins."""
         self._granted.clear()
 
     def until_s(self, group: Group) -> float:
-        """Return until when reads may be answered, in seconds of the monotonic clock."""
+        """Return the end of the lease, in seconds of the monotonic clock."""
         return OWNER_LEASE_S + min(
             self._quorum_time(members) for members in (group.members, group.joining) if members
         )
--- a/emberring/jobs/merge.py
+++ b/emberring/jobs/merge.py
@@ -1,4 +1,4 @@
-"""Merge of the replicas' inventories by a new owner: for each slot the record of the highest term."""
+"""Merge of the inventories of replicas by a new owner: for each slot, the record with the highest term."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 @attrs.frozen
 class MergedSlot:
-    """The record to recover, the replicas with its highest term, and whether those are a quorum."""
+    """The record of a slot with the highest term; `holders` are the replicas that have it.
+
+    `committed`: these are a quorum.
+    """
 
     state: SlotState
     holders: tuple[str, ...]
@@ -22,7 +25,7 @@
 
 @attrs.frozen
 class MergedJob:
-    """The slots of a batch job, and its greatest known age."""
+    """The merged slots of a batch job, and the greatest age that a replica reports."""
 
     age_ms: int
     slots: dict[int, MergedSlot]
@@ -32,8 +35,8 @@
 
 
 def merge(inventories: Inventories, group: Group) -> dict[str, MergedJob]:
-    """Return the records that an owner of this group recovers, given what a quorum of replicas holds."""
-    # In the order of the inventories, the same in each process: a set of texts is not.
+    """Return the records that a new owner of this group recovers from the inventories of a quorum."""
+    # A dict and not a set: the order of a set of strings differs between processes.
     keys = dict.fromkeys(key for inventory in inventories.values() for key in inventory)
     quorums: dict[tuple[str, ...], bool] = {}
     return {key: _merge_job(key, inventories, group, quorums) for key in keys}
@@ -63,20 +66,20 @@
 
 
 def duplicate_positions(results: Mapping[int, tuple[Term, int]]) -> set[int]:
-    """Return the positions to leave out: of those with the same item, all but the one of the highest term.
+    """Return the positions to leave out: of all positions of the same item, only the one with the highest term stays.
 
-    `results` has the term and the item by position. A committed result is never left out: every owner of
-    a later term knows it, so that another position of its item can only be of a lower term.
+    `results` has the term and the item by position. A committed result always stays: every owner of a later
+    term knows it, so another position of the same item can only have a lower term.
     """
-    highest_by_slot: dict[int, int] = {}
+    position_by_item: dict[int, int] = {}
     duplicates: set[int] = set()
     for position, (term, item) in sorted(results.items()):
-        other = highest_by_slot.get(item)
+        other = position_by_item.get(item)
         if other is None:
-            highest_by_slot[item] = position
+            position_by_item[item] = position
         elif term > results[other][0]:
             duplicates.add(other)
-            highest_by_slot[item] = position
+            position_by_item[item] = position
         else:
             duplicates.add(position)
     return duplicates
--- a/emberring/jobs/messages.py
+++ b/emberring/jobs/messages.py
@@ -1,6 +1,6 @@
 """Messages between the owner of a shard and its replicas.
 
-Each names the identity (of a disk) that it is meant for; a store with another identity rejects it.
+Each request carries the identity of the disk that it is addressed to; a store with another identity rejects it.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 @message("lots.claim")
 @attrs.frozen
 class ClaimOwnership:
-    """Claim a shard under this term."""
+    """Claim the ownership of a shard under a term."""
 
     shard: int
     target: str
@@ -26,9 +26,9 @@
 class ClaimOwnershipReply:
     """Answer to a claim.
 
-    `granted`: no lower term is accepted from now on, and `inventory` is all that the replica stores.
-    Otherwise `promised` is the highest term seen, and `lease_active` tells that another owner's lease may
-    be active.
+    `granted`: the replica accepts no lower term from now on, and `inventory` lists all that it stores.
+    Otherwise `promised` is the highest term that it has seen, and `lease_active` is set if another owner's
+    lease may be active.
     """
 
     granted: bool
@@ -40,7 +40,7 @@
 @message("lots.write")
 @attrs.frozen
 class WriteSlots:
-    """Write records (packed) under the owner's term."""
+    """Write packed records under the term of the owner."""
 
     shard: int
     target: str
@@ -51,9 +51,9 @@
 @message("lots.drop")
 @attrs.frozen
 class DropSlots:
-    """Erase slots that have no committed value, or whose batch job is deleted everywhere.
+    """Erase slots that have no committed value, or whose batch job has been deleted.
 
-    The packed records have empty values.
+    `records` are packed, with empty values.
     """
 
     shard: int
@@ -67,7 +67,7 @@
 class WriteSlotsReply:
     """Answer to a write.
 
-    `written`: everything is durable on this replica's disk. Otherwise `promised` is the term that forbids it.
+    `written`: the request is durable on this replica's disk. Otherwise `promised` is the higher term that fences it.
     """
 
     written: bool
@@ -85,7 +85,7 @@
 @message("lots.touch")
 @attrs.frozen
 class RenewLeases:
-    """Renew an owner's leases: the replica grants no other claim for a while after this."""
+    """Renew the leases of an owner: for the duration of a lease, the replica grants no other store's claim."""
 
     sender: str
     target: str
@@ -94,7 +94,7 @@
 
 @attrs.frozen
 class LeaseRenewal:
-    """Whether the lease is granted, the highest term seen, and the digest of all that the replica stores."""
+    """Whether the lease is granted, the highest term seen, and the digest of all slots that the replica stores."""
 
     shard: int
     granted: bool
@@ -105,7 +105,7 @@
 @message("lots.touched")
 @attrs.frozen
 class RenewLeasesReply:
-    """The results of a lease renewal, one for each lease."""
+    """Results of `RenewLeases`, one for each lease."""
 
     answers: tuple[LeaseRenewal, ...]
 
@@ -113,7 +113,7 @@
 @message("lots.release")
 @attrs.frozen
 class ReleaseOwnership:
-    """Release a shard owned under this term: another store may claim it at once."""
+    """Release the ownership of a shard under this term, so that another store can claim it at once."""
 
     shard: int
     target: str
@@ -133,7 +133,7 @@
 @message("lots.held")
 @attrs.frozen
 class InventoryReply:
-    """A replica's inventory, packed; None where a higher term forbids the request."""
+    """Packed inventory of a replica; None if a higher term fences the request."""
 
     inventory: bytes | None
     promised: Term = NO_TERM
@@ -142,7 +142,7 @@
 @message("lots.fetch")
 @attrs.frozen
 class FetchRecords:
-    """Request the values of slots (packed records with empty values)."""
+    """Request the values of slots; `records` are packed, with empty values."""
 
     shard: int
     target: str
@@ -152,7 +152,7 @@
 @message("lots.fetched")
 @attrs.frozen
 class FetchRecordsReply:
-    """The requested records that the replica stores, packed."""
+    """Those of the requested records that the replica stores, packed."""
 
     records: bytes
 
--- a/emberring/jobs/owned.py
+++ b/emberring/jobs/owned.py
@@ -1,4 +1,4 @@
-"""Records of a shard in its owner's memory."""
+"""In-memory records of a shard at its owner."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 @attrs.define(eq=False)
 class OwnedSlot:
-    """A value, and whether it is committed.
+    """The value of a slot, and whether it is committed.
 
-    `acks` are the identities of the replicas that confirmed it, until it is committed.
+    `acks`: identities of the replicas that have confirmed the value; None once it is committed.
     """
 
     value: bytes
@@ -22,14 +22,14 @@
 
 @attrs.define(eq=False)
 class OwnedJob:
-    """The slots of a batch job, and when it was accepted (seconds of the monotonic clock, at the latest)."""
+    """The slots of a batch job, and the latest time at which it was accepted (seconds of the monotonic clock)."""
 
     accepted_s: float
     slots: dict[int, OwnedSlot] = attrs.field(factory=dict)
 
 
 class OwnedRecords:
-    """All batch jobs of a shard. `uncommitted` counts slots; `digest` covers all slots."""
+    """All batch jobs of a shard. `uncommitted` is a number of slots; `digest` covers all slots."""
 
     def __init__(self) -> None:
         self.jobs: dict[str, OwnedJob] = {}
@@ -52,7 +52,7 @@
         return job.slots.get(slot) if job else None
 
     def put(self, key: str, slot: int, value: bytes, accepted_s: float) -> None:
-        """Store a new value, not committed yet."""
+        """Store a new value, which is not committed yet."""
         job = self.jobs.get(key)
         if job is None:
             job = self.jobs[key] = OwnedJob(accepted_s)
@@ -63,7 +63,7 @@
         self.uncommitted += 1
 
     def erase(self, key: str, slot: int) -> None:
-        """Erase a slot; a batch job without slots is erased too."""
+        """Erase a slot, and the batch job if it has no other slot."""
         job = self.jobs.get(key)
         owned = job.slots.pop(slot, None) if job else None
         if job is None or owned is None:
@@ -74,7 +74,7 @@
             del self.jobs[key]
 
     def mark_committed(self, owned: OwnedSlot) -> None:
-        """Mark a slot as stored by a quorum."""
+        """Mark a slot as committed, as a quorum has stored its value."""
         owned.committed = True
         owned.acks = None
         self.uncommitted -= 1
--- a/emberring/jobs/owner.py
+++ b/emberring/jobs/owner.py
@@ -1,7 +1,7 @@
-"""State machine of one shard's owner: claims a term at a quorum, recovers the records, writes under its term. No I/O.
+"""State machine of a shard's owner: claims a term at a quorum, recovers the records, writes under its term. No I/O.
 
-Every call returns actions. A `SendToReplica` is a call to a replica (this store's own too); its result is returned by
-`on_reply` or `on_call_failed` with the same ticket. Times are seconds of the monotonic clock.
+Every call returns actions. A `SendToReplica` is a request to a replica (also to this store's own); pass its reply to
+`on_reply`, or its failure to `on_call_failed`, with the same ticket. Times are seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -43,16 +43,16 @@
 from emberring.placement.model import Group
 
 CLAIM_TIMEOUT_S = 0.7  # for a quorum to grant a claim
-RECOVERY_TIMEOUT_S = 2.5  # for the values of all records to arrive
-MIGRATION_REPORT_INTERVAL_S = 0.5
+RECOVERY_TIMEOUT_S = 2.5  # for the values of all records to be fetched
+MIGRATION_REPORT_INTERVAL_S = 0.5  # while the placement still lists joining replicas
 TOMBSTONE_SWEEP_INTERVAL_S = 2.0
 
 
 class ShardOwner:
-    """One shard, as seen by a store that may own it.
+    """Ownership of one shard at one store.
 
     Parameters: `identity` of the store's disk, the store's own `replica` of the shard, and the `seed` of the backoff
-    of its claims. Others may read `group`, `stage`, `term`, `replica` and `records`.
+    of its claims. Callers may read `group`, `stage`, `term`, `replica` and `records`.
     """
 
     def __init__(self, identity: str, replica: Replica, seed: int) -> None:
@@ -68,34 +68,34 @@
         self._inventories: dict[str, dict[str, JobState]] = {}
         self._recovery: OwnerRecovery | None = None
         self._stage_since_s = 0.0
-        self._claimed_s = -math.inf  # when the claim was sent that a quorum has granted
+        self._claimed_s = -math.inf  # when the claim was sent that a quorum granted
         self._migration_reported_s = 0.0
         self._tombstones_swept_s = 0.0
-        self._announced = False  # `OwnershipGained` was returned, and `OwnershipLost` not yet
+        self._announced = False  # `OwnershipGained` was returned and `OwnershipLost` was not yet
         self._calls = ReplicaCalls()
         self._actions: list[OwnerAction] = []
 
     # Calls of the store.
 
     def serving(self, now_s: float) -> bool:
-        """Whether this store may answer for the shard now."""
+        """Whether this store owns the shard under an active lease, so that it may answer calls."""
         if self.stage is not OwnershipStage.SERVING or self.group is None:
             return False
         return now_s < self.lease.until_s(self.group)
 
     def leases(self, identity: str) -> list[ShardLease]:
-        """Return the leases to renew at the replica with this identity: one, or none."""
+        """Return the leases to renew at the replica with this identity: at most one."""
         if self.group is None or identity not in self.group.everyone:
             return []
         return [ShardLease(self.group.shard, self.term)] if self.stage.has_term else []
 
     def set_group(self, now_s: float, group: Group) -> list[OwnerAction]:
-        """Take over the shard's group from a placement; an older one is ignored."""
+        """Apply the shard's group of a placement; a group that is not newer is ignored."""
         if self.group is not None and group.epoch <= self.group.epoch:
             return []
-        before, self.group = self.group, group
-        if before is None or self.identity not in before.everyone:
-            self._claims.joined(now_s, group)
+        previous, self.group = self.group, group
+        if previous is None or self.identity not in previous.everyone:
+            self._claims.on_joined_group(now_s, group)
         if self.stage is not OwnershipStage.FOLLOWING:
             if self.identity in group.everyone:
                 self._transition_to_claiming(now_s)
@@ -104,7 +104,7 @@
         return self._drain_actions()
 
     def tick(self, now_s: float, healthy: bool, live: set[str]) -> list[OwnerAction]:
-        """Carry out what is due now.
+        """Send claims and writes that are due now, and handle timeouts.
 
         `healthy`: this store's disk works and it is not shutting down; `live`: identities of stores in contact.
         """
@@ -146,7 +146,7 @@
         return self._drain_actions()
 
     def forget(self, now_s: float, key: str) -> list[OwnerAction]:
-        """Delete a batch job. A tombstone comes first, so that no replica that was away can bring it back."""
+        """Delete a batch job, with a tombstone first: a replica that was unreachable must not restore it later."""
         job = self.records.jobs.get(key)
         if job is None or TOMBSTONE in job.slots:
             return []
@@ -169,8 +169,8 @@
         return self._drain_actions()
 
     def _check_replica(self, now_s: float, identity: str, digest: int) -> None:
-        """Ask a replica for its inventory where its contents are unknown or differ."""
-        if self._replication.wants_inventory(now_s, identity, digest):
+        """Request the inventory of a replica whose contents are unknown or differ."""
+        if self._replication.inventory_due(now_s, identity, digest):
             self._send(identity, InventoryRequest(self._known_group.shard, identity, self.term))
 
     def on_reply(self, now_s: float, ticket: int, reply: ReplicaReply) -> list[OwnerAction]:
@@ -189,7 +189,7 @@
         return self._drain_actions()
 
     def on_call_failed(self, now_s: float, ticket: int) -> list[OwnerAction]:
-        """Handle a call that had no reply in time, or was rejected by the replica's disk."""
+        """Handle a call without a reply in time, or whose write the replica's disk rejected."""
         call = self._calls.complete(ticket)
         if call is not None and isinstance(call.message, FetchRecords) and self._recovery is not None:
             self._recovery.on_call_failed(call.target)
@@ -198,7 +198,7 @@
             self._replication.on_call_failed(now_s, call.target, ticket)
         return self._drain_actions()
 
-    # Claim: from a claim to a quorum's grants.
+    # Claim: until a quorum has granted it.
 
     def _transition_to_claiming(self, now_s: float) -> None:
         group = self._known_group
@@ -236,7 +236,7 @@
         if has_quorum(self._known_group, set(self._inventories)):
             self._transition_claiming_recovering(now_s)
 
-    # Recovery: from a quorum's inventories to the values of all records.
+    # Recovery: from the inventories of a quorum to the values of all records.
 
     def _transition_claiming_recovering(self, now_s: float) -> None:
         self._claimed_s = self._stage_since_s
@@ -282,7 +282,7 @@
         self._announced = True
         self._actions.append(OwnershipGained(self.records.jobs))
 
-    # Replication: writes to replicas and their contents.
+    # Replication: writes to replicas, and comparison of their contents.
 
     def _send_pending_writes(self, now_s: float) -> None:
         if self.group is None or not self.stage.writes_records:
@@ -312,7 +312,7 @@
         self._serve_if_replicated(now_s)
 
     def _share_values(self, ticket: int) -> None:
-        """Refer to the values of this store's own replica, so that they are in memory once only."""
+        """Share the value objects of this store's own replica, so that each value is in memory only once."""
         for key, slot in self._replication.in_flight_refs(self.identity, ticket):
             owned, value = self.records.find(key, slot), self.replica.value(key, slot)
             if owned is not None and value == owned.value:
@@ -346,7 +346,8 @@
     def _on_higher_term(self, now_s: float, promised: Term) -> None:
         self._claims.observe(promised)
         if self.serving(now_s) or now_s < self._claimed_s + CLAIM_LEASE_S:
-            # A quorum is bound to this store and rejects other claims: one replica's promise ends nothing.
+            # A quorum has granted this store a lease that is still active and rejects other claims, so the higher
+            # promise of a single replica does not end the ownership: claim again under a higher term.
             self._transition_to_claiming(now_s)
         else:
             self._transition_to_following(now_s)
@@ -375,7 +376,7 @@
     @property
     def _known_group(self) -> Group:
         if self.group is None:
-            raise InternalError("no placement has named the shard's group yet")
+            raise InternalError("the shard's group is not known yet")
         return self.group
 
     def _enter(self, now_s: float, stage: OwnershipStage) -> None:
@@ -383,7 +384,7 @@
         self._stage_since_s = now_s
 
     def _sent_under_term(self, message: ReplicaRequest) -> bool:
-        """Whether a request was sent under the current term; a fetch names none."""
+        """Whether a request was sent under the current term; a fetch carries no term."""
         return not isinstance(message, FetchRecords) and message.term == self.term
 
     def _send(self, target: str, message: ReplicaRequest) -> None:
--- a/emberring/jobs/owner_actions.py
+++ b/emberring/jobs/owner_actions.py
@@ -1,4 +1,4 @@
-"""Actions that a shard's owner asks its store to carry out, and the messages that they carry."""
+"""Actions that a shard's owner returns, to be carried out by its store."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class SendToReplica:
-    """Send a request to the store with the identity `target`; its reply is returned under `ticket`."""
+    """Send a request to the store with the identity `target`; pass its reply back with this `ticket`."""
 
     ticket: int
     target: str
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class SlotCommitted:
-    """Report that a slot's value is durable on a quorum of replicas: it may be shown and never changes."""
+    """Report that the value of a slot is durable on a quorum of replicas: it is visible now and never changes."""
 
     key: str
     slot: int
@@ -27,19 +27,19 @@
 
 @attrs.frozen
 class OwnershipGained:
-    """Report that this store owns the shard and that `jobs`, all committed, are its complete contents."""
+    """Report that this store owns the shard; `jobs` are its complete contents, all of them committed."""
 
     jobs: dict[str, OwnedJob]
 
 
 @attrs.frozen
 class OwnershipLost:
-    """Report that this store may no longer answer for the shard."""
+    """Report that this store may no longer answer calls about the shard."""
 
 
 @attrs.frozen
 class MigrationCompleted:
-    """Report that the joining replicas of the group with this epoch hold all records."""
+    """Report that the joining replicas of the group with this epoch store all records."""
 
     epoch: int
 
--- a/emberring/jobs/owner_recovery.py
+++ b/emberring/jobs/owner_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of a new owner: gathers the values of all records from its own replica and from others. No I/O."""
+"""Recovery of a new owner: collects the values of all records from its own replica and from others. No I/O."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class OwnerRecovery:
-    """From a quorum's inventories to the shard's records.
+    """Recovers the records of a shard from the inventories of a quorum.
 
-    `next_fetches` says what to fetch from whom; records are complete once `complete` is true.
+    `next_fetches` yields the requests to send; `jobs` may be called once `complete` is true.
     """
 
     def __init__(
@@ -45,11 +45,11 @@
 
     @property
     def stuck(self) -> bool:
-        """Whether no replica is left to ask for one of the values."""
+        """Whether a missing value has no replica left that could provide it."""
         return any(not sources for sources in self._missing.values())
 
     def next_fetches(self) -> Iterator[tuple[str, bytes]]:
-        """Yield the replicas to ask now, with packed records without values; one request at a time to each."""
+        """Yield replicas and packed records without values to fetch from them now; one request at a time to each."""
         batches: dict[str, list[Record]] = {}
         sizes: dict[str, int] = {}
         for (key, slot), sources in self._missing.items():
@@ -67,7 +67,7 @@
         return self._merged[key].slots[slot]
 
     def on_fetched(self, identity: str, records: list[Record]) -> None:
-        """Store fetched values; what the replica did not return is requested from another one."""
+        """Store fetched values; those that the replica did not return are requested from another one."""
         requested = self._in_flight.pop(identity, {})
         for record in records:
             ref = (record.key, record.slot)
@@ -78,7 +78,7 @@
         self._remove_source(identity, requested)
 
     def on_call_failed(self, identity: str) -> None:
-        """Handle a request that had no answer."""
+        """Handle a fetch without a reply: the replica is not used as a source any more."""
         self._in_flight.pop(identity, None)
         self._remove_source(identity, dict.fromkeys(self._missing))
 
@@ -91,7 +91,7 @@
     def jobs(self) -> dict[str, OwnedJob]:
         """Return the records, once all values are known.
 
-        Of one item at two positions the one of the highest term stays.
+        If an item has two positions, the one with the highest term is kept.
         """
         result: dict[str, OwnedJob] = {}
         for key, merged in self._merged.items():
--- a/emberring/jobs/ownership_stage.py
+++ b/emberring/jobs/ownership_stage.py
@@ -8,8 +8,8 @@
 class OwnershipStage(Enum):
     """Progress of a store towards owning a shard.
 
-    `FOLLOWING` -> `CLAIMING` -> `RECOVERING` -> `REPLICATING` -> `SERVING`. Every stage may fall back to `FOLLOWING`,
-    and a higher term or a new group leads back to `CLAIMING`.
+    `FOLLOWING` -> `CLAIMING` -> `RECOVERING` -> `REPLICATING` -> `SERVING`. Every stage may return to `FOLLOWING`, and
+    a higher term or a new group leads from any later stage back to `CLAIMING`.
     """
 
     FOLLOWING = "following"
--- a/emberring/jobs/queries.py
+++ b/emberring/jobs/queries.py
@@ -1,4 +1,4 @@
-"""Reads of batch jobs: pages of committed results, waits for the next result, bodies of items."""
+"""Reads of batch jobs: pages of committed results, long polls for the next result, bodies of items."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class _WaitingRead:
-    """A read that waits for a result at its position until a time."""
+    """A read that waits until `until_s` for a result at position `start_after`."""
 
     call: int
     start_after: int
@@ -22,7 +22,7 @@
 
 
 class JobQueries:
-    """Reads of one shard's batch jobs."""
+    """Reads of the batch jobs of one shard."""
 
     def __init__(self, table: JobTable) -> None:
         self._table = table
@@ -30,11 +30,11 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no read waits."""
+        """Whether no read is waiting."""
         return not self._waiting_reads
 
     def read(self, now_s: float, call: int, message: ReadJob) -> None:
-        """Answer with a page of results; the call may wait for the first one."""
+        """Answer with a page of results, or wait for the first one if the caller allows it."""
         job = self._find(call, message.host, message.job)
         if job is None:
             return
@@ -57,7 +57,7 @@
             self._table.actions.append(AnswerCall(call, ItemBody(found.decoded_body())))
 
     def _find(self, call: int, host: str, job_id: str) -> BatchJob | None:
-        """Return the batch job; reject the call where there is none or it is not accepted yet."""
+        """Return the batch job; reject the call if there is none or it is not accepted yet."""
         job = self._table.jobs.get(job_key(host, job_id))
         if job is None:
             self._table.actions.append(RejectCall(call, NotFoundError(f"no lot {job_id}")))
@@ -75,7 +75,7 @@
         self._table.actions.append(AnswerCall(call, build_page(len(job.items), start, values)))
 
     def on_job_changed(self, job: BatchJob) -> None:
-        """Answer the reads that waited for more results or for the end."""
+        """Answer the waiting reads for which there is a result now, or the end of the batch job."""
         reads = self._waiting_reads.pop(job.key, [])
         remaining = []
         for read in reads:
@@ -87,7 +87,7 @@
             self._waiting_reads[job.key] = remaining
 
     def tick(self, now_s: float) -> None:
-        """Answer the reads whose wait is over with what there is."""
+        """Answer the reads whose wait has timed out, possibly with an empty page."""
         for key in list(self._waiting_reads):
             job = self._table.jobs.get(key)
             remaining = []
--- a/emberring/jobs/replica.py
+++ b/emberring/jobs/replica.py
@@ -1,8 +1,8 @@
-"""A replica of one shard: accepts writes of the highest term it has promised and reports what it stores. No I/O.
+"""Replica of one shard: accepts writes under the highest term it has promised and reports its contents. No I/O.
 
-`handle` returns actions. A `PersistEntry` is to be appended to the journal in the order given, and its token returned
-by `persisted` or `persist_failed`; only then does the replica show what it wrote and answer. Times are seconds of
-the monotonic clock.
+`handle` returns actions. Append each `PersistEntry` to the journal, in order, and pass its token to `persisted` or
+`persist_failed`; only then does the replica apply the entry and answer the call. Times are seconds of the monotonic
+clock.
 """
 
 from __future__ import annotations
@@ -39,14 +39,14 @@
 from emberring.jobs.stored_records import StoredJob, StoredRecords
 from emberring.transport.messages import Ok
 
-# No other owner's claim is granted for so long after a lease renewal; longer than an owner trusts its lease.
+# After a lease renewal no other store's claim is granted for this time; longer than `OWNER_LEASE_S`.
 REPLICA_LEASE_S = 0.9
-CLAIM_LEASE_S = 0.3  # nor for so long after a claim was granted
+CLAIM_LEASE_S = 0.3  # the same after a granted claim
 
 
 @attrs.frozen
 class PersistEntry:
-    """Append this entry to the journal, then return `token`."""
+    """Append an entry to the journal, then pass back `token`."""
 
     token: int
     entry: Entry
@@ -62,7 +62,7 @@
 
 @attrs.frozen
 class FailCall:
-    """Fail the call with this number: the disk rejected its entry."""
+    """Fail the call with this number, as the disk rejected its entry."""
 
     call: int
 
@@ -72,7 +72,7 @@
 
 @attrs.frozen
 class _PendingEntry:
-    """An entry on its way to the disk, and the call to be answered afterwards (0 for none)."""
+    """An entry that is not durable yet, and the call to be answered once it is (0 for none)."""
 
     call: int
     entry: Entry
@@ -80,9 +80,9 @@
 
 
 class Replica:
-    """One shard's replica on one disk. After a restart, pass the journal's entries to `apply` and call `restored`.
+    """Replica of one shard on one disk. After a restart, pass the journal's entries to `apply` and call `restored`.
 
-    Others may read `shard`, `promised` (the highest term seen) and `records`.
+    Callers may read `shard`, `promised` (the highest term seen) and `records`.
     """
 
     def __init__(self, shard: int) -> None:
@@ -95,7 +95,7 @@
         self._pending: dict[int, _PendingEntry] = {}
         self._pending_drops: set[tuple[str, int]] = set()
         self._clearing = False
-        # While the journal is read: the terms of drops, which a late `Copied` entry must not undo.
+        # During a restore: the terms of erased slots, so that a later `Copied` entry does not restore them.
         self._erased: dict[tuple[str, int], Term] = {}
         self._cleared = False
         self._restored = False
@@ -104,7 +104,7 @@
     # Requests of owners.
 
     def handle(self, now_s: float, call: int, message: ReplicaRequest) -> list[ReplicaAction]:
-        """Return the actions for a request; `call` is the number under which it is to be answered."""
+        """Handle a request; `call` is the number under which it is to be answered."""
         if isinstance(message, WriteSlots):
             return self._on_write(now_s, call, message)
         if isinstance(message, ClaimOwnership):
@@ -153,15 +153,15 @@
                 yield record
 
     def renew_lease(self, now_s: float, lease: ShardLease) -> tuple[LeaseRenewal, list[ReplicaAction]]:
-        """Renew an owner's lease.
+        """Renew the lease of an owner.
 
-        A term that is not promised on disk yet is promised first; the lease is granted at the next renewal.
+        If its term is not promised on disk yet, it is promised first, and a later renewal grants the lease.
         """
         actions: list[ReplicaAction] = []
         if lease.term > self.promised:
             self.promised = lease.term
             actions.append(self._persist(0, Promised(lease.term), now_s))
-        if lease.term == self.promised:  # others are rejected already while the promise is on its way
+        if lease.term == self.promised:  # other claims are rejected even before the promise is durable
             self._lease_owner = lease.term.owner
             self._lease_until_s = now_s + REPLICA_LEASE_S
         granted = lease.term == self.promised == self._durable_promise
@@ -178,7 +178,7 @@
 
     @property
     def lease_until_s(self) -> float:
-        """When the last lease known here has certainly expired."""
+        """Time at which the last known lease has certainly expired."""
         return self._lease_until_s
 
     # Contents.
@@ -204,7 +204,7 @@
         return stored.value if stored else None
 
     def state(self, now_s: float) -> dict[str, JobState]:
-        """Return what is durable on this replica's disk."""
+        """Return the metadata of all slots that are durable on this replica's disk."""
         return self.records.states(now_s)
 
     def inventory(self, now_s: float) -> bytes:
@@ -212,14 +212,14 @@
         return pack_inventory(self.state(now_s))
 
     def restored(self, lease_until_s: float) -> None:
-        """End the restore: the shard's last owner may have an active lease until `lease_until_s`."""
+        """End the restore. The last owner of the shard may have an active lease until `lease_until_s`."""
         self._lease_owner = self._durable_promise.owner
         self._lease_until_s = lease_until_s if self._lease_owner else 0.0
         self._restored = True
         self._erased.clear()
 
     def leave(self, now_s: float) -> list[ReplicaAction]:
-        """Erase the records, but not the promise: the shard is stored elsewhere now."""
+        """Erase the records but not the promise, as this store is not a replica of the shard any more."""
         if self._clearing or not self.records.jobs:
             return []
         self._clearing = True
@@ -234,12 +234,12 @@
         return PersistEntry(token, entry)
 
     def oldest_pending_s(self, now_s: float) -> float:
-        """Return for how long the oldest entry has been waiting for the disk, in seconds."""
+        """Return how long the oldest entry has been waiting for the disk, in seconds."""
         oldest = next(iter(self._pending.values()), None)
         return now_s - oldest.started_s if oldest else 0.0
 
     def persisted(self, now_s: float, token: int, segment: int) -> list[ReplicaAction]:
-        """Show an entry that is durable in this segment of the journal, and answer its call."""
+        """Apply an entry that is durable in this segment of the journal, and answer its call."""
         pending = self._pending.pop(token)
         self.apply(now_s, pending.entry, segment)
         if not pending.call:
@@ -262,7 +262,7 @@
         return [FailCall(pending.call)] if pending.call else []
 
     def apply(self, now_s: float, entry: Entry, segment: int) -> None:
-        """Apply a durable entry, at run time or during a restore. Ages count from `now_s`."""
+        """Apply a durable entry, while running or during a restore. The ages in its records are relative to `now_s`."""
         if isinstance(entry, Started):
             return
         if isinstance(entry, Emptied):
@@ -282,7 +282,7 @@
                 self._put(now_s, entry.term, record, segment)
 
     def _copy_is_valid(self, term: Term, record: Record) -> bool:
-        """Whether a copy found during a restore still counts: its original was here and was not erased."""
+        """Whether a `Copied` record is to be applied: its original is stored, or was not erased by a later entry."""
         if self.records.find(record.key, record.slot) is not None:
             return True
         return not self._cleared and self._erased.get((record.key, record.slot), NO_TERM) < term
@@ -299,7 +299,7 @@
         self.records.erase(term, *ref)
 
     def live_entries(self, now_s: float, segment: int) -> list[Entry]:
-        """Return what still counts of a segment, to be appended again: the promise and live slots."""
+        """Return the entries to append again before a segment is reclaimed: the promise and its live slots."""
         entries: list[Entry] = [Promised(self.promised)] if self.promised != NO_TERM else []
         if not self._clearing:
             by_term = self.records.in_segment(now_s, segment, self._pending_drops)
@@ -307,7 +307,7 @@
         return entries
 
     def on_relocated(self, entry: Entry, segment: int) -> None:
-        """Note that an entry of `live_entries` was appended again, to this segment."""
+        """Record that an entry of `live_entries` has been appended again, to this segment."""
         if isinstance(entry, Copied):
             for record in entry.records:
                 self.records.relocate(entry.term, record.key, record.slot, segment)
--- a/emberring/jobs/replica_calls.py
+++ b/emberring/jobs/replica_calls.py
@@ -1,4 +1,4 @@
-"""Calls of an owner to replicas that are waiting for a reply."""
+"""Calls of an owner to replicas, while they wait for a reply."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ReplicaCalls:
-    """Tickets of the calls in flight of one owner. `next_ticket` is the ticket of the next call."""
+    """Calls in flight of one owner, by ticket. `next_ticket` is the ticket of the next call."""
 
     def __init__(self) -> None:
         self.next_ticket = 1
@@ -21,7 +21,7 @@
         actions.append(call)
 
     def complete(self, ticket: int) -> SendToReplica | None:
-        """Return the call of this ticket, which ends with that; None where it was abandoned."""
+        """Remove and return the call with this ticket; None if it was abandoned."""
         return self._in_flight.pop(ticket, None)
 
     def abandon_all(self) -> None:
--- a/emberring/jobs/replica_log.py
+++ b/emberring/jobs/replica_log.py
@@ -10,13 +10,13 @@
 from emberring.errors import CorruptRecordError
 from emberring.jobs.records import Record, Term, pack_records, pack_term, unpack_records, unpack_term
 
-_HEAD = struct.Struct("<BBd")  # kind, shard, clock
+_HEADER = struct.Struct("<BBd")  # kind, shard, clock
 _WRITTEN, _PROMISED, _DROPPED, _EMPTIED, _COPIED, _STARTED = 1, 2, 3, 4, 5, 6
 
 
 @attrs.frozen
 class Written:
-    """Records written under a term."""
+    """Records that were written under a term."""
 
     term: Term
     records: tuple[Record, ...]
@@ -24,14 +24,14 @@
 
 @attrs.frozen
 class Promised:
-    """A promise to accept no lower term any more."""
+    """A promise to accept no lower term from now on."""
 
     term: Term
 
 
 @attrs.frozen
 class Dropped:
-    """Slots that are erased, unless a higher term has written them."""
+    """Slots to erase, except those written under a higher term."""
 
     term: Term
     records: tuple[Record, ...]
@@ -39,12 +39,12 @@
 
 @attrs.frozen
 class Emptied:
-    """The replica's records are all erased; its promise stays."""
+    """All records of the replica are erased; its promise stays valid."""
 
 
 @attrs.frozen
 class Copied:
-    """Records of an older segment appended again. They may stand behind an erasure that came after them."""
+    """Records of an older segment, appended again. They may follow a later erasure of the same slots."""
 
     term: Term
     records: tuple[Record, ...]
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class Started:
-    """The process started here: the clocks of entries before and after this are unrelated."""
+    """Start of a process: the clocks of entries before and after this one are unrelated."""
 
 
 Entry = Written | Promised | Dropped | Emptied | Copied | Started
@@ -60,7 +60,7 @@
 
 @attrs.frozen
 class Logged:
-    """An entry as found in the journal: its shard, and when it was written (seconds of the monotonic clock)."""
+    """An entry read from the journal, with its shard and when it was written (seconds of the monotonic clock)."""
 
     shard: int
     clock_s: float
@@ -68,26 +68,26 @@
 
 
 def encode_entry(shard: int, clock_s: float, entry: Entry) -> bytes:
-    """Encode an entry as a payload of the journal."""
+    """Encode an entry as the payload of a journal record."""
     if isinstance(entry, Promised):
-        return _head(_PROMISED, shard, clock_s) + pack_term(entry.term)
+        return _encode_header(_PROMISED, shard, clock_s) + pack_term(entry.term)
     if isinstance(entry, Emptied | Started):
-        return _head(_EMPTIED if isinstance(entry, Emptied) else _STARTED, shard, clock_s)
+        return _encode_header(_EMPTIED if isinstance(entry, Emptied) else _STARTED, shard, clock_s)
     kind = _WRITTEN if isinstance(entry, Written) else _DROPPED if isinstance(entry, Dropped) else _COPIED
-    return _head(kind, shard, clock_s) + pack_term(entry.term) + pack_records(entry.records)
+    return _encode_header(kind, shard, clock_s) + pack_term(entry.term) + pack_records(entry.records)
 
 
-def _head(kind: int, shard: int, clock_s: float) -> bytes:
-    return _HEAD.pack(kind, shard, clock_s)
+def _encode_header(kind: int, shard: int, clock_s: float) -> bytes:
+    return _HEADER.pack(kind, shard, clock_s)
 
 
 def decode_entry(payload: bytes) -> Logged:
-    """Decode a payload of the journal; `CorruptRecordError` where it is damaged."""
+    """Decode the payload of a journal record; raises `CorruptRecordError` if it is damaged."""
     try:
-        kind, shard, clock_s = _HEAD.unpack_from(payload, 0)
+        kind, shard, clock_s = _HEADER.unpack_from(payload, 0)
         if kind in (_EMPTIED, _STARTED):
             return Logged(shard, clock_s, Emptied() if kind == _EMPTIED else Started())
-        term, offset = unpack_term(payload, _HEAD.size)
+        term, offset = unpack_term(payload, _HEADER.size)
     except (struct.error, UnicodeDecodeError) as error:
         raise CorruptRecordError(f"entry: {error}") from error
     if kind == _PROMISED:
@@ -99,20 +99,20 @@
         return Logged(shard, clock_s, Dropped(term, records))
     if kind == _COPIED:
         return Logged(shard, clock_s, Copied(term, records))
-    raise CorruptRecordError(f"entry of kind {kind}")
+    raise CorruptRecordError(f"unknown kind of entry: {kind}")
 
 
 def split_by_size(records: Sequence[Record], limit: int) -> list[tuple[Record, ...]]:
-    """Split records into runs with about `limit` bytes of values at most."""
-    runs: list[tuple[Record, ...]] = []
-    run: list[Record] = []
+    """Split records into chunks of at most `limit` bytes of values, or a single record that is longer."""
+    chunks: list[tuple[Record, ...]] = []
+    chunk: list[Record] = []
     size = 0
     for record in records:
-        if run and size + len(record.value) > limit:
-            runs.append(tuple(run))
-            run, size = [], 0
-        run.append(record)
+        if chunk and size + len(record.value) > limit:
+            chunks.append(tuple(chunk))
+            chunk, size = [], 0
+        chunk.append(record)
         size += len(record.value)
-    if run:
-        runs.append(tuple(run))
-    return runs
+    if chunk:
+        chunks.append(tuple(chunk))
+    return chunks
--- a/emberring/jobs/replication.py
+++ b/emberring/jobs/replication.py
@@ -1,4 +1,4 @@
-"""Replication of an owner's records: new ones at once, then what a replica lacks. No I/O."""
+"""Replication of an owner's records to replicas: new writes first, then older records that are missing. No I/O."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from emberring.jobs.replica_progress import INVENTORY_INTERVAL_S, ReplicaProgress, SlotRef
 from emberring.placement.model import Group, quorum
 
-MAX_MESSAGE_BYTES = 256 * 1024  # of keys and values in one write
+MAX_MESSAGE_BYTES = 256 * 1024  # of keys and values in one request
 MAX_ERASED_SLOTS = 2000  # in one request
-DIGEST_MISMATCH_TIMEOUT_S = 1.0  # for so long an idle replica may differ before it is compared again
+DIGEST_MISMATCH_TIMEOUT_S = 1.0  # of an idle replica, after which its inventory is requested
 
 
 class Replication:
-    """The replicas of an owned shard, and the records that each of them lacks."""
+    """Replication state of an owned shard: its replicas, and the records that each of them lacks."""
 
     def __init__(self, records: OwnedRecords) -> None:
         self._records = records
@@ -28,7 +28,7 @@
         self.replicas: dict[str, ReplicaProgress] = {}
 
     def begin(self, group: Group, term: Term) -> None:
-        """Begin a term: everything that is not committed is written to every replica."""
+        """Begin a term: all slots that are not committed are written to every replica."""
         self._group, self._term = group, term
         self._mismatch_since.clear()
         self.replicas = {identity: ReplicaProgress(identity) for identity in group.everyone}
@@ -38,27 +38,27 @@
                     self.write((key, slot))
 
     def clear(self) -> None:
-        """End the term."""
+        """End the term: nothing is written any more."""
         self.replicas = {}
 
     def write(self, ref: SlotRef) -> None:
-        """Write a slot to every replica."""
+        """Queue a slot to be written to every replica."""
         for replica in self.replicas.values():
             replica.to_erase.pop(ref, None)
             replica.backlog.pop(ref, None)
             replica.pending[ref] = None
 
     def compare(self, identity: str, inventory: Mapping[str, JobState]) -> None:
-        """Compare a replica's inventory with the owner's records; note what to write and what to erase."""
+        """Compare a replica's inventory with the owner's records; queue missing slots and superfluous ones."""
         replica = self.replicas.get(identity)
         if replica is None:
             return
         replica.compared = True
         self._mismatch_since.pop(identity, None)
-        self._note_missing(replica, inventory)
-        self._note_superfluous(replica, inventory)
+        self._queue_missing(replica, inventory)
+        self._queue_superfluous(replica, inventory)
 
-    def _note_missing(self, replica: ReplicaProgress, inventory: Mapping[str, JobState]) -> None:
+    def _queue_missing(self, replica: ReplicaProgress, inventory: Mapping[str, JobState]) -> None:
         in_flight = {ref for refs in replica.in_flight.values() for ref in refs}
         for key, job in self._records.jobs.items():
             stored_slots = inventory[key].slots if key in inventory else {}
@@ -70,20 +70,20 @@
                 if ref not in replica.pending and ref not in in_flight:
                     replica.backlog[ref] = None
 
-    def _note_superfluous(self, replica: ReplicaProgress, inventory: Mapping[str, JobState]) -> None:
+    def _queue_superfluous(self, replica: ReplicaProgress, inventory: Mapping[str, JobState]) -> None:
         for key, stored_job in inventory.items():
             for slot in stored_job.slots:
                 if self._records.find(key, slot) is None:
                     replica.to_erase[(key, slot)] = None
 
-    def wants_inventory(self, now_s: float, identity: str, digest: int) -> bool:
-        """Whether to ask a replica for its inventory after it granted a lease renewal."""
+    def inventory_due(self, now_s: float, identity: str, digest: int) -> bool:
+        """Whether to request the inventory of a replica that has granted a lease renewal with this digest."""
         replica = self.replicas.get(identity)
-        if replica is None or now_s - replica.inventory_asked_s < INVENTORY_INTERVAL_S:
+        if replica is None or now_s - replica.inventory_requested_s < INVENTORY_INTERVAL_S:
             return False
         if replica.compared and not self._contents_differ(now_s, replica, digest):
             return False
-        replica.inventory_asked_s = now_s
+        replica.inventory_requested_s = now_s
         return True
 
     def _contents_differ(self, now_s: float, replica: ReplicaProgress, digest: int) -> bool:
@@ -94,15 +94,15 @@
         return now_s - self._mismatch_since.setdefault(replica.identity, now_s) > DIGEST_MISMATCH_TIMEOUT_S
 
     def next_message(self, now_s: float, identity: str, ticket: int) -> WriteSlots | DropSlots | None:
-        """Return the next request for a replica, under this ticket; None where none is due."""
+        """Return the next request to a replica, to be sent with this ticket; None if none is due."""
         replica = self.replicas.get(identity)
         if replica is None or not replica.may_send(now_s):
             return None
         return self._next_write(now_s, replica, ticket) or self._next_drop(replica, ticket)
 
     def _next_write(self, now_s: float, replica: ReplicaProgress, ticket: int) -> WriteSlots | None:
-        refs = self._take_refs(replica.pending)
-        if not refs and (refs := self._take_refs(replica.backlog)):
+        refs = self._pop_refs(replica.pending)
+        if not refs and (refs := self._pop_refs(replica.backlog)):
             replica.catching_up.add(ticket)
         if not refs:
             return None
@@ -127,7 +127,7 @@
             raise InternalError("no term has begun")
         return self._group.shard
 
-    def _take_refs(self, queue: dict[SlotRef, None]) -> tuple[SlotRef, ...]:
+    def _pop_refs(self, queue: dict[SlotRef, None]) -> tuple[SlotRef, ...]:
         refs: list[SlotRef] = []
         size = 0
         while queue and size < MAX_MESSAGE_BYTES:
@@ -145,12 +145,12 @@
         return Record(key, slot, age_ms(now_s, job.accepted_s), job.slots[slot].value)
 
     def in_flight_refs(self, identity: str, ticket: int) -> tuple[SlotRef, ...]:
-        """Return the slots in a request that is in flight to a replica."""
+        """Return the slots of a request that is in flight to a replica."""
         replica = self.replicas.get(identity)
         return replica.in_flight.get(ticket, ()) if replica is not None else ()
 
     def on_written(self, identity: str, ticket: int) -> list[SlotRef]:
-        """Handle a request that a replica has carried out; return the slots that are committed by that."""
+        """Handle the confirmation of a request by a replica; return the slots that are committed as a result."""
         replica = self.replicas.get(identity)
         if replica is None or self._group is None:
             return []
@@ -166,7 +166,7 @@
         return committed
 
     def on_call_failed(self, now_s: float, identity: str, ticket: int) -> None:
-        """Handle a request that had no answer."""
+        """Handle a request that failed: its slots are queued again."""
         replica = self.replicas.get(identity)
         if replica is None:
             return
@@ -177,14 +177,14 @@
                 replica.to_erase.setdefault(ref, None)
 
     def drop_tombstoned(self, key: str) -> None:
-        """Erase all other slots of a batch job, here and at every replica, after its tombstone is committed."""
+        """Erase all other slots of a batch job whose tombstone is committed, here and at every replica."""
         job = self._records.jobs.get(key)
         for slot in [slot for slot in job.slots if slot != TOMBSTONE] if job else ():
             self._records.erase(key, slot)
             self._erase_everywhere((key, slot))
 
     def sweep_tombstones(self) -> None:
-        """Erase the tombstones once every replica holds them and has erased everything else."""
+        """Erase tombstones once every replica stores them and has erased the other slots of their batch jobs."""
         if not all(replica.up_to_date for replica in self.replicas.values()):
             return
         tombstoned = [key for key, job in self._records.jobs.items() if set(job.slots) == {TOMBSTONE}]
@@ -200,7 +200,7 @@
             replica.to_erase[ref] = None
 
     def migration_complete(self) -> bool:
-        """Whether all joining replicas hold everything, and a quorum of the next members too."""
+        """Whether all joining replicas, and a quorum of the next members, store all records."""
         if self._group is None or not self._group.joining:
             return False
         complete = {identity for identity, replica in self.replicas.items() if replica.complete}
--- a/emberring/jobs/runner.py
+++ b/emberring/jobs/runner.py
@@ -1,4 +1,4 @@
-"""Runs items of batch jobs at this gateway: leases items, reports their progress, delivers their results."""
+"""Item runner of a gateway: leases items of batch jobs, runs them, reports progress, delivers results."""
 
 from __future__ import annotations
 
@@ -27,38 +27,38 @@
 from emberring.jobs.packing import pack_events, unpack_events
 from emberring.transport.network import Network
 
-ITEM_LEASE_S = 1.5  # from the sending of a report that the owner acknowledged
-INITIAL_LEASE_S = 0.8  # from the arrival of an item, whose reply may have been in flight for a while
+ITEM_LEASE_S = 1.5  # since a report was sent that the owner acknowledged
+INITIAL_LEASE_S = 0.8  # since an item was received; shorter, as the reply may have been delayed on its way
 REPORT_INTERVAL_S = 0.2
-MIN_REPORT_AGE_S = 0.1  # runs younger than this are not reported yet
+MIN_REPORT_AGE_S = 0.1  # runs that started less than this ago are not reported yet
 POLL_WAIT_MS = 800
-POLL_MARGIN_S = 0.6
+POLL_MARGIN_S = 0.6  # for the reply to a poll, in addition to `POLL_WAIT_MS`
 CALL_TIMEOUT_S = 0.8
-MAX_LEASE_BATCH = 32
+MAX_LEASE_BATCH = 32  # items in one poll
 NO_CAPACITY_WAIT_S = 0.03
-NOT_RUN_PAUSE_S = 0.05
+NOT_RUN_PAUSE_S = 0.05  # without new polls after an item that no server started
 DELIVERY_TIMEOUT_S = 20.0  # for all attempts to deliver a result
 DELIVERY_RETRY_PAUSE_S = 0.1
 
 
 @attrs.define(eq=False)
 class _Run:
-    """An item that this gateway runs, or whose result is not delivered yet."""
+    """A run of an item at this gateway, until its result is delivered."""
 
     assignment: Assignment
     started_s: float
     allowed_until_s: float
     events: list[EventData]
-    acked: int = 0  # how many of the events the owner has
+    acked: int = 0  # number of events that the owner has
     stopped: bool = False
     ended: bool = False
     task: asyncio.Task[None] | None = None
 
 
 class ItemRunner:
-    """The runner of one gateway. Used from one event loop.
+    """Item runner of one gateway. Not thread-safe: used from one event loop.
 
-    `executor` sends the items to servers; `gateway` is the node's name; `zone` is its zone.
+    `executor` sends the items to servers; `gateway` is the name of the node; `zone` is its zone.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
         self._runs: dict[int, _Run] = {}
         self._pollers: dict[str, asyncio.Task[None]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._ended = asyncio.Event()
+        self._run_ended = asyncio.Event()
         self._pause_until_s = 0.0
         self._shutting_down = False
 
@@ -89,12 +89,12 @@
         return len(self._runs)
 
     async def start(self) -> None:
-        """Start to lease items; returns at once."""
+        """Start the background tasks that poll for items and report runs; returns at once."""
         self._spawn(self._report_all())
         self._spawn(self._poll_all())
 
     async def leave(self, limit_s: float) -> None:
-        """Lease no more items and wait for running ones; give back those that still run after `limit_s` seconds."""
+        """Stop leasing items and wait for running ones; return those still running after `limit_s` to their owners."""
         self._shutting_down = True
         for poller in self._pollers.values():
             poller.cancel()
@@ -108,7 +108,7 @@
             await asyncio.sleep(0.05)
 
     async def stop(self) -> None:
-        """Stop at once."""
+        """Stop at once; running items are cancelled."""
         self._shutting_down = True
         for task in (*self._tasks, *self._pollers.values()):
             task.cancel()
@@ -116,7 +116,7 @@
     # Leases.
 
     async def _poll_all(self) -> None:
-        """Keep one poll for each live store."""
+        """Keep one polling task for each live store."""
         while not self._shutting_down:
             wanted = set(self._directory.stores())
             for address in sorted(wanted - set(self._pollers)):
@@ -141,13 +141,15 @@
             for assignment in leased.items:
                 self._directory.confirm(assignment.shard, address)
                 self._begin(assignment)
-            await asyncio.sleep(0)  # started runs take up capacity before the next request
+            await asyncio.sleep(
+                0
+            )  # let the new runs start, so that they reduce the capacity of the next poll
 
     async def _wait_for_capacity(self) -> None:
-        self._ended.clear()
+        self._run_ended.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(NO_CAPACITY_WAIT_S):
-                await self._ended.wait()
+                await self._run_ended.wait()
 
     # Execution.
 
@@ -167,7 +169,7 @@
                 raise
             kind = OutcomeKind.BROKEN
         run.ended = True
-        self._ended.set()
+        self._run_ended.set()
         if kind is OutcomeKind.NOT_RUN:
             self._pause_until_s = _now_s() + NOT_RUN_PAUSE_S
         try:
@@ -200,7 +202,7 @@
         return (await self._executor.run_item(call, on_events)).kind
 
     async def _deliver(self, run: _Run, kind: OutcomeKind) -> None:
-        """Deliver the end of a run until an owner has acknowledged it."""
+        """Report the end of a run, with retries until an owner has acknowledged it."""
         item = run.assignment
         until_s = _now_s() + DELIVERY_TIMEOUT_S
         start = run.acked
@@ -219,7 +221,7 @@
             await asyncio.sleep(DELIVERY_RETRY_PAUSE_S)
 
     def _finish_message(self, run: _Run, kind: OutcomeKind, start: int) -> FinishRun:
-        """Return the message with the events from number `start` on."""
+        """Return the message that reports the end of a run, with its events from number `start` on."""
         item = run.assignment
         return FinishRun(
             gateway=self._gateway,
--- a/emberring/jobs/status.py
+++ b/emberring/jobs/status.py
@@ -1,4 +1,4 @@
-"""Messages by which tools read a store's status; reading changes nothing."""
+"""Messages with which tools read the status of a store; reading has no side effects."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 @message("store.ask_status", wire_keys={"jobs": "lots"})
 @attrs.frozen
 class StoreStatusRequest:
-    """Ask a store for its status. `jobs`: also list the batch jobs of the shards that it owns."""
+    """Request the status of a store. `jobs`: include the batch jobs of the shards that it owns."""
 
     jobs: bool = False
 
@@ -18,7 +18,7 @@
 @wire_record({"jobs": "lots"})
 @attrs.frozen
 class ShardStatus:
-    """A shard on this store; the numbers are those of its owner, and 0 on other stores."""
+    """Status of a shard on a store; the counts are reported by the owner only and are 0 on other stores."""
 
     shard: int
     owner: bool
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class JobStatus:
-    """A batch job: how many of its items are listed, and how long ago it was accepted, in seconds."""
+    """Status of a batch job. `listed`: number of visible results; `age_s`: seconds since it was accepted."""
 
     shard: int
     host: str
--- a/emberring/jobs/stored_records.py
+++ b/emberring/jobs/stored_records.py
@@ -1,4 +1,4 @@
-"""Records of one shard that are durable on a replica's disk, in memory."""
+"""In-memory copy of the records of one shard that are durable on a replica's disk."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @attrs.define
 class StoredSlot:
-    """A value that is durable on this replica's disk, and the journal's segment that holds it."""
+    """A value that is durable on this replica's disk, and the segment of the journal that contains it."""
 
     term: Term
     checksum: int
@@ -48,7 +48,7 @@
         return job.slots.get(slot) if job else None
 
     def record(self, now_s: float, key: str, slot: int) -> Record | None:
-        """Return the slot as a record, with the age of its batch job; None where it is empty."""
+        """Return the slot as a record, with the age of its batch job; None if the slot is empty."""
         job = self.jobs.get(key)
         stored = job.slots.get(slot) if job else None
         if job is None or stored is None:
@@ -72,13 +72,13 @@
         return True
 
     def erase(self, term: Term, key: str, slot: int) -> None:
-        """Erase a slot unless a write under this term or a higher one came after the request to erase it."""
+        """Erase a slot unless it was written under a higher term, or under this term after the drop was sent."""
         job = self.jobs.get(key)
         stored = job.slots.get(slot) if job else None
         if job is None or stored is None or stored.term > term:
             return
         if stored.term == term and TOMBSTONE not in job.slots:
-            return  # a drop that was delayed: the owner has written the slot since
+            return  # the drop was delayed, and the owner has written the slot since it sent it
         self._subtract(key, slot, stored)
         del job.slots[slot]
         if not job.slots:
@@ -98,13 +98,13 @@
         self.value_bytes -= len(stored.value)
 
     def states(self, now_s: float) -> dict[str, JobState]:
-        """Return terms, checksums and lengths of all slots, by batch job."""
+        """Return the metadata of all slots, by key of the batch job."""
         return {key: _job_state(now_s, job) for key, job in self.jobs.items()}
 
     def in_segment(
         self, now_s: float, segment: int, excluded: set[tuple[str, int]]
     ) -> dict[Term, list[Record]]:
-        """Return the records that lie in a segment of the journal, by term, without the `excluded` slots."""
+        """Return the records that are located in a segment of the journal, by term, without the `excluded` slots."""
         by_term: dict[Term, list[Record]] = {}
         for key, job in self.jobs.items():
             for slot, stored in job.slots.items():
@@ -114,7 +114,7 @@
         return by_term
 
     def relocate(self, term: Term, key: str, slot: int, segment: int) -> None:
-        """Note that a slot's value lies in another segment now, unless another term has written it since."""
+        """Record that a slot's value is located in another segment now, unless another term has written it since."""
         stored = self.find(key, slot)
         if stored is not None and stored.term == term:
             stored.segment = segment
--- a/emberring/jobs/submission.py
+++ b/emberring/jobs/submission.py
@@ -1,4 +1,4 @@
-"""Submission and end of batch jobs: durable before they are acknowledged, rejected before anything is written."""
+"""Submission and end of batch jobs: acknowledged once durable, or rejected before anything is written."""
 
 from __future__ import annotations
 
@@ -10,11 +10,13 @@
 from emberring.jobs.records import DEFINITION, END, TOMBSTONE, job_key
 from emberring.transport.messages import Ok
 
-QUOTA_TOLERANCE = 1.02  # factor on the limit: what servers have finished is known with a delay
+QUOTA_TOLERANCE = (
+    1.02  # factor on the limit: the end of runs is reported with a delay, so waiting tokens are overestimated
+)
 
 
 class JobSubmission:
-    """Submissions and ends of one shard's batch jobs, and the calls that wait for them to last."""
+    """Submissions and ends of the batch jobs of one shard, and the calls that wait for them to be durable."""
 
     def __init__(self, table: JobTable) -> None:
         self._table = table
@@ -24,7 +26,7 @@
     def submit(self, now_s: float, call: int, message: SubmitJob) -> None:
         """Submit a batch job.
 
-        The same batch job again gets the same answer; one that exceeds the quota leaves nothing.
+        A repeated submission gets the same reply; one that exceeds the quota writes nothing.
         """
         key = job_key(message.host, message.job)
         known = self._table.jobs.get(key)
@@ -47,7 +49,7 @@
             return None
         self._table.jobs[key] = job
         for item in items:
-            self._table.count(job, item)
+            self._table.add_waiting_tokens(job, item)
         value = encode_definition(message.terms, message.body)
         self._table.actions.append(ProposeValue(key, DEFINITION, value, now_s))
         return job
@@ -62,7 +64,7 @@
         return limit <= 0 or waiting + job.tokens <= limit * QUOTA_TOLERANCE
 
     def end(self, call: int, message: EndJob) -> None:
-        """End a batch job: none of its items is leased from now on, whether or not the end is committed."""
+        """End a batch job: from now on none of its items is leased, even before the end is committed."""
         key = job_key(message.host, message.job)
         job = self._table.jobs.get(key)
         if job is None or job.end_committed:
@@ -75,16 +77,16 @@
         if not job.ended:
             job.ended = True
             for item in job.items:
-                self._table.release(job, item)
+                self._table.remove_waiting_tokens(job, item)
             self._table.actions.append(ProposeValue(key, END, b"", job.accepted_s))
 
     def on_definition_committed(self, job: BatchJob) -> None:
-        """Accept a batch job whose definition is durable: its items wait for servers from now on."""
+        """Accept a batch job whose definition is durable, and queue its items."""
         if job.accepted:
             return
         job.accepted = True
         for index in range(len(job.items)):
-            self._table.queue(job, index)
+            self._table.enqueue(job, index)
         self._answer(self._waiting_submissions.pop(job.key, ()))
 
     def on_end_committed(self, job: BatchJob) -> None:
