--- a/emberring/journal/__init__.py
+++ b/emberring/journal/__init__.py
@@ -1,4 +1,4 @@
-"""Records on disk: a ring of preallocated files with checksums and group commit."""
+"""Journal of records on disk: a ring of preallocated files with checksums and group commit."""
 
 from emberring.journal.journal import Journal, Rewriter
 from emberring.journal.layout import Position, Record
--- a/emberring/journal/folder.py
+++ b/emberring/journal/folder.py
@@ -1,4 +1,4 @@
-"""Interface of the journal to files: those of the operating system, or a simulator's that lose power."""
+"""File interface of the journal: files of the operating system, or simulated files with power failures."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 
 
 class File(Protocol):
-    """An open file; every call may raise `OSError`."""
+    """An open file. Every call may raise `OSError`."""
 
     def size(self) -> int:
-        """Return its length in bytes."""
+        """Return the length of the file in bytes."""
 
     def resize(self, length: int) -> None:
-        """Truncate it or extend it with zeros to this length in bytes."""
+        """Truncate the file, or extend it with zeros, to this length in bytes."""
 
     def read(self, offset: int, length: int) -> bytes:
         """Read at most `length` bytes from `offset` on; fewer at the end of the file."""
 
     def write(self, offset: int, data: bytes) -> None:
-        """Write all these bytes at `offset`."""
+        """Write all of `data` at `offset`."""
 
     def sync(self) -> None:
-        """Make everything written durable through a loss of power."""
+        """Make all writes durable, so that they survive a power failure."""
 
     def close(self) -> None:
-        """Close the file; no call may follow."""
+        """Close the file, which must not be used any more."""
 
 
 class Folder(Protocol):
-    """A folder of files; every call may raise `OSError`."""
+    """A folder of files. Every call may raise `OSError`."""
 
     def names(self) -> list[str]:
-        """Return the names in it."""
+        """Return the names of the files."""
 
     def open(self, name: str) -> File:
         """Open an existing file."""
@@ -44,7 +44,7 @@
         """Create an empty file."""
 
     def sync(self) -> None:
-        """Make the names in it durable through a loss of power."""
+        """Make the names of the files durable, so that they survive a power failure."""
 
 
 class DiskFile:
@@ -54,11 +54,11 @@
         self._descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC | flags, PERMISSIONS)
 
     def size(self) -> int:
-        """Return its length in bytes."""
+        """Return the length of the file in bytes."""
         return os.fstat(self._descriptor).st_size
 
     def resize(self, length: int) -> None:
-        """Truncate it or extend it with zeros to this length in bytes."""
+        """Truncate the file, or extend it with zeros, to this length in bytes."""
         os.ftruncate(self._descriptor, length)
 
     def read(self, offset: int, length: int) -> bytes:
@@ -74,7 +74,7 @@
         return chunks[0] if len(chunks) == 1 else b"".join(chunks)
 
     def write(self, offset: int, data: bytes) -> None:
-        """Write all these bytes at `offset`."""
+        """Write all of `data` at `offset`."""
         remaining = memoryview(data)
         while remaining:
             written = os.pwrite(self._descriptor, remaining, offset)
@@ -82,7 +82,7 @@
             remaining = remaining[written:]
 
     def sync(self) -> None:
-        """Make everything written durable."""
+        """Make all writes durable."""
         os.fdatasync(self._descriptor)
 
     def close(self) -> None:
@@ -91,14 +91,14 @@
 
 
 class DiskFolder:
-    """A folder of the operating system, created where it is missing."""
+    """A folder of the operating system, which is created if it is missing."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
         path.mkdir(parents=True, exist_ok=True)
 
     def names(self) -> list[str]:
-        """Return the sorted names in it."""
+        """Return the sorted names of the files."""
         return sorted(os.listdir(self._path))
 
     def open(self, name: str) -> DiskFile:
@@ -110,7 +110,7 @@
         return DiskFile(self._path / name, os.O_CREAT | os.O_TRUNC)
 
     def sync(self) -> None:
-        """Make the names in it, and its own name, durable."""
+        """Make the names of the files, and the name of the folder itself, durable."""
         for path in (self._path, self._path.parent):
             descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
             try:
--- a/emberring/journal/journal.py
+++ b/emberring/journal/journal.py
@@ -1,4 +1,4 @@
-"""A journal of records on disk: appended on the event loop, written and synced by one thread in groups."""
+"""Journal of records on disk: appended on the event loop, written and synced in groups by one thread."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 from emberring.journal.ring import Ring
 from emberring.logs import get_logger
 
-MAX_PENDING_BYTES = 48 * 1024 * 1024  # waiting for the disk; more appends are rejected
-MAX_GROUP_BYTES = 4 * 1024 * 1024  # written and synced at once
-HEAL_INTERVAL_S = 0.25  # between attempts to use a disk that failed, and to reclaim a full ring
-CLOSE_TIMEOUT_S = 1.0
+MAX_PENDING_BYTES = 48 * 1024 * 1024  # waiting for the disk, above which appends are rejected
+MAX_GROUP_BYTES = 4 * 1024 * 1024  # written and synced together
+HEAL_INTERVAL_S = 0.25  # between attempts to recover a disk that failed, and to reclaim a full ring
+CLOSE_TIMEOUT_S = 1.0  # for pending records to be written
 
 T = TypeVar("T")
 Rewriter = Callable[[int], Awaitable[None]]
@@ -33,7 +33,7 @@
 
 @attrs.define(eq=False)
 class _Append:
-    """A record on its way to the disk."""
+    """A record that is not durable yet."""
 
     payload: bytes
     reclaiming: bool
@@ -42,7 +42,7 @@
 
 @attrs.frozen
 class _Outcome:
-    """Outcome of a group."""
+    """Outcome of writing a group of records: their positions, or the error."""
 
     group: tuple[_Append, ...]
     positions: tuple[Position, ...] = ()
@@ -51,7 +51,7 @@
 
 @attrs.define(eq=False)
 class _Release:
-    """A segment for the writer's thread to release."""
+    """A request to the writer thread to release a segment."""
 
     number: int
     future: asyncio.Future[None]
@@ -63,11 +63,11 @@
 
 
 class Journal:
-    """Durable records: `append` resolves once the record is synced. Used from one event loop.
+    """Durable records: `append` resolves once the record is synced. Not thread-safe: used from one event loop.
 
-    A disk that rejects writes sets `failed`, and every append fails with `DiskFailedError` until it
-    accepts writes again; a record whose append failed may still be found after a restart, or not. A disk
-    that stalls leaves appends pending: callers have their own time-outs.
+    If the disk rejects a write, `failed` is set, and every append fails with `DiskFailedError` until the disk accepts
+    writes again. A record whose append failed may or may not be found after a restart. If the disk stalls, appends
+    stay pending: callers need their own timeouts.
     """
 
     def __init__(self, ring: Ring) -> None:
@@ -90,14 +90,12 @@
     def open(
         cls, directory: Path, segment_bytes: int, max_bytes: int, reclaim_above: int | None = None
     ) -> tuple[Journal, list[Record]]:
-        """Open or create the journal in a folder; return it and all its records, oldest first.
+        """Open or create the journal in a folder; return it and all its records, oldest first. Blocks on the disk.
 
-        Blocks on the disk.
-
-        Segments are `segment_bytes` long, or as long as one record that is longer. The oldest is
-        reclaimed while more than `reclaim_above` bytes are in use; never are more than `max_bytes`.
-        `DiskFailedError` where the disk rejects it; `CorruptRecordError` where records that were
-        synced are damaged, which no loss of power does: such a journal must not be trusted.
+        Segments are `segment_bytes` long, or longer for a single record that does not fit. The oldest segment is
+        reclaimed while more than `reclaim_above` bytes are in use; at most `max_bytes` are used. Raises
+        `DiskFailedError` if the disk rejects an operation, and `CorruptRecordError` if synced records are damaged:
+        a power failure can't cause that, so such a journal must not be used.
         """
         nonce = int.from_bytes(os.urandom(4), "little")
         try:
@@ -113,26 +111,26 @@
 
     @property
     def pending_bytes(self) -> int:
-        """Payload bytes that wait for the disk."""
+        """Number of payload bytes waiting for the disk."""
         return self._pending_bytes
 
     def set_rewriter(self, rewriter: Rewriter) -> None:
-        """Set how the oldest segment is emptied when the ring fills up.
-
-        `await rewriter(number)` runs on the event loop. It appends again, with `reclaiming=True`,
-        whatever records of that segment still count, waits for them, and returns; the segment's
-        records are then gone. It raises an `EmberringError` to leave the segment alone for now.
-        Segments are emptied oldest first. A record appended again may come before or after ordinary
-        ones in flight: write the newest state, those included, and let a start keep the newer of two
-        by their contents. Ordinary appends wait while the ring is full.
+        """Set the function that preserves the live records of the oldest segment before it is reclaimed.
+
+        `await rewriter(number)` runs on the event loop. It appends the live records of that segment again, with
+        `reclaiming=True`, waits until they are durable, and returns; then the segment is released and its records
+        are lost. It raises an `EmberringError` to postpone the reclaim. Segments are reclaimed oldest first.
+        A record that is appended again may be written before or after ordinary records in flight. The rewriter must
+        therefore write the newest state, including records in flight, and after a restart the reader must decide by
+        their contents which of two records is newer. Ordinary appends wait while the ring is full.
         """
         self._rewriter = rewriter
 
     def append(self, payload: bytes, reclaiming: bool = False) -> asyncio.Future[Position]:
-        """Append a record; the future has its position once it is synced, or `DiskFailedError`.
+        """Append a record; the future resolves to its position once it is synced, or fails with `DiskFailedError`.
 
-        Ordinary appends reach the disk in order. `reclaiming` is for a rewriter: it may use the
-        reserve.
+        Ordinary appends are written in order. `reclaiming` is for a rewriter, which may use the reserved
+        segments.
         """
         loop = asyncio.get_running_loop()
         future: asyncio.Future[Position] = loop.create_future()
@@ -152,21 +150,21 @@
         if self._stopping:
             return "the journal is closed"
         if self._failed:
-            return "the disk refuses"
+            return "the disk rejects writes"
         if self._pending_bytes and self._pending_bytes + length > MAX_PENDING_BYTES:
-            return "too much waits for the disk"
+            return "too much data waits for the disk"
         return ""
 
     async def read(self, position: Position) -> bytes:
-        """Return the payload at a position; `CorruptRecordError` where it is not there (any more)."""
+        """Return the payload at a position; raises `CorruptRecordError` if there is no such record (any more)."""
         if self._reader is None:
             self._reader = ThreadPoolExecutor(1, "journal-reader")
         return await asyncio.get_running_loop().run_in_executor(self._reader, self._ring.read, position)
 
     async def close(self) -> None:
-        """Write pending records, within `CLOSE_TIMEOUT_S`, and stop.
+        """Write pending records, for at most `CLOSE_TIMEOUT_S`, and stop.
 
-        A disk that stalls keeps its thread, which ends by itself.
+        If the disk stalls, the writer thread continues in the background and ends by itself later.
         """
         with self._condition:
             self._stopping = True
@@ -186,7 +184,7 @@
             self._thread = threading.Thread(target=self._write_all, name="journal-writer", daemon=True)
             self._thread.start()
 
-    # The writer's thread.
+    # Methods of the writer thread.
 
     def _write_all(self) -> None:
         while (group := self._next_group()) is not None:
@@ -196,7 +194,7 @@
                 self._try_heal()
 
     def _next_group(self) -> tuple[_Append, ...] | None:
-        """Return what to write next; empty when it is time to check the disk; None at the end."""
+        """Return the next group to write; empty if the disk is to be checked; None if the journal is closed."""
         with self._condition:
             while not (self._ready or self._stopping or self._releases):
                 if not self._condition.wait(HEAL_INTERVAL_S if self._failed else None):
@@ -229,7 +227,7 @@
 
     def _write(self, group: tuple[_Append, ...]) -> None:
         if self._failed:
-            self._post(self._finish, _Outcome(group, error=DiskFailedError("the disk refuses")))
+            self._post(self._finish, _Outcome(group, error=DiskFailedError("the disk rejects writes")))
             return
         try:
             payloads = [item.payload for item in group]
@@ -246,7 +244,7 @@
             self._ring.prepare_ahead()
 
     def _requeue(self, group: tuple[_Append, ...]) -> None:
-        """Let ordinary records wait until a segment is released; fail others: the ring is full."""
+        """Handle records that do not fit: ordinary ones wait until a segment is released, others fail."""
         if group[0].reclaiming or self._rewriter is None:
             self._post(self._finish, _Outcome(group, error=DiskFailedError("the ring is full")))
             return
@@ -263,11 +261,11 @@
 
     def _post(self, callback: Callable[[T], None], argument: T) -> None:
         if self._loop is None:
-            raise InternalError("the writer's thread runs without an event loop")
-        with contextlib.suppress(RuntimeError):  # the loop is closed: no future is awaited any more
+            raise InternalError("the writer thread runs without an event loop")
+        with contextlib.suppress(RuntimeError):  # the loop is closed, so no future is awaited any more
             self._loop.call_soon_threadsafe(callback, argument)
 
-    # The event loop.
+    # Methods of the event loop.
 
     def _finish(self, outcome: _Outcome) -> None:
         with self._condition:
@@ -291,7 +289,7 @@
         return self._ring_full or self._ring.crowded
 
     async def _reclaim(self, rewriter: Rewriter) -> None:
-        """Empty the oldest segments until there is capacity again, each at most once."""
+        """Reclaim the oldest segments until there is capacity again, each at most once."""
         try:
             newest = max(self._ring.numbers, default=0)
             while self._wants_reclaim and not self._stopping:
@@ -308,7 +306,7 @@
                 asyncio.get_running_loop().call_later(HEAL_INTERVAL_S, self._reclaim_if_needed)
 
     async def _release(self, number: int) -> None:
-        """Let the writer's thread release a segment, and wait for it."""
+        """Let the writer thread release a segment, and wait until it has."""
         released = asyncio.get_running_loop().create_future()
         with self._condition:
             self._releases.append(_Release(number, released))
--- a/emberring/journal/layout.py
+++ b/emberring/journal/layout.py
@@ -1,8 +1,8 @@
 """Binary form of a segment: a header, then records, each with a checksum and a link to the previous one.
 
-A record's checksum covers its position (segment and offset), so that what an earlier use of the file left
-behind never passes for a record. Its link is the checksum of the previous record, and its nonce is drawn anew
-at each start, so that a record that a torn write had cut off cannot reappear behind a new one.
+The checksum of a record covers its position (segment and offset), so that bytes from an earlier use of the file are
+never taken for a record. Its link is the checksum of the previous record, and its nonce is random for each start: a
+record that followed a torn one before a restart is not valid after a new one that replaces the torn one.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 FORMAT_VERSION = 1
 MAGIC = b"EMBRJRNL"
 SEGMENT_HEADER_BYTES = 64
-_SEGMENT = struct.Struct("<8sIIQQ")  # magic, format version, nonce, number, end of the segment before
+_SEGMENT = struct.Struct("<8sIIQQ")  # magic, format version, nonce, number, end of the previous segment
 _CHECKSUM = struct.Struct("<I")
 _RECORD = struct.Struct("<IIII")  # length, nonce, link, checksum
 _POSITION = struct.Struct("<QQIII")  # segment, offset, length, nonce, link
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class Position:
-    """Position of a record: segment number, offset of its header there, length of its payload in bytes."""
+    """Position of a record: number of its segment, offset of its header there, length of its payload (bytes)."""
 
     segment: int
     offset: int
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class Record:
-    """A payload and its position."""
+    """Payload and position of a record."""
 
     position: Position
     payload: bytes
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class SegmentHeader:
-    """Header of a segment. `previous_end` is where the records of the previous segment end, in bytes."""
+    """Header of a segment. `previous_end` is the offset at which the records of the previous segment end."""
 
     number: int
     previous_end: int
@@ -59,7 +59,7 @@
 
 
 def decode_segment_header(data: bytes) -> SegmentHeader | None:
-    """Decode a header; None where the bytes hold no valid header of this format version."""
+    """Decode a header; None if the bytes are not a valid header of this format version."""
     if len(data) < SEGMENT_HEADER_BYTES:
         return None
     body = data[: _SEGMENT.size]
@@ -73,29 +73,29 @@
 
 def checksum(position: Position, nonce: int, link: int, payload: bytes) -> int:
     """Return the checksum of a record at its position."""
-    place = _POSITION.pack(position.segment, position.offset, position.length, nonce, link)
-    return zlib.crc32(payload, zlib.crc32(place))
+    packed_position = _POSITION.pack(position.segment, position.offset, position.length, nonce, link)
+    return zlib.crc32(payload, zlib.crc32(packed_position))
 
 
 def encode_record(position: Position, nonce: int, link: int, payload: bytes) -> tuple[bytes, int]:
-    """Encode a record; return its bytes and its checksum, which the next record links to."""
-    found = checksum(position, nonce, link, payload)
-    return _RECORD.pack(position.length, nonce, link, found) + payload, found
+    """Encode a record; return its bytes and its checksum, which is the link of the next record."""
+    own_checksum = checksum(position, nonce, link, payload)
+    return _RECORD.pack(position.length, nonce, link, own_checksum) + payload, own_checksum
 
 
 def verify_record(position: Position, data: bytes) -> bytes | None:
-    """Return the payload of the record at this position, or None where the bytes are not that record."""
+    """Return the payload of the record at this position, or None if the bytes are not that record."""
     if len(data) != RECORD_HEADER_BYTES + position.length:
         return None
     length, nonce, link, expected = _RECORD.unpack_from(data)
     payload = data[RECORD_HEADER_BYTES:]
-    good = length == position.length and checksum(position, nonce, link, payload) == expected
-    return payload if good else None
+    valid = length == position.length and checksum(position, nonce, link, payload) == expected
+    return payload if valid else None
 
 
 @attrs.frozen
 class Scan:
-    """Contents of a segment: its records in order, where they end (bytes), and the link for the next one."""
+    """Contents of a segment: its records in order, the offset of their end, and the link of the next record."""
 
     records: tuple[Record, ...]
     end: int
@@ -103,7 +103,7 @@
 
 
 def scan_segment(header: SegmentHeader, data: bytes, limit: int | None = None) -> Scan:
-    """Decode the records of a segment, up to the first that is damaged or begins at `limit` or later."""
+    """Decode the records of a segment, up to the first one that is damaged or begins at `limit` or later."""
     records: list[Record] = []
     offset = SEGMENT_HEADER_BYTES
     link = header.link
--- a/emberring/journal/ring.py
+++ b/emberring/journal/ring.py
@@ -1,9 +1,9 @@
-"""Ring of files under a journal: records go to the newest segment, the oldest one's file is reused.
+"""Ring of files of a journal: records are written to the newest segment; files of released segments are reused.
 
-Every call blocks on the disk. One thread at a time may write; `read` may run beside it.
-Order on disk: a segment is complete and synced before the header of the next is written, and that header
-tells where the previous one ends. Files are reused in the order in which their segments were released, so
-that the segments found at a start always follow one another without a gap.
+Every call blocks on the disk. Only one thread may write at a time; `read` may run concurrently.
+Order of writes: a segment is complete and synced before the header of the next one is written, and that header
+contains the end of the previous segment. Files are reused in the order in which their segments were released, so that
+the segments found at a start are always consecutive.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
 )
 
 NAME_PREFIX = "ring-"
-RESERVED_SEGMENTS = 2  # reserved for what a reclaim appends again
-EXTRA_HEALING_SEGMENTS = 1  # beyond `max_bytes`, to leave a segment at which the disk failed
-ERASE_BYTES = 1024 * 1024  # written at once
+RESERVED_SEGMENTS = 2  # for the records that a reclaim appends again
+EXTRA_HEALING_SEGMENTS = 1  # beyond `max_bytes`, to replace a segment in which a write failed
+ERASE_BYTES = 1024 * 1024  # in one write of zeros
 
 
 @attrs.define(eq=False)
@@ -43,7 +43,7 @@
 
 @attrs.define
 class _NewestSegment:
-    """The newest segment: where its next record goes, and what that record links to."""
+    """The newest segment: offset (`end`) and link of its next record."""
 
     number: int
     segment_file: _SegmentFile
@@ -52,15 +52,15 @@
 
 
 def record_bytes(payload: bytes) -> int:
-    """Return how many bytes a payload takes up on disk."""
+    """Return the size of a record on disk, in bytes."""
     return RECORD_HEADER_BYTES + len(payload)
 
 
 class Ring:
-    """The segments in use, the free files, and the end of the newest segment. Sizes are in bytes.
+    """Segments in use, free files, and the end of the newest segment. Sizes are in bytes.
 
-    The oldest segment is to be reclaimed while more than `reclaim_above` is in use, by default all but a
-    reserve. `nonce` marks the records of this start.
+    The oldest segment should be reclaimed while more than `reclaim_above` is in use; the default is all except the
+    reserved segments. `nonce` is stored in the records that are written after this start.
     """
 
     def __init__(
@@ -83,9 +83,9 @@
     def open(
         cls, folder: Folder, segment_bytes: int, max_bytes: int, nonce: int, reclaim_above: int | None = None
     ) -> tuple[Ring, list[Record]]:
-        """Open the ring in this folder; return it and all its records in order.
+        """Open the ring in a folder; return it and all its records in order.
 
-        `CorruptRecordError` where synced records are damaged.
+        Raises `CorruptRecordError` if synced records are damaged.
         """
         ring = cls(folder, segment_bytes, max_bytes, nonce, reclaim_above)
         try:
@@ -124,15 +124,15 @@
             records.extend(scan.records)
             self._segment_files[header.number] = segment_file
             if following is None:
-                # What a killed process left unsynced counts from here on, so it must be durable.
+                # Records that a killed process wrote without a sync are valid from now on, so make them durable.
                 segment_file.file.sync()
                 self._newest = _NewestSegment(header.number, segment_file, scan.end, scan.link)
         return records
 
     @property
     def oldest(self) -> int | None:
-        """The oldest segment that may be released, or None while there is but the newest."""
-        numbers = tuple(self._segment_files)  # copied in one step: the writer's thread may add one meanwhile
+        """The oldest segment, which may be released; None if the newest segment is the only one."""
+        numbers = tuple(self._segment_files)  # copied in one step, as the writer thread may add one meanwhile
         return min(numbers) if len(numbers) > 1 else None
 
     @property
@@ -142,28 +142,28 @@
 
     @property
     def used_bytes(self) -> int:
-        """The size of the files of all segments in use."""
+        """Total size of the files of all segments in use."""
         return sum(segment_file.size for segment_file in tuple(self._segment_files.values()))
 
     @property
     def crowded(self) -> bool:
-        """Whether the oldest segment should be released soon."""
+        """Whether the oldest segment should be reclaimed."""
         return self.used_bytes > self._reclaim_above
 
     def release(self, number: int) -> None:
-        """Release the oldest segment, whose records are not needed any more: its file may be reused."""
+        """Release the oldest segment, whose records are not needed any more, so that its file can be reused."""
         if number != self.oldest:
             raise ValueError(f"segment {number} is not the oldest")
         self._free_files.append(self._segment_files.pop(number))
 
     def commit(self, payloads: Sequence[bytes], reclaiming: bool = False) -> list[Position]:
-        """Write records and sync them; return the positions of those that fit, which are the first ones.
+        """Write and sync the first records, as many as fit into the ring; return their positions.
 
-        After a `DiskFailedError` a start may find the first few of them or none, and `heal` must come
+        After a `DiskFailedError`, a restart may find none or the first few of the records, and `heal` must be called
         before the next commit.
         """
         if self._failed:
-            raise DiskFailedError("the ring has not healed")
+            raise DiskFailedError("the ring has not recovered from a failed write")
         positions: list[Position] = []
         remaining = deque(payloads)
         try:
@@ -175,16 +175,16 @@
         return positions
 
     def heal(self) -> None:
-        """Recover after a failure: leave the newest segment at its last valid record and begin another one.
+        """Recover after a failed write: end the newest segment at its last valid record and begin another one.
 
-        Where the ring is too full for another one, what lies behind the last valid record is erased
-        instead. `DiskFailedError` where the disk still rejects writes.
+        If the ring is too full for another segment, the bytes after the last valid record are erased instead. Raises
+        `DiskFailedError` if the disk still rejects writes.
         """
         if not self._failed:
             return
         try:
-            # A new segment wherever one fits. If a header that failed to sync is durable all the same, it says
-            # where the newest segment ends, which must not grow any more; and that segment did fit.
+            # Begin a new segment whenever one fits. A header whose sync failed may be durable nevertheless: it
+            # contains the end of the newest segment, which then must not grow. In that case a new segment does fit.
             if self._may_begin_segment_to_heal:
                 self._begin_segment(self._segment_bytes)
             else:
@@ -194,14 +194,14 @@
         self._failed = False
 
     def prepare_ahead(self) -> None:
-        """Create the next segment's file while there is still capacity in this one. Failures show later."""
+        """Create the file of the next segment before the newest one is full. Later calls report lasting failures."""
         if self._free_files or self._newest is None or self._newest.end * 2 < self._newest.segment_file.size:
             return
         if self.used_bytes + self._segment_bytes <= self._max_bytes:
             self._free_files.append(self._create(self._segment_bytes))
 
     def read(self, position: Position) -> bytes:
-        """Return the payload at this position; `CorruptRecordError` where it is not there (any more)."""
+        """Return the payload at a position; raises `CorruptRecordError` if there is no such record (any more)."""
         segment_file = self._segment_files.get(position.segment)
         if segment_file is None:
             raise CorruptRecordError(f"segment {position.segment} is not in use")
@@ -220,7 +220,7 @@
             file.close()
 
     def _ensure_capacity(self, needed: int, reclaiming: bool) -> bool:
-        """Whether `needed` bytes fit into the newest segment or into a new one, which is begun for them."""
+        """Return whether `needed` bytes fit into the newest segment; begin a new one for them if necessary."""
         if self._newest is not None and self._newest.end + needed <= self._newest.segment_file.size:
             return True
         size = max(self._segment_bytes, SEGMENT_HEADER_BYTES + needed)
@@ -239,7 +239,7 @@
         return not self._segment_files or self.used_bytes + self._segment_bytes <= limit_bytes
 
     def _erase_after_newest(self) -> None:
-        """Write zeros behind the newest segment's last valid record, so that nothing behind it reappears."""
+        """Overwrite the newest segment after its last valid record with zeros, so that no failed write reappears."""
         newest = self._require_newest()
         segment_file = newest.segment_file
         for offset in range(newest.end, segment_file.size, ERASE_BYTES):
@@ -247,7 +247,7 @@
         segment_file.file.sync()
 
     def _write_run(self, remaining: deque[bytes]) -> list[Position]:
-        """Write as many records as fit into the newest segment, at once, and sync them."""
+        """Write as many records as fit into the newest segment with one write, and sync them."""
         newest = self._require_newest()
         positions: list[Position] = []
         chunks: list[bytes] = []
@@ -274,7 +274,7 @@
         if not self._free_files:
             self._free_files.append(self._create(size))
         segment_file = self._free_files[0]
-        # Never truncate it: until the new header is durable, a start reads the file as it was.
+        # Never truncate the file: until the new header is durable, a restart reads its previous segment.
         if segment_file.size < size:
             segment_file.file.resize(size)
             segment_file.size = size
--- a/emberring/journal/scan.py
+++ b/emberring/journal/scan.py
@@ -1,4 +1,4 @@
-"""Read-only scan of a journal's folder: what it holds and what is damaged. Blocks on the disk."""
+"""Read-only scan of the folder of a journal: its contents and its damage. Blocks on the disk."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class SegmentScan:
-    """A segment in use: file, number, count of valid records, where they end and its size (bytes)."""
+    """A segment in use: file, number, count of valid records, offset of their end, size of the file (bytes)."""
 
     file: str
     number: int
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class JournalScan:
-    """All segments in order, their records, the number of free files, and one line for each damage."""
+    """All segments in order, their records, the number of free files, and one line of text for each damage."""
 
     segments: tuple[SegmentScan, ...]
     records: tuple[Record, ...]
@@ -40,15 +40,15 @@
 
     @property
     def used_bytes(self) -> int:
-        """The bytes of valid records and headers."""
+        """Total size of valid records and of segment headers, in bytes."""
         return sum(segment.end for segment in self.segments)
 
 
 def scan_journal(directory: Path) -> JournalScan:
-    """Scan a journal's folder; `OSError` where it can't be read.
+    """Scan the folder of a journal; raises `OSError` if it can't be read.
 
-    A last segment that ends in bytes which are no record is in order: a process or machine stopped while
-    it wrote.
+    Bytes after the last valid record of the newest segment are not damage: the process or the machine stopped during a
+    write, or the file was in use before.
     """
     damages: list[str] = []
     found: list[tuple[SegmentHeader, str, bytes]] = []
--- a/emberring/store/__init__.py
+++ b/emberring/store/__init__.py
@@ -1,1 +1,1 @@
-"""The store's process: records of batch jobs on disk, served to gateways and other stores."""
+"""Store process: records of batch jobs on disk, served to gateways and other stores."""
--- a/emberring/store/disk.py
+++ b/emberring/store/disk.py
@@ -1,4 +1,4 @@
-"""The store's disk: its identity, its journal, and the replicas restored from the journal."""
+"""Disk of a store: its identity, its journal, and the replicas that are restored from the journal."""
 
 from __future__ import annotations
 
@@ -20,30 +20,32 @@
 
 JOURNAL_FOLDER = "journal"
 SEGMENT_BYTES = 4 * 1024 * 1024
-RECLAIM_ABOVE_BYTES = 96 * 1024 * 1024  # all of it is read at a start, so it must fit into memory
+RECLAIM_ABOVE_BYTES = 96 * 1024 * 1024  # the whole journal is read at a start, so it must fit into memory
 MAX_JOURNAL_BYTES = 192 * 1024 * 1024
-DISK_SHARE = 0.6
-VALUE_SHARE = 0.5  # of the journal; the rest is for results of accepted batch jobs, and for reclaiming
+DISK_SHARE = 0.6  # of the disk, for the journal
+VALUE_SHARE = (
+    0.5  # of the journal, for values; the rest is for results of accepted batch jobs and for reclaiming
+)
 
 logger = get_logger("store")
 
 
 @attrs.frozen
 class StoreDisk:
-    """The opened disk. `capacity_bytes`: for values, so that the journal never fills up with live records."""
+    """An open disk of a store."""
 
     identity: str
     journal: Journal
     replicas: dict[int, Replica]
-    capacity_bytes: int  # for values, so that the journal never fills up with what counts
+    capacity_bytes: int  # for values; limited so that live records never fill up the journal
 
 
 def open_disk(directory: Path, disk_mb: float, now_s: float) -> StoreDisk:
-    """Open the store's folder. Blocks on the disk.
+    """Open the folder of a store. Blocks on the disk.
 
-    A folder without a valid identity or with a damaged journal is reinitialized under another identity.
-    `DiskFailedError` where the disk rejects it. `disk_mb`: size of the disk in MB, or 0; `now_s`: the
-    event loop's time.
+    A folder without a valid identity or with a damaged journal is reinitialized under a new identity. Raises
+    `DiskFailedError` if the disk rejects an operation. `disk_mb`: size of the disk in MB, or 0 if unknown;
+    `now_s`: the time of the event loop.
     """
     try:
         directory.mkdir(parents=True, exist_ok=True)
@@ -77,21 +79,21 @@
 
 
 def record_process_start(journal: Journal, now_s: float) -> None:
-    """Record in the journal that the process starts; called on the event loop before any other append."""
+    """Append an entry for the start of the process. Must be called on the event loop before any other append."""
     journal.append(encode_entry(0, now_s, Started())).add_done_callback(_on_start_recorded)
 
 
-def _on_start_recorded(done: asyncio.Future[Position]) -> None:
-    if not done.cancelled() and done.exception() is not None:
+def _on_start_recorded(future: asyncio.Future[Position]) -> None:
+    if not future.cancelled() and future.exception() is not None:
         logger.warning("event=start_not_marked")
 
 
 def restore(records: list[JournalRecord], now_s: float) -> dict[int, Replica]:
-    """Return the replicas after these entries.
+    """Return the replicas with the entries of these records applied.
 
-    The monotonic clock starts anew, at any value, when a machine does. What is certain of a batch job's
-    age is what its record says and what elapsed since within incarnations of the process; never the
-    difference of clocks across a start.
+    The monotonic clock starts at an arbitrary value when the machine boots, so clocks of different incarnations of the
+    process can't be compared. The age of a batch job is the age in its record plus the time that has elapsed since
+    within each incarnation; the time between incarnations is not included.
     """
     replicas = {shard: Replica(shard) for shard in range(SHARDS)}
     entries = [(record.position.segment, decode_entry(record.payload)) for record in records]
@@ -105,13 +107,13 @@
 
 
 def _elapsed_since(entries: list[Logged]) -> list[float]:
-    """Return for each entry the seconds that elapsed since it was written, as far as incarnations tell."""
-    found: list[float] = []
+    """Return for each entry how many seconds have elapsed since it was written, without those between incarnations."""
+    elapsed_of_entries: list[float] = []
     elapsed_s, later_s = 0.0, None
     for logged in reversed(entries):
         if later_s is not None:
             elapsed_s += max(0.0, later_s - logged.clock_s)
         later_s = None if isinstance(logged.entry, Started) else logged.clock_s
-        found.append(elapsed_s)
-    found.reverse()
-    return found
+        elapsed_of_entries.append(elapsed_s)
+    elapsed_of_entries.reverse()
+    return elapsed_of_entries
--- a/emberring/store/dispatch.py
+++ b/emberring/store/dispatch.py
@@ -1,8 +1,8 @@
-"""Dispatch of waiting items to the gateways that poll for some, in even shares.
+"""Dispatch of waiting items, in even shares, to the gateways that poll for them.
 
-Gateways of this store's zone come first, as traffic between zones costs money: bodies and events. Those of
-other zones get what still waits a moment later, and all are treated alike while something has been waiting
-for longer than that.
+Gateways in the zone of this store have priority, as traffic between zones (bodies and events) costs money. Items that
+are still waiting after `REMOTE_ZONE_DELAY_S` are also leased to gateways of other zones. While items have been waiting
+for longer than that, gateways of all zones are served at once.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from emberring.jobs.calls import Assignment, LeaseItems, LeaseItemsReply
 from emberring.store.shard_manager import ShardManager
 
-REMOTE_ZONE_DELAY_S = 0.25  # items wait for so long for gateways of this zone
+REMOTE_ZONE_DELAY_S = 0.25  # for which items wait for gateways of this zone only
 
 
 @attrs.define(eq=False)
 class _Poll:
-    """A gateway's poll that waits for items."""
+    """A poll of a gateway that is waiting for items."""
 
     gateway: str
     capacity: int
@@ -28,7 +28,7 @@
 
 
 class Dispatch:
-    """Long polls of gateways for items of any shard that this store owns."""
+    """Long polls of gateways for items of all shards that this store owns."""
 
     def __init__(self, shards: ShardManager, zone: str = "") -> None:
         self._shards = shards
@@ -39,7 +39,7 @@
         shards.on_items_waiting = self.schedule_assignment
 
     async def lease(self, message: LeaseItems) -> LeaseItemsReply:
-        """Return items to run: at once if some wait, otherwise within the allowed wait."""
+        """Return items to run: at once if some are waiting, otherwise after at most `message.wait_ms`."""
         loop = asyncio.get_running_loop()
         poll = _Poll(message.gateway, message.capacity, message.zone == self._zone, loop.create_future())
         self._polls.append(poll)
@@ -48,7 +48,7 @@
             async with asyncio.timeout(message.wait_ms / 1000):
                 return await poll.future
         except TimeoutError:
-            # Items that were assigned just as the wait was over are leased already and would be lost.
+            # Items that were assigned just when the wait timed out are already leased and must not be lost.
             assigned = poll.future.done() and not poll.future.cancelled()
             return poll.future.result() if assigned else LeaseItemsReply()
         finally:
@@ -56,7 +56,7 @@
                 self._polls.remove(poll)
 
     def schedule_assignment(self) -> None:
-        """Schedule an assignment of items to polls after the current callback of the event loop."""
+        """Assign items to polls after the current callback of the event loop."""
         if self._polls and not self._assignment_scheduled:
             self._assignment_scheduled = True
             asyncio.get_running_loop().call_soon(self._assign_waiting)
@@ -75,7 +75,7 @@
             asyncio.get_running_loop().call_later(REMOTE_ZONE_DELAY_S, self.schedule_assignment)
 
     def _waiting(self, now_s: float) -> int:
-        """Return an upper bound of the number of items that wait in the shards that this store owns."""
+        """Return an upper bound of the number of waiting items in the shards that this store owns."""
         return sum(
             self._shards.job_managers[shard].waiting
             for shard, owner in self._shards.owners.items()
@@ -83,7 +83,7 @@
         )
 
     def _assign_evenly(self, now_s: float, polls: list[_Poll]) -> None:
-        """Assign even shares of what waits to these polls."""
+        """Assign even shares of the waiting items to these polls."""
         for number, poll in enumerate(polls):
             waiting = self._waiting(now_s)
             if not waiting:
--- a/emberring/store/gateway_calls.py
+++ b/emberring/store/gateway_calls.py
@@ -1,4 +1,4 @@
-"""Calls of gateways to this store as the owner of a batch job's shard."""
+"""Handlers of the calls of gateways, which this store answers for the shards that it owns."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class GatewayCalls:
-    """Handlers of messages about batch jobs."""
+    """Handlers of the messages of gateways about batch jobs."""
 
     def __init__(self, shards: ShardManager) -> None:
         self._shards = shards
 
     async def submit(self, message: SubmitJob) -> JobReply:
-        """Submit a batch job. `OverloadedError` where the disk has no capacity for more."""
+        """Submit a batch job; raises `OverloadedError` if the disk has no capacity for a new one."""
         shard = shard_of(message.host)
         known = job_key(message.host, message.job) in self._shards.serving(shard).jobs
         if not known and self._shards.host.overloaded:
@@ -29,7 +29,7 @@
         )
 
     async def read(self, message: ReadJob) -> JobReply:
-        """Read results. `NotReadyError` where this store is no longer the owner after the wait."""
+        """Read results; raises `NotReadyError` if this store is not the owner any more after the wait."""
         shard = shard_of(message.host)
         page = await self._shards.call(
             shard, lambda job_manager, call: job_manager.read(_now_s(), call, message)
@@ -50,11 +50,11 @@
         )
 
     async def report(self, message: ReportRuns) -> ReportRunsReply:
-        """Renew the leases of runs."""
+        """Renew the leases of runs and store their progress."""
         return self._shards.serving(message.shard).report_runs(_now_s(), message)
 
     async def finish(self, message: FinishRun) -> JobReply:
-        """Finish a run."""
+        """Handle the end of a run."""
         return await self._shards.call(
             message.shard, lambda job_manager, call: job_manager.finish_run(_now_s(), call, message)
         )
--- a/emberring/store/identity.py
+++ b/emberring/store/identity.py
@@ -1,4 +1,4 @@
-"""The identity of a disk: drawn at random when the disk is first used, and lost with the disk."""
+"""Identity of a disk: a random string, generated when the disk is first used and stored only on it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def read_identity(directory: Path) -> str | None:
-    """Return the identity stored in this folder; None where the file is missing or damaged."""
+    """Return the identity stored in a folder; None if the file is missing or damaged."""
     try:
         parts = (directory / FILE_NAME).read_text(encoding="ascii").split()
     except (OSError, UnicodeDecodeError):
@@ -23,7 +23,7 @@
 
 
 def create_identity(directory: Path) -> str:
-    """Create an identity and sync it into this folder. `OSError` where the disk rejects it."""
+    """Create an identity and store it durably in a folder; raises `OSError` if the disk rejects it."""
     identity = secrets.token_hex(IDENTITY_BYTES)
     with open(directory / FILE_NAME, "wb") as file:
         file.write(f"{identity} {_check(identity)}\n".encode("ascii"))
@@ -34,7 +34,7 @@
 
 
 def sync_folder(directory: Path) -> None:
-    """Sync a folder, so that the names in it are durable."""
+    """Sync a folder, so that the names of its files are durable."""
     handle = os.open(directory, os.O_RDONLY)
     try:
         os.fsync(handle)
--- a/emberring/store/replica_client.py
+++ b/emberring/store/replica_client.py
@@ -1,4 +1,4 @@
-"""Calls of this store's owners to replicas, in this process or at other stores, and lease renewals."""
+"""Calls and lease renewals from the shard owners of this store to replicas, here or at other stores."""
 
 from __future__ import annotations
 
@@ -50,12 +50,12 @@
     ReleaseOwnership: 0.5,
 }
 
-Done = Callable[[ReplicaReply | None], None]
+ReplyCallback = Callable[[ReplicaReply | None], None]
 RenewalCallback = Callable[[str, float, RenewLeasesReply], None]
 
 
 class ReplicaClient:
-    """Calls replicas by the identity of their disk. `addresses` has the current address of each identity."""
+    """Client that calls replicas by the identity of their disk. `addresses`: current address of each identity."""
 
     def __init__(self, network: Network, host: ReplicaHost) -> None:
         self.addresses: dict[str, str] = {}
@@ -64,41 +64,44 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._renewals_in_flight: dict[str, int] = {}
 
-    def call(self, target: str, message: ReplicaRequest, done: Done) -> None:
-        """Call a replica; `done` gets its reply, or None where there was none."""
+    def call(self, target: str, message: ReplicaRequest, callback: ReplyCallback) -> None:
+        """Call a replica; `callback` receives its reply, or None if the call failed."""
         if target == self._host.identity:
             self._host.handle(
-                message, lambda reply: done(None if isinstance(reply, EmberringError) else reply)
+                message, lambda reply: callback(None if isinstance(reply, EmberringError) else reply)
             )
             return
-        self._spawn(self._call(target, message, done))
+        self._spawn(self._call(target, message, callback))
 
-    async def _call(self, target: str, message: ReplicaRequest, done: Done) -> None:
+    async def _call(self, target: str, message: ReplicaRequest, callback: ReplyCallback) -> None:
         try:
-            done(await self._send(target, message, REPLY_OF[type(message)], TIMEOUT_S[type(message)]))
+            callback(await self._send(target, message, REPLY_OF[type(message)], TIMEOUT_S[type(message)]))
         except EmberringError:
-            done(None)
+            callback(None)
 
     async def _send(
         self, target: str, message: ReplicaRequest | RenewLeases, reply: type[Reply], timeout_s: float
     ) -> Reply:
         address = self.addresses.get(target)
         if address is None:
-            raise PeerUnavailableError(f"nobody knows where {target} is")
+            raise PeerUnavailableError(f"no address is known for identity {target}")
         return await self._network.call(address, message, reply, timeout_s)
 
-    def renew_lease(self, target: str, leases: list[ShardLease], done: RenewalCallback) -> None:
-        """Renew these leases at a replica; `done` gets its identity, the time of sending, and the reply."""
+    def renew_lease(self, target: str, leases: list[ShardLease], callback: RenewalCallback) -> None:
+        """Renew leases at a replica; `callback` receives its identity, the time of sending, and the reply.
+
+        The callback is not called if the renewal fails or is skipped, as too many are in flight.
+        """
         message = RenewLeases(self._host.identity, target, tuple(leases))
         sent_s = asyncio.get_running_loop().time()
         if target == self._host.identity:
-            done(target, sent_s, self._host.renew_lease(message))
+            callback(target, sent_s, self._host.renew_lease(message))
         elif self._renewals_in_flight.get(target, 0) < MAX_LEASE_RENEWALS_IN_FLIGHT:
             self._renewals_in_flight[target] = self._renewals_in_flight.get(target, 0) + 1
-            self._spawn(self._renew_leases(target, message, sent_s, done))
+            self._spawn(self._renew_leases(target, message, sent_s, callback))
 
     async def _renew_leases(
-        self, target: str, message: RenewLeases, sent_s: float, done: RenewalCallback
+        self, target: str, message: RenewLeases, sent_s: float, callback: RenewalCallback
     ) -> None:
         try:
             reply = await self._send(target, message, RenewLeasesReply, LEASE_RENEWAL_TIMEOUT_S)
@@ -106,7 +109,7 @@
             return
         finally:
             self._renewals_in_flight[target] -= 1
-        done(target, sent_s, reply)
+        callback(target, sent_s, reply)
 
     def _spawn(self, coroutine: Coroutine[object, object, None]) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)
@@ -114,6 +117,6 @@
         task.add_done_callback(self._tasks.discard)
 
     def close(self) -> None:
-        """Cancel all calls."""
+        """Cancel all calls in flight."""
         for task in self._tasks:
             task.cancel()
--- a/emberring/store/role.py
+++ b/emberring/store/role.py
@@ -1,4 +1,4 @@
-"""The store role: replicas of shards on its disk, and the owners among them."""
+"""Store role: hosts replicas of shards on its disk and owns some of the shards."""
 
 from __future__ import annotations
 
@@ -43,20 +43,20 @@
 
 TICK_INTERVAL_S = 0.05
 LEASE_RENEWAL_INTERVAL_S = 0.2
-DISK_STALL_TIMEOUT_S = 0.5  # a store whose disk has not answered for so long releases its shards
-OWNERSHIP_HANDOVER_S = 0.8  # between the start of the shutdown and its end
+DISK_STALL_TIMEOUT_S = 0.5  # of the oldest write, after which the store releases its shards
+OWNERSHIP_HANDOVER_S = 0.8  # for which a store that shuts down still answers calls
 MIGRATION_REPORT_TIMEOUT_S = 1.0
 
 logger = get_logger("store")
 
 
 class StoreKnowledge(TierKnowledge, Protocol):
-    """The store's knowledge of the tier and its announcement of itself; `Follower` provides it."""
+    """State of the tier as known to the store, and its own announcement `me`; `Follower` implements it."""
 
     me: NodeRecord
 
     async def start(self) -> None:
-        """Start to follow the tier's state."""
+        """Start following the state of the tier."""
 
     async def stop(self) -> None:
         """Stop following."""
@@ -66,7 +66,7 @@
 
 
 class Store:
-    """One store process. `make_knowledge` creates its source of knowledge of the tier."""
+    """A store process. `make_knowledge` creates the object that follows the state of the tier."""
 
     def __init__(self, settings: Settings, make_knowledge: MakeKnowledge = Follower) -> None:
         loop = asyncio.get_running_loop()
@@ -114,7 +114,7 @@
         return self.host.renew_lease(message)
 
     async def start(self) -> None:
-        """Listen, follow the tier, and start to own shards."""
+        """Listen, follow the state of the tier, and start claiming shards."""
         self.follower.subscribe(self._on_knowledge_changed)
         await self.network.listen(self.address)
         await self.follower.start()
@@ -126,7 +126,7 @@
         while True:
             try:
                 action()
-            except Exception:  # outermost loop: one failed call must not end leases and ticks for good
+            except Exception:  # outermost loop: an error in one call must not stop ticks and lease renewals
                 logger.exception("event=tick_failed")
             await asyncio.sleep(interval_s)
 
@@ -174,7 +174,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def shutdown(self) -> None:
-        """Shut down gracefully: release ownership, answer for a moment longer, stop."""
+        """Shut down gracefully: release all shards, answer calls during the handover, then stop."""
         logger.info("event=store_leaving")
         self._shutting_down = True
         self.follower.me = attrs.evolve(self.follower.me, leaving=True)
@@ -189,7 +189,7 @@
 
 
 async def run(settings: Settings) -> None:
-    """Run the store until SIGTERM. `DiskFailedError` where the disk cannot be opened."""
+    """Run the store until SIGTERM or SIGINT; raises `DiskFailedError` if the disk cannot be opened."""
     loop = asyncio.get_running_loop()
     ended = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/emberring/store/shard_manager.py
+++ b/emberring/store/shard_manager.py
@@ -1,4 +1,4 @@
-"""All shards that this store may own: their owners and job managers, run on the event loop."""
+"""Owners and job managers of all shards at a store, driven by the event loop."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 from emberring.store.replica_client import ReplicaClient
 from emberring.store.replica_host import ReplicaHost
 
-CALL_TIMEOUT_S = 6.0  # of a gateway's call
+CALL_TIMEOUT_S = 6.0  # for the answer to a call of a gateway
 
 logger = get_logger("store")
 
 
 class ShardManager:
-    """Owners and job managers of all shards.
+    """Owners and job managers of all shards, and the actions that they return.
 
-    `status_s`: for how many seconds after its submission an ended batch job can be read.
-    `on_migration_completed(shard, epoch)` is called for groups whose joining replicas are complete.
-    `on_items_waiting` may be replaced and is called when items may wait for gateways.
+    `status_s`: number of seconds after its submission for which an ended batch job can be read.
+    `on_migration_completed(shard, epoch)` is called for groups whose joining replicas store all records.
+    `on_items_waiting`, which may be replaced, is called when items may be waiting for gateways.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
     # Changes of the tier.
 
     def apply_placement(self, placement: Placement) -> None:
-        """Apply a newer placement."""
+        """Apply a newer placement of shards."""
         now_s = _now_s()
         for group in placement.groups:
             owner = self.owners[group.shard]
@@ -76,7 +76,7 @@
             job_manager.configure(configuration)
 
     def tick(self, healthy: bool, live: set[str]) -> None:
-        """Carry out what is due now.
+        """Let all owners, and the job managers of owned shards, carry out the actions that are due.
 
         `healthy`: the disk works and the store is not shutting down; `live`: identities of stores in
         contact.
@@ -109,15 +109,17 @@
     # Calls of gateways.
 
     def serving(self, shard: int) -> JobManager:
-        """Return the job manager of a shard that this store may answer for.
+        """Return the job manager of a shard that this store owns under an active lease.
 
-        `NotOwnerError` otherwise, with the owner's address if it is known.
+        Otherwise raises `NotOwnerError`, with the owner's address if it is known.
         """
         owner = self.owners[shard]
         if not owner.serving(_now_s()):
-            known = self._replica_client.addresses.get(self.host.replicas[shard].owner, "")
+            owner_address = self._replica_client.addresses.get(self.host.replicas[shard].owner, "")
             raise NotOwnerError(
-                known if known != self._replica_client.addresses.get(self.host.identity) else ""
+                owner_address
+                if owner_address != self._replica_client.addresses.get(self.host.identity)
+                else ""
             )
         return self.job_managers[shard]
 
@@ -126,8 +128,8 @@
     ) -> JobReply:
         """Call the job manager of a shard and wait for the answer.
 
-        Nothing was done where `NotOwnerError` is raised; `UnknownOutcomeError` where no quorum
-        answered in time.
+        Raises `NotOwnerError` if this store is not the owner and has done nothing, and `UnknownOutcomeError` if
+        no quorum of replicas answered in time.
         """
         job_manager = self.serving(shard)
         call = self._next_call
@@ -169,14 +171,14 @@
     def _send(self, shard: int, action: SendToReplica) -> None:
         owner = self.owners[shard]
 
-        def done(reply: ReplicaReply | None) -> None:
+        def callback(reply: ReplicaReply | None) -> None:
             now_s = _now_s()
             if reply is None:
                 self._perform(shard, owner.on_call_failed(now_s, action.ticket))
             else:
                 self._perform(shard, owner.on_reply(now_s, action.ticket, reply))
 
-        self._replica_client.call(action.target, action.message, done)
+        self._replica_client.call(action.target, action.message, callback)
 
     def _perform_job_manager(self, shard: int, actions: list[JobManagerAction]) -> None:
         now_s = _now_s()
--- a/emberring/store/status.py
+++ b/emberring/store/status.py
@@ -1,4 +1,4 @@
-"""Status of a store's shards and batch jobs for tools; reading it changes nothing."""
+"""Handler of status requests of tools about the shards and batch jobs of a store. It has no side effects."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from emberring.store.shard_manager import ShardManager
 from emberring.transport.network import Caller
 
-MAX_LISTED_JOBS = 500  # in one answer
+MAX_LISTED_JOBS = 500  # in one reply
 
 
 class StoreStatusHandler:
-    """Handler of status requests."""
+    """Handler of `StoreStatusRequest`."""
 
     def __init__(self, shards: ShardManager) -> None:
         self._shards = shards
 
     async def answer(self, request: StoreStatusRequest, caller: Caller) -> StoreStatus:
-        """Return the current status."""
+        """Return the current status of the store."""
         now_s = asyncio.get_running_loop().time()
         host = self._shards.host
         owned = [shard for shard, owner in self._shards.owners.items() if owner.serving(now_s)]
