--- a/tests/emberring/jobs/test_tier_job_client.py
+++ b/tests/emberring/jobs/test_tier_job_client.py
@@ -1,4 +1,4 @@
-"""The gateway's client of batch jobs: finds the owner, and promises nothing that is not certain."""
+"""The gateway's client of batch jobs finds the owner and reports a definite outcome only if it is certain."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class TierKnowledge:
-    """Three stores that hold every shard."""
+    """State of a tier with three stores, each a replica of every shard."""
 
     configuration: Configuration | None = Configuration(7, (ROUTE,), ())
     placement: Placement | None = Placement(
@@ -46,53 +46,53 @@
     nodes: ClassVar = {name: NodeRecord(name, NodeRole.STORE, f"{name}:1", "", name) for name in NAMES}
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Nothing changes."""
+        """Do nothing, as the state never changes."""
 
 
-class Wire:
-    """Answers calls by a script: at each call the next entry, the last one again and again."""
+class ScriptedNetwork:
+    """Network that answers each call with the next entry of a script, and repeats the last one."""
 
     def __init__(self, *script: Any) -> None:
         self.script = list(script)
-        self.asked: list[tuple[str, Any]] = []
+        self.calls: list[tuple[str, Any]] = []
 
     async def call(self, address: str, body: Any, reply: type[Any], timeout_s: float) -> Any:
-        self.asked.append((address, body))
-        found = self.script.pop(0) if len(self.script) > 1 else self.script[0]
-        if isinstance(found, EmberringError):
-            raise found
-        if found == "owner is c":
+        self.calls.append((address, body))
+        outcome = self.script.pop(0) if len(self.script) > 1 else self.script[0]
+        if isinstance(outcome, EmberringError):
+            raise outcome
+        if outcome == "owner is c":
             if address == "c:1":
                 return Ok()
             raise NotOwnerError("c:1")
-        return found
+        return outcome
 
 
-def submit(*script: Any) -> Wire:
-    wire = Wire(*script)
-    client = JobClient(wire, TierKnowledge())  # type: ignore[arg-type]
+def submit(*script: Any) -> ScriptedNetwork:
+    network = ScriptedNetwork(*script)
+    client = JobClient(network, TierKnowledge())  # type: ignore[arg-type]
     asyncio.run(client.submit(HOST, ROUTE, "lot", b"{}"))
-    return wire
+    return network
 
 
-def test_a_submission_carries_what_the_route_says() -> None:
-    wire = submit(Ok())
-    ((_, message),) = wire.asked
+def test_a_submission_carries_the_settings_of_its_route() -> None:
+    network = submit(Ok())
+    ((_, message),) = network.calls
     assert isinstance(message, SubmitJob)
     assert (message.terms.version, message.terms.max_queued_tokens, message.terms.path) == (7, 9, "/batch/")
 
 
 def test_the_owner_is_found_and_remembered() -> None:
-    wire = Wire("owner is c")
-    client = JobClient(wire, TierKnowledge())  # type: ignore[arg-type]
+    network = ScriptedNetwork("owner is c")
+    client = JobClient(network, TierKnowledge())  # type: ignore[arg-type]
 
-    async def play() -> None:
+    async def scenario() -> None:
         await client.submit(HOST, ROUTE, "one", b"{}")
-        before = len(wire.asked)
+        before = len(network.calls)
         await client.submit(HOST, ROUTE, "two", b"{}")
-        assert [address for address, _ in wire.asked[before:]] == ["c:1"]
+        assert [address for address, _ in network.calls[before:]] == ["c:1"]
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -112,7 +112,9 @@
         ((PeerTimeoutError(), BadRequestError()), BadRequestError),
     ],
 )
-def test_refusals_promise_only_what_is_certain(script: tuple[Any, ...], kind: type[EmberringError]) -> None:
+def test_an_error_is_definite_only_if_nothing_can_have_been_written(
+    script: tuple[Any, ...], kind: type[EmberringError]
+) -> None:
     with pytest.raises(EmberringError) as caught:
         submit(*script)
     assert type(caught.value) is kind
@@ -122,19 +124,19 @@
     "script",
     [(PeerTimeoutError(), Ok()), (PeerUnavailableError(), Ok()), (NotOwnerError("b:1"), Ok())],
 )
-def test_a_submission_that_is_accepted_by_a_later_attempt_is_accepted(script: tuple[Any, ...]) -> None:
-    assert len(submit(*script).asked) == 2
+def test_a_submission_that_a_retry_delivers_is_accepted(script: tuple[Any, ...]) -> None:
+    assert len(submit(*script).calls) == 2
 
 
 def read(*script: Any) -> bytes:
-    client = JobClient(Wire(*script), TierKnowledge())  # type: ignore[arg-type]
+    client = JobClient(ScriptedNetwork(*script), TierKnowledge())  # type: ignore[arg-type]
     return asyncio.run(client.read(HOST, "lot", 0, 0))
 
 
-def test_reads_ask_on_until_it_is_certain() -> None:
+def test_reads_are_retried_until_the_reply_is_definite() -> None:
     page = JobPage(3, 2, encode_result(0, "i", ResultState.DEAD_LETTER, ""))
-    found = b'{"Total":3,"NextPageToken":3,"Results":[{"Id":"i","State":"dead_letter","Message":""}]}'
-    assert read(NotReadyError(), PeerTimeoutError(), NotOwnerError("a:1"), page) == found
+    expected = b'{"Total":3,"NextPageToken":3,"Results":[{"Id":"i","State":"dead_letter","Message":""}]}'
+    assert read(NotReadyError(), PeerTimeoutError(), NotOwnerError("a:1"), page) == expected
     with pytest.raises(NotFoundError):
         read(PeerTimeoutError(), NotFoundError())
     with pytest.raises(NotReadyError):
@@ -145,16 +147,16 @@
     ("script", "kind"),
     [((NotFoundError(),), NotFoundError), ((PeerTimeoutError(), NotOwnerError()), UnknownOutcomeError)],
 )
-def test_ends(script: tuple[Any, ...], kind: type[EmberringError]) -> None:
-    client = JobClient(Wire(*script), TierKnowledge())  # type: ignore[arg-type]
+def test_errors_of_an_end(script: tuple[Any, ...], kind: type[EmberringError]) -> None:
+    client = JobClient(ScriptedNetwork(*script), TierKnowledge())  # type: ignore[arg-type]
     with pytest.raises(EmberringError) as caught:
         asyncio.run(client.end(HOST, "lot"))
     assert type(caught.value) is kind
 
 
-def test_without_a_known_store_nothing_was_done() -> None:
+def test_without_a_known_store_a_submission_is_definitely_rejected() -> None:
     knowledge = TierKnowledge()
     knowledge.placement = None
-    client = JobClient(Wire(Ok()), knowledge)  # type: ignore[arg-type]
+    client = JobClient(ScriptedNetwork(Ok()), knowledge)  # type: ignore[arg-type]
     with pytest.raises(NotReadyError):
         asyncio.run(client.submit(HOST, ROUTE, "lot", b"{}"))
--- a/tests/emberring/jobs/test_tier_job_records.py
+++ b/tests/emberring/jobs/test_tier_job_records.py
@@ -1,4 +1,4 @@
-"""Records, inventories and journal entries survive their binary forms; damaged bytes are named."""
+"""Records, inventories and journal entries decode to what was encoded; damaged bytes raise an error."""
 
 from __future__ import annotations
 
@@ -40,11 +40,11 @@
 JOBS = st.builds(
     JobState, st.integers(0, 2**32 - 1), st.dictionaries(st.integers(-3, 200), SLOTS, max_size=5)
 )
-SOME = st.lists(RECORDS, max_size=5).map(tuple)
+RECORD_TUPLES = st.lists(RECORDS, max_size=5).map(tuple)
 ENTRIES = st.one_of(
-    st.builds(Written, TERMS, SOME),
-    st.builds(Dropped, TERMS, SOME),
-    st.builds(Copied, TERMS, SOME),
+    st.builds(Written, TERMS, RECORD_TUPLES),
+    st.builds(Dropped, TERMS, RECORD_TUPLES),
+    st.builds(Copied, TERMS, RECORD_TUPLES),
     st.builds(Promised, TERMS),
     st.just(Emptied()),
     st.just(Started()),
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("cut", [1, 5, 12, 20])
-def test_damaged_bytes_are_named(cut: int) -> None:
+def test_truncated_bytes_raise_an_error(cut: int) -> None:
     record = Record("lots.example/1", 3, 5, b"value")
     with pytest.raises(CorruptRecordError):
         unpack_records(pack_records([record])[:-cut])
@@ -79,20 +79,20 @@
         unpack_inventory(inventory[:-1])
 
 
-def test_an_unknown_kind_is_named() -> None:
+def test_an_unknown_kind_of_entry_raises_an_error() -> None:
     payload = encode_entry(1, 2.0, Promised(Term(1, 2, "me")))
     with pytest.raises(CorruptRecordError):
         decode_entry(b"\x63" + payload[1:])
 
 
-def test_records_are_cut_into_runs_of_about_a_size() -> None:
+def test_records_are_split_into_chunks_of_limited_size() -> None:
     records = [Record("k", number, 0, b"x" * 40) for number in range(5)]
-    runs = split_by_size(records, 100)
-    assert [len(run) for run in runs] == [2, 2, 1]
-    assert [record for run in runs for record in run] == records
+    chunks = split_by_size(records, 100)
+    assert [len(chunk) for chunk in chunks] == [2, 2, 1]
+    assert [record for chunk in chunks for record in chunk] == records
     assert split_by_size([], 100) == []
 
 
-def test_the_higher_term_is_of_the_later_epoch_then_the_higher_counter() -> None:
+def test_terms_are_ordered_by_epoch_then_counter_then_owner() -> None:
     terms = [Term(1, 9, "b"), Term(2, 1, "a"), Term(1, 9, "a"), Term(2, 2, "")]
     assert sorted(terms) == [terms[2], terms[0], terms[1], terms[3]]
--- a/tests/emberring/jobs/test_tier_merge.py
+++ b/tests/emberring/jobs/test_tier_merge.py
@@ -1,4 +1,4 @@
-"""What a new owner recovers: the highest term of each slot, one position for each item."""
+"""Recovery of a new owner: the record with the highest term of each slot, and one position for each item."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(
-    ("group", "who", "enough"),
+    ("group", "identities", "is_quorum"),
     [
         (GROUP, "ab", True),
         (GROUP, "a", False),
@@ -49,11 +49,11 @@
         (Group(0, 1, ("a", "b")), "a", False),
     ],
 )
-def test_quorums(group: Group, who: str, enough: bool) -> None:
-    assert has_quorum(group, set(who)) is enough
+def test_quorums(group: Group, identities: str, is_quorum: bool) -> None:
+    assert has_quorum(group, set(identities)) is is_quorum
 
 
-def test_the_highest_term_wins_and_a_quorum_at_one_term_is_chosen() -> None:
+def test_the_highest_term_wins_and_is_committed_if_a_quorum_has_it() -> None:
     merged = merge(
         {
             "a": job({0: state(ONE), 1: state(ONE), 2: state(ONE, b"old")}, 500),
@@ -71,7 +71,7 @@
     assert merged.slots[2].state == state(THREE, b"new")
 
 
-def test_while_members_join_both_sets_must_hold_a_chosen_record() -> None:
+def test_while_members_join_a_record_is_committed_by_quorums_of_both_sets() -> None:
     inventories = {"a": job({0: state(ONE), 1: state(ONE)}), "b": job({0: state(ONE), 1: state(ONE)})}
     assert not merge(inventories, JOINT)["k"].slots[0].committed
     inventories["c"] = job({0: state(ONE)})
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize(
-    ("results", "out"),
+    ("results", "duplicates"),
     [
         ({}, set()),
         ({0: (ONE, 5), 1: (ONE, 6)}, set()),
@@ -97,36 +97,36 @@
         ({0: (ONE, 5), 3: (TWO, 5), 4: (THREE, 5), 5: (ONE, 6)}, {0, 3}),
     ],
 )
-def test_one_item_has_one_position(results: dict[int, tuple[Term, int]], out: set[int]) -> None:
-    assert duplicate_positions(results) == out
+def test_one_item_has_one_position(results: dict[int, tuple[Term, int]], duplicates: set[int]) -> None:
+    assert duplicate_positions(results) == duplicates
 
 
 def result(index: int) -> bytes:
     return encode_result(index, f"item-{index}", ResultState.COMPLETED, "text")
 
 
-def holding(*records: tuple[Term, int, bytes]) -> Replica:
+def replica_with(*records: tuple[Term, int, bytes]) -> Replica:
     replica = Replica(0)
     for term, slot, value in records:
         replica.apply(0.0, Written(term, (Record("k", slot, 0, value),)), 0)
     return replica
 
 
-def test_values_come_from_the_own_replica_or_are_fetched_and_others_are_asked_after_a_failure() -> None:
-    own_replica = holding((ONE, 0, result(0)))
+def test_values_of_the_own_replica_are_used_and_others_are_fetched_with_a_retry_elsewhere() -> None:
+    own_replica = replica_with((ONE, 0, result(0)))
     inventories = {
         "a": own_replica.state(0.0),
         "b": job({0: state(ONE, result(0)), 1: state(ONE, result(1))}),
         "c": job({1: state(ONE, result(1))}),
     }
     recovery = OwnerRecovery(0.0, inventories, GROUP, "a", own_replica)
-    ((asked, packed),) = recovery.next_fetches()
-    assert asked == "b"
+    ((source, packed),) = recovery.next_fetches()
+    assert source == "b"
     assert [record.slot for record in unpack_records(packed)] == [1]
     assert list(recovery.next_fetches()) == []
     recovery.on_call_failed("b")
-    ((asked, _),) = recovery.next_fetches()
-    assert asked == "c"
+    ((source, _),) = recovery.next_fetches()
+    assert source == "c"
     assert not recovery.complete
     recovery.on_fetched("c", [Record("k", 1, 0, result(1))])
     assert recovery.complete
@@ -137,7 +137,7 @@
 
 
 def test_without_a_source_the_recovery_is_stuck() -> None:
-    own_replica = holding((ONE, 0, result(0)))
+    own_replica = replica_with((ONE, 0, result(0)))
     recovery = OwnerRecovery(
         0.0, {"a": own_replica.state(0.0), "b": job({1: state(ONE, result(1))})}, GROUP, "a", own_replica
     )
@@ -146,13 +146,13 @@
     assert recovery.stuck
 
 
-def test_the_lower_terms_position_of_an_item_is_left_out() -> None:
-    own_replica = holding((ONE, 3, result(7)), (TWO, 1, result(7)), (TWO, 0, result(2)))
+def test_of_two_positions_of_an_item_that_with_the_lower_term_is_left_out() -> None:
+    own_replica = replica_with((ONE, 3, result(7)), (TWO, 1, result(7)), (TWO, 0, result(2)))
     recovery = OwnerRecovery(0.0, {"a": own_replica.state(0.0), "b": {}}, GROUP, "a", own_replica)
     assert set(recovery.jobs()["k"].slots) == {0, 1}
 
 
-def test_a_lease_counts_from_the_sending_to_a_quorum_of_both_sets() -> None:
+def test_a_lease_starts_when_its_renewals_were_sent_to_quorums_of_both_sets() -> None:
     lease = OwnerLease()
     assert lease.until_s(GROUP) < 0
     lease.grant("a", 10.0)
--- a/tests/emberring/jobs/test_tier_packing.py
+++ b/tests/emberring/jobs/test_tier_packing.py
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"x", compress(b"some text")[:-3]])
-def test_other_bytes_are_named(data: bytes) -> None:
+def test_damaged_bytes_raise_an_error(data: bytes) -> None:
     with pytest.raises(CorruptRecordError):
         decompress(data)
     with pytest.raises(CorruptRecordError):
@@ -48,7 +48,7 @@
         unpack_events(data or b"y")
 
 
-def test_events_that_are_none_are_named() -> None:
+def test_a_list_of_other_values_raises_an_error() -> None:
     with pytest.raises(CorruptRecordError):
         unpack_events(compress(b"[1]"))
 
--- a/tests/emberring/jobs/test_tier_replica.py
+++ b/tests/emberring/jobs/test_tier_replica.py
@@ -1,4 +1,4 @@
-"""A replica: what it accepts, rejects and stores; what a restart restores; what a reclaimed segment retains."""
+"""A replica: what it accepts, rejects and stores, what a restart restores, and what is kept of a reclaimed segment."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 def settle(
     replica: Replica, actions: list[ReplicaAction], now_s: float = 0.0, segment: int = 0
 ) -> list[ReplicaAction]:
-    """Persist everything; return the replies."""
+    """Persist all entries; return the replies."""
     replies: list[ReplicaAction] = []
     for action in actions:
         if isinstance(action, PersistEntry):
@@ -78,7 +78,7 @@
     assert replica.oldest_pending_s(5.0) == 0.0
 
 
-def test_a_write_that_the_disk_refuses_is_not_shown_and_hides_nothing() -> None:
+def test_a_write_that_the_disk_rejects_does_not_change_the_value() -> None:
     replica = Replica(0)
     put(replica, OLD, "k", 0, b"before")
     (persist,) = replica.handle(0.0, 8, write(NEW, Record("k", 0, 0, b"after")))
@@ -87,12 +87,12 @@
     assert replica.value("k", 0) == b"before"
 
 
-def test_lower_terms_are_refused() -> None:
+def test_requests_under_lower_terms_are_rejected() -> None:
     replica = Replica(0)
     put(replica, NEW, "k", 0, b"v")
-    refused = [SendReply(1, WriteSlotsReply(False, NEW))]
-    assert replica.handle(0.0, 1, write(OLD, Record("k", 1, 0, b"late"))) == refused
-    assert replica.handle(0.0, 1, drop(OLD, ("k", 0))) == refused
+    rejected = [SendReply(1, WriteSlotsReply(False, NEW))]
+    assert replica.handle(0.0, 1, write(OLD, Record("k", 1, 0, b"late"))) == rejected
+    assert replica.handle(0.0, 1, drop(OLD, ("k", 0))) == rejected
     assert replica.handle(0.0, 1, ClaimOwnership(0, "me", NEW)) == [
         SendReply(1, ClaimOwnershipReply(False, NEW))
     ]
@@ -103,7 +103,7 @@
     assert not actions
 
 
-def test_a_promise_holds_from_the_claim_on_and_is_acknowledged_once_durable() -> None:
+def test_a_promise_is_valid_from_the_claim_on_and_is_acknowledged_once_durable() -> None:
     replica = Replica(0)
     put(replica, OLD, "k", 0, b"v")
     (persist,) = replica.handle(5.0, 2, ClaimOwnership(0, "me", NEW))
@@ -117,7 +117,7 @@
     assert unpack_inventory(reply.body.inventory).keys() == {"k"}
 
 
-def test_a_promise_that_was_overtaken_on_its_way_to_the_disk_is_not_granted() -> None:
+def test_a_claim_is_not_granted_if_a_higher_one_arrives_before_it_is_durable() -> None:
     replica = Replica(0)
     (first,) = replica.handle(0.0, 1, ClaimOwnership(0, "me", NEW))
     (second,) = replica.handle(CLAIM_LEASE_S, 2, ClaimOwnership(0, "me", NEWEST))
@@ -129,7 +129,7 @@
     assert granted.body.granted
 
 
-def claimed(replica: Replica, term: Term, now_s: float) -> ClaimOwnershipReply:
+def claim_reply(replica: Replica, term: Term, now_s: float) -> ClaimOwnershipReply:
     (reply,) = settle(replica, replica.handle(now_s, 1, ClaimOwnership(0, "me", term)), now_s)
     assert isinstance(reply, SendReply)
     assert isinstance(reply.body, ClaimOwnershipReply)
@@ -138,13 +138,13 @@
 
 def test_while_a_lease_may_be_active_no_other_owner_is_granted_a_claim() -> None:
     replica = Replica(0)
-    assert claimed(replica, OLD, 0.0).granted
+    assert claim_reply(replica, OLD, 0.0).granted
     answer, _ = replica.renew_lease(1.0, ShardLease(0, OLD))
     assert answer.granted
-    held = claimed(replica, NEW, 1.0 + REPLICA_LEASE_S - 0.01)
-    assert held == ClaimOwnershipReply(False, OLD, lease_active=True)
-    assert claimed(replica, Term(1, 5, "a"), 1.1).granted  # the same owner, under a higher term
-    assert claimed(replica, Term(1, 6, "b"), 1.0 + REPLICA_LEASE_S + CLAIM_LEASE_S).granted
+    rejected = claim_reply(replica, NEW, 1.0 + REPLICA_LEASE_S - 0.01)
+    assert rejected == ClaimOwnershipReply(False, OLD, lease_active=True)
+    assert claim_reply(replica, Term(1, 5, "a"), 1.1).granted  # the same owner, under a higher term
+    assert claim_reply(replica, Term(1, 6, "b"), 1.0 + REPLICA_LEASE_S + CLAIM_LEASE_S).granted
 
 
 def test_a_lease_under_a_new_term_is_granted_once_the_promise_is_durable() -> None:
@@ -161,34 +161,34 @@
     answer, actions = replica.renew_lease(0.0, ShardLease(0, OLD))
     assert not answer.granted
     assert replica.lease_active(REPLICA_LEASE_S - 0.01)
-    (refused,) = replica.handle(0.01, 1, ClaimOwnership(0, "me", NEW))
-    assert refused == SendReply(1, ClaimOwnershipReply(False, OLD, lease_active=True))
+    (rejected,) = replica.handle(0.01, 1, ClaimOwnership(0, "me", NEW))
+    assert rejected == SendReply(1, ClaimOwnershipReply(False, OLD, lease_active=True))
     settle(replica, actions)
     assert not replica.lease_active(REPLICA_LEASE_S + 0.01)
 
 
 def test_a_release_lets_others_claim_at_once() -> None:
     replica = Replica(0)
-    claimed(replica, OLD, 0.0)
+    claim_reply(replica, OLD, 0.0)
     replica.renew_lease(0.1, ShardLease(0, OLD))
     assert replica.handle(0.2, 1, ReleaseOwnership(0, "me", NEWEST)) == [SendReply(1, Ok())]
-    assert claimed(replica, NEW, 0.2).lease_active
+    assert claim_reply(replica, NEW, 0.2).lease_active
     replica.handle(0.2, 1, ReleaseOwnership(0, "me", OLD))
-    assert claimed(replica, NEW, 0.2).granted
+    assert claim_reply(replica, NEW, 0.2).granted
 
 
-def test_after_a_start_a_lease_granted_before_may_still_run() -> None:
+def test_after_a_restart_an_earlier_lease_may_still_be_active() -> None:
     replica = Replica(0)
     replica.apply(0.0, Promised(OLD), 0)
     replica.restored(10.0 + REPLICA_LEASE_S)
-    assert claimed(replica, NEW, 10.0).lease_active
-    assert claimed(replica, Term(1, 2, "a"), 10.0).granted  # the owner itself, whose old process is gone
+    assert claim_reply(replica, NEW, 10.0).lease_active
+    assert claim_reply(replica, Term(1, 2, "a"), 10.0).granted  # the same owner, after a restart
     fresh = Replica(0)
     fresh.restored(10.0 + REPLICA_LEASE_S)
-    assert claimed(fresh, NEW, 10.0).granted
+    assert claim_reply(fresh, NEW, 10.0).granted
 
 
-def test_erasures_spare_what_the_owner_has_written_since() -> None:
+def test_a_drop_does_not_erase_what_was_written_under_its_term() -> None:
     replica = Replica(0)
     put(replica, OLD, "k", 0, b"stale")
     put(replica, OLD, "k", 1, b"stale")
@@ -198,7 +198,7 @@
     assert replica.value("k", 1) == b"good"
 
 
-def test_a_job_with_a_tombstone_is_erased_and_the_tombstone_last() -> None:
+def test_a_job_with_a_tombstone_is_erased_with_the_tombstone_last() -> None:
     replica = Replica(0)
     empty = replica.digest
     put(replica, OLD, "k", DEFINITION, b"d")
@@ -222,11 +222,11 @@
     assert unpack_records(reply.body.records) == [Record("k", 1, 2000, b"one")]
     (reply,) = replica.handle(2.0, 1, InventoryRequest(0, "me", NEW))
     assert isinstance(reply, SendReply)
-    held = unpack_inventory(reply.body.inventory)["k"]
-    assert {slot: state.term for slot, state in held.slots.items()} == {0: OLD, 1: NEW}
+    stored_job = unpack_inventory(reply.body.inventory)["k"]
+    assert {slot: state.term for slot, state in stored_job.slots.items()} == {0: OLD, 1: NEW}
 
 
-def test_equal_contents_have_equal_digests_whatever_the_way_there() -> None:
+def test_equal_contents_have_equal_digests_whatever_was_written_before() -> None:
     one, other = Replica(0), Replica(0)
     put(one, OLD, "k", 0, b"v")
     put(one, OLD, "k", 1, b"w")
@@ -238,7 +238,7 @@
     assert one.digest == other.digest
 
 
-def test_a_replica_that_leaves_keeps_its_promise() -> None:
+def test_a_replica_that_leaves_its_group_keeps_its_promise() -> None:
     replica = Replica(0)
     put(replica, NEW, "k", 0, b"v")
     actions = replica.leave(0.0)
@@ -246,7 +246,7 @@
     assert [entry for entry in replica.live_entries(0.0, 0) if isinstance(entry, Copied)] == []
     settle(replica, actions)
     assert replica.jobs == {}
-    assert claimed(replica, OLD, 0.0) == ClaimOwnershipReply(False, NEW)
+    assert claim_reply(replica, OLD, 0.0) == ClaimOwnershipReply(False, NEW)
 
 
 def restored(*entries: Entry) -> Replica:
@@ -257,34 +257,34 @@
     return replica
 
 
-ZERO = (Record("k", 0, 0, b"v"),)
+SLOT_ZERO = (Record("k", 0, 0, b"v"),)
 
 
 @pytest.mark.parametrize(
-    ("entries", "held"),
+    ("entries", "is_stored"),
     [
-        ((Written(OLD, ZERO),), True),
-        ((Written(OLD, ZERO), Dropped(NEW, ZERO)), False),
-        ((Written(OLD, ZERO), Dropped(NEW, ZERO), Copied(OLD, ZERO)), False),
-        ((Dropped(NEW, ZERO), Written(NEW, ZERO)), True),
-        ((Dropped(OLD, ZERO), Copied(NEW, ZERO)), True),
-        ((Copied(OLD, ZERO),), True),
-        ((Written(OLD, ZERO), Emptied(), Copied(OLD, ZERO)), False),
-        ((Emptied(), Written(OLD, ZERO), Copied(OLD, ZERO)), True),
-        ((Written(OLD, ZERO), Copied(OLD, ZERO)), True),
+        ((Written(OLD, SLOT_ZERO),), True),
+        ((Written(OLD, SLOT_ZERO), Dropped(NEW, SLOT_ZERO)), False),
+        ((Written(OLD, SLOT_ZERO), Dropped(NEW, SLOT_ZERO), Copied(OLD, SLOT_ZERO)), False),
+        ((Dropped(NEW, SLOT_ZERO), Written(NEW, SLOT_ZERO)), True),
+        ((Dropped(OLD, SLOT_ZERO), Copied(NEW, SLOT_ZERO)), True),
+        ((Copied(OLD, SLOT_ZERO),), True),
+        ((Written(OLD, SLOT_ZERO), Emptied(), Copied(OLD, SLOT_ZERO)), False),
+        ((Emptied(), Written(OLD, SLOT_ZERO), Copied(OLD, SLOT_ZERO)), True),
+        ((Written(OLD, SLOT_ZERO), Copied(OLD, SLOT_ZERO)), True),
     ],
 )
-def test_what_a_start_finds(entries: tuple[Entry, ...], held: bool) -> None:
-    assert (restored(*entries).value("k", 0) == b"v") is held
+def test_a_restore_keeps_what_was_not_erased(entries: tuple[Entry, ...], is_stored: bool) -> None:
+    assert (restored(*entries).value("k", 0) == b"v") is is_stored
 
 
-def test_a_reclaimed_segment_keeps_the_promise_and_live_slots_alone() -> None:
+def test_only_the_promise_and_live_slots_of_a_reclaimed_segment_are_kept() -> None:
     replica = Replica(0)
     put(replica, OLD, "k", 0, b"old", segment=1)
     put(replica, OLD, "k", 1, b"one", segment=1)
     put(replica, OLD, "k", 2, b"two", segment=1)
     put(replica, NEW, "k", 0, b"new", segment=2)
-    replica.handle(0.0, 1, drop(NEW, ("k", 2)))  # under way to the disk
+    replica.handle(0.0, 1, drop(NEW, ("k", 2)))  # not durable yet
     kept = replica.live_entries(0.0, 1)
     assert kept == [Promised(NEW), Copied(OLD, (Record("k", 1, 0, b"one"),))]
     replica.on_relocated(kept[1], 5)
--- a/tests/emberring/jobs/test_tier_shard_owner.py
+++ b/tests/emberring/jobs/test_tier_shard_owner.py
@@ -1,4 +1,4 @@
-"""Owners of a shard: terms, recovery, fencing, migration, repair, deletion."""
+"""Owners of a shard: claims, recovery, fencing, migration, repair and deletion."""
 
 from __future__ import annotations
 
@@ -25,13 +25,14 @@
     return encode_result(item, f"item-{item}", ResultState.COMPLETED, text)
 
 
-def settled(names: str = "abc", group: Group = ABC) -> ShardCluster:
+def started_cluster(names: str = "abc", group: Group = ABC) -> ShardCluster:
     cluster = ShardCluster.of(names, group)
     cluster.pass_time(0.5)
     return cluster
 
 
 def held(cluster: ShardCluster, name: str) -> dict[tuple[str, int], bytes]:
+    """Return the values stored by a replica, by key and slot."""
     return {
         (key, slot): found.value
         for key, job in cluster.nodes[name].replica.jobs.items()
@@ -39,15 +40,15 @@
     }
 
 
-def test_the_first_in_the_order_owns_the_shard_alone() -> None:
-    cluster = settled()
+def test_the_first_store_in_the_claim_order_is_the_only_owner() -> None:
+    cluster = started_cluster()
     assert cluster.the_owner() == in_order(0, "abc")[0]
     cluster.pass_time(5.0)
     assert cluster.the_owner() == in_order(0, "abc")[0]
 
 
-def test_what_is_proposed_is_chosen_by_a_quorum_and_reaches_all() -> None:
-    cluster = settled()
+def test_a_value_is_committed_by_a_quorum_and_replicated_to_all() -> None:
+    cluster = started_cluster()
     owner = cluster.the_owner()
     cluster.partitioned = {next(name for name in "abc" if name != owner)}
     cluster.propose(owner, "k", 0, value(1))
@@ -59,8 +60,8 @@
     assert all(held(cluster, name) == {("k", 0): value(1)} for name in "abc")
 
 
-def test_without_a_quorum_nothing_is_chosen_and_the_lease_ends() -> None:
-    cluster = settled()
+def test_without_a_quorum_nothing_is_committed_and_the_lease_expires() -> None:
+    cluster = started_cluster()
     owner = cluster.the_owner()
     cluster.partitioned = {name for name in "abc" if name != owner}
     cluster.propose(owner, "k", 0, value(1))
@@ -71,8 +72,8 @@
     assert cluster.serving() == []
 
 
-def test_an_owner_that_was_away_finds_itself_fenced() -> None:
-    cluster = settled()
+def test_an_owner_that_was_partitioned_is_fenced() -> None:
+    cluster = started_cluster()
     old = cluster.the_owner()
     cluster.propose(old, "k", 0, value(1))
     cluster.deliver_all()
@@ -90,8 +91,8 @@
     assert all(held(cluster, name)[("k", 1)] == value(3) for name in "abc")
 
 
-def test_no_two_stores_serve_at_once_while_the_owner_changes() -> None:
-    cluster = settled()
+def test_at_most_one_store_serves_while_the_owner_changes() -> None:
+    cluster = started_cluster()
     old = cluster.the_owner()
     cluster.partitioned = {old}
     for _ in range(100):
@@ -104,8 +105,8 @@
     assert cluster.the_owner() != old
 
 
-def test_a_handover_needs_no_wait() -> None:
-    cluster = settled()
+def test_after_a_release_another_store_owns_the_shard_at_once() -> None:
+    cluster = started_cluster()
     old = cluster.the_owner()
     cluster.propose(old, "k", 0, value(1))
     cluster.deliver_all()
@@ -120,8 +121,8 @@
     assert cluster.the_owner() != old
 
 
-def test_what_stands_on_one_replica_alone_is_written_again_before_it_is_shown() -> None:
-    cluster = settled()
+def test_a_value_on_a_single_replica_is_replicated_before_a_new_owner_serves_it() -> None:
+    cluster = started_cluster()
     old = cluster.the_owner()
     first, second = (name for name in "abc" if name != old)
     cluster.partitioned = {second}
@@ -139,8 +140,8 @@
     assert held(cluster, second) == {("k", 0): value(1)}
 
 
-def test_a_lost_disk_is_replaced_and_the_newcomer_holds_everything() -> None:
-    cluster = settled()
+def test_a_store_that_replaces_a_lost_disk_gets_all_records() -> None:
+    cluster = started_cluster()
     owner = cluster.the_owner()
     for number in range(50):
         cluster.propose(owner, "k", number, value(number, "x" * 2000))
@@ -159,7 +160,7 @@
 
 
 def test_a_joining_store_claims_nothing_while_a_lease_may_be_active() -> None:
-    cluster = settled()
+    cluster = started_cluster()
     lost = next(name for name in "abc" if name != cluster.the_owner())
     cluster.wipe(lost)
     cluster.start("d")
@@ -174,8 +175,8 @@
     assert {in_flight_call.send.target for in_flight_call in cluster.in_flight} == {"a", "b", "c", "d"}
 
 
-def test_a_promise_of_one_replica_alone_ends_no_owner_that_a_quorum_keeps() -> None:
-    cluster = settled()
+def test_the_higher_promise_of_a_single_replica_does_not_end_an_ownership() -> None:
+    cluster = started_cluster()
     owner = cluster.the_owner()
     cluster.propose(owner, "k", 0, value(1))
     cluster.deliver_all()
@@ -197,22 +198,21 @@
 
 
 @pytest.mark.parametrize("lone", "abc")
-def test_a_replica_that_has_promised_itself_a_higher_term_does_not_hold_up_the_first_owner(lone: str) -> None:
+def test_a_replica_that_has_promised_itself_a_higher_term_does_not_block_the_first_owner(lone: str) -> None:
     cluster = ShardCluster.of("abc", ABC)
     replica = cluster.nodes[lone].replica
     cluster.settle(cluster.nodes[lone], replica.handle(0.0, 1, ClaimOwnership(0, lone, Term(1, 50, lone))))
     cluster.tick(next(name for name in in_order(0, "abc") if name != lone))
-    cluster.in_flight.sort(
-        key=lambda in_flight_call: in_flight_call.send.target == lone
-    )  # its refusal comes last
+    # Its rejection is delivered last.
+    cluster.in_flight.sort(key=lambda in_flight_call: in_flight_call.send.target == lone)
     cluster.deliver_all()
     cluster.pass_time(3.0)
     assert cluster.the_owner() != lone
     assert all(node.lost == 0 for node in cluster.nodes.values())
 
 
-def test_a_move_is_not_done_before_the_newcomer_has_all() -> None:
-    cluster = settled()
+def test_a_migration_is_not_complete_before_the_joining_store_has_all_records() -> None:
+    cluster = started_cluster()
     cluster.propose(cluster.the_owner(), "k", 0, value(1))
     cluster.deliver_all()
     cluster.wipe("a")
@@ -223,8 +223,8 @@
     assert cluster.nodes[cluster.the_owner()].migration_complete == []
 
 
-def test_while_members_join_the_old_ones_alone_do_not_suffice() -> None:
-    cluster = settled("abcd")
+def test_while_members_join_a_commit_needs_quorums_of_both_sets() -> None:
+    cluster = started_cluster("abcd")
     cluster.place(JOINING)
     cluster.pass_time(1.0)
     owner = cluster.the_owner()
@@ -232,12 +232,12 @@
     cluster.propose(owner, "k", 0, value(1))
     cluster.deliver_all()
     answered = set("abcd") - cluster.partitioned
-    both = len(answered & set("abc")) >= 2 and len(answered & set("bcd")) >= 2
-    assert (("k", 0) in cluster.committed) is both
+    quorums_of_both = len(answered & set("abc")) >= 2 and len(answered & set("bcd")) >= 2
+    assert (("k", 0) in cluster.committed) is quorums_of_both
 
 
 def test_an_owner_that_leaves_the_group_releases_ownership() -> None:
-    cluster = settled("abcd")
+    cluster = started_cluster("abcd")
     old = cluster.the_owner()
     staying = tuple(name for name in "abcd" if name != old)
     cluster.place(Group(0, 2, ABC.members, staying))
@@ -247,8 +247,8 @@
     assert cluster.the_owner() in staying
 
 
-def test_a_replica_that_differs_is_compared_and_mended() -> None:
-    cluster = settled()
+def test_a_replica_that_differs_is_compared_and_repaired() -> None:
+    cluster = started_cluster()
     owner = cluster.the_owner()
     cluster.propose(owner, "k", 0, value(1))
     cluster.deliver_all()
@@ -260,21 +260,21 @@
     assert held(cluster, other) == {("k", 0): value(1)}
 
 
-def test_a_deleted_job_leaves_no_trace_and_does_not_reappear() -> None:
-    cluster = settled()
+def test_a_deleted_job_is_erased_everywhere_and_does_not_reappear() -> None:
+    cluster = started_cluster()
     owner = cluster.the_owner()
-    away = next(name for name in "abc" if name != owner)
+    unreachable = next(name for name in "abc" if name != owner)
     cluster.propose(owner, "k", DEFINITION, b"d")
     cluster.propose(owner, "k", 0, value(1))
     cluster.deliver_all()
-    cluster.partitioned = {away}
+    cluster.partitioned = {unreachable}
     node = cluster.nodes[owner]
     assert node.owner is not None
     cluster.act(node, node.owner.forget(cluster.now_s, "k"))
     cluster.act(node, node.owner.forget(cluster.now_s, "k"))
     cluster.pass_time(4.0)
     assert set(held(cluster, owner)) == {("k", TOMBSTONE)}
-    # The store that was away and another one take over: the mark wins.
+    # The store that was unreachable and another one take over: the tombstone must win.
     cluster.partitioned = {owner}
     cluster.committed.clear()
     cluster.pass_time(REPLICA_LEASE_S + 1.5)
@@ -298,8 +298,8 @@
 
 
 @pytest.mark.parametrize("members", ["a", "ab"])
-def test_smaller_groups_work(members: str) -> None:
-    cluster = settled(members, Group(0, 1, tuple(members)))
+def test_groups_of_one_or_two_members_work(members: str) -> None:
+    cluster = started_cluster(members, Group(0, 1, tuple(members)))
     owner = cluster.the_owner()
     cluster.propose(owner, "k", 0, value(1))
     cluster.deliver_all()
@@ -353,7 +353,7 @@
             owner = self.cluster.nodes[name].owner
             assert owner is not None
             self.number += 1
-            # As the job manager does: an item has one position, a position one result.
+            # Like the job manager: an item has at most one position, and a position at most one result.
             key = f"k{self.number % 2}"
             job = owner.records.jobs.get(key)
             values = {found: owned.value for found, owned in job.slots.items()} if job else {}
--- a/tests/emberring/jobs/tier_jobs_cluster.py
+++ b/tests/emberring/jobs/tier_jobs_cluster.py
@@ -1,4 +1,4 @@
-"""Owners and replicas of one shard that communicate through a queue under a test's control."""
+"""Owners and replicas of one shard, connected by a queue of calls that the test delivers, loses or fails."""
 
 from __future__ import annotations
 
@@ -23,23 +23,22 @@
 
 @attrs.define(eq=False)
 class Node:
-    """A store: what its disk holds, its replica and its owner."""
+    """A store: the journal on its disk (`log`), its replica and its owner."""
 
     name: str
     log: list[Entry] = attrs.field(factory=list)
     replica: Replica = attrs.field(factory=lambda: Replica(0))
     owner: ShardOwner | None = None
     incarnation: int = 0
-    contents_at_takeover: dict[tuple[str, int], bytes] = attrs.field(
-        factory=dict
-    )  # when it last became the owner
+    # Records at the time when the store last became the owner.
+    contents_at_takeover: dict[tuple[str, int], bytes] = attrs.field(factory=dict)
     migration_complete: list[int] = attrs.field(factory=list)
     lost: int = 0
 
 
 @attrs.define(eq=False)
 class InFlightCall:
-    """A call of an owner to a replica."""
+    """A call of an owner to a replica that is not delivered yet."""
 
     origin: Node
     incarnation: int
@@ -48,7 +47,7 @@
 
 @attrs.define(eq=False)
 class ShardCluster:
-    """Some stores. `committed` has what was ever committed, with the value."""
+    """Stores of one shard. `committed`: every value that was ever committed, by key and slot."""
 
     nodes: dict[str, Node] = attrs.field(factory=dict)
     in_flight: list[InFlightCall] = attrs.field(factory=list)
@@ -66,7 +65,7 @@
         return cluster
 
     def start(self, name: str) -> None:
-        """Start a store on what its disk holds."""
+        """Start or restart a store with the contents of its disk."""
         node = self.nodes.setdefault(name, Node(name))
         node.incarnation += 1
         node.replica = Replica(0)
@@ -79,7 +78,7 @@
             self.act(node, node.owner.set_group(self.now_s, self.group))
 
     def wipe(self, name: str) -> None:
-        """A disk is lost; its store does not come back under this name."""
+        """Remove a store whose disk is lost."""
         del self.nodes[name]
 
     def place(self, group: Group) -> None:
@@ -93,7 +92,7 @@
             if isinstance(action, SendToReplica):
                 self.in_flight.append(InFlightCall(node, node.incarnation, action))
             elif isinstance(action, SlotCommitted):
-                self._check_chosen(node, action)
+                self._check_committed(node, action)
             elif isinstance(action, OwnershipGained):
                 node.contents_at_takeover = {
                     (key, slot): owned.value
@@ -101,13 +100,15 @@
                     for slot, owned in job.slots.items()
                 }
                 for ref, value in self.committed.items():
-                    assert node.contents_at_takeover.get(ref) == value, f"{node.name} does not know {ref}"
+                    assert node.contents_at_takeover.get(ref) == value, (
+                        f"{node.name} lacks the committed value of {ref}"
+                    )
             elif isinstance(action, OwnershipLost):
                 node.lost += 1
             elif isinstance(action, MigrationCompleted):
                 node.migration_complete.append(action.epoch)
 
-    def _check_chosen(self, node: Node, action: SlotCommitted) -> None:
+    def _check_committed(self, node: Node, action: SlotCommitted) -> None:
         assert node.owner is not None
         ref = (action.key, action.slot)
         owned = node.owner.records.find(*ref)
@@ -115,7 +116,7 @@
         assert self.committed.setdefault(ref, owned.value) == owned.value
 
     def deliver(self, index: int = 0, reply_lost: bool = False, refused: bool = False) -> None:
-        """Deliver one call and its reply."""
+        """Deliver one call and its reply; the call fails if its sender or its target is partitioned."""
         in_flight_call = self.in_flight.pop(index)
         target = self.nodes.get(in_flight_call.send.target)
         if (
@@ -131,7 +132,7 @@
         self.return_reply(in_flight_call, None if reply_lost else found)
 
     def settle(self, node: Node, actions: list[ReplicaAction], refused: bool = False) -> Any:
-        """Persist entries, or have the disk reject them; return the reply."""
+        """Persist entries, or let the disk reject them; return the reply."""
         found = None
         for action in actions:
             if isinstance(action, PersistEntry) and refused:
@@ -159,10 +160,10 @@
             if not self.in_flight:
                 return
             self.deliver()
-        raise AssertionError("calls without end")
+        raise AssertionError("calls are sent without end")
 
     def renew_lease(self, name: str) -> None:
-        """Renew an owner's leases."""
+        """Renew the leases of an owner at all reachable replicas."""
         node = self.nodes[name]
         assert node.owner is not None
         if name in self.partitioned:
@@ -181,7 +182,7 @@
         self.act(node, node.owner.tick(self.now_s, healthy, set(self.nodes) - self.partitioned))
 
     def pass_time(self, seconds: float, step_s: float = 0.1) -> None:
-        """Advance the time of all stores; all calls arrive."""
+        """Advance the time of all stores in steps; all calls are delivered."""
         until_s = self.now_s + seconds
         while self.now_s < until_s:
             self.now_s += step_s
--- a/tests/emberring/journal/test_tier_journal.py
+++ b/tests/emberring/journal/test_tier_journal.py
@@ -1,4 +1,4 @@
-"""The journal on real files and on a disk that stalls, refuses and fills up."""
+"""The journal on real files, and on a simulated disk that stalls, rejects writes or is full."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class StallingFolder(SimulatedFolder):
-    """A disk whose syncs wait for a word."""
+    """Simulated disk that stalls until `go` is set, while `stall` is true."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -36,7 +36,7 @@
     return Journal(Ring.open(folder, SEGMENT, LIMIT, 1)[0])
 
 
-def test_records_come_back_in_order(tmp_path: Path) -> None:
+def test_records_are_read_in_order_after_a_restart(tmp_path: Path) -> None:
     payloads = [f"record {number}".encode() * 20 for number in range(100)]
 
     async def write() -> list[Position]:
@@ -53,7 +53,7 @@
     assert [record.position for record in records] == positions
 
 
-def test_appends_go_on_behind_what_a_restart_found(tmp_path: Path) -> None:
+def test_appends_after_a_restart_follow_the_existing_records(tmp_path: Path) -> None:
     async def add(payload: bytes) -> list[bytes]:
         journal, records = Journal.open(tmp_path, SEGMENT, LIMIT)
         await journal.append(payload)
@@ -65,7 +65,7 @@
     assert asyncio.run(add(b"3")) == [b"1", b"2"]
 
 
-def test_appends_of_one_turn_are_synced_together() -> None:
+def test_appends_that_wait_together_are_synced_together() -> None:
     folder = SimulatedFolder()
 
     async def write() -> None:
@@ -73,7 +73,7 @@
         await journal.append(b"the first makes the segment")
         folder.settle()
         before = len(folder.steps)
-        with journal._condition:  # the writer's thread looks at the queue when all are in it
+        with journal._condition:  # the writer thread reads the queue only after all appends are in it
             appends = [journal.append(b"x") for _ in range(50)]
         await asyncio.gather(*appends)
         assert sum(1 for step in folder.steps[before:] if step.sync) == 1
@@ -82,7 +82,7 @@
     asyncio.run(write())
 
 
-def test_a_rewriter_keeps_the_ring_bounded_and_nothing_that_counts_is_lost(tmp_path: Path) -> None:
+def test_a_rewriter_keeps_the_ring_bounded_and_no_live_record_is_lost(tmp_path: Path) -> None:
     keys = 20
     live: dict[int, Position] = {}
     newest: dict[int, bytes] = {}
@@ -129,7 +129,7 @@
     asyncio.run(run())
 
 
-def test_a_full_ring_without_a_rewriter_refuses(tmp_path: Path) -> None:
+def test_a_full_ring_without_a_rewriter_rejects_appends(tmp_path: Path) -> None:
     async def run() -> None:
         journal, _ = Journal.open(tmp_path, SEGMENT, LIMIT)
         results = await asyncio.gather(
@@ -143,16 +143,18 @@
     asyncio.run(run())
 
 
-def test_a_rewriter_that_cannot_now_is_asked_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_rewriter_that_postpones_a_reclaim_is_called_again(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(module, "HEAL_INTERVAL_S", 0.001)
-    asked: list[int] = []
+    rewritten_segments: list[int] = []
 
     async def run() -> None:
         journal, _ = Journal.open(tmp_path, SEGMENT, LIMIT)
 
         async def rewrite(segment: int) -> None:
-            asked.append(segment)
-            if len(asked) < 3:
+            rewritten_segments.append(segment)
+            if len(rewritten_segments) < 3:
                 raise NotReadyError("not now")
 
         journal.set_rewriter(rewrite)
@@ -160,10 +162,10 @@
         await journal.close()
 
     asyncio.run(run())
-    assert asked[:3] == [0, 0, 0]
+    assert rewritten_segments[:3] == [0, 0, 0]
 
 
-def test_a_refusing_disk_fails_appends_until_it_takes_writes_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_appends_fail_while_the_disk_rejects_writes(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "HEAL_INTERVAL_S", 0.001)
     folder = SimulatedFolder()
 
@@ -206,7 +208,7 @@
     asyncio.run(run())
 
 
-def test_no_more_waits_for_the_disk_than_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_appends_above_the_limit_of_pending_bytes_are_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "MAX_PENDING_BYTES", 100)
     folder = StallingFolder()
     folder.stall = True
@@ -223,7 +225,7 @@
     asyncio.run(run())
 
 
-def test_a_closed_journal_takes_no_more(tmp_path: Path) -> None:
+def test_a_closed_journal_rejects_appends(tmp_path: Path) -> None:
     async def run() -> None:
         journal, _ = Journal.open(tmp_path, SEGMENT, LIMIT)
         last = journal.append(b"last")
@@ -235,7 +237,7 @@
     asyncio.run(run())
 
 
-def test_reading_where_nothing_is_tells_so(tmp_path: Path) -> None:
+def test_reading_a_position_without_a_record_raises_an_error(tmp_path: Path) -> None:
     async def run() -> None:
         journal, _ = Journal.open(tmp_path, SEGMENT, LIMIT)
         position = await journal.append(b"here")
@@ -247,7 +249,7 @@
     asyncio.run(run())
 
 
-def test_a_folder_that_cannot_be_made_is_a_failed_disk(tmp_path: Path) -> None:
+def test_a_folder_that_cannot_be_created_raises_an_error(tmp_path: Path) -> None:
     (tmp_path / "file").write_bytes(b"")
     with pytest.raises(DiskFailedError):
         Journal.open(tmp_path / "file" / "journal", SEGMENT, LIMIT)
--- a/tests/emberring/journal/test_tier_journal_layout.py
+++ b/tests/emberring/journal/test_tier_journal_layout.py
@@ -1,4 +1,4 @@
-"""The bytes of a segment: what counts as a record and what does not."""
+"""Binary form of a segment: which bytes are valid records and which are not."""
 
 from __future__ import annotations
 
@@ -31,69 +31,69 @@
     return [record.payload for record in scan_segment(HEADER, data, limit).records]
 
 
-def test_header_comes_back() -> None:
+def test_a_header_decodes_to_what_was_encoded() -> None:
     assert decode_segment_header(HEADER.encode()) == HEADER
     assert len(HEADER.encode()) == SEGMENT_HEADER_BYTES
 
 
-@pytest.mark.parametrize("place", range(36))
-def test_header_with_a_damaged_byte_is_none(place: int) -> None:
+@pytest.mark.parametrize("offset", range(36))
+def test_a_header_with_a_damaged_byte_is_invalid(offset: int) -> None:
     data = bytearray(HEADER.encode())
-    data[place] ^= 0x40
+    data[offset] ^= 0x40
     assert decode_segment_header(bytes(data)) is None
 
 
 @pytest.mark.parametrize("data", [b"", b"\0" * 64, b"\xff" * 64, HEADER.encode()[:40]])
-def test_what_is_no_header_is_none(data: bytes) -> None:
+def test_other_bytes_are_not_a_header(data: bytes) -> None:
     assert decode_segment_header(data) is None
 
 
-def test_records_come_back_in_order_with_their_places() -> None:
+def test_records_are_scanned_in_order_with_their_positions() -> None:
     payloads = [b"one", b"", b"three" * 100]
     data = segment(payloads)
     scan = scan_segment(HEADER, data + bytes(500))
     assert [record.payload for record in scan.records] == payloads
     assert scan.end == len(data)
     for record in scan.records:
-        place = record.position
-        end = place.offset + RECORD_HEADER_BYTES + place.length
-        assert verify_record(place, data[place.offset : end]) == record.payload
+        position = record.position
+        end = position.offset + RECORD_HEADER_BYTES + position.length
+        assert verify_record(position, data[position.offset : end]) == record.payload
 
 
-@pytest.mark.parametrize("place", range(64, 64 + 3 * (RECORD_HEADER_BYTES + 3)))
-def test_a_damaged_byte_ends_the_segment_there(place: int) -> None:
+@pytest.mark.parametrize("offset", range(64, 64 + 3 * (RECORD_HEADER_BYTES + 3)))
+def test_a_segment_ends_before_the_first_damaged_record(offset: int) -> None:
     payloads = [b"aaa", b"bbb", b"ccc"]
     data = bytearray(segment(payloads))
-    data[place] ^= 0x01
-    whole = (place - SEGMENT_HEADER_BYTES) // (RECORD_HEADER_BYTES + 3)
-    assert payloads_of(bytes(data)) == payloads[:whole]
+    data[offset] ^= 0x01
+    intact = (offset - SEGMENT_HEADER_BYTES) // (RECORD_HEADER_BYTES + 3)
+    assert payloads_of(bytes(data)) == payloads[:intact]
 
 
 @pytest.mark.parametrize("cut", range(1, RECORD_HEADER_BYTES + 3))
-def test_a_torn_record_is_none(cut: int) -> None:
+def test_a_torn_record_is_not_read(cut: int) -> None:
     data = segment([b"aaa", b"bbb"])
     assert payloads_of(data[:-cut]) == [b"aaa"]
     assert payloads_of(data[:-cut] + bytes(cut + 100)) == [b"aaa"]
 
 
-def test_records_of_an_earlier_use_of_the_file_are_none() -> None:
+def test_records_of_an_earlier_use_of_the_file_are_not_read() -> None:
     old = segment([b"old"], SegmentHeader(6, 1234, 99))
     assert payloads_of(HEADER.encode() + old[SEGMENT_HEADER_BYTES:]) == []
 
 
-def test_a_record_behind_a_torn_one_does_not_come_back_behind_a_new_one() -> None:
+def test_a_record_after_a_torn_one_is_not_read_after_a_new_one() -> None:
     before = segment([b"lost", b"kept"])
     after = segment([b"new!"], nonce=6)
     assert payloads_of(after + before[len(after) :]) == [b"new!"]
 
 
-def test_the_same_record_written_again_does_not_bring_back_the_next() -> None:
+def test_a_record_is_not_read_after_a_rewrite_of_its_predecessor() -> None:
     before = segment([b"same", b"next"])
     after = segment([b"same"], nonce=6)
     assert payloads_of(after + before[len(after) :]) == [b"same"]
 
 
-def test_records_at_or_behind_the_limit_do_not_count() -> None:
+def test_records_at_or_after_the_limit_are_not_read() -> None:
     data = segment([b"aaa", b"bbb"])
     second = SEGMENT_HEADER_BYTES + RECORD_HEADER_BYTES + 3
     assert payloads_of(data, second) == [b"aaa"]
--- a/tests/emberring/journal/test_tier_journal_ring.py
+++ b/tests/emberring/journal/test_tier_journal_ring.py
@@ -1,4 +1,4 @@
-"""The ring on a disk that loses power: what was committed is there, in order, and nothing else comes back."""
+"""The ring on a disk with power failures: committed records are read in order after a restart, and no others."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     folder.settle()
 
 
-def test_a_new_ring_is_empty_and_writes_little() -> None:
+def test_a_new_ring_is_empty_and_begins_with_one_segment() -> None:
     folder = SimulatedFolder()
     ring, records = open_ring(folder)
     assert records == []
@@ -37,7 +37,7 @@
     assert ring.used_bytes == SEGMENT
 
 
-def test_records_over_many_segments_come_back_after_a_loss_of_power() -> None:
+def test_records_of_many_segments_are_read_after_a_power_failure() -> None:
     folder = SimulatedFolder()
     ring, _ = open_ring(folder)
     payloads = [f"record {number}".encode() * 5 for number in range(50)]
@@ -54,7 +54,7 @@
     assert open_ring(folder, 2)[1] == payloads
 
 
-def test_positions_read_back() -> None:
+def test_records_are_read_at_their_positions() -> None:
     folder = SimulatedFolder()
     ring, _ = open_ring(folder)
     payloads = [f"record {number}".encode() * 5 for number in range(50)]
@@ -62,7 +62,7 @@
     assert [ring.read(position) for position in positions] == payloads
 
 
-def test_a_released_segment_is_used_again_and_its_records_are_gone() -> None:
+def test_the_file_of_a_released_segment_is_reused_and_its_records_are_lost() -> None:
     folder = SimulatedFolder()
     ring, _ = open_ring(folder)
     first = ring.commit([b"a" * 400])[0]
@@ -78,23 +78,23 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_death_while_a_longer_file_is_used_again_damages_nothing(seed: int) -> None:
+def test_a_crash_while_a_longer_file_is_reused_damages_no_record(seed: int) -> None:
     folder = SimulatedFolder()
     ring, _ = open_ring(folder)
     commit(ring, folder, [b"x" * 3000])
     commit(ring, folder, [b"b" * 400])
     ring.release(0)
     ring.commit([b"c" * 400])
-    rng = random.Random(seed)
+    random_source = random.Random(seed)
     if seed % 2:
-        folder.lose_power(rng)
+        folder.lose_power(random_source)
     else:
-        folder.kill(rng)
+        folder.kill(random_source)
     found = open_ring(folder, 2)[1]
     assert b"b" * 400 in found
 
 
-def test_a_full_ring_whose_disk_refused_once_heals() -> None:
+def test_a_full_ring_recovers_from_a_failed_commit() -> None:
     folder = SimulatedFolder()
     ring, _ = open_ring(folder)
     while ring.commit([b"x" * 100], reclaiming=True):
@@ -106,7 +106,7 @@
     ring.heal()
 
 
-def refuse_once(ring: Ring, folder: SimulatedFolder, after_steps: int, payloads: list[bytes]) -> None:
+def fail_one_commit(ring: Ring, folder: SimulatedFolder, after_steps: int, payloads: list[bytes]) -> None:
     folder.refuse_after = after_steps
     with pytest.raises(DiskFailedError):
         ring.commit(payloads, reclaiming=True)
@@ -115,83 +115,82 @@
 
 
 def fill(ring: Ring, folder: SimulatedFolder, payload: bytes) -> list[bytes]:
-    """Commit this payload until the ring takes no more."""
-    kept: list[bytes] = []
+    """Commit a payload until the ring is full; return the committed payloads."""
+    committed: list[bytes] = []
     while ring.commit([payload], reclaiming=True):
         folder.settle()
-        kept.append(payload)
-    return kept
+        committed.append(payload)
+    return committed
 
 
 @pytest.mark.parametrize("power", [False, True], ids=["killed", "power lost"])
 @pytest.mark.parametrize("seed", range(10))
 @pytest.mark.parametrize("after_steps", [0, 1], ids=["written", "written, not synced"])
-def test_a_full_ring_heals_again_and_again_and_keeps_what_it_had(
+def test_a_full_ring_recovers_repeatedly_and_keeps_its_records(
     after_steps: int, seed: int, power: bool
 ) -> None:
     folder = SimulatedFolder()
     ring, _ = open_ring(folder)
-    kept = fill(ring, folder, b"x" * 100)
-    for number in range(5):  # the reserve for healing is used up by the first; the others erase
-        refuse_once(ring, folder, after_steps, [b"never", b"never either"])
+    committed = fill(ring, folder, b"x" * 100)
+    for number in range(5):  # the first uses up the reserve for recovery; the others erase
+        fail_one_commit(ring, folder, after_steps, [b"never", b"never either"])
         folder.settle()
-        kept += [f"after {number}".encode()]
-        assert len(ring.commit(kept[-1:], reclaiming=True)) == 1
+        committed += [f"after {number}".encode()]
+        assert len(ring.commit(committed[-1:], reclaiming=True)) == 1
         folder.settle()
         assert ring.used_bytes <= LIMIT + SEGMENT
-    rng = random.Random(seed)
+    random_source = random.Random(seed)
     if power:
-        folder.lose_power(rng)
+        folder.lose_power(random_source)
     else:
-        folder.kill(rng)
-    assert open_ring(folder, 2)[1] == kept
+        folder.kill(random_source)
+    assert open_ring(folder, 2)[1] == committed
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_death_while_the_rest_of_a_segment_is_erased_brings_back_a_beginning_or_nothing(seed: int) -> None:
+def test_after_a_crash_while_a_segment_is_erased_only_the_first_failed_records_may_be_read(seed: int) -> None:
     folder = SimulatedFolder()
     ring, _ = open_ring(folder)
-    kept = fill(ring, folder, b"x" * 100)
-    refuse_once(ring, folder, 0, [b""])  # uses up the reserve
+    committed = fill(ring, folder, b"x" * 100)
+    fail_one_commit(ring, folder, 0, [b""])  # uses up the reserve
     folder.settle()
-    under_way = [b"first", b"second", b"third"]
-    refuse_once(ring, folder, 1, under_way)
+    in_flight = [b"first", b"second", b"third"]
+    fail_one_commit(ring, folder, 1, in_flight)
     folder.lose_power(random.Random(seed))
     found = open_ring(folder, 2)[1]
-    assert found[: len(kept)] == kept
-    assert found[len(kept) :] in [under_way[:count] for count in range(4)]
+    assert found[: len(committed)] == committed
+    assert found[len(committed) :] in [in_flight[:count] for count in range(4)]
 
 
 @pytest.mark.parametrize("again", [[], [b"first"]], ids=["nothing after", "the first one again"])
-def test_what_the_disk_refused_is_gone_once_a_full_ring_has_healed(again: list[bytes]) -> None:
+def test_failed_records_are_not_read_after_a_full_ring_has_recovered(again: list[bytes]) -> None:
     folder = SimulatedFolder()
     ring, _ = open_ring(folder)
-    kept = fill(ring, folder, b"x" * 100)
-    refuse_once(ring, folder, 0, [b""])  # uses up the reserve
+    committed = fill(ring, folder, b"x" * 100)
+    fail_one_commit(ring, folder, 0, [b""])  # uses up the reserve
     folder.settle()
-    refuse_once(ring, folder, 1, [b"first", b"second"])
+    fail_one_commit(ring, folder, 1, [b"first", b"second"])
     folder.settle()
     assert len(ring.commit(again, reclaiming=True)) == len(again)
     folder.settle()
     folder.lose_power(random.Random(1))
-    assert open_ring(folder, 2)[1] == [*kept, *again]
+    assert open_ring(folder, 2)[1] == [*committed, *again]
 
 
-def test_a_segment_whose_successor_was_begun_in_vain_does_not_grow_on() -> None:
+def test_a_segment_does_not_grow_after_a_failed_attempt_to_begin_the_next() -> None:
     folder = SimulatedFolder()
     ring, _ = open_ring(folder)
-    kept = [b"x" * 400] * (LIMIT // SEGMENT - 1)
-    commit(ring, folder, kept)
-    folder.refuse_after = (
-        5  # the sixth step, which syncs the header of the last segment that there is room for
-    )
+    committed = [b"x" * 400] * (LIMIT // SEGMENT - 1)
+    commit(ring, folder, committed)
+    # The disk rejects the sixth step, which syncs the header of the last segment that fits.
+    folder.refuse_after = 5
     with pytest.raises(DiskFailedError):
         ring.commit([b"y" * 400], reclaiming=True)
     folder.refuse_after = None
     ring.heal()
     assert len(ring.commit([b"z" * 30], reclaiming=True)) == 1
     folder.settle()
-    assert open_ring(folder, 2)[1] == [*kept, b"z" * 30]
+    assert open_ring(folder, 2)[1] == [*committed, b"z" * 30]
 
 
 def test_only_the_oldest_may_be_released() -> None:
@@ -212,7 +211,7 @@
     assert len(ring.commit([b"z" * 400], reclaiming=True)) == 1
 
 
-def test_a_refusing_disk_fails_the_commit_and_heals_without_it() -> None:
+def test_a_commit_that_the_disk_rejects_fails_and_the_ring_recovers_without_it() -> None:
     folder = SimulatedFolder()
     ring, _ = open_ring(folder)
     commit(ring, folder, [b"before"])
--- a/tests/emberring/store/conftest.py
+++ b/tests/emberring/store/conftest.py
@@ -1,4 +1,4 @@
-"""Plays of whole stores do not wait for the disk of the machine they are tested on, which may be busy."""
+"""Tests of whole stores skip disk syncs, as the disk of the test machine may be busy and slow."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 
 
 @pytest.fixture(autouse=True)
-def quick_disk(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No power is lost in these tests."""
+def no_disk_sync(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Disable syncs, which these tests do not need as they simulate no power failure."""
     monkeypatch.setattr(DiskFile, "sync", lambda self: None)
--- a/tests/emberring/store/test_tier_store_disk.py
+++ b/tests/emberring/store/test_tier_store_disk.py
@@ -1,5 +1,4 @@
-"""What a store finds on its disk: batch jobs are no older than their records say, whatever the monotonic
-clock shows."""
+"""Restore of a store from its disk: the monotonic clock of another boot does not change the age of batch jobs."""
 
 from __future__ import annotations
 
@@ -36,12 +35,12 @@
     [(100.0, 100.5), (100.0, 2.0), (100.0, 2_000_000.0), (-1.8e9, 5.0)],
     ids=["same boot", "clock back to zero", "clock far ahead", "clock began below zero"],
 )
-def test_a_restart_makes_no_job_older_than_its_record_says(written_s: float, restored_s: float) -> None:
+def test_a_restart_does_not_increase_the_age_in_a_record(written_s: float, restored_s: float) -> None:
     replica = restore([journal_record(written_s, 700)], restored_s)[3]
     assert replica.jobs["lot"].accepted_s == pytest.approx(restored_s - 0.7)
 
 
-def test_ages_count_within_an_incarnation_and_not_across_a_start() -> None:
+def test_ages_increase_within_an_incarnation_and_not_between_incarnations() -> None:
     records = [
         journal_record(100.0, 0),
         later_record(103.0),
@@ -52,6 +51,6 @@
     assert replica.jobs["lot"].accepted_s == pytest.approx(45.0)
 
 
-def test_the_youngest_record_tells_a_jobs_age() -> None:
+def test_the_age_in_a_newer_record_is_not_increased_by_an_older_record() -> None:
     replica = restore([journal_record(100.0, 0), journal_record(104.0, 4000)], 50.0)[3]
     assert replica.jobs["lot"].accepted_s == pytest.approx(46.0)
--- a/tests/emberring/store/test_tier_store_dispatch.py
+++ b/tests/emberring/store/test_tier_store_dispatch.py
@@ -1,4 +1,4 @@
-"""Which gateways get the items that wait: those of the store's zone first, the others a moment later."""
+"""Dispatch of waiting items: gateways in the zone of the store first, others after a delay."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 WAIT_MS = 800
 
 
-class Owner:
+class FakeOwner:
     def __init__(self) -> None:
         self.owns = True
 
@@ -24,8 +24,8 @@
         return self.owns
 
 
-class Book:
-    """Items are plain numbers here."""
+class FakeJobManager:
+    """Job manager of a shard whose items are plain numbers."""
 
     def __init__(self) -> None:
         self.items: deque[int] = deque()
@@ -38,9 +38,9 @@
         return [self.items.popleft() for _ in range(min(capacity, len(self.items)))]
 
 
-class OneShard:
+class FakeShardManager:
     def __init__(self) -> None:
-        self.job_manager, self.owner = Book(), Owner()
+        self.job_manager, self.owner = FakeJobManager(), FakeOwner()
         self.job_managers, self.owners = {0: self.job_manager}, {0: self.owner}
         self.on_items_waiting: Any = None
 
@@ -50,94 +50,93 @@
 
 
 @attrs.frozen
-class Asked:
-    """A gateway's poll: its zone, its capacity, how many items it got and when (seconds)."""
+class PollResult:
+    """Result of a gateway's poll: its zone, its capacity, the number of items received and when (seconds)."""
 
     zone: str
     capacity: int
-    got: int
+    items: int
     at_s: float
 
 
-async def ask(dispatch: Dispatch, zone: str, capacity: int) -> Asked:
+async def poll(dispatch: Dispatch, zone: str, capacity: int) -> PollResult:
     leased: LeaseItemsReply = await dispatch.lease(LeaseItems(f"gateway-{zone}", capacity, WAIT_MS, zone))
-    return Asked(zone, capacity, len(leased.items), asyncio.get_running_loop().time())
+    return PollResult(zone, capacity, len(leased.items), asyncio.get_running_loop().time())
 
 
-async def play(items: int, questions: list[tuple[str, int]]) -> tuple[list[Asked], OneShard]:
-    """All gateways ask; then so many items come."""
-    shard = OneShard()
+async def run_polls(items: int, polls: list[tuple[str, int]]) -> tuple[list[PollResult], FakeShardManager]:
+    """Let all gateways poll; then add items. Return the results of the polls."""
+    shard = FakeShardManager()
     dispatch = Dispatch(shard, "here")  # type: ignore[arg-type]
-    asked = [asyncio.ensure_future(ask(dispatch, zone, capacity)) for zone, capacity in questions]
+    results = [asyncio.ensure_future(poll(dispatch, zone, capacity)) for zone, capacity in polls]
     await asyncio.sleep(0)
     shard.add(items)
-    return list(await asyncio.gather(*asked)), shard
+    return list(await asyncio.gather(*results)), shard
 
 
 @pytest.mark.parametrize(
-    ("items", "questions", "got", "far_at_s"),
+    ("items", "polls", "received", "remote_at_s"),
     [
-        (4, [("there", 5), ("here", 5), ("here", 5)], [0, 2, 2], WAIT_MS / 1000),  # shared among those near
-        (
-            12,
-            [("there", 5), ("here", 5), ("here", 5)],
-            [2, 5, 5],
-            REMOTE_ZONE_DELAY_S,
-        ),  # the rest goes far, later
-        (3, [("there", 5), ("elsewhere", 5)], [2, 1], REMOTE_ZONE_DELAY_S),  # nobody near: late, but taken
-        (1, [("", 5)], [1], REMOTE_ZONE_DELAY_S),  # a gateway that does not tell its zone
+        # Shared among gateways of the same zone.
+        (4, [("there", 5), ("here", 5), ("here", 5)], [0, 2, 2], WAIT_MS / 1000),
+        # The rest goes to other zones, after the delay.
+        (12, [("there", 5), ("here", 5), ("here", 5)], [2, 5, 5], REMOTE_ZONE_DELAY_S),
+        # No gateway in the same zone: leased after the delay.
+        (3, [("there", 5), ("elsewhere", 5)], [2, 1], REMOTE_ZONE_DELAY_S),
+        # A gateway without a zone.
+        (1, [("", 5)], [1], REMOTE_ZONE_DELAY_S),
     ],
 )
-def test_items_go_near_first(
-    items: int, questions: list[tuple[str, int]], got: list[int], far_at_s: float
+def test_gateways_of_the_same_zone_have_priority(
+    items: int, polls: list[tuple[str, int]], received: list[int], remote_at_s: float
 ) -> None:
     async def check() -> None:
-        asked, _ = await play(items, questions)
-        assert [one.got for one in asked] == got
-        for one in asked:
-            assert one.at_s == pytest.approx(0.0 if one.zone == "here" else far_at_s)
+        results, _ = await run_polls(items, polls)
+        assert [result.items for result in results] == received
+        for result in results:
+            assert result.at_s == pytest.approx(0.0 if result.zone == "here" else remote_at_s)
 
     run_virtually(check())
 
 
-def test_while_something_has_waited_long_gateways_of_all_zones_get_some_at_once() -> None:
+def test_while_items_have_been_waiting_for_long_all_zones_get_items_at_once() -> None:
     async def check() -> None:
-        shard = OneShard()
+        shard = FakeShardManager()
         dispatch = Dispatch(shard, "here")  # type: ignore[arg-type]
-        first = asyncio.ensure_future(ask(dispatch, "there", 2))
+        first = asyncio.ensure_future(poll(dispatch, "there", 2))
         await asyncio.sleep(0)
         shard.add(10)
         assert (await first).at_s == pytest.approx(REMOTE_ZONE_DELAY_S)
-        second = await ask(dispatch, "there", 2)
-        assert (second.got, second.at_s) == (2, pytest.approx(REMOTE_ZONE_DELAY_S))
-        await ask(dispatch, "here", 50)
-        shard.add(1)  # nothing waited in between: near comes first again
-        third = await ask(dispatch, "there", 2)
+        second = await poll(dispatch, "there", 2)
+        assert (second.items, second.at_s) == (2, pytest.approx(REMOTE_ZONE_DELAY_S))
+        await poll(dispatch, "here", 50)
+        shard.add(1)  # nothing was waiting in between: the same zone has priority again
+        third = await poll(dispatch, "there", 2)
         assert third.at_s == pytest.approx(2 * REMOTE_ZONE_DELAY_S)
 
     run_virtually(check())
 
 
-def test_a_store_that_lost_its_shard_gives_nothing() -> None:
+def test_a_store_that_lost_its_shard_leases_nothing() -> None:
     async def check() -> None:
-        shard = OneShard()
+        shard = FakeShardManager()
         dispatch = Dispatch(shard, "here")  # type: ignore[arg-type]
-        asked = asyncio.ensure_future(ask(dispatch, "here", 5))
+        result = asyncio.ensure_future(poll(dispatch, "here", 5))
         await asyncio.sleep(0)
         shard.owner.owns = False
         shard.add(3)
-        assert (await asked).got == 0
+        assert (await result).items == 0
         assert shard.job_manager.waiting == 3
 
     run_virtually(check())
 
 
-def test_a_question_that_comes_while_items_wait_is_answered_at_once() -> None:
+def test_a_poll_is_answered_at_once_while_items_are_waiting() -> None:
     async def check() -> None:
-        shard = OneShard()
+        shard = FakeShardManager()
         dispatch = Dispatch(shard, "here")  # type: ignore[arg-type]
         shard.add(3)
-        asked = await ask(dispatch, "here", 2)
-        assert (asked.got, asked.at_s) == (2, 0.0)
+        result = await poll(dispatch, "here", 2)
+        assert (result.items, result.at_s) == (2, 0.0)
 
     run_virtually(check())
--- a/tests/emberring/store/test_tier_store_faults.py
+++ b/tests/emberring/store/test_tier_store_faults.py
@@ -1,4 +1,4 @@
-"""Stores that lose their disks, stall, leave and are emptied, while batch jobs run."""
+"""Batch jobs while stores lose their disks, stall, shut down or are retired."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 async def until(condition: Any, limit_s: float = 6.0) -> None:
-    """Wait for something that is to come about."""
+    """Wait until a condition is true."""
     loop = asyncio.get_running_loop()
-    give_up_s = loop.time() + limit_s
+    deadline_s = loop.time() + limit_s
     while not condition():
-        assert loop.time() < give_up_s, "not in time"
+        assert loop.time() < deadline_s, "the condition did not become true in time"
         await asyncio.sleep(0.02)
 
 
@@ -30,8 +30,8 @@
     return f"{HOST}/{job}" in cluster.stores[name].host.replicas[SHARD].jobs
 
 
-def test_a_store_whose_disk_is_lost_gets_everything_again(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_a_store_whose_disk_is_lost_gets_all_records_again(tmp_path: Path) -> None:
+    async def scenario() -> None:
         cluster = await Cluster.begin(tmp_path)
         gateway = cluster.gateway(FakeExecutor())
         await gateway.runner.start()
@@ -46,18 +46,18 @@
         assert cluster.world.placement != before
         await until(lambda: not any(group.joining for group in cluster.world.placement.groups))
         assert all(holds(cluster, "s2", f"lot{number}") for number in range(8))
-        # Now the newcomer and one other suffice.
+        # The store with the new disk and one other store are a quorum.
         await cluster.kill("s1")
         for job, found in results.items():
             assert await read_all(gateway.client, job, 8.0) == found
         await gateway.end()
         await cluster.end()
 
-    run(play())
+    run(scenario())
 
 
-def test_a_store_is_emptied_and_removed(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_a_retired_store_can_be_removed_without_a_loss(tmp_path: Path) -> None:
+    async def scenario() -> None:
         cluster = await Cluster.begin(tmp_path, ("s1", "s2", "s3", "s4"))
         world = cluster.world
         gateway = cluster.gateway(FakeExecutor())
@@ -81,11 +81,11 @@
         await gateway.end()
         await cluster.end()
 
-    run(play())
+    run(scenario())
 
 
 def test_a_store_that_shuts_down_releases_ownership_first(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         cluster = await Cluster.begin(tmp_path)
         gateway = cluster.gateway(FakeExecutor())
         await gateway.client.submit(HOST, ROUTE, "lot1", job_body("lot1", 2))
@@ -102,11 +102,11 @@
         await gateway.end()
         await cluster.end()
 
-    run(play())
+    run(scenario())
 
 
 class StalledJournal:
-    """A disk that accepts writes and never completes them."""
+    """Journal on a disk that accepts writes and never completes them."""
 
     failed = False
 
@@ -121,7 +121,7 @@
 def test_an_owner_whose_disk_stalls_releases_ownership_and_jobs_are_accepted_meanwhile(
     tmp_path: Path,
 ) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         cluster = await Cluster.begin(tmp_path)
         gateway = cluster.gateway(FakeExecutor())
         await gateway.client.submit(HOST, ROUTE, "lot1", job_body("lot1", 2))
@@ -138,11 +138,11 @@
         await gateway.end()
         await cluster.end()
 
-    run(play())
+    run(scenario())
 
 
-def test_a_full_store_takes_no_job_and_promises_that(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_a_full_store_rejects_a_submission_with_a_definite_error(tmp_path: Path) -> None:
+    async def scenario() -> None:
         cluster = await Cluster.begin(tmp_path)
         gateway = cluster.gateway(FakeExecutor())
         await gateway.client.submit(HOST, ROUTE, "lot1", job_body("lot1", 2))
@@ -158,11 +158,11 @@
         await gateway.end()
         await cluster.end()
 
-    run(play())
+    run(scenario())
 
 
-def test_with_two_stores_gone_nothing_is_said(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_without_two_of_three_stores_no_outcome_is_reported(tmp_path: Path) -> None:
+    async def scenario() -> None:
         cluster = await Cluster.begin(tmp_path)
         gateway = cluster.gateway(FakeExecutor())
         await gateway.client.submit(HOST, ROUTE, "lot1", job_body("lot1", 2))
@@ -177,11 +177,11 @@
         await gateway.end()
         await cluster.end()
 
-    run(play())
+    run(scenario())
 
 
-def test_a_gateway_that_dies_leaves_its_items_to_another_that_goes_on_with_them(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_items_of_a_gateway_that_fails_are_resumed_by_another(tmp_path: Path) -> None:
+    async def scenario() -> None:
         cluster = await Cluster.begin(tmp_path)
         slow = FakeExecutor(events=30, pause_s=0.1)
         first = cluster.gateway(slow, "g1")
@@ -204,11 +204,11 @@
         await second.end()
         await cluster.end()
 
-    run(play())
+    run(scenario())
 
 
-def test_an_ended_job_stops_what_runs(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_the_end_of_a_job_stops_its_runs(tmp_path: Path) -> None:
+    async def scenario() -> None:
         cluster = await Cluster.begin(tmp_path)
         executor = FakeExecutor(events=200, pause_s=0.1)
         gateway = cluster.gateway(executor)
@@ -221,4 +221,4 @@
         await gateway.end()
         await cluster.end()
 
-    run(play())
+    run(scenario())
--- a/tests/emberring/store/test_tier_store_path.py
+++ b/tests/emberring/store/test_tier_store_path.py
@@ -1,4 +1,4 @@
-"""Batch jobs on three stores: submitted, run, read, ended."""
+"""Batch jobs on three stores: submission, execution, reads, end, failures of stores."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def test_a_job_is_submitted_run_and_read(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         cluster = await Cluster.begin(tmp_path)
         executor = FakeExecutor()
         gateway = cluster.gateway(executor)
@@ -27,18 +27,18 @@
         assert all(result["Message"] == text_of(result["Id"]) for result in results)
         assert len(executor.runs) == 5
         assert executor.bodies["lot1-0"] == bytes.fromhex("abcdef1234567890")
-        again = await read_all(gateway.client, "lot1")
-        assert again == results
+        repeated = await read_all(gateway.client, "lot1")
+        assert repeated == results
         with pytest.raises(NotFoundError):
             await gateway.client.read(HOST, "other", 0, 0)
         await gateway.end()
         await cluster.end()
 
-    run(play())
+    run(scenario())
 
 
 def test_an_accepted_job_is_on_two_disks(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         cluster = await Cluster.begin(tmp_path)
         gateway = cluster.gateway()
         await gateway.client.submit(HOST, ROUTE, "lot1", job_body("lot1", 2))
@@ -52,11 +52,11 @@
         await gateway.end()
         await cluster.end()
 
-    run(play())
+    run(scenario())
 
 
-def test_the_same_job_again_and_one_that_does_not_fit(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_a_repeated_submission_and_one_over_the_quota(tmp_path: Path) -> None:
+    async def scenario() -> None:
         cluster = await Cluster.begin(tmp_path)
         gateway = cluster.gateway()
         client = gateway.client
@@ -73,11 +73,11 @@
         await gateway.end()
         await cluster.end()
 
-    run(play())
+    run(scenario())
 
 
 def test_dead_letters_and_bodies(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         cluster = await Cluster.begin(tmp_path)
         executor = FakeExecutor()
         failed = OutcomeKind.FAILED_500
@@ -104,11 +104,11 @@
         await gateway.end()
         await cluster.end()
 
-    run(play())
+    run(scenario())
 
 
-def test_a_killed_owner_loses_nothing(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_no_result_is_lost_if_the_owner_is_killed(tmp_path: Path) -> None:
+    async def scenario() -> None:
         cluster = await Cluster.begin(tmp_path)
         executor = FakeExecutor(events=4, pause_s=0.05)
         gateway = cluster.gateway(executor)
@@ -127,11 +127,11 @@
         await gateway.end()
         await cluster.end()
 
-    run(play())
+    run(scenario())
 
 
-def test_all_stores_killed_at_once_come_back_with_everything(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_after_all_stores_are_killed_at_once_they_restore_all_jobs(tmp_path: Path) -> None:
+    async def scenario() -> None:
         cluster = await Cluster.begin(tmp_path)
         gateway = cluster.gateway()
         await gateway.client.submit(HOST, ROUTE, "lot1", job_body("lot1", 3))
@@ -144,4 +144,4 @@
         await gateway.end()
         await cluster.end()
 
-    run(play())
+    run(scenario())
--- a/tests/emberring/store/tier_store_cluster.py
+++ b/tests/emberring/store/tier_store_cluster.py
@@ -1,4 +1,4 @@
-"""Stores, a gateway's client and runner in one process, on loopback sockets, with the control plane made up."""
+"""Stores and a gateway's client and runner in one process, on loopback sockets, with a fake control plane."""
 
 from __future__ import annotations
 
@@ -43,32 +43,35 @@
 CONFIGURATION = Configuration(3, (ROUTE,), (Service("llm"),))
 
 
-MOST_AT_ONCE_S = 0.06
+MAX_CLOCK_STEP_S = 0.06  # of the clock of the event loop between two readings
 
 
-class PatientLoop(asyncio.SelectorEventLoop):
-    """A loop whose clock does not count the time in which a busy machine did not let it run."""
+class LoadTolerantLoop(asyncio.SelectorEventLoop):
+    """Event loop whose clock excludes times in which a busy machine did not run the process.
+
+    Without this, timeouts would expire and tests would fail on a busy machine.
+    """
 
     def __init__(self) -> None:
-        self._patient_s = 0.0
+        self._time_s = 0.0
         self._last_s = time.monotonic()
         super().__init__()
 
     def time(self) -> float:
         now_s = time.monotonic()
-        self._patient_s += min(now_s - self._last_s, MOST_AT_ONCE_S)
+        self._time_s += min(now_s - self._last_s, MAX_CLOCK_STEP_S)
         self._last_s = now_s
-        return self._patient_s
+        return self._time_s
 
 
-def run(play: Coroutine[Any, Any, None]) -> None:
-    """Play it on a patient loop."""
-    with asyncio.Runner(loop_factory=PatientLoop) as runner:
-        runner.run(play)
+def run(scenario: Coroutine[Any, Any, None]) -> None:
+    """Run a scenario on a `LoadTolerantLoop`."""
+    with asyncio.Runner(loop_factory=LoadTolerantLoop) as runner:
+        runner.run(scenario)
 
 
 class World:
-    """What control nodes would tell; `plan` is run on demand."""
+    """Fake control plane: state of the tier, with a placement that is planned on demand."""
 
     def __init__(self) -> None:
         self.facts: dict[str, NodeRecord] = {}
@@ -82,13 +85,13 @@
     async def start(self) -> None:
         address = f"127.0.0.1:{free_port()}"
         self.control_fact = NodeRecord("control-1", NodeRole.CONTROL, address, "z")
-        self.control.handle(PlacementMoved, self._moved)
+        self.control.handle(PlacementMoved, self._on_migration_completed)
         await self.control.listen(address)
 
-    async def _moved(self, message: PlacementMoved, _: Any) -> Ok:
+    async def _on_migration_completed(self, message: PlacementMoved, _: Any) -> Ok:
         assert self.placement is not None
         self.placement = finish_move(self.placement, message.shard, message.epoch)
-        self.tell()
+        self.notify_followers()
         return Ok()
 
     def live(self) -> list[NodeRecord]:
@@ -99,9 +102,9 @@
         now_s = asyncio.get_running_loop().time() + later_s
         plan(self.placement, self.live(), now_s, 1, self.memory)
         self.placement = plan(self.placement, self.live(), now_s + 0.5, 1, self.memory)
-        self.tell()
+        self.notify_followers()
 
-    def tell(self) -> None:
+    def notify_followers(self) -> None:
         for follower in list(self.followers):
             follower.changed()
 
@@ -142,7 +145,7 @@
 
 
 class FakeExecutor:
-    """Answers each item with events that its script gives; counts the runs."""
+    """Executor that completes each item with a few events, unless a script gives other outcomes; records the runs."""
 
     def __init__(self, events: int = 3, pause_s: float = 0.0) -> None:
         self.events = events
@@ -209,7 +212,7 @@
 
 @attrs.define(eq=False)
 class Cluster:
-    """Some stores, one gateway."""
+    """Stores and the fake control plane, in one process."""
 
     world: World
     directory: Path
@@ -232,11 +235,11 @@
         store = Store(settings, lambda _, me, __: FakeFollower(self.world, me))
         await store.start()
         self.stores[name] = store
-        self.world.tell()
+        self.world.notify_followers()
         return store
 
     async def kill(self, name: str) -> None:
-        """Kill a store."""
+        """Stop a store at once, without a graceful shutdown."""
         store = self.stores.pop(name)
         for task in list(store._tasks):
             task.cancel()
@@ -280,17 +283,17 @@
 
 
 async def read_all(client: JobClient, job: str, limit_s: float = 5.0) -> list[dict[str, str]]:
-    """All results of a batch job, page after page."""
+    """Read all results of a batch job, page by page."""
     loop = asyncio.get_running_loop()
     until_s = loop.time() + limit_s
-    found: list[dict[str, str]] = []
+    results: list[dict[str, str]] = []
     while loop.time() < until_s:
         try:
-            page = orjson.loads(await client.read(HOST, job, len(found), 500))
+            page = orjson.loads(await client.read(HOST, job, len(results), 500))
         except NotReadyError:
             continue
-        found += page["Results"]
-        assert page["NextPageToken"] == len(found)
-        if len(found) == page["Total"]:
-            return found
-    raise AssertionError(f"{len(found)} results in time")
+        results += page["Results"]
+        assert page["NextPageToken"] == len(results)
+        if len(results) == page["Total"]:
+            return results
+    raise AssertionError(f"only {len(results)} results in time")
