--- a/emberring/jobs/directory.py
+++ b/emberring/jobs/directory.py
@@ -58,8 +58,8 @@
             if node.role is NodeRole.STORE
         }
         identities = in_order(shard, placement.groups[shard].everyone)
-        found = [live[identity] for identity in identities if identity in live]
-        return found or [
+        live_addresses = [live[identity] for identity in identities if identity in live]
+        return live_addresses or [
             placement.stores[identity].address for identity in identities if identity in placement.stores
         ]
 
--- a/emberring/jobs/execution.py
+++ b/emberring/jobs/execution.py
@@ -112,9 +112,8 @@
         if job is None or job.ended or run.index >= len(job.items):
             return RunRenewal(run.ticket, False, 0)
         item = job.items[run.index]
-        if (
-            item.status is ItemStatus.WAITING
-        ):  # a run of which only its gateway knows continues under its ticket
+        if item.status is ItemStatus.WAITING:
+            # Only the gateway knows of this run, which continues under its ticket.
             self._begin(now_s, job, run.index, run.ticket, gateway)
             item.events = ()
         if item.run is None or item.run.ticket != run.ticket:
@@ -191,7 +190,7 @@
     # Time.
 
     def tick(self, now_s: float) -> None:
-        """Queue items again whose run was not reported in time, by a lease or after a change of owner."""
+        """Queue items again whose gateway did not report their run in time, also after a change of owner."""
         for key, index in list(self._running):
             job = self._table.jobs.get(key)
             run = job.items[index].run if job else None
--- a/emberring/jobs/items.py
+++ b/emberring/jobs/items.py
@@ -25,8 +25,8 @@
 
     `headers` are those of the item, with names as submitted; `resume_after` is the id of the last event
     already received (None for a run from the start); `due_s` is when the item is due, by the clock of the
-    event loop. `still_allowed()` is called right before bytes are sent: if it returns False, the lease has
-    expired and nothing may be sent.
+    event loop. `still_allowed()` is called right before bytes are sent: if it returns False, the run was
+    stopped or its lease has expired, and nothing may be sent.
     """
 
     id: str
--- a/emberring/jobs/runner.py
+++ b/emberring/jobs/runner.py
@@ -118,10 +118,10 @@
     async def _poll_all(self) -> None:
         """Keep one polling task for each live store."""
         while not self._shutting_down:
-            wanted = set(self._directory.stores())
-            for address in sorted(wanted - set(self._pollers)):
+            live_stores = set(self._directory.stores())
+            for address in sorted(live_stores - set(self._pollers)):
                 self._pollers[address] = asyncio.get_running_loop().create_task(self._poll_store(address))
-            for address in sorted(set(self._pollers) - wanted):
+            for address in sorted(set(self._pollers) - live_stores):
                 self._pollers.pop(address).cancel()
             await asyncio.sleep(REPORT_INTERVAL_S)
 
--- a/emberring/journal/ring.py
+++ b/emberring/journal/ring.py
@@ -95,7 +95,7 @@
             raise
 
     def _recover(self) -> list[Record]:
-        found: list[tuple[SegmentHeader, _SegmentFile]] = []
+        segments: list[tuple[SegmentHeader, _SegmentFile]] = []
         for name in self._folder.names():
             if not name.startswith(NAME_PREFIX):
                 continue
@@ -107,14 +107,14 @@
             if header is None:
                 self._free_files.append(segment_file)
             else:
-                found.append((header, segment_file))
-        found.sort(key=lambda item: item[0].number)
-        return self._read_segments(found)
+                segments.append((header, segment_file))
+        segments.sort(key=lambda item: item[0].number)
+        return self._read_segments(segments)
 
-    def _read_segments(self, found: list[tuple[SegmentHeader, _SegmentFile]]) -> list[Record]:
+    def _read_segments(self, segments: list[tuple[SegmentHeader, _SegmentFile]]) -> list[Record]:
         records: list[Record] = []
-        for index, (header, segment_file) in enumerate(found):
-            following = found[index + 1][0] if index + 1 < len(found) else None
+        for index, (header, segment_file) in enumerate(segments):
+            following = segments[index + 1][0] if index + 1 < len(segments) else None
             if following is not None and following.number != header.number + 1:
                 raise CorruptRecordError(f"segment {header.number + 1} is missing")
             limit = None if following is None else following.previous_end
--- a/emberring/journal/scan.py
+++ b/emberring/journal/scan.py
@@ -51,7 +51,7 @@
     write, or the file was in use before.
     """
     damages: list[str] = []
-    found: list[tuple[SegmentHeader, str, bytes]] = []
+    used_files: list[tuple[SegmentHeader, str, bytes]] = []
     free_files = 0
     for path in sorted(directory.iterdir()):
         if not path.name.startswith(NAME_PREFIX):
@@ -59,25 +59,25 @@
         data = path.read_bytes()
         header = decode_segment_header(data[:SEGMENT_HEADER_BYTES])
         if header is not None:
-            found.append((header, path.name, data))
+            used_files.append((header, path.name, data))
             continue
         free_files += 1
         if data.startswith(MAGIC):
             version = int.from_bytes(data[len(MAGIC) : len(MAGIC) + 4], "little")
             other = f"has format version {version}, not {FORMAT_VERSION}"
             damages.append(f"{path.name}: {other if version != FORMAT_VERSION else 'its header is damaged'}")
-    found.sort(key=lambda item: item[0].number)
-    segments, records = _scan_segments(found, damages)
+    used_files.sort(key=lambda item: item[0].number)
+    segments, records = _scan_segments(used_files, damages)
     return JournalScan(tuple(segments), tuple(records), free_files, tuple(damages))
 
 
 def _scan_segments(
-    found: list[tuple[SegmentHeader, str, bytes]], damages: list[str]
+    used_files: list[tuple[SegmentHeader, str, bytes]], damages: list[str]
 ) -> tuple[list[SegmentScan], list[Record]]:
     segments: list[SegmentScan] = []
     records: list[Record] = []
-    for index, (header, name, data) in enumerate(found):
-        following = found[index + 1][0] if index + 1 < len(found) else None
+    for index, (header, name, data) in enumerate(used_files):
+        following = used_files[index + 1][0] if index + 1 < len(used_files) else None
         limit = None
         if following is not None and following.number == header.number + 1:
             limit = following.previous_end
--- a/tests/emberring/jobs/test_tier_replica.py
+++ b/tests/emberring/jobs/test_tier_replica.py
@@ -215,8 +215,8 @@
     replica = Replica(0)
     put(replica, OLD, "k", 0, b"zero")
     put(replica, NEW, "k", 1, b"one")
-    wanted = pack_records([Record("k", 1, 0, b""), Record("k", 5, 0, b""), Record("x", 0, 0, b"")])
-    (reply,) = replica.handle(2.0, 1, FetchRecords(0, "me", wanted))
+    requested = pack_records([Record("k", 1, 0, b""), Record("k", 5, 0, b""), Record("x", 0, 0, b"")])
+    (reply,) = replica.handle(2.0, 1, FetchRecords(0, "me", requested))
     assert isinstance(reply, SendReply)
     assert isinstance(reply.body, FetchRecordsReply)
     assert unpack_records(reply.body.records) == [Record("k", 1, 2000, b"one")]
@@ -285,8 +285,8 @@
     put(replica, OLD, "k", 2, b"two", segment=1)
     put(replica, NEW, "k", 0, b"new", segment=2)
     replica.handle(0.0, 1, drop(NEW, ("k", 2)))  # not durable yet
-    kept = replica.live_entries(0.0, 1)
-    assert kept == [Promised(NEW), Copied(OLD, (Record("k", 1, 0, b"one"),))]
-    replica.on_relocated(kept[1], 5)
+    live = replica.live_entries(0.0, 1)
+    assert live == [Promised(NEW), Copied(OLD, (Record("k", 1, 0, b"one"),))]
+    replica.on_relocated(live[1], 5)
     assert replica.jobs["k"].slots[1].segment == 5
     assert replica.live_entries(0.0, 1) == [Promised(NEW)]
--- a/tests/emberring/jobs/test_tier_shard_owner.py
+++ b/tests/emberring/jobs/test_tier_shard_owner.py
@@ -270,8 +270,8 @@
     cluster.partitioned = {unreachable}
     node = cluster.nodes[owner]
     assert node.owner is not None
-    cluster.act(node, node.owner.forget(cluster.now_s, "k"))
-    cluster.act(node, node.owner.forget(cluster.now_s, "k"))
+    cluster.perform(node, node.owner.forget(cluster.now_s, "k"))
+    cluster.perform(node, node.owner.forget(cluster.now_s, "k"))
     cluster.pass_time(4.0)
     assert set(held(cluster, owner)) == {("k", TOMBSTONE)}
     # The store that was unreachable and another one take over: the tombstone must win.
--- a/tests/emberring/jobs/tier_jobs_cluster.py
+++ b/tests/emberring/jobs/tier_jobs_cluster.py
@@ -75,7 +75,7 @@
         node.owner = ShardOwner(name, node.replica, node.incarnation)
         node.contents_at_takeover = {}
         if self.group is not None:
-            self.act(node, node.owner.set_group(self.now_s, self.group))
+            self.perform(node, node.owner.set_group(self.now_s, self.group))
 
     def wipe(self, name: str) -> None:
         """Remove a store whose disk is lost."""
@@ -85,9 +85,9 @@
         self.group = group
         for node in self.nodes.values():
             assert node.owner is not None
-            self.act(node, node.owner.set_group(self.now_s, group))
+            self.perform(node, node.owner.set_group(self.now_s, group))
 
-    def act(self, node: Node, actions: list[OwnerAction]) -> None:
+    def perform(self, node: Node, actions: list[OwnerAction]) -> None:
         for action in actions:
             if isinstance(action, SendToReplica):
                 self.in_flight.append(InFlightCall(node, node.incarnation, action))
@@ -151,9 +151,9 @@
         if in_flight_call.incarnation != in_flight_call.origin.incarnation or owner is None:
             return
         if reply is None:
-            self.act(in_flight_call.origin, owner.on_call_failed(self.now_s, in_flight_call.send.ticket))
+            self.perform(in_flight_call.origin, owner.on_call_failed(self.now_s, in_flight_call.send.ticket))
         else:
-            self.act(in_flight_call.origin, owner.on_reply(self.now_s, in_flight_call.send.ticket, reply))
+            self.perform(in_flight_call.origin, owner.on_reply(self.now_s, in_flight_call.send.ticket, reply))
 
     def deliver_all(self) -> None:
         for _ in range(2000):
@@ -174,12 +174,12 @@
                 message = RenewLeases(name, target.name, tuple(leases))
                 answer, actions = target.replica.renew_lease(self.now_s, message.leases[0])
                 self.settle(target, actions)
-                self.act(node, node.owner.on_lease_renewal(self.now_s, target.name, self.now_s, answer))
+                self.perform(node, node.owner.on_lease_renewal(self.now_s, target.name, self.now_s, answer))
 
     def tick(self, name: str, healthy: bool = True) -> None:
         node = self.nodes[name]
         assert node.owner is not None
-        self.act(node, node.owner.tick(self.now_s, healthy, set(self.nodes) - self.partitioned))
+        self.perform(node, node.owner.tick(self.now_s, healthy, set(self.nodes) - self.partitioned))
 
     def pass_time(self, seconds: float, step_s: float = 0.1) -> None:
         """Advance the time of all stores in steps; all calls are delivered."""
@@ -194,7 +194,7 @@
     def propose(self, name: str, key: str, slot: int, value: bytes) -> None:
         owner = self.nodes[name].owner
         assert owner is not None
-        self.act(self.nodes[name], owner.propose(self.now_s, key, slot, value, self.now_s))
+        self.perform(self.nodes[name], owner.propose(self.now_s, key, slot, value, self.now_s))
 
     def serving(self) -> list[str]:
         return [
