--- a/emberring/journal/scan.py
+++ b/emberring/journal/scan.py
@@ -1,4 +1,4 @@
-"""Read-only scan of a journal's folder: what it holds and what is damaged. Blocks on the disk."""
+"""Read-only scan of the folder of a journal: its contents and its damage. Blocks on the disk."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class SegmentScan:
-    """A segment in use: file, number, count of valid records, where they end and its size (bytes)."""
+    """A segment in use: file, number, count of valid records, offset of their end, size of the file (bytes)."""
 
     file: str
     number: int
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class JournalScan:
-    """All segments in order, their records, the number of free files, and one line for each damage."""
+    """All segments in order, their records, the number of free files, and one line of text for each damage."""
 
     segments: tuple[SegmentScan, ...]
     records: tuple[Record, ...]
@@ -40,18 +40,18 @@
 
     @property
     def used_bytes(self) -> int:
-        """The bytes of valid records and headers."""
+        """Total size of valid records and of segment headers, in bytes."""
         return sum(segment.end for segment in self.segments)
 
 
 def scan_journal(directory: Path) -> JournalScan:
-    """Scan a journal's folder; `OSError` where it can't be read.
+    """Scan the folder of a journal; raises `OSError` if it can't be read.
 
-    A last segment that ends in bytes which are no record is in order: a process or machine stopped while
-    it wrote.
+    Bytes after the last valid record of the newest segment are not damage: the process or the machine stopped during a
+    write, or the file was in use before.
     """
     damages: list[str] = []
-    found: list[tuple[SegmentHeader, str, bytes]] = []
+    used_files: list[tuple[SegmentHeader, str, bytes]] = []
     free_files = 0
     for path in sorted(directory.iterdir()):
         if not path.name.startswith(NAME_PREFIX):
@@ -59,25 +59,25 @@
         data = path.read_bytes()
         header = decode_segment_header(data[:SEGMENT_HEADER_BYTES])
         if header is not None:
-            found.append((header, path.name, data))
+            used_files.append((header, path.name, data))
             continue
         free_files += 1
         if data.startswith(MAGIC):
             version = int.from_bytes(data[len(MAGIC) : len(MAGIC) + 4], "little")
             other = f"has format version {version}, not {FORMAT_VERSION}"
             damages.append(f"{path.name}: {other if version != FORMAT_VERSION else 'its header is damaged'}")
-    found.sort(key=lambda item: item[0].number)
-    segments, records = _scan_segments(found, damages)
+    used_files.sort(key=lambda item: item[0].number)
+    segments, records = _scan_segments(used_files, damages)
     return JournalScan(tuple(segments), tuple(records), free_files, tuple(damages))
 
 
 def _scan_segments(
-    found: list[tuple[SegmentHeader, str, bytes]], damages: list[str]
+    used_files: list[tuple[SegmentHeader, str, bytes]], damages: list[str]
 ) -> tuple[list[SegmentScan], list[Record]]:
     segments: list[SegmentScan] = []
     records: list[Record] = []
-    for index, (header, name, data) in enumerate(found):
-        following = found[index + 1][0] if index + 1 < len(found) else None
+    for index, (header, name, data) in enumerate(used_files):
+        following = used_files[index + 1][0] if index + 1 < len(used_files) else None
         limit = None
         if following is not None and following.number == header.number + 1:
             limit = following.previous_end
