--- a/loadbalancer/cli/config.py
+++ b/loadbalancer/cli/config.py
@@ -17,13 +17,13 @@
 from loadbalancer.sidecar.checks import check
 from loadbalancer.sidecar.derive import Derived, derive, text_of
 from loadbalancer.sidecar.drift import Difference, compare
-from loadbalancer.sidecar.idl import hold, methods_of
+from loadbalancer.sidecar.idl import check_against_idl, methods_of
 from loadbalancer.sidecar.load import Document, UnusableError, read
 from loadbalancer.sidecar.locate import Path as Place
 from loadbalancer.sidecar.loops import find_loops
-from loadbalancer.sidecar.mistakes import Mistake, shown
+from loadbalancer.sidecar.mistakes import Mistake, path_text
 from loadbalancer.sidecar.models import KINDS, Configuration, plain
-from loadbalancer.sidecar.toml import scalar
+from loadbalancer.sidecar.toml import value_text
 
 RESOURCES = (".json", ".yaml", ".yml")  # files of xDS resources
 EXITS = "Exit codes: 0 none found, 1 mistakes or drift, 2 the call itself can't be carried out."
@@ -137,7 +137,7 @@
     for path, found in methods.items():
         for document in documents:
             if not document.mistakes:
-                hold(document, found, path)
+                check_against_idl(document, found, path)
     catalogues = [item for item in documents if item.kind == "catalogue"]
     remarks = []
     for document in documents:
@@ -155,9 +155,9 @@
             )
         elif fitting[0].mistakes:
             remarks.append(f"{document.name}: not held against {fitting[0].name}, which has mistakes itself")
-        elif not document.spoilt:
+        elif not document.invalid_paths:
             derive(fitting[0], document)
-    find_loops([document for document in documents if document.kind in KINDS and not document.spoilt])
+    find_loops([document for document in documents if document.kind in KINDS and not document.invalid_paths])
     return documents, remarks
 
 
@@ -233,14 +233,14 @@
     derived = found[0]
     rows = []
     for path, value in _values(derived.data, ()):
-        text = shown(path, derived.data)
+        text = path_text(path, derived.data)
         if text.startswith(args.path):
             rows.append({"path": text, "value": value, "from": derived.origins.get(path, "always so")})
     if args.json:
         print(orjson.dumps(rows, option=orjson.OPT_INDENT_2).decode())
         return 0
     for row in rows:
-        print(f"{row['path']} = {scalar(row['value'])}  <- {row['from']}")
+        print(f"{row['path']} = {value_text(row['value'])}  <- {row['from']}")
     if not rows:
         return _unusable(f"no value's path begins with {args.path!r}")
     return 0
@@ -303,7 +303,7 @@
     word = "meant" if not item.drift else f"DRIFT, endangers «{item.rule.value}»" if item.rule else "drift"
     lines = [f"{item.path}: {word}" + (f": {item.why}" if item.drift else "")]
     lines += [
-        f"    {name}: {'(none)' if value is None else scalar(value)}"
+        f"    {name}: {'(none)' if value is None else value_text(value)}"
         for name, value in zip(names, item.values, strict=True)
     ]
     return "\n".join(lines)
--- a/loadbalancer/sidecar/__init__.py
+++ b/loadbalancer/sidecar/__init__.py
@@ -1,4 +1,4 @@
-"""The sidecar's files: catalogue, application description, configuration; their models, writing and checking.
+"""The sidecar's files (catalogue, application description, configuration): their models, derivation and checks.
 
-No sockets here, and nothing that the platform's node imports.
+This package opens no sockets, and the platform's node does not import it.
 """
--- a/loadbalancer/sidecar/derive.py
+++ b/loadbalancer/sidecar/derive.py
@@ -1,7 +1,7 @@
-"""A configuration from a catalogue and an application description, each value with where it came from.
+"""Derives a configuration from a catalogue and an application description, and records the origin of each value.
 
-The description may be stricter than the catalogue, never looser; what it asks beyond is a mistake that names the
-line of the catalogue that forbids it.
+The description may be stricter than the catalogue, never looser. A looser value is a mistake whose text names the
+line of the catalogue that sets the limit.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from loadbalancer.sidecar.checks import check
 from loadbalancer.sidecar.load import Document, parse
 from loadbalancer.sidecar.locate import Path
-from loadbalancer.sidecar.mistakes import near
+from loadbalancer.sidecar.mistakes import suggestion
 from loadbalancer.sidecar.models import (
     EFFECTS,
     VERSION,
@@ -32,8 +32,8 @@
 )
 from loadbalancer.sidecar.toml import dumps
 
-OPEN_LEAST = 64  # requests open at once that a sidecar has room for, whatever its rates
-OPEN_FACTOR = 4.0  # times what the rates keep open if every call takes as long as it may
+MIN_OPEN = 64  # concurrent requests that a sidecar accepts however low its rates are
+OPEN_FACTOR = 4.0  # times the concurrency at the stated rates when calls last until their deadlines
 
 
 @dataclass(slots=True)
@@ -49,7 +49,7 @@
 
 
 class Deriver:
-    """Holds a description against a catalogue, both of the right shape."""
+    """Checks a description against a catalogue and derives the configuration. Both files must already be valid."""
 
     def __init__(self, catalogue: Document, application: Document) -> None:
         self.catalogue, self.application = catalogue, application
@@ -59,57 +59,65 @@
     # -------------------------------------------------------------------- checking
 
     def check(self) -> None:
-        """Add to the description's mistakes what the catalogue forbids."""
-        app, cat, say = self.app, self.cat, self.application.add
+        """Append to the description's mistakes what the catalogue does not allow."""
+        app, cat, report = self.app, self.cat, self.application.add
         if app.catalogue is not None and app.catalogue != cat.name:
-            say(
+            report(
                 ("catalogue",),
                 f"is {app.catalogue!r}, and {self.catalogue.at(('name',))} is {cat.name!r}",
-                "the catalogue that it is meant for",
+                "name the catalogue that it is written for",
             )
         for key in ("trust", "budget_field"):
             if getattr(app, key) is not None and cat.budget is None:
-                say((key,), f"the catalogue {self.catalogue.name} has no [budget]", "leave it out")
+                report((key,), f"the catalogue {self.catalogue.name} has no [budget]", "remove it")
         pools = {pool.name for pool in cat.pools}
-        for at, name in enumerate(app.serves):
+        for index, name in enumerate(app.serves):
             if name not in pools:
-                say(("serves", at), f"the catalogue has no pool {name!r}", near(name, pools))
+                report(("serves", index), f"the catalogue has no pool {name!r}", suggestion(name, pools))
         if app.tenant is not None and cat.tenants:
             names = {item.name for item in cat.tenants}
             if app.tenant not in names:
-                say(("tenant",), f"the catalogue has no tenant {app.tenant!r}", near(app.tenant, names))
+                report(
+                    ("tenant",), f"the catalogue has no tenant {app.tenant!r}", suggestion(app.tenant, names)
+                )
         elif app.tenant is not None:
-            say(("tenant",), f"the catalogue {self.catalogue.name} has no tenants", "leave it out")
+            report(("tenant",), f"the catalogue {self.catalogue.name} has no tenants", "remove it")
         for key in ("descriptors", "max_open", "max_body_bytes"):
-            wanted, most = getattr(app.limits, key), getattr(cat.limits, key)
-            if wanted is not None and most is not None and wanted > most:
+            requested, maximum = getattr(app.limits, key), getattr(cat.limits, key)
+            if requested is not None and maximum is not None and requested > maximum:
                 path: Path = ("limits", key)
-                self._over(path, f"{wanted}", self.catalogue.at(path), f"{most}")
-        by_name = {item.name: (at, item) for at, item in enumerate(cat.classes)}
+                self._report_looser(path, f"{requested}", self.catalogue.at(path), f"{maximum}")
+        by_name = {item.name: (index, item) for index, item in enumerate(cat.classes)}
         zones = set()
-        for at, call in enumerate(app.calls):
-            found = by_name.get(call.service)
-            if found is None:
-                path = ("calls", at, "class")
-                say(path, f"the catalogue has no class {call.service!r}", near(call.service, by_name))
+        for index, call in enumerate(app.calls):
+            entry = by_name.get(call.service)
+            if entry is None:
+                path = ("calls", index, "class")
+                report(
+                    path, f"the catalogue has no class {call.service!r}", suggestion(call.service, by_name)
+                )
                 continue
-            self._check_call(("calls", at), call, *found)
-            zones |= {zone for pool in cat.pools if pool.name == found[1].pool for zone in pool.zones}
+            self._check_call(("calls", index), call, *entry)
+            zones |= {zone for pool in cat.pools if pool.name == entry[1].pool for zone in pool.zones}
         if zones and app.zone not in zones:
-            say(("zone",), f"zone {app.zone!r} is not one of the pools'", near(app.zone, zones))
-        spoken = self._spoken()
-        if spoken == {"http", "thrift"} and app.thrift_listen is None:
-            say(
+            report(
+                ("zone",),
+                f"zone {app.zone!r} is not a zone of the pools it calls",
+                suggestion(app.zone, zones),
+            )
+        protocols = self._protocols_used()
+        if protocols == {"http", "thrift"} and app.thrift_listen is None:
+            report(
                 (),
-                "some calls are of HTTP and some of Thrift, and one address hears one of them",
+                "some calls use HTTP and some Thrift, and one address accepts only one protocol",
                 "add thrift_listen",
             )
-        elif "thrift" not in spoken and app.thrift_listen is not None:
-            say(("thrift_listen",), "no call is of Thrift", "leave it out")
+        elif "thrift" not in protocols and app.thrift_listen is not None:
+            report(("thrift_listen",), "no call uses Thrift", "remove it")
         self.application.mistakes.sort()
 
-    def _spoken(self) -> set[str]:
-        """The protocols that the application's calls are of."""
+    def _protocols_used(self) -> set[str]:
+        """The protocols that the application's calls use."""
         own = {item.name: item.routes for item in self.cat.classes}
         return {
             route.protocol
@@ -117,243 +125,266 @@
             for route in (call.routes if call.routes is not None else own.get(call.service, []))
         }
 
-    def _over(self, path: Path, wanted: str, where: str, most: str) -> None:
-        self.application.add(path, f"{wanted} is looser than {where} allows", f"at most {most}")
-
-    def _check_call(self, here: Path, call: Call, at: int, kind: CatalogueClass) -> None:
-        say = self.application.add
-        effect_at = self.catalogue.at(("classes", at, "effect"))
-        if call.effect is not None and EFFECTS.index(call.effect) < EFFECTS.index(kind.effect):
-            say(
-                (*here, "effect"),
-                f"{call.effect!r} is looser than {effect_at} allows, where {kind.name!r} is {kind.effect}",
-                f"{kind.effect!r} or stricter",
+    def _report_looser(self, path: Path, wanted: str, where: str, maximum: str) -> None:
+        self.application.add(path, f"{wanted} is looser than {where} allows", f"at most {maximum}")
+
+    def _check_call(self, location: Path, call: Call, index: int, service_class: CatalogueClass) -> None:
+        report = self.application.add
+        effect_at = self.catalogue.at(("classes", index, "effect"))
+        if call.effect is not None and EFFECTS.index(call.effect) < EFFECTS.index(service_class.effect):
+            report(
+                (*location, "effect"),
+                f"{call.effect!r} is looser than {effect_at} allows, "
+                f"where {service_class.name!r} is {service_class.effect}",
+                f"{service_class.effect!r} or stricter",
             )
-        for name, word in (("retryable", "sent again"), ("idempotent", "repeated")):
-            if getattr(call, name) and kind.effect == "unsafe":
-                say(
-                    (*here, name),
-                    f"{kind.name!r} must never be {word} once it may have run: {effect_at} says it is unsafe",
-                    "leave it out, or false",
+        for name, verb in (("retryable", "retried"), ("idempotent", "repeated")):
+            if getattr(call, name) and service_class.effect == "unsafe":
+                report(
+                    (*location, name),
+                    f"{service_class.name!r} must never be {verb} once it may have run: {effect_at} says it is unsafe",
+                    "remove it, or use false",
                 )
-        if call.hedged and not kind.hedge:
-            where = self.catalogue.at(("classes", at, "hedge"))
-            reason = effect_at if kind.effect != "safe" else where
-            say((*here, "hedged"), f"{reason} does not allow a second copy of {kind.name!r}", "leave it out")
+        if call.hedged and not service_class.hedge:
+            where = self.catalogue.at(("classes", index, "hedge"))
+            reason = effect_at if service_class.effect != "safe" else where
+            report(
+                (*location, "hedged"), f"{reason} does not allow hedging {service_class.name!r}", "remove it"
+            )
         elif call.hedged and self.cat.budget is None:
-            where = f"a second copy is taken from the budget, and {self.catalogue.name} has none"
-            say((*here, "hedged"), where, "leave it out, or add [budget] there")
-        most = kind.attempts or self.cat.rules.max_attempts
-        if call.attempts is not None and call.attempts > most:
-            key: Path = ("classes", at, "attempts") if kind.attempts else ("rules", "max_attempts")
-            self._over((*here, "attempts"), str(call.attempts), self.catalogue.at(key), str(most))
-        if call.worth is not None and call.worth > kind.worth:
-            where = self.catalogue.at(("classes", at, "worth"))
-            self._over((*here, "worth"), f"{call.worth:g}", where, f"{kind.worth:g}")
+            where = f"hedges spend the retry budget, and {self.catalogue.name} has no [budget]"
+            report((*location, "hedged"), where, "remove it, or add [budget] there")
+        maximum = service_class.attempts or self.cat.rules.max_attempts
+        if call.attempts is not None and call.attempts > maximum:
+            key: Path = (
+                ("classes", index, "attempts") if service_class.attempts else ("rules", "max_attempts")
+            )
+            self._report_looser(
+                (*location, "attempts"), str(call.attempts), self.catalogue.at(key), str(maximum)
+            )
+        if call.worth is not None and call.worth > service_class.worth:
+            where = self.catalogue.at(("classes", index, "worth"))
+            self._report_looser((*location, "worth"), f"{call.worth:g}", where, f"{service_class.worth:g}")
         if call.deadline_ms is None:
             return
-        path = (*here, "deadline_ms")
-        if call.deadline_ms > kind.give_up_ms:
-            where = self.catalogue.at(("classes", at, "give_up_ms"))
-            self._over(path, f"{call.deadline_ms:g}", where, f"{kind.give_up_ms:g}")
+        path = (*location, "deadline_ms")
+        if call.deadline_ms > service_class.give_up_ms:
+            where = self.catalogue.at(("classes", index, "give_up_ms"))
+            self._report_looser(path, f"{call.deadline_ms:g}", where, f"{service_class.give_up_ms:g}")
         for number, pool in enumerate(self.cat.pools):
-            if pool.name == kind.pool and call.deadline_ms <= pool.round_trip_ms:
+            if pool.name == service_class.pool and call.deadline_ms <= pool.round_trip_ms:
                 where = self.catalogue.at(("pools", number, "round_trip_ms"))
-                say(
+                report(
                     path,
-                    f"{call.deadline_ms:g} is not above the network's round trip ({where})",
+                    f"{call.deadline_ms:g} is not above the network round trip ({where})",
                     f"more than {pool.round_trip_ms:g}",
                 )
 
     # --------------------------------------------------------------------- writing
 
     def write(self) -> Derived:
-        """The configuration; both files have to be without mistakes."""
+        """The configuration; requires that `check` found no mistakes."""
         cat, app = self.cat, self.app
-        self._out = Derived()
-        put = self._put
-        put(("kind",), "configuration", "")
-        put(("version",), VERSION, "")
-        put(("name",), app.name, self._app(("name",)))
-        put(("zone",), app.zone, self._app(("zone",)))
-        put(("catalogue",), cat.name, self._cat(("name",)))
-        calls = {call.service: (at, call) for at, call in enumerate(app.calls)}
-        classes = [(at, item) for at, item in enumerate(cat.classes) if item.name in calls]
+        self._derived = Derived()
+        set_value = self._set
+        set_value(("kind",), "configuration", "")
+        set_value(("version",), VERSION, "")
+        set_value(("name",), app.name, self._application_origin(("name",)))
+        set_value(("zone",), app.zone, self._application_origin(("zone",)))
+        set_value(("catalogue",), cat.name, self._catalogue_origin(("name",)))
+        calls = {call.service: (index, call) for index, call in enumerate(app.calls)}
+        classes = [(index, item) for index, item in enumerate(cat.classes) if item.name in calls]
         used = {item.pool for _, item in classes}
         self._listeners()
         if app.admin is not None:
-            put(("admin", "address"), app.admin, self._app(("admin",)))
+            set_value(("admin", "address"), app.admin, self._application_origin(("admin",)))
         else:
             host, port = parse_address(app.listen)
-            after = f"[{host}]" if ":" in host else host
-            put(
+            admin_host = f"[{host}]" if ":" in host else host
+            set_value(
                 ("admin", "address"),
-                f"{after}:{port + 1 if port else 0}",
-                f"next to {self._app(('listen',))}",
+                f"{admin_host}:{port + 1 if port else 0}",
+                f"next to {self._application_origin(('listen',))}",
             )
         if app.serves:
-            put(("serves",), app.serves, self._app(("serves",)))
+            set_value(("serves",), app.serves, self._application_origin(("serves",)))
         self._copy(("rules",), cat.rules)
         if cat.budget is not None:
             self._copy(("budget",), cat.budget)
         self._limits([item for _, item in classes], calls)
-        for at, tenant in enumerate(cat.tenants):
-            self._copy(("tenants", at), tenant)
-        pools = [(at, pool) for at, pool in enumerate(cat.pools) if pool.name in used]
-        for number, (at, pool) in enumerate(pools):
-            self._copy(("pools", number), pool, ("pools", at))
-        for number, (at, item) in enumerate(classes):
-            self._class(("classes", number), ("classes", at), item, *calls[item.name])
+        for index, tenant in enumerate(cat.tenants):
+            self._copy(("tenants", index), tenant)
+        pools = [(index, pool) for index, pool in enumerate(cat.pools) if pool.name in used]
+        for number, (index, pool) in enumerate(pools):
+            self._copy(("pools", number), pool, ("pools", index))
+        for number, (index, item) in enumerate(classes):
+            self._class(("classes", number), ("classes", index), item, *calls[item.name])
         number = 0
-        for at, item in classes:
-            number = self._routes(number, ("classes", at), item, *calls[item.name])
-        return self._out
+        for index, item in classes:
+            number = self._routes(number, ("classes", index), item, *calls[item.name])
+        return self._derived
 
     def _listeners(self) -> None:
-        """One for each protocol that its calls are of."""
-        put, app = self._put, self.app
-        spoken = self._spoken()
+        """Add a listener for each protocol that the application's calls use."""
+        set_value, app = self._set, self.app
+        protocols = self._protocols_used()
         rows = (("application", "http", "listen"), ("thrift", "thrift", "thrift_listen"))
         for name, protocol, key in rows:
-            if protocol not in spoken:
+            if protocol not in protocols:
                 continue
-            at: Path = ("listeners", len(self._out.data.get("listeners", ())))
-            put((*at, "name"), name, "")
-            put(
-                (*at, "address"),
+            listener_path: Path = ("listeners", len(self._derived.data.get("listeners", ())))
+            set_value((*listener_path, "name"), name, "")
+            set_value(
+                (*listener_path, "address"),
                 getattr(app, key) or app.listen,
-                self._app((key if getattr(app, key) else "listen",)),
+                self._application_origin((key if getattr(app, key) else "listen",)),
             )
             if protocol == "http":
-                put((*at, "deadline_header"), "Req-Deadline-Ms", "default")
+                set_value((*listener_path, "deadline_header"), "Req-Deadline-Ms", "default")
             else:
-                put((*at, "protocol"), protocol, "")
+                set_value((*listener_path, "protocol"), protocol, "")
                 if app.tenant_field is not None:
-                    put((*at, "tenant_field"), app.tenant_field, self._app(("tenant_field",)))
+                    set_value(
+                        (*listener_path, "tenant_field"),
+                        app.tenant_field,
+                        self._application_origin(("tenant_field",)),
+                    )
             if app.trust is not None:
-                put((*at, "trust"), app.trust, self._app(("trust",)))
+                set_value((*listener_path, "trust"), app.trust, self._application_origin(("trust",)))
             if app.budget_field is not None and protocol == "thrift":
-                put((*at, "budget_field"), app.budget_field, self._app(("budget_field",)))
+                set_value(
+                    (*listener_path, "budget_field"),
+                    app.budget_field,
+                    self._application_origin(("budget_field",)),
+                )
             if app.tenant is not None:
-                put((*at, "tenant"), app.tenant, self._app(("tenant",)))
+                set_value((*listener_path, "tenant"), app.tenant, self._application_origin(("tenant",)))
 
-    def _app(self, path: Path) -> str:
-        return self._from(self.application, path)
+    def _application_origin(self, path: Path) -> str:
+        return self._origin(self.application, path)
 
-    def _cat(self, path: Path) -> str:
-        return self._from(self.catalogue, path)
+    def _catalogue_origin(self, path: Path) -> str:
+        return self._origin(self.catalogue, path)
 
-    def _from(self, document: Document, path: Path) -> str:
-        """The place of a value, without the folder, so that no machine's paths get into the file."""
+    def _origin(self, document: Document, path: Path) -> str:
+        """The origin of a value as `file:line`, without the directory: the output must not depend on the machine."""
         if path not in document.lines:
             return "default"
         return f"{basename(document.name)}:{document.lines[path]}"
 
-    def _put(self, path: Path, value: Any, origin: str) -> None:
-        table: Any = self._out.data
-        for word, after in pairwise(path):
-            if isinstance(word, int):
-                while len(table) <= word:
+    def _set(self, path: Path, value: Any, origin: str) -> None:
+        table: Any = self._derived.data
+        for key, following in pairwise(path):
+            if isinstance(key, int):
+                while len(table) <= key:
                     table.append({})
-                table = table[word]
+                table = table[key]
             else:
-                table = table.setdefault(word, [] if isinstance(after, int) else {})
+                table = table.setdefault(key, [] if isinstance(following, int) else {})
         table[path[-1]] = value
         if origin:
-            self._out.origins[path] = origin
+            self._derived.origins[path] = origin
 
     def _copy(self, path: Path, model: BaseModel, origin: Path | None = None) -> None:
-        """All values of a part of the catalogue, its defaults written out."""
+        """Copy all values of a part of the catalogue, including its defaults."""
         self._copy_data(path, plain(model), path if origin is None else origin)
 
     def _copy_data(self, path: Path, data: dict[str, Any], origin: Path) -> None:
         for key, value in data.items():
-            here, there = (*path, key), (*origin, key)
+            target, source = (*path, key), (*origin, key)
             if isinstance(value, dict):
-                self._copy_data(here, value, there)
+                self._copy_data(target, value, source)
             elif isinstance(value, list) and value and isinstance(value[0], dict):
-                for at, item in enumerate(value):
-                    self._copy_data((*here, at), item, (*there, at))
+                for index, item in enumerate(value):
+                    self._copy_data((*target, index), item, (*source, index))
             elif not (isinstance(value, list) and not value):
-                self._put(here, value, self._cat(there))
+                self._set(target, value, self._catalogue_origin(source))
 
     def _limits(self, classes: list[CatalogueClass], calls: dict[str, tuple[int, Call]]) -> None:
-        most = plain(self.cat.limits)
-        own = plain(self.app.limits)
-        kept_open = sum(
+        limits = plain(self.cat.limits)
+        own_limits = plain(self.app.limits)
+        expected_open = sum(
             calls[item.name][1].rate * (calls[item.name][1].deadline_ms or item.give_up_ms) / 1000.0
             for item in classes
         )
-        wanted = max(OPEN_LEAST, math.ceil(OPEN_FACTOR * kept_open))
-        for key, value in most.items():
+        max_open = max(MIN_OPEN, math.ceil(OPEN_FACTOR * expected_open))
+        for key, value in limits.items():
             path: Path = ("limits", key)
-            if key in own:
-                self._put(path, own[key], f"{self._app(path)}, within {self._cat(path)}")
-            elif key == "max_open" and wanted < self.cat.limits.max_open:
-                self._put(path, wanted, f"from the rates of {basename(self.application.name)}")
+            if key in own_limits:
+                self._set(
+                    path,
+                    own_limits[key],
+                    f"{self._application_origin(path)}, within {self._catalogue_origin(path)}",
+                )
+            elif key == "max_open" and max_open < self.cat.limits.max_open:
+                self._set(path, max_open, f"from the rates of {basename(self.application.name)}")
             else:
-                self._put(path, value, self._cat(path))
+                self._set(path, value, self._catalogue_origin(path))
 
-    def _class(self, path: Path, origin: Path, item: CatalogueClass, at: int, call: Call) -> None:
+    def _class(self, path: Path, origin: Path, item: CatalogueClass, index: int, call: Call) -> None:
         data: dict[str, Any] = {
             key: value for key, value in plain(item).items() if key in ClassModel.model_fields
         }
-        changed: dict[str, Path] = {}
+        overrides: dict[str, Path] = {}
         effect = call.effect or item.effect
-        where: Path = ("calls", at, "effect")
+        effect_path: Path = ("calls", index, "effect")
         for key in ("retryable", "idempotent"):
             if getattr(call, key) is False and effect != "unsafe":
-                effect, where = "unsafe", ("calls", at, key)
+                effect, effect_path = "unsafe", ("calls", index, key)
         if effect != item.effect:
-            changed["effect"] = where
+            overrides["effect"] = effect_path
         if effect != "keyed":
             for key in ("key_header", "key_scope", "memory_ms", "key_field"):
                 data.pop(key, None)
         data["effect"] = effect
         data.pop("hedge", None)
         if call.hedged and effect == "safe":
-            data["hedge"], changed["hedge"] = True, ("calls", at, "hedged")
+            data["hedge"], overrides["hedge"] = True, ("calls", index, "hedged")
         for key in ("worth", "attempts"):
             value = getattr(call, key)
             if value is not None:
-                data[key], changed[key] = value, ("calls", at, key)
+                data[key], overrides[key] = value, ("calls", index, key)
         for key, value in data.items():
-            place = self._cat((*origin, key))
-            if key in changed:
-                place = f"{self._app(changed[key])}, within {place}"
-            self._put((*path, key), value, place)
-
-    def _routes(self, number: int, origin: Path, item: CatalogueClass, at: int, call: Call) -> int:
-        """Write the routes of a class from this number on; returns the next one."""
-        call_routes: Path = ("calls", at, "routes")
+            value_origin = self._catalogue_origin((*origin, key))
+            if key in overrides:
+                value_origin = f"{self._application_origin(overrides[key])}, within {value_origin}"
+            self._set((*path, key), value, value_origin)
+
+    def _routes(self, number: int, origin: Path, item: CatalogueClass, call_index: int, call: Call) -> int:
+        """Add the routes of a class, starting at index `number`; returns the next free index."""
+        call_routes: Path = ("calls", call_index, "routes")
         if call.routes is not None:
             document, routes, start = self.application, call.routes, call_routes
         else:
             document, routes, start = self.catalogue, item.routes, (*origin, "routes")
         for index, route in enumerate(routes):
             path: Path = ("routes", number)
-            self._put((*path, "class"), item.name, self._app(("calls", at, "class")))
+            self._set((*path, "class"), item.name, self._application_origin(("calls", call_index, "class")))
             for key, value in plain(route).items():
                 if key != "headers":
                     if value:
-                        self._put((*path, key), value, self._from(document, (*start, index, key)))
+                        self._set((*path, key), value, self._origin(document, (*start, index, key)))
                     continue
-                for place, header in enumerate(route.headers):
+                for header_index, header in enumerate(route.headers):
                     for name, text in plain(header).items():
-                        below: Path = ("headers", place, name)
-                        self._put((*path, *below), text, self._from(document, (*start, index, *below)))
+                        header_key: Path = ("headers", header_index, name)
+                        self._set(
+                            (*path, *header_key), text, self._origin(document, (*start, index, *header_key))
+                        )
             if call.deadline_ms is not None:
-                within = self._cat((*origin, "give_up_ms"))
-                place_of = f"{self._app(('calls', at, 'deadline_ms'))}, within {within}"
-                self._put((*path, "deadline_ms"), call.deadline_ms, place_of)
+                limit_origin = self._catalogue_origin((*origin, "give_up_ms"))
+                value_origin = (
+                    f"{self._application_origin(('calls', call_index, 'deadline_ms'))}, within {limit_origin}"
+                )
+                self._set((*path, "deadline_ms"), call.deadline_ms, value_origin)
             number += 1
         return number
 
 
 def derive(catalogue: Document, application: Document) -> Derived | None:
-    """The configuration from both, or None after adding to the description's mistakes what stands against it.
+    """The configuration from both files, or None after adding mistakes to the description.
 
-    Both documents have to be without mistakes so far.
+    Both documents must be free of mistakes before the call.
     """
     deriver = Deriver(catalogue, application)
     deriver.check()
@@ -362,13 +393,13 @@
     derived = deriver.write()
     written = parse(dumps(derived.data, derived.origins), "configuration")
     check(written)
-    for mistake in written.mistakes:  # what only shows where both are put together
-        application.add((), f"the configuration from it has {mistake.path}: {mistake.wrong}", mistake.right)
+    for mistake in written.mistakes:  # mistakes that appear only in the combination of both files
+        application.add((), f"the derived configuration has {mistake.path}: {mistake.wrong}", mistake.right)
     return None if application.mistakes else derived
 
 
 def text_of(derived: Derived, catalogue: Document, application: Document) -> str:
-    """The configuration file, the same bytes for the same inputs."""
+    """The text of the configuration file; equal inputs give equal bytes."""
     head = f"# Written by `orchidledge config write` from {basename(catalogue.name)} and "
     head += f"{basename(application.name)}; change those.\n"
     return head + dumps(derived.data, derived.origins)
--- a/loadbalancer/sidecar/drift.py
+++ b/loadbalancer/sidecar/drift.py
@@ -1,4 +1,8 @@
-"""Which differences between configurations are meant, which are drift, and which of these endangers a rule."""
+"""Compares the configurations of several sidecars and classifies each difference.
+
+A difference is intended (`meant`) where each sidecar may have its own value, and drift where the sidecars of a pool
+have to share one. Some drift endangers one of the four rules of the load balancer.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +14,7 @@
 
 
 class Rule(Enum):
-    """The four rules, as they are told to people."""
+    """The four rules; the values are their names in the output."""
 
     LOST = "no request lost"
     TWICE = "no effect twice"
@@ -20,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Setting:
-    """A kind of setting: whether sidecars of one pool have to share it, and what breaks if they don't."""
+    """A group of settings: whether all sidecars of a pool must have the same value, and what breaks if they differ."""
 
     pattern: re.Pattern[str]
     shared: bool
@@ -28,58 +32,61 @@
     why: str = ""
 
 
-def _setting(pattern: str, shared: bool, rule: Rule | None = None, why: str = "") -> Setting:
+def _make_setting(pattern: str, shared: bool, rule: Rule | None = None, why: str = "") -> Setting:
     return Setting(re.compile(pattern), shared, rule, why)
 
 
-# The first pattern that matches a path decides. Each setting of the models is matched by one; a test holds that.
+# The first matching pattern applies. A test checks that each setting of the models matches a pattern.
 SETTINGS = (
-    _setting(r"kind|version", False),
-    _setting(r"name|zone|serves", False),
-    _setting(r"listeners\[.*|admin\..*", False),
-    _setting(r"limits\..*", False),
-    _setting(r"catalogue", True, None, "they were written from different catalogues"),
-    _setting(r"rules\.told_within_ms", True, Rule.DRAINS, "one hears of a drain later than the other"),
-    _setting(
+    _make_setting(r"kind|version", False),
+    _make_setting(r"name|zone|serves", False),
+    _make_setting(r"listeners\[.*|admin\..*", False),
+    _make_setting(r"limits\..*", False),
+    _make_setting(r"catalogue", True, None, "they were derived from different catalogues"),
+    _make_setting(r"rules\.told_within_ms", True, Rule.DRAINS, "one learns of a drain later than the other"),
+    _make_setting(
         r"rules\.(cold_from|cold_ms|overload_factor)",
         True,
         Rule.COLD,
-        "their shares of a cold box's work don't add up",
+        "together they send a cold server more than it can serve",
     ),
-    _setting(r"rules\..*", True, None, "one retries, waits or prices otherwise than the other"),
-    _setting(r"budget\..*", True, None, "one multiplies a sick pool more than the other"),
-    _setting(r"tenants\[.*", True, None, "a tenant's quota is more at one than at the other"),
-    _setting(r"pools\[[^]]*\]\.list\..*", True, Rule.DRAINS, "they don't hear of the same boxes and drains"),
-    _setting(
-        r"pools\[[^]]*\]\.siblings", True, Rule.COLD, "each takes another share of the pool for its own"
+    _make_setting(r"rules\..*", True, None, "their retries, waits or prices differ"),
+    _make_setting(r"budget\..*", True, None, "one amplifies the load on a failing pool more than the other"),
+    _make_setting(r"tenants\[.*", True, None, "a tenant has a larger quota at one than at the other"),
+    _make_setting(
+        r"pools\[[^]]*\]\.list\..*", True, Rule.DRAINS, "they don't learn of the same servers and drains"
     ),
-    _setting(r"pools\[.*", True, None, "they treat the pool's boxes differently"),
-    _setting(
+    _make_setting(r"pools\[[^]]*\]\.siblings", True, Rule.COLD, "they assume different shares of the pool"),
+    _make_setting(r"pools\[.*", True, None, "they treat the servers of the pool differently"),
+    _make_setting(
         r"classes\[[^]]*\]\.(effect|pool|key_scope|key_header|key_field|memory_ms)",
         True,
         Rule.TWICE,
-        "what one never repeats may run twice through the other",
+        "a request that one never retries may run twice through the other",
+    ),
+    _make_setting(
+        r"classes\[[^]]*\]\.give_up_ms", True, Rule.LOST, "one answers after callers have given up"
     ),
-    _setting(r"classes\[[^]]*\]\.give_up_ms", True, Rule.LOST, "one answers after callers have gone"),
-    _setting(r"classes\[[^]]*\]\.(worth|attempts|hedge)", False),  # an application may ask for less
-    _setting(r"classes\[.*", True, None, "they aim at different times"),
-    _setting(r"routes\[[^]]*\]\.class", True, Rule.TWICE, "one path is two classes"),
-    _setting(r"routes\[.*", False),
+    # An application may set a stricter value for these.
+    _make_setting(r"classes\[[^]]*\]\.(worth|attempts|hedge)", False),
+    _make_setting(r"classes\[.*", True, None, "their latency targets differ"),
+    _make_setting(r"routes\[[^]]*\]\.class", True, Rule.TWICE, "one path maps to two classes"),
+    _make_setting(r"routes\[.*", False),
 )
 
 
 def setting_of(path: str) -> Setting:
-    """How a path is to be taken; one that nothing matches is shared, as what is not known may matter."""
+    """The setting that a path belongs to; an unknown path counts as shared, because a difference there may matter."""
     for item in SETTINGS:
         if item.pattern.fullmatch(path):
             return item
-    return Setting(re.compile(re.escape(path)), True, None, "not known to this program")
+    return Setting(re.compile(re.escape(path)), True, None, "the setting is unknown to this program")
 
 
 @dataclass(slots=True, frozen=True)
 class Difference:
     path: str
-    values: tuple[Any, ...]  # one for each configuration; None where it has none
+    values: tuple[Any, ...]  # one for each configuration; None where the path is absent
     drift: bool
     rule: Rule | None
     why: str
@@ -94,23 +101,23 @@
         }
 
 
-def flat(data: Mapping[str, Any]) -> dict[str, Any]:
-    """Values by path, elements of lists by what names them."""
-    return dict(_flat(data, ""))
+def flatten(data: Mapping[str, Any]) -> dict[str, Any]:
+    """The leaf values by path. Elements of a list are identified by their names, not by their indexes."""
+    return dict(_flatten(data, ""))
 
 
-def _flat(value: Any, path: str) -> Iterator[tuple[str, Any]]:
+def _flatten(value: Any, path: str) -> Iterator[tuple[str, Any]]:
     if isinstance(value, Mapping):
         for key, item in value.items():
-            yield from _flat(item, f"{path}.{key}" if path else key)
+            yield from _flatten(item, f"{path}.{key}" if path else key)
     elif isinstance(value, list) and value and isinstance(value[0], Mapping):
         for item in value:
-            yield from _flat(item, f"{path}[{_label(path, item)}]")
+            yield from _flatten(item, f"{path}[{_element_label(path, item)}]")
     else:
         yield path, value
 
 
-def _label(path: str, item: Mapping[str, Any]) -> str:
+def _element_label(path: str, item: Mapping[str, Any]) -> str:
     if path == "routes" and "call" in item:
         text = f"call {item['call']}"
     elif path == "routes":
@@ -121,26 +128,30 @@
     return text.replace("[", "(").replace("]", ")")
 
 
-def _whole(path: str) -> str:
-    """The element of a list that a path lies in: `classes[x]`; empty for what lies in none."""
-    found = re.match(r"(pools|classes|routes)\[[^]]*\]", path)
-    return found[0] if found else ""
+def _element_of(path: str) -> str:
+    """The pool, class or route that a path belongs to, such as `classes[x]`; empty for any other path."""
+    match = re.match(r"(pools|classes|routes)\[[^]]*\]", path)
+    return match[0] if match else ""
 
 
 def compare(configurations: list[Mapping[str, Any]]) -> list[Difference]:
-    """All differences, by path, among plain configurations."""
-    rows = [flat(item) for item in configurations]
-    there = [{_whole(path) for path in row} for row in rows]
+    """All differences between configurations given as plain data, sorted by path."""
+    flattened = [flatten(item) for item in configurations]
+    elements = [{_element_of(path) for path in row} for row in flattened]
     differences = []
-    for path in sorted({path for row in rows for path in row}):
-        # A class, pool or route that one does not use at all is no drift: its application does not call it.
-        have = [at for at in range(len(rows)) if not _whole(path) or _whole(path) in there[at]]
-        values = [rows[at].get(path) for at in have]
-        meant = len(have) < len(rows) and all(value == values[0] for value in values)
-        if not meant and all(value == values[0] for value in values):
+    for path in sorted({path for row in flattened for path in row}):
+        # A pool, class or route that is absent from a configuration is no drift: its application does not call it.
+        having = [
+            index
+            for index in range(len(flattened))
+            if not _element_of(path) or _element_of(path) in elements[index]
+        ]
+        values = [flattened[index].get(path) for index in having]
+        intended = len(having) < len(flattened) and all(value == values[0] for value in values)
+        if not intended and all(value == values[0] for value in values):
             continue
         setting = setting_of(path)
-        drift = setting.shared and not meant
-        every = tuple(row.get(path) for row in rows)
-        differences.append(Difference(path, every, drift, setting.rule, setting.why))
+        drift = setting.shared and not intended
+        all_values = tuple(row.get(path) for row in flattened)
+        differences.append(Difference(path, all_values, drift, setting.rule, setting.why))
     return differences
--- a/loadbalancer/sidecar/idl.py
+++ b/loadbalancer/sidecar/idl.py
@@ -1,5 +1,5 @@
-"""Thrift routes held against an IDL file: methods that don't exist, oneway calls in a class that may repeat them,
-methods without a class, keys where no such field stands. The IDL is read by thriftpy2, of the extra `thrift`."""
+"""Checks Thrift routes against an IDL file: unknown methods, methods that no route matches, oneway methods in a class
+that may be retried, key fields that do not exist. thriftpy2, from the extra `thrift`, parses the IDL."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from loadbalancer.sidecar.checks import call_route_of
 from loadbalancer.sidecar.load import Document, UnusableError
 from loadbalancer.sidecar.locate import Path
-from loadbalancer.sidecar.mistakes import near
+from loadbalancer.sidecar.mistakes import suggestion
 from loadbalancer.sidecar.models import Catalogue, ClassModel, Configuration, RouteModel, field_ids
 
-STRUCT = 12  # as thriftpy2 and the binary protocol number it
-SINGLE = {2, 3, 6, 8, 10, 11}  # types of which a field can name a key or a tenant: bool, integers, string
+STRUCT = 12  # type number in thriftpy2 and in the binary protocol
+SCALAR_TYPES = {2, 3, 6, 8, 10, 11}  # types that can hold a key or a tenant: bool, integers, string
 
 
 @dataclass(slots=True, frozen=True)
@@ -24,23 +24,23 @@
     service: str
     name: str
     oneway: bool
-    arguments: Any  # by field id: a tuple of type, name and, for a struct, its class
+    arguments: Any  # thriftpy2's thrift_spec: field id to a tuple of type, name and, for a struct, its class
 
     @property
     def names(self) -> tuple[str, str]:
-        """As it is called, plainly and multiplexed."""
+        """The names it can be called by: plain and multiplexed."""
         return self.name, f"{self.service}:{self.name}"
 
     def field(self, ids: tuple[int, ...]) -> int | None:
-        """The type of the field at this path of the arguments; None where there is none."""
-        spec, kind = self.arguments, None
+        """The type of the argument field at this path of ids; None if there is no such field."""
+        spec, field_type = self.arguments, None
         for number in ids:
-            found = spec.get(number) if spec is not None else None
-            if found is None:
+            entry = spec.get(number) if spec is not None else None
+            if entry is None:
                 return None
-            kind = found[0]
-            spec = found[2].thrift_spec if kind == STRUCT else None
-        return kind
+            field_type = entry[0]
+            spec = entry[2].thrift_spec if field_type == STRUCT else None
+        return field_type
 
 
 def methods_of(path: str) -> list[Method]:
@@ -61,7 +61,7 @@
         raise UnusableError(f"{path}: {' '.join(str(error).split())}") from error
     services = module.__thrift_meta__["services"]
     if not services:
-        raise UnusableError(f"{path}: has no service")
+        raise UnusableError(f"{path}: the IDL file defines no service")
     return [
         Method(
             service.__name__,
@@ -74,60 +74,68 @@
     ]
 
 
-def hold(document: Document, methods: list[Method], idl: str) -> None:
-    """Add to a catalogue's or a configuration's mistakes what does not agree with the IDL."""
+def check_against_idl(document: Document, methods: list[Method], idl: str) -> None:
+    """Append to a catalogue's or a configuration's mistakes what contradicts the IDL file named `idl`."""
     model = document.model
     if isinstance(model, Catalogue):
-        routes = list(_of_catalogue(model))
+        routes = list(_catalogue_routes(model))
     elif isinstance(model, Configuration):
-        by_name = {item.name: (at, item) for at, item in enumerate(model.classes)}
+        by_name = {item.name: (index, item) for index, item in enumerate(model.classes)}
         routes = [
-            (("routes", at), route, *by_name[route.service])
-            for at, route in enumerate(model.routes)
+            (("routes", index), route, *by_name[route.service])
+            for index, route in enumerate(model.routes)
             if route.call is not None and route.service in by_name
         ]
     else:
         return
-    table = CallTable(call_route_of(route, kind.name, "") for _, route, _, kind in routes)
+    table = CallTable(call_route_of(route, service_class.name, "") for _, route, _, service_class in routes)
     names = [name for method in methods for name in method.names]
-    for (path, route, _, _), row in zip(routes, table.routes, strict=True):
-        if not any(row.call.matches(name) for name in names):
-            document.add((*path, "call"), f"{idl} has no method {route.call!r}", near(str(route.call), names))
-    classes = {kind.name: (at, kind) for _, _, at, kind in routes}
+    for (path, route, _, _), call_route in zip(routes, table.routes, strict=True):
+        if not any(call_route.call.matches(name) for name in names):
+            document.add(
+                (*path, "call"), f"{idl} has no method {route.call!r}", suggestion(str(route.call), names)
+            )
+    classes = {service_class.name: (index, service_class) for _, _, index, service_class in routes}
     reached: dict[str, list[Method]] = {name: [] for name in classes}
     for method in methods:
-        taken = [found for name in method.names if (found := table.match(name)) is not None]
-        if not taken:
-            document.add((), f"no route takes {method.names[1]} of {idl}", "add a route, with call")
-        for name in dict.fromkeys(found.service for found in taken):
+        matching = [matched for name in method.names if (matched := table.match(name)) is not None]
+        if not matching:
+            document.add((), f"no route matches {method.names[1]} of {idl}", "add a route, with call")
+        for name in dict.fromkeys(matched.service for matched in matching):
             reached[name].append(method)
-    for name, (at, kind) in classes.items():
-        _class(document, ("classes", at), kind, reached[name], idl)
+    for name, (index, service_class) in classes.items():
+        _check_class(document, ("classes", index), service_class, reached[name], idl)
     document.mistakes.sort()
 
 
-def _of_catalogue(model: Catalogue) -> Iterator[tuple[Path, RouteModel, int, ClassModel]]:
-    for at, item in enumerate(model.classes):
+def _catalogue_routes(model: Catalogue) -> Iterator[tuple[Path, RouteModel, int, ClassModel]]:
+    for index, item in enumerate(model.classes):
         for number, route in enumerate(item.routes):
             if route.call is not None:
-                yield ("classes", at, "routes", number), route, at, item
+                yield ("classes", index, "routes", number), route, index, item
 
 
-def _class(document: Document, path: Path, kind: ClassModel, methods: list[Method], idl: str) -> None:
+def _check_class(
+    document: Document, path: Path, service_class: ClassModel, methods: list[Method], idl: str
+) -> None:
     for method in methods:
-        if method.oneway and kind.effect != "unsafe":
+        if method.oneway and service_class.effect != "unsafe":
             document.add(
                 (*path, "effect"),
-                f"{method.name} of {idl} is oneway, which is never sent again, and {kind.name!r} is {kind.effect}",
-                "an unsafe class for it",
+                f"{method.name} of {idl} is oneway, which is never retried, "
+                f"and {service_class.name!r} is {service_class.effect}",
+                "use an unsafe class for it",
             )
-        if kind.key_field is not None and method.field(field_ids(kind.key_field)) not in SINGLE:
+        if (
+            service_class.key_field is not None
+            and method.field(field_ids(service_class.key_field)) not in SCALAR_TYPES
+        ):
             document.add(
                 (*path, "key_field"),
-                f"{method.name} of {idl} has no string or number at {kind.key_field}",
-                "where its key stands, as in 1.3",
+                f"{method.name} of {idl} has no string or number at {service_class.key_field}",
+                "use the field path of its key, such as 1.3",
             )
-    if kind.oneway_ms is not None and methods and not any(method.oneway for method in methods):
+    if service_class.oneway_ms is not None and methods and not any(method.oneway for method in methods):
         document.add(
-            (*path, "oneway_ms"), f"no method of class {kind.name!r} is oneway in {idl}", "leave it out"
+            (*path, "oneway_ms"), f"no method of class {service_class.name!r} is oneway in {idl}", "remove it"
         )
--- a/loadbalancer/sidecar/locate.py
+++ b/loadbalancer/sidecar/locate.py
@@ -1,7 +1,7 @@
-"""Where each key of a TOML text stands.
+"""Finds the line of each key in a TOML text.
 
-The parser of the standard library tells no lines, so a text that it has accepted is walked once more, for the
-places alone (TOML 1.0.0: keys, tables, arrays of tables, inline tables, strings).
+The parser of the standard library does not report lines, so a text that it has accepted is scanned a second time for
+positions only (TOML 1.0.0: keys, tables, arrays of tables, inline tables, strings).
 """
 
 from __future__ import annotations
@@ -10,28 +10,28 @@
 
 Path = tuple[str | int, ...]
 
-BLANK = " \t\r\n"
-ENDS = ",]}#\n"
+WHITESPACE = " \t\r\n"
+VALUE_ENDS = ",]}#\n"
 
 
-class _Walk:
+class _Scanner:
     def __init__(self, text: str) -> None:
         self.text = text
         self.at = 0
         self.lines: dict[Path, int] = {(): 1}
-        self.arrays: dict[Path, int] = {}  # arrays of tables: the index of the last
-        self._line, self._counted = 1, 0
+        self.last_index: dict[Path, int] = {}  # of each array of tables: the index of its last element
+        self._line, self._counted_to = 1, 0
 
     def line(self) -> int:
-        self._line += self.text.count("\n", self._counted, self.at)
-        self._counted = self.at
+        self._line += self.text.count("\n", self._counted_to, self.at)
+        self._counted_to = self.at
         return self._line
 
-    def peek(self, word: str) -> bool:
-        return self.text.startswith(word, self.at)
+    def peek(self, text: str) -> bool:
+        return self.text.startswith(text, self.at)
 
-    def skip(self, blank: str = BLANK) -> None:
-        """Past blanks, and past comments where lines may end."""
+    def skip(self, blank: str = WHITESPACE) -> None:
+        """Skip blanks; also skip comments if `blank` contains the newline."""
         while self.at < len(self.text):
             if self.text[self.at] in blank:
                 self.at += 1
@@ -51,56 +51,56 @@
             if self.peek("["):
                 table = self.header()
             else:
-                self.pair(table)
+                self.key_value(table)
             self.skip()
         return self.lines
 
     def header(self) -> Path:
         line = self.line()
-        many = self.peek("[[")
-        self.at += 2 if many else 1
+        is_array = self.peek("[[")
+        self.at += 2 if is_array else 1
         self.skip(" \t")
-        words = self.key()
+        keys = self.key()
         self.skip(" \t")
-        self.at += 2 if many else 1
+        self.at += 2 if is_array else 1
         path: Path = ()
-        for word in words[:-1]:
-            path = self.inside((*path, word), line)
-        path = (*path, words[-1])
+        for key in keys[:-1]:
+            path = self.table_path((*path, key), line)
+        path = (*path, keys[-1])
         self.record(path, line)
-        if many:
-            self.arrays[path] = self.arrays.get(path, -1) + 1
-            path = (*path, self.arrays[path])
+        if is_array:
+            self.last_index[path] = self.last_index.get(path, -1) + 1
+            path = (*path, self.last_index[path])
             self.record(path, line)
         return path
 
-    def inside(self, path: Path, line: int) -> Path:
-        """The table that a name leads to: the last one of an array."""
+    def table_path(self, path: Path, line: int) -> Path:
+        """The path of the table that a header key refers to: for an array of tables, its last element."""
         self.record(path, line)
-        return (*path, self.arrays[path]) if path in self.arrays else path
+        return (*path, self.last_index[path]) if path in self.last_index else path
 
     def key(self) -> list[str]:
-        words = []
+        keys = []
         while True:
             self.skip(" \t")
-            begin = self.at
+            start = self.at
             if self.text[self.at] in "\"'":
                 self.string()
-                words.append(str(loads(f"x = {self.text[begin : self.at]}")["x"]))
+                keys.append(str(loads(f"x = {self.text[start : self.at]}")["x"]))
             else:
                 while self.text[self.at] not in " \t.=]":
                     self.at += 1
-                words.append(self.text[begin : self.at])
+                keys.append(self.text[start : self.at])
             self.skip(" \t")
             if not self.peek("."):
-                return words
+                return keys
             self.at += 1
 
-    def pair(self, table: Path) -> None:
+    def key_value(self, table: Path) -> None:
         line = self.line()
         path = table
-        for word in self.key():
-            path = (*path, word)
+        for key in self.key():
+            path = (*path, key)
             self.record(path, line)
         self.at += 1  # the equals sign
         self.value(path)
@@ -110,22 +110,22 @@
         if self.peek("["):
             self.at += 1
             index = 0
-            while not self.closed("]"):
+            while not self.at_end("]"):
                 self.record((*path, index), self.line())
                 self.value((*path, index))
                 index += 1
         elif self.peek("{"):
             self.at += 1
-            while not self.closed("}"):
-                self.pair(path)
+            while not self.at_end("}"):
+                self.key_value(path)
         elif self.text[self.at] in "\"'":
             self.string()
         else:
-            while self.at < len(self.text) and self.text[self.at] not in ENDS:
+            while self.at < len(self.text) and self.text[self.at] not in VALUE_ENDS:
                 self.at += 1
 
-    def closed(self, end: str) -> bool:
-        """Whether an array or inline table ends here; past a comma otherwise."""
+    def at_end(self, end: str) -> bool:
+        """Whether the array or inline table ends here; skips a separating comma before it looks."""
         self.skip()
         if self.peek(","):
             self.at += 1
@@ -142,7 +142,7 @@
             while not self.peek(quote * 3):
                 self.at += 2 if quote == '"' and self.peek("\\") else 1
             self.at += 3
-            while self.peek(quote):  # up to two quotes may stand right before the closing ones
+            while self.peek(quote):  # the text may end with up to two quotes before the closing ones
                 self.at += 1
             return
         self.at += 1
@@ -153,4 +153,4 @@
 
 def locate(text: str) -> dict[Path, int]:
     """The line, from 1, of each key and array element of a TOML text that `tomllib` accepts."""
-    return _Walk(text.replace("\r\n", "\n")).document()
+    return _Scanner(text.replace("\r\n", "\n")).document()
--- a/loadbalancer/sidecar/loops.py
+++ b/loadbalancer/sidecar/loops.py
@@ -1,8 +1,8 @@
-"""Loops that several files make together: a request that is passed on along them comes back to where it was.
+"""Finds routing loops across several files: cycles on which a request would return to a sidecar it has passed.
 
-Two things lead from one file to another: a list that names the other's listener, and a pool that one calls and the
-other says its own boxes are of (`serves`). What applications call beside their sidecars, and lists that come from
-discovery or a control plane, no file tells; such loops show only while they run.
+One file leads to another in two ways: its server list contains the other's listener, or it calls a pool that the other
+names in `serves`. Calls that bypass the sidecars, and lists from discovery or a control plane, are in no file; such
+loops are detected only at run time.
 """
 
 from __future__ import annotations
@@ -18,33 +18,33 @@
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    """From one file to another, and the place in one of them that makes it."""
+    """An edge from one file to another, and the document and path that cause it."""
 
     to: int
     document: int
     path: Path
 
 
-def _called(document: Document, catalogues: Sequence[Catalogue]) -> set[str]:
-    """The pools that requests through it go to."""
+def _called_pools(document: Document, catalogues: Sequence[Catalogue]) -> set[str]:
+    """The pools that the file's requests go to."""
     model = document.model
     if isinstance(model, Configuration):
         return {item.pool for item in model.classes}
     assert isinstance(model, Application)
-    wanted = {call.service for call in model.calls}
-    return {item.pool for cat in catalogues for item in cat.classes if item.name in wanted}
+    called_classes = {call.service for call in model.calls}
+    return {item.pool for cat in catalogues for item in cat.classes if item.name in called_classes}
 
 
-def _addresses(model: object) -> Iterable[tuple[Path, tuple[str, int]]]:
+def _listed_addresses(model: object) -> Iterable[tuple[Path, tuple[str, int]]]:
     if isinstance(model, Configuration):
-        for at, pool in enumerate(model.pools):
+        for index, pool in enumerate(model.pools):
             source = pool.servers_from
             for number, item in enumerate(source.servers if source is not None else []):
-                yield ("pools", at, "list", "servers", number, "address"), parse_address(item.address)
+                yield ("pools", index, "list", "servers", number, "address"), parse_address(item.address)
 
 
 def steps_of(documents: Sequence[Document]) -> list[list[Step]]:
-    """Where requests may go from each file."""
+    """The edges that leave each file, by the file's index."""
     catalogues = [item.model for item in documents if isinstance(item.model, Catalogue)]
     listening: dict[tuple[str, int], int] = {}
     serving: dict[str, list[tuple[int, Path]]] = {}
@@ -56,17 +56,17 @@
                 if address[1]:
                     listening.setdefault(address, number)
         if isinstance(model, Configuration | Application):
-            for at, name in enumerate(model.serves):
-                serving.setdefault(name, []).append((number, ("serves", at)))
+            for index, name in enumerate(model.serves):
+                serving.setdefault(name, []).append((number, ("serves", index)))
     steps: list[list[Step]] = []
     for number, document in enumerate(documents):
         found: list[Step] = []
         if isinstance(document.model, Configuration | Application):
-            for path, address in _addresses(document.model):
-                # A file that names a listener of its own is told where it is checked alone.
+            for path, address in _listed_addresses(document.model):
+                # A file that lists its own listener is reported by the check of that file alone.
                 if address in listening and listening[address] != number:
                     found.append(Step(listening[address], number, path))
-            for pool in sorted(_called(document, catalogues)):
+            for pool in sorted(_called_pools(document, catalogues)):
                 found += [Step(other, other, path) for other, path in serving.get(pool, [])]
         steps.append(found)
     return steps
@@ -79,39 +79,39 @@
 
 
 def find_loops(documents: Sequence[Document]) -> None:
-    """Add a mistake for each way on which a request comes back to a file, unless that file allows for it."""
+    """Add a mistake for each loop, except where the file it returns to allows revisits."""
     catalogues = [item.model for item in documents if isinstance(item.model, Catalogue)]
     steps = steps_of(documents)
-    told: set[frozenset[int]] = set()
+    reported: set[frozenset[int]] = set()
     for start, document in enumerate(documents):
         if document.model is None or _revisits(document, catalogues) > 0:
             continue
-        way = _back(steps, start)
-        if way is None:
+        cycle = _shortest_cycle(steps, start)
+        if cycle is None:
             continue
-        members = frozenset({start, *(step.to for step in way)})
-        if members in told:
+        members = frozenset({start, *(step.to for step in cycle)})
+        if members in reported:
             continue
-        told.add(members)
-        names = [document.name, *(documents[step.to].name for step in way)]
-        last = way[-1]
+        reported.add(members)
+        names = [document.name, *(documents[step.to].name for step in cycle)]
+        last = cycle[-1]
         documents[last.document].add(
             last.path,
-            f"requests come back to where they were: {' -> '.join(names)}",
-            "a way that ends at a box, or budget.revisits where coming back is meant",
+            f"requests loop: {' -> '.join(names)}",
+            "end the path at a server, or set budget.revisits where the loop is intended",
         )
         documents[last.document].mistakes.sort()
 
 
-def _back(steps: Sequence[Sequence[Step]], start: int) -> list[Step] | None:
-    """The shortest way from a file to itself."""
-    ways: list[list[Step]] = [[step] for step in steps[start]]
+def _shortest_cycle(steps: Sequence[Sequence[Step]], start: int) -> list[Step] | None:
+    """The shortest cycle from a file back to itself; None if there is none."""
+    paths: list[list[Step]] = [[step] for step in steps[start]]
     seen = {start}
-    for way in ways:  # grows while it is gone through: breadth first
-        here = way[-1].to
-        if here == start:
-            return way
-        if here not in seen:
-            seen.add(here)
-            ways += [[*way, step] for step in steps[here]]
+    for path in paths:  # breadth first: the list grows while it is iterated
+        current = path[-1].to
+        if current == start:
+            return path
+        if current not in seen:
+            seen.add(current)
+            paths += [[*path, step] for step in steps[current]]
     return None
--- a/loadbalancer/sidecar/mistakes.py
+++ b/loadbalancer/sidecar/mistakes.py
@@ -1,4 +1,4 @@
-"""Mistakes in files, and how they are told: place, what is wrong, what would be right."""
+"""Mistakes in configuration files and their text: position, what is wrong, what would be right."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
         return asdict(self)
 
 
-def near(word: str, known: Iterable[str]) -> str:
-    """`did you mean ...?`, or the names to choose from."""
+def suggestion(word: str, known: Iterable[str]) -> str:
+    """`did you mean ...?` for a close match, otherwise the known names."""
     names = sorted(known)
-    found = difflib.get_close_matches(word, names, 1, 0.6)
-    if found:
-        return f"did you mean {found[0]!r}?"
+    matches = difflib.get_close_matches(word, names, 1, 0.6)
+    if matches:
+        return f"did you mean {matches[0]!r}?"
     return f"one of {', '.join(names)}" if names else "none is defined"
 
 
-def shown(path: Path, data: object) -> str:
-    """A path as people read it: an element of a list by its name, where it has one."""
-    text = ""
+def path_text(path: Path, data: object) -> str:
+    """A path as text: list elements appear by name, class or id where they have one, otherwise by index."""
+    result = ""
     for word in path:
         if isinstance(word, int):
             item = data[word] if isinstance(data, list) and word < len(data) else None
@@ -44,9 +44,9 @@
                 if isinstance(item, dict)
                 else None
             )
-            text += f"[{label if label is not None else word}]"
+            result += f"[{label if label is not None else word}]"
             data = item
         else:
-            text += f".{word}" if text else word
+            result += f".{word}" if result else word
             data = data.get(word) if isinstance(data, dict) else None
-    return text or "the file"
+    return result or "the file"
--- a/loadbalancer/sidecar/models.py
+++ b/loadbalancer/sidecar/models.py
@@ -1,7 +1,7 @@
-"""The three files of a sidecar, as they are written: catalogue, application description, configuration.
+"""Schemas of the three files of a sidecar: catalogue, application description, configuration.
 
-Times are milliseconds, rates are per second, sizes are bytes. Each model refuses keys that it does not know and
-values of another type; what goes beyond one value is checked in `checks`.
+Times are milliseconds, rates are per second, sizes are bytes. Each model rejects unknown keys and values of the wrong
+type; `checks` covers conditions that involve more than one value.
 """
 
 from __future__ import annotations
@@ -17,18 +17,20 @@
 from loadbalancer.router.calls import CallPattern
 from loadbalancer.router.paths import PathPattern
 
-VERSION = 1  # of all three files
-NEAR_MS = 1.0  # what a loop's turn may hide of a latency
-START_PER_S = 64.0  # calls in flight for each box before rates are known, for a second of the shortest aim,
-START_LEAST, START_MOST = 7.0, 64.0  # within these
+VERSION = 1  # format version of all three files
+NEAR_MS = 1.0  # differences in latency below this count little: a turn of the event loop can cause them
+# Assumed capacity of a server in calls in flight, until its service rate is known: START_PER_S for each second of the
+# shortest aim, limited to the range from START_LEAST to START_MOST.
+START_PER_S = 64.0
+START_LEAST, START_MOST = 7.0, 64.0
 
-EffectName = Literal["safe", "keyed", "unsafe"]  # from the loosest to the strictest
+EffectName = Literal["safe", "keyed", "unsafe"]  # from least to most strict
 EFFECTS: tuple[EffectName, ...] = ("safe", "keyed", "unsafe")
 
 
 def start_calls(aims_ms: Iterable[float]) -> float:
-    """Of a pool that does not state it. Boxes are taken to do what the shortest of these aims asks of them, until it is
-    known what they do."""
+    """The default `start_calls` of a pool: its servers are assumed to meet the shortest of these aims until they are
+    observed."""
     return max(START_LEAST, min(START_MOST, START_PER_S * min(aims_ms, default=0.0) / 1000.0))
 
 
@@ -43,7 +45,7 @@
 
 
 def field_ids(path: str) -> tuple[int, ...]:
-    """The ids of a path of fields, as of 1.3."""
+    """The field ids in a path such as 1.3."""
     return tuple(int(word) for word in path.split("."))
 
 
@@ -57,7 +59,9 @@
 Method = Annotated[str, Field(pattern=r"^[A-Z]{1,16}$")]
 PathText = Annotated[str, AfterValidator(_path)]
 CallText = Annotated[str, AfterValidator(_call)]
-FieldPath = Annotated[str, Field(pattern=r"^[1-9][0-9]{0,4}(\.[1-9][0-9]{0,4}){0,7}$")]  # ids, as in 1.3
+FieldPath = Annotated[
+    str, Field(pattern=r"^[1-9][0-9]{0,4}(\.[1-9][0-9]{0,4}){0,7}$")
+]  # field ids, such as 1.3
 Protocol = Literal["http", "thrift"]
 AddressText = Annotated[str, AfterValidator(_address)]
 Milliseconds = Annotated[float, Field(gt=0, le=86_400_000)]
@@ -69,64 +73,81 @@
 
 
 class Rules(Model):
-    """The figures of the four rules, the same at every sidecar of a pool."""
+    """Parameters of the four rules; they must be the same at every sidecar of a pool."""
 
-    max_attempts: int = Field(3, ge=1, le=10, description="attempts for one request, the first one too")
-    may_cancel: bool = Field(True, description="an attempt that is no longer wanted is given up")
-    retry_after: bool = Field(True, description="a refusal may say when to come back")
+    max_attempts: int = Field(3, ge=1, le=10, description="attempts for one request, including the first")
+    may_cancel: bool = Field(True, description="cancel an attempt whose result is no longer needed")
+    retry_after: bool = Field(True, description="rejections may contain Retry-After")
     max_retry_after_ms: float = Field(2000.0, ge=0, le=600_000)
     told_within_ms: Milliseconds = Field(
-        10_000.0, description="a sidecar that has not heard of its list for so long asks again"
+        10_000.0, description="a sidecar requests its server list again after this time without news of it"
+    )
+    cold_from: float = Field(
+        0.14, gt=0, le=1, description="share of its capacity that a newly started server has"
+    )
+    cold_ms: float = Field(
+        21_000.0, ge=0, le=86_400_000, description="time until a newly started server is warm"
     )
-    cold_from: float = Field(0.14, gt=0, le=1, description="share of its capacity that a box starts with")
-    cold_ms: float = Field(21_000.0, ge=0, le=86_400_000, description="until a box that started is warm")
     overload_factor: float = Field(
-        4.0, gt=0, le=100, description="a cold box that gets this much of its present capacity falls over"
+        4.0,
+        gt=0,
+        le=100,
+        description="load, as a multiple of its current capacity, at which a cold server collapses",
+    )
+    cross_zone_price: float = Field(0.0, ge=0, le=1000, description="cost of a call to another zone")
+    over_share_worth: Share = Field(
+        1.0, description="share of its worth that a request over its tenant's quota keeps"
     )
-    cross_zone_price: float = Field(0.0, ge=0, le=1000, description="what a call to another zone costs")
-    over_share_worth: Share = Field(1.0, description="what is left of worth beyond a tenant's quota")
 
 
 class Limits(Model):
-    """What one sidecar may hold."""
+    """Resource limits of one sidecar."""
 
     descriptors: int | None = Field(
-        None, ge=64, le=1_048_576, description="what the process may have, at most 65536, by default"
+        None, ge=64, le=1_048_576, description="file descriptors; default: the process limit, at most 65536"
     )
-    max_open: int = Field(1000, ge=1, le=1_000_000, description="requests open at once")
+    max_open: int = Field(1000, ge=1, le=1_000_000, description="concurrent requests")
     max_body_bytes: int = Field(1_048_576, ge=0, le=67_108_864)
-    request_ms: Milliseconds = Field(30_000.0, description="for a request to come in whole")
-    caller_idle_ms: Milliseconds = Field(60_000.0, description="a caller's connection may idle so long")
+    request_ms: Milliseconds = Field(30_000.0, description="time to receive a whole request")
+    caller_idle_ms: Milliseconds = Field(60_000.0, description="idle timeout of callers' connections")
 
 
 class BudgetModel(Model):
-    """Budgets of time and attempts across tiers; none of it is in force without this table."""
+    """Budgets of time and attempts across tiers; without this table there are none."""
 
     share: Share = Field(
-        0.08, description="attempts beyond first ones, as a share of the first ones of a pool"
+        0.08, description="retries and hedges allowed in a pool, as a share of its first attempts"
+    )
+    floor_per_s: float = Field(
+        0.1, ge=0, le=1000, description="retries and hedges allowed in addition, whatever the share"
+    )
+    window_ms: float = Field(
+        10_000.0, ge=100, le=600_000, description="window over which share and floor_per_s are counted"
     )
-    floor_per_s: float = Field(0.1, ge=0, le=1000, description="and so many more")
-    window_ms: float = Field(10_000.0, ge=100, le=600_000, description="over which both are counted")
     backoff_ms: float = Field(
         25.0,
         ge=0,
         le=10_000,
-        description="ceiling of the first wait before a retry in a pool that fails",
+        description="upper bound of the first backoff before a retry in a failing pool",
     )
     extra: int | None = Field(
         None,
         ge=0,
         le=100,
-        description="attempts beyond the first in all tiers; max_attempts less 1 by default",
+        description="attempts beyond the first in all tiers together; default: max_attempts - 1",
+    )
+    reserve_ms: float = Field(
+        5.0, ge=0, le=60_000, description="part of the remaining time that each hop keeps for itself"
     )
-    reserve_ms: float = Field(5.0, ge=0, le=60_000, description="of the time left, kept back at each hop")
-    learn_patience: bool = Field(True, description="how long callers wait who do not say so is learned")
+    learn_patience: bool = Field(True, description="learn how long callers wait that state no deadline")
     revisits: int = Field(
-        0, ge=0, le=31, description="how often a request may come back before that is a loop"
+        0, ge=0, le=31, description="how often a request may return to a node before it is rejected as a loop"
     )
-    carry: bool = Field(True, description="budgets go with requests to boxes")
-    keep_ms: float = Field(2000.0, ge=0, le=600_000, description="for how long an answer is kept for repeats")
-    keep_bytes: int = Field(1_048_576, ge=0, le=1_073_741_824, description="of such answers together")
+    carry: bool = Field(True, description="propagate budgets with requests to servers")
+    keep_ms: float = Field(
+        2000.0, ge=0, le=600_000, description="how long a response is kept to answer repeats of its request"
+    )
+    keep_bytes: int = Field(1_048_576, ge=0, le=1_073_741_824, description="total size of these responses")
 
 
 class ListedServer(Model):
@@ -137,61 +158,70 @@
 
 
 class ListSource(Model):
-    """Where the servers of a pool come from."""
+    """The source of a pool's server list."""
 
     source: Literal["static", "discovery", "xds"]
-    address: AddressText | None = Field(None, description="of discovery or the xDS control plane")
-    mode: Literal["ask", "push"] | None = Field(None, description="whether discovery is asked or pushes")
+    address: AddressText | None = Field(None, description="address of discovery or the xDS control plane")
+    mode: Literal["ask", "push"] | None = Field(None, description="whether discovery is polled or pushes")
     path: str | None = Field(
-        None, min_length=1, description="of a file with xDS resources, in place of an address"
+        None, min_length=1, description="path of a file with xDS resources, instead of an address"
     )
     cluster: str | None = Field(None, min_length=1, description="the xDS cluster's name")
     transport: Literal["aggregated", "separate", "rest"] | None = Field(
-        None, description="of xDS: one stream (the default), one for each type, or REST-JSON polling"
+        None,
+        description="xDS transport: one stream (the default), one stream for each type, or REST-JSON polling",
     )
     updates: Literal["state", "incremental"] | None = Field(
-        None, description="of xDS: the state of the world, or changes (the default)"
+        None, description="xDS updates: state of the world, or incremental (the default)"
     )
-    servers: list[ListedServer] = Field([], description="of a static list")
+    servers: list[ListedServer] = Field([], description="the servers of a static list")
 
 
 class ThriftModel(Model):
-    """How the boxes of a pool speak Thrift."""
+    """How the servers of a pool speak Thrift."""
 
     form: Literal["binary", "compact"] = "binary"
     transport: Literal["framed", "unframed"] = "framed"
     full_types: list[int] = Field(
-        [11], description="of a TApplicationException: the box has turned the call away unrun"
+        [11],
+        description="types of a TApplicationException that mean the server rejected the call without running it",
     )
     budget_field: int | None = Field(
-        None, ge=1, le=32767, description="id of the argument in which boxes are sent the budget: a string"
+        None, ge=1, le=32767, description="id of the string argument that propagates the budget to servers"
     )
     port_offset: int = Field(
-        1, ge=-65535, le=65535, description="of both: from a box's listed port to its Thrift port"
+        1,
+        ge=-65535,
+        le=65535,
+        description="protocol both: distance from a server's listed port to its Thrift port",
     )
 
 
 class PoolModel(Model):
     name: Name
-    protocol: Literal["http", "thrift", "both"] = Field("http", description="what its boxes speak")
+    protocol: Literal["http", "thrift", "both"] = Field("http", description="protocol of its servers")
     thrift: ThriftModel | None = None
     siblings: int = Field(
-        1, ge=1, le=100_000, description="sidecars and nodes that use the pool, this one too"
+        1, ge=1, le=100_000, description="sidecars and nodes that use the pool, including this one"
     )
     start_calls: float | None = Field(
         None,
         ge=1,
         le=1_000_000,
-        description="in flight for each box, over all siblings, until rates are known; 64 for each second of the "
-        "shortest aim, from 7 to 64, by default",
+        description="calls in flight for each server, over all siblings, until its rate is known; default: 64 for each "
+        "second of the shortest aim, at least 7 and at most 64",
+    )
+    round_trip_ms: float = Field(
+        1.0, ge=0, le=60_000, description="network round trip to the farthest server"
     )
-    round_trip_ms: float = Field(1.0, ge=0, le=60_000, description="of the network, to the farthest box")
     connect_timeout_ms: Milliseconds = 250.0
-    server_idle_ms: Milliseconds = Field(10_000.0, description="after which a box closes an idle connection")
+    server_idle_ms: Milliseconds = Field(
+        10_000.0, description="time after which a server closes an idle connection"
+    )
     report_fields: list[Literal["inflight", "queue", "util", "latency_ms", "qps", "eps"]] = Field(
-        [], description="what load reports hold that boxes send with answers"
+        [], description="fields of the load reports in servers' responses"
     )
-    zones: list[str] = Field([], description="the zones that there are; none: any")
+    zones: list[str] = Field([], description="known zones; empty: any zone")
     servers_from: ListSource | None = Field(None, alias="list")
 
 
@@ -199,34 +229,42 @@
     name: Name
     pool: Name
     effect: EffectName
-    aim_ms: Milliseconds = Field(description="an answer within this is worth all")
-    give_up_ms: Milliseconds = Field(description="the longest that a caller waits")
+    aim_ms: Milliseconds = Field(description="latency target: a response within it has its full worth")
+    give_up_ms: Milliseconds = Field(description="longest time that a caller waits")
     worth: float = Field(1.0, ge=0, le=1_000_000)
     late_worth: Share = 0.0
     attempts: int | None = Field(None, ge=1, le=10, description="at most the rules' max_attempts")
-    key_header: HeaderName | None = Field(None, description="of a keyed class: Idempotency-Key by default")
+    key_header: HeaderName | None = Field(
+        None, description="header with the key of a keyed class; default: Idempotency-Key"
+    )
     key_scope: Literal["all", "zone", "cell"] | None = Field(
-        None, description="of a keyed class: all by default"
+        None, description="servers among which a key is known; default: all"
+    )
+    memory_ms: Milliseconds | None = Field(
+        None, description="how long servers remember the key of a keyed class"
     )
-    memory_ms: Milliseconds | None = Field(None, description="of a keyed class: how long boxes know a key")
     key_field: FieldPath | None = Field(
-        None, description="of a keyed class over Thrift: where its key stands in the arguments"
+        None, description="field path of the key of a keyed class in the Thrift arguments"
     )
     oneway_ms: Milliseconds | None = Field(
-        None, description="how long a oneway call over Thrift counts as running: aim_ms by default"
+        None, description="how long a oneway Thrift call counts as in flight; default: aim_ms"
     )
-    hedge: bool | None = Field(None, description="whether a second copy may be sent; safe classes only")
+    hedge: bool | None = Field(None, description="whether requests may be hedged; safe classes only")
 
 
 class HeaderModel(Model):
     name: HeaderName
-    value: str | None = Field(None, description="any, if it is not given")
+    value: str | None = Field(None, description="default: any value")
 
 
 class RouteModel(Model):
-    methods: list[Method] = Field([], description="any, if none is given")
-    path: PathText | None = Field(None, description="of HTTP: segments: literal, {name}, or a last **")
-    call: CallText | None = Field(None, description="of Thrift: method, service:method, or a last *")
+    methods: list[Method] = Field([], description="default: any method")
+    path: PathText | None = Field(
+        None, description="path of HTTP requests; segments: literal, {name}, or a final **"
+    )
+    call: CallText | None = Field(
+        None, description="Thrift calls: method, service:method, or a prefix with a final *"
+    )
     headers: list[HeaderModel] = []
 
     @property
@@ -240,7 +278,7 @@
 
 
 class CatalogueClass(ClassModel):
-    routes: list[RouteModel] = Field([], description="how its requests are told")
+    routes: list[RouteModel] = Field([], description="routes that assign requests to the class")
 
 
 class Catalogue(Model):
@@ -258,7 +296,7 @@
 
 
 class Call(Model):
-    """A class that the application calls, and what it wants stricter than the catalogue has it."""
+    """A class that the application calls, with its rate and any limits stricter than the catalogue's."""
 
     service: Name = Field(alias="class")
     rate: float = Field(gt=0, le=1_000_000)
@@ -266,10 +304,10 @@
     attempts: int | None = Field(None, ge=1, le=10)
     worth: float | None = Field(None, ge=0)
     effect: EffectName | None = None
-    retryable: bool | None = Field(None, description="sent again although it may have run")
-    idempotent: bool | None = Field(None, description="a repeat does nothing")
-    hedged: bool | None = Field(None, description="a second copy while the first one runs")
-    routes: list[RouteModel] | None = Field(None, description="instead of the catalogue's")
+    retryable: bool | None = Field(None, description="may be retried although it may have run")
+    idempotent: bool | None = Field(None, description="a repeat has no further effect")
+    hedged: bool | None = Field(None, description="a second attempt may start while the first one runs")
+    routes: list[RouteModel] | None = Field(None, description="routes that replace the catalogue's")
 
 
 class OwnLimits(Model):
@@ -279,25 +317,29 @@
 
 
 class Application(Model):
-    """A subsidiary's short description of its system."""
+    """The application description: what one application calls and how it listens."""
 
     kind: Literal["application"]
     version: int = Field(ge=1)
     name: Name
     zone: str = ""
-    catalogue: Name | None = Field(None, description="the name of the catalogue that it is held against")
+    catalogue: Name | None = Field(None, description="the name of the catalogue it is checked against")
     listen: AddressText
-    thrift_listen: AddressText | None = Field(None, description="for its Thrift calls, where it has any")
+    thrift_listen: AddressText | None = Field(
+        None, description="listener address for Thrift calls, if there are any"
+    )
     tenant_field: FieldPath | None = Field(
-        None, description="where the arguments of a Thrift call name a tenant"
+        None, description="field path of the tenant in the Thrift arguments"
+    )
+    admin: AddressText | None = Field(
+        None, description="admin address; default: the next port after the listener's"
     )
-    admin: AddressText | None = Field(None, description="the next port after the listener's by default")
     trust: Literal["edge", "inside"] | None = Field(
-        None, description="whether what its calls carry was written by nodes of ours; edge by default"
+        None, description="inside if the budgets in its calls come from trusted nodes; default: edge"
     )
-    serves: list[Name] = Field([], description="pools of which its own boxes are")
+    serves: list[Name] = Field([], description="pools that its own servers belong to")
     budget_field: int | None = Field(
-        None, ge=1, le=32767, description="id of the argument in which its Thrift calls carry a budget"
+        None, ge=1, le=32767, description="id of the argument with the budget in its Thrift calls"
     )
     tenant: Name | None = None
     limits: OwnLimits = OwnLimits()
@@ -308,17 +350,19 @@
     name: Name
     address: AddressText
     protocol: Protocol = "http"
-    deadline_header: HeaderName = Field("Req-Deadline-Ms", description="a caller's deadline in whole ms")
+    deadline_header: HeaderName = Field(
+        "Req-Deadline-Ms", description="header with the caller's deadline in whole ms"
+    )
     tenant: Name | None = None
     tenant_field: FieldPath | None = Field(
-        None, description="of Thrift: where the arguments name the tenant, if it is one that is known"
+        None, description="Thrift: field path of the tenant in the arguments; unknown tenants are ignored"
     )
 
     trust: Literal["edge", "inside"] | None = Field(
-        None, description="whether its callers pass on what nodes of ours wrote; edge by default"
+        None, description="inside if its callers propagate budgets of trusted nodes; default: edge"
     )
     budget_field: int | None = Field(
-        None, ge=1, le=32767, description="of Thrift: id of the argument in which calls carry a budget"
+        None, ge=1, le=32767, description="Thrift: id of the argument with the budget"
     )
 
 
@@ -329,11 +373,11 @@
 class ConfiguredRoute(RouteModel):
     service: Name = Field(alias="class")
     deadline_ms: Milliseconds | None = None
-    effect: EffectName | None = Field(None, description="if given, it has to be the class's")
+    effect: EffectName | None = Field(None, description="if set, it must equal the effect of the class")
 
 
 class Configuration(Model):
-    """What a sidecar runs from; written by the tool."""
+    """The configuration that a sidecar runs with; `config write` generates it."""
 
     kind: Literal["configuration"]
     version: int = Field(ge=1)
@@ -342,7 +386,7 @@
     catalogue: Name | None = None
     listeners: list[ListenerModel] = Field(min_length=1)
     admin: AdminModel | None = None
-    serves: list[Name] = Field([], description="pools of which its application's boxes are")
+    serves: list[Name] = Field([], description="pools that its application's servers belong to")
     rules: Rules = Rules()
     limits: Limits = Limits()
     budget: BudgetModel | None = None
@@ -360,11 +404,11 @@
 
 
 def plain(model: BaseModel) -> dict[str, object]:
-    """A model as plain data with the names of its file; what was not given is not there."""
+    """A model as plain data under the key names of the file; keys without a value are omitted."""
     data: dict[str, object] = model.model_dump(by_alias=True, exclude_none=True)
     return data
 
 
 def digest(model: BaseModel) -> str:
-    """The same for the same values, whatever the layout of the file: SHA-256 of its canonical JSON."""
+    """SHA-256 of the canonical JSON of a model; it does not depend on the layout of the file."""
     return hashlib.sha256(orjson.dumps(plain(model), option=orjson.OPT_SORT_KEYS)).hexdigest()
--- a/loadbalancer/sidecar/toml.py
+++ b/loadbalancer/sidecar/toml.py
@@ -1,8 +1,7 @@
-"""Writing a configuration as TOML: the same bytes for the same values, each with where it came from.
+"""Writes a configuration as TOML: equal values give equal bytes, and a comment gives the origin of each value.
 
-The standard library reads TOML and writes none; the packages that write keep a document's layout or none at all,
-and neither lines its comments up with the origin of each value. Only what the models hold is written: texts,
-numbers, truth values, lists and tables of them.
+The standard library reads TOML but does not write it, and the usual packages that write TOML cannot attach such a
+comment to each value. Only the types that the models use are supported: strings, numbers, booleans, lists, tables.
 """
 
 from __future__ import annotations
@@ -13,24 +12,24 @@
 
 from loadbalancer.sidecar.locate import Path
 
-BARE = re.compile(r"[A-Za-z0-9_-]+")
+BARE_KEY = re.compile(r"[A-Za-z0-9_-]+")
 ESCAPES = {"\\": "\\\\", '"': '\\"', "\n": "\\n", "\r": "\\r", "\t": "\\t", "\b": "\\b", "\f": "\\f"}
 
 
-def text_of(value: str) -> str:
-    """A basic string (TOML 1.0.0, String)."""
+def quoted(value: str) -> str:
+    """A value as a basic string (TOML 1.0.0, String)."""
     out = []
-    for sign in value:
-        if sign in ESCAPES:
-            out.append(ESCAPES[sign])
-        elif sign < " " or sign == "\x7f":
-            out.append(f"\\u{ord(sign):04X}")
+    for character in value:
+        if character in ESCAPES:
+            out.append(ESCAPES[character])
+        elif character < " " or character == "\x7f":
+            out.append(f"\\u{ord(character):04X}")
         else:
-            out.append(sign)
+            out.append(character)
     return '"' + "".join(out) + '"'
 
 
-def scalar(value: Any) -> str:
+def value_text(value: Any) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, float):
@@ -38,8 +37,8 @@
     if isinstance(value, int):
         return str(value)
     if isinstance(value, str):
-        return text_of(value)
-    return "[" + ", ".join(scalar(item) for item in value) + "]"
+        return quoted(value)
+    return "[" + ", ".join(value_text(item) for item in value) + "]"
 
 
 def _is_tables(value: Any) -> bool:
@@ -47,7 +46,7 @@
 
 
 def dumps(data: Mapping[str, Any], origins: Mapping[Path, str]) -> str:
-    """The text of plain data; the origin of a value stands behind it as a comment."""
+    """Plain data as TOML text, with the origin of each value as a comment on its line."""
     lines: list[str] = []
     _table(data, (), "", origins, lines)
     return "\n".join(lines).lstrip("\n") + "\n"
@@ -59,15 +58,15 @@
     for key, value in data.items():
         if isinstance(value, dict) or _is_tables(value):
             continue
-        line = f"{key if BARE.fullmatch(key) else text_of(key)} = {scalar(value)}"
+        line = f"{key if BARE_KEY.fullmatch(key) else quoted(key)} = {value_text(value)}"
         origin = origins.get((*path, key))
         lines.append(f"{line}  # {origin}" if origin else line)
     for key, value in data.items():
-        below = f"{name}.{key}" if name else key
+        table_name = f"{name}.{key}" if name else key
         if isinstance(value, dict):
-            lines += ["", f"[{below}]"]
-            _table(value, (*path, key), below, origins, lines)
+            lines += ["", f"[{table_name}]"]
+            _table(value, (*path, key), table_name, origins, lines)
         elif _is_tables(value):
-            for at, item in enumerate(value):
-                lines += ["", f"[[{below}]]"]
-                _table(item, (*path, key, at), below, origins, lines)
+            for index, item in enumerate(value):
+                lines += ["", f"[[{table_name}]]"]
+                _table(item, (*path, key, index), table_name, origins, lines)
--- a/tests/sidecar/test_derive.py
+++ b/tests/sidecar/test_derive.py
@@ -1,4 +1,4 @@
-"""A configuration written from a catalogue and a description, and the property that holds of any valid pair."""
+"""Deriving a configuration from a catalogue and a description; properties that hold for any valid pair."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 
 def document(data: dict[str, Any] | str, name: str) -> Document:
-    found = parse(data if isinstance(data, str) else dumps(data, {}), name)
-    check(found, 65536)
-    return found
+    parsed = parse(data if isinstance(data, str) else dumps(data, {}), name)
+    check(parsed, 65536)
+    return parsed
 
 
 def written(catalogue: Document, application: Document) -> str:
@@ -81,7 +81,7 @@
 
 @st.composite
 def pairs(draw) -> tuple[dict[str, Any], dict[str, Any]]:
-    """A valid catalogue and a valid description for it, stricter in what it likes."""
+    """A valid catalogue and a valid description for it, which is stricter in some values."""
     catalogue = draw(catalogues())
     zones = catalogue["pools"][0].get("zones")
     calls = []
@@ -139,23 +139,25 @@
 
 
 @pytest.mark.parametrize("name", ["clerk-desk", "month-close", "bank-matching"])
-def test_the_shipped_examples_are_valid_and_each_value_tells_where_it_is_from(name):
+def test_the_shipped_examples_are_valid_and_each_value_has_its_origin(name):
     sources = [EXAMPLES / "ledger.toml", EXAMPLES / f"{name}.toml"]
     catalogue, application = (document(path.read_text(), str(path)) for path in sources)
     text = written(catalogue, application)
-    places = {path.name: path.read_text().split("\n") for path in sources}
-    told = 0
+    source_lines = {path.name: path.read_text().split("\n") for path in sources}
+    checked = 0
     for line in text.split("\n")[3:]:
-        value, mark, origin = line.rpartition("  # ")
-        if not mark or origin == "default" or origin.startswith(("from the rates", "next to")):
+        value, separator, origin = line.rpartition("  # ")
+        if not separator or origin == "default" or origin.startswith(("from the rates", "next to")):
             continue
         file, _, number = origin.split(", ")[0].partition(":")
-        place = places[file][int(number) - 1]
-        # `idempotent = false` is where an effect of "unsafe" comes from.
-        assert value.partition(" = ")[2].strip('"') in place or place.startswith("idempotent = false"), line
-        told += 1
-    assert told > 20
-    assert str(EXAMPLES) not in text  # no machine's paths
+        source_line = source_lines[file][int(number) - 1]
+        # An effect of "unsafe" may originate from `idempotent = false`.
+        assert value.partition(" = ")[2].strip('"') in source_line or source_line.startswith(
+            "idempotent = false"
+        ), line
+        checked += 1
+    assert checked > 20
+    assert str(EXAMPLES) not in text  # the output does not depend on the machine's paths
 
 
 def test_the_shortest_description_has_ten_lines_or_fewer():
@@ -163,7 +165,7 @@
     assert len(lines) <= 10
 
 
-def test_a_stricter_wish_is_in_the_configuration():
+def test_stricter_values_of_the_description_are_in_the_configuration():
     catalogue = document((GOOD / "catalogue.toml").read_text(), "c.toml")
     application = document((GOOD / "application-stricter.toml").read_text(), "a.toml")
     model = document(written(catalogue, application), "x").model
@@ -175,7 +177,7 @@
     assert deadlines["journal-post"] == 1500
 
 
-def test_the_output_is_replaced_whole_and_standard_output_has_the_same(tmp_path, capsys):
+def test_the_output_file_is_replaced_atomically_and_equals_standard_output(tmp_path, capsys):
     pair = [str(GOOD / "catalogue.toml"), str(GOOD / "application.toml")]
     assert main(["config", "write", *pair]) == 0
     text = capsys.readouterr().out
@@ -195,7 +197,7 @@
     assert "payment-match" in capsys.readouterr().out
 
 
-def test_explain_tells_the_limit_that_a_wish_keeps_within(capsys):
+def test_explain_shows_the_limit_of_a_stricter_value(capsys):
     pair = [str(GOOD / "catalogue.toml"), str(GOOD / "application.toml")]
     assert main(["config", "explain", *pair, "classes[balance-read].worth"]) == 0
     assert capsys.readouterr().out == (
@@ -203,7 +205,7 @@
     )
 
 
-def test_the_digest_is_of_the_values_and_not_of_their_layout():
+def test_the_digest_depends_on_values_and_not_on_layout():
     text = (GOOD / "configuration.toml").read_text()
     one, same = document(text, "a").model, document("# else\n\n" + text, "b").model
     other = document(text.replace("max_open = 620", "max_open = 621"), "c").model
@@ -211,7 +213,7 @@
 
 
 @pytest.mark.parametrize("kind", ["catalogue", "application", "configuration"])
-def test_the_schema_is_json_schema_that_names_each_key(kind, capsys):
+def test_the_schema_is_json_schema_with_each_key(kind, capsys):
     assert main(["config", "schema", kind]) == 0
     schema = json.loads(capsys.readouterr().out)
     data = tomllib.loads((GOOD / f"{kind}.toml").read_text())
--- a/tests/sidecar/test_drift.py
+++ b/tests/sidecar/test_drift.py
@@ -1,4 +1,4 @@
-"""Drift: every setting, shared and private, changed in one of two configurations."""
+"""Drift detection: each setting, shared or not, is changed in one of two configurations."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from pydantic import BaseModel
 
 from loadbalancer.cli import main
-from loadbalancer.sidecar.drift import SETTINGS, Rule, compare, flat, setting_of
-from loadbalancer.sidecar.load import _inner, parse
+from loadbalancer.sidecar.drift import SETTINGS, Rule, compare, flatten, setting_of
+from loadbalancer.sidecar.load import _model_inside, parse
 from loadbalancer.sidecar.models import Configuration, plain
 
 GOOD = Path(__file__).parent / "good"
@@ -20,7 +20,7 @@
 POOL, KIND, LISTENER = "pools[ledger-post]", "classes[invoice-record]", "listeners[application]"
 ROUTE = "routes[POST /journal/{book}/entries]"
 
-# path, another value, whether that is drift, the rule that it endangers
+# path, changed value, whether the difference is drift, the rule that it endangers
 MATRIX: list[tuple[str, Any, bool, Rule | None]] = [
     ("name", "other", False, None),
     ("zone", "dodoma", False, None),
@@ -101,20 +101,20 @@
     (f"{ROUTE}.deadline_ms", 10.0, False, None),
     (f"{ROUTE}.effect", "keyed", False, None),
 ]
-# What names an element, or tells the form of the file: another value makes another element or no file at all.
+# Keys that identify an element or the type of the file: changing one gives a different element or an invalid file.
 IDENTITY = {"kind", "version", "id", "name", "path", "call", "methods", "headers", "value"}
 
 
-def changed(path: str, value: Any) -> dict[str, Any]:
-    """The base with another value at a path of its flat form."""
+def with_value(path: str, value: Any) -> dict[str, Any]:
+    """A copy of the base configuration with another value at a flattened path."""
     data: Any = copy.deepcopy(BASE)
     here, rest = data, path
     while True:
-        word, _, after = rest.partition(".") if "[" not in rest.partition(".")[0] else _element(rest)
+        word, _, after = rest.partition(".") if "[" not in rest.partition(".")[0] else _split_element(rest)
         if "[" in word:
             key, label = word.split("[", 1)
             items = here[key]
-            here = next(item for item in items if _is(item, label[:-1]))
+            here = next(item for item in items if _has_label(item, label[:-1]))
         elif not after:
             here[word] = value
             return data
@@ -123,30 +123,30 @@
         rest = after
 
 
-def _element(rest: str) -> tuple[str, str, str]:
+def _split_element(rest: str) -> tuple[str, str, str]:
     end = rest.index("]") + 1
     return rest[:end], ".", rest[end + 1 :]
 
 
-def _is(item: dict[str, Any], label: str) -> bool:
+def _has_label(item: dict[str, Any], label: str) -> bool:
     return label in (item.get("id"), item.get("name")) or (
         "path" in item and label.endswith(str(item["path"]))
     )
 
 
 @pytest.mark.parametrize(("path", "value", "drift", "rule"), MATRIX, ids=[row[0] for row in MATRIX])
-def test_a_difference_is_told_as_meant_or_drift_and_by_the_rule_it_endangers(path, value, drift, rule):
-    found = compare([BASE, changed(path, value)])
+def test_each_difference_is_classified_with_the_rule_it_endangers(path, value, drift, rule):
+    found = compare([BASE, with_value(path, value)])
     assert [(item.path, item.drift) for item in found] == [(path, drift)]
     assert found[0].values[1] == value
     assert not drift or found[0].rule is rule
 
 
 def keys(model: type[BaseModel], path: str) -> list[str]:
-    """The last words of every setting of a model."""
+    """The path of each setting of a model, without list labels."""
     found = []
     for name, info in model.model_fields.items():
-        inner = _inner(info.annotation)
+        inner = _model_inside(info.annotation)
         here = f"{path}.{info.alias or name}".strip(".")
         if isinstance(inner, type) and issubclass(inner, BaseModel):
             found += keys(inner, here)
@@ -155,45 +155,47 @@
     return found
 
 
-def test_the_matrix_has_every_setting_of_the_configuration():
-    had = {re.sub(r"\[[^]]*\]", "", path) for path, *_ in MATRIX}
+def test_the_matrix_covers_every_setting_of_the_configuration():
+    covered = {re.sub(r"\[[^]]*\]", "", path) for path, *_ in MATRIX}
     missing = [
-        path for path in keys(Configuration, "") if path.split(".")[-1] not in IDENTITY and path not in had
+        path
+        for path in keys(Configuration, "")
+        if path.split(".")[-1] not in IDENTITY and path not in covered
     ]
     assert missing == []
 
 
-def test_every_setting_is_matched_by_a_known_pattern():
-    for path in flat(BASE):
+def test_every_setting_matches_a_pattern():
+    for path in flatten(BASE):
         assert any(item.pattern.fullmatch(path) for item in SETTINGS), path
 
 
-def test_a_setting_that_is_not_known_counts_as_shared():
+def test_an_unknown_setting_counts_as_shared():
     assert setting_of("brand.new").shared
 
 
-def test_equal_configurations_differ_in_nothing():
+def test_equal_configurations_have_no_differences():
     assert compare([BASE, copy.deepcopy(BASE), copy.deepcopy(BASE)]) == []
 
 
-def test_a_class_that_one_does_not_call_is_no_drift_and_a_box_that_one_lacks_is():
-    less = copy.deepcopy(BASE)
-    less["classes"] = [kind for kind in less["classes"] if kind["name"] != "invoice-record"]
-    less["routes"] = [route for route in less["routes"] if route["class"] != "invoice-record"]
-    assert not any(item.drift for item in compare([BASE, less]))
-    less["pools"][0]["list"]["servers"].pop()
-    drifted = [item for item in compare([BASE, less]) if item.drift]
+def test_a_missing_class_is_no_drift_but_a_missing_server_is():
+    reduced = copy.deepcopy(BASE)
+    reduced["classes"] = [kind for kind in reduced["classes"] if kind["name"] != "invoice-record"]
+    reduced["routes"] = [route for route in reduced["routes"] if route["class"] != "invoice-record"]
+    assert not any(item.drift for item in compare([BASE, reduced]))
+    reduced["pools"][0]["list"]["servers"].pop()
+    drifted = [item for item in compare([BASE, reduced]) if item.drift]
     assert drifted
     assert {item.rule for item in drifted} == {Rule.DRAINS}
 
 
-def test_of_three_the_one_that_drifted_is_seen(tmp_path, capsys):
+def test_the_drifted_one_of_three_configurations_is_visible(tmp_path, capsys):
     text = (GOOD / "configuration.toml").read_text()
     paths = [tmp_path / f"{at}.toml" for at in range(3)]
     for at, path in enumerate(paths):
         path.write_text(text.replace("siblings = 4", "siblings = 5") if at == 2 else text)
     assert main(["config", "drift", *map(str, paths)]) == 1
-    said = capsys.readouterr().out.splitlines()
-    assert said[0].startswith("pools[ledger-post].siblings: DRIFT, endangers «no cold server pushed over»")
-    assert [line.strip().rpartition(": ")[2] for line in said[1:]] == ["4", "4", "5"]
+    lines = capsys.readouterr().out.splitlines()
+    assert lines[0].startswith("pools[ledger-post].siblings: DRIFT, endangers «no cold server pushed over»")
+    assert [line.strip().rpartition(": ")[2] for line in lines[1:]] == ["4", "4", "5"]
     assert main(["config", "drift", *map(str, paths[:2])]) == 0
--- a/tests/sidecar/test_files.py
+++ b/tests/sidecar/test_files.py
@@ -1,4 +1,4 @@
-"""The set of files with one seeded mistake each, and the set of good ones."""
+"""Checks of the files in `seeded`, which have one mistake each, and of the valid files in `good`."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 CATALOGUE = HERE / "good" / "catalogue.toml"
 SEEDED = sorted((HERE / "seeded").glob("*.toml"))
 GOOD = sorted((HERE / "good").glob("*.toml"))
-DESCRIPTORS = 65536  # of the machine that they are checked for
+DESCRIPTORS = 65536  # process limit assumed by the checks
 
 
 def files_for(path: Path) -> list[str]:
@@ -22,20 +22,20 @@
 
 
 def expected(path: Path) -> tuple[int, str]:
-    """The line that the file marks, and the path that it names there."""
+    """The line with the `#! ` marker in the file, and the path after the marker."""
     for number, line in enumerate(path.read_text().split("\n"), 1):
         if "#! " in line:
             return number, line.partition("#! ")[2]
-    raise AssertionError(f"{path.name} marks no mistake")
+    raise AssertionError(f"{path.name} has no #! marker")
 
 
-def test_the_sets_are_as_large_as_they_are_meant_to_be():
+def test_the_sets_have_enough_files():
     assert len(SEEDED) >= 80
     assert len(GOOD) >= 15
 
 
 @pytest.mark.parametrize("path", SEEDED, ids=lambda path: path.stem)
-def test_a_seeded_mistake_is_found_at_its_line_and_path_and_nowhere_else(path):
+def test_the_seeded_mistake_and_no_other_is_found_at_its_line_and_path(path):
     documents, _ = check_files(files_for(path), DESCRIPTORS)
     found = [mistake for document in documents for mistake in document.mistakes]
     assert [(mistake.line, mistake.path) for mistake in found] == [expected(path)], "\n".join(map(str, found))
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("path", GOOD, ids=lambda path: path.stem)
-def test_a_good_file_is_accepted_and_left_as_it_is(path, capsys):
+def test_a_valid_file_is_accepted_and_not_modified(path, capsys):
     before = [Path(name).read_bytes() for name in files_for(path)]
     stamp = path.stat().st_mtime_ns
     assert main(["config", "check", *files_for(path), "--descriptors", str(DESCRIPTORS)]) == 0
@@ -54,35 +54,35 @@
     assert path.stat().st_mtime_ns == stamp
 
 
-def test_all_mistakes_of_all_files_are_told_in_one_run(capsys):
+def test_all_mistakes_of_all_files_are_reported_in_one_run(capsys):
     chosen = [str(path) for path in SEEDED if not path.name.startswith("application")]
     assert main(["config", "check", *chosen, "--json", "--descriptors", str(DESCRIPTORS)]) == 1
     rows = json.loads(capsys.readouterr().out)["mistakes"]
     assert {row["file"] for row in rows} == set(chosen)
 
 
-def test_a_mistake_is_one_line_with_file_line_path_and_what_would_be_right(capsys):
+def test_a_mistake_is_one_line_with_file_line_path_and_correction(capsys):
     path = HERE / "seeded" / "application-key-misspelt.toml"
     assert main(["config", "check", str(path), str(CATALOGUE)]) == 1
     line, where = expected(path)
-    said = capsys.readouterr().out
-    assert said == f"{path}:{line}: {where}: no such key; did you mean 'deadline_ms'?\n"
+    output = capsys.readouterr().out
+    assert output == f"{path}:{line}: {where}: no such key; did you mean 'deadline_ms'?\n"
 
 
 @pytest.mark.parametrize("word", ["retryable", "idempotent", "hedged"])
-def test_what_the_catalogue_forbids_names_its_line(word):
+def test_a_looser_value_is_reported_with_the_line_of_the_catalogue(word):
     path = HERE / "seeded" / f"application-payment-match-{word}.toml"
     documents, _ = check_files(files_for(path), DESCRIPTORS)
     lines = CATALOGUE.read_text().split("\n")
-    forbids = next(
+    limit_line = next(
         number
         for number, line in enumerate(lines, 1)
         if line == 'effect = "unsafe"' and lines[number - 3] == 'name = "payment-match"'
     )
-    assert f"{CATALOGUE}:{forbids}" in documents[0].mistakes[0].wrong
+    assert f"{CATALOGUE}:{limit_line}" in documents[0].mistakes[0].wrong
 
 
-def test_two_mistakes_in_one_file_are_both_told(tmp_path):
+def test_two_mistakes_in_one_file_are_both_reported(tmp_path):
     text = (
         CATALOGUE.read_text().replace("aim_ms = 1000", "aim_ms = 9000").replace('mode = "ask"', 'mod = "ask"')
     )
@@ -107,14 +107,14 @@
         ["config", "explain", str(CATALOGUE), str(HERE / "good" / "application.toml"), "no.such.path"],
     ],
 )
-def test_a_call_that_cant_be_carried_out_ends_with_2(call, capsys):
+def test_an_impossible_command_exits_with_2(call, capsys):
     assert main(call) == 2
-    said = capsys.readouterr()
-    assert said.err.startswith("loadbalancer: ")
-    assert said.out == ""
+    output = capsys.readouterr()
+    assert output.err.startswith("loadbalancer: ")
+    assert output.out == ""
 
 
-def test_a_file_that_is_no_text_is_a_mistake(tmp_path):
+def test_a_file_that_is_not_utf8_is_a_mistake(tmp_path):
     path = tmp_path / "x.toml"
     path.write_bytes(b'kind = "catalogue"\nname = "\xff"\n')
     documents, _ = check_files([str(path)], DESCRIPTORS)
--- a/tests/sidecar/test_idl.py
+++ b/tests/sidecar/test_idl.py
@@ -1,4 +1,4 @@
-"""Thrift routes against an IDL file, through the command."""
+"""`config check` of Thrift routes against an IDL file."""
 
 from __future__ import annotations
 
@@ -53,11 +53,11 @@
     path = tmp_path / "catalogue.toml"
     path.write_text(text)
     code = main(["config", "check", str(path), *(more or (IDL,))])
-    found = capsys.readouterr()
-    return code, found.out + found.err
+    captured = capsys.readouterr()
+    return code, captured.out + captured.err
 
 
-def test_a_catalogue_that_agrees_with_its_idl_has_no_mistake(tmp_path, capsys):
+def test_a_catalogue_that_matches_its_idl_has_no_mistake(tmp_path, capsys):
     assert check(tmp_path, GOOD, capsys)[0] == 0
 
 
@@ -65,30 +65,30 @@
     ("old", "new", "wrong"),
     [
         ('call = "balance"', 'call = "balanec"', "has no method 'balanec'"),
-        ('call = "balance"', 'call = "balanec"', "no route takes Ledger:balance"),
+        ('call = "balance"', 'call = "balanec"', "no route matches Ledger:balance"),
         ('call = "Ledger:post"', 'call = "Legder:post"', "has no method 'Legder:post'"),
-        ('call = "no*"', 'call = "nothing*"', "no route takes Ledger:note"),
-        ('call = "echo"', 'call = "note"', "note of {idl} is oneway, which is never sent again"),
+        ('call = "no*"', 'call = "nothing*"', "no route matches Ledger:note"),
+        ('call = "echo"', 'call = "note"', "note of {idl} is oneway, which is never retried"),
         ('key_field = "1.1"', 'key_field = "1.9"', "record of {idl} has no string or number at 1.9"),
         ('key_field = "1.1"', 'key_field = "1"', "record of {idl} has no string or number at 1;"),
         (', { call = "no*" }', "", "no method of class 'post' is oneway"),
     ],
 )
-def test_what_does_not_agree_is_told_by_line(tmp_path, capsys, old, new, wrong):
+def test_contradictions_of_the_idl_are_reported(tmp_path, capsys, old, new, wrong):
     assert GOOD.count(old) == 1
-    code, said = check(tmp_path, GOOD.replace(old, new), capsys)
+    code, output = check(tmp_path, GOOD.replace(old, new), capsys)
     assert code == 1
-    assert wrong.replace("{idl}", IDL) in said
+    assert wrong.replace("{idl}", IDL) in output
 
 
-def test_an_idl_that_cant_be_read_is_one_error(tmp_path, capsys):
+def test_an_unreadable_idl_file_gives_one_error(tmp_path, capsys):
     bad = tmp_path / "bad.thrift"
     bad.write_text("service Ledger {")
-    code, said = check(tmp_path, GOOD, capsys, str(bad))
-    assert (code, str(bad) in said, "Traceback" in said) == (2, True, False)
-    code, said = check(tmp_path, GOOD, capsys, str(tmp_path / "none.thrift"))
+    code, output = check(tmp_path, GOOD, capsys, str(bad))
+    assert (code, str(bad) in output, "Traceback" in output) == (2, True, False)
+    code, output = check(tmp_path, GOOD, capsys, str(tmp_path / "none.thrift"))
     assert code == 2
-    assert "No such file" in said
+    assert "No such file" in output
 
 
 @pytest.mark.parametrize(
@@ -111,11 +111,11 @@
         ),
     ],
 )
-def test_thrift_settings_that_do_not_fit_are_told(tmp_path, capsys, old, new, wrong):
+def test_conflicting_thrift_settings_are_reported(tmp_path, capsys, old, new, wrong):
     assert GOOD.count(old) == 1
-    code, said = check(tmp_path, GOOD.replace(old, new), capsys)
+    code, output = check(tmp_path, GOOD.replace(old, new), capsys)
     assert code == 1
-    assert wrong in said
+    assert wrong in output
 
 
 APPLICATION = """\
@@ -129,7 +129,7 @@
 """
 
 
-def test_a_description_with_thrift_calls_has_a_listener_for_them(tmp_path, capsys):
+def test_a_description_with_thrift_calls_gets_a_thrift_listener(tmp_path, capsys):
     (tmp_path / "catalogue.toml").write_text(GOOD)
     (tmp_path / "clerk.toml").write_text(APPLICATION)
     out = tmp_path / "out.toml"
@@ -142,7 +142,7 @@
     assert main(["config", "check", str(out)]) == 0
 
 
-def test_drift_and_explain_know_thrift_routes(tmp_path, capsys):
+def test_drift_and_explain_support_thrift_routes(tmp_path, capsys):
     (tmp_path / "catalogue.toml").write_text(GOOD)
     (tmp_path / "clerk.toml").write_text(APPLICATION)
     files = [str(tmp_path / "catalogue.toml"), str(tmp_path / "clerk.toml")]
@@ -158,7 +158,7 @@
     assert "pools[boxes].thrift.form" in capsys.readouterr().out
 
 
-def test_thrift_listen_without_a_thrift_call_is_told(tmp_path, capsys):
+def test_thrift_listen_without_a_thrift_call_is_reported(tmp_path, capsys):
     (tmp_path / "catalogue.toml").write_text(
         GOOD.replace('"thrift"\nthrift = { form = "compact" }', '"both"')
         .replace('call = "no*"', 'path = "/n/**"')
@@ -167,4 +167,4 @@
     (tmp_path / "clerk.toml").write_text(APPLICATION)
     files = [str(tmp_path / "catalogue.toml"), str(tmp_path / "clerk.toml")]
     assert main(["config", "check", *files]) == 1
-    assert "no call is of Thrift" in capsys.readouterr().out
+    assert "no call uses Thrift" in capsys.readouterr().out
--- a/tests/sidecar/test_locate.py
+++ b/tests/sidecar/test_locate.py
@@ -1,4 +1,4 @@
-"""Lines of keys, against texts whose keys are made to tell their own line."""
+"""Line numbers of TOML keys, checked on texts in which each value is the number of its line."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
         (("a", "b", "c", "e", "g"), 28),
     ],
 )
-def test_a_key_is_found_at_its_line(path, line):
+def test_each_key_has_its_line(path, line):
     assert locate(TEXT)[path] == line
 
 
@@ -73,11 +73,11 @@
     if isinstance(value, dict):
         return [leaf for key, item in value.items() for leaf in leaves(item, (*path, key))]
     if isinstance(value, list) and value:
-        return [leaf for at, item in enumerate(value) for leaf in leaves(item, (*path, at))]
+        return [leaf for index, item in enumerate(value) for leaf in leaves(item, (*path, index))]
     return [path]
 
 
-def test_every_value_that_the_parser_sees_has_a_line():
+def test_every_parsed_value_has_a_line():
     found = locate(TEXT)
     assert all(path in found for path in leaves(tomllib.loads(TEXT)))
 
@@ -93,9 +93,9 @@
 
 @st.composite
 def texts(draw):
-    """A text of which each value is its own line's number, and the keys that it has."""
+    """A TOML text in which each integer is the number of its own line."""
     lines: list[str] = []
-    for at, key in enumerate(
+    for index, key in enumerate(
         draw(st.lists(KEYS, unique_by=lambda key: key.strip("'"), min_size=1, max_size=8))
     ):
         lines += draw(st.lists(st.sampled_from(FILLERS), max_size=2))
@@ -103,7 +103,12 @@
         if form == "plain" and not any(line.startswith("[") for line in lines):
             lines.append(f"{key} = {len(lines) + 1}")
         elif form == "rows":
-            lines += [f"[[{key}]]", f"x{at} = {len(lines) + 2}", f"[[{key}]]", f"y{at} = {len(lines) + 4}"]
+            lines += [
+                f"[[{key}]]",
+                f"x{index} = {len(lines) + 2}",
+                f"[[{key}]]",
+                f"y{index} = {len(lines) + 4}",
+            ]
         elif form == "array":
             start = len(lines) + 2
             lines += [f"[{key}]", "z = [", f"  {start + 1},", "", f"  {start + 3} ]"]
@@ -135,5 +140,5 @@
             assert found[path] == value, text
 
 
-def test_lines_that_end_in_cr_lf_are_counted_once():
+def test_crlf_line_endings_count_once():
     assert locate("a = 1\r\n\r\nb = 3\r\n")[("b",)] == 3
--- a/tests/sidecar/test_mutations.py
+++ b/tests/sidecar/test_mutations.py
@@ -1,4 +1,4 @@
-"""Mutations of good files, drawn at random: a misspelt key, a value of another type."""
+"""Random mutations of valid files: a misspelt key, a value of another type."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def places(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    """The path of every key of every table."""
+    """The path of every key of every table, nested ones included."""
     if isinstance(value, dict):
         return [found for key, item in value.items() for found in [(*path, key), *places(item, (*path, key))]]
     if isinstance(value, list):
@@ -51,7 +51,7 @@
     return document.mistakes
 
 
-def test_the_files_are_good_before_they_are_mutated():
+def test_the_files_are_valid_before_mutation():
     assert all(mistakes(data, name) == [] for name, data in FILES.items())
 
 
@@ -94,7 +94,7 @@
     assert any(str(path[-1]) in mistake.path for mistake in found), found
 
 
-def test_a_mutated_file_does_not_spoil_another_in_the_same_run(tmp_path):
+def test_a_mutated_file_does_not_affect_another_in_the_same_run(tmp_path):
     bad = tmp_path / "bad.toml"
     bad.write_text(dumps(FILES["configuration.toml"] | {"nmae": "x"}, {}))
     good = next(path for path in GOOD if path.name == "configuration.toml")
