--- a/loadbalancer/budget/__init__.py
+++ b/loadbalancer/budget/__init__.py
@@ -1,1 +1,1 @@
-"""Budgets of time and attempts that a request carries from tier to tier; decided without I/O."""
+"""Budgets of time and attempts that requests propagate from tier to tier; this package does no I/O."""
--- a/loadbalancer/budget/decider.py
+++ b/loadbalancer/budget/decider.py
@@ -1,12 +1,12 @@
-"""What a request that has come in may spend here and hand on: time, attempts, worth; or why it is not begun at all.
+"""Decides the time, attempts and worth that an arriving request may use here and propagate, or rejects the request.
 
-The decision module goes on to decide which server, and whether to try again; what is granted here is among the things
-that it is told. Nothing that is carried makes a request larger than the class and the route allow.
+The balancer still chooses servers and decides on retries; the grant is one of its inputs. A propagated budget can
+lower what the class and the route allow, never raise it.
 
-Attempts are tokens that are handed on, never made: of `extra` attempts beyond the first one a node keeps half, rounded
-up, for retries of its own, and its first attempt carries the rest. So behind a call with `extra` tokens there are at
-most 1 + `extra` attempts at the last tier, however many tiers there are: if each attempt's tree is bounded by 1 + its
-own tokens, the sum is (attempts) + (tokens handed on) <= 1 + kept + handed on.
+Attempts beyond the first are tokens, which are passed on and never created. Of `extra` tokens a node keeps half,
+rounded up, for its own retries, and its first attempt carries the rest. A call with `extra` tokens therefore causes at
+most 1 + `extra` attempts at the last tier, whatever the number of tiers. By induction: if each attempt causes at most
+1 + its own tokens, the sum is (attempts) + (tokens passed on) <= 1 + kept + passed on.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 
 class Trust(Enum):
-    """What of a listener's callers is believed."""
+    """Which propagated values a listener accepts from its callers."""
 
-    INSIDE = "inside"  # they are nodes of ours, or applications that pass on what those wrote
-    EDGE = "edge"  # anybody: only what makes a request smaller
+    INSIDE = "inside"  # callers are nodes, or applications that forward their headers
+    EDGE = "edge"  # unknown callers: accept only values that lower limits
 
 
 class Denial(Enum):
-    """Why a request is not begun. None of them has run."""
+    """Why a request is rejected. It has not run anywhere behind this node."""
 
     LOOP = "it has come through here before"
     OVER = "its time was up when it came"
@@ -37,57 +37,60 @@
 
 @dataclass(slots=True, frozen=True)
 class Terms:
-    """What the configuration says."""
+    """The settings of one listener."""
 
-    name: str  # by which this node is known in paths
+    name: str  # this node's name in paths
     trust: Trust = Trust.EDGE
-    extra: int = 2  # attempts beyond the first that a request without word of its own may take in all tiers
-    revisits: int = 0  # how often a request may come back here before that is a loop
-    reserve_ms: float = 5.0  # kept back at each hop for the way back and the caller's own work
-    least_ms: float = 1.0  # with less left nothing is begun
-    learn: bool = True  # whether the patience of callers who say nothing is learned
+    extra: int = 2  # upper bound of attempts beyond the first, in all tiers together
+    revisits: int = 0  # how often a request may return here before it is rejected as a loop
+    reserve_ms: float = 5.0  # subtracted at each hop for the way back and the caller's own work
+    min_wait_ms: float = 1.0  # a request with no more time than this is rejected
+    learn: bool = True  # whether to apply the learned patience of callers that state no deadline
     tenants: frozenset[str] = frozenset()
 
 
 @dataclass(slots=True)
 class Allowance:
-    """What one request may still hand on. Kept attempts are the module's to use."""
+    """The attempt tokens of one request: `kept` for the balancer's retries, the rest for the first attempt."""
 
     kept: int
-    handed: int  # goes with the first attempt that is written
-    attempt: int = 1  # of the whole request: 1 while it is a first try
-    written: int = 0
-
-    def hand_on(self) -> tuple[int, int]:
-        """For an attempt that is written now: the tokens that it carries, and its number."""
-        self.written += 1
-        if self.written == 1:
+    handed: int  # passed on with the first attempt
+    attempt: int = 1  # attempt number of the request on arrival: 1 for a first attempt
+    attempts_written: int = 0
+
+    def next_attempt(self) -> tuple[int, int]:
+        """The tokens and the attempt number that the next attempt carries."""
+        self.attempts_written += 1
+        if self.attempts_written == 1:
             return self.handed, self.attempt
         return 0, max(2, self.attempt)
 
 
 @dataclass(slots=True)
 class Grant:
-    """What a request gets here."""
+    """What an accepted request may use at this node."""
 
-    wait_ms: float  # from when it came
-    stated: bool  # whether its caller said how long it waits
+    wait_ms: float  # counted from its arrival
+    stated: bool  # whether the caller stated how long it waits
     allowance: Allowance
-    worth: float | None  # at most; None: the class's
-    tenant: str | None  # that was carried and is known
+    worth: float | None  # upper bound; None: that of the class
+    tenant: str | None  # propagated, if accepted and known
     is_retry: bool
     paid: bool
-    id: str | None  # as nodes before have called it
-    path: tuple[str, ...]  # that goes on, this node last
+    id: str | None  # given by an earlier node
+    path: tuple[str, ...]  # path to propagate, with this node at the end
 
     @property
     def attempts(self) -> int:
-        """The most that the module may make."""
+        """The maximum number of attempts by this node's balancer."""
         return 1 + self.allowance.kept
 
     def carry(self, now_ms: float, mark: str, left_ms: float, tenant: str | None, name: str) -> Carried:
-        """What an attempt says that is written now and waited for this long; `name`: of the request here."""
-        extra, attempt = self.allowance.hand_on()
+        """The budget to write into the next attempt.
+
+        `left_ms`: how long this node waits for that attempt; `name`: the id of the request at this node.
+        """
+        extra, attempt = self.allowance.next_attempt()
         return Carried(
             ms=max(0.0, left_ms),
             at=Stamp(mark, int(now_ms)),
@@ -102,72 +105,73 @@
 
 @dataclass(slots=True)
 class Decider:
-    """Decides for one node; keeps what it learns of clocks and of callers' patience, by class."""
+    """Decides for one node; holds the learned clock differences, and callers' patience by class."""
 
     elapsed: Elapsed = field(default_factory=Elapsed)
     patience: dict[str, Patience] = field(default_factory=dict)
 
     def of(self, service: str) -> Patience:
-        found = self.patience.get(service)
-        if found is None:
-            found = self.patience[service] = Patience()
-        return found
+        patience = self.patience.get(service)
+        if patience is None:
+            patience = self.patience[service] = Patience()
+        return patience
 
     def decide(
         self,
         terms: Terms,
         kind: ServiceClass,
-        most_ms: float,
-        asked_ms: float | None,
+        limit_ms: float,
+        requested_ms: float | None,
         carried: Carried,
         now_ms: float,
-        on_other: Callable[[str], None] = lambda name: None,
+        on_ignored: Callable[[str], None] = lambda name: None,
     ) -> Grant | Denial:
-        """`most_ms`: what class and route allow; `asked_ms`: the deadline that the listener's own header gives.
+        """Accept or reject a request.
 
-        `on_other` is told the name of whatever was said and could not be read, or was not believed.
+        `limit_ms`: the limit of class and route; `requested_ms`: the deadline in the listener's own header.
+        `on_ignored` is called with the name of each propagated value that is unreadable or not accepted.
         """
         for name in carried.unreadable:
-            on_other(name)
+            on_ignored(name)
         inside = terms.trust is Trust.INSIDE
-        visits = max(carried.path.count(terms.name), int(terms.name in carried.seen))
+        visits = max(carried.path.count(terms.name), int(terms.name in carried.passed_nodes))
         if visits > terms.revisits:
             return Denial.LOOP
-        left = [] if asked_ms is None else [asked_ms]
+        limits = [] if requested_ms is None else [requested_ms]
         if carried.ms is not None:
-            since = 0.0
-            if inside and carried.at is not None:  # at the edge anybody could fill the table of clocks
-                since = self.elapsed.since(carried.at, now_ms)
-            left.append(carried.ms - since - terms.reserve_ms)
-        stated = bool(left)
-        wait = min(most_ms, *left) if left else most_ms
+            transit_ms = 0.0
+            if inside and carried.at is not None:  # at the edge, anyone could fill the table of writers
+                transit_ms = self.elapsed.excess_ms(carried.at, now_ms)
+            limits.append(carried.ms - transit_ms - terms.reserve_ms)
+        stated = bool(limits)
+        wait_ms = min(limit_ms, *limits) if limits else limit_ms
         if stated:
-            self.of(kind.name).stated(wait)
+            self.of(kind.name).stated(wait_ms)
         elif terms.learn:
-            wait = min(wait, self.of(kind.name).ms or wait)
-        if wait <= terms.least_ms:
+            wait_ms = min(wait_ms, self.of(kind.name).ms or wait_ms)
+        if wait_ms <= terms.min_wait_ms:
             return Denial.OVER
         attempt = carried.attempt if inside and carried.attempt is not None else None
         if not inside:
-            for given, name in ((carried.worth, "worth"), (carried.tenant, "tenant"), (carried.id, "id")):
-                if given is not None:
-                    on_other(f"{name} at the edge")
-        asked_again = carried.asked_again or (carried.attempt or 1) > 1
+            for value, name in ((carried.worth, "worth"), (carried.tenant, "tenant"), (carried.id, "id")):
+                if value is not None:
+                    on_ignored(f"{name} at the edge")
+        marked_retry = carried.marked_retry or (carried.attempt or 1) > 1
         paid = attempt is not None and attempt > 1
         extra = terms.extra if carried.extra is None else min(terms.extra, carried.extra)
-        if asked_again:
-            # Guard: each of a caller's tries brought a new allowance, so that three tries had three times the most.
+        if marked_retry:
+            # Guard: with a new allowance for each of a caller's retries, three tries could cause three times the limit.
             extra = 0
-        keep = (extra + 1) // 2
+        kept = (extra + 1) // 2
         worth = carried.worth if inside else None
         tenant = carried.tenant if inside and carried.tenant in terms.tenants else None
         return Grant(
-            wait_ms=wait,
+            wait_ms=wait_ms,
             stated=stated,
-            allowance=Allowance(keep, extra - keep, max(2, attempt or 2) if asked_again else 1),
+            allowance=Allowance(kept, extra - kept, max(2, attempt or 2) if marked_retry else 1),
             worth=None if worth is None else min(kind.worth, worth),
             tenant=tenant,
-            is_retry=asked_again,
+            is_retry=marked_retry,
             paid=paid,
             id=carried.id if inside else None,
             path=(*carried.path[-31:], terms.name),
--- a/loadbalancer/budget/figures.py
+++ b/loadbalancer/budget/figures.py
@@ -1,4 +1,4 @@
-"""What operators see of budgets: by pool and class, since the start."""
+"""Budget statistics for operators, by pool and class, since the start of the process."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 
 @dataclass(slots=True)
-class Spread:
-    """Milliseconds, counted by the highest bound that they reach."""
+class Histogram:
+    """A histogram of durations: each counts at the highest bound that it reaches."""
 
     counts: list[int] = field(default_factory=lambda: [0] * (len(BOUNDS_MS) + 1))
     total: float = 0.0
@@ -24,50 +24,53 @@
 
     def row(self) -> dict[str, Any]:
         names = ["under 0", *(f"from {bound:g}" for bound in BOUNDS_MS)]
-        seen = sum(self.counts)
+        samples = sum(self.counts)
         return {
-            "mean": round(self.total / seen, 1) if seen else None,
+            "mean": round(self.total / samples, 1) if samples else None,
             "counts": {name: count for name, count in zip(names, self.counts, strict=True) if count},
         }
 
 
 @dataclass(slots=True)
 class ClassFigures:
-    at_arrival: Spread = field(default_factory=Spread)  # time left when a request came
-    at_end: Spread = field(default_factory=Spread)  # and when it had its answer
+    at_arrival: Histogram = field(default_factory=Histogram)  # time left when a request arrived
+    at_end: Histogram = field(default_factory=Histogram)  # time left when its response was sent
     counts: Counter[str] = field(default_factory=Counter)
 
 
 class Figures:
-    """One node's, by pool and class."""
+    """The statistics of one node, by pool and class."""
 
     def __init__(self) -> None:
         self.classes: dict[tuple[str, str], ClassFigures] = {}
 
     def of(self, pool: str, service: str) -> ClassFigures:
-        found = self.classes.get((pool, service))
-        if found is None:
-            found = self.classes[pool, service] = ClassFigures()
-        return found
+        figures = self.classes.get((pool, service))
+        if figures is None:
+            figures = self.classes[pool, service] = ClassFigures()
+        return figures
 
     def rows(
         self, spent: Mapping[str, Counter[tuple[str, str]]], services: Mapping[str, Iterable[str]]
     ) -> Any:
-        """`spent`: by pool, what its retry budget has counted; `services`: the classes of each pool."""
+        """Rows for the admin page.
+
+        `spent`: the counters of each pool's retry budget; `services`: the classes of each pool.
+        """
         rows: dict[str, Any] = {}
         for pool, names in services.items():
-            counted = spent.get(pool, Counter())
+            pool_counts = spent.get(pool, Counter())
             rows[pool] = {}
             for name in names:
-                own = self.classes.get((pool, name), ClassFigures())
-                figures = {what: count for (of, what), count in sorted(counted.items()) if of == name}
+                class_figures = self.classes.get((pool, name), ClassFigures())
+                figures = {what: count for (of, what), count in sorted(pool_counts.items()) if of == name}
                 first = figures.get("first", 0)
-                more = sum(figures.get(what, 0) for what in ("retry", "hedge", "repeat"))
+                extra_attempts = sum(figures.get(what, 0) for what in ("retry", "hedge", "repeat"))
                 rows[pool][name] = {
                     "attempts": figures,
-                    "amplification": round((first + more) / first, 4) if first else None,
-                    "requests": dict(sorted(own.counts.items())),
-                    "left_at_arrival_ms": own.at_arrival.row(),
-                    "left_at_end_ms": own.at_end.row(),
+                    "amplification": round((first + extra_attempts) / first, 4) if first else None,
+                    "requests": dict(sorted(class_figures.counts.items())),
+                    "left_at_arrival_ms": class_figures.at_arrival.row(),
+                    "left_at_end_ms": class_figures.at_end.row(),
                 }
         return rows
--- a/loadbalancer/budget/repeats.py
+++ b/loadbalancer/budget/repeats.py
@@ -1,12 +1,12 @@
-"""Requests that are asked again while they run or just after, and what may be done about it.
+"""Recognises requests that repeat a running or recent request, and deduplicates them where that is safe.
 
-- Of a keyed class the key says so: the second one joins the first, or gets its answer, and nothing is sent.
-- Of a safe class an id that was carried and a mark of a repeat say so. Without the mark an application may be reading
-  anew what it has just changed, so nothing is joined.
-- Of an unsafe class nothing is ever joined: no caller has promised that the two are one.
-- What asks the same as one that has just failed at a server is taken for its repeat, a few times for each failure. It
-  is a guess: many callers may ask one thing. So it may cost the budget of repeats and no more, and its own refusal
-  makes nothing else look like a repeat.
+- Keyed class: the key identifies a repeat. It joins the running request or gets the stored response; nothing is sent.
+- Safe class: a propagated id together with a retry mark identifies a repeat. Without the mark the application may be
+  reading again what it has just changed, so nothing is joined.
+- Unsafe class: nothing is ever joined, because no caller has promised that the two requests are the same.
+- A request with the same content as one that has just failed at a server is assumed to be its repeat, a few times for
+  each failure. This is a guess, since many callers may send equal requests. So the only consequence is that it is
+  charged to the retry budget, and its own rejection does not make further requests look like repeats.
 
 The form of a key follows the draft "The Idempotency-Key HTTP Header Field": the same key with another request is not
 the same request.
@@ -24,77 +24,81 @@
 
 from loadbalancer.interface import Earlier, Effect
 
-# Fields that may differ between two tries of one request; any other that does makes them two.
-VARYING = frozenset(
+# Header fields that may differ between two attempts of one request. Any other difference makes them two requests.
+ATTEMPT_HEADERS = frozenset(
     b"baggage traceparent tracestate via forwarded x-forwarded-for x-request-id x-correlation-id date".split()
     + b"grpc-timeout x-envoy-expected-rq-timeout-ms x-envoy-attempt-count".split()
     + b"req-id req-retry req-deadline-ms connection keep-alive content-length transfer-encoding".split()
 )
-FAILURES = 4096  # of which the repeats are looked for
-TRIES = 3  # repeats that are looked for after each
+MAX_FAILURES = 4096  # recent failures that are remembered
+REPEATS_PER_FAILURE = 3  # repeats that are expected after each failure
 
 
 @dataclass(frozen=True)
 class Identity:
-    """What tells a request from others."""
+    """What distinguishes a request from others."""
 
     service: str
     effect: Effect
-    parts: tuple[bytes, ...]  # all that it asks, tenant too
+    parts: tuple[bytes, ...]  # its content, including the tenant
     key: bytes | None = None  # of a keyed class
-    carried: str | None = None  # what a node before called it, where that is believed
-    marked: bool = False  # somebody says that it is a repeat
-    fields: Sequence[tuple[bytes, bytes]] = ()  # of its head
+    carried: str | None = None  # the id given by an earlier node, if that node is trusted
+    marked: bool = False  # it is marked as a retry
+    fields: Sequence[tuple[bytes, bytes]] = ()  # its header fields
 
     @cached_property
-    def asked(self) -> bytes:
-        """A digest of all that it asks; made when it is needed, as most requests are never asked again."""
+    def content(self) -> bytes:
+        """A digest of its content; computed on demand, since most requests are never repeated."""
         return digest(*self.parts)
 
     @cached_property
-    def same(self) -> tuple[str, bytes, bytes | str] | None:
-        """Equal for two that are surely one; None if nothing can be sure.
+    def match_key(self) -> tuple[str, bytes, bytes | str] | None:
+        """Equal for two requests that are certainly the same one; None if that can never be certain.
 
-        Guard: two users who chose one key for one body would have had one answer, which the first was entitled to.
+        Guard: it covers the header fields, because two users who chose the same key and body would otherwise share one
+        response, to which only the first is entitled.
         """
         if self.effect is Effect.KEYED and self.key is not None:
-            return self.service, self._exact(), self.key
+            return self.service, self._exact_digest(), self.key
         if self.effect is Effect.SAFE and self.carried is not None:
-            return self.service, self._exact(), self.carried
+            return self.service, self._exact_digest(), self.carried
         return None
 
-    def _exact(self) -> bytes:
-        """A digest of what it asks and of the fields that tell on whose behalf and in which form."""
+    def _exact_digest(self) -> bytes:
+        """A digest of its content and of the header fields that identify the user or select the representation."""
         fields = [
-            part for name, value in self.fields if name.lower() not in VARYING for part in (name, value)
+            part
+            for name, value in self.fields
+            if name.lower() not in ATTEMPT_HEADERS
+            for part in (name, value)
         ]
         return digest(*self.parts, *fields)
 
 
 def digest(*parts: bytes) -> bytes:
-    """Of parts in order, told apart."""
-    found = hashlib.blake2b(digest_size=16)
+    """A digest of the parts in order; it depends on where each part ends."""
+    state = hashlib.blake2b(digest_size=16)
     for part in parts:
-        found.update(b"%d:" % len(part))
-        found.update(part)
-    return found.digest()
+        state.update(b"%d:" % len(part))
+        state.update(part)
+    return state.digest()
 
 
 class Kind(Enum):
-    """What a request that has come is."""
+    """The classification of an arriving request."""
 
     NEW = "new"
-    REPEAT = "repeat"  # new work, but not a first try
-    JOIN = "join"  # waits for the answer of one that runs
-    REPLAY = "replay"  # has the answer of one that has ended
+    REPEAT = "repeat"  # has to be sent, but is not a first attempt
+    JOIN = "join"  # waits for the response of a running request
+    REPLAY = "replay"  # gets the stored response of a finished request
 
 
 @dataclass(slots=True, frozen=True)
 class Verdict:
     kind: Kind
-    guessed: bool = False  # that it is a repeat: many callers may ask the same
-    token: Any = None  # of JOIN what was given to `begin`, of REPLAY the answer that was given to `end`
-    earlier: Earlier | None = None  # of a repeat with a key: where an earlier copy may have run
+    guessed: bool = False  # REPEAT is a guess, since many callers may send equal requests
+    token: Any = None  # JOIN: the token passed to `begin`; REPLAY: the answer passed to `end`
+    earlier: Earlier | None = None  # keyed REPEAT: where an earlier attempt may have run
 
 
 @dataclass(slots=True)
@@ -109,23 +113,23 @@
 
 @dataclass(slots=True)
 class Repeats:
-    """Remembers what runs, and for a while what has ended, within bounds."""
+    """Tracks running requests and, for a limited time and within limits, finished ones."""
 
-    keep_ms: float = 2000.0  # an answer, and a failure
-    most_bytes: int = 1 << 20  # of answers
-    most_entries: int = 4096
+    keep_ms: float = 2000.0  # how long a stored response or a failure is kept
+    most_bytes: int = 1 << 20  # of stored responses
+    max_entries: int = 4096
     counts: Counter[str] = field(default_factory=Counter)
-    held: int = 0  # bytes of answers
+    held: int = 0  # bytes of stored responses
     _entries: OrderedDict[tuple[str, bytes, bytes | str], _Entry] = field(default_factory=OrderedDict)
     _ended: OrderedDict[tuple[str, bytes, bytes | str], None] = field(default_factory=OrderedDict)
     _failures: OrderedDict[tuple[str, bytes], tuple[int, float]] = field(default_factory=OrderedDict)
 
-    def arrive(self, now_ms: float, who: Identity) -> Verdict:
-        """What a request is that has come now."""
-        self._forget(now_ms)
-        same = who.same
-        entry = self._entries.get(same) if same is not None else None
-        if entry is not None and (who.effect is Effect.KEYED or who.marked):
+    def arrive(self, now_ms: float, request: Identity) -> Verdict:
+        """Classify an arriving request."""
+        self._expire(now_ms)
+        match_key = request.match_key
+        entry = self._entries.get(match_key) if match_key is not None else None
+        if entry is not None and (request.effect is Effect.KEYED or request.marked):
             if entry.running:
                 self.counts["joined"] += 1
                 return Verdict(Kind.JOIN, token=entry.token)
@@ -134,34 +138,34 @@
                 return Verdict(Kind.REPLAY, token=entry.answer)
         if entry is not None and entry.earlier is not None:
             return Verdict(Kind.REPEAT, earlier=entry.earlier)
-        failed = self._failures.get((who.service, who.asked)) if self._failures else None
-        if failed is not None and not who.marked:
+        failed = self._failures.get((request.service, request.content)) if self._failures else None
+        if failed is not None and not request.marked:
             self.counts["taken for a repeat"] += 1
         if failed is not None:
             count, until = failed
             if count > 1:
-                self._failures[who.service, who.asked] = (count - 1, until)
+                self._failures[request.service, request.content] = (count - 1, until)
             else:
-                del self._failures[who.service, who.asked]
-        if who.marked:
+                del self._failures[request.service, request.content]
+        if request.marked:
             return Verdict(Kind.REPEAT)
         return Verdict(Kind.REPEAT, guessed=True) if failed is not None else Verdict(Kind.NEW)
 
-    def begin(self, who: Identity, token: Any) -> None:
-        """It runs from now on; those that join it are told this token."""
-        same = who.same
-        if same is None or len(self._entries) >= self.most_entries:
+    def begin(self, request: Identity, token: Any) -> None:
+        """Record that a request runs; requests that join it get this token."""
+        match_key = request.match_key
+        if match_key is None or len(self._entries) >= self.max_entries:
             return
-        known = self._entries.get(same)
-        if known is not None and known.running:
+        existing = self._entries.get(match_key)
+        if existing is not None and existing.running:
             return
-        self._drop(same)
-        self._entries[same] = _Entry(token)
+        self._drop(match_key)
+        self._entries[match_key] = _Entry(token)
 
     def end(
         self,
         now_ms: float,
-        who: Identity,
+        request: Identity,
         token: Any,
         answer: Any = None,
         size: int = 0,
@@ -169,21 +173,25 @@
         memory_ms: float = 0.0,
         sent: bool = True,
     ) -> None:
-        """It has ended: with an answer that may be given again, of this many bytes, or without one.
+        """Record the end of a request: with an answer of `size` bytes that may be replayed, or without one.
 
-        `earlier`: where it may have run all the same; `memory_ms`: for how long that matters; `sent`: whether any
-        attempt was made.
+        `earlier`: where it may have run without an answer; `memory_ms`: how long servers remember its key; `sent`:
+        whether any attempt was made.
         """
-        # Guard: with refusals counted too, the first one of a thing that many ask had the next ones taken for its
-        # repeats, and these, refused for lack of budget, the next: a healthy pool was shut for good.
+        # Guard: rejections without an attempt do not count as failures. Otherwise, for a request that many callers
+        # send, one rejection makes the next ones look like repeats; these are rejected for lack of budget and in turn
+        # mark the next, so a healthy pool would reject them forever.
         if answer is None and sent:
-            count, _ = self._failures.pop((who.service, who.asked), (0, 0.0))
-            self._failures[who.service, who.asked] = (count + TRIES, now_ms + self.keep_ms)
-            while len(self._failures) > FAILURES:
+            count, _ = self._failures.pop((request.service, request.content), (0, 0.0))
+            self._failures[request.service, request.content] = (
+                count + REPEATS_PER_FAILURE,
+                now_ms + self.keep_ms,
+            )
+            while len(self._failures) > MAX_FAILURES:
                 self._failures.popitem(last=False)
-        same = who.same
-        entry = self._entries.get(same) if same is not None else None
-        if same is None or entry is None or entry.token is not token:
+        match_key = request.match_key
+        entry = self._entries.get(match_key) if match_key is not None else None
+        if match_key is None or entry is None or entry.token is not token:
             return
         entry.running, entry.token = False, None
         entry.until_ms = now_ms + self.keep_ms
@@ -191,24 +199,28 @@
             entry.answer, entry.size = answer, size
             self.held += size
         elif earlier is not None:
-            # A repeat long after must still find the group that may know its key, and not one that never did.
+            # A late repeat must still go to the group of servers that may remember its key, and to no other group.
             entry.earlier = earlier
             entry.until_ms = now_ms + 2.0 * memory_ms
         else:
-            self._drop(same)
+            self._drop(match_key)
             return
-        self._ended[same] = None
+        self._ended[match_key] = None
         while self.held > self.most_bytes:
             self._drop(next(key for key in self._ended if self._entries[key].size))
 
-    def _drop(self, same: tuple[str, bytes, bytes | str]) -> None:
-        entry = self._entries.pop(same, None)
-        self._ended.pop(same, None)
+    def _drop(self, match_key: tuple[str, bytes, bytes | str]) -> None:
+        entry = self._entries.pop(match_key, None)
+        self._ended.pop(match_key, None)
         if entry is not None:
             self.held -= entry.size
 
-    def _forget(self, now_ms: float) -> None:
-        """Guard: what is kept goes by its time, looked at from the oldest on, and no call pays for many."""
+    def _expire(self, now_ms: float) -> None:
+        """Remove expired entries.
+
+        Guard: each call looks at no more than four finished entries, the oldest first, so that no request is delayed
+        by the removal of many.
+        """
         for _ in range(4):
             oldest = next(iter(self._ended), None)
             if oldest is None:
@@ -218,7 +230,7 @@
                 continue
             self._drop(oldest)
         while self._failures:
-            asked, (_, until) = next(iter(self._failures.items()))
+            content, (_, until) = next(iter(self._failures.items()))
             if until > now_ms:
                 break
-            del self._failures[asked]
+            del self._failures[content]
--- a/tests/budget/test_carried.py
+++ b/tests/budget/test_carried.py
@@ -1,4 +1,4 @@
-"""What is carried: read from whoever says it, written so that the next one reads the same."""
+"""Budget headers: parsing of own and foreign forms, and writing them so that the next node reads the same values."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from loadbalancer.budget.carried import (
-    MOST_MEMBERS,
+    MAX_BAGGAGE_MEMBERS,
     NOTHING,
     Carried,
     Stamp,
@@ -77,7 +77,7 @@
         "emberring-new=1",
     ],
 )
-def test_what_cannot_be_read_counts_as_not_said_and_is_told(member):
+def test_invalid_members_are_ignored_and_reported(member):
     carried, others = read_baggage(member)
     assert (carried.ms, carried.extra, carried.worth, carried.attempt) == (None, None, None, None)
     assert (carried.tenant, carried.path, carried.at) == (None, (), None)
@@ -85,20 +85,20 @@
     assert others == []
 
 
-def test_members_of_others_go_on_as_they_came():
+def test_foreign_members_are_forwarded_unchanged():
     text = "userId=alice;prop=1 , emberring-ms=700, session=%20x"
     carried, others = read_baggage(text)
     assert carried.ms == 700.0
     rows = dict(write_http([(b"baggage", text.encode())], FULL, "post", 900.0))
-    said = rows[b"Baggage"].decode().split(",")
-    assert said[-2:] == ["userId=alice;prop=1", "session=%20x"]
+    members = rows[b"Baggage"].decode().split(",")
+    assert members[-2:] == ["userId=alice;prop=1", "session=%20x"]
     assert read_baggage(rows[b"Baggage"].decode())[0] == FULL
     many = ",".join(f"k{at}=v" for at in range(200))
-    assert len(write_baggage(FULL, read_baggage(many)[1]).split(",")) == MOST_MEMBERS
+    assert len(write_baggage(FULL, read_baggage(many)[1]).split(",")) == MAX_BAGGAGE_MEMBERS
     assert others == ["userId=alice;prop=1", "session=%20x"]
 
 
-def test_baggage_over_its_limit_is_not_read():
+def test_baggage_over_the_size_limit_is_unreadable():
     assert read_baggage("a=" + "x" * 9000)[0] == Carried(unreadable=("baggage",))
 
 
@@ -113,7 +113,7 @@
         (b"x-envoy-expected-rq-timeout-ms", b"1500", 1500.0),
     ],
 )
-def test_times_in_others_forms_are_read(name, value, ms):
+def test_foreign_timeouts_are_read(name, value, ms):
     assert read_http([(name, value)]).ms == ms
 
 
@@ -128,37 +128,37 @@
         (b"x-envoy-attempt-count", b"two"),
     ],
 )
-def test_nonsense_in_others_forms_counts_as_not_said(name, value):
+def test_invalid_foreign_values_are_ignored(name, value):
     found = read_http([(name, value)])
     assert found.ms is None
-    assert not found.asked_again
+    assert not found.marked_retry
     assert found.unreadable == (name.decode(),)
 
 
-def test_the_shortest_time_counts_and_only_ours_has_a_stamp():
+def test_the_shortest_time_applies_and_only_the_own_form_has_a_stamp():
     ours = (b"baggage", write_baggage(FULL).encode())
     assert read_http([ours, (b"grpc-timeout", b"300m")]).ms == 300.0
     assert read_http([ours, (b"grpc-timeout", b"300m")]).at is None
     assert read_http([ours, (b"grpc-timeout", b"3S")]).at == FULL.at
 
 
-def test_marks_of_a_repeat_are_read():
-    assert read_http([(b"Req-Retry", b"1")]).asked_again
-    assert read_http([(b"X-Envoy-Attempt-Count", b"2")]).asked_again
-    assert not read_http([(b"x-envoy-attempt-count", b"1")]).asked_again
+def test_retry_marks_are_read():
+    assert read_http([(b"Req-Retry", b"1")]).marked_retry
+    assert read_http([(b"X-Envoy-Attempt-Count", b"2")]).marked_retry
+    assert not read_http([(b"x-envoy-attempt-count", b"1")]).marked_retry
     assert read_http([(b"accept", b"*/*")]) is NOTHING
 
 
-def test_the_names_in_via_and_tracestate_are_seen():
+def test_names_in_via_and_tracestate_are_read():
     headers = [
         (b"via", b"1.1 front (emberring), HTTP/1.1 proxy-7"),
         (b"Via", b"1.1 post"),
         (b"tracestate", b"vendor=1,emberring=front/month-close"),
     ]
-    assert read_http(headers).seen == {"front", "proxy-7", "post", "month-close"}
+    assert read_http(headers).passed_nodes == {"front", "proxy-7", "post", "month-close"}
 
 
-def test_headers_written_anew_are_those_of_this_hop():
+def test_rewritten_headers_have_the_values_of_this_hop():
     headers = [
         (b"Via", b"1.0 fred"),
         (b"grpc-timeout", b"9S"),
--- a/tests/budget/test_chain.py
+++ b/tests/budget/test_chain.py
@@ -1,5 +1,7 @@
-"""Three tiers of sidecars and the four rules by the boxes' counts, with fixed seeds: what fails, breaks off and drains
-does so by the requests' order, not by the clock."""
+"""Three tiers of sidecars, checked against the four rules by the request counts of the servers.
+
+Seeds are fixed; failures, broken connections and drains are triggered by request number, not by time.
+"""
 
 from __future__ import annotations
 
@@ -19,11 +21,11 @@
 from loadbalancer.emulator.tier import OWN, TRACE, TierApplication
 from loadbalancer.runtime.sidecar import Sidecar
 
-WIDE, TIERS, TRIES = 2, 3, 4
+NODES_PER_TIER, TIERS, TRIES = 2, 3, 4
 EXTRA = 2
 BUDGET: dict[str, Any] = {"share": 0.08, "floor_per_s": 0.1, "extra": EXTRA, "backoff_ms": 1.0}
-MOST = 1 + EXTRA + (TRIES - 1)  # attempts for one request whose repeats are marked, as the design note has it
-# The aim says how often the module looks at its load.
+MAX_ATTEMPTS = 1 + EXTRA + (TRIES - 1)  # upper bound of attempts for one request whose retries are marked
+# The balancer's evaluation period follows from the aim.
 TIME = {"aim_ms": 4000, "give_up_ms": 20000, "late_worth": 1.0}
 CLASSES = [
     {"name": "read", "pool": "boxes", "effect": "safe", "worth": 12} | TIME,
@@ -32,12 +34,14 @@
 ]
 
 
-class Chain:
-    """Sidecars by tier, the applications between them, and the boxes behind the last."""
+class TierChain:
+    """Sidecars by tier, the applications between the tiers, and the servers behind the last one."""
 
     def __init__(self) -> None:
         self.boxes = [Box(f"box-{at}") for at in range(3)]
-        self.apps = [[TierApplication(f"app-{tier}-{at}") for at in range(WIDE)] for tier in range(1, TIERS)]
+        self.apps = [
+            [TierApplication(f"app-{tier}-{at}") for at in range(NODES_PER_TIER)] for tier in range(1, TIERS)
+        ]
         self.sidecars: list[list[Sidecar]] = []
 
     def row(self, tier: int, around: list[Any], budget: dict[str, Any] | None) -> dict[str, Any]:
@@ -50,20 +54,20 @@
 
 
 @contextlib.asynccontextmanager
-async def chain(budget: dict[str, Any] | None = BUDGET) -> AsyncIterator[Chain]:
-    found = Chain()
+async def chain(budget: dict[str, Any] | None = BUDGET) -> AsyncIterator[TierChain]:
+    found = TierChain()
     for box in found.boxes:
         await box.start()
     for apps in found.apps:
         for app in apps:
             app.behaviour.passes = TRACE | OWN
             await app.start()
-    behind = [*found.apps, found.boxes]
+    targets = [*found.apps, found.boxes]
     try:
         for tier in range(TIERS):
             found.sidecars.append([])
-            for _ in range(WIDE):
-                sidecar = Sidecar(configuration(found.row(tier, behind[tier], budget)))
+            for _ in range(NODES_PER_TIER):
+                sidecar = Sidecar(configuration(found.row(tier, targets[tier], budget)))
                 await sidecar.start()
                 found.sidecars[-1].append(sidecar)
         for apps, sidecars in zip(found.apps, found.sidecars[1:], strict=True):
@@ -81,15 +85,15 @@
 async def ask(
     caller: Application, rng: Random, number: int, answers: Counter[str], deadline_ms: int | None = None
 ) -> str:
-    """One request with all its tries; its class."""
+    """Send one request, up to TRIES times until it succeeds; returns its class."""
     kind = rng.choice(["read", "post", "move"])
     method, path = ("GET", "/balance") if kind == "read" else ("POST", f"/{kind}")
-    marks = rng.random() < 0.5
+    marks_retries = rng.random() < 0.5
     for at in range(TRIES):
         headers = {"X-Posting": f"{kind}-{number}-{at}"}
         if kind == "move":
             headers["Idempotency-Key"] = f"key-{number}"
-        if marks and at:
+        if marks_retries and at:
             headers["Req-Retry"] = "1"
         if deadline_ms is not None:
             headers["Req-Deadline-Ms"] = str(deadline_ms)
@@ -101,31 +105,33 @@
     return kind
 
 
-def attempts(found: Chain) -> Counter[int]:
-    """By request, those that reached a box."""
-    each: Counter[int] = Counter()
+def attempts(found: TierChain) -> Counter[int]:
+    """The number of attempts that reached a server, by request number."""
+    per_request: Counter[int] = Counter()
     for box in found.boxes:
         for name, count in box.ran.items():
-            each[int(name.split("-")[1])] += count
-    return each
+            per_request[int(name.split("-")[1])] += count
+    return per_request
 
 
-async def play(found: Chain, seed: int, requests: int, before: Any = lambda number: None) -> Counter[str]:
-    """Requests one after another, `before` each of which something may go wrong."""
+async def send_requests(
+    found: TierChain, seed: int, requests: int, before: Any = lambda number: None
+) -> Counter[str]:
+    """Send requests one after another; `before` is called with each request number and may inject a fault."""
     rng, answers = Random(seed), Counter()
     callers = [application(sidecar) for sidecar in found.sidecars[0]]
     for number in range(requests):
         result = before(number)
         if result is not None:
             await result
-        await ask(callers[number % WIDE], rng, number, answers)
+        await ask(callers[number % NODES_PER_TIER], rng, number, answers)
     for caller in callers:
         caller.close()
     return answers
 
 
-def hold_to_the_rules(found: Chain, answers: Counter[str]) -> None:
-    assert set(answers.values()) == {1}  # one answer to each try, and each has one
+def assert_rules_kept(found: TierChain, answers: Counter[str]) -> None:
+    assert set(answers.values()) == {1}  # exactly one response to each try
     unsafe: Counter[str] = Counter()
     for box in found.boxes:
         unsafe.update({name: count for name, count in box.ran.items() if name.startswith("post")})
@@ -133,57 +139,57 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_last_tier_that_fails_at_once_is_not_multiplied(seed):
+def test_a_failing_last_tier_is_not_hit_by_multiplied_retries(seed):
     async def main():
         async with chain() as found:
             for box in found.boxes:
                 box.behaviour = Behaviour(error=10**9)
-            answers = await play(found, seed, 60)
-            hold_to_the_rules(found, answers)
-            each = attempts(found)
-            assert max(each.values()) <= MOST
-            # A tenth of a second's floor in twelve seconds at each of six nodes, and three tiers' shares.
-            assert sum(each.values()) <= 60 * 1.3 + 6 * 2
+            answers = await send_requests(found, seed, 60)
+            assert_rules_kept(found, answers)
+            per_request = attempts(found)
+            assert max(per_request.values()) <= MAX_ATTEMPTS
+            # The shares of three tiers, and floor_per_s of 0.1 for twelve seconds at each of six nodes.
+            assert sum(per_request.values()) <= 60 * 1.3 + 6 * 2
             answered = sum(answers.values())
         async with chain(None) as found:
             for box in found.boxes:
                 box.behaviour = Behaviour(error=10**9)
-            await play(found, seed, 60)
-            assert sum(attempts(found).values()) > 2 * sum(each.values())
+            await send_requests(found, seed, 60)
+            assert sum(attempts(found).values()) > 2 * sum(per_request.values())
         assert answered >= 60
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_boxes_and_tiers_that_fail_break_drain_and_come_back_break_no_rule(seed):
+def test_failing_breaking_and_draining_servers_and_tiers_break_no_rule(seed):
     async def main():
         rng = Random(1000 + seed)
         async with chain() as found:
 
-            def trouble(number: int) -> Any:
+            def inject_fault(number: int) -> Any:
                 if number % 6:
                     return None
                 box = rng.choice(found.boxes)
-                what = rng.randrange(6)
+                fault = rng.randrange(6)
                 box.behaviour = Behaviour(
-                    error=3 if what == 0 else 0,
-                    die_mid_answer=2 if what == 1 else 0,
-                    decline=what == 2,
+                    error=3 if fault == 0 else 0,
+                    die_mid_answer=2 if fault == 1 else 0,
+                    decline=fault == 2,
                 )
                 app = rng.choice(rng.choice(found.apps))
-                app.behaviour.fail = what == 3
-                app.behaviour.tries, app.behaviour.tried = (3 if what == 4 else 1), frozenset({b"GET"})
-                if what == 5:  # taken from all lists of its tier, and put back the next time
-                    rows = [found.row(2, rng.sample(found.boxes, 2), BUDGET)] * WIDE
+                app.behaviour.fail = fault == 3
+                app.behaviour.tries, app.behaviour.tried = (3 if fault == 4 else 1), frozenset({b"GET"})
+                if fault == 5:  # one server leaves all lists of the last tier until the next fault
+                    rows = [found.row(2, rng.sample(found.boxes, 2), BUDGET)] * NODES_PER_TIER
                 else:
-                    rows = [found.row(2, found.boxes, BUDGET)] * WIDE
-                return reloaded(found, rows)
+                    rows = [found.row(2, found.boxes, BUDGET)] * NODES_PER_TIER
+                return reload_last_tier(found, rows)
 
-            answers = await play(found, seed, 90, trouble)
-            hold_to_the_rules(found, answers)
-            # A tier that tries by itself multiplies its own part; the next one takes its tries for repeats.
-            assert max(attempts(found).values()) <= MOST + 3 * TRIES
+            answers = await send_requests(found, seed, 90, inject_fault)
+            assert_rules_kept(found, answers)
+            # An application that retries multiplies its own attempts; the next tier treats these as repeats.
+            assert max(attempts(found).values()) <= MAX_ATTEMPTS + 3 * TRIES
             await until(lambda: not any(s.pools["boxes"].requests for group in found.sidecars for s in group))
 
     asyncio.run(main())
@@ -191,13 +197,13 @@
 
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize("stalled", ["one box", "all boxes", "a tier"])
-def test_what_stalls_is_given_up_in_time_and_no_rule_breaks(seed, stalled):
+def test_stalled_requests_time_out_and_no_rule_is_broken(seed, stalled):
     async def main():
         async with chain() as found:
             rng, answers = Random(seed), Counter()
             callers = [application(sidecar) for sidecar in found.sidecars[0]]
-            for number in range(12):  # the shortest ways are seen, and connections are there
-                await ask(callers[number % WIDE], rng, number, answers)
+            for number in range(12):  # learns the shortest transit times and opens connections
+                await ask(callers[number % NODES_PER_TIER], rng, number, answers)
             if stalled == "a tier":
                 for app in found.apps[1]:
                     app.behaviour.hang = True
@@ -205,53 +211,53 @@
                 for box in found.boxes[: 1 if stalled == "one box" else None]:
                     box.behaviour = Behaviour(hang=True)
             for number in range(12, 18):
-                # Every try has its one answer, which no time-out of the caller's own cuts short.
-                await ask(callers[number % WIDE], rng, number, answers, deadline_ms=120)
-            hold_to_the_rules(found, answers)
+                # Every try gets its response: the caller has no timeout of its own.
+                await ask(callers[number % NODES_PER_TIER], rng, number, answers, deadline_ms=120)
+            assert_rules_kept(found, answers)
             assert max(attempts(found).values()) <= TRIES * (1 + EXTRA)
             for caller in callers:
                 caller.close()
-            # Nothing is left behind by what was given up.
+            # Abandoned requests leave no state behind.
             await until(lambda: not any(s.pools["boxes"].requests for group in found.sidecars for s in group))
 
     asyncio.run(main())
 
 
-async def reloaded(found: Chain, rows: list[dict[str, Any]]) -> None:
+async def reload_last_tier(found: TierChain, rows: list[dict[str, Any]]) -> None:
     for sidecar, data in zip(found.sidecars[2], rows, strict=True):
         await sidecar.reload(configuration(data))
 
 
-def test_a_storm_dies_out_once_its_cause_has_ended():
+def test_a_retry_storm_ends_with_its_cause():
     async def main():
         async with chain() as found:
             for box in found.boxes:
                 box.behaviour = Behaviour(error=10**9)
-            await play(found, 5, 40)
+            await send_requests(found, 5, 40)
             for box in found.boxes:
                 box.behaviour = Behaviour()
             callers = [application(sidecar) for sidecar in found.sidecars[0]]
-            good = 0
-            for number in range(400):  # admission lets a few through, and more as they are answered
-                reply = await callers[number % WIDE].ask("GET", f"/balance/{1000 + number}")
-                good = good + 1 if reply.status == 200 else 0
-                if good == 20:
+            successes = 0
+            for number in range(400):  # admission accepts a few, and more as these succeed
+                reply = await callers[number % NODES_PER_TIER].ask("GET", f"/balance/{1000 + number}")
+                successes = successes + 1 if reply.status == 200 else 0
+                if successes == 20:
                     break
                 await asyncio.sleep(0)
-            assert good == 20
+            assert successes == 20
             for caller in callers:
                 caller.close()
             before = sum(box.taken for box in found.boxes)
             await asyncio.gather(*(asyncio.sleep(0) for _ in range(50)))
-            assert sum(box.taken for box in found.boxes) == before  # nothing goes on by itself
+            assert sum(box.taken for box in found.boxes) == before  # no attempts without new requests
 
     asyncio.run(main())
 
 
-def test_work_of_callers_who_have_gone_is_neither_begun_nor_sent_on():
+def test_work_for_expired_callers_is_neither_started_nor_forwarded():
     async def main():
         async with chain() as found:
-            # The second tier's applications notice nothing and call on long after their own caller's time is over.
+            # The second tier's applications ignore disconnects and call the next tier after their caller's deadline.
             gates = []
             for app in found.apps[0]:
                 app.behaviour.notices = False
@@ -259,7 +265,7 @@
                 gate = asyncio.Event()
                 gates.append(gate)
                 app.before_call = gate.wait
-            # The shortest way between the tiers is seen on a request in good time.
+            # Requests within the deadline let the nodes learn the shortest transit time between the tiers.
             for gate in gates:
                 gate.set()
             caller = application(found.sidecars[0][0])
--- a/tests/budget/test_decider.py
+++ b/tests/budget/test_decider.py
@@ -1,4 +1,4 @@
-"""What a request may spend: never more than class and route allow, whatever it says."""
+"""Grants of time and attempts: never more than class and route allow, whatever the request states."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from loadbalancer import interface as api
 from loadbalancer.budget.carried import NOTHING, Carried, Stamp
 from loadbalancer.budget.decider import Allowance, Decider, Denial, Grant, Terms, Trust
-from loadbalancer.budget.elapsed import MOST_MS, STRETCH_MS, WRITERS, Elapsed
-from loadbalancer.budget.patience import LEAST, Patience
+from loadbalancer.budget.elapsed import MAX_EXCESS_MS, MAX_WRITERS, WINDOW_MS, Elapsed
+from loadbalancer.budget.patience import MIN_OBSERVATIONS, Patience
 
 KIND = api.ServiceClass("read", aim_ms=1000, give_up_ms=2500, worth=12, effect=api.Effect.SAFE)
 INSIDE = Terms("post", Trust.INSIDE, extra=2, tenants=frozenset({"hotels"}))
 EDGE = Terms("post", Trust.EDGE, extra=2, tenants=frozenset({"hotels"}))
 
 
-def decide(carried: Carried = NOTHING, terms: Terms = INSIDE, asked=None, decider=None, now=0.0, **more):
-    return (decider or Decider()).decide(terms, KIND, 2500.0, asked, carried, now, **more)
+def decide(carried: Carried = NOTHING, terms: Terms = INSIDE, requested=None, decider=None, now=0.0, **more):
+    return (decider or Decider()).decide(terms, KIND, 2500.0, requested, carried, now, **more)
 
 
 # ------------------------------------------------------------------------------ time
@@ -28,28 +28,28 @@
     ("ms", "wait"),
     [(1000.0, 995.0), (3_600_000.0, 2500.0), (6.5, 1.5)],
 )
-def test_the_time_for_this_hop_is_what_remains_and_never_more_than_the_class(ms, wait):
+def test_the_wait_is_the_remaining_time_and_at_most_that_of_the_class(ms, wait):
     for terms in (INSIDE, EDGE):
         assert decide(Carried(ms=ms), terms).wait_ms == wait
 
 
 @pytest.mark.parametrize("ms", [0.0, 3.0, 6.0])
-def test_what_has_no_time_left_is_not_begun(ms):
+def test_a_request_without_time_left_is_rejected(ms):
     assert decide(Carried(ms=ms)) is Denial.OVER
-    assert decide(asked=0.0) is Denial.OVER
+    assert decide(requested=0.0) is Denial.OVER
 
 
-def test_a_caller_that_says_nothing_has_the_class_s_time():
+def test_a_caller_without_a_deadline_gets_the_time_of_the_class():
     granted = decide()
     assert granted.wait_ms == 2500.0
     assert not granted.stated
 
 
-def test_time_spent_before_the_call_is_taken_off_though_clocks_are_an_hour_apart():
+def test_transit_time_is_subtracted_although_clocks_differ_by_an_hour():
     decider = Decider()
     for hour in (3_600_000.0, -3_600_000.0):
         mark = f"m{hour}"
-        for _ in range(3):  # the shortest way: 2 ms
+        for _ in range(3):  # the shortest transit: 2 ms
             stamp = Stamp(mark, int(10_000_000 + hour))
             assert decide(Carried(ms=800.0, at=stamp), decider=decider, now=10_000_002.0).wait_ms == 795.0
         late = Stamp(mark, int(10_000_000 + hour))
@@ -58,57 +58,57 @@
         assert decide(Carried(ms=800.0, at=late), decider=decider, now=10_000_900.0) is Denial.OVER
 
 
-def test_at_the_edge_no_stamp_is_believed():
+def test_stamps_are_ignored_at_the_edge():
     decider = Decider()
     decide(Carried(ms=800.0, at=Stamp("x", 0)), EDGE, decider=decider)
     assert decide(Carried(ms=800.0, at=Stamp("x", 0)), EDGE, decider=decider, now=700.0).wait_ms == 795.0
 
 
-def test_a_clock_that_jumps_or_drifts_does_not_make_requests_look_over():
+def test_clock_jumps_and_drift_do_not_make_requests_look_expired():
     elapsed = Elapsed()
-    assert elapsed.since(Stamp("m", 1000), 1002.0) == 0.0
-    assert elapsed.since(Stamp("m", 1000), 1002.0 + MOST_MS + 1) == 0.0
+    assert elapsed.excess_ms(Stamp("m", 1000), 1002.0) == 0.0
+    assert elapsed.excess_ms(Stamp("m", 1000), 1002.0 + MAX_EXCESS_MS + 1) == 0.0
     now, sent = 0.0, 0.0
     for _ in range(4000):  # 100 parts in a million, for over an hour
         now, sent = now + 1000.0, sent + 999.9
-        late = elapsed.since(Stamp("n", int(sent)), now)
-        assert late <= 2 * STRETCH_MS * 0.0001 + 1.0
+        late = elapsed.excess_ms(Stamp("n", int(sent)), now)
+        assert late <= 2 * WINDOW_MS * 0.0001 + 1.0
 
 
-def test_writers_that_come_and_go_are_bounded():
+def test_the_number_of_remembered_writers_is_bounded():
     elapsed = Elapsed()
-    for at in range(3 * WRITERS):
-        elapsed.since(Stamp(f"m{at}", 0), 0.0)
-    assert len(elapsed._writers) == WRITERS
+    for at in range(3 * MAX_WRITERS):
+        elapsed.excess_ms(Stamp(f"m{at}", 0), 0.0)
+    assert len(elapsed._writers) == MAX_WRITERS
 
 
 # -------------------------------------------------------------------------- attempts
 
 
-def tree(rng: Random, carried: Carried, depth: int) -> int:
-    """Attempts at the last tier of a call for which every attempt fails and each tier does all it may."""
+def attempts_at_last_tier(rng: Random, carried: Carried, depth: int) -> int:
+    """Attempts at the last tier for one call if every attempt fails and each tier uses all its attempts."""
     granted = decide(carried, Terms(f"n{depth}-{rng.random()}", Trust.INSIDE, extra=rng.randint(0, 9)))
     assert isinstance(granted, Grant)
     total = 0
     for _ in range(granted.attempts):
         onward = granted.carry(0.0, "m", 900.0, None, "x")
-        total += 1 if depth == 0 else tree(rng, onward, depth - 1)
+        total += 1 if depth == 0 else attempts_at_last_tier(rng, onward, depth - 1)
     return total
 
 
 @pytest.mark.parametrize("extra", range(6))
-def test_the_attempts_of_all_tiers_together_stay_within_one_and_the_extra(extra):
+def test_the_attempts_of_all_tiers_are_at_most_one_plus_extra(extra):
     for seed in range(30):
         rng = Random(seed)
         for depth in range(6):
-            made = tree(rng, Carried(extra=extra, ms=1000.0), depth)
+            made = attempts_at_last_tier(rng, Carried(extra=extra, ms=1000.0), depth)
             assert made <= 1 + extra
             if depth == 0:
                 assert made <= 1 + (extra + 1) // 2
 
 
-def test_a_caller_that_asks_again_brings_no_new_allowance():
-    for carried in (Carried(asked_again=True, extra=9), Carried(attempt=2, extra=9)):
+def test_a_marked_retry_gets_no_new_allowance():
+    for carried in (Carried(marked_retry=True, extra=9), Carried(attempt=2, extra=9)):
         for terms in (INSIDE, EDGE):
             granted = decide(carried, terms)
             assert granted.attempts == 1
@@ -117,29 +117,29 @@
             assert granted.carry(0.0, "m", 9.0, None, "x").attempt >= 2
 
 
-def test_an_attempt_after_the_first_says_so_to_the_next_tier():
+def test_later_attempts_carry_their_number_to_the_next_tier():
     granted = decide()
     assert granted.carry(0.0, "m", 900.0, None, "x").attempt == 1
     assert granted.carry(0.0, "m", 900.0, None, "x").attempt == 2
-    assert Allowance(1, 1).hand_on() == (1, 1)
+    assert Allowance(1, 1).next_attempt() == (1, 1)
 
 
-def test_only_inside_is_a_repeat_held_to_be_paid_for():
+def test_only_an_inside_listener_accepts_a_retry_as_paid():
     assert decide(Carried(attempt=2)).paid
     assert not decide(Carried(attempt=2), EDGE).paid
     assert decide(Carried(attempt=2), EDGE).is_retry
 
 
-# --------------------------------------------------------------- what is not believed
+# --------------------------------------------------------------- values not accepted
 
 
-def test_no_caller_buys_worth_time_tenant_or_attempts():
+def test_no_caller_can_raise_worth_time_or_attempts_or_claim_a_tenant():
     rich = Carried(ms=1e7, extra=99, worth=1e6, tenant="hotels", id="x", attempt=1)
-    told: list[str] = []
-    granted = decide(rich, EDGE, on_other=told.append)
+    ignored: list[str] = []
+    granted = decide(rich, EDGE, on_ignored=ignored.append)
     assert (granted.wait_ms, granted.attempts, granted.worth) == (2500.0, 2, None)
     assert (granted.tenant, granted.id) == (None, None)
-    assert sorted(told) == ["id at the edge", "tenant at the edge", "worth at the edge"]
+    assert sorted(ignored) == ["id at the edge", "tenant at the edge", "worth at the edge"]
     granted = decide(rich, INSIDE)
     assert (granted.wait_ms, granted.attempts, granted.worth) == (2500.0, 2, 12.0)
     assert (granted.tenant, granted.id) == ("hotels", "x")
@@ -156,20 +156,20 @@
     [
         Carried(path=("post",)),
         Carried(path=("front", "post", "archive")),
-        Carried(seen=frozenset({"post"})),
+        Carried(passed_nodes=frozenset({"post"})),
     ],
 )
-def test_what_comes_back_is_refused_whoever_shows_it(terms, carried):
+def test_a_returning_request_is_rejected_whichever_header_shows_it(terms, carried):
     assert decide(carried, terms) is Denial.LOOP
 
 
-def test_coming_back_can_be_meant():
+def test_revisits_are_allowed_by_configuration():
     twice = Terms("post", Trust.INSIDE, revisits=1)
     assert isinstance(decide(Carried(path=("post", "front")), twice), Grant)
     assert decide(Carried(path=("post", "front", "post")), twice) is Denial.LOOP
 
 
-def test_a_path_goes_on_with_this_node_last_and_stays_readable():
+def test_the_path_ends_with_this_node_and_has_at_most_32_names():
     assert decide(Carried(path=("front",))).path == ("front", "post")
     assert len(decide(Carried(path=tuple(f"n{at}" for at in range(32)))).path) == 32
 
@@ -177,17 +177,17 @@
 # ---------------------------------------------------------------------------- patience
 
 
-def test_patience_is_learned_from_those_that_leave_among_many_that_are_answered():
+def test_patience_is_learned_from_disconnects_among_many_answered_requests():
     found = Patience()
     for _ in range(200):
         found.answered(30.0)
     assert found.ms is None
-    for _ in range(LEAST + 20):
+    for _ in range(MIN_OBSERVATIONS + 20):
         found.left(1000.0)
     assert found.ms == pytest.approx(1050.0)
 
 
-def test_two_kinds_of_callers_are_given_the_longer_time():
+def test_two_kinds_of_callers_give_the_longer_time():
     found = Patience()
     for _ in range(40):
         found.left(500.0)
@@ -195,29 +195,29 @@
     assert found.ms == pytest.approx(2100.0)
 
 
-def test_callers_that_grow_more_patient_are_found_out():
+def test_the_estimate_follows_callers_that_become_more_patient():
     found = Patience()
     for _ in range(40):
         found.left(500.0)
     assert found.ms == pytest.approx(525.0)
-    for _ in range(600):  # answered, well or badly, before they left
+    for _ in range(600):  # answered with any status before they disconnected
         found.answered(520.0)
     assert found.ms is None
 
 
-def test_stated_times_count_where_nobody_has_left():
+def test_stated_times_apply_where_no_caller_has_disconnected():
     found = Patience()
-    for _ in range(3 * LEAST):
+    for _ in range(3 * MIN_OBSERVATIONS):
         found.stated(800.0)
     assert found.ms == pytest.approx(840.0)
 
 
-def test_what_is_learned_bounds_callers_that_say_nothing_within_the_class():
+def test_learned_patience_limits_callers_without_a_deadline():
     decider = Decider()
     for _ in range(60):
         decider.of("read").left(700.0)
     assert decide(decider=decider).wait_ms == pytest.approx(735.0)
-    assert decide(asked=1500.0, decider=decider).wait_ms == 1500.0
+    assert decide(requested=1500.0, decider=decider).wait_ms == 1500.0
     assert decide(terms=Terms("post", learn=False), decider=decider).wait_ms == 2500.0
     for _ in range(600):
         decider.of("read").left(60_000.0)
