--- a/loadbalancer/sidecar/drift.py
+++ b/loadbalancer/sidecar/drift.py
@@ -50,26 +50,26 @@
         Rule.COLD,
         "together they send a cold server more than it can serve",
     ),
-    _make_setting(r"rules\..*", True, None, "their retries, waits or prices differ"),
+    _make_setting(r"rules\..*", True, None, "one retries, waits or prices otherwise than the other"),
     _make_setting(r"budget\..*", True, None, "one amplifies the load on a failing pool more than the other"),
-    _make_setting(r"tenants\[.*", True, None, "a tenant has a larger quota at one than at the other"),
+    _make_setting(r"tenants\[.*", True, None, "a tenant's quota is more at one than at the other"),
     _make_setting(
-        r"pools\[[^]]*\]\.list\..*", True, Rule.DRAINS, "they don't learn of the same servers and drains"
+        r"pools\[[^]]*\]\.list\..*", True, Rule.DRAINS, "they don't hear of the same boxes and drains"
     ),
     _make_setting(r"pools\[[^]]*\]\.siblings", True, Rule.COLD, "they assume different shares of the pool"),
-    _make_setting(r"pools\[.*", True, None, "they treat the servers of the pool differently"),
+    _make_setting(r"pools\[.*", True, None, "they treat the pool's boxes differently"),
     _make_setting(
         r"classes\[[^]]*\]\.(effect|pool|key_scope|key_header|key_field|memory_ms)",
         True,
         Rule.TWICE,
-        "a request that one never retries may run twice through the other",
+        "what one never repeats may run twice through the other",
     ),
     _make_setting(
         r"classes\[[^]]*\]\.give_up_ms", True, Rule.LOST, "one answers after callers have given up"
     ),
     # An application may set a stricter value for these.
     _make_setting(r"classes\[[^]]*\]\.(worth|attempts|hedge)", False),
-    _make_setting(r"classes\[.*", True, None, "their latency targets differ"),
+    _make_setting(r"classes\[.*", True, None, "they aim at different times"),
     _make_setting(r"routes\[[^]]*\]\.class", True, Rule.TWICE, "one path maps to two classes"),
     _make_setting(r"routes\[.*", False),
 )
