--- a/loadbalancer/cli/__init__.py
+++ b/loadbalancer/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The `loadbalancer` command: one module a subcommand, imported when it is asked for."""
+"""The `loadbalancer` command. Each subcommand is a module, which is imported only when it is used."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from importlib import import_module
 
 COMMANDS = {
-    "try": ("trial", "run a sidecar against stand-in boxes for some seconds and show what happened"),
+    "try": ("trial", "run a sidecar against emulated servers for some seconds and show the results"),
     "sidecar": ("sidecar", "run a sidecar from a configuration"),
     "budgets": (
         "budgets",
         "show what running sidecars spend on retries, and how much time requests have left",
     ),
-    "xds": ("xds", "see what an xDS control plane would tell a sidecar"),
-    "lab": ("lab", "run and compare experiments on a model of what is balanced"),
+    "xds": ("xds", "show what an xDS control plane sends to a sidecar"),
+    "lab": ("lab", "run and compare experiments on a model of servers and load balancers"),
     "config": ("config", "write, check, explain and compare configurations"),
 }
 
@@ -24,14 +24,14 @@
     parser = argparse.ArgumentParser(
         prog="loadbalancer",
         description="A load-balancing sidecar for services that call services in tiers.",
-        epilog="Begin with `loadbalancer try`. Each command has a --help of its own.",
+        epilog="Start with `loadbalancer try`. Each command has its own --help.",
     )
     commands = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
-    words = sys.argv[1:] if argv is None else argv
-    for name, (module, text) in COMMANDS.items():
-        command = commands.add_parser(name, help=text, description=text[0].upper() + text[1:] + ".")
-        if words and words[0] == name:
+    arguments = sys.argv[1:] if argv is None else argv
+    for name, (module, summary) in COMMANDS.items():
+        command = commands.add_parser(name, help=summary, description=summary[0].upper() + summary[1:] + ".")
+        if arguments and arguments[0] == name:
             import_module(f"loadbalancer.cli.{module}").add_arguments(command)
-    args = parser.parse_args(words)
+    args = parser.parse_args(arguments)
     result: int = args.run(args)
     return result
--- a/loadbalancer/cli/config.py
+++ b/loadbalancer/cli/config.py
@@ -19,56 +19,59 @@
 from loadbalancer.sidecar.drift import Difference, compare
 from loadbalancer.sidecar.idl import check_against_idl, methods_of
 from loadbalancer.sidecar.load import Document, UnusableError, read
-from loadbalancer.sidecar.locate import Path as Place
+from loadbalancer.sidecar.locate import Path as KeyPath
 from loadbalancer.sidecar.loops import find_loops
 from loadbalancer.sidecar.mistakes import Mistake, path_text
 from loadbalancer.sidecar.models import KINDS, Configuration, plain
 from loadbalancer.sidecar.toml import value_text
 
-RESOURCES = (".json", ".yaml", ".yml")  # files of xDS resources
-EXITS = "Exit codes: 0 none found, 1 mistakes or drift, 2 the call itself can't be carried out."
+XDS_SUFFIXES = (".json", ".yaml", ".yml")  # files of xDS resources
+EXIT_CODES = "Exit codes: 0 no mistakes or drift, 1 mistakes or drift found, 2 the command could not run."
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     actions = parser.add_subparsers(dest="action", required=True, metavar="ACTION")
 
     write = actions.add_parser(
-        "write", help="write a configuration from a catalogue and an application description", epilog=EXITS
+        "write",
+        help="write a configuration from a catalogue and an application description",
+        epilog=EXIT_CODES,
     )
     write.add_argument("catalogue", help="the operators' file")
-    write.add_argument("application", help="the description")
-    write.add_argument(
-        "-o", "--output", help="file to write, whole or not at all; standard output by default"
-    )
+    write.add_argument("application", help="the application description")
+    write.add_argument("-o", "--output", help="output file, replaced atomically; default: standard output")
     write.set_defaults(run=_write)
 
     checks = actions.add_parser(
         "check",
         help="find all mistakes in catalogues, descriptions and configurations",
         description="Each mistake is one line, `file:line: path: what is wrong; what would be right`. A description "
-        "is held against the catalogue among the files. JSON and YAML files are xDS resources; "
-        "Thrift routes are held against the IDL files (.thrift) among the files. No file is changed.",
-        epilog=EXITS,
+        "is checked against the catalogue among the files. JSON and YAML files are xDS resources; "
+        "Thrift routes are checked against the IDL files (.thrift) among the files. No file is changed.",
+        epilog=EXIT_CODES,
     )
     checks.add_argument("files", nargs="+", metavar="FILE")
-    checks.add_argument("--json", action="store_true", help="mistakes as JSON")
+    checks.add_argument("--json", action="store_true", help="print mistakes as JSON")
     checks.add_argument(
         "--descriptors",
         type=int,
         default=None,
-        help="how many a process may have where the sidecar runs; this machine's limit by default",
+        help="file descriptor limit where the sidecar runs; default: the limit of this machine",
     )
     checks.set_defaults(run=_check)
 
     explain = actions.add_parser(
         "explain",
-        help="show each value that a configuration would have, and where it comes from",
-        epilog=EXITS,
+        help="show each value of the derived configuration and its origin",
+        epilog=EXIT_CODES,
     )
     explain.add_argument("catalogue")
     explain.add_argument("application")
     explain.add_argument(
-        "path", nargs="?", default="", help="only what begins so, as `classes[journal-post]`"
+        "path",
+        nargs="?",
+        default="",
+        help="show only paths with this prefix, such as `classes[journal-post]`",
     )
     explain.add_argument("--json", action="store_true")
     explain.set_defaults(run=_explain)
@@ -76,12 +79,12 @@
     drift = actions.add_parser(
         "drift",
         help="compare configurations and running sidecars",
-        description="Tells which differences are meant, which are drift, and which of these endangers a rule.",
-        epilog=EXITS,
+        description="Reports which differences are intended (meant), which are drift, and which drift breaks a rule.",
+        epilog=EXIT_CODES,
     )
     drift.add_argument("sources", nargs="+", metavar="FILE|ADDRESS", help="a file, or an admin address")
     drift.add_argument("--json", action="store_true")
-    drift.add_argument("--all", action="store_true", help="show the differences that are meant too")
+    drift.add_argument("--all", action="store_true", help="also show the intended differences")
     drift.set_defaults(run=_drift)
 
     schema = actions.add_parser("schema", help="print JSON Schema (draft 2020-12) for editors")
@@ -89,21 +92,21 @@
     schema.set_defaults(run=_schema)
 
 
-def _unusable(error: object) -> int:
+def _fail(error: object) -> int:
     print(f"loadbalancer: {error}", file=sys.stderr)
     return 2
 
 
 def _documents(paths: list[str], descriptors: int) -> list[Document]:
-    """The files, each checked by itself. UnusableError if one can't be read."""
-    documents = [_resources(path) if path.endswith(RESOURCES) else read(path) for path in paths]
+    """Read and check each file by itself. UnusableError if one can't be read."""
+    documents = [_xds_document(path) if path.endswith(XDS_SUFFIXES) else read(path) for path in paths]
     for document in documents:
         check(document, descriptors)
     return documents
 
 
-def _resources(path: str) -> Document:
-    """A file of xDS resources, read by what the sidecar reads it by."""
+def _xds_document(path: str) -> Document:
+    """Check a file of xDS resources with the sidecar's own reader."""
     try:
         from loadbalancer.xds.files import FileError, load
     except ImportError as error:
@@ -115,13 +118,13 @@
         raise UnusableError(f"{path}: {error.strerror or error}") from error
     except FileError as error:
         document.mistakes = [
-            Mistake(path, line, place, wrong, "what the API definition and docs/operate/xds.md allow")
+            Mistake(path, line, place, wrong, "see the API definition and docs/operate/xds.md")
             for line, place, wrong in error.mistakes
         ]
     return document
 
 
-def _tell(mistakes: list[Mistake]) -> int:
+def _print_mistakes(mistakes: list[Mistake]) -> int:
     for mistake in mistakes:
         print(mistake)
     return 1 if mistakes else 0
@@ -131,7 +134,7 @@
 
 
 def check_files(paths: list[str], descriptors: int) -> tuple[list[Document], list[str]]:
-    """All files, checked alone and together, and remarks on what was not checked."""
+    """Check all files, alone and against each other; also returns remarks on what was not checked."""
     methods = {path: methods_of(path) for path in paths if path.endswith(".thrift")}
     documents = _documents([path for path in paths if path not in methods], descriptors)
     for path, found in methods.items():
@@ -143,20 +146,26 @@
     for document in documents:
         if document.kind != "application" or document.model is None:
             continue
-        wanted = document.model.catalogue
-        fitting = [item for item in catalogues if item.model is not None and item.model.name == wanted]
+        catalogue_name = document.model.catalogue
+        matching = [
+            item for item in catalogues if item.model is not None and item.model.name == catalogue_name
+        ]
         if len(catalogues) == 1:
-            fitting = catalogues
+            matching = catalogues
         if not catalogues:
-            remarks.append(f"{document.name}: no catalogue among the files, so it was checked by itself only")
-        elif not fitting:
+            remarks.append(
+                f"{document.name}: checked by itself only, as there is no catalogue among the files"
+            )
+        elif not matching:
             document.add(
-                ("catalogue",), f"none of the catalogues given is {wanted!r}", "name the one it is meant for"
+                ("catalogue",),
+                f"no catalogue among the files is named {catalogue_name!r}",
+                "name the one it is written for",
             )
-        elif fitting[0].mistakes:
-            remarks.append(f"{document.name}: not held against {fitting[0].name}, which has mistakes itself")
+        elif matching[0].mistakes:
+            remarks.append(f"{document.name}: not checked against {matching[0].name}, which has mistakes")
         elif not document.invalid_paths:
-            derive(fitting[0], document)
+            derive(matching[0], document)
     find_loops([document for document in documents if document.kind in KINDS and not document.invalid_paths])
     return documents, remarks
 
@@ -166,7 +175,7 @@
     try:
         documents, remarks = check_files(args.files, descriptors)
     except UnusableError as error:
-        return _unusable(error)
+        return _fail(error)
     mistakes = sorted(mistake for document in documents for mistake in document.mistakes)
     if args.json:
         rows: dict[str, Any] = {"mistakes": [mistake.row() for mistake in mistakes], "remarks": remarks}
@@ -174,7 +183,7 @@
         return 1 if mistakes else 0
     for remark in remarks:
         print(f"note: {remark}", file=sys.stderr)
-    return _tell(mistakes)
+    return _print_mistakes(mistakes)
 
 
 # ------------------------------------------------------------------- write and explain
@@ -184,14 +193,14 @@
     try:
         catalogue, application = _documents([args.catalogue, args.application], descriptors_here())
     except UnusableError as error:
-        return _unusable(error)
+        return _fail(error)
     for document, kind in ((catalogue, "catalogue"), (application, "application")):
         if document.kind and document.kind != kind:
-            return _unusable(f"{document.name}: kind is {document.kind!r}, and {kind!r} is wanted here")
+            return _fail(f"{document.name}: kind is {document.kind!r}, and {kind!r} is wanted here")
     mistakes = catalogue.mistakes + application.mistakes
     derived = None if mistakes else derive(catalogue, application)
     if derived is None:
-        return _tell(mistakes or application.mistakes)
+        return _print_mistakes(mistakes or application.mistakes)
     return derived, catalogue, application
 
 
@@ -206,12 +215,12 @@
     try:
         replace_file(Path(args.output), text)
     except OSError as error:
-        return _unusable(f"{args.output}: {error.strerror or error}")
+        return _fail(f"{args.output}: {error.strerror or error}")
     return 0
 
 
 def replace_file(path: Path, text: str) -> None:
-    """Put a whole new file in the place of the old one; OSError changes nothing."""
+    """Replace a file atomically; on OSError the old file is unchanged."""
     with NamedTemporaryFile(
         "w", dir=path.parent, prefix=f".{path.name}.", delete=False, encoding="utf-8"
     ) as file:
@@ -242,11 +251,11 @@
     for row in rows:
         print(f"{row['path']} = {value_text(row['value'])}  <- {row['from']}")
     if not rows:
-        return _unusable(f"no value's path begins with {args.path!r}")
+        return _fail(f"no value's path begins with {args.path!r}")
     return 0
 
 
-def _values(data: Any, path: Place) -> list[tuple[Place, Any]]:
+def _values(data: Any, path: KeyPath) -> list[tuple[KeyPath, Any]]:
     if isinstance(data, dict):
         return [row for key, value in data.items() for row in _values(value, (*path, key))]
     if isinstance(data, list) and data and isinstance(data[0], dict):
@@ -257,8 +266,8 @@
 # ------------------------------------------------------------------------------ drift
 
 
-def _source(source: str) -> dict[str, Any]:
-    """A configuration's plain data from a file or a running sidecar; UnusableError if there is none."""
+def _load_source(source: str) -> dict[str, Any]:
+    """A configuration as plain data, from a file or a running sidecar; UnusableError if it can't be read."""
     if not Path(source).exists():
         with contextlib.suppress(ValueError):
             source = admin_url(source)
@@ -272,7 +281,7 @@
         document = read(source)
         check(document)
         if document.mistakes:
-            raise UnusableError(f"{source} has mistakes; `loadbalancer config check {source}` tells them")
+            raise UnusableError(f"{source} has mistakes; `loadbalancer config check {source}` lists them")
         if not isinstance(document.model, Configuration):
             raise UnusableError(f"{source}: kind is {document.kind!r}, and a configuration is wanted here")
         model = document.model
@@ -281,27 +290,27 @@
 
 def _drift(args: argparse.Namespace) -> int:
     if len(args.sources) < 2:
-        return _unusable("drift needs two configurations or more")
+        return _fail("drift needs two configurations or more")
     try:
-        differences = compare([_source(source) for source in args.sources])
+        differences = compare([_load_source(source) for source in args.sources])
     except (UnusableError, ValueError) as error:
-        return _unusable(" ".join(str(error).split()))
+        return _fail(" ".join(str(error).split()))
     drifted = [item for item in differences if item.drift]
     if args.json:
         rows = [item.row(args.sources) for item in differences]
         print(orjson.dumps(rows, option=orjson.OPT_INDENT_2).decode())
         return 1 if drifted else 0
     for item in differences if args.all else drifted:
-        print(_difference(item, args.sources))
+        print(_difference_text(item, args.sources))
     meant = len(differences) - len(drifted)
     endangering = sum(1 for item in drifted if item.rule)
     print(f"{len(drifted)} drifted, {endangering} of them endanger a rule; {meant} meant", file=sys.stderr)
     return 1 if drifted else 0
 
 
-def _difference(item: Difference, names: list[str]) -> str:
-    word = "meant" if not item.drift else f"DRIFT, endangers «{item.rule.value}»" if item.rule else "drift"
-    lines = [f"{item.path}: {word}" + (f": {item.why}" if item.drift else "")]
+def _difference_text(item: Difference, names: list[str]) -> str:
+    verdict = "meant" if not item.drift else f"DRIFT, endangers «{item.rule.value}»" if item.rule else "drift"
+    lines = [f"{item.path}: {verdict}" + (f": {item.why}" if item.drift else "")]
     lines += [
         f"    {name}: {'(none)' if value is None else value_text(value)}"
         for name, value in zip(names, item.values, strict=True)
--- a/loadbalancer/cli/fetching.py
+++ b/loadbalancer/cli/fetching.py
@@ -1,4 +1,4 @@
-"""A page of a running sidecar's admin listener."""
+"""Fetches pages from the admin listener of a running sidecar."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from loadbalancer.core.address import parse_address
 from loadbalancer.sidecar.load import UnusableError
 
-FETCH_S = 3.0
+FETCH_TIMEOUT_S = 3.0
 
 
 def admin_url(text: str) -> str:
-    """Of `host:port` or a URL; ValueError on anything else."""
+    """The URL of an admin listener, from `host:port` or a URL; ValueError for anything else."""
     if text.startswith(("http://", "https://")):
         return text.rstrip("/")
     host, port = parse_address(text)
@@ -23,9 +23,9 @@
 
 
 def fetch(url: str, page: str) -> Any:
-    """A page as plain data; UnusableError if it can't be had."""
+    """A JSON page as plain data; UnusableError if it can't be fetched or parsed."""
     try:
-        with urllib.request.urlopen(f"{url}{page}", timeout=FETCH_S) as answer:
-            return orjson.loads(answer.read())
+        with urllib.request.urlopen(f"{url}{page}", timeout=FETCH_TIMEOUT_S) as response:
+            return orjson.loads(response.read())
     except (OSError, urllib.error.URLError, ValueError) as error:
         raise UnusableError(f"{url}: no {page.strip('/')} to be had: {error}") from error
--- a/loadbalancer/cli/lab.py
+++ b/loadbalancer/cli/lab.py
@@ -1,4 +1,4 @@
-"""`loadbalancer lab`: run, sweep and compare experiments on a model of what is balanced."""
+"""`loadbalancer lab`: run, sweep and compare experiments on a model of servers and load balancers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from loadbalancer.experiments.experiment import Experiment
 
-NEEDS = "the lab needs its extra: pip install 'emberring[lab]'"
+MISSING_EXTRA = "the lab needs the extra `lab`: pip install 'emberring[lab]'"
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -31,55 +31,64 @@
         return
     parser.epilog = "An EXPERIMENT is a file or the name of a shipped one: " + ", ".join(shipped())
     verbs = parser.add_subparsers(dest="verb", required=True, metavar="VERB")
-    listed = verbs.add_parser("list", help="show the experiments that are shipped")
-    listed.set_defaults(run=_list)
-    checked = verbs.add_parser("check", help="check experiments; says each mistake with file and line")
-    checked.add_argument("experiment", nargs="+")
-    checked.set_defaults(run=_check)
-    run = verbs.add_parser("run", help="run an experiment's policies and seeds; keep and show the results")
+    list_command = verbs.add_parser("list", help="list the shipped experiments")
+    list_command.set_defaults(run=_list)
+    check_command = verbs.add_parser("check", help="check experiments; print each mistake with file and line")
+    check_command.add_argument("experiment", nargs="+")
+    check_command.set_defaults(run=_check)
+    run = verbs.add_parser(
+        "run", help="run the policies and seeds of experiments; store and show the results"
+    )
     run.add_argument("experiment", nargs="+")
     run.add_argument("--results", type=Path, default=Path("lab-results"), help="folder; default %(default)s")
     run.add_argument("--cores", type=int, default=len(os.sched_getaffinity(0)), help="default %(default)s")
-    run.add_argument("--policy", action="append", help="only these, by name")
-    run.add_argument("--seeds", type=int, help="only the first so many")
-    run.epilog = "Runs that are in the folder already are not run again, so a stopped sweep goes on."
+    run.add_argument("--policy", action="append", help="run only this policy; repeatable")
+    run.add_argument("--seeds", type=int, help="run only the first SEEDS seeds")
+    run.epilog = "Runs whose results are in the folder are skipped, so that an interrupted sweep resumes."
     run.set_defaults(run=_run)
-    back = verbs.add_parser(
-        "returns", help="whether all of the service comes back after each trouble, at each load"
+    recovery = verbs.add_parser(
+        "returns", help="check that service recovers fully after each fault, at each load"
+    )
+    recovery.add_argument(
+        "experiment",
+        nargs="?",
+        default="zone-stopped",
+        help="experiment with fleet and classes; default %(default)s",
     )
-    back.add_argument(
-        "experiment", nargs="?", default="zone-stopped", help="fleet and classes; default %(default)s"
+    recovery.add_argument("--policy", default="ours", help="name of the policy; default %(default)s")
+    recovery.add_argument(
+        "--loads", type=_load_factor, nargs="+", help="loads as multiples of capacity; default 0.5 to 1.3"
     )
-    back.add_argument("--policy", default="ours", help="by name; default %(default)s")
-    back.add_argument("--loads", type=_of_capacity, nargs="+", help="of capacity; default 0.5 to 1.3")
-    back.add_argument(
+    recovery.add_argument(
         "--repeats",
         type=int,
         nargs="+",
         choices=range(21),
         metavar="N",
-        help="tries beyond the first; default 0 to 3",
+        help="numbers of retries by callers; default 0 to 3",
     )
-    back.add_argument("--trouble", action="append", help="only these, by name")
-    back.add_argument("--cores", type=int, default=len(os.sched_getaffinity(0)), help="default %(default)s")
-    back.epilog = "Exit code 1: something has not come back."
-    back.set_defaults(run=_returns)
-    told = verbs.add_parser("report", help="one HTML page, with plots, of the runs in a folder")
-    told.add_argument("results", type=Path)
-    told.add_argument("--to", type=Path, default=Path("lab-report.html"), help="default %(default)s")
-    told.set_defaults(run=_report)
-    compared = verbs.add_parser(
-        "compare", help="two sets of runs, paired by experiment, swept values and seed"
+    recovery.add_argument("--trouble", action="append", help="run only this fault; repeatable")
+    recovery.add_argument(
+        "--cores", type=int, default=len(os.sched_getaffinity(0)), help="default %(default)s"
     )
-    compared.add_argument("a", type=Path, help="folder of a run, or of runs")
-    compared.add_argument("b", type=Path)
-    compared.add_argument(
-        "--policies", nargs=2, metavar=("A", "B"), help="of the first and the second folder"
+    recovery.epilog = "Exit code 1: service has not recovered in some case."
+    recovery.set_defaults(run=_returns)
+    report = verbs.add_parser("report", help="write an HTML page with plots of the runs in a folder")
+    report.add_argument("results", type=Path)
+    report.add_argument("--to", type=Path, default=Path("lab-report.html"), help="default %(default)s")
+    report.set_defaults(run=_report)
+    compare_command = verbs.add_parser(
+        "compare", help="compare two sets of runs, paired by experiment, swept values and seed"
     )
-    compared.set_defaults(run=_compare)
+    compare_command.add_argument("a", type=Path, help="folder of one run or several runs")
+    compare_command.add_argument("b", type=Path)
+    compare_command.add_argument(
+        "--policies", nargs=2, metavar=("A", "B"), help="policy of the first and of the second folder"
+    )
+    compare_command.set_defaults(run=_compare)
 
 
-def _of_capacity(text: str) -> float:
+def _load_factor(text: str) -> float:
     value = float(text)
     if not 0.0 < value <= 100.0:
         raise argparse.ArgumentTypeError(f"{text} is not over 0 and at most 100")
@@ -87,14 +96,14 @@
 
 
 def _missing(error: ImportError) -> int:
-    print(f"{NEEDS} ({error.name} is not there)", file=sys.stderr)
+    print(f"{MISSING_EXTRA} ({error.name} is not installed)", file=sys.stderr)
     return 2
 
 
 def _list(args: argparse.Namespace) -> int:
     from loadbalancer.experiments.library import load, shipped
 
-    table = Table("name", "servers", "nodes", "runs", "what it asks", box=None)
+    table = Table("name", "servers", "nodes", "runs", "title", box=None)
     for name in shipped():
         plan = load(name)
         runs = len(plan.variants()) * len(plan.policies) * len(plan.seeds)
@@ -104,7 +113,7 @@
 
 
 def _load(name: str) -> Experiment | None:
-    """An experiment; None once it has been said what is wrong with it."""
+    """Load an experiment; on failure print its mistakes and return None."""
     from loadbalancer.experiments.library import ExperimentError, load
 
     try:
@@ -114,10 +123,10 @@
         return None
 
 
-def _among(experiment: str, what: str, asked: Iterable[str], there: Iterable[str]) -> bool:
-    """Whether all that was asked for is there; says the first that is not."""
-    names = sorted(there)
-    for name in asked:
+def _all_exist(experiment: str, what: str, requested: Iterable[str], existing: Iterable[str]) -> bool:
+    """Whether all requested names exist; prints the first that does not."""
+    names = sorted(existing)
+    for name in requested:
         if name not in names:
             print(f"{experiment}: has no {what} {name!r}; it has {', '.join(names)}", file=sys.stderr)
             return False
@@ -133,32 +142,32 @@
     from loadbalancer.experiments.engine import sweep
     from loadbalancer.experiments.results import jobs, read
 
-    asked = []
+    requested = []
     for name in args.experiment:
         plan = _load(name)
-        if plan is None or not _among(
+        if plan is None or not _all_exist(
             name, "policy", args.policy or (), (item.name for item in plan.policies)
         ):
             return 2
-        asked += [
+        requested += [
             job
             for job in jobs(plan)
             if (not args.policy or plan.policies[job.policy].name in args.policy)
             and (not args.seeds or job.seed in plan.seeds[: args.seeds])
         ]
-    kept, failed = [], 0
+    results, failed = [], 0
     columns = ("{task.description}", BarColumn(), MofNCompleteColumn(), TimeElapsedColumn())
     with Progress(*columns, console=Console(stderr=True)) as progress:
-        task = progress.add_task("runs", total=len(asked))
-        for job, folder, wrong in sweep(asked, args.results, args.cores):
+        task = progress.add_task("runs", total=len(requested))
+        for job, folder, wrong in sweep(requested, args.results, args.cores):
             progress.advance(task)
             if folder is None:
                 failed += 1
                 print(f"failed: {wrong or job.folder}", file=sys.stderr)
             else:
-                kept.append(read(folder))
+                results.append(read(folder))
     groups = defaultdict(list)
-    for run in sorted(kept, key=lambda run: run.folder.name):
+    for run in sorted(results, key=lambda run: run.folder.name):
         swept = " ".join(f"{key}={value}" for key, value in run.manifest["swept"].items())
         groups[run.manifest["experiment"], swept, run.policy].append(run)
     table = Table("experiment", "policy", "seeds", *FIGURES, box=None)
@@ -183,9 +192,9 @@
     if plan is None:
         return 2
     names, only = [item.name for item in plan.policies], args.trouble or ()
-    if not _among(args.experiment, "policy", [args.policy], names):
+    if not _all_exist(args.experiment, "policy", [args.policy], names):
         return 2
-    if not _among(args.experiment, "trouble", only, known(plan)):
+    if not _all_exist(args.experiment, "trouble", only, known(plan)):
         return 2
     loads, repeats = args.loads or LOADS, args.repeats or REPEATS
     rows: dict[tuple[str, str], dict[float, list[float]]] = defaultdict(lambda: defaultdict(list))
@@ -196,7 +205,9 @@
     table = Table("trouble", "lists", *(f"{load:g}x" for load in loads), box=None)
     for (name, lists), by_load in rows.items():
         table.add_row(name, lists, *(f"{max(by_load[load]):+.3f}" for load in loads))
-    print("Share in time that is short 20 s after the trouble, beside a run without it; worst over repeats")
+    print(
+        "Shortfall of the share answered in time, 20 s after the fault, against a run without it; worst over repeats"
+    )
     Console(width=None if sys.stdout.isatty() else 160).print(table)
     return 1 if worst > SHORT else 0
 
@@ -233,7 +244,7 @@
         print(error, file=sys.stderr)
         return 2
     names = {run.setting: run.manifest["experiment"] for run in sides[0]}
-    table = Table("experiment", "figure", "A", "B", "seeds", "B less A", box=None)
+    table = Table("experiment", "figure", "A", "B", "seeds", "B - A", box=None)
     for setting, rows in sorted(found.items(), key=lambda item: (names[item[0]], item[0])):
         swept = "" if setting[1] == "{}" else f" {setting[1]}"
         for row in rows:
--- a/loadbalancer/cli/sidecar.py
+++ b/loadbalancer/cli/sidecar.py
@@ -1,4 +1,4 @@
-"""`loadbalancer sidecar CONFIG`: run until SIGTERM or SIGINT; SIGHUP puts the file in force anew."""
+"""`loadbalancer sidecar CONFIG`: run until SIGTERM or SIGINT; SIGHUP reloads the file."""
 
 from __future__ import annotations
 
@@ -19,24 +19,25 @@
 from loadbalancer.sidecar.models import Configuration
 
 log = logging.getLogger("loadbalancer")
-COLLECT = 5000, 20, 50  # new objects, and collections of the younger, before a generation is collected
+# Garbage collection thresholds of the three generations: new objects, then collections of the younger generation.
+GC_THRESHOLDS = 5000, 20, 50
 
 
 class BadConfigurationError(Exception):
-    """Each line is a mistake."""
+    """The configuration can't be used; the text has one mistake on each line."""
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("configuration", help="the file that `loadbalancer config write` has written")
+    parser.add_argument("configuration", help="configuration file, as written by `loadbalancer config write`")
     parser.epilog = (
-        "SIGHUP reads the file again and puts it in force whole or not at all; SIGTERM finishes what is open. "
-        "Exit codes: 0 ended by a signal, 1 an address can't be had, 2 bad configuration."
+        "SIGHUP reloads the file, completely or not at all; SIGTERM finishes open requests and exits. "
+        "Exit codes: 0 stopped by a signal, 1 an address is not available, 2 bad configuration."
     )
     parser.set_defaults(run=run)
 
 
 def load(path: str) -> Configuration:
-    """The configuration of a file; BadConfigurationError with all that is wrong."""
+    """The configuration in a file; BadConfigurationError with all its mistakes."""
     try:
         document = read(path)
     except UnusableError as error:
@@ -50,7 +51,7 @@
     return model
 
 
-def _allow(descriptors: int) -> None:
+def _raise_descriptor_limit(descriptors: int) -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < descriptors:
         resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, hard))
@@ -63,7 +64,7 @@
     except BadConfigurationError as error:
         print(error, file=sys.stderr)
         return 2
-    _allow(descriptors_of(configuration))
+    _raise_descriptor_limit(descriptors_of(configuration))
     sidecar = Sidecar(configuration)
     try:
         await sidecar.start()
@@ -72,10 +73,10 @@
         return 2
     reloading = asyncio.create_task(_reload(sidecar, path, hangup))
     gc.collect()
-    gc.freeze()  # what is there for good need not be looked at again
-    # Guard: with hundreds of requests open the collector went through them all a hundred times a second.
-    gc.set_threshold(*COLLECT)
-    _say_where(sidecar)
+    gc.freeze()  # start-up objects live until exit, so later collections can skip them
+    # Guard: with the default thresholds and hundreds of open requests, full collections run a hundred times a second.
+    gc.set_threshold(*GC_THRESHOLDS)
+    _log_addresses(sidecar)
     await stop.wait()
     reloading.cancel()
     log.info("%s stops", configuration.name)
@@ -83,7 +84,7 @@
     return 0
 
 
-def _say_where(sidecar: Sidecar) -> None:
+def _log_addresses(sidecar: Sidecar) -> None:
     for name, item in sidecar.listeners.items():
         host, port = item.front.server.address
         log.info("%s: listener %s on %s:%d", sidecar.configuration.name, name, host, port)
@@ -93,20 +94,20 @@
 
 
 async def _reload(sidecar: Sidecar, path: str, hangup: asyncio.Event) -> None:
-    """Read the file again at each hang-up; a bad one leaves the configuration that is in force."""
+    """Reload the file at each SIGHUP; after a bad file the current configuration stays active."""
     while True:
         await hangup.wait()
         hangup.clear()
         try:
-            # Read aside: a large file checked on the loop would hold up requests.
+            # Loaded in a thread: checking a large file on the event loop would delay requests.
             configuration = await asyncio.to_thread(load, path)
-            _allow(descriptors_of(configuration))
+            _raise_descriptor_limit(descriptors_of(configuration))
             await sidecar.reload(configuration)
         except (BadConfigurationError, ReloadError, OSError) as error:
             sidecar.reject(str(error))
             log.error("bad configuration, the one in force stays:\n%s", error)
         else:
-            _say_where(sidecar)
+            _log_addresses(sidecar)
 
 
 def run(args: argparse.Namespace) -> int:
--- a/loadbalancer/cli/trial.py
+++ b/loadbalancer/cli/trial.py
@@ -1,7 +1,7 @@
-"""`loadbalancer try`: a sidecar between an application and stand-in boxes that get into trouble.
+"""`loadbalancer try`: runs a sidecar between an emulated application and emulated servers, and injects faults.
 
-Everything runs on 127.0.0.1 and ends by itself. The configuration is written by the tool from the shipped
-catalogue and description; the sidecar is a process of its own, as it would be in service.
+Everything runs on 127.0.0.1 for a limited time. The configuration is derived from the shipped catalogue and
+description; the sidecar runs in a separate process, as in production.
 """
 
 from __future__ import annotations
@@ -36,48 +36,51 @@
 from loadbalancer.sidecar.derive import derive, text_of
 from loadbalancer.sidecar.load import parse
 
-GRACE_S = 0.5  # after a drain is told nothing new may reach the box
-START_S = 15.0
-LISTENS = re.compile(r"(?:listener \S+|admin) on (\S+)")
-TICK_S = 0.25
+DRAIN_GRACE_S = 0.5  # time after a drain during which the server may still get new requests
+START_TIMEOUT_S = 15.0
+LISTENER_LOG_LINE = re.compile(r"(?:listener \S+|admin) on (\S+)")
+DISPLAY_PERIOD_S = 0.25
 ZONES = ("dar-kariakoo", "dar-mikocheni", "arusha", "dodoma")
-SHARES = {"balance-read": 0.5, "journal-post": 0.3, "invoice-record": 0.2}
+CLASS_SHARES = {"balance-read": 0.5, "journal-post": 0.3, "invoice-record": 0.2}
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("--seconds", type=float, default=10.0, help="how long the load lasts (2 to 600)")
+    parser.add_argument("--seconds", type=float, default=10.0, help="duration of the load (2 to 600)")
     parser.add_argument("--rate", type=float, default=150.0, help="requests a second (1 to 2000)")
-    parser.add_argument("--boxes", type=int, default=5, help="4 to 50")
+    parser.add_argument("--boxes", type=int, default=5, help="number of emulated servers (4 to 50)")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument(
-        "--keep", metavar="FOLDER", help="where catalogue, description and configuration stay"
+        "--keep", metavar="FOLDER", help="keep catalogue, description, configuration and log in this folder"
     )
-    parser.add_argument("--plain", action="store_true", help="lines, as on what is no terminal")
-    parser.epilog = "Exit codes: 0 the rules were kept, 1 one was broken, 2 the call can't be carried out."
+    parser.add_argument("--plain", action="store_true", help="print plain lines, as without a terminal")
+    parser.epilog = "Exit codes: 0 the rules were kept, 1 a rule was broken, 2 the command could not run."
     parser.set_defaults(run=run)
 
 
 @dataclass
-class RejectionCounts:
-    """What came of the requests of one class."""
+class ClassTally:
+    """Outcomes of the requests of one class."""
 
-    asked: int = 0
+    sent: int = 0
     served: int = 0
-    refused: int = 0
+    rejected: int = 0
     failed: int = 0
     lost: int = 0
     waits_ms: list[float] = field(default_factory=list)
 
     def row(self) -> list[str]:
-        waits = sorted(self.waits_ms) or [0.0]
-        figures = (self.asked, self.served, self.refused, self.failed, self.lost)
-        p50, p99 = waits[len(waits) // 2], waits[len(waits) * 99 // 100]
-        return [*(str(figure) for figure in figures), f"{p50:.0f}", f"{p99:.0f}"]
+        sorted_waits_ms = sorted(self.waits_ms) or [0.0]
+        counts = (self.sent, self.served, self.rejected, self.failed, self.lost)
+        p50, p99 = (
+            sorted_waits_ms[len(sorted_waits_ms) // 2],
+            sorted_waits_ms[len(sorted_waits_ms) * 99 // 100],
+        )
+        return [*(str(count) for count in counts), f"{p50:.0f}", f"{p99:.0f}"]
 
 
 @dataclass
 class Step:
-    """Something that happens to a box, at a share of the time."""
+    """An event for an emulated server. `at`: its time as a fraction of the run."""
 
     at: float
     text: str
@@ -92,19 +95,19 @@
         self.folder = folder
         self.rng = random.Random(args.seed)
         self.boxes = [
-            Box(f"box-{at + 1}", Behaviour(work_ms=12.0, cores=4), self._noting(at))
+            Box(f"box-{at + 1}", Behaviour(work_ms=12.0, cores=4), self._answerer(at))
             for at in range(args.boxes)
         ]
         self.discovery = Discovery()
-        self.tallies: dict[str, RejectionCounts] = defaultdict(RejectionCounts)
+        self.tallies: dict[str, ClassTally] = defaultdict(ClassTally)
         self.unsafe: set[str] = set()
         self.drained_at: dict[int, float] = {}
-        self.late_at_drained = 0
+        self.late_requests = 0
         self.steps: list[Step] = []
-        self.began = 0.0
-        self.said: list[str] = []
+        self.started_at = 0.0
+        self.event_lines: list[str] = []
 
-    def _noting(self, at: int) -> Callable[[Seen], bytes | None]:
+    def _answerer(self, at: int) -> Callable[[Seen], bytes | None]:
         def answer(seen: Seen) -> bytes:
             body = bytes(seen.body) or b'{"balance":"1204.50"}'
             return (
@@ -121,7 +124,7 @@
     # ---------------------------------------------------------------------- running
 
     async def run(self, show: Callable[[Trial], None]) -> bool:
-        """Whether the rules were kept."""
+        """Run the trial; returns whether all rules were kept."""
         await self.discovery.start()
         for at, box in enumerate(self.boxes):
             await box.start()
@@ -132,9 +135,9 @@
             process = subprocess.Popen(command, stdout=log_file, stderr=log_file)
         application = operator = None
         try:
-            application, operator = await self._where(process)
-            await self._until_ready(operator, process)
-            await self._load(application, show)
+            application, operator = await self._clients(process)
+            await self._wait_until_ready(operator, process)
+            await self._run_load(application, show)
         finally:
             process.send_signal(signal.SIGTERM)
             try:
@@ -147,10 +150,10 @@
             self.discovery.stop()
             for box in self.boxes:
                 box.stop()
-        return not any(self.broken().values())
+        return not any(self.violations().values())
 
     def write(self) -> Path:
-        """Write the files; returns the configuration's path. The sidecar takes free ports."""
+        """Write the files; returns the path of the configuration, in which the sidecar listens on free ports."""
         shipped = files("loadbalancer.examples")
         catalogue_text = (
             (shipped / "ledger.toml").read_text().replace("127.0.0.1:8500", self.discovery.endpoint)
@@ -170,53 +173,53 @@
         replace_file(path, text_of(derived, catalogue, application))
         return path
 
-    async def _where(self, process: subprocess.Popen[bytes]) -> tuple[Application, Application]:
-        """The listener and the admin listener, as the sidecar's log tells them."""
-        async with asyncio.timeout(START_S):
+    async def _clients(self, process: subprocess.Popen[bytes]) -> tuple[Application, Application]:
+        """Clients for the listener and the admin listener, whose addresses are in the sidecar's log."""
+        async with asyncio.timeout(START_TIMEOUT_S):
             while process.poll() is None:
-                found = LISTENS.findall((self.folder / "sidecar.log").read_text())
+                found = LISTENER_LOG_LINE.findall((self.folder / "sidecar.log").read_text())
                 if len(found) == 2:
                     listener, admin = (Application(parse_address(address)) for address in found)
                     return listener, admin
                 await asyncio.sleep(0.02)
-        raise RuntimeError(f"the sidecar ended: {(self.folder / 'sidecar.log').read_text().strip()}")
+        raise RuntimeError(f"the sidecar exited: {(self.folder / 'sidecar.log').read_text().strip()}")
 
-    async def _until_ready(self, operator: Application, process: subprocess.Popen[bytes]) -> None:
-        async with asyncio.timeout(START_S):
+    async def _wait_until_ready(self, operator: Application, process: subprocess.Popen[bytes]) -> None:
+        async with asyncio.timeout(START_TIMEOUT_S):
             while process.poll() is None:
                 with contextlib.suppress(OSError):
                     if (await operator.ask("GET", "/up")).status == 200:
                         return
                 await asyncio.sleep(0.05)
-        raise RuntimeError(f"the sidecar ended: {(self.folder / 'sidecar.log').read_text().strip()}")
+        raise RuntimeError(f"the sidecar exited: {(self.folder / 'sidecar.log').read_text().strip()}")
 
-    async def _load(self, application: Application, show: Callable[[Trial], None]) -> None:
+    async def _run_load(self, application: Application, show: Callable[[Trial], None]) -> None:
         loop = asyncio.get_running_loop()
-        self.began = loop.time()
-        self._plan()
+        self.started_at = loop.time()
+        self._plan_faults()
         tasks: set[asyncio.Task[None]] = set()
         number, due, next_show = 0, 0.0, 0.0
-        while (now := loop.time() - self.began) < self.seconds:
+        while (now := loop.time() - self.started_at) < self.seconds:
             for step in self.steps:
                 if not step.done and now >= step.at * self.seconds:
                     step.done = True
                     step.do()
-                    self.said.append(f"{now:5.1f} s  {step.text}")
+                    self.event_lines.append(f"{now:5.1f} s  {step.text}")
             while due <= now:
                 number += 1
-                task = asyncio.create_task(self._one(application, number))
+                task = asyncio.create_task(self._send_one(application, number))
                 tasks.add(task)
                 task.add_done_callback(tasks.discard)
                 due += self.rng.expovariate(self.rate)
             if now >= next_show:
                 show(self)
-                next_show += TICK_S
+                next_show += DISPLAY_PERIOD_S
             await asyncio.sleep(min(0.01, max(0.0, due - now)))
         if tasks:
             await asyncio.wait(tasks)
         show(self)
 
-    def _plan(self) -> None:
+    def _plan_faults(self) -> None:
         slow, hung, drained, killed = self.boxes[:4]
 
         def drain() -> None:
@@ -228,8 +231,8 @@
 
             def take(connection: object, seen: Seen) -> None:
                 at = self.drained_at.get(2)
-                if at is not None and time.monotonic() - at > GRACE_S:
-                    self.late_at_drained += 1
+                if at is not None and time.monotonic() - at > DRAIN_GRACE_S:
+                    self.late_requests += 1
                 inner(connection, seen)  # type: ignore[arg-type]
 
             box.take = take  # type: ignore[method-assign]
@@ -249,15 +252,15 @@
             killed.behaviour.die_mid_answer = 3
 
         self.steps = [
-            Step(0.15, f"{slow.name} turns 8 times slower", slow_down),
-            Step(0.35, f"{hung.name} hangs: takes requests, answers none", hang),
+            Step(0.15, f"{slow.name} becomes 8 times slower", slow_down),
+            Step(0.35, f"{hung.name} hangs: accepts requests and answers none", hang),
             Step(0.5, f"{drained.name} drains", drain),
-            Step(0.65, f"{killed.name} breaks off 3 answers halfway", break_off),
-            Step(0.8, f"{slow.name} and {hung.name} are well again", recover),
+            Step(0.65, f"{killed.name} closes the connection in the middle of 3 responses", break_off),
+            Step(0.8, f"{slow.name} and {hung.name} recover", recover),
         ]
 
-    async def _one(self, application: Application, number: int) -> None:
-        kind = self.rng.choices(list(SHARES), list(SHARES.values()))[0]
+    async def _send_one(self, application: Application, number: int) -> None:
+        kind = self.rng.choices(list(CLASS_SHARES), list(CLASS_SHARES.values()))[0]
         posting = f"p{number}"
         body = b'{"amount":"18.20","posting":"%s"}' % posting.encode()
         headers = {"X-Posting": posting}
@@ -269,77 +272,83 @@
         else:
             call = application.ask("PUT", f"/invoice/{number}", body, headers | {"Idempotency-Key": posting})
         tally = self.tallies[kind]
-        tally.asked += 1
-        began = time.monotonic()
+        tally.sent += 1
+        started_at = time.monotonic()
         try:
             response = await call
         except (OSError, TimeoutError):
             tally.lost += 1
             return
-        tally.waits_ms.append((time.monotonic() - began) * 1000.0)
+        tally.waits_ms.append((time.monotonic() - started_at) * 1000.0)
         self._count(tally, response)
 
-    def _count(self, tally: RejectionCounts, response: Response) -> None:
+    def _count(self, tally: ClassTally, response: Response) -> None:
         if response.status == 200:
             tally.served += 1
         elif response.status == 503 and b"proxy-status" in response.headers:
-            tally.refused += 1
+            tally.rejected += 1
         else:
             tally.failed += 1
 
     # --------------------------------------------------------------------- figures
 
-    def broken(self) -> dict[str, int]:
-        """How often each rule was seen broken."""
+    def violations(self) -> dict[str, int]:
+        """The number of observed violations of each rule."""
         ran: Counter[str] = Counter()
         for box in self.boxes:
             ran.update(box.ran)
         return {
             "no request lost": sum(tally.lost for tally in self.tallies.values()),
             "no effect twice": sum(1 for posting in self.unsafe if ran[posting] > 1),
-            "drains kept": self.late_at_drained,
+            "drains kept": self.late_requests,
         }
 
 
-def _classes(trial: Trial) -> Table:
-    table = Table(title="What the application got")
-    for name in ("class", "asked", "served", "refused", "failed", "no answer", "p50 ms", "p99 ms"):
+def _class_table(trial: Trial) -> Table:
+    table = Table(title="Responses to the application")
+    for name in ("class", "sent", "served", "rejected", "failed", "no response", "p50 ms", "p99 ms"):
         table.add_column(name, justify="left" if name == "class" else "right")
-    for kind in SHARES:
+    for kind in CLASS_SHARES:
         table.add_row(kind, *trial.tallies[kind].row())
     return table
 
 
-def _boxes(trial: Trial) -> Table:
-    table = Table(title="What each box got")
-    for name in ("box", "begun", "answered", "state"):
-        table.add_column(name, justify="right" if name in ("begun", "answered") else "left")
+def _server_table(trial: Trial) -> Table:
+    table = Table(title="Requests at each server")
+    for name in ("server", "started", "answered", "state"):
+        table.add_column(name, justify="right" if name in ("started", "answered") else "left")
     for at, box in enumerate(trial.boxes):
-        how = box.behaviour
-        state = "hangs" if how.hang else f"{how.slow:g} times slower" if how.slow > 1.0 else "well"
+        behaviour = box.behaviour
+        state = (
+            "hangs"
+            if behaviour.hang
+            else f"{behaviour.slow:g} times slower"
+            if behaviour.slow > 1.0
+            else "healthy"
+        )
         state = "drains" if at in trial.drained_at else state
         table.add_row(box.name, str(sum(box.ran.values())), str(box.served), state)
     return table
 
 
 def _page(trial: Trial) -> Group:
-    return Group(_classes(trial), _boxes(trial), *trial.said)
+    return Group(_class_table(trial), _server_table(trial), *trial.event_lines)
 
 
-async def _shown(trial: Trial, console: Console, plain: bool) -> bool:
+async def _run_shown(trial: Trial, console: Console, plain: bool) -> bool:
     if plain or not console.is_terminal:
-        told = 0
+        printed = 0
 
         def show(now: Trial) -> None:
-            nonlocal told
-            for line in now.said[told:]:
+            nonlocal printed
+            for line in now.event_lines[printed:]:
                 console.print(line, highlight=False)
-            told = len(now.said)
+            printed = len(now.event_lines)
 
-        kept = await trial.run(show)
-        console.print(_classes(trial))
-        console.print(_boxes(trial))
-        return kept
+        rules_kept = await trial.run(show)
+        console.print(_class_table(trial))
+        console.print(_server_table(trial))
+        return rules_kept
     with Live(_page(trial), console=console, refresh_per_second=4) as live:
         return await trial.run(lambda now: live.update(_page(now)))
 
@@ -354,10 +363,10 @@
         try:
             folder.mkdir(parents=True, exist_ok=True)
             trial = Trial(args, folder)
-            kept = asyncio.run(_shown(trial, console, args.plain))
+            rules_kept = asyncio.run(_run_shown(trial, console, args.plain))
         except (OSError, RuntimeError, TimeoutError) as error:
             print(f"loadbalancer: {error}", file=sys.stderr)
             return 2
-    for rule, count in trial.broken().items():
+    for rule, count in trial.violations().items():
         console.print(f"{rule}: {'kept' if not count else f'BROKEN {count} times'}")
-    return 0 if kept else 1
+    return 0 if rules_kept else 1
--- a/loadbalancer/cli/xds.py
+++ b/loadbalancer/cli/xds.py
@@ -1,4 +1,4 @@
-"""`loadbalancer xds watch ADDRESS CLUSTER...`: what a control plane would tell a sidecar."""
+"""`loadbalancer xds watch ADDRESS CLUSTER...`: show what a control plane sends to a sidecar."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
     actions = parser.add_subparsers(dest="action", required=True, metavar="ACTION")
     watch = actions.add_parser(
         "watch",
-        help="print each change of some clusters as it comes into force",
-        epilog="Exit codes: 0 each cluster was told in time, 1 one was not, 2 the extra `xds` is not installed.",
+        help="print each change of the given clusters when it takes effect",
+        epilog="Exit codes: 0 all clusters were received in time, 1 one was not, 2 the extra `xds` is not installed.",
     )
     watch.add_argument("address", help="host:port of the control plane")
     watch.add_argument("clusters", nargs="+", metavar="CLUSTER")
     watch.add_argument("--updates", choices=["state", "incremental"], default="incremental")
-    watch.add_argument("--seconds", type=float, default=10.0, help="after which it ends (up to 86400)")
-    watch.add_argument("--node", default="orchidledge-watch", help="the node's id")
+    watch.add_argument("--seconds", type=float, default=10.0, help="run time (up to 86400)")
+    watch.add_argument("--node", default="orchidledge-watch", help="node id sent to the control plane")
     watch.set_defaults(run=run)
 
 
 def run(args: argparse.Namespace) -> int:
     try:
-        from loadbalancer.xds import stream  # noqa: F401 - to see whether it can be had
+        from loadbalancer.xds import stream  # noqa: F401 - checks that the extra is installed
     except ImportError:
         print("loadbalancer: this needs the extra: pip install 'emberring[xds]'", file=sys.stderr)
         return 2
@@ -42,18 +42,18 @@
     from loadbalancer.xds.stream import XdsStream
 
     client = XdsClient(args.node, args.clusters, args.updates == "incremental", time.time_ns() % 2**32)
-    shown: dict[str, object] = {}
-    began = time.monotonic()
+    printed: dict[str, object] = {}
+    start = time.monotonic()
 
     def on_change() -> None:
         for name in args.clusters:
             served = client.served(name)
-            if served is not None and shown.get(name) != served:
-                shown[name] = served
-                print("\n".join(_lines(name, served, time.monotonic() - began)), flush=True)
-        for line in _rejected(client):
-            if line not in shown:
-                shown[line] = line
+            if served is not None and printed.get(name) != served:
+                printed[name] = served
+                print("\n".join(_cluster_lines(name, served, time.monotonic() - start)), flush=True)
+        for line in _rejection_lines(client):
+            if line not in printed:
+                printed[line] = line
                 print(line, flush=True)
 
     stream = XdsStream(args.address, client, lambda: time.time() * 1000.0, on_change)
@@ -67,7 +67,7 @@
     return 1 if missing else 0
 
 
-def _lines(name: str, served: Served, after_s: float) -> list[str]:
+def _cluster_lines(name: str, served: Served, after_s: float) -> list[str]:
     if served.cluster is None:
         return [f"{after_s:7.2f} s  {name}: removed"]
     lines = [f"{after_s:7.2f} s  {name}: {len(served.entries)} endpoints"]
@@ -79,5 +79,5 @@
     return lines + [f"           note: {note}" for note in served.cluster.notes]
 
 
-def _rejected(client: XdsClient) -> list[str]:
+def _rejection_lines(client: XdsClient) -> list[str]:
     return [f"           rejected: {row['rejected']}" for row in client.rows(0.0) if row["rejected"]]
--- a/tests/cli/test_budgets_command.py
+++ b/tests/cli/test_budgets_command.py
@@ -1,4 +1,4 @@
-"""`loadbalancer budgets` beside a running sidecar."""
+"""`loadbalancer budgets` against running sidecars."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     app.close()
 
 
-def test_one_row_for_each_class_that_was_asked_for_and_the_sum_of_several_nodes(capsys):
+def test_each_class_with_requests_has_a_row_and_several_nodes_a_sum(capsys):
     async def main_():
         one, two = boxes(1), boxes(1)
         async with running(*one, budget={}) as first, running(*two, budget={}) as second:
@@ -41,20 +41,20 @@
     asyncio.run(main_())
 
 
-def test_with_every_only_what_came_since_is_shown(capsys):
+def test_every_shows_only_counts_since_the_last_time(capsys):
     async def main_():
         (box,) = boxes(1)
         async with running(box, budget={}) as sidecar:
             await ask(sidecar, 3)
-            words = ["budgets", admin(sidecar), "--every", "0.1", "--rounds", "2"]
-            assert await asyncio.to_thread(main, words) == 0
+            arguments = ["budgets", admin(sidecar), "--every", "0.1", "--rounds", "2"]
+            assert await asyncio.to_thread(main, arguments) == 0
             shown = [line.split() for line in capsys.readouterr().out.split("\n") if "read" in line]
             assert len(shown) == 1
 
     asyncio.run(main_())
 
 
-def test_an_address_without_a_sidecar_is_one_line_and_2(capsys):
+def test_an_address_without_a_sidecar_gives_one_line_and_exit_code_2(capsys):
     assert main(["budgets", "127.0.0.1:1"]) == 2
     assert capsys.readouterr().err.startswith("loadbalancer: http://127.0.0.1:1: no budgets to be had")
     assert main(["budgets", "nowhere"]) == 2
--- a/tests/cli/test_trial.py
+++ b/tests/cli/test_trial.py
@@ -1,4 +1,4 @@
-"""`loadbalancer try` as someone runs it first, and the command's help."""
+"""`loadbalancer try` with short runs, and the help of each command."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 ROOT = Path(__file__).parent.parent.parent
 
 
-def command(*words: str) -> subprocess.CompletedProcess[str]:
+def run_command(*words: str) -> subprocess.CompletedProcess[str]:
     call = [sys.executable, "-m", "loadbalancer.cli", *words]
     return subprocess.run(call, cwd=ROOT, capture_output=True, text=True, timeout=120)
 
 
-def test_it_runs_keeps_the_rules_and_shows_what_came_of_it(tmp_path):
-    ended = command("try", "--seconds", "2", "--rate", "80", "--plain", "--keep", str(tmp_path))
+def test_try_keeps_the_rules_and_shows_the_results(tmp_path):
+    ended = run_command("try", "--seconds", "2", "--rate", "80", "--plain", "--keep", str(tmp_path))
     assert ended.returncode == 0, ended.stdout + ended.stderr
     for rule in ("no request lost", "no effect twice", "drains kept"):
         assert f"{rule}: kept" in ended.stdout
@@ -37,8 +37,8 @@
 
 
 @pytest.mark.parametrize("words", [("--seconds", "0"), ("--rate", "1e9"), ("--boxes", "1")])
-def test_a_size_out_of_range_is_an_error(words):
-    ended = command("try", *words)
+def test_an_option_out_of_range_is_an_error(words):
+    ended = run_command("try", *words)
     assert ended.returncode == 2
     assert "see --help" in ended.stderr
 
@@ -54,11 +54,11 @@
     ],
 )
 def test_each_command_has_help(words):
-    ended = command(*words, "--help")
+    ended = run_command(*words, "--help")
     assert ended.returncode == 0
     assert ended.stdout.startswith("usage: loadbalancer")
 
 
-def test_a_word_that_is_no_command_ends_with_2():
-    assert command("serve").returncode == 2
-    assert command().returncode == 2
+def test_an_unknown_command_exits_with_2():
+    assert run_command("serve").returncode == 2
+    assert run_command().returncode == 2
