--- a/loadbalancer/budget/carried.py
+++ b/loadbalancer/budget/carried.py
@@ -83,31 +83,31 @@
 NOTHING = Carried()
 
 
-def _parse_member(name: str, value: str, found: dict[str, object]) -> bool:
-    """Parse one `emberring-` member into `found`; False if its value is invalid or its name unknown."""
+def _parse_member(name: str, value: str, fields: dict[str, object]) -> bool:
+    """Parse one `emberring-` member into `fields`; False if its value is invalid or its name unknown."""
     match name:
         case "ms" if INTEGER.fullmatch(value) and int(value) <= MAX_MS:
-            found["ms"] = float(value)
+            fields["ms"] = float(value)
         case "at":
             mark, _, figure = value.rpartition(":")
             if not TOKEN.fullmatch(mark) or not INTEGER.fullmatch(figure):
                 return False
-            found["at"] = Stamp(mark, int(figure))
+            fields["at"] = Stamp(mark, int(figure))
         case "extra" if INTEGER.fullmatch(value) and int(value) <= MAX_EXTRA:
-            found["extra"] = int(value)
+            fields["extra"] = int(value)
         case "worth" if DECIMAL.fullmatch(value) and float(value) <= MAX_WORTH:
-            found["worth"] = float(value)
+            fields["worth"] = float(value)
         case "tenant" if NAME.fullmatch(unquote(value)):
-            found["tenant"] = unquote(value)
+            fields["tenant"] = unquote(value)
         case "try" if INTEGER.fullmatch(value) and 1 <= int(value) <= MAX_EXTRA + 1:
-            found["attempt"] = int(value)
+            fields["attempt"] = int(value)
         case "id" if TOKEN.fullmatch(value):
-            found["id"] = value
+            fields["id"] = value
         case "path":
             names = tuple(value.split("/"))
             if len(names) > MAX_PATH_NAMES or not all(NAME.fullmatch(word) for word in names):
                 return False
-            found["path"] = names
+            fields["path"] = names
         case _:
             return False
     return True
@@ -118,7 +118,7 @@
 
     Guard: a duplicated member is ignored, because one node could use the first value and the next node the second.
     """
-    found: dict[str, object] = {}
+    fields: dict[str, object] = {}
     invalid: list[str] = []
     foreign: list[str] = []
     seen_names: set[str] = set()
@@ -134,11 +134,11 @@
             continue
         name = key.removeprefix(PREFIX)
         value = value.partition(";")[0].strip(" \t")
-        if name in seen_names or not _parse_member(name, value, found):
+        if name in seen_names or not _parse_member(name, value, fields):
             invalid.append(name[:32])
-            found.pop("attempt" if name == "try" else name, None)
+            fields.pop("attempt" if name == "try" else name, None)
         seen_names.add(name)
-    return Carried(**found, unreadable=tuple(invalid)), foreign  # type: ignore[arg-type]
+    return Carried(**fields, unreadable=tuple(invalid)), foreign  # type: ignore[arg-type]
 
 
 def write_baggage(carried: Carried, foreign: Sequence[str] = ()) -> str:
@@ -226,12 +226,12 @@
 
 def _via_names(text: str) -> set[str]:
     """The pseudonyms of intermediaries in Via, without protocols and comments."""
-    found = set()
+    names = set()
     for entry in text.split(","):
         words = entry.split()
         if len(words) >= 2 and NAME.fullmatch(words[1]):
-            found.add(words[1])
-    return found
+            names.add(words[1])
+    return names
 
 
 def _tracestate_names(text: str) -> tuple[str, ...]:
--- a/loadbalancer/budget/decider.py
+++ b/loadbalancer/budget/decider.py
@@ -119,7 +119,7 @@
     def decide(
         self,
         terms: Terms,
-        kind: ServiceClass,
+        service_class: ServiceClass,
         limit_ms: float,
         requested_ms: float | None,
         carried: Carried,
@@ -146,9 +146,9 @@
         stated = bool(limits)
         wait_ms = min(limit_ms, *limits) if limits else limit_ms
         if stated:
-            self.of(kind.name).stated(wait_ms)
+            self.of(service_class.name).stated(wait_ms)
         elif terms.learn:
-            wait_ms = min(wait_ms, self.of(kind.name).ms or wait_ms)
+            wait_ms = min(wait_ms, self.of(service_class.name).ms or wait_ms)
         if wait_ms <= terms.min_wait_ms:
             return Denial.OVER
         attempt = carried.attempt if inside and carried.attempt is not None else None
@@ -169,7 +169,7 @@
             wait_ms=wait_ms,
             stated=stated,
             allowance=Allowance(kept, extra - kept, max(2, attempt or 2) if marked_retry else 1),
-            worth=None if worth is None else min(kind.worth, worth),
+            worth=None if worth is None else min(service_class.worth, worth),
             tenant=tenant,
             is_retry=marked_retry,
             paid=paid,
--- a/loadbalancer/budget/figures.py
+++ b/loadbalancer/budget/figures.py
@@ -63,9 +63,13 @@
             rows[pool] = {}
             for name in names:
                 class_figures = self.classes.get((pool, name), ClassFigures())
-                figures = {what: count for (of, what), count in sorted(pool_counts.items()) if of == name}
+                figures = {
+                    counter: count
+                    for (service, counter), count in sorted(pool_counts.items())
+                    if service == name
+                }
                 first = figures.get("first", 0)
-                extra_attempts = sum(figures.get(what, 0) for what in ("retry", "hedge", "repeat"))
+                extra_attempts = sum(figures.get(counter, 0) for counter in ("retry", "hedge", "repeat"))
                 rows[pool][name] = {
                     "attempts": figures,
                     "amplification": round((first + extra_attempts) / first, 4) if first else None,
--- a/loadbalancer/cli/config.py
+++ b/loadbalancer/cli/config.py
@@ -137,10 +137,10 @@
     """Check all files, alone and against each other; also returns remarks on what was not checked."""
     methods = {path: methods_of(path) for path in paths if path.endswith(".thrift")}
     documents = _documents([path for path in paths if path not in methods], descriptors)
-    for path, found in methods.items():
+    for path, methods_in_file in methods.items():
         for document in documents:
             if not document.mistakes:
-                check_against_idl(document, found, path)
+                check_against_idl(document, methods_in_file, path)
     catalogues = [item for item in documents if item.kind == "catalogue"]
     remarks = []
     for document in documents:
@@ -205,10 +205,10 @@
 
 
 def _write(args: argparse.Namespace) -> int:
-    found = _derived(args)
-    if isinstance(found, int):
-        return found
-    text = text_of(*found)
+    result = _derived(args)
+    if isinstance(result, int):
+        return result
+    text = text_of(*result)
     if args.output is None:
         sys.stdout.write(text)
         return 0
@@ -236,10 +236,10 @@
 
 
 def _explain(args: argparse.Namespace) -> int:
-    found = _derived(args)
-    if isinstance(found, int):
-        return found
-    derived = found[0]
+    result = _derived(args)
+    if isinstance(result, int):
+        return result
+    derived = result[0]
     rows = []
     for path, value in _values(derived.data, ()):
         text = path_text(path, derived.data)
@@ -259,7 +259,7 @@
     if isinstance(data, dict):
         return [row for key, value in data.items() for row in _values(value, (*path, key))]
     if isinstance(data, list) and data and isinstance(data[0], dict):
-        return [row for at, value in enumerate(data) for row in _values(value, (*path, at))]
+        return [row for index, value in enumerate(data) for row in _values(value, (*path, index))]
     return [(path, data)]
 
 
--- a/loadbalancer/cli/lab.py
+++ b/loadbalancer/cli/lab.py
@@ -123,12 +123,12 @@
         return None
 
 
-def _all_exist(experiment: str, what: str, requested: Iterable[str], existing: Iterable[str]) -> bool:
+def _all_exist(experiment: str, item: str, requested: Iterable[str], existing: Iterable[str]) -> bool:
     """Whether all requested names exist; prints the first that does not."""
     names = sorted(existing)
     for name in requested:
         if name not in names:
-            print(f"{experiment}: has no {what} {name!r}; it has {', '.join(names)}", file=sys.stderr)
+            print(f"{experiment}: has no {item} {name!r}; it has {', '.join(names)}", file=sys.stderr)
             return False
     return True
 
@@ -159,11 +159,11 @@
     columns = ("{task.description}", BarColumn(), MofNCompleteColumn(), TimeElapsedColumn())
     with Progress(*columns, console=Console(stderr=True)) as progress:
         task = progress.add_task("runs", total=len(requested))
-        for job, folder, wrong in sweep(requested, args.results, args.cores):
+        for job, folder, error in sweep(requested, args.results, args.cores):
             progress.advance(task)
             if folder is None:
                 failed += 1
-                print(f"failed: {wrong or job.folder}", file=sys.stderr)
+                print(f"failed: {error or job.folder}", file=sys.stderr)
             else:
                 results.append(read(folder))
     groups = defaultdict(list)
@@ -173,8 +173,8 @@
     table = Table("experiment", "policy", "seeds", *FIGURES, box=None)
     for (experiment, swept, policy), runs in groups.items():
         cells = []
-        for name, of in FIGURES.items():
-            values = [value for run in runs if (value := of(run)) is not None]
+        for name, figure in FIGURES.items():
+            values = [value for run in runs if (value := figure(run)) is not None]
             cell = f"{fmean(values):.4g}" if values else "-"
             if name == "goodput" and len(values) > 1:
                 low, high = interval(values)
@@ -199,9 +199,9 @@
     loads, repeats = args.loads or LOADS, args.repeats or REPEATS
     rows: dict[tuple[str, str], dict[float, list[float]]] = defaultdict(lambda: defaultdict(list))
     worst = 0.0
-    for found in search(plan, names.index(args.policy), args.cores, loads, repeats, only=only):
-        rows[found.trouble, found.lists][found.load].append(found.short)
-        worst = max(worst, found.short)
+    for result in search(plan, names.index(args.policy), args.cores, loads, repeats, only=only):
+        rows[result.trouble, result.lists][result.load].append(result.short)
+        worst = max(worst, result.short)
     table = Table("trouble", "lists", *(f"{load:g}x" for load in loads), box=None)
     for (name, lists), by_load in rows.items():
         table.add_row(name, lists, *(f"{max(by_load[load]):+.3f}" for load in loads))
@@ -239,13 +239,13 @@
                 [run for run in side if run.policy == name]
                 for side, name in zip(sides, args.policies, strict=True)
             ]
-        found = compare(*sides)
+        comparison = compare(*sides)
     except (CompareError, ResultError) as error:
         print(error, file=sys.stderr)
         return 2
     names = {run.setting: run.manifest["experiment"] for run in sides[0]}
     table = Table("experiment", "figure", "A", "B", "seeds", "B - A", box=None)
-    for setting, rows in sorted(found.items(), key=lambda item: (names[item[0]], item[0])):
+    for setting, rows in sorted(comparison.items(), key=lambda item: (names[item[0]], item[0])):
         swept = "" if setting[1] == "{}" else f" {setting[1]}"
         for row in rows:
             cells = (f"{row.a:.5g}", f"{row.b:.5g}", str(row.pairs), row.words)
--- a/loadbalancer/cli/trial.py
+++ b/loadbalancer/cli/trial.py
@@ -80,9 +80,9 @@
 
 @dataclass
 class Step:
-    """An event for an emulated server. `at`: its time as a fraction of the run."""
+    """An event for an emulated server. `fraction`: its time as a fraction of the run."""
 
-    at: float
+    fraction: float
     text: str
     do: Callable[[], None]
     done: bool = False
@@ -95,8 +95,8 @@
         self.folder = folder
         self.rng = random.Random(args.seed)
         self.boxes = [
-            Box(f"box-{at + 1}", Behaviour(work_ms=12.0, cores=4), self._answerer(at))
-            for at in range(args.boxes)
+            Box(f"box-{index + 1}", Behaviour(work_ms=12.0, cores=4), self._answerer(index))
+            for index in range(args.boxes)
         ]
         self.discovery = Discovery()
         self.tallies: dict[str, ClassTally] = defaultdict(ClassTally)
@@ -107,13 +107,13 @@
         self.started_at = 0.0
         self.event_lines: list[str] = []
 
-    def _answerer(self, at: int) -> Callable[[Seen], bytes | None]:
+    def _answerer(self, index: int) -> Callable[[Seen], bytes | None]:
         def answer(seen: Seen) -> bytes:
             body = bytes(seen.body) or b'{"balance":"1204.50"}'
             return (
                 b"HTTP/1.1 200 OK\r\nX-Box: %d\r\nSrv-Load: TEXT queue=0\r\nContent-Length: %d\r\n\r\n%s"
                 % (
-                    at + 1,
+                    index + 1,
                     len(body),
                     body,
                 )
@@ -126,11 +126,11 @@
     async def run(self, show: Callable[[Trial], None]) -> bool:
         """Run the trial; returns whether all rules were kept."""
         await self.discovery.start()
-        for at, box in enumerate(self.boxes):
+        for index, box in enumerate(self.boxes):
             await box.start()
-            self.discovery.tell(box, zone=ZONES[at % len(ZONES)], cell=at)
-        path = self.write()
-        command = [sys.executable, "-m", "loadbalancer.cli", "sidecar", str(path)]
+            self.discovery.tell(box, zone=ZONES[index % len(ZONES)], cell=index)
+        configuration_path = self.write()
+        command = [sys.executable, "-m", "loadbalancer.cli", "sidecar", str(configuration_path)]
         with (self.folder / "sidecar.log").open("wb") as log_file:
             process = subprocess.Popen(command, stdout=log_file, stderr=log_file)
         application = operator = None
@@ -177,9 +177,9 @@
         """Clients for the listener and the admin listener, whose addresses are in the sidecar's log."""
         async with asyncio.timeout(START_TIMEOUT_S):
             while process.poll() is None:
-                found = LISTENER_LOG_LINE.findall((self.folder / "sidecar.log").read_text())
-                if len(found) == 2:
-                    listener, admin = (Application(parse_address(address)) for address in found)
+                addresses = LISTENER_LOG_LINE.findall((self.folder / "sidecar.log").read_text())
+                if len(addresses) == 2:
+                    listener, admin = (Application(parse_address(address)) for address in addresses)
                     return listener, admin
                 await asyncio.sleep(0.02)
         raise RuntimeError(f"the sidecar exited: {(self.folder / 'sidecar.log').read_text().strip()}")
@@ -201,7 +201,7 @@
         number, due, next_show = 0, 0.0, 0.0
         while (now := loop.time() - self.started_at) < self.seconds:
             for step in self.steps:
-                if not step.done and now >= step.at * self.seconds:
+                if not step.done and now >= step.fraction * self.seconds:
                     step.done = True
                     step.do()
                     self.event_lines.append(f"{now:5.1f} s  {step.text}")
@@ -226,12 +226,12 @@
             self.drained_at[2] = time.monotonic()
             self.discovery.tell(drained, "Terminating", ZONES[2], 2)
 
-        def note(box: Box) -> None:
+        def count_late_requests(box: Box) -> None:
             inner = box.take
 
             def take(connection: object, seen: Seen) -> None:
-                at = self.drained_at.get(2)
-                if at is not None and time.monotonic() - at > DRAIN_GRACE_S:
+                drained_at = self.drained_at.get(2)
+                if drained_at is not None and time.monotonic() - drained_at > DRAIN_GRACE_S:
                     self.late_requests += 1
                 inner(connection, seen)  # type: ignore[arg-type]
 
@@ -240,7 +240,7 @@
         def recover() -> None:
             slow.behaviour.slow, hung.behaviour.hang = 1.0, False
 
-        note(drained)
+        count_late_requests(drained)
 
         def hang() -> None:
             hung.behaviour.hang = True
@@ -260,22 +260,24 @@
         ]
 
     async def _send_one(self, application: Application, number: int) -> None:
-        kind = self.rng.choices(list(CLASS_SHARES), list(CLASS_SHARES.values()))[0]
+        service = self.rng.choices(list(CLASS_SHARES), list(CLASS_SHARES.values()))[0]
         posting = f"p{number}"
         body = b'{"amount":"18.20","posting":"%s"}' % posting.encode()
         headers = {"X-Posting": posting}
-        if kind == "balance-read":
-            call = application.ask("GET", f"/balance/{number % 97}", headers=headers)
-        elif kind == "journal-post":
+        if service == "balance-read":
+            request = application.ask("GET", f"/balance/{number % 97}", headers=headers)
+        elif service == "journal-post":
             self.unsafe.add(posting)
-            call = application.ask("POST", "/journal/general/entries", body, headers)
+            request = application.ask("POST", "/journal/general/entries", body, headers)
         else:
-            call = application.ask("PUT", f"/invoice/{number}", body, headers | {"Idempotency-Key": posting})
-        tally = self.tallies[kind]
+            request = application.ask(
+                "PUT", f"/invoice/{number}", body, headers | {"Idempotency-Key": posting}
+            )
+        tally = self.tallies[service]
         tally.sent += 1
         started_at = time.monotonic()
         try:
-            response = await call
+            response = await request
         except (OSError, TimeoutError):
             tally.lost += 1
             return
@@ -308,8 +310,8 @@
     table = Table(title="Responses to the application")
     for name in ("class", "sent", "served", "rejected", "failed", "no response", "p50 ms", "p99 ms"):
         table.add_column(name, justify="left" if name == "class" else "right")
-    for kind in CLASS_SHARES:
-        table.add_row(kind, *trial.tallies[kind].row())
+    for service in CLASS_SHARES:
+        table.add_row(service, *trial.tallies[service].row())
     return table
 
 
@@ -317,7 +319,7 @@
     table = Table(title="Requests at each server")
     for name in ("server", "started", "answered", "state"):
         table.add_column(name, justify="right" if name in ("started", "answered") else "left")
-    for at, box in enumerate(trial.boxes):
+    for index, box in enumerate(trial.boxes):
         behaviour = box.behaviour
         state = (
             "hangs"
@@ -326,7 +328,7 @@
             if behaviour.slow > 1.0
             else "healthy"
         )
-        state = "drains" if at in trial.drained_at else state
+        state = "drains" if index in trial.drained_at else state
         table.add_row(box.name, str(sum(box.ran.values())), str(box.served), state)
     return table
 
--- a/loadbalancer/sidecar/derive.py
+++ b/loadbalancer/sidecar/derive.py
@@ -118,11 +118,11 @@
 
     def _protocols_used(self) -> set[str]:
         """The protocols that the application's calls use."""
-        own = {item.name: item.routes for item in self.cat.classes}
+        catalogue_routes = {item.name: item.routes for item in self.cat.classes}
         return {
             route.protocol
             for call in self.app.calls
-            for route in (call.routes if call.routes is not None else own.get(call.service, []))
+            for route in (call.routes if call.routes is not None else catalogue_routes.get(call.service, []))
         }
 
     def _report_looser(self, path: Path, wanted: str, where: str, maximum: str) -> None:
--- a/loadbalancer/sidecar/load.py
+++ b/loadbalancer/sidecar/load.py
@@ -137,7 +137,7 @@
                 key: copy(value, (*path, key)) for key, value in item.items() if (*path, key) not in excluded
             }
         if isinstance(item, list):
-            return [copy(value, (*path, at)) for at, value in enumerate(item)]
+            return [copy(value, (*path, index)) for index, value in enumerate(item)]
         return item
 
     return copy(data, ())
--- a/loadbalancer/sidecar/locate.py
+++ b/loadbalancer/sidecar/locate.py
@@ -17,27 +17,27 @@
 class _Scanner:
     def __init__(self, text: str) -> None:
         self.text = text
-        self.at = 0
+        self.position = 0
         self.lines: dict[Path, int] = {(): 1}
         self.last_index: dict[Path, int] = {}  # of each array of tables: the index of its last element
         self._line, self._counted_to = 1, 0
 
     def line(self) -> int:
-        self._line += self.text.count("\n", self._counted_to, self.at)
-        self._counted_to = self.at
+        self._line += self.text.count("\n", self._counted_to, self.position)
+        self._counted_to = self.position
         return self._line
 
     def peek(self, text: str) -> bool:
-        return self.text.startswith(text, self.at)
+        return self.text.startswith(text, self.position)
 
     def skip(self, blank: str = WHITESPACE) -> None:
         """Skip blanks; also skip comments if `blank` contains the newline."""
-        while self.at < len(self.text):
-            if self.text[self.at] in blank:
-                self.at += 1
-            elif self.text[self.at] == "#" and "\n" in blank:
-                end = self.text.find("\n", self.at)
-                self.at = len(self.text) if end < 0 else end
+        while self.position < len(self.text):
+            if self.text[self.position] in blank:
+                self.position += 1
+            elif self.text[self.position] == "#" and "\n" in blank:
+                end = self.text.find("\n", self.position)
+                self.position = len(self.text) if end < 0 else end
             else:
                 return
 
@@ -47,7 +47,7 @@
     def document(self) -> dict[Path, int]:
         table: Path = ()
         self.skip()
-        while self.at < len(self.text):
+        while self.position < len(self.text):
             if self.peek("["):
                 table = self.header()
             else:
@@ -58,11 +58,11 @@
     def header(self) -> Path:
         line = self.line()
         is_array = self.peek("[[")
-        self.at += 2 if is_array else 1
+        self.position += 2 if is_array else 1
         self.skip(" \t")
         keys = self.key()
         self.skip(" \t")
-        self.at += 2 if is_array else 1
+        self.position += 2 if is_array else 1
         path: Path = ()
         for key in keys[:-1]:
             path = self.table_path((*path, key), line)
@@ -83,18 +83,18 @@
         keys = []
         while True:
             self.skip(" \t")
-            start = self.at
-            if self.text[self.at] in "\"'":
+            start = self.position
+            if self.text[self.position] in "\"'":
                 self.string()
-                keys.append(str(loads(f"x = {self.text[start : self.at]}")["x"]))
+                keys.append(str(loads(f"x = {self.text[start : self.position]}")["x"]))
             else:
-                while self.text[self.at] not in " \t.=]":
-                    self.at += 1
-                keys.append(self.text[start : self.at])
+                while self.text[self.position] not in " \t.=]":
+                    self.position += 1
+                keys.append(self.text[start : self.position])
             self.skip(" \t")
             if not self.peek("."):
                 return keys
-            self.at += 1
+            self.position += 1
 
     def key_value(self, table: Path) -> None:
         line = self.line()
@@ -102,53 +102,53 @@
         for key in self.key():
             path = (*path, key)
             self.record(path, line)
-        self.at += 1  # the equals sign
+        self.position += 1  # the equals sign
         self.value(path)
 
     def value(self, path: Path) -> None:
         self.skip(" \t")
         if self.peek("["):
-            self.at += 1
+            self.position += 1
             index = 0
             while not self.at_end("]"):
                 self.record((*path, index), self.line())
                 self.value((*path, index))
                 index += 1
         elif self.peek("{"):
-            self.at += 1
+            self.position += 1
             while not self.at_end("}"):
                 self.key_value(path)
-        elif self.text[self.at] in "\"'":
+        elif self.text[self.position] in "\"'":
             self.string()
         else:
-            while self.at < len(self.text) and self.text[self.at] not in VALUE_ENDS:
-                self.at += 1
+            while self.position < len(self.text) and self.text[self.position] not in VALUE_ENDS:
+                self.position += 1
 
     def at_end(self, end: str) -> bool:
         """Whether the array or inline table ends here; skips a separating comma before it looks."""
         self.skip()
         if self.peek(","):
-            self.at += 1
+            self.position += 1
             self.skip()
         if self.peek(end):
-            self.at += 1
+            self.position += 1
             return True
         return False
 
     def string(self) -> None:
-        quote = self.text[self.at]
+        quote = self.text[self.position]
         if self.peek(quote * 3):
-            self.at += 3
+            self.position += 3
             while not self.peek(quote * 3):
-                self.at += 2 if quote == '"' and self.peek("\\") else 1
-            self.at += 3
+                self.position += 2 if quote == '"' and self.peek("\\") else 1
+            self.position += 3
             while self.peek(quote):  # the text may end with up to two quotes before the closing ones
-                self.at += 1
+                self.position += 1
             return
-        self.at += 1
+        self.position += 1
         while not self.peek(quote):
-            self.at += 2 if quote == '"' and self.peek("\\") else 1
-        self.at += 1
+            self.position += 2 if quote == '"' and self.peek("\\") else 1
+        self.position += 1
 
 
 def locate(text: str) -> dict[Path, int]:
--- a/loadbalancer/sidecar/loops.py
+++ b/loadbalancer/sidecar/loops.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Step:
+class Edge:
     """An edge from one file to another, and the document and path that cause it."""
 
     to: int
@@ -32,7 +32,9 @@
         return {item.pool for item in model.classes}
     assert isinstance(model, Application)
     called_classes = {call.service for call in model.calls}
-    return {item.pool for cat in catalogues for item in cat.classes if item.name in called_classes}
+    return {
+        item.pool for catalogue in catalogues for item in catalogue.classes if item.name in called_classes
+    }
 
 
 def _listed_addresses(model: object) -> Iterable[tuple[Path, tuple[str, int]]]:
@@ -43,7 +45,7 @@
                 yield ("pools", index, "list", "servers", number, "address"), parse_address(item.address)
 
 
-def steps_of(documents: Sequence[Document]) -> list[list[Step]]:
+def edges_of(documents: Sequence[Document]) -> list[list[Edge]]:
     """The edges that leave each file, by the file's index."""
     catalogues = [item.model for item in documents if isinstance(item.model, Catalogue)]
     listening: dict[tuple[str, int], int] = {}
@@ -58,42 +60,44 @@
         if isinstance(model, Configuration | Application):
             for index, name in enumerate(model.serves):
                 serving.setdefault(name, []).append((number, ("serves", index)))
-    steps: list[list[Step]] = []
+    edges: list[list[Edge]] = []
     for number, document in enumerate(documents):
-        found: list[Step] = []
+        file_edges: list[Edge] = []
         if isinstance(document.model, Configuration | Application):
             for path, address in _listed_addresses(document.model):
                 # A file that lists its own listener is reported by the check of that file alone.
                 if address in listening and listening[address] != number:
-                    found.append(Step(listening[address], number, path))
+                    file_edges.append(Edge(listening[address], number, path))
             for pool in sorted(_called_pools(document, catalogues)):
-                found += [Step(other, other, path) for other, path in serving.get(pool, [])]
-        steps.append(found)
-    return steps
+                file_edges += [Edge(other, other, path) for other, path in serving.get(pool, [])]
+        edges.append(file_edges)
+    return edges
 
 
 def _revisits(document: Document, catalogues: Sequence[Catalogue]) -> int:
     if isinstance(document.model, Configuration):
         return document.model.budget.revisits if document.model.budget is not None else 0
-    return max((cat.budget.revisits for cat in catalogues if cat.budget is not None), default=0)
+    return max(
+        (catalogue.budget.revisits for catalogue in catalogues if catalogue.budget is not None), default=0
+    )
 
 
 def find_loops(documents: Sequence[Document]) -> None:
     """Add a mistake for each loop, except where the file it returns to allows revisits."""
     catalogues = [item.model for item in documents if isinstance(item.model, Catalogue)]
-    steps = steps_of(documents)
+    edges = edges_of(documents)
     reported: set[frozenset[int]] = set()
     for start, document in enumerate(documents):
         if document.model is None or _revisits(document, catalogues) > 0:
             continue
-        cycle = _shortest_cycle(steps, start)
+        cycle = _shortest_cycle(edges, start)
         if cycle is None:
             continue
-        members = frozenset({start, *(step.to for step in cycle)})
+        members = frozenset({start, *(edge.to for edge in cycle)})
         if members in reported:
             continue
         reported.add(members)
-        names = [document.name, *(documents[step.to].name for step in cycle)]
+        names = [document.name, *(documents[edge.to].name for edge in cycle)]
         last = cycle[-1]
         documents[last.document].add(
             last.path,
@@ -103,15 +107,15 @@
         documents[last.document].mistakes.sort()
 
 
-def _shortest_cycle(steps: Sequence[Sequence[Step]], start: int) -> list[Step] | None:
+def _shortest_cycle(edges: Sequence[Sequence[Edge]], start: int) -> list[Edge] | None:
     """The shortest cycle from a file back to itself; None if there is none."""
-    paths: list[list[Step]] = [[step] for step in steps[start]]
-    seen = {start}
+    paths: list[list[Edge]] = [[edge] for edge in edges[start]]
+    visited = {start}
     for path in paths:  # breadth first: the list grows while it is iterated
         current = path[-1].to
         if current == start:
             return path
-        if current not in seen:
-            seen.add(current)
-            paths += [[*path, step] for step in steps[current]]
+        if current not in visited:
+            visited.add(current)
+            paths += [[*path, edge] for edge in edges[current]]
     return None
--- a/loadbalancer/sidecar/mistakes.py
+++ b/loadbalancer/sidecar/mistakes.py
@@ -24,10 +24,10 @@
         return asdict(self)
 
 
-def suggestion(word: str, known: Iterable[str]) -> str:
+def suggestion(name: str, known: Iterable[str]) -> str:
     """`did you mean ...?` for a close match, otherwise the known names."""
     names = sorted(known)
-    matches = difflib.get_close_matches(word, names, 1, 0.6)
+    matches = difflib.get_close_matches(name, names, 1, 0.6)
     if matches:
         return f"did you mean {matches[0]!r}?"
     return f"one of {', '.join(names)}" if names else "none is defined"
@@ -36,17 +36,24 @@
 def path_text(path: Path, data: object) -> str:
     """A path as text: list elements appear by name, class or id where they have one, otherwise by index."""
     result = ""
-    for word in path:
-        if isinstance(word, int):
-            item = data[word] if isinstance(data, list) and word < len(data) else None
+    for key in path:
+        if isinstance(key, int):
+            element = data[key] if isinstance(data, list) and key < len(data) else None
             label = (
-                next((item[key] for key in ("name", "class", "id") if isinstance(item.get(key), str)), None)
-                if isinstance(item, dict)
+                next(
+                    (
+                        element[field]
+                        for field in ("name", "class", "id")
+                        if isinstance(element.get(field), str)
+                    ),
+                    None,
+                )
+                if isinstance(element, dict)
                 else None
             )
-            result += f"[{label if label is not None else word}]"
-            data = item
+            result += f"[{label if label is not None else key}]"
+            data = element
         else:
-            result += f".{word}" if result else word
-            data = data.get(word) if isinstance(data, dict) else None
+            result += f".{key}" if result else key
+            data = data.get(key) if isinstance(data, dict) else None
     return result or "the file"
--- a/loadbalancer/sidecar/models.py
+++ b/loadbalancer/sidecar/models.py
@@ -46,7 +46,7 @@
 
 def field_ids(path: str) -> tuple[int, ...]:
     """The field ids in a path such as 1.3."""
-    return tuple(int(word) for word in path.split("."))
+    return tuple(int(part) for part in path.split("."))
 
 
 def _call(text: str) -> str:
