--- a/loadbalancer/budget/elapsed.py
+++ b/loadbalancer/budget/elapsed.py
@@ -26,7 +26,7 @@
 
 
 class Elapsed:
-    """The minimum clock difference of each writer over its last two windows."""
+    """Keeps the minimum clock difference of each writer over its last two windows."""
 
     def __init__(self) -> None:
         self._writers: OrderedDict[str, _Writer] = OrderedDict()
--- a/loadbalancer/budget/patience.py
+++ b/loadbalancer/budget/patience.py
@@ -67,7 +67,7 @@
                     if remaining <= REMAINING_SHARE:
                         return waited * MARGIN
                 at_risk -= 1
-            # A larger share of callers waits longer than any caller that disconnected, so there is no estimate.
+            # More than REMAINING_SHARE of the callers got a response or wait longer than any that disconnected.
             return None
         if len(self._stated) >= MIN_OBSERVATIONS:
             return sorted(self._stated)[int((1.0 - REMAINING_SHARE) * (len(self._stated) - 1))] * MARGIN
--- a/loadbalancer/sidecar/derive.py
+++ b/loadbalancer/sidecar/derive.py
@@ -52,6 +52,7 @@
     """Checks a description against a catalogue and derives the configuration. Both files must already be valid."""
 
     def __init__(self, catalogue: Document, application: Document) -> None:
+        # Each file as a document with positions, and its validated model (`cat`, `app`).
         self.catalogue, self.application = catalogue, application
         self.cat: Catalogue = catalogue.model
         self.app: Application = application.model
--- a/loadbalancer/sidecar/drift.py
+++ b/loadbalancer/sidecar/drift.py
@@ -14,7 +14,10 @@
 
 
 class Rule(Enum):
-    """The four rules; the values are their names in the output."""
+    """The four rules of the load balancer, with their names in the output.
+
+    COLD: no newly started server gets more load than it can serve yet.
+    """
 
     LOST = "no request lost"
     TWICE = "no effect twice"
@@ -24,12 +27,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Setting:
-    """A group of settings: whether all sidecars of a pool must have the same value, and what breaks if they differ."""
+    """A group of settings, and what a difference in them means."""
 
-    pattern: re.Pattern[str]
-    shared: bool
-    rule: Rule | None = None
-    why: str = ""
+    pattern: re.Pattern[str]  # matches whole paths as `flatten` returns them
+    shared: bool  # whether all sidecars of a pool must have the same value; if so, a difference is drift
+    rule: Rule | None = None  # the rule that drift endangers
+    why: str = ""  # the consequence of drift, shown to operators
 
 
 def _make_setting(pattern: str, shared: bool, rule: Rule | None = None, why: str = "") -> Setting:
@@ -87,7 +90,7 @@
 class Difference:
     path: str
     values: tuple[Any, ...]  # one for each configuration; None where the path is absent
-    drift: bool
+    drift: bool  # False: the difference is intended
     rule: Rule | None
     why: str
 
@@ -118,6 +121,7 @@
 
 
 def _element_label(path: str, item: Mapping[str, Any]) -> str:
+    """The text that identifies a list element: its id or name; for a route, what it matches."""
     if path == "routes" and "call" in item:
         text = f"call {item['call']}"
     elif path == "routes":
@@ -135,19 +139,20 @@
 
 
 def compare(configurations: list[Mapping[str, Any]]) -> list[Difference]:
-    """All differences between configurations given as plain data, sorted by path."""
+    """All differences between configurations (as plain data), sorted by path."""
     flattened = [flatten(item) for item in configurations]
-    elements = [{_element_of(path) for path in row} for row in flattened]
+    elements_present = [{_element_of(path) for path in row} for row in flattened]
     differences = []
     for path in sorted({path for row in flattened for path in row}):
-        # A pool, class or route that is absent from a configuration is no drift: its application does not call it.
-        having = [
+        # Only configurations that contain the path's pool, class or route are compared. Its absence from the others is
+        # intended: their applications do not call it.
+        containing = [
             index
             for index in range(len(flattened))
-            if not _element_of(path) or _element_of(path) in elements[index]
+            if not _element_of(path) or _element_of(path) in elements_present[index]
         ]
-        values = [flattened[index].get(path) for index in having]
-        intended = len(having) < len(flattened) and all(value == values[0] for value in values)
+        values = [flattened[index].get(path) for index in containing]
+        intended = len(containing) < len(flattened) and all(value == values[0] for value in values)
         if not intended and all(value == values[0] for value in values):
             continue
         setting = setting_of(path)
--- a/tests/budget/test_decider.py
+++ b/tests/budget/test_decider.py
@@ -134,13 +134,13 @@
 
 
 def test_no_caller_can_raise_worth_time_or_attempts_or_claim_a_tenant():
-    rich = Carried(ms=1e7, extra=99, worth=1e6, tenant="hotels", id="x", attempt=1)
+    excessive = Carried(ms=1e7, extra=99, worth=1e6, tenant="hotels", id="x", attempt=1)
     ignored: list[str] = []
-    granted = decide(rich, EDGE, on_ignored=ignored.append)
+    granted = decide(excessive, EDGE, on_ignored=ignored.append)
     assert (granted.wait_ms, granted.attempts, granted.worth) == (2500.0, 2, None)
     assert (granted.tenant, granted.id) == (None, None)
     assert sorted(ignored) == ["id at the edge", "tenant at the edge", "worth at the edge"]
-    granted = decide(rich, INSIDE)
+    granted = decide(excessive, INSIDE)
     assert (granted.wait_ms, granted.attempts, granted.worth) == (2500.0, 2, 12.0)
     assert (granted.tenant, granted.id) == ("hotels", "x")
     assert decide(Carried(tenant="nobody"), INSIDE).tenant is None
@@ -178,38 +178,38 @@
 
 
 def test_patience_is_learned_from_disconnects_among_many_answered_requests():
-    found = Patience()
+    patience = Patience()
     for _ in range(200):
-        found.answered(30.0)
-    assert found.ms is None
+        patience.answered(30.0)
+    assert patience.ms is None
     for _ in range(MIN_OBSERVATIONS + 20):
-        found.left(1000.0)
-    assert found.ms == pytest.approx(1050.0)
+        patience.left(1000.0)
+    assert patience.ms == pytest.approx(1050.0)
 
 
 def test_two_kinds_of_callers_give_the_longer_time():
-    found = Patience()
+    patience = Patience()
     for _ in range(40):
-        found.left(500.0)
-        found.left(2000.0)
-    assert found.ms == pytest.approx(2100.0)
+        patience.left(500.0)
+        patience.left(2000.0)
+    assert patience.ms == pytest.approx(2100.0)
 
 
 def test_the_estimate_follows_callers_that_become_more_patient():
-    found = Patience()
+    patience = Patience()
     for _ in range(40):
-        found.left(500.0)
-    assert found.ms == pytest.approx(525.0)
+        patience.left(500.0)
+    assert patience.ms == pytest.approx(525.0)
     for _ in range(600):  # answered with any status before they disconnected
-        found.answered(520.0)
-    assert found.ms is None
+        patience.answered(520.0)
+    assert patience.ms is None
 
 
 def test_stated_times_apply_where_no_caller_has_disconnected():
-    found = Patience()
+    patience = Patience()
     for _ in range(3 * MIN_OBSERVATIONS):
-        found.stated(800.0)
-    assert found.ms == pytest.approx(840.0)
+        patience.stated(800.0)
+    assert patience.ms == pytest.approx(840.0)
 
 
 def test_learned_patience_limits_callers_without_a_deadline():
