--- a/loadbalancer/sidecar/mistakes.py
+++ b/loadbalancer/sidecar/mistakes.py
@@ -1,4 +1,4 @@
-"""Mistakes in files, and how they are told: place, what is wrong, what would be right."""
+"""Mistakes in configuration files and their text: position, what is wrong, what would be right."""
 
 from __future__ import annotations
 
@@ -24,29 +24,36 @@
         return asdict(self)
 
 
-def near(word: str, known: Iterable[str]) -> str:
-    """`did you mean ...?`, or the names to choose from."""
+def suggestion(name: str, known: Iterable[str]) -> str:
+    """`did you mean ...?` for a close match, otherwise the known names."""
     names = sorted(known)
-    found = difflib.get_close_matches(word, names, 1, 0.6)
-    if found:
-        return f"did you mean {found[0]!r}?"
+    matches = difflib.get_close_matches(name, names, 1, 0.6)
+    if matches:
+        return f"did you mean {matches[0]!r}?"
     return f"one of {', '.join(names)}" if names else "none is defined"
 
 
-def shown(path: Path, data: object) -> str:
-    """A path as people read it: an element of a list by its name, where it has one."""
-    text = ""
-    for word in path:
-        if isinstance(word, int):
-            item = data[word] if isinstance(data, list) and word < len(data) else None
+def path_text(path: Path, data: object) -> str:
+    """A path as text: list elements appear by name, class or id where they have one, otherwise by index."""
+    result = ""
+    for key in path:
+        if isinstance(key, int):
+            element = data[key] if isinstance(data, list) and key < len(data) else None
             label = (
-                next((item[key] for key in ("name", "class", "id") if isinstance(item.get(key), str)), None)
-                if isinstance(item, dict)
+                next(
+                    (
+                        element[field]
+                        for field in ("name", "class", "id")
+                        if isinstance(element.get(field), str)
+                    ),
+                    None,
+                )
+                if isinstance(element, dict)
                 else None
             )
-            text += f"[{label if label is not None else word}]"
-            data = item
+            result += f"[{label if label is not None else key}]"
+            data = element
         else:
-            text += f".{word}" if text else word
-            data = data.get(word) if isinstance(data, dict) else None
-    return text or "the file"
+            result += f".{key}" if result else key
+            data = data.get(key) if isinstance(data, dict) else None
+    return result or "the file"
