--- a/loadbalancer/thrift/__init__.py
+++ b/loadbalancer/thrift/__init__.py
@@ -1,1 +1,1 @@
-"""Thrift: a codec without I/O, the callers' side and the servers' side."""
+"""Thrift: a codec without I/O, the server that accepts calls, and the client that calls upstream servers."""
--- a/loadbalancer/thrift/back.py
+++ b/loadbalancer/thrift/back.py
@@ -1,4 +1,4 @@
-"""Attempts in Thrift: what a reply stands for, and the pooled connections that carry calls."""
+"""Thrift attempts: the connection pool to upstream servers, and the result that each reply means."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from loadbalancer.thrift.codec import read_exception
 from loadbalancer.thrift.types import ExceptionKind, Message, MessageKind, ProtocolError
 
-# A server that answers so has been asked wrongly: another would say the same, and nothing is wrong with it.
-CALLERS_FAULT = frozenset(
+# Exceptions caused by the call itself: any other server would return the same one, and the server is healthy.
+CALLER_ERRORS = frozenset(
     (
         ExceptionKind.UNKNOWN_METHOD,
         ExceptionKind.INVALID_MESSAGE_TYPE,
@@ -22,6 +22,8 @@
 
 
 class ThriftConnectionPool(ConnectionPool):
+    """Pooled Thrift connections to the servers of one pool."""
+
     def __init__(self, limit: int, server_idle_s: float, connect_timeout_s: float, wire: ThriftWire) -> None:
         super().__init__(limit, server_idle_s, connect_timeout_s)
         self.wire = wire
@@ -33,7 +35,11 @@
         connection.start(message, wait_s, attempt)
 
     def outcome(self, message: Outbound, reply: Message | None) -> tuple[Result, dict[str, float] | None]:
-        """A declared exception of the service is an answer; no reply stands for a oneway call that has run."""
+        """The result of an attempt, and no load report.
+
+        An exception that the service declares is a successful reply. `reply` is None for a oneway call that is
+        assumed to have run.
+        """
         if reply is None or reply.kind is MessageKind.REPLY:
             return Result.OK, None
         try:
@@ -43,4 +49,4 @@
         if kind in self.wire.full_types:
             message.sent -= 1
             return Result.FULL, None
-        return Result.OK if kind in CALLERS_FAULT else Result.ERROR, None
+        return Result.OK if kind in CALLER_ERRORS else Result.ERROR, None
--- a/loadbalancer/thrift/codec.py
+++ b/loadbalancer/thrift/codec.py
@@ -1,4 +1,4 @@
-"""Messages from bytes and bytes from messages: envelopes, frames, exceptions, and one protocol's values in the other.
+"""Encodes and decodes Thrift messages: envelopes, frames and exceptions, and transcoding between the protocols.
 
 Sources: Apache Thrift's "Thrift Remote Procedure Call" (sections "Message", "Framed vs. unframed transport"), "Thrift
 Binary protocol encoding" (section "Message") and "Thrift Compact protocol encoding" (section "Message").
@@ -13,7 +13,7 @@
     BOOL,
     I8,
     I32,
-    MAX_NAME,
+    MAX_NAME_BYTES,
     STOP,
     STRING,
     STRUCT,
@@ -25,7 +25,7 @@
     ProtocolError,
 )
 from loadbalancer.thrift.values import (
-    BITS,
+    INTEGER_BITS,
     BinaryReader,
     BinaryWriter,
     CompactReader,
@@ -33,27 +33,27 @@
     Reader,
     Walker,
     Writer,
-    past_binary,
+    binary_struct_end,
     varint,
 )
 
 _I32 = struct.Struct(">i")
-_HEAD = struct.Struct(">Ii")  # of the strict binary protocol: version and type, the name's length
+_STRICT_HEADER = struct.Struct(">Ii")  # strict binary protocol: version and message type, name length
 
 VERSION_1 = 0x80010000
 COMPACT_ID = 0x82
 COMPACT_VERSION = 1
-HEADER_MAGIC = b"\x0f\xff"  # of THeader, behind the frame's length
-SNIFFED = 6  # bytes by which a connection's transport is told
+HEADER_MAGIC = b"\x0f\xff"  # of THeader, after the frame length
+SNIFF_BYTES = 6  # bytes needed to detect the transport of a connection
 HTTP_METHODS = (b"GET ", b"HEAD", b"POST", b"PUT ", b"OPTI", b"DELE", b"PATC", b"CONN")
 
 
 class HeaderTransportError(ProtocolError):
-    """The caller speaks THeader, which is known by its first bytes and not supported."""
+    """The first bytes announce the THeader transport, which is not supported."""
 
 
 def reader_of(form: Form, data: bytes | bytearray, at: int = 0, end: int | None = None) -> Reader:
-    """A reader of values; `end`: where they end at the latest, if they need not be all there."""
+    """A reader of values. `end` is the largest offset at which they may end, for data that is still incomplete."""
     kind = CompactReader if form.compact else BinaryReader
     return kind(data, at, len(data) if end is None else end)
 
@@ -63,60 +63,60 @@
 
 
 def envelope(form: Form, kind: MessageKind, name: bytes, seqid: int) -> bytes:
-    """All of a message but its body."""
+    """The envelope of a message: everything before its body."""
     if form.compact:
-        head = bytes((COMPACT_ID, COMPACT_VERSION | kind << 5))
-        return head + varint(seqid & 0xFFFFFFFF) + varint(len(name)) + name
+        header = bytes((COMPACT_ID, COMPACT_VERSION | kind << 5))
+        return header + varint(seqid & 0xFFFFFFFF) + varint(len(name)) + name
     if form is Form.OLD_BINARY:
         return _I32.pack(len(name)) + name + bytes((kind,)) + _I32.pack(seqid)
-    return _HEAD.pack(VERSION_1 | kind, len(name)) + name + _I32.pack(seqid)
+    return _STRICT_HEADER.pack(VERSION_1 | kind, len(name)) + name + _I32.pack(seqid)
 
 
 def encode(message: Message, framed: bool) -> bytes:
-    """A message as it goes on a connection."""
-    head = envelope(message.form, message.kind, message.name, message.seqid)
+    """Encode a message for the wire, with a frame length if `framed`."""
+    header = envelope(message.form, message.kind, message.name, message.seqid)
     if framed:
-        return _I32.pack(len(head) + len(message.body)) + head + message.body
-    return head + message.body
+        return _I32.pack(len(header) + len(message.body)) + header + message.body
+    return header + message.body
 
 
 def transcode(body: bytes, source: Form, target: Form) -> bytes:
-    """The same struct in the other protocol; ProtocolError unless it can be told exactly.
+    """Convert a struct to the other protocol; ProtocolError unless the conversion is exact.
 
-    The compact protocol does not state the types of an empty map; in binary they are then STOP.
+    The compact protocol does not encode the types of an empty map; in binary they become STOP.
     """
     if source.compact == target.compact:
         return body
     writer = writer_of(target)
     reader = reader_of(source, body)
-    _whole(reader, Walker(reader, STRUCT, writer))
+    _walk_to_end(reader, Walker(reader, STRUCT, writer))
     return bytes(writer.out)
 
 
 def check(body: bytes, form: Form) -> None:
-    """ProtocolError unless the body is one whole struct and nothing else."""
+    """Raise ProtocolError unless the body is exactly one complete struct."""
     if not form.compact:
-        _ends(past_binary(body), len(body))
+        _check_nothing_follows(binary_struct_end(body), len(body))
         return
     reader = reader_of(form, body)
-    _whole(reader, Walker(reader))
+    _walk_to_end(reader, Walker(reader))
 
 
-def _whole(reader: Reader, walker: Walker) -> None:
+def _walk_to_end(reader: Reader, walker: Walker) -> None:
     try:
         walker.run()
     except IncompleteError as error:
         raise ProtocolError(f"the message ends too early, at byte {reader.at}") from error
-    _ends(reader.at, len(reader.data))
+    _check_nothing_follows(reader.at, len(reader.data))
 
 
-def _ends(at: int, size: int) -> None:
+def _check_nothing_follows(at: int, size: int) -> None:
     if at != size:
         raise ProtocolError(f"{size - at} bytes stand behind the message's body")
 
 
 def application_exception(form: Form, kind: int, text: str) -> bytes:
-    """The body of a `TApplicationException`: its message is field 1, its type is field 2."""
+    """Encode a `TApplicationException`: field 1 is its message, field 2 its type."""
     writer = writer_of(form)
     writer.begin_struct()
     writer.field(STRING, 1)
@@ -128,7 +128,7 @@
 
 
 def read_exception(body: bytes, form: Form) -> tuple[int, str]:
-    """Type and message of a `TApplicationException`; what it does not state is UNKNOWN and empty."""
+    """Type and message of a `TApplicationException`; UNKNOWN and an empty text where a field is missing."""
     text = field_at(body, form, (1,))
     kind = field_at(body, form, (2,))
     return (
@@ -138,40 +138,42 @@
 
 
 def field_at(body: bytes, form: Form, path: tuple[int, ...]) -> bytes | int | bool | None:
-    """A string, a number or a bool at a path of field ids; None where there is no such field, or none of these types.
-    ProtocolError if the body can't be read that far."""
+    """The string, number or bool at a path of field ids; None if there is no such field or it has another type.
+
+    ProtocolError if the body is malformed before that field.
+    """
     reader = reader_of(form, body)
     try:
-        for depth, wanted in enumerate(path):
-            kind = _find(reader, wanted)
+        for depth, field_id in enumerate(path):
+            kind = _seek_field(reader, field_id)
             if depth + 1 < len(path):
                 if kind != STRUCT:
                     return None
             elif kind == I8:
                 return int.from_bytes(reader.value(I8), "big", signed=True)
-            elif kind in (STRING, BOOL) or kind in BITS:
-                found: bytes | int | bool = reader.value(kind)
-                return found
+            elif kind in (STRING, BOOL) or kind in INTEGER_BITS:
+                result: bytes | int | bool = reader.value(kind)
+                return result
     except IncompleteError as error:
         raise ProtocolError("the message ends too early") from error
     return None
 
 
-def _find(reader: Reader, wanted: int) -> int:
-    """The type of the field that has this id, with the reader at its value; STOP if there is none."""
+def _seek_field(reader: Reader, field_id: int) -> int:
+    """Move the reader to the value of the field with this id and return its type; STOP if there is none."""
     last = 0
     while True:
         kind, last = reader.field(last)
-        if kind == STOP or last == wanted:
+        if kind == STOP or last == field_id:
             return kind
         Walker(reader, kind).run()
 
 
 def with_text(body: bytes, form: Form, number: int, text: bytes | None) -> bytes:
-    """The same struct with this string as its field of that id, in place of any that has it; None: without one.
+    """Return the struct with its field `number` replaced by this string, or removed if `text` is None.
 
-    Readers skip fields that they do not know (Apache Thrift's "Thrift Remote Procedure Call", section "Compatibility").
-    ProtocolError if the body is no struct.
+    Servers that don't know the field skip it (Apache Thrift's "Thrift Remote Procedure Call", section "Compatibility").
+    ProtocolError if the body is not a valid struct.
     """
     reader, writer = reader_of(form, body), writer_of(form)
     writer.begin_struct()
@@ -181,10 +183,10 @@
             kind, last = reader.field(last)
             if kind == STOP:
                 break
-            kept = last != number
-            if kept:
+            keep = last != number
+            if keep:
                 writer.field(kind, last)
-            Walker(reader, kind, writer if kept else None).run()
+            Walker(reader, kind, writer if keep else None).run()
     except IncompleteError as error:
         raise ProtocolError("the message ends too early") from error
     if text is not None:
@@ -195,26 +197,26 @@
 
 
 class Decoder:
-    """Bytes in, messages out. What the connection speaks is told by its first bytes and may not change."""
+    """Incremental decoder of one connection. The first bytes determine transport and protocol, which may not change."""
 
     def __init__(self, limit: int) -> None:
-        """`limit`: bytes of a message, its frame's length not counted."""
+        """`limit`: maximum size of a message in bytes, without the frame length."""
         self.limit = limit
-        self.framed: bool | None = None  # None: not told yet
+        self.framed: bool | None = None  # None: not detected yet
         self.form: Form | None = None
         self.failed = False
         self._buffer = bytearray()
-        self._reader: Reader | None = None  # in the body of an unframed message
+        self._reader: Reader | None = None  # of the body of the unframed message in progress
         self._walker: Walker | None = None
-        self._head: tuple[MessageKind, bytes, int] | None = None
+        self._header: tuple[MessageKind, bytes, int] | None = None
 
     @property
     def pending(self) -> int:
-        """Bytes that have come of a message that is not whole."""
+        """Number of buffered bytes of an incomplete message."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[Message | ProtocolError]:
-        """The messages that these bytes complete. A ProtocolError is the last that comes of a connection."""
+        """Yield the messages that these bytes complete. After a ProtocolError nothing more is decoded."""
         if self.failed:
             return
         self._buffer += data
@@ -232,24 +234,24 @@
             yield error
 
     def _sniff(self) -> bool:
-        """Tell the transport; False while too little has come."""
+        """Detect the transport; False while too few bytes have arrived."""
         buffer = self._buffer
         if not buffer:
             return False
         if buffer[0] in (0x80, COMPACT_ID):
             self.framed = False
             return True
-        if len(buffer) < SNIFFED:
+        if len(buffer) < SNIFF_BYTES:
             return False
         first = bytes(buffer[:4])
         if first in HTTP_METHODS:
             raise ProtocolError("this is HTTP, not Thrift")
-        behind = bytes(buffer[4:6])
-        if behind == HEADER_MAGIC:
+        after_length = bytes(buffer[4:6])
+        if after_length == HEADER_MAGIC:
             self.framed = True
             raise HeaderTransportError("THeader is not supported; use framed or unframed binary or compact")
-        # The length of an unframed old message's name is followed by the name, which has no byte of these.
-        self.framed = behind[0] in (0x80, COMPACT_ID, 0x00)
+        # In an unframed message of the old binary protocol these bytes begin the method name, which has none of them.
+        self.framed = after_length[0] in (0x80, COMPACT_ID, 0x00)
         return True
 
     # ---------------------------------------------------------------------- frames
@@ -259,7 +261,7 @@
         if len(buffer) < 4:
             return None
         (size,) = _I32.unpack_from(buffer)
-        # Guard: a frame is refused by what it announces, before any of it is kept.
+        # Guard: a frame over the limit would be buffered until it was complete; its announced size rejects it.
         if not 0 < size <= self.limit:
             raise ProtocolError(f"a frame of {size} bytes is announced, and 1 to {self.limit} are taken")
         if len(buffer) < 4 + size:
@@ -270,7 +272,7 @@
             form, kind, name, seqid, at = self._envelope(payload, size)
         except IncompleteError as error:
             raise ProtocolError("a frame ends within its message's head") from error
-        self._same(form)
+        self._check_form(form)
         return Message(form, kind, name, seqid, payload[at:])
 
     # ------------------------------------------------------------------- unframed
@@ -278,12 +280,12 @@
     def _next_unframed(self) -> Message | None:
         buffer = self._buffer
         try:
-            if self._head is None:
+            if self._header is None:
                 if not buffer:
                     return None
                 form, kind, name, seqid, at = self._envelope(buffer, self.limit)
-                self._same(form)
-                self._head = kind, name, seqid
+                self._check_form(form)
+                self._header = kind, name, seqid
                 reader = reader_of(form, buffer, at, self.limit)
                 self._reader, self._walker = reader, Walker(reader)
                 self._body_at = at
@@ -294,15 +296,15 @@
             if len(buffer) > self.limit:
                 raise ProtocolError(f"a message has more than {self.limit} bytes") from None
             return None
-        kind, name, seqid = self._head
+        kind, name, seqid = self._header
         assert self.form is not None
         end = self._reader.at
         message = Message(self.form, kind, name, seqid, bytes(buffer[self._body_at : end]))
         del buffer[:end]
-        self._head = self._reader = self._walker = None
+        self._header = self._reader = self._walker = None
         return message
 
-    def _same(self, form: Form) -> None:
+    def _check_form(self, form: Form) -> None:
         if self.form is None:
             self.form = form
         elif self.form is not form:
@@ -311,17 +313,19 @@
     # ------------------------------------------------------------------- envelopes
 
     def _envelope(self, data: bytes | bytearray, end: int) -> tuple[Form, MessageKind, bytes, int, int]:
-        """Form, kind, name and sequence id, and where the body begins; IncompleteError where it lacks bytes."""
+        """Form, kind, name, sequence id and offset of the body; IncompleteError if more bytes are needed."""
         if not data:
             raise IncompleteError
         if data[0] == COMPACT_ID:
             return self._compact_envelope(data, end)
         if len(data) < 4:
             raise IncompleteError
-        (word,) = _I32.unpack_from(data)
-        if word < 0:
-            if word & 0xFFFF0000 != VERSION_1:
-                raise ProtocolError(f"version {(word >> 16) & 0xFFFF:#06x} of the binary protocol is unknown")
+        (version_and_kind,) = _I32.unpack_from(data)
+        if version_and_kind < 0:
+            if version_and_kind & 0xFFFF0000 != VERSION_1:
+                raise ProtocolError(
+                    f"version {(version_and_kind >> 16) & 0xFFFF:#06x} of the binary protocol is unknown"
+                )
             at, form = 4, Form.BINARY
         else:
             at, form = 0, Form.OLD_BINARY
@@ -330,7 +334,7 @@
         (size,) = _I32.unpack_from(data, at)
         name, at = self._name(data, at + 4, size)
         if form is Form.BINARY:
-            kind = word & 0xFF
+            kind = version_and_kind & 0xFF
         else:
             if len(data) < at + 1:
                 raise IncompleteError
@@ -338,7 +342,7 @@
         if len(data) < at + 4:
             raise IncompleteError
         (seqid,) = _I32.unpack_from(data, at)
-        return form, _kind(kind), name, seqid, at + 4
+        return form, _message_kind(kind), name, seqid, at + 4
 
     def _compact_envelope(
         self, data: bytes | bytearray, end: int
@@ -351,12 +355,12 @@
         seqid, reader.at = reader.varint(32)
         size, at = reader.varint(32)
         name, at = self._name(data, at, size)
-        return Form.COMPACT, _kind(data[1] >> 5), name, seqid - ((seqid & 0x80000000) << 1), at
+        return Form.COMPACT, _message_kind(data[1] >> 5), name, seqid - ((seqid & 0x80000000) << 1), at
 
     def _name(self, data: bytes | bytearray, at: int, size: int) -> tuple[bytes, int]:
-        if not 0 <= size <= MAX_NAME:
+        if not 0 <= size <= MAX_NAME_BYTES:
             raise ProtocolError(
-                f"a method's name of {size} bytes is announced, and up to {MAX_NAME} are taken"
+                f"a method's name of {size} bytes is announced, and up to {MAX_NAME_BYTES} are taken"
             )
         if len(data) < at + size:
             raise IncompleteError
@@ -368,7 +372,7 @@
         return name, at + size
 
 
-def _kind(number: int) -> MessageKind:
+def _message_kind(number: int) -> MessageKind:
     try:
         return MessageKind(number)
     except ValueError:
--- a/loadbalancer/thrift/server.py
+++ b/loadbalancer/thrift/server.py
@@ -1,7 +1,7 @@
-"""The callers' side of Thrift: reads calls, keeps connections, writes the one reply to each.
+"""The Thrift server: accepts connections of callers, reads calls and writes one reply to each.
 
-The calls of a connection are served one after another and answered in the order in which they came, as Thrift's own
-servers do; what waits behind another has its deadline running from its last byte.
+The calls of a connection are served one after another and answered in order, as Apache Thrift's servers do. The
+deadline of a queued call runs from the arrival of its last byte.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 from loadbalancer.thrift.codec import Decoder, application_exception, encode
 from loadbalancer.thrift.types import ExceptionKind, Form, Message, MessageKind, ProtocolError
 
-PIPELINE = 32  # whole calls that may wait on one connection before no more is read of it
+PIPELINE = 32  # complete calls queued on one connection, at which reading from it pauses
 
 
 @dataclass(slots=True, eq=False)
 class ThriftCall:
-    """One call as it came, and where its reply goes."""
+    """One received call and the connection to reply on."""
 
     connection: ThriftServerConnection
     message: Message
-    arrived: float  # the loop's time of its last byte
-    begun: bool = False
-    over: bool = False
+    arrived: float  # the event loop's time at which its last byte arrived
+    started: bool = False
+    done: bool = False
     on_gone: Callable[[], None] | None = None
 
     @property
@@ -35,38 +35,37 @@
         return self.message.kind is MessageKind.ONEWAY
 
     def reply(self, kind: MessageKind, name: bytes, body: bytes) -> None:
-        """The one reply, with the call's sequence id and in its protocol; nothing is written for a oneway call. A
-        second one is ignored."""
-        if not self.over:
-            self.over = True
+        """Send the reply, under the call's sequence id and in its protocol; a oneway call only ends. Later replies to
+        the same call are ignored."""
+        if not self.done:
+            self.done = True
             self.on_gone = None
-            asked = self.message
-            reply = None if self.oneway else Message(asked.form, kind, name, asked.seqid, body)
+            request = self.message
+            reply = None if self.oneway else Message(request.form, kind, name, request.seqid, body)
             self.connection.answer(self, reply)
 
     def fail(self, kind: int, text: str) -> None:
-        """The one reply, a `TApplicationException`."""
+        """Reply with a `TApplicationException`."""
         body = b"" if self.oneway else application_exception(self.message.form, kind, text)
         self.reply(MessageKind.EXCEPTION, self.message.name, body)
 
 
 class ThriftServerConnection(IncomingConnection):
-    """One caller's connection."""
+    """The connection of one caller."""
 
     def __init__(self, server: ThriftServer) -> None:
         super().__init__(server)
         self._server: ThriftServer = server
         self._decoder = Decoder(server.limits.message)
-        self._calls: deque[ThriftCall] = deque()  # whole calls, the first of them being served
-        self._held = 0  # bytes of their bodies
-        self._fault: tuple[int, str] | None = (
-            None  # what ends this connection, once something was wrong on it
-        )
-        self._gone = False  # the caller is
-        self._stuck = False  # the caller does not read what has been written to it
+        self._calls: deque[ThriftCall] = deque()  # complete calls; the first one is being served
+        self._queued_bytes = 0  # total size of their bodies
+        # Type and text of the error that ends this connection after the queued calls.
+        self._error: tuple[int, str] | None = None
+        self._caller_gone = False  # the caller has closed the connection
+        self._stuck = False  # the caller does not read the replies written to it
         self._reading = True
 
-    # ----------------------------------------------------------------- for the listener
+    # ----------------------------------------------------------------- called by the listener
 
     def close_if_idle(self) -> bool:
         if self._calls or (self._decoder.pending and self.known) or readable(self._transport):
@@ -75,7 +74,7 @@
         return True
 
     def expire(self) -> None:
-        # Guard: a caller that does not read its replies would hold them, and its place, for ever.
+        # Guard: a caller that never reads its replies would occupy memory and a connection slot for ever.
         if self._closing or self._stuck:
             self.abort_if_read()
         elif self._decoder.pending:
@@ -87,30 +86,35 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self._transport.set_write_buffer_limits(high=0)  # a reply that has not been read holds the next call
+        self._transport.set_write_buffer_limits(high=0)  # an unflushed reply blocks the next call
 
     def data_received(self, data: bytes) -> None:
-        if self._closing or self._fault is not None:
+        if self._closing or self._error is not None:
             return
         now = self.arrived()
-        for found in self._decoder.feed(data):
-            if isinstance(found, ProtocolError):
-                self._fault = (ExceptionKind.PROTOCOL_ERROR, str(found))
-            elif found.kind not in (MessageKind.CALL, MessageKind.ONEWAY):
-                self._fault = (ExceptionKind.INVALID_MESSAGE_TYPE, f"a {found.kind.name.lower()} is no call")
+        for message in self._decoder.feed(data):
+            if isinstance(message, ProtocolError):
+                self._error = (ExceptionKind.PROTOCOL_ERROR, str(message))
+            elif message.kind not in (MessageKind.CALL, MessageKind.ONEWAY):
+                self._error = (
+                    ExceptionKind.INVALID_MESSAGE_TYPE,
+                    f"a {message.kind.name.lower()} is no call",
+                )
             else:
-                self._calls.append(ThriftCall(self, found, now))
-                self._held += len(found.body)
+                self._calls.append(ThriftCall(self, message, now))
+                self._queued_bytes += len(message.body)
                 continue
             break
-        if self._reading and (len(self._calls) >= PIPELINE or self._held > self._server.limits.message):
+        if self._reading and (
+            len(self._calls) >= PIPELINE or self._queued_bytes > self._server.limits.message
+        ):
             self._reading = False
             self._transport.pause_reading()
         if self._calls:
             self._server.stage(self, None)
-            self._serve()
-        elif self._fault is not None:
-            self._fail()
+            self._dispatch()
+        elif self._error is not None:
+            self._send_error()
         else:
             self._server.stage(self, self._server.waiting)
 
@@ -120,43 +124,43 @@
     def resume_writing(self) -> None:
         self._stuck = False
         if not self._closing:
-            self._go_on()
+            self._after_reply()
 
     def eof_received(self) -> bool:
-        # Guard: a reply that could not be flushed held back that the caller had gone, and what stood behind it was
-        # sent on.
-        self._leave()
+        # Guard: while a reply can't be flushed, `connection_lost` does not report that the caller is gone, and the
+        # calls queued behind it would still be sent to a server.
+        self._on_caller_gone()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._server.closed(self)
-        self._leave()
+        self._on_caller_gone()
 
-    def _leave(self) -> None:
-        """The caller has gone. After a oneway call it has done its part; what it wanted a reply to need not run."""
-        self._closing = self._gone = True
+    def _on_caller_gone(self) -> None:
+        """Handle that the caller is gone: queued oneway calls still run, calls that expect a reply are dropped."""
+        self._closing = self._caller_gone = True
         self._stuck = False
         self._server.stage(self, self._server.lingering)
         calls, self._calls = self._calls, deque(call for call in self._calls if call.oneway)
         for call in calls:
             if call.oneway:
                 continue
-            call.over = True
+            call.done = True
             if call.on_gone is not None:
                 call.on_gone()
                 call.on_gone = None
-        self._serve()
+        self._dispatch()
 
     # --------------------------------------------------------------------- replies
 
     def answer(self, call: ThriftCall, reply: Message | None) -> None:
-        """The first call is over; its reply goes out and the next one's turn comes."""
+        """Finish the first call: write its reply and continue with the next call."""
         if not self._calls or self._calls[0] is not call:
             return
         self._calls.popleft()
-        self._held -= len(call.message.body)
-        if self._gone:
-            self._server.loop.call_soon(self._serve)
+        self._queued_bytes -= len(call.message.body)
+        if self._caller_gone:
+            self._server.loop.call_soon(self._dispatch)
             return
         self.known = True
         if reply is not None:
@@ -167,41 +171,42 @@
         if self._stuck:
             self._server.stage(self, self._server.waiting)
         else:
-            self._server.loop.call_soon(self._go_on)
+            self._server.loop.call_soon(self._after_reply)
 
-    def _go_on(self) -> None:
-        """What comes after a reply."""
+    def _after_reply(self) -> None:
+        """Continue after a reply: serve the next call, close the connection, or mark it idle."""
         if self._closing or self._stuck:
             return
         if self._calls:
             self._server.stage(self, None)
-            self._serve()
-        elif self._fault is not None:
-            self._fail()
+            self._dispatch()
+        elif self._error is not None:
+            self._send_error()
         elif self._server.stopping or self._server.crowded:
             self._end()
         else:
             waiting = self._decoder.pending or not self.known
             self._server.stage(self, self._server.waiting if waiting else self._server.idle)
 
-    def _serve(self) -> None:
-        """Hand the first call on, unless that has been done."""
-        if not self._calls or self._calls[0].begun or self._stuck:
+    def _dispatch(self) -> None:
+        """Start the first call unless it has been started."""
+        if not self._calls or self._calls[0].started or self._stuck:
             return
-        # Guard: a caller's end is read after its calls, and not at all while enough of them wait; they were sent on.
-        if not self._gone and (self._transport.is_closing() or ended(self._transport)):
+        # Guard: calls of a caller that has gone would be sent to a server, as the end of the stream is read only after
+        # the calls, and not at all while reading is paused.
+        if not self._caller_gone and (self._transport.is_closing() or ended(self._transport)):
             self._end()
-            self._leave()
+            self._on_caller_gone()
             return
         call = self._calls[0]
-        call.begun = True
+        call.started = True
         self._server.on_call(call)
 
-    def _fail(self) -> None:
-        """Tell what can't be read as a call, where it is known how, and end the connection."""
-        assert self._fault is not None
-        kind, text = self._fault
-        self._server.on_fault(text)
+    def _send_error(self) -> None:
+        """Reply with the error, if the transport is known, and close the connection."""
+        assert self._error is not None
+        kind, text = self._error
+        self._server.on_invalid(text)
         decoder = self._decoder
         if decoder.framed is not None:
             form = decoder.form or Form.BINARY
@@ -212,34 +217,34 @@
 
 
 def bad_call(why: str) -> str:
-    """The form of the message that says so."""
+    """The message of the exception that rejects an invalid call."""
     return f"bad call; never ran; {why}"
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What a listener's callers may send, and how long they may take."""
+    """Size limit and timeouts for the callers of a listener."""
 
-    message: int = 1 << 20  # bytes
+    message: int = 1 << 20  # maximum size in bytes
     request_s: float = 2.5
     idle_s: float = 8.0
 
 
 class ThriftServer(Listener):
-    """Listens to callers of Thrift, in any of its protocols."""
+    """Accepts Thrift callers of any supported protocol and transport."""
 
     def __init__(
         self,
         limit: int,
         on_call: Callable[[ThriftCall], None],
         limits: Limits,
-        on_fault: Callable[[str], None] = lambda text: None,
+        on_invalid: Callable[[str], None] = lambda text: None,
         orderly: bool = False,
     ) -> None:
-        """`on_fault` hears of what could not be read as a call."""
+        """`on_invalid` is called with the reason when received bytes are not a valid call."""
         super().__init__(limit, orderly)
         self.on_call = on_call
-        self.on_fault = on_fault
+        self.on_invalid = on_invalid
         self.limits = limits
 
     def connection(self) -> ThriftServerConnection:
--- a/loadbalancer/thrift/types.py
+++ b/loadbalancer/thrift/types.py
@@ -1,7 +1,7 @@
-"""What a Thrift message is made of, whatever its protocol.
+"""Types and constants of Thrift messages that all protocols share.
 
 Sources: Apache Thrift's "Thrift Remote Procedure Call", "Thrift Binary protocol encoding" and "Thrift Compact
-protocol encoding"; type numbers are those of the binary protocol.
+protocol encoding". Type numbers are those of the binary protocol.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 I16 = 6
 I32 = 8
 I64 = 10
-STRING = 11  # and binary: they are the same on the wire
+STRING = 11  # also `binary`, which has the same encoding
 STRUCT = 12
 MAP = 13
 SET = 14
@@ -38,12 +38,12 @@
     UUID: "uuid",
 }
 
-MAX_DEPTH = 64  # structs and containers within one another
-MAX_NAME = 512  # bytes of a method's name
+MAX_DEPTH = 64  # nesting depth of structs and containers
+MAX_NAME_BYTES = 512  # of a method name
 
 
 class Form(Enum):
-    """How a message is written; the two binary ones differ in their envelope only."""
+    """The encoding of a message; the two binary encodings differ in the envelope only."""
 
     BINARY = "binary"
     OLD_BINARY = "old binary"
@@ -64,8 +64,8 @@
 
 
 class ExceptionKind(IntEnum):
-    """Types of a `TApplicationException`. The last two are not in Apache's libraries, which pass them on as numbers;
-    fbthrift names them so."""
+    """Types of a `TApplicationException`. The last two are names of fbthrift; Apache's libraries don't define them and
+    pass them on as numbers."""
 
     UNKNOWN = 0
     UNKNOWN_METHOD = 1
@@ -83,16 +83,16 @@
 
 
 class ProtocolError(ValueError):
-    """Bytes that are no message, or break a limit. The connection that they came on can't be read on."""
+    """The bytes are not a valid message or exceed a limit. Nothing more can be read from their connection."""
 
 
 class IncompleteError(Exception):
-    """More bytes are needed; nothing was taken of the step that lacks them."""
+    """More bytes are needed. The reader has consumed nothing of the incomplete item, so the step can be repeated."""
 
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """One message. `body` is the struct of its arguments, its result or its exception, as it came."""
+    """One message. `body` is the encoded struct of the arguments, the result or the exception, as received."""
 
     form: Form
     kind: MessageKind
--- a/loadbalancer/xds/__init__.py
+++ b/loadbalancer/xds/__init__.py
@@ -1,1 +1,1 @@
-"""Clusters and endpoints in xDS v3 form. Needs the extra `xds`; imported only where a pool's list is of that kind."""
+"""xDS v3 clusters and endpoints. Needs the extra `xds`; imported only if a pool uses an xDS server list."""
--- a/loadbalancer/xds/files.py
+++ b/loadbalancer/xds/files.py
@@ -1,7 +1,7 @@
-"""xDS resources in files: a bootstrap's `static_resources`, or resources as a path config source has them.
+"""Reads xDS resources from files: the `static_resources` of a bootstrap, or the file of a path config source.
 
-Sources: `envoy.config.bootstrap.v3.Bootstrap`; `envoy.config.core.v3.PathConfigSource`, whose files hold a
-`DiscoveryResponse` in JSON or YAML and are moved into place. A file is taken whole or not at all.
+Sources: `envoy.config.bootstrap.v3.Bootstrap`; `envoy.config.core.v3.PathConfigSource`, whose files contain a
+`DiscoveryResponse` in JSON or YAML and are replaced by a rename. A file is accepted completely or rejected.
 """
 
 from __future__ import annotations
@@ -37,21 +37,21 @@
 
 log = logging.getLogger("loadbalancer")
 
-LOOK_S = 0.1  # between two looks at a file: well within the time in which a drain has to be kept
-LARGEST = 64 * 1024 * 1024
+POLL_INTERVAL_S = 0.1  # of a file; well below the time within which a drain must take effect
+MAX_FILE_BYTES = 64 * 1024 * 1024
 
 
 class FileError(ValueError):
-    """A file that can't be taken; each of `mistakes` is (line, place, what is wrong)."""
+    """A file was rejected; each of `mistakes` is (line, place, reason)."""
 
     def __init__(self, path: str, mistakes: list[tuple[int, str, str]]) -> None:
-        super().__init__("; ".join(f"{path}:{line}: {place}: {wrong}" for line, place, wrong in mistakes))
+        super().__init__("; ".join(f"{path}:{line}: {place}: {reason}" for line, place, reason in mistakes))
         self.mistakes = mistakes
 
 
 @dataclass(slots=True, frozen=True)
 class Resources:
-    """What a file holds."""
+    """The contents of a file."""
 
     clusters: dict[str, Cluster]
     assignments: dict[str, Assignment]
@@ -59,17 +59,19 @@
 
 
 def parse(text: str, path: str) -> Resources:
-    """Resources from JSON or YAML; FileError with every mistake of every resource."""
+    """Parse resources from JSON or YAML; FileError with the mistakes of all rejected resources."""
     try:
         data: Any = json.loads(text) if path.endswith(".json") else yaml.load(text, Loader=yaml.CSafeLoader)
     except json.JSONDecodeError as error:
         raise FileError(path, [(error.lineno, "the file", f"is not JSON: {error.msg}")]) from error
     except (yaml.YAMLError, RecursionError, ValueError) as error:
         mark = getattr(error, "problem_mark", None)
-        said = " ".join(str(getattr(error, "problem", None) or error).split())
-        raise FileError(path, [(mark.line + 1 if mark else 1, "the file", f"is not YAML: {said}")]) from error
+        problem = " ".join(str(getattr(error, "problem", None) or error).split())
+        raise FileError(
+            path, [(mark.line + 1 if mark else 1, "the file", f"is not YAML: {problem}")]
+        ) from error
     if not isinstance(data, dict):
-        raise FileError(path, [(1, "the file", "holds no table")])
+        raise FileError(path, [(1, "the file", "is not a mapping")])
     mistakes: list[tuple[int, str, str]] = []
     clusters: dict[str, Cluster] = {}
     assignments: dict[str, Assignment] = {}
@@ -82,16 +84,16 @@
         found, version = [*response.resources], response.version_info
     for at, item in enumerate(found):
         try:
-            resource = _resource(item)
+            resource = _convert(item)
         except ResourceError as error:
             line = _line_of(text, error.resource)
-            mistakes.append((line, f"{error.resource}.{error.place}", error.why))
+            mistakes.append((line, f"{error.resource}.{error.field_path}", error.reason))
             continue
-        held: dict[str, Any] = clusters if isinstance(resource, Cluster) else assignments
+        by_name: dict[str, Any] = clusters if isinstance(resource, Cluster) else assignments
         name = resource.name if isinstance(resource, Cluster) else resource.cluster
-        if name in held:
-            mistakes.append((_line_of(text, name), f"{name} (number {at})", "stands twice"))
-        held[name] = resource
+        if name in by_name:
+            mistakes.append((_line_of(text, name), f"{name} (number {at})", "is defined twice"))
+        by_name[name] = resource
     if mistakes:
         raise FileError(path, mistakes)
     return Resources(clusters, assignments, version)
@@ -104,7 +106,7 @@
         raise FileError(path, [(1, "the file", " ".join(str(error).split()))]) from error
 
 
-def _resource(item: Any) -> Cluster | Assignment:
+def _convert(item: Any) -> Cluster | Assignment:
     if isinstance(item, cluster_pb2.Cluster):
         return read_cluster(item)
     if isinstance(item, endpoint_pb2.ClusterLoadAssignment):
@@ -113,16 +115,16 @@
 
 
 def _line_of(text: str, name: str) -> int:
-    """The first line that names a resource, as the parsers tell no lines of fields."""
+    """The first line that contains the name of a resource, as the parsers don't report the lines of fields."""
     return next((number for number, line in enumerate(text.split("\n"), 1) if name in line), 1)
 
 
 def load(path: str) -> Resources:
-    """Resources of a file; FileError or OSError if it can't be taken."""
+    """Read the resources of a file; FileError or OSError if it is rejected."""
     with open(path, "rb") as file:
-        data = file.read(LARGEST + 1)
-    if len(data) > LARGEST:
-        raise FileError(path, [(1, "the file", f"is larger than {LARGEST} bytes")])
+        data = file.read(MAX_FILE_BYTES + 1)
+    if len(data) > MAX_FILE_BYTES:
+        raise FileError(path, [(1, "the file", f"is larger than {MAX_FILE_BYTES} bytes")])
     try:
         return parse(data.decode(), path)
     except UnicodeDecodeError as error:
@@ -131,8 +133,8 @@
         ) from error
 
 
-def served_of(cluster: Cluster, endpoints: Resources | None) -> Served | None:
-    """A cluster as it is served from files; None while its endpoints have not come."""
+def served_from_files(cluster: Cluster, endpoints: Resources | None) -> Served | None:
+    """The active form of a cluster read from files; None while its endpoints are missing."""
     assignment = cluster.assignment
     if cluster.kind is Kind.EDS:
         assignment = endpoints.assignments.get(cluster.service) if endpoints is not None else None
@@ -143,8 +145,8 @@
 
 
 class FileClient:
-    """Follows a cluster in a file, and its endpoints in the file that it names. What was last taken stays in
-    force while a file is missing, half written or wrong."""
+    """Watches the file of a cluster and the file of its endpoints, if it names one. The last accepted contents stay
+    active while a file is missing, incomplete or invalid."""
 
     def __init__(
         self, path: str, cluster: str, now_ms: Callable[[], float], on_change: Callable[[], None]
@@ -154,17 +156,17 @@
         self.rejected: dict[str, str] = {}
         self._now_ms = now_ms
         self._on_change = on_change
-        self._stamps: dict[str, tuple[int, int, int]] = {}
-        self._taken: dict[str, Resources] = {}
+        self._file_stamps: dict[str, tuple[int, int, int]] = {}
+        self._loaded: dict[str, Resources] = {}
         self._served: Served | None = None
         self._task: asyncio.Task[None] | None = None
 
     @property
     def connected(self) -> bool:
-        return self.path in self._taken
+        return self.path in self._loaded
 
     def start(self) -> None:
-        self._task = asyncio.create_task(self._follow())
+        self._task = asyncio.create_task(self._watch())
 
     def close(self) -> None:
         if self._task is not None:
@@ -178,59 +180,59 @@
             {
                 "type": "file",
                 "name": path,
-                "version": self._taken[path].version if path in self._taken else "",
+                "version": self._loaded[path].version if path in self._loaded else "",
                 "rejected": self.rejected.get(path),
             }
-            for path in sorted({*self._taken, *self.rejected})
+            for path in sorted({*self._loaded, *self.rejected})
         ]
 
-    async def _follow(self) -> None:
+    async def _watch(self) -> None:
         while True:
             try:
-                if self.look():
+                if self.poll():
                     self._on_change()
             except Exception:
-                # Guard: a fault of ours would end the following for good, and no drain be heard any more.
-                log.exception("xds: %s could not be followed", self.path)
-            await asyncio.sleep(LOOK_S)
-
-    def look(self) -> bool:
-        """Read what has been replaced since the last look; whether the cluster has changed by it."""
-        news = self._read(self.path)
-        cluster = self._taken[self.path].clusters.get(self.cluster) if self.path in self._taken else None
+                # Guard: an unexpected exception would end this task for good, and later drains would be missed.
+                log.exception("xds: watching %s failed; continuing", self.path)
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+    def poll(self) -> bool:
+        """Reload the files that were replaced since the last call; returns whether the cluster changed."""
+        changed = self._load_if_changed(self.path)
+        cluster = self._loaded[self.path].clusters.get(self.cluster) if self.path in self._loaded else None
         if cluster is not None and cluster.eds_path is not None:
             path = str(Path(self.path).parent / cluster.eds_path)
-            news = self._read(path) or news
-            endpoints = self._taken.get(path)
+            changed = self._load_if_changed(path) or changed
+            endpoints = self._loaded.get(path)
         else:
-            endpoints = self._taken.get(self.path)
-        if not news:
+            endpoints = self._loaded.get(self.path)
+        if not changed:
             return False
         before = self._served
         if cluster is None:
             self._served = Served(None, (), Levels()) if before is not None else None
         else:
-            # Make before break: a cluster whose endpoints are not there yet goes on with those that it had.
-            self._served = served_of(cluster, endpoints) or before
+            # Make before break: while the new endpoints are missing, the cluster keeps its old ones.
+            self._served = served_from_files(cluster, endpoints) or before
         return self._served != before
 
-    def _read(self, path: str) -> bool:
+    def _load_if_changed(self, path: str) -> bool:
         try:
             found = os.stat(path)
             stamp = (found.st_mtime_ns, found.st_size, found.st_ino)
-            if self._stamps.get(path) == stamp:
+            if self._file_stamps.get(path) == stamp:
                 return False
             resources = load(path)
             after = os.stat(path)
             if (after.st_mtime_ns, after.st_size, after.st_ino) != stamp:
-                return False  # replaced while it was read: the next look takes it
+                return False  # replaced during the read; the next poll loads it
         except (OSError, FileError) as error:
             if self.rejected.get(path) != str(error):
-                log.error("xds: the last good resources stay: %s", error)
+                log.error("xds: file rejected, the last valid resources stay active: %s", error)
             self.rejected[path] = str(error)
             return False
-        self._stamps[path] = stamp
-        self._taken[path] = resources
+        self._file_stamps[path] = stamp
+        self._loaded[path] = resources
         self.rejected.pop(path, None)
         self.last_news_ms = self._now_ms()
         return True
--- a/loadbalancer/xds/stream.py
+++ b/loadbalancer/xds/stream.py
@@ -1,4 +1,4 @@
-"""Ways to a control plane: an aggregated stream, a stream for each type, and polling in REST-JSON.
+"""Transports to a control plane: one aggregated stream, one stream per resource type, and REST-JSON polling.
 
 Source: the xDS protocol's published description, sections "Aggregated Discovery Service", "RPC Services and
 Methods" and "REST-JSON polling subscriptions"; services of `envoy.service`.
@@ -25,22 +25,22 @@
 
 log = logging.getLogger("loadbalancer")
 
-POLL_S = 0.2  # between two polls: a drain has to be kept within 500 ms of being written
-POLL_WAIT_S = 5.0  # for the answer to one
-LARGEST = 64 * 1024 * 1024
-TARGETS = {CLUSTER: "/v3/discovery:clusters", ENDPOINTS: "/v3/discovery:endpoints"}
-TICK_S = 0.5  # between two looks at what waits for its endpoints
-OPTIONS = (
-    # HTTP/2 pings tell a dead peer from a quiet one (gRPC's keepalive guide); control planes allow 30 s as a rule, and
-    # the channel doubles it by itself where one does not.
+POLL_INTERVAL_S = 0.2  # between two polls; a drain must take effect within 500 ms of being written
+POLL_TIMEOUT_S = 5.0  # for the response to one poll
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
+POLL_PATHS = {CLUSTER: "/v3/discovery:clusters", ENDPOINTS: "/v3/discovery:endpoints"}
+TICK_INTERVAL_S = 0.5  # between two checks of the clusters that wait for their endpoints
+CHANNEL_OPTIONS = (
+    # HTTP/2 pings detect a dead peer on a stream without traffic (gRPC's keepalive guide). Control planes usually allow
+    # a ping every 30 s; the channel doubles the interval if one does not.
     ("grpc.keepalive_time_ms", 30_000),
     ("grpc.keepalive_timeout_ms", 5_000),
-    # Guard: an unanswered ping ends a connection by this limit, a minute where it is not set.
+    # Guard: without this option a connection to a dead peer is closed only a minute after the unanswered ping.
     ("grpc.http2.ping_timeout_ms", 5_000),
     ("grpc.keepalive_permit_without_calls", 1),
     ("grpc.http2.max_pings_without_data", 0),
     ("grpc.max_receive_message_length", 64 * 1024 * 1024),
-    # Guard: the channel's own backing off would come on top of ours.
+    # Guard: the channel's default reconnect backoff would add to the backoff of `XdsClient`.
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.max_reconnect_backoff_ms", 1_000),
     ("grpc.use_local_subchannel_pool", 1),
@@ -48,46 +48,46 @@
 
 
 class XdsStream:
-    """Keeps a stream to a control plane open; what it held stays in force while there is none."""
+    """Keeps a stream to a control plane open. Accepted resources stay active while there is none."""
 
     def __init__(
         self, address: str, client: XdsClient, now_ms: Callable[[], float], on_change: Callable[[], None]
     ) -> None:
-        """`on_change` is called when something may have come into force."""
+        """`on_change` is called when an active cluster may have changed."""
         self.address = address
         self.client = client
         self._now_ms = now_ms
         self._on_change = on_change
         self._tasks: list[asyncio.Task[None]] = []
-        self._out: asyncio.Queue[Any] = asyncio.Queue()  # requests that wait for their turn on the stream
+        self._outgoing: asyncio.Queue[Any] = asyncio.Queue()  # requests to be written to the stream
 
     def want(self, names: Iterable[str]) -> None:
-        """Want these clusters from now on, and no others."""
+        """Subscribe to exactly these clusters."""
         self._send(self.client.want(names))
 
     def start(self) -> None:
-        self._tasks = [asyncio.create_task(self._follow()), asyncio.create_task(self._tick())]
+        self._tasks = [asyncio.create_task(self._run()), asyncio.create_task(self._run_ticks())]
 
     def close(self) -> None:
         for task in self._tasks:
             task.cancel()
 
-    async def _follow(self) -> None:
+    async def _run(self) -> None:
         while True:
             try:
-                await self._once()
+                await self._run_stream()
             except (grpc.RpcError, asyncio.InvalidStateError, OSError, json_format.ParseError) as error:
-                log.info("xds: stream to %s is gone: %s", self.address, _said(error))
+                log.info("xds: stream to %s ended: %s", self.address, _describe(error))
             except Exception:
-                # Guard: a fault of ours would end the following for good, and no drain be heard any more.
-                log.exception("xds: the stream to %s has failed", self.address)
+                # Guard: an unexpected exception would end this task for good, and later drains would be missed.
+                log.exception("xds: stream to %s failed with an unexpected error", self.address)
             await asyncio.sleep(self.client.closed())
 
-    async def _once(self) -> None:
-        """One stream, or one for each type, from opening to the first end."""
-        async with grpc.aio.insecure_channel(self.address, options=OPTIONS) as channel:
+    async def _run_stream(self) -> None:
+        """Run one stream, or one per resource type, until the first of them ends."""
+        async with grpc.aio.insecure_channel(self.address, options=CHANNEL_OPTIONS) as channel:
             calls = self._open(channel)
-            self._out = asyncio.Queue()
+            self._outgoing = asyncio.Queue()
             self._send(self.client.opened())
             tasks = [asyncio.create_task(self._read(call)) for call in dict.fromkeys(calls.values())]
             tasks.append(asyncio.create_task(self._write(calls)))
@@ -103,7 +103,7 @@
                 await asyncio.gather(*tasks, return_exceptions=True)
 
     def _open(self, channel: Any) -> dict[str, Any]:
-        """The call of each type."""
+        """Open the streams; returns the gRPC call of each resource type."""
         delta = self.client.delta
         if not self.client.separate:
             stub = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel)
@@ -118,96 +118,98 @@
 
     def _send(self, requests: list[Any]) -> None:
         for request in requests:
-            self._out.put_nowait(request)
+            self._outgoing.put_nowait(request)
 
     async def _write(self, calls: dict[str, Any]) -> None:
-        # One writer: a call takes one request at a time, and they have to leave in the order of their making.
+        # A single task writes: a call accepts one request at a time, and the order of requests must be kept.
         while True:
-            request = await self._out.get()
+            request = await self._outgoing.get()
             await calls[request.type_url].write(request)
 
     async def _read(self, call: Any) -> None:
         while (response := await call.read()) is not grpc.aio.EOF:
             if response is None:
-                # Guard: the library's word for a message that can't be decoded; nothing of it can be rejected by name.
+                # Guard: gRPC returns None for a message that can't be decoded, which would fail later as a response; no
+                # resource can be rejected by name.
                 raise ConnectionError("a response could not be decoded")
             self._send(self.client.received(self._now_ms(), response))
-            self._changed()
+            self._notify()
 
-    def _changed(self) -> None:
+    def _notify(self) -> None:
         try:
             self._on_change()
         except Exception:
-            # Guard: a fault there must not end the stream, by which drains are told.
-            log.exception("xds: an update could not be put in force")
+            # Guard: an exception in the callback would end the stream that delivers drains.
+            log.exception("xds: applying an update failed")
 
-    async def _tick(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
             if self.client.tick(self._now_ms()):
-                self._changed()
+                self._notify()
 
 
 class XdsPolling(XdsStream):
-    """REST-JSON polling: state of the world, one call for each type at a time."""
+    """REST-JSON polling: state of the world, with one request at a time for each resource type."""
 
     def __init__(
         self, address: str, client: XdsClient, now_ms: Callable[[], float], on_change: Callable[[], None]
     ) -> None:
         super().__init__(address, client, now_ms, on_change)
-        self._due: dict[str, Any] = {}  # by type, what the next poll asks
+        self._next_polls: dict[str, Any] = {}  # by type: the request of the next poll
 
     def _send(self, requests: list[Any]) -> None:
         for request in requests:
-            self._due[request.type_url] = request
+            self._next_polls[request.type_url] = request
 
-    async def _once(self) -> None:
+    async def _run_stream(self) -> None:
         host, port = parse_address(self.address)
         loop = asyncio.get_running_loop()
         _, connection = await loop.create_connection(
-            lambda: ClientConnection(lambda _: None, LARGEST), host, port
+            lambda: ClientConnection(lambda _: None, MAX_RESPONSE_BYTES), host, port
         )
         try:
-            self._due = {}
+            self._next_polls = {}
             self._send(self.client.opened())
             while True:
-                for type_url in list(self._due):
-                    request = self._due[type_url]
+                for type_url in list(self._next_polls):
+                    request = self._next_polls[type_url]
                     response = await self._poll(connection, type_url, request)
-                    if response is None or request.resource_names != self._due[type_url].resource_names:
-                        continue  # nothing new, or an answer to what is no longer asked
+                    if (
+                        response is None
+                        or request.resource_names != self._next_polls[type_url].resource_names
+                    ):
+                        continue  # unchanged, or a response to an outdated subscription
                     self._send(self.client.received(self._now_ms(), response))
-                    self._changed()
-                await asyncio.sleep(POLL_S)
+                    self._notify()
+                await asyncio.sleep(POLL_INTERVAL_S)
         finally:
             connection.abort()
 
     async def _poll(self, connection: ClientConnection, type_url: str, request: Any) -> Any:
-        """The response; None where nothing is new (304, or the version that is held)."""
+        """The response to a poll; None if nothing changed (status 304, or the version that was accepted last)."""
         body = json_format.MessageToJson(request, preserving_proto_field_name=True).encode()
-        head = (
-            f"POST {TARGETS[type_url]} HTTP/1.1\r\nHost: {self.address}\r\nContent-Type: application/json\r\n"
-        )
+        header = f"POST {POLL_PATHS[type_url]} HTTP/1.1\r\nHost: {self.address}\r\nContent-Type: application/json\r\n"
         call = Awaited()
-        connection.start(f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body, call)
-        async with asyncio.timeout(POLL_WAIT_S):
-            answer = await call.done
+        connection.start(f"{header}Content-Length: {len(body)}\r\n\r\n".encode() + body, call)
+        async with asyncio.timeout(POLL_TIMEOUT_S):
+            http_response = await call.done
         if not connection.usable:
-            raise ConnectionError("the connection was ended after an answer")
-        if answer.status == 304:
+            raise ConnectionError("the server closed the connection after a response")
+        if http_response.status == 304:
             return None
-        if answer.status != 200:
-            raise ConnectionError(f"answered {answer.status}")
+        if http_response.status != 200:
+            raise ConnectionError(f"the server responded with status {http_response.status}")
         response = json_format.Parse(
-            bytes(answer.body), discovery_pb2.DiscoveryResponse(), ignore_unknown_fields=True
+            bytes(http_response.body), discovery_pb2.DiscoveryResponse(), ignore_unknown_fields=True
         )
         if not response.type_url:
             response.type_url = type_url
-        same = bool(response.version_info) and response.version_info == request.version_info
-        return None if same or response.type_url != type_url else response
+        unchanged = bool(response.version_info) and response.version_info == request.version_info
+        return None if unchanged or response.type_url != type_url else response
 
 
-def _said(error: BaseException) -> str:
+def _describe(error: BaseException) -> str:
     details: Any = getattr(error, "details", None)
     with contextlib.suppress(Exception):
         return " ".join(str(details()).split())
--- a/tests/thrift/test_both_protocols.py
+++ b/tests/thrift/test_both_protocols.py
@@ -1,4 +1,4 @@
-"""What holds of HTTP holds of Thrift: one list of cases for both, and both at once on one pool."""
+"""Behaviour that HTTP and Thrift share: the same cases for each protocol, and both protocols on one pool."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 from loadbalancer.runtime.sidecar import Sidecar
 from loadbalancer.thrift.types import MessageKind
 
-LONG = {"aim_ms": 20000, "give_up_ms": 30000}
+LONG_TIMEOUTS = {"aim_ms": 20000, "give_up_ms": 30000}
 
 
 class Http:
-    """A post over HTTP."""
+    """Sends requests over HTTP."""
 
     box = Box
 
     @staticmethod
-    def data(*around: Any, **more: Any) -> dict[str, Any]:
-        return row(*around, **more)
+    def data(*servers: Any, **more: Any) -> dict[str, Any]:
+        return row(*servers, **more)
 
     @staticmethod
     async def ask(sidecar: Sidecar, name: str) -> str:
@@ -41,13 +41,13 @@
 
 
 class Thrift:
-    """The same over Thrift."""
+    """Sends the same requests over Thrift."""
 
     box = ThriftBox
 
     @staticmethod
-    def data(*around: Any, **more: Any) -> dict[str, Any]:
-        return shape(*around, **more)
+    def data(*servers: Any, **more: Any) -> dict[str, Any]:
+        return shape(*servers, **more)
 
     @staticmethod
     async def ask(sidecar: Sidecar, name: str) -> str:
@@ -59,113 +59,113 @@
             return box_of(reply)
 
 
-SPOKEN = pytest.mark.parametrize("spoken", [Http, Thrift], ids=["http", "thrift"])
+PROTOCOLS = pytest.mark.parametrize("protocol", [Http, Thrift], ids=["http", "thrift"])
 
 
 @contextlib.asynccontextmanager
-async def serving(spoken: Any, count: int, **more: Any) -> AsyncIterator[tuple[Sidecar, list[Any]]]:
-    around = [spoken.box(f"box-{at}") for at in range(count)]
-    async with alongside(around, lambda: spoken.data(*around, **more)) as sidecar:
-        yield sidecar, around
+async def serving(protocol: Any, count: int, **more: Any) -> AsyncIterator[tuple[Sidecar, list[Any]]]:
+    servers = [protocol.box(f"box-{at}") for at in range(count)]
+    async with alongside(servers, lambda: protocol.data(*servers, **more)) as sidecar:
+        yield sidecar, servers
 
 
-@SPOKEN
-def test_a_drained_box_gets_nothing_new_and_finishes_what_it_holds(spoken):
+@PROTOCOLS
+def test_a_drained_server_gets_no_new_requests_and_finishes_those_in_flight(protocol):
     async def main():
-        async with serving(spoken, 3) as (sidecar, around):
-            for box in around:
+        async with serving(protocol, 3) as (sidecar, servers):
+            for box in servers:
                 box.behaviour.work_ms = 5.0
-            heard: list[str] = []
-            over = asyncio.Event()
+            answers: list[str] = []
+            stop = asyncio.Event()
 
             async def client(at: int) -> None:
                 number = 0
-                while not over.is_set():
+                while not stop.is_set():
                     number += 1
-                    heard.append(await spoken.ask(sidecar, f"{at}-{number}"))
+                    answers.append(await protocol.ask(sidecar, f"{at}-{number}"))
 
             clients = [asyncio.create_task(client(at)) for at in range(6)]
-            await until(lambda: all(box.served > 10 for box in around))
-            last = around[-1]
-            await sidecar.reload(configuration(spoken.data(*around[:-1])))
-            # The list is in force: what had left for the box before may still begin.
+            await until(lambda: all(box.served > 10 for box in servers))
+            last = servers[-1]
+            await sidecar.reload(configuration(protocol.data(*servers[:-1])))
+            # The new list is active; requests sent to the server before may still begin there.
             await what_is_open_ends(sidecar)
-            taken, told = last.taken, len(heard)
-            await until(lambda: len(heard) > told + 100)
-            over.set()
+            taken_before, answered_before = last.taken, len(answers)
+            await until(lambda: len(answers) > answered_before + 100)
+            stop.set()
             await asyncio.gather(*clients)
-            assert last.taken == taken
-            assert {times for box in around for times in box.ran.values()} == {1}
-            assert "refused" not in heard
-            assert sum(sum(box.ran.values()) for box in around) == len(heard)
+            assert last.taken == taken_before
+            assert {times for box in servers for times in box.ran.values()} == {1}
+            assert "refused" not in answers
+            assert sum(sum(box.ran.values()) for box in servers) == len(answers)
 
     asyncio.run(main())
 
 
-@SPOKEN
-def test_a_call_that_waits_for_a_connection_to_a_drained_box_goes_elsewhere(spoken):
+@PROTOCOLS
+def test_a_request_waiting_to_connect_to_a_drained_server_goes_to_another(protocol):
     async def main():
-        async with serving(spoken, 1) as (sidecar, around):
-            # A listener whose queue is full: connections to it neither come up nor fail.
-            with socket.socket() as deaf:
-                deaf.bind(("127.0.0.1", 0))
-                deaf.listen(0)
+        async with serving(protocol, 1) as (sidecar, servers):
+            # A listener whose backlog is full: connections to it are neither accepted nor rejected.
+            with socket.socket() as full_listener:
+                full_listener.bind(("127.0.0.1", 0))
+                full_listener.listen(0)
                 fillers = [socket.socket() for _ in range(4)]
                 for filler in fillers:
                     filler.setblocking(False)
-                    filler.connect_ex(deaf.getsockname())
-                where = f"127.0.0.1:{deaf.getsockname()[1]}"
-                data = spoken.data(*around)
+                    filler.connect_ex(full_listener.getsockname())
+                endpoint = f"127.0.0.1:{full_listener.getsockname()[1]}"
+                data = protocol.data(*servers)
                 pool = data["pools"][0]
                 data["pools"] = [pool | {"connect_timeout_ms": 20000}]
                 listed = pool["list"]["servers"]
-                deaf_only = [{"id": "deaf", "address": where}]
-                data["pools"][0]["list"] = {"source": "static", "servers": deaf_only}
+                only_full_listener = [{"id": "deaf", "address": endpoint}]
+                data["pools"][0]["list"] = {"source": "static", "servers": only_full_listener}
                 await sidecar.reload(configuration(data))
-                asking = asyncio.create_task(spoken.ask(sidecar, "p"))
+                request = asyncio.create_task(protocol.ask(sidecar, "p"))
                 await until(lambda: sidecar.managed["boxes"].back.size == 1)
                 data["pools"][0]["list"] = {"source": "static", "servers": listed}
                 await sidecar.reload(configuration(data))
-                assert await asking == "box-0"
+                assert await request == "box-0"
                 for filler in fillers:
                     filler.close()
 
     asyncio.run(main())
 
 
-@SPOKEN
-def test_connections_to_boxes_stay_within_their_share_of_the_descriptors(spoken):
+@PROTOCOLS
+def test_upstream_connections_stay_within_their_share_of_the_descriptors(protocol):
     async def main():
-        async with serving(spoken, 2, limits={"descriptors": 64}) as (sidecar, around):
+        async with serving(protocol, 2, limits={"descriptors": 64}) as (sidecar, servers):
             back = sidecar.managed["boxes"].back
             most = 0
-            for box in around:
+            for box in servers:
                 box.behaviour.work_ms = 20.0
 
             async def client(at: int) -> None:
                 nonlocal most
                 for number in range(4):
                     with contextlib.suppress(ConnectionError):
-                        await spoken.ask(sidecar, f"{at}-{number}")
+                        await protocol.ask(sidecar, f"{at}-{number}")
                     most = max(most, len(back._open))
 
             await asyncio.gather(*(client(at) for at in range(24)))
             assert 0 < most <= back.limit == int((64 - 16) * 0.35)
-            assert {times for box in around for times in box.ran.values()} == {1}
+            assert {times for box in servers for times in box.ran.values()} == {1}
 
     asyncio.run(main())
 
 
-@SPOKEN
-def test_callers_beyond_the_limit_make_room_and_leave_no_connection_behind(spoken):
+@PROTOCOLS
+def test_connections_over_the_limit_replace_idle_ones_and_none_is_leaked(protocol):
     async def main():
-        async with serving(spoken, 1, limits={"descriptors": 64}) as (sidecar, _):
+        async with serving(protocol, 1, limits={"descriptors": 64}) as (sidecar, _):
             server = sidecar.listeners["application"].front.server
             idle = [await asyncio.open_connection(*server.address) for _ in range(60)]
             await until(lambda: len(server.connections) <= server.limit)
             for _, writer in idle[:-10]:
                 writer.close()
-            assert await spoken.ask(sidecar, "p") == "box-0"
+            assert await protocol.ask(sidecar, "p") == "box-0"
             for _, writer in idle:
                 writer.close()
             await until(lambda: not server.connections)
@@ -173,37 +173,37 @@
     asyncio.run(main())
 
 
-@SPOKEN
-def test_a_cold_box_gets_less_than_a_warm_one(spoken):
+@PROTOCOLS
+def test_a_cold_server_gets_fewer_requests_than_a_warm_one(protocol):
     async def main():
         rules = {"cold_from": 0.1, "cold_ms": 3_600_000}
-        async with serving(spoken, 3, rules=rules) as (sidecar, around):
-            for box in around:
+        async with serving(protocol, 3, rules=rules) as (sidecar, servers):
+            for box in servers:
                 box.behaviour.work_ms = 3.0
             pool = sidecar.pools["boxes"]
             now = sidecar.clock.ms()
-            servers = tuple(
-                api.Server(box.name, launched_ms=now if box is around[2] else None) for box in around
+            listed_servers = tuple(
+                api.Server(box.name, launched_ms=now if box is servers[2] else None) for box in servers
             )
-            endpoints = {box.name: parse_address(box.endpoint) for box in around}
-            pool.on_server_list(api.ListForm.FULL, servers, endpoints)
+            endpoints = {box.name: parse_address(box.endpoint) for box in servers}
+            pool.on_server_list(api.ListForm.FULL, listed_servers, endpoints)
 
             async def client(at: int) -> None:
                 for number in range(60):
-                    await spoken.ask(sidecar, f"{at}-{number}")
+                    await protocol.ask(sidecar, f"{at}-{number}")
 
             await asyncio.gather(*(client(at) for at in range(6)))
-            warm = min(sum(box.ran.values()) for box in around[:2])
-            assert sum(around[2].ran.values()) < 0.5 * warm
+            warm = min(sum(box.ran.values()) for box in servers[:2])
+            assert sum(servers[2].ran.values()) < 0.5 * warm
 
     asyncio.run(main())
 
 
-# ----------------------------------------------------------------------------- both at once
+# ----------------------------------------------------------------------------- both protocols on one pool
 
 
 async def pair(name: str) -> tuple[Box, ThriftBox]:
-    """A box that speaks both: its Thrift port is the one after its HTTP port."""
+    """A server with both protocols: its Thrift port is the one after its HTTP port."""
     for _ in range(50):
         http = await Box(name).start()
         try:
@@ -213,9 +213,9 @@
     raise AssertionError("no two ports beside one another are free")
 
 
-def both(*around: Box) -> dict[str, Any]:
+def both(*servers: Box) -> dict[str, Any]:
     return row(
-        *around,
+        *servers,
         listeners=[
             {"name": "application", "address": "127.0.0.1:0"},
             {"name": "thrift", "address": "127.0.0.1:0", "protocol": "thrift"},
@@ -226,13 +226,13 @@
                 "protocol": "both",
                 "list": {
                     "source": "static",
-                    "servers": [{"id": box.name, "address": box.endpoint} for box in around],
+                    "servers": [{"id": box.name, "address": box.endpoint} for box in servers],
                 },
             }
         ],
         classes=[
-            {"name": "balance-read", "pool": "boxes", "effect": "safe", "worth": 12} | LONG,
-            {"name": "journal-post", "pool": "boxes", "effect": "unsafe", "worth": 1} | LONG,
+            {"name": "balance-read", "pool": "boxes", "effect": "safe", "worth": 12} | LONG_TIMEOUTS,
+            {"name": "journal-post", "pool": "boxes", "effect": "unsafe", "worth": 1} | LONG_TIMEOUTS,
         ],
         routes=[
             {"class": "balance-read", "path": "/balance/**"},
@@ -250,13 +250,13 @@
         yield sidecar, pairs
     finally:
         sidecar.close()
-        for one in pairs:
-            for box in one:
+        for pair_of_servers in pairs:
+            for box in pair_of_servers:
                 box.stop()
 
 
-def test_a_thrift_flood_of_low_worth_is_refused_before_a_balance_is():
-    """The same pool, the same load, the same cursor."""
+def test_a_thrift_flood_of_low_worth_is_rejected_before_requests_of_higher_worth():
+    """Both protocols share one pool, its load and its admission threshold."""
 
     async def main():
         async with together(2) as (sidecar, pairs):
@@ -276,7 +276,7 @@
                     answered.cancel()
                 assert said(answered.result())[1].startswith("refused; never ran")
                 assert len(pool.requests) == flood - 1 > 0
-                # What is worth more still comes through, counted beside the flood.
+                # A request of higher worth is still admitted while the flood counts against the same limit.
                 answer = await application(sidecar).ask("GET", "/balance/x")
                 assert answer.status == 200
                 assert sum(http.taken for http, _ in pairs) == 1
@@ -284,7 +284,7 @@
     asyncio.run(main())
 
 
-def test_a_drain_takes_a_box_away_from_both():
+def test_a_drained_server_gets_no_new_requests_of_either_protocol():
     async def main():
         async with together(2) as (sidecar, pairs):
             app = application(sidecar)
@@ -292,14 +292,16 @@
                 for at in range(30):
                     assert (await app.ask("GET", "/balance/x")).status == 200
                     await caller.call("post", posting(f"a{at}"))
-                gone, stays = sorted(pairs, key=lambda one: -sum(box.taken for box in one))
-                await sidecar.reload(configuration(both(stays[0])))
-                before = [box.taken for box in gone]
+                drained, remaining = sorted(
+                    pairs, key=lambda pair_of_servers: -sum(box.taken for box in pair_of_servers)
+                )
+                await sidecar.reload(configuration(both(remaining[0])))
+                before = [box.taken for box in drained]
                 assert sum(before) > 0
                 for at in range(30):
                     answer = await app.ask("GET", "/balance/x")
-                    assert answer.headers[b"x-box"] == stays[0].name.encode()
-                    assert box_of(await caller.call("post", posting(f"b{at}"))) == stays[1].name
-                assert [box.taken for box in gone] == before
+                    assert answer.headers[b"x-box"] == remaining[0].name.encode()
+                    assert box_of(await caller.call("post", posting(f"b{at}"))) == remaining[1].name
+                assert [box.taken for box in drained] == before
 
     asyncio.run(main())
--- a/tests/thrift/test_codec.py
+++ b/tests/thrift/test_codec.py
@@ -1,4 +1,4 @@
-"""The codec against Apache's own bytes, against its limits, and against what is no message at all."""
+"""The codec: agreement with Apache Thrift's library, size and depth limits, and invalid input."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 import tracemalloc
 
 import pytest
+from random_thrift_values import body_of, protocol, random_type, random_value, write
 from thrift.protocol.TBinaryProtocol import TBinaryProtocol
 from thrift.protocol.TCompactProtocol import TCompactProtocol
 from thrift.transport.TTransport import TMemoryBuffer
-from trees import a_type, a_value, body_of, protocol, write
 
 from benchmarks.thrift_fuzz import mutate, play
 from loadbalancer.thrift import codec
 from loadbalancer.thrift import types as t
 from loadbalancer.thrift.codec import Decoder, HeaderTransportError, encode, field_at, transcode
 from loadbalancer.thrift.types import Form, Message, MessageKind, ProtocolError
-from loadbalancer.thrift.values import Walker, past_binary
+from loadbalancer.thrift.values import Walker, binary_struct_end
 
 BINARY, OLD, COMPACT = Form.BINARY, Form.OLD_BINARY, Form.COMPACT
 FORMS = pytest.mark.parametrize("form", list(Form), ids=lambda form: form.value)
@@ -29,21 +29,21 @@
     return Message(form, MessageKind.CALL, name, seqid, body)
 
 
-def told(decoder: Decoder, data: bytes) -> list[Message | ProtocolError]:
+def decode(decoder: Decoder, data: bytes) -> list[Message | ProtocolError]:
     return list(decoder.feed(data))
 
 
-def one_error(data: bytes, limit: int = LIMIT) -> str:
-    (error,) = told(Decoder(limit), data)
+def decode_error(data: bytes, limit: int = LIMIT) -> str:
+    (error,) = decode(Decoder(limit), data)
     assert isinstance(error, ProtocolError)
     return str(error)
 
 
 @pytest.mark.parametrize("kind", sorted(t.TYPE_NAMES), ids=lambda kind: t.TYPE_NAMES[kind])
-def test_every_type_goes_from_one_protocol_into_the_other_as_apache_writes_it(kind):
+def test_transcoding_each_type_gives_the_bytes_of_apaches_library(kind):
     rng = random.Random(kind)
     for _ in range(60):
-        value = [(1, kind, a_value(rng, kind, 3))]
+        value = [(1, kind, random_value(rng, kind, 3))]
         binary, compact = body_of(BINARY, value), body_of(COMPACT, value)
         assert transcode(binary, BINARY, COMPACT) == compact
         assert transcode(compact, COMPACT, BINARY) == binary
@@ -52,10 +52,10 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_structs_of_all_kinds_go_there_and_back(seed):
+def test_transcoding_random_structs_gives_the_bytes_of_apaches_library(seed):
     rng = random.Random(seed)
     for _ in range(25):
-        value = a_value(rng, t.STRUCT, 4)
+        value = random_value(rng, t.STRUCT, 4)
         binary, compact = body_of(BINARY, value), body_of(COMPACT, value)
         assert transcode(binary, BINARY, COMPACT) == compact
         assert transcode(compact, COMPACT, BINARY) == binary
@@ -64,21 +64,21 @@
 @FORMS
 @FRAMED
 @pytest.mark.parametrize("seqid", [0, 1, -1, 2**31 - 1, -(2**31)])
-def test_a_message_comes_back_as_it_went_in_whatever_the_pieces(form, framed, seqid):
+def test_a_message_is_decoded_from_pieces_of_any_size(form, framed, seqid):
     rng = random.Random(3)
-    message = call(form, body_of(form, a_value(rng, t.STRUCT, 3)), b"Ledger:post", seqid)
+    message = call(form, body_of(form, random_value(rng, t.STRUCT, 3)), b"Ledger:post", seqid)
     data = encode(message, framed) * 3
     for step in (1, 2, 7, len(data)):
-        decoder, found = Decoder(LIMIT), []
+        decoder, results = Decoder(LIMIT), []
         for at in range(0, len(data), step):
-            found += told(decoder, data[at : at + step])
-        assert found == [message] * 3
+            results += decode(decoder, data[at : at + step])
+        assert results == [message] * 3
         assert (decoder.framed, decoder.form, decoder.pending) == (framed, form, 0)
 
 
 @pytest.mark.parametrize("kind", list(MessageKind))
 @pytest.mark.parametrize("form", [BINARY, OLD, COMPACT], ids=lambda form: form.value)
-def test_envelopes_are_apaches(form, kind):
+def test_envelopes_equal_those_of_apaches_library(form, kind):
     for seqid in (0, 5, 300, -3):
         out = {
             BINARY: lambda: TBinaryProtocol(TMemoryBuffer(), strictWrite=True),
@@ -97,18 +97,18 @@
         assert field_at(body, form, (1, 9)) == -5
         assert field_at(body, form, (1, 20)) is True
         assert field_at(body, form, (2,)) == b"x"
-        assert field_at(body, form, (1, 2)) is None  # a list has no one value
+        assert field_at(body, form, (1, 2)) is None  # a list is not a scalar
         assert field_at(body, form, (2, 1)) is None
         assert field_at(body, form, (7,)) is None
 
 
 @FORMS
-def test_an_exception_of_ours_is_read_by_its_own_reader(form):
+def test_an_encoded_exception_can_be_read_back(form):
     body = codec.application_exception(form, 11, "refused; never ran")
     assert codec.read_exception(body, form) == (11, "refused; never ran")
 
 
-def test_an_exception_of_ours_is_apaches():
+def test_an_encoded_exception_equals_that_of_apaches_library():
     from thrift.Thrift import TApplicationException
 
     for form in (BINARY, COMPACT):
@@ -124,11 +124,11 @@
     return struct.pack(">i", len(payload)) + payload
 
 
-def head(form: Form) -> bytes:
+def envelope_of(form: Form) -> bytes:
     return codec.envelope(form, MessageKind.CALL, b"m", 1)
 
 
-HARD = {
+INVALID_MESSAGES = {
     "a frame of 2 GB": (b"\x7f\xff\xff\xff" + b"\x80\x01\0\1", "a frame of 2147483647 bytes is announced"),
     "a frame of negative size": (b"\xff\xff\xff\xff\x80\x01", "a frame of -1 bytes is announced"),
     "an empty frame": (b"\0\0\0\0\x80\x01", "a frame of 0 bytes is announced"),
@@ -142,17 +142,17 @@
 }
 
 
-@pytest.mark.parametrize("name", list(HARD))
-def test_what_is_no_message_is_refused_by_one_error(name):
-    data, wrong = HARD[name]
-    assert wrong in one_error(data)
+@pytest.mark.parametrize("name", list(INVALID_MESSAGES))
+def test_an_invalid_message_gives_one_error(name):
+    data, expected_error = INVALID_MESSAGES[name]
+    assert expected_error in decode_error(data)
 
 
 def nested(form: Form, depth: int) -> bytes:
     return (b"\x1c" if form.compact else b"\x0c\0\1") * depth + b"\0" * (depth + 1)
 
 
-BODIES = {
+INVALID_BODIES = {
     "binary: a list of 2**31": (
         BINARY,
         b"\x0f\0\1\x08\x7f\xff\xff\xff\0",
@@ -180,50 +180,55 @@
 }
 
 
-@pytest.mark.parametrize("name", list(BODIES))
-def test_a_body_that_breaks_a_limit_is_refused(name):
-    form, body, wrong = BODIES[name]
-    with pytest.raises(ProtocolError, match=wrong.replace("*", r"\*")):
+@pytest.mark.parametrize("name", list(INVALID_BODIES))
+def test_an_invalid_body_is_rejected(name):
+    form, body, expected_error = INVALID_BODIES[name]
+    with pytest.raises(ProtocolError, match=expected_error.replace("*", r"\*")):
         codec.check(body, form)
     with pytest.raises(ProtocolError):
         transcode(body, form, BINARY if form.compact else COMPACT)
     if "cut" not in name and "behind" not in name:
-        assert wrong in one_error(head(form) + body)  # the same where only the body tells the message's end
+        # An unframed message fails in the same way, as its end is found by parsing the body.
+        assert expected_error in decode_error(envelope_of(form) + body)
 
 
 @pytest.mark.parametrize("form", [BINARY, COMPACT], ids=lambda form: form.value)
-def test_an_empty_map_whose_types_are_unknown_is_one_of_length_none(form):
+def test_an_empty_map_without_types_is_transcoded(form):
     body = b"\x1b\0\0" if form.compact else b"\x0d\0\1\0\0\0\0\0\0\0"
     other = b"\x0d\0\1\0\0\0\0\0\0\0" if form.compact else b"\x1b\0\0"
     assert transcode(body, form, BINARY if form.compact else COMPACT) == other
 
 
-def test_theader_is_known_by_its_first_bytes():
-    (error,) = told(Decoder(LIMIT), b"\0\0\0\x30\x0f\xff\0\0\0\0\0\1")
+def test_theader_is_detected_by_its_first_bytes():
+    (error,) = decode(Decoder(LIMIT), b"\0\0\0\x30\x0f\xff\0\0\0\0\0\1")
     assert isinstance(error, HeaderTransportError)
 
 
 def test_a_connection_may_not_change_its_protocol():
     decoder = Decoder(LIMIT)
-    found = told(decoder, encode(call(BINARY), True) + encode(call(COMPACT), True))
-    assert found[0] == call(BINARY)
-    assert "compact on a connection that is binary" in str(found[1])
-    assert told(decoder, encode(call(BINARY), True)) == []  # nothing is read any more
+    results = decode(decoder, encode(call(BINARY), True) + encode(call(COMPACT), True))
+    assert results[0] == call(BINARY)
+    assert "compact on a connection that is binary" in str(results[1])
+    assert decode(decoder, encode(call(BINARY), True)) == []  # nothing more is decoded
 
 
-def test_an_unframed_message_is_held_to_the_limit_while_it_comes():
-    decoder, data = Decoder(1000), head(BINARY) + b"\x0f\0\1\x0b\0\0\0\x64"
-    assert told(decoder, data) == []
-    found = []
+def test_an_incomplete_unframed_message_stays_within_the_size_limit():
+    decoder, data = Decoder(1000), envelope_of(BINARY) + b"\x0f\0\1\x0b\0\0\0\x64"
+    assert decode(decoder, data) == []
+    results = []
     for _ in range(200):
-        found += told(decoder, b"\0\0\0\2ab")
-    assert "does not fit" in str(found[0]) or "more than 1000 bytes" in str(found[0]) or found[0].name == b"m"
+        results += decode(decoder, b"\0\0\0\2ab")
+    assert (
+        "does not fit" in str(results[0])
+        or "more than 1000 bytes" in str(results[0])
+        or results[0].name == b"m"
+    )
     assert decoder.pending <= 1006
 
 
-def test_a_frame_that_breaks_the_limit_is_refused_before_it_is_kept():
+def test_a_frame_over_the_size_limit_is_rejected_before_it_is_buffered():
     decoder = Decoder(100)
-    assert "a frame of 101 bytes" in str(told(decoder, struct.pack(">i", 101) + b"\x80\x01")[0])
+    assert "a frame of 101 bytes" in str(decode(decoder, struct.pack(">i", 101) + b"\x80\x01")[0])
     assert decoder.pending == 0
 
 
@@ -231,26 +236,26 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_the_two_ways_past_a_binary_body_agree(seed):
-    """On good ones, on mutated ones, and on where each ends."""
+def test_both_ways_to_skip_a_binary_body_agree(seed):
+    """Both accept the same valid and mutated bodies and find the same end."""
     rng = random.Random(seed)
     agreed: set[bool] = set()
     for _ in range(4000):
-        body = body_of(BINARY, a_value(rng, t.STRUCT, 3))
+        body = body_of(BINARY, random_value(rng, t.STRUCT, 3))
         if rng.random() < 0.7:
             body = mutate(rng, body)
-        found: list[int | None] = []
-        for way in (past_binary, walked):
+        results: list[int | None] = []
+        for skip in (binary_struct_end, walked_end):
             try:
-                found.append(way(body))
+                results.append(skip(body))
             except ProtocolError:
-                found.append(None)
-        assert found[0] == found[1], body.hex()
-        agreed.add(found[0] is None)
+                results.append(None)
+        assert results[0] == results[1], body.hex()
+        agreed.add(results[0] is None)
     assert agreed == {True, False}
 
 
-def walked(body: bytes) -> int:
+def walked_end(body: bytes) -> int:
     reader = codec.reader_of(BINARY, body)
     Walker(reader).run()
     return reader.at
@@ -258,21 +263,21 @@
 
 @FRAMED
 @FORMS
-def test_mutated_messages_never_crash_the_codec_nor_outgrow_the_limit(form, framed):
-    """Some thousands of each; in frames, what follows a body that is wrong is still read."""
+def test_mutated_messages_neither_crash_the_codec_nor_exceed_its_memory_limit(form, framed):
+    """Also, a message after a frame with an invalid body is still decoded."""
     rng, limit = random.Random(form.value + str(framed)), 4096
     good = call(form, body_of(form, [(1, t.STRING, b"good")]))
     tracemalloc.start()
     try:
         for _ in range(2500):
-            value = a_value(rng, t.STRUCT, 2)
+            value = random_value(rng, t.STRUCT, 2)
             message = call(form, body_of(form, value)[: limit - 100])
             decoder = Decoder(limit)
             payload = mutate(rng, encode(message, False))[:limit]
             data = frame(payload) + encode(good, True) if framed else payload
-            found = told(decoder, data)
+            results = decode(decoder, data)
             assert decoder.pending <= len(data)
-            for item in found:
+            for item in results:
                 if isinstance(item, Message):
                     for target in (BINARY, COMPACT):
                         try:
@@ -280,16 +285,16 @@
                         except ProtocolError:
                             continue
                         if target.compact != item.form.compact:
-                            # What was told at all was told whole: it comes back the same.
+                            # A conversion that succeeded loses nothing, so the way back gives the same bytes.
                             assert transcode(transcode(out, target, item.form), item.form, target) == out
-            if framed and payload and len(found) > 1:
-                assert found[-1] == good or isinstance(found[-1], ProtocolError)
+            if framed and payload and len(results) > 1:
+                assert results[-1] == good or isinstance(results[-1], ProtocolError)
         assert tracemalloc.get_traced_memory()[1] < 16 * 1024 * 1024
     finally:
         tracemalloc.stop()
 
 
-def test_frames_that_are_mutated_leave_their_connection_in_step():
+def test_a_mutated_frame_does_not_affect_the_following_frames():
     counts = play(5000, seed=3)
     assert not any(name.startswith("BROKEN") for name in counts), counts
     assert counts["taken"] > 1000
@@ -297,20 +302,20 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_noise_is_no_message_or_one_that_can_be_written_again(seed):
+def test_random_bytes_are_rejected_or_decode_to_a_message_that_can_be_encoded_again(seed):
     rng = random.Random(seed)
     for _ in range(5000):
         data = rng.choice((b"", b"\x82\x21", b"\x80\x01\0\1", b"\0\0\0\x20\x80\x01\0\1")) + rng.randbytes(
             rng.randint(0, 60)
         )
-        for item in told(Decoder(LIMIT), data):
+        for item in decode(Decoder(LIMIT), data):
             if isinstance(item, Message):
-                assert told(Decoder(LIMIT), encode(item, True)) == [item]
+                assert decode(Decoder(LIMIT), encode(item, True)) == [item]
 
 
-def test_a_random_type_is_one_that_the_codec_knows():
+def test_random_types_cover_all_types_of_the_codec():
     rng = random.Random(1)
-    assert {a_type(rng, 2) for _ in range(500)} == set(t.TYPE_NAMES)
+    assert {random_type(rng, 2) for _ in range(500)} == set(t.TYPE_NAMES)
     out = protocol(BINARY)
     write(out, t.STRING, b"x")
     assert out.trans.getvalue() == b"\0\0\0\1x"
--- a/tests/thrift/test_thrift_front.py
+++ b/tests/thrift/test_thrift_calls.py
@@ -1,4 +1,4 @@
-"""Calls over Thrift through a sidecar: what callers hear, in which order, and what the boxes ran."""
+"""Thrift calls through a sidecar: the replies to callers, their order, and what the servers ran."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 import pytest
 from beside import configuration
 from loopback import until
+from random_thrift_values import body_of
 from thrifty import CLASSES, Caller, address, box_of, boxes, posting, running, said, shape
-from trees import body_of
 
 from loadbalancer.emulator.thrift import ThriftBehaviour
 from loadbalancer.thrift import types as t
@@ -25,7 +25,9 @@
 @FRAMED
 @pytest.mark.parametrize("box_form", ["binary", "compact"])
 @pytest.mark.parametrize("transport", ["framed", "unframed"])
-def test_calls_are_answered_whatever_caller_and_box_speak(form, framed, box_form, transport):
+def test_calls_are_answered_for_each_protocol_and_transport_of_caller_and_server(
+    form, framed, box_form, transport
+):
     async def main():
         (box,) = boxes(1)
         async with (
@@ -44,7 +46,7 @@
     asyncio.run(main())
 
 
-def test_pipelined_calls_are_answered_in_order_by_their_own_sequence_ids():
+def test_pipelined_calls_are_answered_in_order_with_their_sequence_ids():
     async def main():
         async with (
             running(*boxes(2)) as sidecar,
@@ -62,7 +64,7 @@
     asyncio.run(main())
 
 
-def test_of_more_calls_than_may_wait_on_a_connection_each_is_answered():
+def test_more_calls_than_the_pipeline_limit_are_all_answered():
     async def main():
         async with running(*boxes(1)) as sidecar, Caller(address(sidecar)) as caller:
             for at in range(300):
@@ -77,14 +79,14 @@
 @pytest.mark.parametrize(
     "how", ["die_mid_reply", "die_after", "wrong_seqid", "wrong_name", "wrong_kind", "wrong_body"]
 )
-def test_a_box_that_goes_wrong_after_running_a_call_costs_that_call_alone(how):
-    """A compact caller pipelines; each call has one answer of its own, the one that may have run says so."""
+def test_a_server_failure_after_a_call_ran_fails_only_that_call(how):
+    """Each pipelined call of a compact caller has its own reply; the one that failed is reported as possibly run."""
 
     async def main():
-        around = boxes(1)
-        around[0].behaviour = ThriftBehaviour(**{how: 1})
+        servers = boxes(1)
+        servers[0].behaviour = ThriftBehaviour(**{how: 1})
         async with (
-            running(*around) as sidecar,
+            running(*servers) as sidecar,
             Caller(address(sidecar), Form.COMPACT) as caller,
         ):
             numbers = [caller.send("post", posting(f"p{at}", Form.COMPACT)) for at in range(5)]
@@ -93,48 +95,48 @@
             kind, text = said(replies[0])
             assert (kind, text[:20]) == (6, "failed; may have run")
             assert [box_of(reply) for reply in replies[1:]] == ["box-0"] * 4
-            assert set(around[0].ran.values()) == {1}
+            assert set(servers[0].ran.values()) == {1}
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize("how", ["die_mid_reply", "die_after", "wrong_seqid", "error"])
-def test_a_safe_call_that_went_wrong_is_made_again(how):
+def test_a_failed_safe_call_is_retried(how):
     async def main():
-        around = boxes(2)
-        setattr(around[0].behaviour, how, 1)
-        async with running(*around) as sidecar, Caller(address(sidecar)) as caller:
+        servers = boxes(2)
+        setattr(servers[0].behaviour, how, 1)
+        async with running(*servers) as sidecar, Caller(address(sidecar)) as caller:
             calls = 0
-            while getattr(around[0].behaviour, how):
+            while getattr(servers[0].behaviour, how):
                 reply = await caller.call("balance")
                 assert field_at(reply.body, reply.form, (0,)) == 120450
                 calls += 1
                 assert calls < 200
-            assert sum(box.methods["balance"] for box in around) == calls + 1
+            assert sum(box.methods["balance"] for box in servers) == calls + 1
 
     asyncio.run(main())
 
 
-def test_a_second_reply_is_not_taken_for_the_next_calls():
+def test_a_duplicate_reply_is_not_taken_for_that_of_the_next_call():
     async def main():
-        around = boxes(1)
-        around[0].behaviour.twice = 3
-        async with running(*around) as sidecar, Caller(address(sidecar)) as caller:
+        servers = boxes(1)
+        servers[0].behaviour.twice = 3
+        async with running(*servers) as sidecar, Caller(address(sidecar)) as caller:
             for at in range(12):
                 reply = await caller.call("post", posting(f"p{at}"))
                 assert field_at(reply.body, reply.form, (0, 1)) == f"p{at}".encode()
-            assert set(around[0].ran.values()) == {1}
+            assert set(servers[0].ran.values()) == {1}
 
     asyncio.run(main())
 
 
-def test_a_refusal_after_an_attempt_does_not_say_that_it_never_ran():
+def test_a_rejection_after_an_attempt_reports_that_the_call_may_have_run():
     async def main():
-        around = boxes(1)
-        around[0].behaviour.die_after = 3
-        async with running(*around) as sidecar, Caller(address(sidecar)) as caller:
+        servers = boxes(1)
+        servers[0].behaviour.die_after = 3
+        async with running(*servers) as sidecar, Caller(address(sidecar)) as caller:
             kind, text = said(await caller.call("balance"))
-            assert around[0].methods["balance"] >= 1
+            assert servers[0].methods["balance"] >= 1
             assert "never ran" not in text
             assert "may have run" in text
             assert kind in (6, 11)
@@ -142,11 +144,11 @@
     asyncio.run(main())
 
 
-def test_a_declared_exception_is_an_answer_and_no_failure():
+def test_a_declared_exception_is_a_successful_reply():
     async def main():
-        around = boxes(1)
-        around[0].behaviour.declared = 1
-        async with running(*around) as sidecar, Caller(address(sidecar)) as caller:
+        servers = boxes(1)
+        servers[0].behaviour.declared = 1
+        async with running(*servers) as sidecar, Caller(address(sidecar)) as caller:
             reply = await caller.call("post", posting("p"))
             assert reply.kind is MessageKind.REPLY
             assert field_at(reply.body, reply.form, (1, 1)) == b"the book is closed"
@@ -155,43 +157,43 @@
     asyncio.run(main())
 
 
-def test_a_box_that_turns_calls_away_is_passed_over():
+def test_calls_avoid_a_server_that_rejects_them():
     async def main():
-        around = boxes(3)
-        around[0].behaviour.decline = around[1].behaviour.decline = True
-        async with running(*around) as sidecar, Caller(address(sidecar)) as caller:
+        servers = boxes(3)
+        servers[0].behaviour.decline = servers[1].behaviour.decline = True
+        async with running(*servers) as sidecar, Caller(address(sidecar)) as caller:
             calls = 0
             while not sidecar.pools["boxes"].counts["full"]:
                 assert box_of(await caller.call("post", posting(f"p{calls}"))) == "box-2"
                 calls += 1
                 assert calls < 200
-            assert sum(around[2].ran.values()) == calls
-            assert not around[0].ran
+            assert sum(servers[2].ran.values()) == calls
+            assert not servers[0].ran
 
     asyncio.run(main())
 
 
-def test_all_boxes_that_turn_calls_away_make_a_refusal_that_says_it_never_ran():
+def test_a_call_that_all_servers_reject_is_rejected_as_never_run():
     async def main():
-        around = boxes(2)
-        for box in around:
+        servers = boxes(2)
+        for box in servers:
             box.behaviour.decline = True
-        async with running(*around) as sidecar, Caller(address(sidecar)) as caller:
+        async with running(*servers) as sidecar, Caller(address(sidecar)) as caller:
             reply = await caller.call("post", posting("p"))
             kind, _ = said(reply)
-            # The last word was a box's own: it is passed on.
+            # The last rejection comes from a server and is passed on.
             assert kind == 11
-            assert sum(box.declined for box in around) >= 1
-            assert not any(box.ran for box in around)
+            assert sum(box.declined for box in servers) >= 1
+            assert not any(box.ran for box in servers)
 
     asyncio.run(main())
 
 
-def test_without_a_box_a_call_is_refused_and_may_be_made_again():
+def test_a_call_without_a_server_is_rejected_as_retryable():
     async def main():
-        around = boxes(1)
-        async with running(*around) as sidecar, Caller(address(sidecar)) as caller:
-            around[0].stop()
+        servers = boxes(1)
+        async with running(*servers) as sidecar, Caller(address(sidecar)) as caller:
+            servers[0].stop()
             kind, text = said(await caller.call("post", posting("p")))
             assert kind == 11
             assert text.startswith("refused; never ran; retry-after-ms=")
@@ -199,7 +201,7 @@
     asyncio.run(main())
 
 
-def test_a_call_that_no_answer_came_for_says_that_it_may_have_run():
+def test_a_call_that_times_out_is_reported_as_possibly_run():
     short = {
         "post": {"aim_ms": 100, "give_up_ms": 400, "oneway_ms": 5},
         "read": {"aim_ms": 2, "give_up_ms": 5},
@@ -207,23 +209,23 @@
     classes = [kind | short.get(kind["name"], {}) for kind in CLASSES]
 
     async def main():
-        around = boxes(1)
-        around[0].behaviour.hang = True
-        async with running(*around, classes=classes) as sidecar, Caller(address(sidecar)) as caller:
+        servers = boxes(1)
+        servers[0].behaviour.hang = True
+        async with running(*servers, classes=classes) as sidecar, Caller(address(sidecar)) as caller:
             kind, text = said(await caller.call("post", posting("p")))
             assert (kind, text) == (12, "failed; may have run; no answer in time")
-            # One behind it had its deadline running all the while, and has gone nowhere.
+            # The deadline of a queued call passes while it waits, and the call is not sent.
             caller.send("post", posting("q"))
             caller.send("balance")
             first, second = said(await caller.reply()), said(await caller.reply())
             assert first[0] == 12
             assert (second[0], second[1][:18]) == (11, "refused; never ran")
-            assert not around[0].methods["balance"]
+            assert not servers[0].methods["balance"]
 
     asyncio.run(main())
 
 
-BAD = {
+BAD_CALLS = {
     "no route": ("unknown", b"\0", 1, "bad call; never ran; no route takes unknown"),
     "no key": ("record", b"\0", 7, "bad call; never ran; class move needs its key"),
     "an empty key": ("record", posting(""), 7, "bad call; never ran; class move needs its key"),
@@ -232,17 +234,17 @@
 }
 
 
-@pytest.mark.parametrize("name", list(BAD))
-def test_a_bad_call_is_told_so_and_the_connection_goes_on(name):
-    method, body, kind, text = BAD[name]
+@pytest.mark.parametrize("name", list(BAD_CALLS))
+def test_a_bad_call_is_rejected_and_its_connection_stays_usable(name):
+    method, body, kind, text = BAD_CALLS[name]
 
     async def main():
-        around = boxes(1)
-        async with running(*around) as sidecar, Caller(address(sidecar)) as caller:
+        servers = boxes(1)
+        async with running(*servers) as sidecar, Caller(address(sidecar)) as caller:
             found = said(await caller.call(method, body))
             assert found[0] == kind
             assert found[1].startswith(text)
-            assert not around[0].ran
+            assert not servers[0].ran
             assert box_of(await caller.call("post", posting("after"))) == "box-0"
 
     asyncio.run(main())
@@ -257,16 +259,16 @@
 
 
 @pytest.mark.parametrize("name", list(UNREADABLE))
-def test_what_is_no_call_ends_its_connection_with_one_error(name):
-    data, wrong = UNREADABLE[name]
+def test_unreadable_input_closes_its_connection_after_one_error(name):
+    data, expected_error = UNREADABLE[name]
 
     async def main():
-        around = boxes(1)
-        async with running(*around) as sidecar, Caller(address(sidecar)) as caller:
+        servers = boxes(1)
+        async with running(*servers) as sidecar, Caller(address(sidecar)) as caller:
             caller.writer.write(data)
-            if wrong is not None:
+            if expected_error is not None:
                 _, text = said(await caller.reply())
-                assert wrong in text
+                assert expected_error in text
                 assert text.startswith("bad call; never ran; ")
             assert await caller.ended()
             async with Caller(address(sidecar)) as other:
@@ -275,7 +277,7 @@
     asyncio.run(main())
 
 
-def test_whole_calls_before_what_is_no_call_are_answered():
+def test_complete_calls_before_unreadable_input_are_answered():
     async def main():
         async with running(*boxes(1)) as sidecar, Caller(address(sidecar)) as caller:
             caller.send("post", posting("p1"))
@@ -290,34 +292,34 @@
     asyncio.run(main())
 
 
-def test_a_caller_that_goes_away_with_calls_in_flight_leaves_nothing_behind():
+def test_a_caller_that_disconnects_with_calls_in_flight_leaks_nothing():
     async def main():
-        around = boxes(1)
-        around[0].behaviour.hang = True
-        async with running(*around) as sidecar:
+        servers = boxes(1)
+        servers[0].behaviour.hang = True
+        async with running(*servers) as sidecar:
             pool = sidecar.pools["boxes"]
             async with Caller(address(sidecar)) as caller:
                 for at in range(5):
                     caller.send("post", posting(f"p{at}"))
-                await until(lambda: around[0].ran)
+                await until(lambda: servers[0].ran)
             await until(lambda: not pool.requests and not sidecar.capacity.open)
-            assert around[0].ran == {"p0": 1}  # what waited behind it has never begun
+            assert servers[0].ran == {"p0": 1}  # the queued calls were never sent
             await until(lambda: pool.back.size == 0)
 
     asyncio.run(main())
 
 
-def test_a_drain_told_between_two_pipelined_calls_keeps_the_second_off_the_box():
+def test_a_drain_between_two_pipelined_calls_keeps_the_second_off_the_drained_server():
     async def main():
-        around = boxes(2)
-        async with running(*around) as sidecar, Caller(address(sidecar)) as caller:
-            for box in around:
+        servers = boxes(2)
+        async with running(*servers) as sidecar, Caller(address(sidecar)) as caller:
+            for box in servers:
                 box.behaviour.work_ms = 50.0
             caller.send("post", posting("p0"))
             caller.send("post", posting("p1"))
-            await until(lambda: sum(box.taken for box in around) == 1)
-            first = next(box for box in around if box.taken)
-            other = next(box for box in around if not box.taken)
+            await until(lambda: sum(box.taken for box in servers) == 1)
+            first = next(box for box in servers if box.taken)
+            other = next(box for box in servers if not box.taken)
             data = shape(other)
             await sidecar.reload(configuration(data))
             assert box_of(await caller.reply()) == first.name
@@ -326,32 +328,32 @@
     asyncio.run(main())
 
 
-def test_a_slow_reader_holds_neither_the_boxs_connection_nor_more_than_its_replies():
+def test_a_slow_reader_blocks_no_upstream_connection_and_buffers_few_replies():
     async def main():
-        around = boxes(1)
+        servers = boxes(1)
         text = b"x" * 400_000
         body = body_of(Form.BINARY, [(1, t.STRING, text)])
-        async with running(*around) as sidecar:
+        async with running(*servers) as sidecar:
             reader = Caller(address(sidecar))
             await reader.__aenter__()
             reader.writer.transport.pause_reading()
             for _ in range(40):
                 reader.send("echo", body)
             pool = sidecar.pools["boxes"]
-            # It stops where the caller no longer takes replies, and the box's connection is free.
-            seen = -1
+            # Serving stops once replies are no longer read, and the connection to the server is free again.
+            served = -1
 
             def settled() -> bool:
-                nonlocal seen
-                before, seen = seen, around[0].served
-                return before == seen > 0 and not pool.requests
+                nonlocal served
+                before, served = served, servers[0].served
+                return before == served > 0 and not pool.requests
 
             for _ in range(20):
                 await until(settled)
-            assert around[0].served < 40
+            assert servers[0].served < 40
             async with Caller(address(sidecar)) as other:
                 assert box_of(await other.call("post", posting("p"))) == "box-0"
-            assert len(around[0].connections) <= 2
+            assert len(servers[0].connections) <= 2
             (connection,) = (
                 one for one in sidecar.listeners["application"].front.server.connections if one._stuck
             )
@@ -365,9 +367,9 @@
     asyncio.run(main())
 
 
-def test_a_tenant_is_named_by_a_field_where_it_is_known():
+def test_a_known_tenant_is_read_from_a_field():
     async def main():
-        around = boxes(1)
+        servers = boxes(1)
         more = {
             "tenants": [{"name": "imports", "quota_per_s": 100}, {"name": "hotels", "quota_per_s": 100}],
             "listeners": [
@@ -380,44 +382,44 @@
                 }
             ],
         }
-        async with running(*around, **more) as sidecar, Caller(address(sidecar)) as caller:
+        async with running(*servers, **more) as sidecar, Caller(address(sidecar)) as caller:
             pool = sidecar.pools["boxes"]
-            seen: list[str | None] = []
-            tell = pool.handle
+            tenants: list[str | None] = []
+            original_handle = pool.handle
 
-            def told(event: object) -> None:
+            def record_tenant(event: object) -> None:
                 if hasattr(event, "tenant"):
-                    seen.append(event.tenant)
-                tell(event)
+                    tenants.append(event.tenant)
+                original_handle(event)
 
-            pool.handle = told
+            pool.handle = record_tenant
             for tenant in ("imports", "nobody", ""):
                 await caller.call("post", posting("p" + tenant, tenant=tenant))
-            assert seen == ["imports", "hotels", "hotels"]
+            assert tenants == ["imports", "hotels", "hotels"]
 
     asyncio.run(main())
 
 
-def test_keyed_calls_go_on_with_their_key_and_may_be_made_again():
+def test_keyed_calls_keep_their_key_and_are_retried():
     async def main():
-        around = boxes(2)
-        around[0].behaviour.die_after = 1
-        async with running(*around) as sidecar, Caller(address(sidecar)) as caller:
+        servers = boxes(2)
+        servers[0].behaviour.die_after = 1
+        async with running(*servers) as sidecar, Caller(address(sidecar)) as caller:
             calls = 0
-            while around[0].behaviour.die_after:
+            while servers[0].behaviour.die_after:
                 assert box_of(await caller.call("record", posting(f"k{calls}"))) in ("box-0", "box-1")
                 calls += 1
                 assert calls < 200
-            # The boxes know the key, and drop a repeat.
-            assert sum(sum(box.ran.values()) for box in around) == calls + 1
+            # The servers deduplicate by the key, so a repeat does not run.
+            assert sum(sum(box.ran.values()) for box in servers) == calls + 1
 
     asyncio.run(main())
 
 
-def test_counts_tell_what_callers_heard():
+def test_counts_match_the_replies_to_callers():
     async def main():
-        around = boxes(1)
-        async with running(*around) as sidecar, Caller(address(sidecar)) as caller:
+        servers = boxes(1)
+        async with running(*servers) as sidecar, Caller(address(sidecar)) as caller:
             await caller.call("post", posting("p"))
             await caller.call("unknown")
             counts = sidecar.listeners["application"].front.counts
@@ -426,7 +428,7 @@
     asyncio.run(main())
 
 
-def test_a_second_small_reply_does_not_wait_for_the_first_to_be_acknowledged():
+def test_connections_of_callers_use_tcp_nodelay():
     async def main():
         async with running(*boxes(1)) as sidecar, Caller(address(sidecar)) as caller:
             await caller.call("balance")
--- a/tests/thrift/test_strangers_thrift.py
+++ b/tests/thrift/test_thrift_interoperability.py
@@ -1,4 +1,4 @@
-"""Strangers: Apache's library and thriftpy2 as callers through the sidecar, and as boxes behind it."""
+"""Interoperability: Apache Thrift's library and thriftpy2 as callers of the sidecar and as its upstream servers."""
 
 from __future__ import annotations
 
@@ -66,11 +66,11 @@
 )
 
 
-# ------------------------------------------------------------------ Apache's as a caller
+# ------------------------------------------------------------------ Apache's library as a caller
 
 
 class ApacheCaller:
-    """As its compiler writes a client, for the few methods that are used."""
+    """A client like those that Apache's compiler generates, with the methods that the tests use."""
 
     def __init__(self, protocol: Any) -> None:
         self._protocol = protocol
@@ -78,85 +78,85 @@
 
     def _send(self, name: str, kind: int, write: Callable[[Any], None]) -> None:
         self._seqid += 1
-        out = self._protocol
-        out.writeMessageBegin(name, kind, self._seqid)
-        out.writeStructBegin("args")
-        write(out)
-        out.writeFieldStop()
-        out.writeStructEnd()
-        out.writeMessageEnd()
-        out.trans.flush()
+        output_protocol = self._protocol
+        output_protocol.writeMessageBegin(name, kind, self._seqid)
+        output_protocol.writeStructBegin("args")
+        write(output_protocol)
+        output_protocol.writeFieldStop()
+        output_protocol.writeStructEnd()
+        output_protocol.writeMessageEnd()
+        output_protocol.trans.flush()
 
     def _receive(self, read: Callable[[Any, int, int], Any]) -> Any:
-        found = self._protocol
-        _, kind, seqid = found.readMessageBegin()
+        input_protocol = self._protocol
+        _, kind, seqid = input_protocol.readMessageBegin()
         if kind == TMessageType.EXCEPTION:
             error = TApplicationException()
-            error.read(found)
-            found.readMessageEnd()
+            error.read(input_protocol)
+            input_protocol.readMessageEnd()
             raise error
         assert (kind, seqid) == (TMessageType.REPLY, self._seqid)
         result = None
-        found.readStructBegin()
+        input_protocol.readStructBegin()
         while True:
-            _, of, number = found.readFieldBegin()
-            if of == TType.STOP:
+            _, field_type, number = input_protocol.readFieldBegin()
+            if field_type == TType.STOP:
                 break
-            result = read(found, of, number)
-            found.readFieldEnd()
-        found.readStructEnd()
-        found.readMessageEnd()
+            result = read(input_protocol, field_type, number)
+            input_protocol.readFieldEnd()
+        input_protocol.readStructEnd()
+        input_protocol.readMessageEnd()
         return result
 
     @staticmethod
-    def _posting(out: Any, name: str) -> None:
-        out.writeFieldBegin("posting", TType.STRUCT, 1)
-        out.writeStructBegin("Posting")
-        for number, (of, value) in enumerate(
+    def _posting(output_protocol: Any, name: str) -> None:
+        output_protocol.writeFieldBegin("posting", TType.STRUCT, 1)
+        output_protocol.writeStructBegin("Posting")
+        for number, (field_type, value) in enumerate(
             ((TType.STRING, name), (TType.STRING, "book"), (TType.STRING, ""), (TType.I64, -5)), 1
         ):
-            out.writeFieldBegin("f", of, number)
-            (out.writeString if of == TType.STRING else out.writeI64)(value)
-            out.writeFieldEnd()
-        out.writeFieldStop()
-        out.writeStructEnd()
-        out.writeFieldEnd()
+            output_protocol.writeFieldBegin("f", field_type, number)
+            (output_protocol.writeString if field_type == TType.STRING else output_protocol.writeI64)(value)
+            output_protocol.writeFieldEnd()
+        output_protocol.writeFieldStop()
+        output_protocol.writeStructEnd()
+        output_protocol.writeFieldEnd()
 
     def post(self, name: str) -> tuple[str, ...]:
-        self._send("post", TMessageType.CALL, lambda out: self._posting(out, name))
+        self._send("post", TMessageType.CALL, lambda output_protocol: self._posting(output_protocol, name))
 
-        def read(found: Any, of: int, number: int) -> Any:
-            assert of == TType.STRUCT
-            words = []
-            found.readStructBegin()
+        def read(input_protocol: Any, field_type: int, number: int) -> Any:
+            assert field_type == TType.STRUCT
+            strings = []
+            input_protocol.readStructBegin()
             while True:
-                _, inner, _ = found.readFieldBegin()
+                _, inner, _ = input_protocol.readFieldBegin()
                 if inner == TType.STOP:
                     break
-                words.append(found.readString())
-                found.readFieldEnd()
-            found.readStructEnd()
-            return (*words, number)
+                strings.append(input_protocol.readString())
+                input_protocol.readFieldEnd()
+            input_protocol.readStructEnd()
+            return (*strings, number)
 
         result: tuple[str, ...] = self._receive(read)
         return result
 
     def note(self, name: str) -> None:
-        self._send("note", TMessageType.ONEWAY, lambda out: self._posting(out, name))
+        self._send("note", TMessageType.ONEWAY, lambda output_protocol: self._posting(output_protocol, name))
 
     def balance(self) -> int:
-        def write(out: Any) -> None:
-            out.writeFieldBegin("book", TType.STRING, 1)
-            out.writeString("book")
-            out.writeFieldEnd()
+        def write(output_protocol: Any) -> None:
+            output_protocol.writeFieldBegin("book", TType.STRING, 1)
+            output_protocol.writeString("book")
+            output_protocol.writeFieldEnd()
 
         self._send("balance", TMessageType.CALL, write)
-        result: int = self._receive(lambda found, of, number: found.readI64())
+        result: int = self._receive(lambda input_protocol, field_type, number: input_protocol.readI64())
         return result
 
     def missing(self) -> None:
-        self._send("missing", TMessageType.CALL, lambda out: None)
-        self._receive(lambda found, of, number: None)
+        self._send("missing", TMessageType.CALL, lambda output_protocol: None)
+        self._receive(lambda input_protocol, field_type, number: None)
 
 
 PROTOCOLS = {
@@ -172,9 +172,9 @@
 @pytest.mark.parametrize("transport", list(TRANSPORTS))
 @pytest.mark.parametrize("protocol", list(PROTOCOLS))
 @pytest.mark.parametrize("multiplexed", [False, True], ids=["plain", "multiplexed"])
-def test_apaches_callers_are_served(protocol, transport, multiplexed):
-    def talk(where: tuple[str, int]) -> None:
-        socket = TSocket(*where)
+def test_callers_of_apaches_library_are_served(protocol, transport, multiplexed):
+    def run_caller(server_address: tuple[str, int]) -> None:
+        socket = TSocket(*server_address)
         socket.setTimeout(20_000)
         trans = TRANSPORTS[transport](socket)
         trans.open()
@@ -183,37 +183,37 @@
         assert caller.post("a1") == ("a1", "box-0", 0)
         caller.note("a2")
         assert caller.balance() == 120450
-        assert caller.post("a3")[-1] == 0  # the result's field
+        assert caller.post("a3")[-1] == 0  # the field of the result
         if not multiplexed:
             with pytest.raises(
                 TApplicationException, match="bad call; never ran; no route takes missing"
-            ) as told:
+            ) as error_info:
                 caller.missing()
-            assert told.value.type == TApplicationException.UNKNOWN_METHOD
+            assert error_info.value.type == TApplicationException.UNKNOWN_METHOD
         assert caller.post("a4")[0] == "a4"
         trans.close()
 
     async def main():
-        around = boxes(1)
-        async with running(*around) as sidecar:
-            await asyncio.to_thread(talk, address(sidecar))
-            assert around[0].ran == {"a1": 1, "a2": 1, "a3": 1, "a4": 1}
+        servers = boxes(1)
+        async with running(*servers) as sidecar:
+            await asyncio.to_thread(run_caller, address(sidecar))
+            assert servers[0].ran == {"a1": 1, "a2": 1, "a3": 1, "a4": 1}
 
     asyncio.run(main())
 
 
-def test_apaches_caller_hears_a_declared_exception_as_its_services():
-    def talk(where: tuple[str, int]) -> None:
-        trans = TFramedTransport(TSocket(*where))
+def test_apaches_caller_receives_the_declared_exception_of_its_service():
+    def run_caller(server_address: tuple[str, int]) -> None:
+        trans = TFramedTransport(TSocket(*server_address))
         trans.open()
         assert ApacheCaller(TBinaryProtocol(trans)).post("x") == ("the book is closed", 1)
         trans.close()
 
     async def main():
-        around = boxes(1)
-        around[0].behaviour.declared = 1
-        async with running(*around) as sidecar:
-            await asyncio.to_thread(talk, address(sidecar))
+        servers = boxes(1)
+        servers[0].behaviour.declared = 1
+        async with running(*servers) as sidecar:
+            await asyncio.to_thread(run_caller, address(sidecar))
 
     asyncio.run(main())
 
@@ -231,12 +231,12 @@
 }
 
 
-@pytest.mark.parametrize("way", list(PY))
-def test_thriftpy2s_callers_are_served(way):
-    protocol, transport = PY[way]
+@pytest.mark.parametrize("variant", list(PY))
+def test_callers_of_thriftpy2_are_served(variant):
+    protocol, transport = PY[variant]
 
-    def talk(where: tuple[str, int]) -> None:
-        host, port = where
+    def run_caller(server_address: tuple[str, int]) -> None:
+        host, port = server_address
         client = make_client(
             LEDGER.Ledger, host, port, proto_factory=protocol, trans_factory=transport, timeout=20_000
         )
@@ -244,7 +244,7 @@
         assert (receipt.id, receipt.box) == ("t1", "box-0")
         client.note(LEDGER.Posting(id="t2"))
         assert client.balance("book") == 120450
-        if way != "multiplexed":
+        if variant != "multiplexed":
             assert client.record(LEDGER.Posting(id="t3")).id == "t3"
             with pytest.raises(PyApplicationException, match="class move needs its key"):
                 client.record(LEDGER.Posting())
@@ -253,67 +253,69 @@
         client.close()
 
     async def main():
-        around = boxes(1)
-        async with running(*around) as sidecar:
-            box, usual = around[0], around[0].result
+        servers = boxes(1)
+        async with running(*servers) as sidecar:
+            box, usual = servers[0], servers[0].result
 
             def result(call: Message) -> bytes:
                 closed = field_at(call.body, call.form, (1, 1)) == b"t4"
                 return box.declared(call) if closed else usual(call)
 
             box.result = result  # type: ignore[method-assign]
-            await asyncio.to_thread(talk, address(sidecar))
-            assert set(around[0].ran.values()) == {1}
+            await asyncio.to_thread(run_caller, address(sidecar))
+            assert set(servers[0].ran.values()) == {1}
 
     asyncio.run(main())
 
 
-# --------------------------------------------------------------------- strangers as boxes
+# ------------------------------------------------------------------ both libraries as upstream servers
 
 
 class ApacheProcessor(TProcessor):  # type: ignore[misc]
-    """As its compiler writes one, for `balance`, `post` and `note`."""
+    """A processor like those that Apache's compiler generates, for `balance`, `post` and `note`."""
 
     def __init__(self) -> None:
         self.ran: list[tuple[str, int]] = []
 
-    def process(self, found: Any, out: Any) -> bool:
-        name, kind, seqid = found.readMessageBegin()
-        found.skip(TType.STRUCT)
-        found.readMessageEnd()
+    def process(self, input_protocol: Any, output_protocol: Any) -> bool:
+        name, kind, seqid = input_protocol.readMessageBegin()
+        input_protocol.skip(TType.STRUCT)
+        input_protocol.readMessageEnd()
         self.ran.append((name, kind))
         if kind == TMessageType.ONEWAY:
             return True
         if name not in ("balance", "post"):
-            out.writeMessageBegin(name, TMessageType.EXCEPTION, seqid)
-            TApplicationException(TApplicationException.UNKNOWN_METHOD, "unknown " + name).write(out)
+            output_protocol.writeMessageBegin(name, TMessageType.EXCEPTION, seqid)
+            TApplicationException(TApplicationException.UNKNOWN_METHOD, "unknown " + name).write(
+                output_protocol
+            )
         else:
-            out.writeMessageBegin(name, TMessageType.REPLY, seqid)
-            out.writeStructBegin("result")
-            out.writeFieldBegin("success", TType.I64, 0)
-            out.writeI64(-77)
-            out.writeFieldEnd()
-            out.writeFieldStop()
-            out.writeStructEnd()
-        out.writeMessageEnd()
-        out.trans.flush()
+            output_protocol.writeMessageBegin(name, TMessageType.REPLY, seqid)
+            output_protocol.writeStructBegin("result")
+            output_protocol.writeFieldBegin("success", TType.I64, 0)
+            output_protocol.writeI64(-77)
+            output_protocol.writeFieldEnd()
+            output_protocol.writeFieldStop()
+            output_protocol.writeStructEnd()
+        output_protocol.writeMessageEnd()
+        output_protocol.trans.flush()
         return True
 
 
 class ClosingSocket(TServerSocket):
-    """Ends the server that accepts from it when it has been closed."""
+    """A server socket that ends its accept loop once it has been closed."""
 
     def accept(self) -> Any:
         try:
             return super().accept()
         except (OSError, AttributeError):
-            # Guard: the library's server takes any Exception for a caller's and accepts again, without end: it took
-            # the rest of the suite its core, and wrote until the interpreter's own parser failed beside it.
+            # Guard: the library's server loop logs any Exception and accepts again without end, which occupies a core
+            # and floods the log during the rest of the test run; SystemExit ends its thread.
             raise SystemExit from None
 
 
-class ApacheBox:
-    """Its own threaded server, on a free port, until the end of the test."""
+class ApacheServer:
+    """Apache's threaded server on a free port."""
 
     def __init__(self, form: str, transport: str, multiplexed: bool) -> None:
         self.processor = ApacheProcessor()
@@ -340,7 +342,7 @@
         return f"{host}:{port}"
 
 
-def on_top_of(endpoint: str, form: str, transport: str) -> dict[str, Any]:
+def configuration_with(endpoint: str, form: str, transport: str) -> dict[str, Any]:
     data = shape(thrift={"form": form, "transport": transport})
     data["pools"][0]["list"]["servers"] = [{"id": "stranger", "address": endpoint}]
     return data
@@ -349,12 +351,12 @@
 @pytest.mark.parametrize("form", ["binary", "compact"])
 @pytest.mark.parametrize("transport", ["framed", "unframed"])
 @pytest.mark.parametrize("multiplexed", [False, True], ids=["plain", "multiplexed"])
-def test_our_back_is_served_by_apaches_processor(form, transport, multiplexed):
-    box = ApacheBox(form, transport, multiplexed)
+def test_calls_are_served_by_apaches_processor(form, transport, multiplexed):
+    box = ApacheServer(form, transport, multiplexed)
     prefix = "Ledger:" if multiplexed else ""
 
     async def main():
-        sidecar = Sidecar(configuration(on_top_of(box.endpoint, form, transport)))
+        sidecar = Sidecar(configuration(configuration_with(box.endpoint, form, transport)))
         await sidecar.start()
         async with Caller(address(sidecar), Form.COMPACT) as caller:
             for at in range(5):
@@ -364,7 +366,7 @@
             reply = await caller.call(prefix + "balance", posting("q", Form.COMPACT))
             assert field_at(reply.body, reply.form, (0,)) == -77
             if not multiplexed:
-                assert said(await caller.call("echo"))[0] == 1  # the box's own word
+                assert said(await caller.call("echo"))[0] == 1  # the exception comes from the server itself
         await until(lambda: len(box.processor.ran) >= 7)
         sidecar.close()
 
@@ -375,9 +377,11 @@
     box.socket.close()
 
 
-@pytest.mark.parametrize("way", ["binary framed", "compact framed", "accelerated framed", "binary unframed"])
-def test_our_back_is_served_by_thriftpy2s_processor(way):
-    protocol, transport = PY[way]
+@pytest.mark.parametrize(
+    "variant", ["binary framed", "compact framed", "accelerated framed", "binary unframed"]
+)
+def test_calls_are_served_by_thriftpy2s_processor(variant):
+    protocol, transport = PY[variant]
     ran: list[str] = []
 
     class Handler:
@@ -403,8 +407,10 @@
     threading.Thread(target=server.serve, daemon=True).start()
 
     async def main():
-        form = "compact" if way.startswith("compact") else "binary"
-        data = on_top_of(f"127.0.0.1:{port}", form, "unframed" if way.endswith("unframed") else "framed")
+        form = "compact" if variant.startswith("compact") else "binary"
+        data = configuration_with(
+            f"127.0.0.1:{port}", form, "unframed" if variant.endswith("unframed") else "framed"
+        )
         sidecar = Sidecar(configuration(data))
         await sidecar.start()
         async with Caller(address(sidecar), Form.BINARY) as caller:
--- a/tests/thrift/thrifty.py
+++ b/tests/thrift/thrifty.py
@@ -1,4 +1,4 @@
-"""A sidecar in this process that takes Thrift, beside stand-in boxes, and a caller of our own that pipelines."""
+"""Helpers: a sidecar in the test process with Thrift listeners and emulated servers, and a pipelining caller."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any
 
 from beside import address, alongside, row
-from trees import body_of
+from random_thrift_values import body_of
 
 from loadbalancer.emulator.thrift import ThriftBox
 from loadbalancer.runtime.sidecar import Sidecar
@@ -15,7 +15,7 @@
 from loadbalancer.thrift.codec import Decoder, encode, field_at, read_exception
 from loadbalancer.thrift.types import Form, Message, MessageKind, ProtocolError
 
-__all__ = ["address"]  # for those that import it from here
+__all__ = ["address"]  # re-exported for the tests
 
 LONG = {"aim_ms": 20000, "give_up_ms": 30000}
 CLASSES = [
@@ -34,14 +34,14 @@
 ]
 
 
-def shape(*around: ThriftBox, thrift: dict[str, Any] | None = None, **more: Any) -> dict[str, Any]:
-    """A configuration's plain data, with parts replaced."""
-    servers = [{"id": box.name, "address": box.endpoint} for box in around]
+def shape(*servers: ThriftBox, thrift: dict[str, Any] | None = None, **more: Any) -> dict[str, Any]:
+    """The configuration of a sidecar as plain data; `more` replaces top-level parts."""
+    server_rows = [{"id": box.name, "address": box.endpoint} for box in servers]
     pool = {
         "name": "boxes",
         "protocol": "thrift",
-        "connect_timeout_ms": 20000,  # nothing is given up because this machine is slow
-        "list": {"source": "static", "servers": servers},
+        "connect_timeout_ms": 20000,  # long enough that a slow machine causes no timeout
+        "list": {"source": "static", "servers": server_rows},
     }
     data = row(
         listeners=[{"name": "application", "address": "127.0.0.1:0", "protocol": "thrift"}],
@@ -56,24 +56,24 @@
     return [ThriftBox(f"box-{at}") for at in range(count)]
 
 
-def running(*around: ThriftBox, **more: Any) -> contextlib.AbstractAsyncContextManager[Sidecar]:
-    return alongside(around, lambda: shape(*around, **more))
+def running(*servers: ThriftBox, **more: Any) -> contextlib.AbstractAsyncContextManager[Sidecar]:
+    return alongside(servers, lambda: shape(*servers, **more))
 
 
 def posting(name: str, form: Form = Form.BINARY, tenant: str = "") -> bytes:
-    """The arguments of `post`, `record` and `note`."""
+    """The encoded arguments of `post`, `record` and `note`."""
     inner = [(1, t.STRING, name.encode()), (2, t.STRING, b"book"), (3, t.STRING, tenant.encode())]
     return body_of(form, [(1, t.STRUCT, inner)])
 
 
 class Caller:
-    """One connection; calls go out as they are told to, whatever is still owed."""
+    """A Thrift client with one connection, which can send calls while replies are pending."""
 
     def __init__(self, where: tuple[str, int], form: Form = Form.BINARY, framed: bool = True) -> None:
         self.where, self.form, self.framed = where, form, framed
         self.seqid = 0
         self._decoder = Decoder(16 * 1024 * 1024)
-        self._found: list[Message | ProtocolError] = []
+        self._received: list[Message | ProtocolError] = []
 
     async def __aenter__(self) -> Caller:
         self.reader, self.writer = await asyncio.open_connection(*self.where)
@@ -89,45 +89,45 @@
         kind: MessageKind = MessageKind.CALL,
         seqid: int | None = None,
     ) -> int:
-        """Returns the call's sequence id."""
+        """Send a call without waiting for the reply; returns its sequence id."""
         self.seqid += 1
         number = self.seqid if seqid is None else seqid
         self.writer.write(encode(Message(self.form, kind, name.encode(), number, body), self.framed))
         return number
 
     async def reply(self) -> Message:
-        """The next reply; ConnectionError where the connection ends instead."""
+        """The next reply; ConnectionError if the connection is closed instead."""
         async with asyncio.timeout(20):
-            while not self._found:
+            while not self._received:
                 data = await self.reader.read(65536)
                 if not data:
                     raise ConnectionError("ended")
-                self._found += self._decoder.feed(data)
-        found = self._found.pop(0)
-        assert isinstance(found, Message), found
-        return found
+                self._received += self._decoder.feed(data)
+        message = self._received.pop(0)
+        assert isinstance(message, Message), message
+        return message
 
     async def call(self, name: str, body: bytes = b"\0") -> Message:
         number = self.send(name, body)
-        found = await self.reply()
-        assert found.seqid == number
-        return found
+        message = await self.reply()
+        assert message.seqid == number
+        return message
 
     async def ended(self) -> bool:
-        """Whether the connection ends with nothing more on it."""
+        """Wait for the connection to be closed; whether no further message arrived before."""
         async with asyncio.timeout(20):
-            return not self._found and not await self.reader.read()
+            return not self._received and not await self.reader.read()
 
 
 def said(reply: Message) -> tuple[int, str]:
-    """Type and message of an exception."""
+    """Type and message of a `TApplicationException` reply."""
     assert reply.kind is MessageKind.EXCEPTION
     return read_exception(reply.body, reply.form)
 
 
 def box_of(reply: Message) -> str:
-    """The box that a receipt names."""
+    """The name of the server in a receipt."""
     assert reply.kind is MessageKind.REPLY
-    found = field_at(reply.body, reply.form, (0, 2))
-    assert isinstance(found, bytes)
-    return found.decode()
+    message = field_at(reply.body, reply.form, (0, 2))
+    assert isinstance(message, bytes)
+    return message.decode()
--- a/tests/xds/test_fuzz_streams.py
+++ b/tests/xds/test_fuzz_streams.py
@@ -1,4 +1,4 @@
-"""Byte streams that are wrong below the resources: messages that can't be decoded, frames that are none."""
+"""Corrupted streams: messages that can't be decoded, and invalid HTTP/2 frames."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf.message import DecodeError
 from loopback import until
-from test_stalls import Between
-from test_stream import addresses, following
+from test_stalls import Proxy
+from test_stream import addresses, xds_client
 
 from loadbalancer.emulator.xds import CLUSTER, ENDPOINTS, ControlPlane, cluster, endpoints
 from loadbalancer.xds import protocol
@@ -25,9 +25,9 @@
 
 
 @pytest.fixture(autouse=True)
-def at_once(monkeypatch):
-    monkeypatch.setattr(protocol, "FIRST_WAIT_S", 0.0)
-    # Each record that the test runner keeps would hold a traceback, and so a channel, for good.
+def no_backoff(monkeypatch):
+    monkeypatch.setattr(protocol, "FIRST_BACKOFF_S", 0.0)
+    # Log records that pytest captures keep their tracebacks, and so gRPC channels, alive.
     monkeypatch.setattr(logging.getLogger("grpc._common"), "disabled", True)
 
 
@@ -43,29 +43,29 @@
     ).SerializeToString()
 
 
-def mutated(rng: random.Random, data: bytes) -> bytes:
-    found = bytearray(data)
+def mutate(rng: random.Random, data: bytes) -> bytes:
+    result = bytearray(data)
     for _ in range(rng.randint(1, 4)):
-        at = rng.randrange(len(found) + 1)
+        at = rng.randrange(len(result) + 1)
         match rng.randrange(4):
             case 0:
-                found[at : at + 1] = bytes([rng.randrange(256)])
+                result[at : at + 1] = bytes([rng.randrange(256)])
             case 1:
-                found[at:at] = rng.randbytes(rng.randint(1, 20))
+                result[at:at] = rng.randbytes(rng.randint(1, 20))
             case 2:
-                del found[at : at + rng.randint(1, 20)]
+                del result[at : at + rng.randint(1, 20)]
             case _:
-                found[at:at] = found[: rng.randint(0, len(found))]
-    return bytes(found)
+                result[at:at] = result[: rng.randint(0, len(result))]
+    return bytes(result)
 
 
-def descriptors() -> int:
-    gc.collect()  # the library's closed channels stand in reference cycles, so some wait for the collector
+def open_descriptors() -> int:
+    gc.collect()  # closed gRPC channels are in reference cycles, so the collector has to release some of them
     return len(os.listdir("/proc/self/fd"))
 
 
 def undecodable(data: bytes, delta: bool) -> bool:
-    """Whether the official types can't read it, or not the resource within, so that it says nothing."""
+    """Whether the official types can't decode the response or the resource in it."""
     kind = discovery_pb2.DeltaDiscoveryResponse if delta else discovery_pb2.DiscoveryResponse
     try:
         for item in kind.FromString(data).resources:
@@ -76,29 +76,29 @@
 
 
 @pytest.mark.parametrize("delta", [False, True], ids=["state-of-the-world", "incremental"])
-def test_thousands_of_messages_that_cant_be_decoded_change_nothing_and_leave_nothing_behind(delta):
+def test_undecodable_messages_change_no_routing_and_leak_nothing(delta):
     rng = random.Random(11)
     good = response(ENDPOINTS, delta)
-    wrong: list[bytes] = []
-    while len(wrong) < 3000:
-        candidate = mutated(rng, good)
+    invalid: list[bytes] = []
+    while len(invalid) < 3000:
+        candidate = mutate(rng, good)
         if undecodable(candidate, delta):
-            wrong.append(candidate)
+            invalid.append(candidate)
     sent = 0
 
-    async def answers(requests, context):
+    async def responses(requests, context):
         nonlocal sent
         yield response(CLUSTER, delta)
         yield good
         async for _ in requests:
-            while sent < len(wrong):
+            while sent < len(invalid):
                 sent += 1
-                yield wrong[sent - 1]
+                yield invalid[sent - 1]
 
     async def main():
         server = grpc.aio.server()
         method = "DeltaAggregatedResources" if delta else "StreamAggregatedResources"
-        handler = grpc.stream_stream_rpc_method_handler(answers)  # bytes as they are
+        handler = grpc.stream_stream_rpc_method_handler(responses)  # no serializer: sends raw bytes
         server.add_generic_rpc_handlers(
             (
                 grpc.method_handlers_generic_handler(
@@ -108,36 +108,36 @@
         )
         port = server.add_insecure_port("127.0.0.1:0")
         await server.start()
-        async with following(f"127.0.0.1:{port}", delta) as client:
+        async with xds_client(f"127.0.0.1:{port}", delta) as client:
             await until(lambda: addresses(client) == GOOD)
-            held, tasks = descriptors(), len(asyncio.all_tasks())
+            open_before, tasks = open_descriptors(), len(asyncio.all_tasks())
             async with asyncio.timeout(120):
-                while sent < len(wrong):
+                while sent < len(invalid):
                     await asyncio.sleep(0.005)
                     assert addresses(client) in (GOOD, None)
             await until(lambda: client.connected)
             assert addresses(client) == GOOD
-            await until(lambda: descriptors() <= held + 4)
+            await until(lambda: open_descriptors() <= open_before + 4)
             await until(lambda: len(asyncio.all_tasks()) <= tasks + 4)
         await server.stop(None)
 
     asyncio.run(main())
 
 
-class Corrupting(Between):
-    """Cuts, adds and repeats bytes of what comes from the control plane, as a seed says, and ends the connection
-    after that, as a client may well wait for the rest of a frame that was never sent."""
+class CorruptingProxy(Proxy):
+    """A proxy that removes, adds or repeats bytes from the control plane at random by a seed. It then closes the
+    connection, as the client could otherwise wait for the rest of an incomplete frame."""
 
     def __init__(self, port: int, seed: int) -> None:
         super().__init__(port)
         self.rng = random.Random(seed)
-        self.wrong = 0
+        self.corrupted = 0
 
-    def passed(self, data: bytes) -> bytes:
+    def transform(self, data: bytes) -> bytes:
         if self.rng.random() < 0.5:
             return data
-        self.wrong += 1
-        self.ending = True
+        self.corrupted += 1
+        self.close_after_write = True
         at = self.rng.randrange(len(data))
         match self.rng.randrange(3):
             case 0:
@@ -149,25 +149,25 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_frames_that_are_none_change_no_routing_and_leave_nothing_behind(seed):
+def test_invalid_frames_change_no_routing_and_leak_nothing(seed):
     async def main():
         plane = await ControlPlane().start()
         plane.put(cluster("ledger"), endpoints("ledger", A))
-        between = await Corrupting(plane.port, seed).start()
-        async with following(between.endpoint, True) as client:
-            held, tasks = descriptors(), len(asyncio.all_tasks())
+        proxy = await CorruptingProxy(plane.port, seed).start()
+        async with xds_client(proxy.endpoint, True) as client:
+            open_before, tasks = open_descriptors(), len(asyncio.all_tasks())
             async with asyncio.timeout(120):
-                while between.connections < 60:
+                while proxy.connections < 60:
                     await asyncio.sleep(0.005)
                     assert addresses(client) in (GOOD, None)
                     if client.connected and addresses(client) == GOOD:
-                        plane.put(endpoints("ledger", A))  # the same again: more bytes to be spoilt
-            assert between.wrong > 30
-            between.rng.random = lambda: 0.0  # type: ignore[method-assign] - from here on all goes through
+                        plane.put(endpoints("ledger", A))  # sent again, for more bytes to corrupt
+            assert proxy.corrupted > 30
+            proxy.rng.random = lambda: 0.0  # type: ignore[method-assign] - nothing is corrupted from here on
             await until(lambda: client.connected and addresses(client) == GOOD)
-            await until(lambda: descriptors() <= held + 12)
+            await until(lambda: open_descriptors() <= open_before + 12)
             await until(lambda: len(asyncio.all_tasks()) <= tasks + 12)
-        between.stop()
+        proxy.stop()
         await plane.stop()
 
     asyncio.run(main())
--- a/tests/xds/test_resources.py
+++ b/tests/xds/test_resources.py
@@ -1,4 +1,4 @@
-"""Clusters and endpoints: what is taken, what is noted, and what rejects a resource by name and field."""
+"""Clusters and endpoints: handled fields, ignored fields, and fields that cause a rejection by name and path."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
         ("DEGRADED", ServerState.DEGRADED),
     ],
 )
-def test_each_health_status_is_a_state(status, state):
+def test_each_health_status_maps_to_a_state(status, state):
     more = {"health_status": status} if status else {}
     (entry,) = assignment(group(endpoint(**more))).entries
     assert entry.server.state is state
@@ -83,18 +83,18 @@
     assert (first.server.locality, first.server.locality_weight) == ("tz/arusha/a", 5.0)
 
 
-def test_the_policy_of_endpoints_is_taken():
+def test_the_policy_of_endpoints_is_read():
     drops = [
         {"category": "all", "drop_percentage": {"numerator": 50, "denominator": "HUNDRED"}},
         {"category": "more", "drop_percentage": {"numerator": 2000, "denominator": "TEN_THOUSAND"}},
     ]
     policy = {"drop_overloads": drops, "overprovisioning_factor": 200, "endpoint_stale_after": "1.5s"}
     found = assignment(group(endpoint()), policy=policy)
-    assert found.drop == pytest.approx(1 - 0.5 * 0.8)
+    assert found.drop_share == pytest.approx(1 - 0.5 * 0.8)
     assert (found.overprovisioning, found.stale_after_ms) == (2.0, 1500.0)
 
 
-def test_named_endpoints_are_followed():
+def test_named_endpoints_are_resolved():
     named = {"box": endpoint(7009)["endpoint"]}
     found = assignment(group({"endpoint_name": "box", "health_status": "DRAINING"}), named_endpoints=named)
     assert (found.entries[0].endpoint, found.entries[0].server.state) == (
@@ -103,7 +103,7 @@
     )
 
 
-def test_a_cluster_is_taken_with_what_it_states():
+def test_the_fields_of_a_cluster_are_read():
     found = cluster(
         connect_timeout="0.250s",
         lb_policy="LEAST_REQUEST",
@@ -118,34 +118,34 @@
         alt_stat_name="ledger_stats",
     )
     assert (found.kind, found.service, found.eds_path) == (Kind.EDS, "other", "/x.yaml")
-    assert (found.connect_timeout_ms, found.panic, found.by_locality, found.warm_up_ms) == (
+    assert (found.connect_timeout_ms, found.panic_threshold, found.weigh_localities, found.warm_up_ms) == (
         250.0,
         0.2,
         True,
         20000.0,
     )
     assert (found.thresholds.max_connections, found.thresholds.max_requests) == (40, 90)
-    noted = " ".join(found.notes)
-    for word in ("outlier_detection", "alt_stat_name", "max_retries", "lb_policy"):
-        assert word in noted
+    notes = " ".join(found.notes)
+    for field_name in ("outlier_detection", "alt_stat_name", "max_retries", "lb_policy"):
+        assert field_name in notes
 
 
-def test_localities_are_weighed_only_where_the_cluster_says_so():
+def test_localities_are_weighted_only_if_the_cluster_enables_it():
     found = assignment(group(endpoint(), load_balancing_weight=5))
     plain, levels = membership(cluster(), found)
     assert plain[0].server.locality_weight is None
     assert levels == Levels()
-    weighed, _ = membership(cluster(common_lb_config={"locality_weighted_lb_config": {}}), found)
-    assert weighed[0].server.locality_weight == 5.0
+    weighted, _ = membership(cluster(common_lb_config={"locality_weighted_lb_config": {}}), found)
+    assert weighted[0].server.locality_weight == 5.0
 
 
 SOCKET = {"address": "127.0.0.1", "port_value": 7001}
-SOCKET_AT = "endpoints[0].lb_endpoints[0].endpoint.address.socket_address"
-OVER = {"category": "a", "drop_percentage": {"numerator": 101}}
+SOCKET_PATH = "endpoints[0].lb_endpoints[0].endpoint.address.socket_address"
+OVER_100_PERCENT = {"category": "a", "drop_percentage": {"numerator": 101}}
 
 
 @pytest.mark.parametrize(
-    ("change", "place"),
+    ("change", "field_path"),
     [
         ({"name": ""}, "name"),
         ({"type": "STRICT_DNS"}, "type"),
@@ -175,18 +175,18 @@
         ({"cluster_type": {"name": "x"}, "type": None}, "cluster_type"),
     ],
 )
-def test_a_cluster_that_cant_be_taken_is_rejected_by_name_and_field(change, place):
+def test_an_unsupported_cluster_is_rejected_by_name_and_field(change, field_path):
     with pytest.raises(ResourceError) as caught:
         cluster(**change)
-    assert caught.value.place == place
+    assert caught.value.field_path == field_path
     assert caught.value.resource in ("ledger", "(unnamed cluster)")
 
 
 @pytest.mark.parametrize(
-    ("groups", "more", "place"),
+    ("groups", "more", "field_path"),
     [
-        ([group(endpoint(0))], {}, f"{SOCKET_AT}.port_value"),
-        ([group(endpoint(1, "box.example"))], {}, f"{SOCKET_AT}.address"),
+        ([group(endpoint(0))], {}, f"{SOCKET_PATH}.port_value"),
+        ([group(endpoint(1, "box.example"))], {}, f"{SOCKET_PATH}.address"),
         (
             [group({"endpoint": {"address": {"socket_address": SOCKET | {"protocol": "UDP"}}}})],
             {},
@@ -205,17 +205,17 @@
         ([group(leds_cluster_locality_config={})], {}, "endpoints[0].leds_cluster_locality_config"),
         ([], {"policy": {"overprovisioning_factor": 0}}, "policy.overprovisioning_factor"),
         ([], {"policy": {"weighted_priority_health": True}}, "policy.weighted_priority_health"),
-        ([], {"policy": {"drop_overloads": [OVER]}}, "policy.drop_overloads[0]"),
+        ([], {"policy": {"drop_overloads": [OVER_100_PERCENT]}}, "policy.drop_overloads[0]"),
         ([], {"cluster_name": ""}, "cluster_name"),
     ],
 )  # fmt: skip
-def test_endpoints_that_cant_be_taken_are_rejected_by_name_and_place(groups, more, place):
+def test_invalid_endpoints_are_rejected_by_the_path_of_the_field(groups, more, field_path):
     with pytest.raises(ResourceError) as caught:
         assignment(*groups, **more)
-    assert caught.value.place == place
+    assert caught.value.field_path == field_path
 
 
-def test_a_static_cluster_has_its_endpoints_with_it():
+def test_a_static_cluster_contains_its_endpoints():
     found = cluster(
         type="STATIC", eds_cluster_config=None, load_assignment={"endpoints": [group(endpoint(7005))]}
     )
@@ -224,7 +224,7 @@
     assert found.assignment.entries[0].endpoint == ("127.0.0.1", 7005)
 
 
-def test_a_type_that_is_neither_is_rejected():
+def test_a_resource_of_another_type_is_rejected():
     with pytest.raises(ResourceError, match="not a cluster or endpoints"):
         from_any(any_pb2.Any(type_url="type.googleapis.com/envoy.config.listener.v3.Listener"))
 
--- a/tests/xds/test_stream.py
+++ b/tests/xds/test_stream.py
@@ -1,4 +1,4 @@
-"""Streams over gRPC, between our client and a server of the official classes, and the official stubs and our server."""
+"""gRPC streams: the client against the emulated control plane and against a server built on the official classes."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 @pytest.fixture(autouse=True)
-def soon(monkeypatch):
-    monkeypatch.setattr(protocol, "FIRST_WAIT_S", 0.02)
+def short_backoff(monkeypatch):
+    monkeypatch.setattr(protocol, "FIRST_BACKOFF_S", 0.02)
 
 
 @contextlib.asynccontextmanager
-async def following(address: str, delta: bool, *names: str) -> AsyncIterator[XdsClient]:
+async def xds_client(address: str, delta: bool, *names: str) -> AsyncIterator[XdsClient]:
     client = XdsClient("n0", names or ("ledger",), delta)
     stream = XdsStream(address, client, lambda: time.time() * 1000.0, lambda: None)
     stream.start()
@@ -44,11 +44,11 @@
 
 
 @BOTH
-def test_updates_come_into_force_as_they_are_told(delta):
+def test_updates_are_applied_as_they_arrive(delta):
     async def main():
         plane = await ControlPlane().start()
         plane.put(cluster("ledger"), endpoints("ledger", A))
-        async with following(plane.endpoint, delta) as client:
+        async with xds_client(plane.endpoint, delta) as client:
             await until(lambda: addresses(client) == ["127.0.0.1:7001"])
             plane.put(endpoints("ledger", A, B))
             await until(lambda: len(addresses(client) or ()) == 2)
@@ -63,11 +63,11 @@
 
 
 @BOTH
-def test_a_bad_resource_is_rejected_to_the_server_and_the_last_good_one_stays(delta):
+def test_a_bad_resource_is_rejected_and_the_last_valid_one_stays_active(delta):
     async def main():
         plane = await ControlPlane().start()
         plane.put(cluster("ledger"), endpoints("ledger", A))
-        async with following(plane.endpoint, delta) as client:
+        async with xds_client(plane.endpoint, delta) as client:
             await until(lambda: addresses(client))
             plane.put(cluster("ledger", type="STRICT_DNS", eds_cluster_config={}))
             await until(plane.errors)
@@ -79,39 +79,39 @@
 
 
 @BOTH
-def test_a_dropped_stream_and_a_restart_that_forgets_its_versions_leave_the_last_state_in_force(delta):
+def test_the_last_state_stays_active_while_the_control_plane_is_away_or_restarts_with_new_versions(delta):
     async def main():
         plane = await ControlPlane().start()
         plane.put(cluster("ledger"), endpoints("ledger", A))
-        async with following(plane.endpoint, delta) as client:
+        async with xds_client(plane.endpoint, delta) as client:
             await until(lambda: addresses(client))
             plane.drop_streams()
-            await until(lambda: len({asked.stream for asked in plane.asked}) == 2)
+            await until(lambda: len({entry.stream for entry in plane.asked}) == 2)
             assert addresses(client) == ["127.0.0.1:7001"]
             port = plane.port
             await plane.stop()
             await until(lambda: not client.connected)
             assert addresses(client) == ["127.0.0.1:7001"]
-            again = await ControlPlane().start(port)
-            again.put(cluster("ledger"), endpoints("ledger", B))
-            again.forget()
+            restarted = await ControlPlane().start(port)
+            restarted.put(cluster("ledger"), endpoints("ledger", B))
+            restarted.forget()
             await until(lambda: addresses(client) == ["127.0.0.1:7002"])
-            await again.stop()
+            await restarted.stop()
 
     asyncio.run(main())
 
 
 @BOTH
-def test_a_stream_that_stalls_between_clusters_and_endpoints_keeps_what_was_served(delta):
+def test_the_old_endpoints_stay_active_while_those_of_a_new_cluster_version_are_missing(delta):
     async def main():
         plane = await ControlPlane().start()
         plane.put(cluster("ledger"), endpoints("ledger", A))
-        async with following(plane.endpoint, delta) as client:
+        async with xds_client(plane.endpoint, delta) as client:
             await until(lambda: addresses(client))
             plane.silent.add(ENDPOINTS)
             moved = cluster("ledger", eds_cluster_config={"service_name": "new", "eds_config": {"ads": {}}})
             plane.put(moved, endpoints("new", B))
-            await until(lambda: any("new" in str(asked.request) for asked in plane.asked))
+            await until(lambda: any("new" in str(entry.request) for entry in plane.asked))
             assert addresses(client) == ["127.0.0.1:7001"]
             plane.silent.clear()
             plane.tell()
@@ -122,20 +122,20 @@
 
 
 @BOTH
-def test_nonsense_changes_nothing_and_leaves_no_task_behind(delta):
+def test_undecodable_resources_change_nothing_and_leak_no_task(delta):
     async def main():
         plane = await ControlPlane().start()
         plane.put(cluster("ledger"), endpoints("ledger", A))
-        kind = discovery_pb2.DeltaDiscoveryResponse if delta else discovery_pb2.DiscoveryResponse
-        async with following(plane.endpoint, delta) as client:
+        response_type = discovery_pb2.DeltaDiscoveryResponse if delta else discovery_pb2.DiscoveryResponse
+        async with xds_client(plane.endpoint, delta) as client:
             await until(lambda: addresses(client))
             tasks = len(asyncio.all_tasks())
             for at in range(50):
-                junk = any_pb2.Any(
+                invalid = any_pb2.Any(
                     type_url=ENDPOINTS, value=bytes((at * 7 + step * 13) % 256 for step in range(40))
                 )
-                item = discovery_pb2.Resource(name="ledger", resource=junk) if delta else junk
-                plane.say(kind(type_url=ENDPOINTS, nonce=f"junk{at}", resources=[item]))
+                item = discovery_pb2.Resource(name="ledger", resource=invalid) if delta else invalid
+                plane.say(response_type(type_url=ENDPOINTS, nonce=f"junk{at}", resources=[item]))
             await until(lambda: len(plane.errors()) >= 50)
             assert addresses(client) == ["127.0.0.1:7001"]
             assert len(asyncio.all_tasks()) == tasks
@@ -144,8 +144,8 @@
     asyncio.run(main())
 
 
-def test_our_client_follows_a_server_built_on_the_official_servicer():
-    """A stranger: nothing of the stand-in."""
+def test_the_client_works_with_the_official_servicer():
+    """The server uses the official servicer and no code of the emulated control plane's streams."""
     acks: list[str] = []
 
     class Server(ads_pb2_grpc.AggregatedDiscoveryServiceServicer):
@@ -167,7 +167,7 @@
         ads_pb2_grpc.add_AggregatedDiscoveryServiceServicer_to_server(Server(), server)
         port = server.add_insecure_port("127.0.0.1:0")
         await server.start()
-        async with following(f"127.0.0.1:{port}", False) as client:
+        async with xds_client(f"127.0.0.1:{port}", False) as client:
             await until(lambda: addresses(client) == ["127.0.0.1:7001"])
             await until(lambda: len(acks) == 2)
         await server.stop(None)
@@ -175,7 +175,7 @@
     asyncio.run(main())
 
 
-def test_the_official_stub_is_served_by_our_stand_in():
+def test_the_official_stub_works_with_the_emulated_control_plane():
     async def main():
         plane = await ControlPlane().start()
         plane.put(cluster("ledger"), endpoints("ledger", A))
--- a/tests/xds/test_xds_files.py
+++ b/tests/xds/test_xds_files.py
@@ -1,4 +1,4 @@
-"""Resources in files: taken whole or not at all, and never from a half-written one."""
+"""Resources in files: a file is accepted completely or rejected, also while it is being written."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 ROOT = Path(__file__).parent.parent.parent
 
 
-def lb(*ports: int, **more) -> list[dict]:
+def lb_groups(*ports: int, **more) -> list[dict]:
     rows = [
         {"endpoint": {"address": {"socket_address": {"address": "127.0.0.1", "port_value": port}}}} | more
         for port in ports
@@ -38,7 +38,7 @@
     item = {
         "name": "ledger",
         "type": "STATIC",
-        "load_assignment": {"cluster_name": "ledger", "endpoints": lb(*ports)},
+        "load_assignment": {"cluster_name": "ledger", "endpoints": lb_groups(*ports)},
     }
     return {"static_resources": {"clusters": [item | more]}}
 
@@ -50,11 +50,11 @@
 
 
 def assignment(*ports: int, version: str = "1", **more) -> dict:
-    resource = {"@type": ENDPOINTS, "cluster_name": "ledger", "endpoints": lb(*ports, **more)}
+    resource = {"@type": ENDPOINTS, "cluster_name": "ledger", "endpoints": lb_groups(*ports, **more)}
     return {"version_info": version, "resources": [resource]}
 
 
-def move(path: Path, data: dict) -> None:
+def replace_file(path: Path, data: dict) -> None:
     new = path.with_suffix(".new")
     new.write_text(json.dumps(data) if path.suffix == ".json" else yaml.safe_dump(data))
     os.replace(new, path)
@@ -70,43 +70,43 @@
 
 
 @pytest.mark.parametrize("suffix", [".json", ".yaml"])
-def test_a_bootstraps_static_cluster_is_taken_and_followed(tmp_path, suffix):
+def test_changes_of_a_static_cluster_in_a_bootstrap_are_applied(tmp_path, suffix):
     path = tmp_path / f"bootstrap{suffix}"
-    move(path, static(7001, 7002))
+    replace_file(path, static(7001, 7002))
     client = client_of(path)
-    assert client.look()
+    assert client.poll()
     assert ports(client) == [7001, 7002]
-    assert not client.look()
-    move(path, static(7003))
-    assert client.look()
+    assert not client.poll()
+    replace_file(path, static(7003))
+    assert client.poll()
     assert ports(client) == [7003]
-    move(path, {"static_resources": {"clusters": []}})
-    assert client.look()
+    replace_file(path, {"static_resources": {"clusters": []}})
+    assert client.poll()
     assert ports(client) == []
 
 
-def test_endpoints_of_a_path_config_source_are_followed_by_their_own_file(tmp_path):
-    move(tmp_path / "boot.yaml", eds("eds.json"))
+def test_endpoints_of_a_path_config_source_are_read_from_their_own_file(tmp_path):
+    replace_file(tmp_path / "boot.yaml", eds("eds.json"))
     client = client_of(tmp_path / "boot.yaml")
-    assert not client.look()
-    assert ports(client) is None  # it warms until they come
-    move(tmp_path / "eds.json", assignment(7001))
-    assert client.look()
+    assert not client.poll()
+    assert ports(client) is None  # inactive until the endpoints are available
+    replace_file(tmp_path / "eds.json", assignment(7001))
+    assert client.poll()
     assert ports(client) == [7001]
-    move(tmp_path / "eds.json", assignment(7002, version="2"))
-    assert client.look()
+    replace_file(tmp_path / "eds.json", assignment(7002, version="2"))
+    assert client.poll()
     assert ports(client) == [7002]
     assert {row["version"] for row in client.rows(0.0)} == {"", "2"}
 
 
-def test_a_file_that_is_missing_wrong_or_cut_leaves_the_last_good_one_in_force(tmp_path):
+def test_the_last_valid_file_stays_active_while_the_file_is_missing_invalid_or_truncated(tmp_path):
     path = tmp_path / "boot.json"
-    move(path, static(7001))
+    replace_file(path, static(7001))
     client = client_of(path)
-    client.look()
-    whole = json.dumps(static(7002))
+    client.poll()
+    complete = json.dumps(static(7002))
     for text in (
-        whole[:40],
+        complete[:40],
         "",
         "[]",
         "{}}",
@@ -114,23 +114,23 @@
         '{"static_resources": 3}',
     ):
         path.write_text(text)
-        assert not client.look(), text
+        assert not client.poll(), text
         assert ports(client) == [7001]
         assert client.rows(0.0)[0]["rejected"]
     path.unlink()
-    assert not client.look()
+    assert not client.poll()
     assert ports(client) == [7001]
-    move(path, static(7002))
-    assert client.look()
+    replace_file(path, static(7002))
+    assert client.poll()
     assert (ports(client), client.rows(0.0)[0]["rejected"]) == ([7002], None)
 
 
 @pytest.mark.parametrize("suffix", [".json", ".yaml"])
-def test_thousands_of_corrupted_files_change_no_list_but_to_a_valid_one(tmp_path, suffix):
+def test_corrupted_files_are_rejected_or_contain_only_valid_endpoints(tmp_path, suffix):
     path = tmp_path / f"boot{suffix}"
     good = json.dumps(static(7001)) if suffix == ".json" else yaml.safe_dump(static(7001))
     rng = random.Random(5)
-    taken = 0
+    accepted = 0
     for _ in range(2000):
         raw = bytearray(good.encode())
         for _ in range(rng.randint(1, 4)):
@@ -141,22 +141,22 @@
                 del raw[at : at + rng.randint(1, 60)]
                 raw = raw or bytearray(b"x")
         with contextlib.suppress(FileError):
-            found = parse(raw.decode("utf-8", "replace"), str(path))
-            taken += 1
+            resources = parse(raw.decode("utf-8", "replace"), str(path))
+            accepted += 1
             assert all(
-                entry.endpoint[0] for item in found.clusters.values() for entry in item.assignment.entries
+                entry.endpoint[0] for item in resources.clusters.values() for entry in item.assignment.entries
             )
-    assert taken < 1000
+    assert accepted < 1000
 
 
-def test_a_pool_follows_a_file_and_drains_by_it():
+def test_a_pool_takes_its_servers_and_drains_from_a_file():
     async def main(folder: Path):
         one, two = boxes(2)
         path = folder / "boot.yaml"
         for box in (one, two):
             await box.start()
-        numbers = [int(box.endpoint.rpartition(":")[2]) for box in (one, two)]
-        move(path, static(*numbers))
+        box_ports = [int(box.endpoint.rpartition(":")[2]) for box in (one, two)]
+        replace_file(path, static(*box_ports))
         source = {"source": "xds", "path": str(path), "cluster": "ledger"}
         sidecar = Sidecar(configuration(row(pools=[{"name": "boxes", "list": source}])))
         await sidecar.start()
@@ -164,12 +164,12 @@
             await until(lambda: sidecar.ready)
             app = application(sidecar)
             assert {(await app.ask("GET", "/x")).status for _ in range(10)} == {200}
-            move(path, static(numbers[1]))
+            replace_file(path, static(box_ports[1]))
             await until(lambda: sidecar.pools["boxes"].up == {two.endpoint})
-            begun = one.taken
+            taken_before = one.taken
             for _ in range(10):
                 assert (await app.ask("GET", "/x")).headers[b"x-box"] == b"box-1"
-            assert one.taken == begun
+            assert one.taken == taken_before
             path.write_text("static_resources: [")
             feed = sidecar.managed["boxes"].watcher
             await until(lambda: feed.client.rejected)
@@ -183,21 +183,21 @@
         asyncio.run(main(Path(folder)))
 
 
-def test_config_check_reads_resource_files_as_the_sidecar_does(tmp_path, capsys):
+def test_config_check_reads_resource_files_like_the_sidecar(tmp_path, capsys):
     good, bad = tmp_path / "good.yaml", tmp_path / "bad.json"
-    move(good, static(7001))
+    replace_file(good, static(7001))
     bad.write_text(json.dumps(static(7001, lb_policy="RING_HASH"), indent=1))
     assert main(["config", "check", str(good)]) == 0
     assert main(["config", "check", str(good), str(bad)]) == 1
-    said = capsys.readouterr().out
-    assert said.startswith(f"{bad}:5: ledger.lb_policy: RING_HASH binds requests to servers")
+    printed = capsys.readouterr().out
+    assert printed.startswith(f"{bad}:5: ledger.lb_policy: RING_HASH binds requests to servers")
     cut = tmp_path / "cut.yaml"
     cut.write_text("a: 1\nstatic_resources: [\n")
     assert main(["config", "check", str(cut)]) == 1
     assert f"{cut}:3: the file: is not YAML" in capsys.readouterr().out
 
 
-def test_watch_prints_what_a_control_plane_tells():
+def test_watch_prints_the_updates_of_a_control_plane():
     async def main():
         plane = await ControlPlane().start()
         plane.put(
