--- a/loadbalancer/core/__init__.py
+++ b/loadbalancer/core/__init__.py
@@ -1,1 +1,1 @@
-"""The life of requests and attempts; knows no protocol, no list and no file."""
+"""Requests, attempts and connections, independent of any protocol, source of server lists, or file."""
--- a/loadbalancer/core/descriptors.py
+++ b/loadbalancer/core/descriptors.py
@@ -4,10 +4,10 @@
 
 import resource
 
-UNLIMITED = 2**31  # where the system states no limit
+UNLIMITED = 2**31  # returned where the system sets no limit
 
 
 def descriptors_here() -> int:
-    """Return how many this process could have."""
+    """Return the hard limit of this process."""
     hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     return UNLIMITED if hard == resource.RLIM_INFINITY else hard
--- a/loadbalancer/core/listener.py
+++ b/loadbalancer/core/listener.py
@@ -1,4 +1,4 @@
-"""A listener, whatever is spoken: it keeps callers' connections within their share of the descriptors."""
+"""A listener for any protocol, which keeps callers' connections within their share of the file descriptors."""
 
 from __future__ import annotations
 
@@ -9,31 +9,27 @@
 import struct
 from itertools import islice
 
-from loadbalancer.core.outgoing import OWN, readable, waits
+from loadbalancer.core.outgoing import LOCAL_RESOURCE_ERRORS, has_pending_event, readable
 from loadbalancer.core.turns import turns_of
 from loadbalancer.overload.connections import SILENT_S, ConnectionLimit
 
-BACKLOG = 4096  # connections that may wait in the kernel, where it allows so many
-SPARED_IDLE_S = (
-    2.0  # a connection idle for less is spared while capacity is short, unless a request waits for it
-)
-LINGER_S = 0.5  # how long what a caller still sends after a fatal answer is read and dropped
+BACKLOG = 4096  # connections that may wait in the kernel, which may set a lower limit
+MIN_IDLE_TO_CLOSE_S = 2.0  # more recently used connections are closed only to free a slot for a request
+LINGER_S = 0.5  # how long bytes that arrive after a connection's last answer are read and dropped
 SWEEP_S = 0.1  # between two sweeps of connections that have been in a stage for too long
-NEW_CONNECTION_S = 0.2  # a connection this new is not closed for carrying nothing: its request may follow
-SPARE_CONNECTIONS = (
-    4  # slots for connections of which it shows only later that they can't be rejected at once
-)
-MAX_ACCEPTED = 64  # connections that are accepted in one turn, at most,
-MAX_EXAMINED = 1024  # and those that are examined, the others being rejected
-SEARCHED = 16  # connections that are checked, at most, to free a slot for one
+NEW_CONNECTION_S = 0.2  # a connection this new is not closed as idle, as its request may follow
+SPARE_CONNECTIONS = 4  # slots for connections that turn out, once accepted, not to be rejectable unparsed
+MAX_ACCEPTED = 64  # connections accepted in one loop iteration
+MAX_EXAMINED = 1024  # connections accepted or rejected in one loop iteration
+MAX_SEARCHED = 16  # connections that are checked for one to close when a slot is needed
 TCP_INFO = getattr(socket, "TCP_INFO", None)
 LAST_DATA_RECEIVED = struct.Struct("@52xI")  # of Linux's struct tcp_info, in ms: tcpi_last_data_recv
 
 
 def waited_s(sock: socket.socket | None) -> float:
-    """Return the time since the kernel received the latest bytes, to some ms; 0 where it does not tell (Linux does).
+    """Return the time since the kernel received the latest bytes, to some ms; 0 where it is unknown (not on Linux).
 
-    What comes on a connection that has yet to be accepted waits unseen by the loop, and its time runs.
+    A request on a connection that waits in the kernel to be accepted is not visible to the loop, but its deadline runs.
     """
     if TCP_INFO is None or sock is None:
         return 0.0
@@ -46,43 +42,43 @@
 
 
 class IncomingConnection(asyncio.Protocol):
-    """What callers' connections have in common, whatever is spoken on them."""
+    """A caller's connection, for any protocol."""
 
     def __init__(self, server: Listener) -> None:
         self._server = server
         self._transport: asyncio.Transport
-        self._closing = False  # the last answer has been written, or will be with what is in hand
-        self.known = False  # a request that could be used has come on it
-        self.since = 0.0  # the loop's time at which it came into the stage that it is in
-        self.silent = True  # nothing has come on it
+        self._closing = False  # the last answer has been written, or is being written
+        self.known = False  # whether a valid request has arrived on it
+        self.stage_entered_at = 0.0  # the loop's time at which it entered its current stage
+        self.received_nothing = True  # whether no byte has arrived on it
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport and report the connection to the listener; called by asyncio."""
+        """Store the transport and report the connection to the listener; called by asyncio."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._server.opened(self)
 
     def eof_received(self) -> bool:
-        """Have the connection closed when the caller has closed it; called by asyncio."""
+        """Close the connection after the caller closed its side; called by asyncio."""
         return False
 
     def arrived(self) -> float:
-        """Return the earliest loop time at which what is handled now came; to be called for each part that comes."""
+        """Return the earliest loop time at which the current data can have arrived; must be called for all data."""
         now = self._server.loop.time()
-        came = self._server.turns.came(now)
-        if self.silent and self._server.orderly:
-            came = min(came, now - waited_s(self._transport.get_extra_info("socket")))
-        self.silent = False
-        return came
+        arrived_at = self._server.turns.came(now)
+        if self.received_nothing and self._server.orderly:
+            arrived_at = min(arrived_at, now - waited_s(self._transport.get_extra_info("socket")))
+        self.received_nothing = False
+        return arrived_at
 
     @property
     def drained(self) -> bool:
-        """Whether closing it now loses nothing that was written, nor resets it by what is unread."""
+        """Whether closing it now loses no written bytes, and causes no reset because of unread ones."""
         return self.flushed and not readable(self._transport)
 
     @property
     def flushed(self) -> bool:
-        """Whether all that was written has left this process."""
+        """Whether all written bytes have left this process."""
         return not self._transport.get_write_buffer_size()
 
     def abort(self) -> None:
@@ -92,47 +88,48 @@
         self._transport.abort()
 
     def close_if_idle(self) -> bool:
-        """Close where no request is open, but not with bytes already waiting in the kernel."""
+        """Close if no request is open and the kernel has no unread bytes; returns whether it was closed."""
         raise NotImplementedError
 
     def expire(self) -> None:
-        """Handle that its time in this stage is over."""
+        """Handle the timeout of its current stage."""
         raise NotImplementedError
 
     def abort_if_read(self) -> None:
-        """Close what has had its last answer, unless a slow reader has yet to take it and has time left.
+        """Close after the last answer, unless a slow reader has not read it and `request_s` has not passed yet.
 
-        It was cut off after the time that only a flushed one may linger.
+        `LINGER_S` applies only to connections whose answer has been flushed.
         """
-        if self.flushed or self.since <= self._server.loop.time() - self._server.request_s:
+        if self.flushed or self.stage_entered_at <= self._server.loop.time() - self._server.request_s:
             self.abort()
 
     def reject_partial(self) -> None:
-        """Reject a request that has come in part, as this process ends."""
+        """Reject a request that has arrived in part, as this process is shutting down."""
 
     def _end(self) -> None:
-        """Close, reading on for a moment: closing over unread bytes would reset the answer away."""
+        """Close this side, and go on reading for `LINGER_S`: closing with unread bytes would reset the answer."""
         self._closing = True
         if not self._transport.is_closing():
-            # On a connection that has just been reset there is no end to be written, which ended the callback.
+            # Writing the end of stream fails on a connection that has just been reset.
             with contextlib.suppress(OSError):
                 self._transport.write_eof()
             self._server.stage(self, self._server.lingering)
 
 
-Stage = dict[IncomingConnection, None]  # in the order of coming into it
+Stage = dict[IncomingConnection, None]  # in the order of entering the stage
 
 
 class Listener:
-    """Listens, and keeps the callers' connections within their share of the descriptors.
+    """Accepts callers' connections and keeps them within a limit.
 
-    A connection without an open request is in a stage: it owes a request (`waiting`), idles, or lingers after its end.
+    A connection without an open request is in one of three stages: `waiting` for a request, `idle` between requests, or
+    `lingering` after its last answer.
 
     Parameters
     ----------
-    limit: connections that are kept, at most.
-    orderly: beyond the limit, connections wait in the kernel, and none is closed but with its answer. Else accepting
-        never stops, and what carries nothing is closed to free a slot.
+    limit: the maximum number of connections.
+    orderly: if true, connections beyond the limit wait in the kernel, and a connection is closed only with an answer.
+        Otherwise all connections are accepted, and idle ones are closed to free slots.
     """
 
     def __init__(self, limit: int, orderly: bool = False) -> None:
@@ -140,7 +137,7 @@
         self.turns = turns_of(self.loop)
         self.connection_limit = ConnectionLimit(limit)
         self.orderly = orderly
-        self.short = 0  # how often the process had no descriptor for a connection
+        self.descriptor_shortages = 0  # how often accepting failed for lack of a descriptor
         self.ready = False
         self.stopping = False
         self.connections: dict[IncomingConnection, Stage | None] = {}
@@ -150,33 +147,33 @@
         self._listener: socket.socket | None = None
         self._address: tuple[str, int] | None = None
         self._accepting = False
-        self._accepted: set[asyncio.Task[None]] = set()  # accepted, with no protocol yet
+        self._accepted: set[asyncio.Task[None]] = set()  # accepted connections without a protocol object yet
 
     def connection(self) -> asyncio.Protocol:
-        """Return a new protocol for a caller's connection, which calls `opened`, `stage` and `closed`."""
+        """Return the protocol object of a new connection, which calls `opened`, `stage` and `closed`."""
         raise NotImplementedError
 
     @property
     def request_s(self) -> float:
-        """Time within which a request has to come in completely, from connecting or from its first byte."""
+        """Time within which a request must arrive completely, from the connection's start or its first byte."""
         raise NotImplementedError
 
     @property
     def idle_s(self) -> float:
-        """Time after which a connection that carries nothing is closed."""
+        """Time after which an idle connection is closed."""
         raise NotImplementedError
 
-    def refused_at_once(self, found: socket.socket, no_place: bool, enough: bool) -> bool:
-        """Whether a new connection was answered that its request can't be taken, and closed.
+    def reject_before_accept(self, sock: socket.socket, no_slot: bool, accepted_enough: bool) -> bool:
+        """Reject the request of a new connection and close it; returns False if the connection was left unchanged.
 
-        That is done where the complete request has come already and can be told apart cheaply, and there is no slot for
-        it (`no_place`) or enough have been accepted in this turn (`enough`). False leaves the connection as it was.
+        This is done only if the complete request has arrived and is recognised without parsing, and there is no slot
+        for the connection (`no_slot`) or enough have been accepted in this iteration (`accepted_enough`).
         """
         return False
 
     @property
     def limit(self) -> int:
-        """Connections that are kept, at most."""
+        """The maximum number of connections."""
         return self.connection_limit.limit
 
     @limit.setter
@@ -185,59 +182,59 @@
 
     @property
     def crowded(self) -> bool:
-        """Whether a connection is closed with its answer."""
+        """Whether there are so many connections that one is closed with its answer."""
         if self.orderly:
-            return not self.connection_limit.may_keep(self.held)
+            return not self.connection_limit.may_keep(self.connection_count)
         return len(self.connections) > self.limit
 
     @property
-    def held(self) -> int:
-        """Connections, those too that have no protocol yet."""
+    def connection_count(self) -> int:
+        """The number of connections, including those without a protocol object yet."""
         return len(self.connections) + len(self._accepted)
 
     @property
     def paused(self) -> bool:
-        """Whether new connections are left in the kernel for now."""
+        """Whether accepting is paused, so that new connections wait in the kernel."""
         return self._listener is not None and not self._accepting
 
     @property
     def active_requests(self) -> int:
-        """Connections with an open request."""
+        """The number of connections with an open request."""
         return len(self.connections) - len(self.waiting) - len(self.idle) - len(self.lingering)
 
     def may_begin(self) -> bool:
-        """Whether the request that has come on a connection may be taken; it is counted as under way already."""
+        """Whether a request that has just arrived may be served; it is already counted in `active_requests`."""
         if self.orderly:
             return self.connection_limit.may_begin(self.active_requests - 1)
-        # While a sibling restarted, 200 connections idle for under 2 s held all the slots, and requests
-        # were refused beside 10 open ones. So a complete request takes the slot of the one idle for longest,
-        # however short; a mere connection doesn't. It would hurt where connecting costs callers much.
-        return self.close_excess(spared_s=0.0)
+        # A complete request may take the slot of the connection that is idle for longest, however short; a mere
+        # connection may not. Otherwise, while another node restarts, recently idle connections (200 in one case) occupy
+        # all slots and requests are rejected beside 10 open ones. The cost is that callers must reconnect more often.
+        return self.close_excess(min_idle_s=0.0)
 
     @property
     def address(self) -> tuple[str, int]:
-        """Host and port that it listens at; raises RuntimeError before it does."""
+        """Host and port that it listens on; raises RuntimeError before that."""
         if self._address is None:
             raise RuntimeError("the listener has no socket yet")
         return self._address
 
     @staticmethod
     def bind(host: str, port: int) -> socket.socket:
-        """Return a socket that callers can connect to, though nothing is accepted yet; raises OSError."""
+        """Return a listening socket, from which nothing is accepted yet; raises OSError."""
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
-        # Only of a socket that names its protocol does asyncio turn Nagle's algorithm off, which would hold a
-        # second small answer back until the first one has been acknowledged, for 40 ms.
-        found = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
+        # asyncio disables Nagle's algorithm only on sockets created with an explicit protocol. Nagle's algorithm would
+        # delay a second small answer by 40 ms, until the first one has been acknowledged.
+        sock = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         try:
-            found.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             if family == socket.AF_INET6:
-                found.setsockopt(socket.IPPROTO_IPV6, socket.IPV6_V6ONLY, 1)
-            found.bind((host, port))
-            found.listen(BACKLOG)
+                sock.setsockopt(socket.IPPROTO_IPV6, socket.IPV6_V6ONLY, 1)
+            sock.bind((host, port))
+            sock.listen(BACKLOG)
         except OSError:
-            found.close()
+            sock.close()
             raise
-        return found
+        return sock
 
     async def listen(self, host: str, port: int) -> None:
         """Bind to this address and serve; raises OSError."""
@@ -252,7 +249,7 @@
         self._sweep()
 
     def _resume(self) -> None:
-        """Accept, if that was paused."""
+        """Start accepting, or resume it after a pause."""
         if self._listener is not None and not self._accepting:
             self._accepting = True
             self.loop.add_reader(self._listener.fileno(), self._accept)
@@ -263,169 +260,177 @@
             self.loop.remove_reader(self._listener.fileno())
 
     def _accept(self) -> None:
-        """Accept some of the connections that wait in the kernel, as far as there is capacity."""
+        """Accept connections that wait in the kernel, as far as there is capacity."""
         if self._listener is None:
             return
-        # Closed ones go a turn or two later: a few at a time keep a burst within the descriptors.
+        # Closed connections free their descriptors one or two loop iterations later: few are accepted at once.
         free_slots = to_accept = max(1, self.limit // 20)
         if self.orderly:
-            held = self.held  # before slots are freed
+            open_before = self.connection_count  # before slots are freed
             spare = min(SPARE_CONNECTIONS, self.limit // 4)
-            free_slots = self.connection_limit.may_accept(held + spare) or int(self._free_one())
-            if not free_slots and held >= self.limit:
+            free_slots = self.connection_limit.may_accept(open_before + spare) or int(self._free_slot())
+            if not free_slots and open_before >= self.limit:
                 self._pause()
                 return
             to_accept = min(free_slots, MAX_ACCEPTED)
         for _ in range(MAX_EXAMINED):
-            found = self._accept_one(self._listener)
-            if found is None:
+            sock = self._accept_one(self._listener)
+            if sock is None:
                 return
-            if self.orderly and self.refused_at_once(found, free_slots <= 0, to_accept <= 0):
+            if self.orderly and self.reject_before_accept(sock, free_slots <= 0, to_accept <= 0):
                 continue
-            # What can't be rejected so is accepted, one too many at the most.
-            task = self.loop.create_task(self._take(found))
+            # A connection that can't be rejected this way is accepted, even if it is one beyond the limit.
+            task = self.loop.create_task(self._attach(sock))
             self._accepted.add(task)
             task.add_done_callback(self._accepted.discard)
             to_accept -= 1
             free_slots -= 1
-            # Behind long turns those that were left in the kernel waited there until they were late: what comes
-            # after enough have been taken is rejected for as long as it has waited too long already.
+            # Connections left in the kernel behind long loop iterations would wait there until they are late. So after
+            # enough have been accepted, further ones that are late already are rejected, up to the first that is not.
             if to_accept < 0 or (to_accept <= 0 and not self.orderly):
                 return
 
     def _accept_one(self, listener: socket.socket) -> socket.socket | None:
-        """Accept a connection; None if none waits or can be had."""
+        """Accept one connection; returns None if none is waiting or no descriptor is available."""
         try:
-            found, _ = listener.accept()
+            sock, _ = listener.accept()
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             return None
         except OSError as error:
-            if error.errno not in OWN:
+            if error.errno not in LOCAL_RESOURCE_ERRORS:
                 raise
-            # A listener that is readable and can't be accepted from has the loop turn without end.
-            self.short += 1
+            # Paused, as a readable listener that can't be accepted from would make the loop spin.
+            self.descriptor_shortages += 1
             self._pause()
             return None
-        found.setblocking(False)
-        return found
+        sock.setblocking(False)
+        return sock
 
-    async def _take(self, found: socket.socket) -> None:
+    async def _attach(self, sock: socket.socket) -> None:
         try:
-            await self.loop.connect_accepted_socket(self.connection, found)
+            await self.loop.connect_accepted_socket(self.connection, sock)
         except OSError:
-            found.close()
+            sock.close()
 
-    def _free_one(self) -> bool:
-        """Free a slot by closing what has had its answer; else time out connections that have long sent nothing."""
-        for connection in islice(self.lingering, SEARCHED):
+    def _free_slot(self) -> bool:
+        """Free a slot by closing a drained connection; if there is none, time out connections that sent nothing."""
+        for connection in islice(self.lingering, MAX_SEARCHED):
             if connection.drained:
                 connection.abort()
                 return True
-        since = self.loop.time() - SILENT_S
-        for connection in list(islice(self.waiting, SEARCHED)):
-            if connection.since <= since and connection.silent:
+        cutoff = self.loop.time() - SILENT_S
+        for connection in list(islice(self.waiting, MAX_SEARCHED)):
+            if connection.stage_entered_at <= cutoff and connection.received_nothing:
                 connection.expire()
         return False
 
     def opened(self, connection: IncomingConnection) -> None:
-        """Count a new connection, which owes a request."""
+        """Add a new connection, which waits for a request."""
         self.connections[connection] = None
         if not self.orderly:
-            self.close_excess()  # Accepting never stops
+            self.close_excess()  # accepting is never paused for the limit
         self.stage(connection, self.waiting)
 
     def closed(self, connection: IncomingConnection) -> None:
-        """Forget a connection that is gone."""
+        """Remove a closed connection."""
         self.stage(connection, None)
         self.connections.pop(connection, None)
-        if self.orderly and self.connection_limit.may_accept(self.held):
+        if self.orderly and self.connection_limit.may_accept(self.connection_count):
             self._resume()
 
     def stage(self, connection: IncomingConnection, stage: Stage | None) -> None:
-        """Move a connection to a stage, None while a request is open; to stay in one changes nothing."""
-        was = self.connections.get(connection)
-        if connection in self.connections and was is not stage:
-            if was is not None:
-                del was[connection]
+        """Move a connection to another stage (None: a request is open); its current stage changes nothing."""
+        previous = self.connections.get(connection)
+        if connection in self.connections and previous is not stage:
+            if previous is not None:
+                del previous[connection]
             if stage is not None:
                 stage[connection] = None
             self.connections[connection] = stage
-            connection.since = self.loop.time()
+            connection.stage_entered_at = self.loop.time()
 
     def close_idle(self) -> None:
-        """Close what carries nothing, but not what has just come or still has an answer to take."""
-        # A new connection closed with no answer is a request refused, or lost, without a word.
-        fresh = self.loop.time() - NEW_CONNECTION_S
+        """Close connections without an open request, except new ones and those with an answer to flush."""
+        # The request of a new connection may be on its way, and would be lost without an answer.
+        new_since = self.loop.time() - NEW_CONNECTION_S
         for connection in [*self.waiting, *self.idle]:
-            if (connection.known or connection.since <= fresh) and connection.flushed:
+            if (connection.known or connection.stage_entered_at <= new_since) and connection.flushed:
                 connection.close_if_idle()
 
-    def finish_last(self) -> bool:
-        """End what can be ended, with an answer where one is owed.
+    def finish_remaining(self) -> bool:
+        """Close idle connections, and reject requests that have arrived in part.
 
-        Returns whether something is left that has yet to be read or has not left this process.
+        Returns whether anything is left to be read or to be flushed.
         """
         for connection in [*self.waiting, *self.idle]:
             if connection.flushed and not connection.close_if_idle():
                 connection.reject_partial()
-        left = any(
+        remaining = any(
             stage is not self.lingering or not connection.drained
             for connection, stage in self.connections.items()
         )
-        coming = self._listener is not None and waits(self._listener, select.POLLIN)
-        return left or coming or bool(self._accepted)
+        coming = self._listener is not None and has_pending_event(self._listener, select.POLLIN)
+        return remaining or coming or bool(self._accepted)
 
     def retire(self) -> None:
         """Accept what has connected by now, stop listening, and close each connection after its answer."""
         if self._accepting:
-            # What waited in the kernel when a reload removed the listener was reset with no answer.
+            # Connections that still wait in the kernel would be reset without an answer.
             self._accept()
         self.close()
         self.stopping = True
 
     def close(self) -> None:
-        """Stop listening; what is connected still ends in its time.
+        """Stop listening; open connections still end by their timeouts.
 
-        A caller that had sent half a request kept the listener of a configuration of before for good.
+        The sweep goes on, as otherwise a caller with half a request would keep a removed listener alive forever.
         """
         if self._listener is not None:
             self._pause()
             self._listener.close()
             self._listener = None
 
-    def close_excess(self, spared_s: float = SPARED_IDLE_S) -> bool:
-        """Close connections that carry nothing until the limit is kept; False if that is not enough."""
+    def close_excess(self, min_idle_s: float = MIN_IDLE_TO_CLOSE_S) -> bool:
+        """Close connections without a request until the limit is met; returns False if that is not enough."""
         while self.crowded:
-            if not self._close_one(spared_s):
+            if not self._close_one(min_idle_s):
                 return False
         return True
 
-    def _close_one(self, spared_s: float) -> bool:
-        """Close one: first what has had its last answer, then what never sent a request, then what idles longest."""
-        # Of a caller that reads slowly, an answer that had not left was cut off to free a slot.
-        for connection in islice(self.lingering, SEARCHED):
+    def _close_one(self, min_idle_s: float) -> bool:
+        """Close one connection: after its last answer, else without a valid request so far, else the longest idle."""
+        # Connections with an unflushed answer are spared, as a slow reader would lose it.
+        for connection in islice(self.lingering, MAX_SEARCHED):
             if connection.flushed:
                 connection.abort()
                 return True
-        for connection in islice(self.waiting, SEARCHED):
+        for connection in islice(self.waiting, MAX_SEARCHED):
             if not connection.known and connection.flushed and connection.close_if_idle():
                 return True
-        spared = self.loop.time() - spared_s
-        for connection in islice(self.idle, SEARCHED):
-            if connection.since <= spared and connection.flushed and connection.close_if_idle():
+        idle_before = self.loop.time() - min_idle_s
+        for connection in islice(self.idle, MAX_SEARCHED):
+            if (
+                connection.stage_entered_at <= idle_before
+                and connection.flushed
+                and connection.close_if_idle()
+            ):
                 return True
         return False
 
     def _sweep(self) -> None:
-        """End what has been in its stage for too long."""
+        """Time out connections that have been in their stage for too long."""
         now = self.loop.time()
         stages = ((self.waiting, self.request_s), (self.idle, self.idle_s), (self.lingering, LINGER_S))
         for stage, limit_s in stages:
             for connection in list(stage):
-                if connection.since > now - limit_s:
+                if connection.stage_entered_at > now - limit_s:
                     break
                 connection.expire()
-        if not self.orderly or self.connection_limit.may_accept(self.held) or not self.active_requests:
+        if (
+            not self.orderly
+            or self.connection_limit.may_accept(self.connection_count)
+            or not self.active_requests
+        ):
             self._resume()
         if self._listener is not None or self.connections:
             self.loop.call_later(SWEEP_S, self._sweep)
--- a/loadbalancer/core/outgoing.py
+++ b/loadbalancer/core/outgoing.py
@@ -1,4 +1,4 @@
-"""Connections to servers: one exchange at a time, nothing sent twice, whatever is spoken on them."""
+"""Connections to servers, for any protocol: one exchange at a time, nothing sent twice."""
 
 from __future__ import annotations
 
@@ -10,39 +10,39 @@
 from typing import Any, Protocol
 
 Response = Any  # a complete answer, of the type of the protocol that derives from `Outgoing`
-# Errors that say that this process or machine lacks something, not that a server does.
-OWN = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
+# Errors that mean a lack of resources in this process or machine, not a fault of a server.
+LOCAL_RESOURCE_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
 
 class Exchange(Protocol):
-    """Notified by a connection of how its one request ended: by either method, once."""
+    """Notified of the end of a connection's current request, by one call of one of the two methods."""
 
     def answered(self, response: Response) -> None:
-        """Take the complete answer."""
+        """Receive the complete answer."""
 
     def lost(self, written: bool) -> None:
-        """Note that the connection ended with no complete answer; `written`: the request's last byte had left."""
+        """Note that the connection ended without a complete answer; `written`: the last byte had been sent."""
 
 
-def waits(sock: socket.socket, events: int) -> bool:
-    """Whether one of these `select.POLL*` events, an error or an end waits in the kernel."""
+def has_pending_event(sock: socket.socket, events: int) -> bool:
+    """Whether one of these `select.POLL*` events, an error or an end of stream is pending in the kernel."""
     poll = select.poll()
     poll.register(sock.fileno(), events)
     return bool(poll.poll(0))
 
 
 def readable(transport: asyncio.BaseTransport) -> bool:
-    """Whether bytes, an end or an error wait in the kernel that the event loop has not delivered yet."""
-    return waits(transport.get_extra_info("socket"), select.POLLIN | select.POLLRDHUP)
+    """Whether the kernel has bytes, an end of stream or an error that the event loop has not delivered yet."""
+    return has_pending_event(transport.get_extra_info("socket"), select.POLLIN | select.POLLRDHUP)
 
 
 def ended(transport: asyncio.BaseTransport) -> bool:
-    """Whether the other side has closed or reset it, which the event loop may not have delivered yet."""
-    return waits(transport.get_extra_info("socket"), select.POLLRDHUP)
+    """Whether the peer has closed or reset the connection, even if the event loop has not delivered that yet."""
+    return has_pending_event(transport.get_extra_info("socket"), select.POLLRDHUP)
 
 
 class Outgoing(asyncio.Protocol):
-    """The client end of a connection; `on_closed` is called when it is gone."""
+    """The client end of a connection; `on_closed` is called when it is closed."""
 
     def __init__(self, on_closed: Callable[[Any], None]) -> None:
         self._on_closed = on_closed
@@ -54,8 +54,8 @@
 
     @property
     def usable(self) -> bool:
-        """Whether a new request may go out on it."""
-        # An end that has come but not been read yet would turn the request into a reset.
+        """Whether a new request may be sent on it."""
+        # A request written after an end of stream that has not been read yet would be reset.
         transport = self._transport
         return (
             transport is not None
@@ -67,7 +67,7 @@
 
     @property
     def written(self) -> bool:
-        """Whether the last byte of the current request has left."""
+        """Whether the last byte of the current request has been sent."""
         return self._written
 
     def abort(self) -> None:
@@ -78,7 +78,7 @@
             self._transport.abort()
 
     def retire(self) -> None:
-        """Close a connection that carries nothing."""
+        """Close an idle connection."""
         self.abort()
 
     def _send(self, data: bytes, exchange: Exchange) -> None:
@@ -86,13 +86,13 @@
         assert self._exchange is None
         self._exchange = exchange
         self._transport.write(data)
-        # A write that fails at once empties the buffer and closes; nothing of it has left.
+        # A write that fails at once empties the buffer and closes the transport; nothing has been sent then.
         self._written = not self._transport.is_closing() and not self._transport.get_write_buffer_size()
 
     def _answer(self, response: Response) -> None:
         """End the exchange; its owner may use the connection again before this returns."""
         exchange, self._exchange = self._exchange, None
-        # A server that answers before it has the complete request leaves the rest on the connection.
+        # A server that answers before it has received the complete request may take the rest for the next one.
         if not self._written:
             self._spoilt = True
         if self._spoilt:
@@ -107,18 +107,19 @@
             exchange.lost(written)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport; called by asyncio."""
+        """Store the transport; called by asyncio."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        # Asyncio drops its buffer before connection_lost; with limits of 0 it tells when all has left.
+        # With a limit of 0, asyncio calls `resume_writing` when all bytes are sent. The buffer's size can't be used
+        # later, as asyncio drops the buffer before `connection_lost`.
         transport.set_write_buffer_limits(high=0)
 
     def resume_writing(self) -> None:
-        """Note that all bytes have left; called by asyncio."""
+        """Note that all bytes have been sent; called by asyncio."""
         self._written = True
 
     def eof_received(self) -> bool:
-        """Have the connection closed when the server has; called by asyncio."""
+        """Close the connection after the server closed its side; called by asyncio."""
         self._spoilt = True
         return False
 
--- a/loadbalancer/core/pool.py
+++ b/loadbalancer/core/pool.py
@@ -1,4 +1,4 @@
-"""A pool: one balancer, the open requests it knows of, and the upstream that carries their attempts."""
+"""A pool: one balancer, its open requests, and the upstream that sends their attempts."""
 
 from __future__ import annotations
 
@@ -26,37 +26,37 @@
 
 log = logging.getLogger("loadbalancer")
 
-BACKSTOP_S = 0.005  # after its deadline, a request that the balancer left unanswered is answered for it
-FAULT_PAUSE_S = 0.5  # before an alarm or a watch is made up for that a fault of the balancer has lost
+BACKSTOP_S = 0.005  # past its deadline, a request that the balancer left unanswered is failed here
+FAULT_PAUSE_S = 0.5  # before an alarm or a watch that an exception in the balancer has lost is repeated
 
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A request that the balancer knows of, until it is answered and all its attempts have ended."""
+    """A request submitted to the balancer, until it is answered and all its attempts have ended."""
 
     id: str
-    message: Message  # what the upstream sends, and what the front knows the request by
+    message: Message  # sent by the upstream; the frontend finds its caller in it
     deliver: Callable[[OpenRequest, Answer], None]
     give_up_at: float  # by the loop's clock
     kind: str = ""  # its class's name
     backstop: asyncio.TimerHandle | None = None
     done: bool = False
     attempts: list[Attempt | None] = field(default_factory=list)
-    out: int = 0
-    last: api.Result | None = None
-    may_have_run: bool = False  # by an attempt that has ended
-    first: api.Earlier | None = None  # the first attempt that may have run, ended or not
-    reply: Reply = None  # the last error that a server answered with
+    attempts_in_flight: int = 0
+    last_result: api.Result | None = None
+    may_have_run: bool = False  # an attempt that has ended may have executed it
+    first_attempt: api.Earlier | None = None  # the first attempt that may have run, ended or not
+    last_error_reply: Reply = None  # the last error that a server answered with
 
     @property
     def error_reply(self) -> Reply:
-        """The server's answer if the last attempt ended in an error, else None."""
-        return self.reply if self.last is api.Result.ERROR else None
+        """The server's error answer if the last attempt ended in one, else None."""
+        return self.last_error_reply if self.last_result is api.Result.ERROR else None
 
 
 @dataclass(slots=True, frozen=True)
 class _Sent:
-    """A send of the balancer, and what it was for."""
+    """A send action of the balancer, and the attempt made for it."""
 
     action: api.Send
     number: int  # of the attempt
@@ -65,7 +65,7 @@
 
 
 class Pool:
-    """Owns the balancer: makes events of what happens and carries out the actions it returns."""
+    """Feeds the balancer with events and carries out the actions that it returns."""
 
     def __init__(
         self,
@@ -88,12 +88,13 @@
         self.balancer = Balancer(settings, seed, clock.ms())
         self.requests: dict[str, OpenRequest] = {}
         self.open = 0  # requests of this pool without a final answer
-        self.max_open: int | None = None  # of these, where the list states a limit
+        self.max_open: int | None = None  # limit of `open`, where the server list sets one
         self.up: set[str] = set()
         self.counts: Counter[str] = Counter()
         self.timers: dict[str, asyncio.TimerHandle] = {}
-        self.good = 0  # answers, since the start, and of all of them:
-        self.own_ms = self.server_ms = 0.0  # what this process took, and what servers did
+        self.good_answers = 0  # successful attempts since the start
+        # Their total duration: the parts spent in this process and in servers.
+        self.own_ms = self.server_ms = 0.0
         self._events: deque[api.Event] = deque()
         self._deciding = False
 
@@ -104,7 +105,7 @@
             timer.cancel()
 
     def handle(self, event: api.Event) -> None:
-        """Hand the balancer an event and carry out its actions; events that come of these are handled after it."""
+        """Pass an event to the balancer and carry out its actions; events caused by these are queued behind it."""
         self._events.append(event)
         if self._deciding:
             return
@@ -122,18 +123,18 @@
             now = self.loop.time()
             return self.balancer.handle(self.clock.ms(now), event, self.turns.lag(now) * 1000.0)
         except Exception:
-            # A fault of the balancer must leave no caller without an answer, nor stop its alarms and watches.
+            # An exception in the balancer must not leave a caller without an answer, nor stop alarms and watches.
             log.exception("the decision module failed on %s", type(event).__name__)
             self.counts["faults"] += 1
             self._recover(event)
             return []
 
     def _recover(self, event: api.Event) -> None:
-        """Do what an event of which the balancer has failed would have left undone."""
+        """Make up for an event on which the balancer raised: answer its request, or repeat its alarm or watch."""
         if isinstance(event, api.Request | api.Outcome):
-            found = self.requests.get(event.id)
-            if found is not None and not found.done and not found.out:
-                self.answer(found, Answer(AnswerKind.FAILED, AnswerCause.FAULT))
+            open_request = self.requests.get(event.id)
+            if open_request is not None and not open_request.done and not open_request.attempts_in_flight:
+                self.answer(open_request, Answer(AnswerKind.FAILED, AnswerCause.FAULT))
                 self._events.append(api.Lapsed(event.id))
         elif isinstance(event, api.Alarm):
             self._wake(FAULT_PAUSE_S, event.name)
@@ -159,60 +160,60 @@
     def _refuse(self, action: api.Refuse) -> None:
         found = self.requests.get(action.id)
         if found is not None:
-            answer = Answer(AnswerKind.REFUSED, self._why(found), found.error_reply, action.retry_after_ms)
+            answer = Answer(AnswerKind.REFUSED, self._cause(found), found.error_reply, action.retry_after_ms)
             self.answer(found, answer)
 
     def _fail(self, action: api.Fail) -> None:
-        found = self.requests.get(action.id)
-        if found is not None:
-            timed_out = found.last is api.Result.TIMEOUT
+        open_request = self.requests.get(action.id)
+        if open_request is not None:
+            timed_out = open_request.last_result is api.Result.TIMEOUT
             cause = AnswerCause.TIMEOUT if timed_out else AnswerCause.BROKEN
-            self.answer(found, Answer(AnswerKind.FAILED, cause, found.error_reply))
+            self.answer(open_request, Answer(AnswerKind.FAILED, cause, open_request.error_reply))
 
     def _cancel(self, action: api.Cancel) -> None:
-        found = self.requests.get(action.id)
-        if found is None or action.attempt >= len(found.attempts):
+        open_request = self.requests.get(action.id)
+        if open_request is None or action.attempt >= len(open_request.attempts):
             return
-        attempt = found.attempts[action.attempt]
+        attempt = open_request.attempts[action.attempt]
         if attempt is not None:
             attempt.cancel()
 
-    def _why(self, open_request: OpenRequest) -> AnswerCause:
-        """Return which limit a rejection comes from."""
-        if open_request.last is api.Result.NO_ROOM:
+    def _cause(self, open_request: OpenRequest) -> AnswerCause:
+        """Return the limit that caused a rejection."""
+        if open_request.last_result is api.Result.NO_ROOM:
             return AnswerCause.NO_ROOM
         return AnswerCause.SHED if self.up else AnswerCause.NO_SERVER
 
     def _wake(self, delay_s: float, name: str) -> None:
         if (earlier := self.timers.get(name)) is not None:
-            earlier.cancel()  # the second of two alarms of one name found its entry gone, and was lost
+            earlier.cancel()  # else the first alarm would remove the entry of the second one of that name
         self.timers[name] = self.loop.call_later(delay_s, self._on_alarm, name)
 
     def _on_alarm(self, name: str) -> None:
-        del self.timers[name]  # alarms are of requests too, and would be kept for good
+        del self.timers[name]  # alarms of requests have unique names, so the entries would pile up
         self.handle(api.Alarm(name))
 
     @property
     def full(self) -> bool:
-        """Whether one more request is too many, here or in the process."""
+        """Whether the pool or the process has reached its limit of open requests."""
         return self.capacity.full or (self.max_open is not None and self.open >= self.max_open)
 
     def extend_warm_up(self, cold_ms: float) -> None:
-        """Use a list's warm-up time of a server, unless the settings have a longer one.
+        """Use the warm-up time from a server list, unless the settings have a longer one.
 
-        A shorter one would let all nodes together push a cold server over.
+        With a shorter one, all nodes together could overload a cold server.
         """
         if cold_ms > self.settings.cold_ms:
             self.balancer.replace_settings(replace(self.balancer.cfg, cold_ms=cold_ms))
 
     def rejection(self, request: api.Request) -> Answer | None:
-        """Return the rejection of a request that the table does not let in; None: it is to be submitted."""
-        found = self.balancer.turns_away(self.clock.ms(), request)
-        if found is None:
+        """Return the rejection of a request that the threshold table does not admit; None: it may be submitted."""
+        refusal = self.balancer.turns_away(self.clock.ms(), request)
+        if refusal is None:
             request.admitted = True
             return None
         cause = AnswerCause.SHED if self.up else AnswerCause.NO_SERVER
-        return Answer(AnswerKind.REFUSED, cause, None, found.retry_after_ms)
+        return Answer(AnswerKind.REFUSED, cause, None, refusal.retry_after_ms)
 
     def submit(
         self,
@@ -221,9 +222,9 @@
         message: Message,
         deliver: Callable[[OpenRequest, Answer], None],
     ) -> OpenRequest:
-        """Submit a request, whose id no open one of this pool may have.
+        """Submit a request, whose id must be unique among the open requests of this pool.
 
-        `deliver` is called once, perhaps before this returns, and never after `abandon`.
+        `deliver` is called once, possibly before this returns, and never after `abandon`.
         """
         open_request = OpenRequest(request.id, message, deliver, give_up_at, request.service)
         self.requests[request.id] = open_request
@@ -234,15 +235,15 @@
         return open_request
 
     def abandon(self, open_request: OpenRequest) -> None:
-        """Give up a request whose caller has gone."""
+        """End a request whose caller has disconnected."""
         if not open_request.done:
             self.counts["gone"] += 1
             self._end(open_request)
             self.handle(api.Lapsed(open_request.id))
 
     def answer_all(self, cause: AnswerCause) -> None:
-        """Answer all open requests with a failure; nothing is promised about their effects."""
-        for open_request in [found for found in self.requests.values() if not found.done]:
+        """Answer all open requests with a failure; they may have taken effect."""
+        for open_request in [request for request in self.requests.values() if not request.done]:
             self.answer(open_request, Answer(AnswerKind.FAILED, cause))
             self.handle(api.Lapsed(open_request.id))
 
@@ -258,19 +259,19 @@
         self.open -= 1
         if open_request.backstop is not None:
             open_request.backstop.cancel()
-        # Where calls may not be cancelled, what waited to connect was written after its caller had gone. What
-        # has not been written completely is this process's own, whatever the settings allow.
+        # Without this, where the settings forbid to cancel calls, an attempt that waits for a connection would be sent
+        # after its caller has left. No server has received an unwritten attempt in full, so it may always be withdrawn.
         for attempt in open_request.attempts:
             if attempt is not None:
                 attempt.give_up_unwritten()
         self._forget(open_request)
 
     def _forget(self, open_request: OpenRequest) -> None:
-        if open_request.done and not open_request.out:
+        if open_request.done and not open_request.attempts_in_flight:
             self.requests.pop(open_request.id, None)
 
     def _on_backstop(self, open_request: OpenRequest) -> None:
-        # Whatever the balancer does, the caller gets an answer while it still waits.
+        # The caller gets an answer while it still waits, even if the balancer never decides.
         if not open_request.done:
             self.counts["backstop"] += 1
             self.answer(open_request, Answer(AnswerKind.FAILED, AnswerCause.LATE))
@@ -281,32 +282,33 @@
         number = len(open_request.attempts) if open_request is not None else 0
         began = self.loop.time()
         attempt_sent = _Sent(action, number, open_request, began)
-        over = open_request is None or open_request.done or open_request.give_up_at <= began
+        expired = open_request is None or open_request.done or open_request.give_up_at <= began
         if open_request is not None:
-            open_request.attempts.append(None)  # a moot send has a number too
-        if open_request is None or over or number >= self.settings.max_attempts:
+            open_request.attempts.append(None)  # a send that is not carried out takes a number too
+        if open_request is None or expired or number >= self.settings.max_attempts:
             self._outcome(attempt_sent, api.Result.MOOT)
             return
-        left = open_request.give_up_at - began
-        timeout = min(left, action.timeout_ms / 1000.0) if action.timeout_ms > 0.0 else left
-        open_request.out += 1
+        left_s = open_request.give_up_at - began
+        timeout_s = min(left_s, action.timeout_ms / 1000.0) if action.timeout_ms > 0.0 else left_s
+        open_request.attempts_in_flight += 1
 
         sent = api.Earlier(action.server, self.clock.ms(began))
-        open_request.first = open_request.first or sent
+        open_request.first_attempt = open_request.first_attempt or sent
         window: asyncio.TimerHandle | None = None
 
         def on_end(
             result: api.Result, reply: Reply, report: dict[str, float] | None, server_s: float = 0.0
         ) -> None:
             if window is not None:
-                window.cancel()  # as long as the servers' memory, it kept each repeat with its body
-            open_request.out -= 1
+                # The timer's delay may be minutes (the servers' memory of keys); it would keep the request alive.
+                window.cancel()
+            open_request.attempts_in_flight -= 1
             open_request.attempts[number] = None
-            if result.never_ran and open_request.first is sent:
-                open_request.first = None
+            if result.never_ran and open_request.first_attempt is sent:
+                open_request.first_attempt = None
             self._outcome(attempt_sent, result, reply, report, server_s)
 
-        attempt = self.back.send(action.server, open_request.message, timeout, on_end)
+        attempt = self.back.send(action.server, open_request.message, timeout_s, on_end)
         if attempt is None:
             on_end(api.Result.CONNECT_FAILED, None, None)
         else:
@@ -322,29 +324,31 @@
         report: dict[str, float] | None = None,
         server_s: float = 0.0,
     ) -> None:
-        """Report the one outcome of a send; the first good answer goes to the caller and ends its request."""
+        """Report the one outcome of a send; the first successful answer is delivered and ends the request."""
         self.counts[result.value] += 1
         action, open_request = sent.action, sent.open_request
         if open_request is not None:
-            open_request.last = result
+            open_request.last_result = result
             open_request.may_have_run = open_request.may_have_run or not result.never_ran
             if result is api.Result.OK and reply is not None:
                 self.answer(open_request, Answer(AnswerKind.SERVED, AnswerCause.ANSWERED, reply))
             elif result is api.Result.ERROR:
-                open_request.reply = reply
+                open_request.last_error_reply = reply
             self._forget(open_request)
         done = open_request is None or open_request.done
-        latency = server_s * 1000.0
-        # A core that was away between an attempt's end and here was taken for a slow server.
-        own_ms = max(0.0, (self.loop.time() - sent.began) * 1000.0 - latency)
+        latency_ms = server_s * 1000.0
+        # Measured from the send: lost CPU time between the attempt's end and here must not count as server latency.
+        own_ms = max(0.0, (self.loop.time() - sent.began) * 1000.0 - latency_ms)
         if result is api.Result.OK:
-            self.good += 1
+            self.good_answers += 1
             self.own_ms += own_ms
-            self.server_ms += latency
-        self.handle(api.Outcome(action.id, sent.number, action.server, result, latency, done, report, own_ms))
+            self.server_ms += latency_ms
+        self.handle(
+            api.Outcome(action.id, sent.number, action.server, result, latency_ms, done, report, own_ms)
+        )
 
     def on_list_failed(self, complete_until_ms: float | None) -> None:
-        """Note that discovery failed; the list lacks no change until that time (Unix, None: until now)."""
+        """Note that discovery failed; the list is complete up to this Unix time in ms (None: now)."""
         self.counts[f"list {api.ListForm.FAILED.value}"] += 1
         self.handle(api.Membership(api.ListForm.FAILED, complete_until_ms=complete_until_ms))
 
@@ -355,17 +359,17 @@
         endpoints: Mapping[str, Address] | None = None,
         levels: api.Levels | None = None,
     ) -> None:
-        """Take an update of the server list; `endpoints` has the address of each server that may get requests."""
+        """Apply an update of the server list; `endpoints` has the address of each server that may get requests."""
         if form is api.ListForm.FAILED:
             self.on_list_failed(None)
             return
         self.counts[f"list {form.value}"] += 1
         endpoints = endpoints or {}
-        # The balancer is notified first, so that what is given up here is sent elsewhere by the new list.
+        # The balancer is notified first, so that it resends by the new list the attempts that are ended here.
         self.handle(api.Membership(form, servers, levels))
         if levels is None:
             up = {server.address for server in servers if server.state is api.ServerState.UP}
-        else:  # of levels the balancer says which servers may get requests, as unhealthy ones may in a panic
+        else:  # with priority levels the balancer decides: in panic mode unhealthy servers get requests too
             up = {peer.info.address for peer in self.balancer.ready}
         for server in servers:
             if server.address in up:
--- a/loadbalancer/core/turns.py
+++ b/loadbalancer/core/turns.py
@@ -1,4 +1,4 @@
-"""An event loop that measures its turns: a turn is one poll and the handling of what it found."""
+"""An event loop that measures its iterations ("turns"): one poll and the callbacks that it made ready."""
 
 from __future__ import annotations
 
@@ -9,58 +9,61 @@
 
 from loadbalancer.overload.turns import Turns
 
-BEAT_S = 0.01  # longest sleep while requests are open: a core taken away for longer than this is noticed
+MAX_SLEEP_S = 0.01  # of the loop while requests are open; a longer one shows that the process got no CPU time
 
 
-class _Timed(selectors.DefaultSelector):
-    """Reports when each poll began and ended, by the loop's clock."""
+class _TimedSelector(selectors.DefaultSelector):
+    """A selector that records when each poll began and ended, by the loop's clock."""
 
     def __init__(self, turns: Turns) -> None:
         super().__init__()
         self._turns = turns
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Poll, and report the times."""
+        """Poll, and record its start and end."""
         began = time.monotonic()
-        found = super().select(timeout)
-        self._turns.poll(began, time.monotonic(), timeout, len(found))
-        return found
+        ready = super().select(timeout)
+        self._turns.poll(began, time.monotonic(), timeout, len(ready))
+        return ready
 
 
 class TurnLoop(asyncio.SelectorEventLoop):
-    """asyncio's own loop, with its measured `turns`."""
+    """The selector event loop of asyncio, with statistics of its iterations in `turns`."""
 
     def __init__(self) -> None:
         self.turns = Turns()
-        super().__init__(_Timed(self.turns))
+        super().__init__(_TimedSelector(self.turns))
 
 
 def turns_of(loop: asyncio.AbstractEventLoop) -> Turns:
-    """Return the turns of a loop; of one that does not measure them, ones with no time of the process's own."""
-    found = getattr(loop, "turns", None)
-    return found if isinstance(found, Turns) else Turns()
+    """Return the statistics of a loop's iterations; empty ones for a loop that does not measure them."""
+    turns = getattr(loop, "turns", None)
+    return turns if isinstance(turns, Turns) else Turns()
 
 
-class Beat:
-    """Wakes the loop often while there is something to measure."""
+class PeriodicWakeup:
+    """Wakes the loop every `MAX_SLEEP_S` while requests are open, so that lost CPU time is noticed."""
 
-    def __init__(self, wanted: Callable[[], bool]) -> None:
+    # Without a timer the loop sleeps until the next event, and a delay of that event by a lack of CPU time would look
+    # like a slow server.
+
+    def __init__(self, is_needed: Callable[[], bool]) -> None:
         self._loop = asyncio.get_running_loop()
-        self._wanted = wanted
+        self._is_needed = is_needed
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Wake the loop again soon, and then for as long as it is wanted."""
+        """Start the timer, which repeats as long as it is needed."""
         if self._timer is None:
-            self._timer = self._loop.call_later(BEAT_S, self._go)
+            self._timer = self._loop.call_later(MAX_SLEEP_S, self._on_timer)
 
-    def _go(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
-        if self._wanted():
+        if self._is_needed():
             self.start()
 
     def close(self) -> None:
-        """Stop waking the loop."""
+        """Stop the timer."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/loadbalancer/core/types.py
+++ b/loadbalancer/core/types.py
@@ -1,4 +1,4 @@
-"""The interfaces between fronts, pools and upstreams, for any protocol."""
+"""The interfaces between frontends, pools and upstreams, for any protocol."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from loadbalancer.core.address import Address
 from loadbalancer.interface import Result
 
-Message = Any  # what a front submits; only it and its upstream know the type
-Reply = Any  # a server's answer in the upstream's own form; only it and its front know the type
+Message = Any  # a request as a frontend submits it; only the frontend and its upstream know the type
+Reply = Any  # a server's answer as the upstream returns it; only the frontend and its upstream know the type
 
 
 class AnswerKind(Enum):
@@ -18,35 +18,35 @@
 
     SERVED = "served"
     REFUSED = "refused"  # a retry is harmless
-    FAILED = "failed"  # nothing is promised about effects
+    FAILED = "failed"  # the request may have taken effect
 
 
 class AnswerCause(Enum):
-    """Why an answer is what it is."""
+    """The reason for the final answer."""
 
     ANSWERED = "answered"
     SHED = "shed"  # the balancer rejected it
-    NO_ROOM = "no room"  # the same, as this process could open no connection in time
-    NO_SERVER = "no server"  # the same, as no server is known
+    NO_ROOM = "no room"  # rejected, as this process could open no connection in time
+    NO_SERVER = "no server"  # rejected, as no server is known
     TIMEOUT = "timeout"  # the last attempt got no answer in time
     BROKEN = "broken"  # the last attempt failed in another way
-    LATE = "late"  # its time was up before the decision module had said anything
-    LEAVING = "leaving"  # the process ends
-    FAULT = "fault"  # the decision module failed
+    LATE = "late"  # the deadline passed before the balancer had decided
+    LEAVING = "leaving"  # the process is shutting down
+    FAULT = "fault"  # the balancer raised an exception
 
 
 @dataclass(slots=True, frozen=True)
 class Answer:
     """The final answer to a request.
 
-    `reply` is what the upstream had from a server: the good answer of a request that
-    was served, or the last one of a request that ended in a server's error; None where no server answered.
+    `reply` is a server's answer: the successful one if the request was served, or the last one if it ended in a
+    server's error; None where no server answered.
     """
 
     kind: AnswerKind
     cause: AnswerCause
     reply: Reply = None
-    retry_after_ms: float = 0.0  # 0: nothing is said about when to come back
+    retry_after_ms: float = 0.0  # 0: no Retry-After is sent
 
 
 @dataclass(slots=True)
@@ -68,45 +68,45 @@
     def __call__(
         self, result: Result, reply: Reply, report: dict[str, float] | None, server_s: float = 0.0
     ) -> None:
-        """Take the result, the server's reply if one came, and the load report that it held.
+        """Receive the result, the server's reply if there is one, and the load report in it.
 
-        `server_s` is what of the attempt's time the server took, in seconds. The rest is this process's own: waiting
-        for a connection of its own, for its loop to write and to read.
+        `server_s` is the part of the attempt's duration that the server took, in seconds. The rest was spent in this
+        process: waiting for a connection, and for its event loop to write and read.
         """
 
 
 class Attempt(Protocol):
-    """One request on its way to one server."""
+    """One attempt: a request sent to one server."""
 
     def cancel(self) -> None:
-        """Give it up; its result is CANCELLED, unless it is over."""
+        """End the attempt with the result CANCELLED, unless it has ended."""
 
     def give_up_unwritten(self) -> None:
-        """Give it up unless its last byte has left; its result is then MOOT."""
+        """End the attempt with the result MOOT, unless its last byte has been sent."""
 
 
 class Upstream(Protocol):
-    """Carries attempts to servers; it never sends one twice."""
+    """Sends attempts to servers, each at most once."""
 
     @property
     def size(self) -> int:
-        """Connections to servers, those that are being opened too."""
+        """The number of connections to servers, including those being opened."""
 
     @property
     def waiting(self) -> int:
-        """Attempts that wait for a connection, for want of capacity in this process."""
+        """The number of attempts that wait for a connection because this process may open no more."""
 
     def add(self, name: str, endpoint: Address, launched_ms: float | None = None) -> None:
-        """Add a server, or take its new endpoint or its latest start (Unix time in ms; None: long ago)."""
+        """Add a server, or update its endpoint and its start time (Unix time in ms; None: long ago)."""
 
     def remove(self, name: str) -> None:
-        """Send nothing more to this server; attempts that have sent nothing yet end as CONNECT_FAILED."""
+        """Remove a server: nothing more is sent to it, and attempts not sent yet end as CONNECT_FAILED."""
 
     def send(self, name: str, message: Message, timeout_s: float, on_end: OnEnd) -> Attempt | None:
-        """Start an attempt; None if no such server was added.
+        """Start an attempt; returns None if no such server was added.
 
-        It ends within `timeout_s` with one call of `on_end`, never before this call has returned.
+        The attempt ends within `timeout_s` with one call of `on_end`, which comes after this method has returned.
         """
 
     def close(self) -> None:
-        """End everything at once."""
+        """Close all connections and end all attempts immediately."""
--- a/loadbalancer/http/__init__.py
+++ b/loadbalancer/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1: parsing, the callers' side and the servers' side."""
+"""HTTP/1.1: the server side for callers, and the client side for servers."""
--- a/loadbalancer/http/connection_pool.py
+++ b/loadbalancer/http/connection_pool.py
@@ -1,4 +1,4 @@
-"""Attempts in HTTP/1.1; a `Wire` says what a message is and what an answer stands for."""
+"""Attempts over HTTP/1.1; a `Wire` encodes messages and interprets answers."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 class Wire(Protocol):
-    """How a message goes to a server, and what its answer stands for."""
+    """Encodes messages to servers and interprets their answers."""
 
-    max_body: int  # bytes of an answer's body
-    raw: bool  # whether an answer's headers are kept as they came
+    max_body: int  # limit of an answer's body in bytes
+    raw: bool  # whether an answer's headers are also kept unchanged
 
     def encode(self, message: Message, wait_s: float) -> bytes:
-        """Return the request's bytes for a server whose answer is waited for `wait_s`."""
+        """Return the request's bytes; its answer must arrive within `wait_s`."""
 
     def bodiless(self, message: Message) -> bool:
-        """Whether the answer to it has no body, as to HEAD."""
+        """Whether the answer to the message has no body, as for HEAD."""
 
     def read(self, response: Response) -> tuple[Result, dict[str, float] | None]:
-        """Return the outcome that a complete answer stands for, and the load report that it holds."""
+        """Return the result of a complete answer, and the load report in it."""
 
 
 class HttpConnectionPool(ConnectionPool):
-    """Pooled HTTP/1.1 connections; `wire` says how messages are written and answers read."""
+    """Pooled HTTP/1.1 connections; `wire` encodes messages and interprets answers."""
 
     def __init__(
         self, limit: int, server_idle_s: float, connect_timeout_s: float, wire: Wire, rest_s: float = 0.0
@@ -40,10 +40,10 @@
         return ClientConnection(self.forget, self.wire.max_body, self.wire.raw)
 
     def start(self, connection: ClientConnection, message: Message, wait_s: float, attempt: Attempt) -> None:
-        """Write a message whose answer is waited for `wait_s`."""
+        """Write a message whose answer must arrive within `wait_s`."""
         wire = self.wire
         connection.start(wire.encode(message, wait_s), attempt, wire.bodiless(message))
 
     def outcome(self, message: Message, reply: Response) -> tuple[Result, dict[str, float] | None]:
-        """Return the outcome that a complete answer stands for, and its load report."""
+        """Return the result of a complete answer, and the load report in it."""
         return self.wire.read(reply)
--- a/loadbalancer/http/server.py
+++ b/loadbalancer/http/server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 for callers: parses requests, keeps connections, writes the one answer to each."""
+"""The server side of HTTP/1.1: parses callers' requests, keeps connections alive, writes one answer per request."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 
 from loadbalancer.core.listener import IncomingConnection, Listener, waited_s
 from loadbalancer.core.outgoing import ended, readable
-from loadbalancer.http.client import MAX_BODY, MAX_HEAD, NO_BODY, Header
+from loadbalancer.http.client import MAX_BODY, MAX_HEAD, NO_BODY_STATUSES, Header
 
-REQUEST_S = 2.5  # within which a request has to come in completely, from connecting or from its first byte
-IDLE_S = 8.0  # after which a connection that carries nothing is closed
-PIPELINE = 32  # complete requests that may wait on one connection
+REQUEST_S = 2.5  # for a request to arrive completely, from the connection's start or its first byte
+IDLE_S = 8.0  # after which an idle connection is closed
+PIPELINE = 32  # complete requests that may be queued on one connection
 
-# Of a repeated header the node could read one and a server another, so these may stand once only.
+# These may occur only once: of a repeated header, the node and a server could read different values.
 FRAMING = frozenset(b"host content-length transfer-encoding expect".split())
-TARGET = re.compile(rb"/[\x21-\x7e]*")
-ABSOLUTE = re.compile(
+ORIGIN_FORM = re.compile(rb"/[\x21-\x7e]*")
+ABSOLUTE_FORM = re.compile(
     rb"https?://(?P<authority>[\x21-\x2e\x30-\x3e\x40-\x7e]+)(?P<rest>[/?][\x21-\x7e]*)?", re.IGNORECASE
 )
-# What a Host may hold (RFC 3986, section 3.2, but for userinfo).
-HOST = re.compile(rb"[A-Za-z0-9._~%!$&'()*+,;=:\[\]-]*")
-UNREAD_BODY = 16 * 1024  # bytes of a body from which it is not waited for only to be refused
-# Methods of requests that end with their head, where it speaks of no body.
-PLAIN = (b"GET ", b"HEAD ", b"DELETE ")
+# The characters of a Host (RFC 3986, section 3.2, without userinfo).
+HOST_VALUE = re.compile(rb"[A-Za-z0-9._~%!$&'()*+,;=:\[\]-]*")
+AWAITED_BODY_BYTES = 16 * 1024  # a longer body is not awaited if the request will be rejected anyway
+# Starts of requests that usually have no body.
+BODILESS_PREFIXES = (b"GET ", b"HEAD ", b"DELETE ")
 
 
 @dataclass(slots=True, frozen=True)
 class Dialect:
-    """What a listener's callers may send, and how long they may take."""
+    """What a listener accepts from its callers, and its timeouts."""
 
-    once: frozenset[bytes] = FRAMING  # headers, by lower-case name, that may stand once only
-    ready_path: bytes | None = None  # answered here: 200 while ready, else 503
+    once: frozenset[bytes] = FRAMING  # lower-case names of the headers that may occur only once
+    ready_path: bytes | None = None  # answered by the listener itself: 200 while ready, else 503
     max_body: int = MAX_BODY  # bytes
-    raw: bool = False  # whether the headers are kept as they came, beside those by name
+    raw: bool = False  # whether the headers are also kept unchanged, beside those by name
     request_s: float | None = None  # instead of REQUEST_S
     idle_s: float | None = None  # instead of IDLE_S
     standard: bool = False  # whether Host and the target follow RFC 9112, section 3.2
@@ -48,14 +48,14 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One request as it came, and where its answer goes."""
+    """A caller's request, and the connection for its answer."""
 
     connection: ServerConnection
     arrived: float = 0.0  # the loop's time of its last byte
     method: bytes = b""
     target: bytes = b""
     headers: dict[bytes, bytes] = field(default_factory=dict)  # by lower-case name
-    raw: list[Header] = field(default_factory=list)  # as they came, where the dialect keeps them
+    raw: list[Header] = field(default_factory=list)  # unchanged, where the dialect has `raw`
     body: bytearray = field(default_factory=bytearray)
     keep_alive: bool = True
     begun: bool = False
@@ -63,23 +63,23 @@
     on_gone: Callable[[], None] | None = None
 
     def answer(self, status: int, body: bytes = b"", retry_after_ms: float = 0.0) -> None:
-        """Write the final answer, without headers of its own; a second one is ignored."""
+        """Write the final answer, without further headers; a second one is ignored."""
         if not self.answered:
             self.answered = True
-            self.on_gone = None  # which would hold what holds this call
+            self.on_gone = None  # a reference cycle otherwise
             self.connection.answer(self, _head(status, len(body), retry_after_ms), body, 400 <= status < 500)
 
     def pass_on(self, status: int, headers: list[Header], body: bytes, unusable: bool = False) -> None:
         """Write the final answer with these headers; a second one is ignored.
 
-        Its length is written here unless it has no body; `unusable`: so was the request.
+        Content-Length is added here unless the answer has no body; `unusable`: the request was invalid.
         """
         if not self.answered:
             self.answered = True
             self.on_gone = None
             lines = [b"HTTP/1.1 %d %s" % (status, _phrase(status))]
             lines += [name + b": " + value for name, value in headers]
-            if self.method == b"HEAD" or status in NO_BODY:
+            if self.method == b"HEAD" or status in NO_BODY_STATUSES:
                 body = b""
             else:
                 lines.append(b"Content-Length: %d" % len(body))
@@ -94,16 +94,16 @@
 
 
 def _head(status: int, length: int, retry_after_ms: float) -> bytes:
-    """Return the head of an answer of ours, but for its last line."""
+    """Return the head of an answer that this process produces, without `Connection` and the final empty line."""
     lines = [f"HTTP/1.1 {status} {HTTPStatus(status).phrase}", f"Content-Length: {length}"]
     if retry_after_ms > 0.0:
         lines.append(f"Retry-After: {retry_after_ms / 1000.0:.3f}")
     return ("\r\n".join(lines) + "\r\n").encode()
 
 
-def is_plain(data: bytes) -> bool:
-    """Whether this is one complete request of 1.1 that has no body, seen without parsing it."""
-    if not data.startswith(PLAIN) or data.find(b"\r\n\r\n") != len(data) - 4:
+def is_bodiless_request(data: bytes) -> bool:
+    """Whether the data is exactly one complete HTTP/1.1 request without a body, found without parsing it."""
+    if not data.startswith(BODILESS_PREFIXES) or data.find(b"\r\n\r\n") != len(data) - 4:
         return False
     head = data.lower()
     return (
@@ -114,85 +114,87 @@
 
 
 class ServerConnection(IncomingConnection):
-    """One caller's connection. Requests that come at once are answered in turn."""
+    """One caller's connection. Pipelined requests are answered in order."""
 
     def __init__(self, server: Server) -> None:
         super().__init__(server)
         self._server: Server = server
         self._dialect = server.dialect
         self._parser = httptools.HttpRequestParser(self)
-        self._calls: deque[Call] = deque()  # complete requests, the first of them being answered
+        self._calls: deque[Call] = deque()  # complete requests; the first one is being answered
         self._partial: Call | None = None
         self._size = 0
         self._in_head = False
-        self._head = 0  # bytes that have come of a head that is not complete
-        self._came = self._server.loop.time()  # when what is handled came, at the earliest
-        self._owes_continue = False  # a caller waits for the permission to send its body
-        self._stuck = False  # the caller does not read what has been written to it
-        self._fault = 0  # the status that ends this connection, once something was wrong on it
+        self._head_bytes = 0  # bytes received of a head that is not complete
+        self._received_at = (
+            self._server.loop.time()
+        )  # earliest time at which the current data can have arrived
+        self._continue_pending = False  # a caller waits for 100 Continue before it sends its body
+        self._stuck = False  # the caller does not read its answers: the write buffer is full
+        self._error_status = 0  # status of the final answer after an invalid request; 0: none
 
     def close_if_idle(self) -> bool:
-        """Close where no request is open, but not with bytes already waiting in the kernel."""
-        half = self._partial is not None and (self.known or self._server.stopping)
-        if self._calls or half or readable(self._transport):
+        """Close if no request is open and the kernel has no unread bytes; returns whether it was closed."""
+        partial = self._partial is not None and (self.known or self._server.stopping)
+        if self._calls or partial or readable(self._transport):
             return False
         self.abort()
         return True
 
     def expire(self) -> None:
-        """Its time in this stage is over."""
-        # A caller that does not read its answers would hold them, and its place, for ever.
+        """Handle the timeout of the current stage."""
+        # A caller that does not read its answers would occupy memory and its slot forever.
         if self._closing or self._stuck:
             self.abort_if_read()
-        elif self._partial is not None or (self.silent and self._server.orderly):
+        elif self._partial is not None or (self.received_nothing and self._server.orderly):
             self._fail(408)
         else:
             self.close_if_idle()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come, and serve or reject it; called by asyncio."""
-        if self._closing or (self._fault and self._calls):
-            return  # read and dropped, so that no answer is lost to a reset and a caller's leaving is seen
-        self._came = self.arrived()
-        if self._server.refusal is not None and self._refused_unread(data):
+        """Parse received bytes, and serve or reject the requests in them; called by asyncio."""
+        if self._closing or (self._error_status and self._calls):
+            return  # dropped, but read: unread bytes would reset the answer, and hide that the caller has left
+        self._received_at = self.arrived()
+        if self._server.unread_rejection is not None and self._reject_unread(data):
             return
         self._parse(data)
         if self._calls:
             if not self._stuck:
                 self._server.stage(self, None)
                 self._serve()
-        elif self._fault:
-            self._fail(self._fault)
+        elif self._error_status:
+            self._fail(self._error_status)
         elif self._partial is not None:
-            # One deadline for a complete request; no byte but its first moves it.
+            # The time limit for a complete request runs from its first byte; further bytes do not extend it.
             self._server.stage(self, self._server.waiting)
 
     def _parse(self, data: bytes) -> None:
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._fault = self._fault or 400
-        if self._in_head:  # The parser keeps a header back until it is complete
-            self._head += len(data)
-            # A body before it may have come with its first part.
-            if self._head > MAX_HEAD + self._dialect.max_body:
-                self._fault = self._fault or 400
+            self._error_status = self._error_status or 400
+        if self._in_head:  # the parser reports a header only once it is complete
+            self._head_bytes += len(data)
+            # The same data may contain the end of the previous request's body.
+            if self._head_bytes > MAX_HEAD + self._dialect.max_body:
+                self._error_status = self._error_status or 400
 
-    def _refused_unread(self, data: bytes) -> bool:
-        """Turn away a complete request without reading it, where none could be answered in time.
+    def _reject_unread(self, data: bytes) -> bool:
+        """Reject a complete request without parsing it, if no request could be answered in time.
 
-        Reading, routing and writing a refusal cost the core that answers needed.
+        Parsing, routing and rejecting it the usual way would take CPU time that answers need.
         """
-        refusal = self._server.refusal
-        if refusal is None or self._calls or self._partial is not None or self._stuck:
+        unread_rejection = self._server.unread_rejection
+        if unread_rejection is None or self._calls or self._partial is not None or self._stuck:
             return False
-        found = refusal(self._came)
-        if found is None or not is_plain(data):
+        head = unread_rejection(self._received_at)
+        if head is None or not is_bodiless_request(data):
             return False
-        # Closed as well, callers came back on new ones, which cost the core several times the refusal.
+        # The connection is kept: callers would reconnect, which costs several times the CPU time of a rejection.
         close = self._server.stopping or b"\r\nconnection:" in data.lower()
-        self._server.on_refused(found)
-        self._transport.write(found + (b"Connection: close\r\n\r\n" if close else b"\r\n"))
+        self._server.on_unread_rejection(head)
+        self._transport.write(head + (b"Connection: close\r\n\r\n" if close else b"\r\n"))
         self.known = True
         if close:
             self._end()
@@ -202,14 +204,14 @@
 
     def pause_writing(self) -> None:
         """Stop reading while the caller does not read its answers; called by asyncio."""
-        # A caller that asks on and never reads had its answers piled up here without end.
+        # Otherwise the answers of a caller that sends requests and never reads would pile up without limit.
         self._stuck = True
         self._transport.pause_reading()
         if not self._calls or not self._calls[0].begun:
             self._server.stage(self, self._server.waiting)
 
     def resume_writing(self) -> None:
-        """Read on; called by asyncio."""
+        """Resume reading; called by asyncio."""
         self._stuck = False
         if self._closing:
             return
@@ -221,24 +223,24 @@
             self._server.stage(self, self._server.idle)
 
     def eof_received(self) -> bool:
-        """Handle that the caller has closed its side; called by asyncio."""
-        # An answer that could not be flushed held back that the caller had gone, and what it had asked
-        # for behind that answer was sent on.
-        self._leave()
+        """Handle the end of the caller's side; called by asyncio."""
+        # Its requests end here and not in `connection_lost`, which an unflushed answer delays: requests queued behind
+        # that answer would still be sent to servers.
+        self._abandon_calls()
         self._closing = True
         self._server.stage(self, self._server.lingering)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Give up what the caller has requested; called by asyncio."""
+        """End the caller's requests; called by asyncio."""
         self._closing = True
         self._server.closed(self)
-        # Parser and connection hold each other; the collector comes for such old pairs hardly ever.
+        # Parser and connection refer to each other; without this they would stay until a full garbage collection.
         del self._parser
-        self._leave()
+        self._abandon_calls()
 
-    def _leave(self) -> None:
-        """Give up all requests of a caller that has gone."""
+    def _abandon_calls(self) -> None:
+        """End all requests of a caller that has disconnected."""
         calls, self._calls = self._calls, deque()
         for call in calls:
             call.answered = True
@@ -247,78 +249,78 @@
                 call.on_gone = None
 
     def on_message_begin(self) -> None:
-        """Begin a request; called by the parser."""
+        """Start a request; called by the parser."""
         self._partial = Call(self)
-        self._size = self._head = 0
+        self._size = self._head_bytes = 0
         self._in_head = True
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target; called by the parser."""
+        """Append a part of the target; called by the parser."""
         self._grow(len(url), MAX_HEAD, 400)
         if self._partial is not None:
             self._partial.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header; called by the parser."""
+        """Store a header; called by the parser."""
         self._grow(len(name) + len(value), MAX_HEAD, 400)
-        given, name = name, name.lower()
-        if self._partial is None or self._fault:
+        original_name, name = name, name.lower()
+        if self._partial is None or self._error_status:
             return
-        # A trailer could rewrite the head that it follows.
+        # Trailers are rejected, as they could overwrite fields of the head.
         if not self._in_head or (name in self._dialect.once and name in self._partial.headers):
-            self._fault = 400
+            self._error_status = 400
         if self._dialect.raw:
-            # Blanks behind a value are no part of it (RFC 9110, section 5.5); the parser leaves them.
+            # Trailing whitespace is not part of a value (RFC 9110, section 5.5), but the parser keeps it.
             value = value.rstrip(b" \t")
-            self._partial.raw.append((given, value))
+            self._partial.raw.append((original_name, value))
         self._partial.headers[name] = value
 
     def on_headers_complete(self) -> None:
         """Check the head; called by the parser."""
         self._in_head = False
-        if self._partial is None or self._fault:
+        if self._partial is None or self._error_status:
             return
         self._size = 0
         headers = self._partial.headers
         version = self._parser.get_http_version()
-        hosted = not self._dialect.standard or version != "1.1" or self._has_host(headers)
-        if self._dialect.standard and (found := ABSOLUTE.fullmatch(self._partial.target)):
-            self._authority(self._partial, found)
-        fault = self._head_fault(self._partial, version, hosted)
-        if fault:
-            self._fault = fault
+        host_valid = not self._dialect.standard or version != "1.1" or self._has_host(headers)
+        if self._dialect.standard and (match := ABSOLUTE_FORM.fullmatch(self._partial.target)):
+            self._apply_absolute_form(self._partial, match)
+        error_status = self._head_error_status(self._partial, version, host_valid)
+        if error_status:
+            self._error_status = error_status
         elif headers.get(b"expect", b"").lower() == b"100-continue":
-            self._owes_continue = True
-            self._continue()
+            self._continue_pending = True
+            self._send_continue()
 
-    def _head_fault(self, call: Call, version: str, hosted: bool) -> int:
-        """Return the status that rejects this head; 0: none does."""
+    def _head_error_status(self, call: Call, version: str, host_valid: bool) -> int:
+        """Return the status with which to reject this head; 0 if it is valid."""
         length, coding = call.headers.get(b"content-length"), call.headers.get(b"transfer-encoding")
-        # A length beside a coding may hide a second request from one of two readers.
+        # With Content-Length beside a transfer coding, two parsers may disagree on the body's end (request smuggling).
         if coding is not None and (length is not None or coding.lower() != b"chunked" or version == "1.0"):
             return 400
-        if not hosted:
+        if not host_valid:
             return 400  # RFC 9112, section 3.2
         if length is not None and int(length) > self._dialect.max_body:
             return 413
-        if not TARGET.fullmatch(call.target):
+        if not ORIGIN_FORM.fullmatch(call.target):
             return 400
         if version not in ("1.1", "1.0"):
             return 505
-        return 503 if (coding or length) and self._too_long_to_refuse(length) else 0
+        return 503 if (coding or length) and self._rejects_before_body(length) else 0
 
     @staticmethod
     def _has_host(headers: dict[bytes, bytes]) -> bool:
-        """Whether the one Host that a request of 1.1 owes is there and could be one; it may be empty."""
+        """Whether there is a valid Host, which HTTP/1.1 requires; it may be empty."""
         host = headers.get(b"host")
-        return host is not None and HOST.fullmatch(host.strip(b" \t")) is not None
-
-    def _authority(self, call: Call, found: re.Match[bytes]) -> None:
-        """Take a target in absolute form: its authority replaces Host (RFC 9112, section 3.2.2)."""
-        rest, host = found["rest"] or b"/", found["authority"]
-        call.target = rest if rest.startswith(b"/") else b"/" + rest
-        if b"@" in host:  # RFC 9110, section 4.2.4: userinfo is an error in what comes from outside
-            self._fault = 400
+        return host is not None and HOST_VALUE.fullmatch(host.strip(b" \t")) is not None
+
+    def _apply_absolute_form(self, call: Call, match: re.Match[bytes]) -> None:
+        """Apply a target in absolute form: its authority replaces Host (RFC 9112, section 3.2.2)."""
+        path, host = match["rest"] or b"/", match["authority"]
+        call.target = path if path.startswith(b"/") else b"/" + path
+        if b"@" in host:  # RFC 9110, section 4.2.4: userinfo from an untrusted source is an error
+            self._error_status = 400
         call.headers[b"host"] = host
         if self._dialect.raw:
             call.raw = [
@@ -326,53 +328,57 @@
                 *((name, value) for name, value in call.raw if name.lower() != b"host"),
             ]
 
-    def _too_long_to_refuse(self, length: bytes | None) -> bool:
-        """Whether no request can be answered in time, and this one's body would have to be waited for to say so."""
-        if self._server.refusal is None or self._calls or (length and int(length) <= UNREAD_BODY):
+    def _rejects_before_body(self, length: bytes | None) -> bool:
+        """Whether to reject a request before its body: none can be answered in time, and the body is not short."""
+        if (
+            self._server.unread_rejection is None
+            or self._calls
+            or (length and int(length) <= AWAITED_BODY_BYTES)
+        ):
             return False
-        return self._server.refusal(self._came) is not None
+        return self._server.unread_rejection(self._received_at) is not None
 
-    def _continue(self) -> None:
-        """Have the body come that a caller holds back, once the answers before it have gone."""
-        if self._owes_continue and not self._calls:
-            self._owes_continue = False
+    def _send_continue(self) -> None:
+        """Send 100 Continue if a caller waits for it, once all previous requests have been answered."""
+        if self._continue_pending and not self._calls:
+            self._continue_pending = False
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body; called by the parser."""
-        self._owes_continue = False  # it did not wait
+        """Append a part of the body; called by the parser."""
+        self._continue_pending = False  # the caller did not wait for it
         self._grow(len(body), self._dialect.max_body, 413)
-        if self._partial is not None and not self._fault:
+        if self._partial is not None and not self._error_status:
             self._partial.body += body
 
     def on_message_complete(self) -> None:
         """Queue the complete request; called by the parser."""
         call, self._partial = self._partial, None
-        if call is None or self._fault:
+        if call is None or self._error_status:
             return
-        call.arrived = self._came
+        call.arrived = self._received_at
         call.method = self._parser.get_method()
         call.keep_alive = self._parser.should_keep_alive()
-        # A caller sends one request at a time; of one that sends more, only so much is held.
-        held = sum(len(one.body) for one in self._calls)
-        if len(self._calls) >= PIPELINE or held > self._dialect.max_body:
-            self._fault = 429
+        # Most callers send one request at a time; the queue of pipelined ones is limited.
+        queued_bytes = sum(len(one.body) for one in self._calls)
+        if len(self._calls) >= PIPELINE or queued_bytes > self._dialect.max_body:
+            self._error_status = 429
             return
         self._calls.append(call)
 
-    def _grow(self, size: int, limit: int, fault: int) -> None:
+    def _grow(self, size: int, limit: int, error_status: int) -> None:
         self._size += size
         if self._size > limit:
-            self._fault = self._fault or fault
+            self._error_status = self._error_status or error_status
 
     def _serve(self) -> None:
-        """Hand the first complete request on, unless that has been done or its caller has gone."""
+        """Serve the first complete request, unless it is being served or its caller has disconnected."""
         call = self._calls[0]
         if not call.begun:
-            # The end of a caller that has sent much and gone is read after its requests, which were sent on;
-            # so was what stood behind an answer that was held up.
+            # The end of stream is delivered only after all received requests. Without this check, pipelined requests of
+            # a caller that has left would still be sent to servers.
             if self._transport.is_closing() or ended(self._transport):
-                self._leave()
+                self._abandon_calls()
                 self._end()
                 return
             call.begun = True
@@ -382,7 +388,7 @@
                 self._server.on_call(call)
 
     def answer(self, call: Call, head: bytes, body: bytes, unusable: bool) -> None:
-        """Write an answer; `head` lacks the empty line at its end; `unusable`: so was the request."""
+        """Write an answer; `head` lacks the final empty line; `unusable`: the request was invalid."""
         if self._transport.is_closing() or not self._calls or self._calls[0] is not call:
             return
         self.known = self.known or not unusable
@@ -396,82 +402,85 @@
             self._server.stage(self, self._server.waiting)
         elif self._calls:
             self._server.loop.call_soon(self._next)
-        elif self._fault:
-            self._fail(self._fault)
+        elif self._error_status:
+            self._fail(self._error_status)
         else:
-            self._continue()
-            owing = self._partial is not None or not self.known
-            self._server.stage(self, self._server.waiting if owing else self._server.idle)
+            self._send_continue()
+            incomplete = self._partial is not None or not self.known
+            self._server.stage(self, self._server.waiting if incomplete else self._server.idle)
 
     def _next(self) -> None:
         if self._calls and not self._closing and not self._stuck:
             self._serve()
 
     def reject_partial(self) -> None:
-        """Answer 503 to a request that has come in part."""
+        """Answer 503 to a request that has arrived in part."""
         if self._partial is not None and not self._calls and not self._closing:
             self._fail(503)
 
     def _fail(self, status: int) -> None:
-        """Answer what can't be read as a request, and end the connection."""
-        refusal = self._server.refusal
-        head = refusal(self._came) if status == 503 and refusal is not None else None
+        """Answer an invalid or incomplete request, and close the connection."""
+        unread_rejection = self._server.unread_rejection
+        head = unread_rejection(self._received_at) if status == 503 and unread_rejection is not None else None
         if head is not None:
-            self._server.on_refused(head)
+            self._server.on_unread_rejection(head)
         self._transport.write((head or _head(status, 0, 0.0)) + b"Connection: close\r\n\r\n")
         self._end()
 
 
 class Server(Listener):
-    """Listens to callers of HTTP/1.1; `on_call` takes each complete request."""
+    """A listener for HTTP/1.1; `on_call` is called with each complete request."""
 
     def __init__(
         self, limit: int, on_call: Callable[[Call], None], dialect: Dialect, orderly: bool = False
     ) -> None:
         super().__init__(limit, orderly)
         self.on_call = on_call
-        # What a request that came then is to be refused with, unread: a head but for its last line; None: it is read.
-        self.refusal: Callable[[float], bytes | None] | None = None
-        # The head, but for its last line, of the answer to a request for which no slot is left.
-        self.full_head: Callable[[], bytes | None] | None = None
-        self.on_refused: Callable[[bytes], None] = lambda head: None  # told each of these that is sent
+        # Returns the rejection of a request that arrived at this time and is not parsed yet: a response head without
+        # `Connection` and the final empty line; None: the request is parsed.
+        self.unread_rejection: Callable[[float], bytes | None] | None = None
+        # Returns the same for a request for which no slot is left.
+        self.full_rejection: Callable[[], bytes | None] | None = None
+        self.on_unread_rejection: Callable[[bytes], None] = lambda head: (
+            None
+        )  # called for each of these that is sent
         self.dialect = dialect
 
     def connection(self) -> ServerConnection:
         """Return a new connection."""
         return ServerConnection(self)
 
-    def refused_at_once(self, found: socket.socket, no_place: bool, enough: bool) -> bool:
-        """Reject a complete request unread, where it can be told apart cheaply."""
-        if self.full_head is None or self.refusal is None:
+    def reject_before_accept(self, sock: socket.socket, no_slot: bool, accepted_enough: bool) -> bool:
+        """Reject the complete request of a new connection without parsing it; returns False if it was not rejected."""
+        if self.full_rejection is None or self.unread_rejection is None:
             return False
-        full = no_place or not self.connection_limit.may_begin(self.active_requests)
-        late = None
-        if not full and enough:
+        full = no_slot or not self.connection_limit.may_begin(self.active_requests)
+        late_rejection = None
+        if not full and accepted_enough:
             now = self.loop.time()
-            late = self.refusal(min(self.turns.came(now), now - waited_s(found)))
-        if not full and late is None:
+            late_rejection = self.unread_rejection(min(self.turns.came(now), now - waited_s(sock)))
+        if not full and late_rejection is None:
             return False
         try:
-            data = found.recv(MAX_HEAD, socket.MSG_PEEK)
+            data = sock.recv(MAX_HEAD, socket.MSG_PEEK)
         except OSError:
             return False
-        if not is_plain(data):
+        if not is_bodiless_request(data):
             return False
-        head = self.full_head() if full else late
+        head = self.full_rejection() if full else late_rejection
         if head is None:
             return False
-        # All that has come is read before it is closed, and nothing more is owed: the answer isn't reset away.
-        self.on_refused(head)
-        found.recv(len(data))
+        # The request is read before the connection is closed, as unread bytes would reset the answer.
+        self.on_unread_rejection(head)
+        sock.recv(len(data))
         with contextlib.suppress(OSError):
-            found.send(head + b"Connection: close\r\n\r\n")
-        found.close()
+            sock.send(head + b"Connection: close\r\n\r\n")
+        sock.close()
         return True
 
     @property
     def request_s(self) -> float:
-        """Time within which a request has to come in completely."""
+        """Time within which a request must arrive completely."""
         return self.dialect.request_s or REQUEST_S
 
     @property
--- a/loadbalancer/runtime/__init__.py
+++ b/loadbalancer/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""The running sidecar: fronts, pools, lists and admin listener put together, and put anew by a reload."""
+"""The running sidecar: frontends, pools, server lists and admin listener, built from its configuration."""
--- a/loadbalancer/runtime/admin.py
+++ b/loadbalancer/runtime/admin.py
@@ -1,14 +1,14 @@
 """The admin listener: read-only, on loopback, JSON.
 
-| path | what it tells |
+| path | content |
 | --- | --- |
-| `/config` | the configuration in force, its digest, since when (Unix time in s), and the last one rejected |
-| `/servers` | by pool: each server's state, zone, rank (less is picked first), calls in flight, errors |
-| `/requests` | by pool and class: requests open |
-| `/lists` | by pool: where its list comes from; of xDS: each resource's version, age, and what was rejected and why |
-| `/load` | the node's own lag and share of latency, each pool's cursor and load, and who refused what |
-| `/budgets` | by pool and class: first tries, retries, what was refused for lack of budget, time left, amplification |
-| `/up` | 200 once each pool knows a server, else 503 |
+| `/config` | the current configuration, its digest, when it was applied (Unix time in s), the last one rejected |
+| `/servers` | by pool: each server's state, zone, rank (the lowest is picked first), calls in flight, errors |
+| `/requests` | by pool and class: the number of open requests |
+| `/lists` | by pool: the source of its server list; for xDS also each resource's version, age and rejection |
+| `/load` | the node's loop lag and share of latency, each pool's cursor and load, rejections by cause |
+| `/budgets` | by pool and class: first attempts, retries, rejections for lack of budget, time left, amplification |
+| `/up` | 200 once each pool has a server, else 503 |
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from loadbalancer.core.pool import Pool
 from loadbalancer.http.server import Call, Dialect, Server
 
-LIMIT = 8  # connections
+MAX_CONNECTIONS = 8  # connections
 
 
-class Subject(Protocol):
-    """What the admin listener shows."""
+class StatusSource(Protocol):
+    """The source of the rows that the admin listener serves."""
 
     def config_row(self) -> dict[str, Any]: ...
 
@@ -43,9 +43,11 @@
 
 
 class Admin:
-    def __init__(self, subject: Subject) -> None:
-        self.subject = subject
-        self.server = Server(LIMIT, self._on_call, Dialect(max_body=0))
+    """Serves the paths above."""
+
+    def __init__(self, source: StatusSource) -> None:
+        self.source = source
+        self.server = Server(MAX_CONNECTIONS, self._on_call, Dialect(max_body=0))
 
     def _on_call(self, call: Call) -> None:
         path = call.target.partition(b"?")[0]
@@ -53,15 +55,15 @@
             call.pass_on(405, [(b"Allow", b"GET, HEAD")], b"", unusable=True)
             return
         pages = {
-            b"/config": self.subject.config_row,
+            b"/config": self.source.config_row,
             b"/servers": self._servers,
             b"/requests": self._requests,
-            b"/lists": self.subject.lists_row,
-            b"/budgets": self.subject.budgets_row,
-            b"/load": self.subject.load_row,
+            b"/lists": self.source.lists_row,
+            b"/budgets": self.source.budgets_row,
+            b"/load": self.source.load_row,
         }
         if path == b"/up":
-            call.pass_on(200 if self.subject.ready else 503, [], b"")
+            call.pass_on(200 if self.source.ready else 503, [], b"")
         elif path in pages:
             body = orjson.dumps(pages[path](), option=orjson.OPT_INDENT_2)
             call.pass_on(200, [(b"Content-Type", b"application/json")], body)
@@ -70,14 +72,14 @@
             call.pass_on(404, [(b"Content-Type", b"text/plain")], f"{known}\n".encode(), unusable=True)
 
     def _servers(self) -> dict[str, Any]:
-        return {name: servers_row(pool) for name, pool in self.subject.pools.items()}
+        return {name: servers_row(pool) for name, pool in self.source.pools.items()}
 
     def _requests(self) -> dict[str, Any]:
-        return {name: requests_row(pool) for name, pool in self.subject.pools.items()}
+        return {name: requests_row(pool) for name, pool in self.source.pools.items()}
 
 
 def servers_row(pool: Pool) -> list[dict[str, Any]]:
-    """A pool's servers, the best ranked first."""
+    """Return a pool's servers, those that are up first, by rank."""
     rows = [
         {
             "id": info.address,
@@ -93,6 +95,6 @@
 
 
 def requests_row(pool: Pool) -> dict[str, int]:
-    """Open requests by class, those of none too."""
-    counts = Counter(job.kind for job in pool.requests.values() if not job.done)
+    """Return the number of open requests of each class, 0 included."""
+    counts = Counter(open_request.kind for open_request in pool.requests.values() if not open_request.done)
     return {name: counts[name] for name in pool.classes}
--- a/loadbalancer/runtime/budgets.py
+++ b/loadbalancer/runtime/budgets.py
@@ -1,4 +1,4 @@
-"""Budgets in a running sidecar: what its fronts ask when a request comes, and what they tell when it ends."""
+"""Time and retry budgets in a running sidecar: admission of requests, detection of duplicates, and their figures."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 from loadbalancer.budget.repeats import Identity, Kind, Repeats, Verdict
 from loadbalancer.core.pool import OpenRequest, Pool
 from loadbalancer.core.types import Answer, AnswerKind
-from loadbalancer.runtime.taking import WAY_BACK_S
+from loadbalancer.runtime.frontend_common import ANSWER_MARGIN_S
 from loadbalancer.sidecar.models import BudgetModel
 
 
 class Budgets:
-    """One sidecar's. What it has learned stays over reloads."""
+    """The budget state of one sidecar; what it has learned is kept over reloads."""
 
     def __init__(self) -> None:
-        self.mark = secrets.token_hex(6)
+        self.instance_id = secrets.token_hex(6)
         self.decider = Decider()
         self.repeats = Repeats()
         self.figures = Figures()
-        self.problems: Counter[str] = Counter()  # what was carried and not read, or not believed
+        self.problems: Counter[str] = Counter()  # carried values that were malformed or not trusted
 
     def rows(self, pools: Mapping[str, Pool]) -> dict[str, Any]:
-        """For operators."""
+        """Return the body of the admin path `/budgets`."""
         budgets = {name: pool.balancer.sender.budget for name, pool in pools.items()}
         spent = {name: budget.counts for name, budget in budgets.items() if budget is not None}
         return {
@@ -42,9 +42,9 @@
                 if budget is not None
             },
             "learned_patience_ms": {
-                name: round(found.ms, 1)
-                for name, found in sorted(self.decider.patience.items())
-                if found.ms is not None
+                name: round(patience.ms, 1)
+                for name, patience in sorted(self.decider.patience.items())
+                if patience.ms is not None
             },
             "repeats": dict(sorted(self.repeats.counts.items())) | {"bytes_kept": self.repeats.held},
             "not_believed": dict(sorted(self.problems.items())),
@@ -52,38 +52,41 @@
 
 
 @dataclass(slots=True)
-class FrontBudget:
-    """What one listener asks; replaced as a whole by a reload."""
+class FrontendBudget:
+    """The budget of one listener; a reload replaces the object as a whole."""
 
-    shared: Budgets
+    budgets: Budgets
     terms: Terms
     model: BudgetModel
-    half_trip_ms: Mapping[str, float] = field(default_factory=dict)  # by pool, of the network one way
+    one_way_ms: Mapping[str, float] = field(default_factory=dict)  # by pool: network latency in one direction
 
     def admit(
         self,
         pool_name: str,
         pool: Pool,
         kind: api.ServiceClass,
-        most_ms: float,
-        asked_ms: float | None,
+        max_wait_ms: float,
+        requested_ms: float | None,
         carried: Carried,
         arrived: float,
         tenant: str | None,
-        asked: tuple[bytes, ...],
+        request_parts: tuple[bytes, ...],
         fields: Sequence[tuple[bytes, bytes]] = (),
         key: bytes | None = None,
-    ) -> Ticket | Denial:
-        """Let a request in, or say why it is not begun. `asked` and `fields`: all that tells it from another one."""
-        shared = self.shared
-        figures = shared.figures.of(pool_name, kind.name)
+    ) -> AdmittedRequest | Denial:
+        """Admit a request, or return why it is rejected unexecuted.
+
+        `request_parts`, `fields` and `key` identify the request: two that agree in them are duplicates.
+        """
+        budgets = self.budgets
+        figures = budgets.figures.of(pool_name, kind.name)
         figures.counts["came"] += 1
 
-        def on_other(name: str) -> None:
-            shared.problems[name] += 1
+        def on_problem(name: str) -> None:
+            budgets.problems[name] += 1
 
         now = pool.clock.ms(arrived)
-        grant = shared.decider.decide(self.terms, kind, most_ms, asked_ms, carried, now, on_other)
+        grant = budgets.decider.decide(self.terms, kind, max_wait_ms, requested_ms, carried, now, on_problem)
         if isinstance(grant, Denial):
             figures.counts[grant.name.lower()] += 1
             if grant is Denial.OVER:
@@ -91,94 +94,102 @@
             return grant
         figures.at_arrival.add(grant.wait_ms)
         tenant = tenant or grant.tenant
-        parts = ((tenant or "").encode(), *asked)
-        who = Identity(kind.name, kind.effect, parts, key, grant.id, grant.is_retry, fields)
-        verdict = shared.repeats.arrive(now, who)
+        identity_parts = ((tenant or "").encode(), *request_parts)
+        identity = Identity(kind.name, kind.effect, identity_parts, key, grant.id, grant.is_retry, fields)
+        verdict = budgets.repeats.arrive(now, identity)
         if verdict.guessed and not pool.balancer.sender.failing:
-            verdict = Verdict(Kind.NEW)  # nothing has to be spared, so nobody has to be suspected
+            # A likely duplicate without a retry mark counts as new while the pool is healthy: no load has to be shed.
+            verdict = Verdict(Kind.NEW)
         if verdict.kind is Kind.REPEAT and not grant.paid:
             grant.is_retry = True
             grant.allowance.kept = grant.allowance.handed = 0
             grant.allowance.attempt = max(2, grant.allowance.attempt)
         figures.counts[verdict.kind.value] += 1
-        return Ticket(self, pool_name, pool, kind, grant, who, verdict, tenant, arrived, figures)
+        return AdmittedRequest(
+            self, pool_name, pool, kind, grant, identity, verdict, tenant, arrived, figures
+        )
 
 
 @dataclass(slots=True)
-class Ticket:
-    """A request that was let in: what it got, and who it is."""
+class AdmittedRequest:
+    """An admitted request: its granted time and attempts, and its identity among possible duplicates."""
 
-    budget: FrontBudget
+    budget: FrontendBudget
     pool_name: str
     pool: Pool
     kind: api.ServiceClass
     grant: Grant
-    who: Identity
+    identity: Identity
     verdict: Verdict
     tenant: str | None
     arrived: float
     figures: ClassFigures
 
-    def settle(self, caller: Caller, replay: Callable[[Any], None], late: Callable[[], None]) -> bool:
-        """Whether nothing has to be sent for it: it waits for one that runs, or has the answer of one that has ended.
+    def resolve_repeat(
+        self, caller: Caller, replay: Callable[[Any], None], answer_late: Callable[[], None]
+    ) -> bool:
+        """Whether the request is a duplicate that needs no attempt, as it waits for, or gets, the first one's answer.
 
-        `replay` is given that answer's reply; `late` answers it if its own time ends before the other's answer.
+        `replay` is called with the reply of a first one that has ended. `answer_late` is called if the duplicate's own
+        deadline passes before a first one that is still open is answered.
         """
         if self.verdict.kind is Kind.REPLAY:
             replay(self.verdict.token)
         elif self.verdict.kind is Kind.JOIN:
-            running: Asked = self.verdict.token
-            running.join(caller, self, late)
+            running: SharedRequest = self.verdict.token
+            running.join(caller, self, answer_late)
         else:
             return False
         return True
 
-    def left(self) -> None:
-        """Its caller has gone without an answer."""
+    def on_caller_left(self) -> None:
+        """Note that the caller left before its answer."""
         if not self.grant.stated:
             waited = self.pool.loop.time() - self.arrived
-            self.budget.shared.decider.of(self.kind.name).left(waited * 1000.0)
+            self.budget.budgets.decider.of(self.kind.name).left(waited * 1000.0)
         self.figures.counts["left"] += 1
 
-    def answered(self) -> None:
-        """Its caller has its answer."""
+    def on_answered(self) -> None:
+        """Note that the caller has been answered."""
         waited = (self.pool.loop.time() - self.arrived) * 1000.0
         if not self.grant.stated:
-            self.budget.shared.decider.of(self.kind.name).answered(waited)
+            self.budget.budgets.decider.of(self.kind.name).answered(waited)
         self.figures.at_end.add(self.grant.wait_ms - waited)
 
 
 class Caller(Protocol):
-    """Who waits for an answer: a call of either protocol."""
+    """A waiting call of either protocol."""
 
     on_gone: Callable[[], None] | None
 
 
-class Asked:
-    """One request that is under way, whatever it is spoken in: the callers that wait for its answer, the one that asked
-    first and those that joined it, and what it may spend."""
+class SharedRequest:
+    """One open request of either protocol, its budget, and all callers that wait for its answer.
 
-    def __init__(self, pool: Pool, name: str, ticket: Ticket | None = None) -> None:
-        """`name`: of the request here; `ticket`: where there are budgets."""
+    These are the caller that sent it first and those whose duplicates have joined it.
+    """
+
+    def __init__(self, pool: Pool, name: str, admitted: AdmittedRequest | None = None) -> None:
+        """`name` is the request id in this sidecar; `admitted` is None where no budget is configured."""
         self.pool = pool
         self.name = name
-        self.ticket = ticket
-        self._job: OpenRequest | None = None
-        self._callers: dict[int, tuple[Any, Ticket | None, asyncio.TimerHandle | None]] = {}
+        self.admitted = admitted
+        self._open_request: OpenRequest | None = None
+        self._callers: dict[int, tuple[Any, AdmittedRequest | None, asyncio.TimerHandle | None]] = {}
 
-    def request(
+    def build_request(
         self, kind: api.ServiceClass, give_up_at: float, tenant: str | None, is_retry: bool = False
     ) -> api.Request:
-        """What the decision module is told of it."""
-        found = api.Request(self.name, kind.name, self.pool.clock.ms(give_up_at), tenant, is_retry=is_retry)
-        if self.ticket is not None:
-            grant = self.ticket.grant
-            found.is_retry, found.paid = grant.is_retry, grant.paid
-            found.attempts, found.worth = grant.attempts, grant.worth
-            found.earlier = self.ticket.verdict.earlier
-        return found
-
-    def take(
+        """Return the request as it is submitted to the balancer."""
+        request = api.Request(self.name, kind.name, self.pool.clock.ms(give_up_at), tenant, is_retry=is_retry)
+        if self.admitted is not None:
+            grant = self.admitted.grant
+            request.is_retry, request.paid = grant.is_retry, grant.paid
+            request.attempts, request.worth = grant.attempts, grant.worth
+            request.earlier = self.admitted.verdict.earlier
+        return request
+
+    def submit(
         self,
         caller: Caller,
         request: api.Request,
@@ -187,94 +198,97 @@
         deliver: Callable[[OpenRequest, Answer], None],
         joinable: bool = True,
     ) -> OpenRequest:
-        """Hand it to the pool. `deliver` asks `answered` who waits."""
-        self._callers[id(caller)] = caller, self.ticket, None
-        if joinable and self.ticket is not None:
-            self.ticket.budget.shared.repeats.begin(self.ticket.who, self)
-        self._job = job = self.pool.submit(request, give_up_at, message, deliver)
-        if joinable and not job.done:
-            caller.on_gone = lambda: self._gone(caller)
-        return job
-
-    def join(self, caller: Caller, ticket: Ticket, late: Callable[[], None]) -> None:
-        """Have one more caller wait for the same answer; `late` answers it if its own time ends first."""
-
-        def over() -> None:
+        """Submit the request to the pool; `deliver` must call `finish`, which returns the waiting callers.
+
+        Without `joinable`, duplicates can't join it, and it goes on when its caller leaves.
+        """
+        self._callers[id(caller)] = caller, self.admitted, None
+        if joinable and self.admitted is not None:
+            self.admitted.budget.budgets.repeats.begin(self.admitted.identity, self)
+        self._open_request = open_request = self.pool.submit(request, give_up_at, message, deliver)
+        if joinable and not open_request.done:
+            caller.on_gone = lambda: self._on_caller_gone(caller)
+        return open_request
+
+    def join(self, caller: Caller, admitted: AdmittedRequest, answer_late: Callable[[], None]) -> None:
+        """Add a caller that waits for the same answer; `answer_late` is called if its own deadline passes first."""
+
+        def on_deadline() -> None:
             self._remove(caller)
-            late()
+            answer_late()
 
-        until = ticket.arrived + ticket.grant.wait_ms / 1000.0 - WAY_BACK_S
-        timer = self.pool.loop.call_at(until, over)
-        self._callers[id(caller)] = caller, ticket, timer
-        caller.on_gone = lambda: self._gone(caller)
+        deadline = admitted.arrived + admitted.grant.wait_ms / 1000.0 - ANSWER_MARGIN_S
+        timer = self.pool.loop.call_at(deadline, on_deadline)
+        self._callers[id(caller)] = caller, admitted, timer
+        caller.on_gone = lambda: self._on_caller_gone(caller)
 
-    def answered(self, job: OpenRequest, answer: Answer, size: int) -> list[Any]:
-        """It is over, with an answer whose reply has `size` bytes: all that wait; none of them waits any longer."""
+    def finish(self, open_request: OpenRequest, answer: Answer, size: int) -> list[Any]:
+        """Note the final answer, whose reply has `size` bytes, and return the callers that waited for it."""
         waiting = list(self._callers.values())
         self._callers.clear()
-        for _, ticket, timer in waiting:
+        for _, admitted, timer in waiting:
             if timer is not None:
                 timer.cancel()
-            if ticket is not None:
-                ticket.answered()
-        self._ended(job, answer, size)
+            if admitted is not None:
+                admitted.on_answered()
+        self._record_end(open_request, answer, size)
         return [caller for caller, _, _ in waiting]
 
     def carried(self, wait_s: float) -> Carried | None:
-        """What goes with an attempt that is written now and waited for this long; None where nothing is carried."""
-        ticket = self.ticket
-        if ticket is None or not ticket.budget.model.carry:
+        """Return the budget to send with an attempt that starts now with this timeout; None where none is carried."""
+        admitted = self.admitted
+        if admitted is None or not admitted.budget.model.carry:
             return None
-        if ticket.grant.worth is None:
-            ticket.grant.worth = ticket.kind.worth
-        left = wait_s * 1000.0 - ticket.budget.half_trip_ms.get(ticket.pool_name, 0.0)
-        mark = ticket.budget.shared.mark
-        return ticket.grant.carry(self.pool.clock.ms(), mark, left, ticket.tenant, self.name)
-
-    def _gone(self, caller: Caller) -> None:
-        """A caller has closed its connection."""
-        _, ticket, _ = self._callers.get(id(caller), (None, None, None))
-        if ticket is not None:
-            ticket.left()
+        if admitted.grant.worth is None:
+            admitted.grant.worth = admitted.kind.worth
+        left_ms = wait_s * 1000.0 - admitted.budget.one_way_ms.get(admitted.pool_name, 0.0)
+        instance_id = admitted.budget.budgets.instance_id
+        return admitted.grant.carry(self.pool.clock.ms(), instance_id, left_ms, admitted.tenant, self.name)
+
+    def _on_caller_gone(self, caller: Caller) -> None:
+        """Handle a caller that closed its connection."""
+        _, admitted, _ = self._callers.get(id(caller), (None, None, None))
+        if admitted is not None:
+            admitted.on_caller_left()
         self._remove(caller)
 
     def _remove(self, caller: Caller) -> None:
         _, _, timer = self._callers.pop(id(caller), (None, None, None))
         if timer is not None:
             timer.cancel()
-        job = self._job
-        if not self._callers and job is not None and not job.done:  # nobody waits for it any more
-            # Guard: told before what had not been written was recalled, a repeat with its key was bound to the servers
-            # of an attempt that never ran.
-            self.pool.abandon(job)
-            self._ended(job, None, 0)
-
-    def _ended(self, job: OpenRequest, answer: Answer | None, size: int) -> None:
-        if self.ticket is None:
+        open_request = self._open_request
+        if not self._callers and open_request is not None and not open_request.done:
+            # Guard: `abandon` first withdraws attempts that are not fully written. Recorded before it, such an attempt
+            # would count as one that may have run, and a retry with the same key would be bound to its server.
+            self.pool.abandon(open_request)
+            self._record_end(open_request, None, 0)
+
+    def _record_end(self, open_request: OpenRequest, answer: Answer | None, size: int) -> None:
+        if self.admitted is None:
             return
         served = answer is not None and answer.kind is AnswerKind.SERVED and answer.reply is not None
-        self.ticket.budget.shared.repeats.end(
+        self.admitted.budget.budgets.repeats.end(
             self.pool.clock.ms(),
-            self.ticket.who,
+            self.admitted.identity,
             self,
             answer.reply if served and answer is not None else None,
             size,
-            earlier=job.first,
-            memory_ms=self.ticket.kind.memory_ms,
-            sent=bool(job.attempts),
+            earlier=open_request.first_attempt,
+            memory_ms=self.admitted.kind.memory_ms,
+            sent=bool(open_request.attempts),
         )
 
 
-def front_budget(
-    shared: Budgets,
+def frontend_budget(
+    budgets: Budgets,
     model: BudgetModel,
     name: str,
     trust: str | None,
     attempts: int,
     tenants: frozenset[str],
-    half_trip_ms: Mapping[str, float],
-) -> FrontBudget:
-    """From the configuration's words; `attempts`: the rules' max_attempts."""
+    one_way_ms: Mapping[str, float],
+) -> FrontendBudget:
+    """Return a listener's budget from the configuration; `attempts` is `max_attempts` of the rules."""
     terms = Terms(
         name=name,
         trust=Trust(trust or "edge"),
@@ -284,4 +298,4 @@
         learn=model.learn_patience,
         tenants=tenants,
     )
-    return FrontBudget(shared, terms, model, half_trip_ms)
+    return FrontendBudget(budgets, terms, model, one_way_ms)
--- a/loadbalancer/runtime/building.py
+++ b/loadbalancer/runtime/building.py
@@ -1,4 +1,4 @@
-"""What a running sidecar is made of, from the words of its configuration."""
+"""Builds the parts of a running sidecar from its configuration."""
 
 from __future__ import annotations
 
@@ -26,34 +26,34 @@
 )
 
 EFFECTS = {"safe": api.Effect.SAFE, "keyed": api.Effect.KEYED, "unsafe": api.Effect.UNSAFE}
-SPREAD = 0.5  # of Retry-After, where there is a budget
+RETRY_AFTER_SPREAD = 0.5  # random share of Retry-After, where a budget is configured
 DEFAULT_KEY = "Idempotency-Key"
 
 
 class ReloadError(Exception):
-    """A configuration that can't be put in force; nothing has changed."""
+    """A configuration that can't be applied; the current one stays in force."""
 
 
 def descriptors_of(configuration: Configuration) -> int:
-    """What a sidecar may hold: as stated, else what the process may have."""
+    """Return the sidecar's limit of file descriptors: the configured one, else that of the process."""
     if configuration.limits.descriptors is not None:
         return configuration.limits.descriptors
     return min(MOST, descriptors_here())
 
 
 def settings_of(configuration: Configuration, pool: PoolModel) -> api.Settings:
-    """What the decision module of a pool is told."""
+    """Return the settings of a pool's balancer."""
     rules = configuration.rules
     source = pool.servers_from
     classes = [item for item in configuration.classes if item.pool == pool.name]
-    start = pool.start_calls or start_calls(item.aim_ms for item in classes)
+    initial_calls = pool.start_calls or start_calls(item.aim_ms for item in classes)
     return api.Settings(
-        classes=tuple(_kind(item) for item in classes),
+        classes=tuple(_service_class(item) for item in classes),
         tenants=tuple(api.Tenant(item.name, item.quota_per_s) for item in configuration.tenants),
         zone=configuration.zone,
         siblings=pool.siblings,
-        start_calls=start,
-        quiet_calls=start,
+        start_calls=initial_calls,
+        quiet_calls=initial_calls,
         near_ms=NEAR_MS,
         ask_discovery=source is not None and source.source == "discovery" and source.mode != "push",
         over_share_worth=rules.over_share_worth,
@@ -78,12 +78,12 @@
         "retry_share": budget.share,
         "retry_floor_per_s": budget.floor_per_s,
         "retry_window_ms": budget.window_ms,
-        "retry_after_spread": SPREAD,
+        "retry_after_spread": RETRY_AFTER_SPREAD,
         "backoff_ms": budget.backoff_ms,
     }
 
 
-def _kind(item: ClassModel) -> api.ServiceClass:
+def _service_class(item: ClassModel) -> api.ServiceClass:
     return api.ServiceClass(
         name=item.name,
         aim_ms=item.aim_ms,
@@ -98,10 +98,10 @@
     )
 
 
-def importable(configuration: Configuration) -> None:
-    """ReloadError unless what the lists need is installed.
+def check_optional_imports(configuration: Configuration) -> None:
+    """Raise ReloadError unless the packages that the server lists need are installed.
 
-    Guard: found out while the change is made, it would leave half of it in force.
+    Guard: an import error while the change is being applied would leave it half applied.
     """
     sources = [pool.servers_from for pool in configuration.pools]
     if any(source is not None and source.source == "xds" for source in sources):
@@ -114,7 +114,7 @@
 
 
 def _routes(configuration: Configuration) -> Iterator[tuple[ConfiguredRoute, str]]:
-    """Each route, and the pool of its class."""
+    """Yield each route with the pool of its class."""
     pools = {item.name: item.pool for item in configuration.classes}
     return ((route, pools[route.service]) for route in configuration.routes)
 
@@ -135,10 +135,10 @@
     )
 
 
-def decisive(configuration: Configuration) -> frozenset[bytes]:
-    """The headers that something is decided by, by lower-case name.
+def unique_headers(configuration: Configuration) -> frozenset[bytes]:
+    """Return the lower-case names of the headers that may occur only once, as routing or a key depends on them.
 
-    Guard: of a repeated one the sidecar could read one value and the box another, and decide for another class.
+    Guard: of a repeated header, sidecar and server could read different values and assign different classes.
     """
     names = [listener.deadline_header for listener in configuration.listeners]
     names += [item.key_header or DEFAULT_KEY for item in configuration.classes if item.effect == "keyed"]
@@ -146,17 +146,17 @@
     return FRAMING | {name.lower().encode() for name in names}
 
 
-def connects_alike(one: PoolModel, other: PoolModel) -> bool:
-    # What an xDS list states of levels and limits does not hold for another kind of list.
+def same_connection_settings(one: PoolModel, other: PoolModel) -> bool:
+    # Priority levels and limits from an xDS list do not apply to another kind of list.
     kinds = {item.servers_from.source for item in (one, other) if item.servers_from is not None}
-    alike = "xds" not in kinds or len(kinds) == 1
-    return alike and all(
+    comparable = "xds" not in kinds or len(kinds) == 1
+    return comparable and all(
         getattr(one, key) == getattr(other, key)
         for key in ("server_idle_ms", "connect_timeout_ms", "protocol", "thrift")
     )
 
 
-def static(source: ListSource) -> list[EndpointEntry]:
+def static_entries(source: ListSource) -> list[EndpointEntry]:
     return [
         EndpointEntry(api.Server(item.id, item.zone, item.cell), parse_address(item.address))
         for item in source.servers
--- a/loadbalancer/runtime/sidecar.py
+++ b/loadbalancer/runtime/sidecar.py
@@ -1,4 +1,4 @@
-"""The running sidecar: what its configuration names is made, and made anew by a reload, whole or not at all."""
+"""The running sidecar: creates what its configuration names; a reload is applied completely or not at all."""
 
 from __future__ import annotations
 
@@ -30,23 +30,29 @@
 from loadbalancer.http.server import Dialect
 from loadbalancer.overload.connections import share_out
 from loadbalancer.runtime.admin import Admin
-from loadbalancer.runtime.backs import AnyBack, back_of, form_of, message_limit, rewire
-from loadbalancer.runtime.budgets import Budgets, FrontBudget, front_budget
+from loadbalancer.runtime.admission_control import AdmissionControl
+from loadbalancer.runtime.budgets import Budgets, FrontendBudget, frontend_budget
 from loadbalancer.runtime.building import (
     DEFAULT_KEY,
     ReloadError,
     calls_of,
-    connects_alike,
-    decisive,
+    check_optional_imports,
     descriptors_of,
-    importable,
     router_of,
+    same_connection_settings,
     settings_of,
-    static,
+    static_entries,
+    unique_headers,
+)
+from loadbalancer.runtime.http_frontend import HttpFrontend, HttpPlan
+from loadbalancer.runtime.thrift_frontend import ThriftFrontend, ThriftPlan
+from loadbalancer.runtime.upstreams import (
+    AnyUpstream,
+    message_limit,
+    thrift_form,
+    update_upstream,
+    upstream_of,
 )
-from loadbalancer.runtime.front import Plan, SidecarFront
-from loadbalancer.runtime.gate import Gate
-from loadbalancer.runtime.thrift import ThriftFront, ThriftPlan
 from loadbalancer.sidecar.models import (
     Configuration,
     ListenerModel,
@@ -60,24 +66,24 @@
 from loadbalancer.thrift.server import Limits as ThriftLimits
 
 if TYPE_CHECKING:
-    from loadbalancer.runtime.xds import Planes, XdsFeed
+    from loadbalancer.runtime.xds import ControlPlaneStreams, XdsWatcher
 
 log = logging.getLogger("loadbalancer")
 
 STATS_S = 10.0
-RETIRE_S = 0.05  # between two looks at what a reload has retired
+RETIRE_S = 0.05  # between two checks of whether a retired listener or pool has become idle
 
 
 @dataclass(slots=True)
-class _Managed:
-    """A pool with what feeds it, and what of the configuration it was made from."""
+class _ManagedPool:
+    """A pool with its server list, its upstream and the configuration that it was created from."""
 
     pool: Pool
-    back: AnyBack
+    back: AnyUpstream
     settings: api.Settings
     model: PoolModel
     endpoint_list: EndpointList = field(default_factory=EndpointList)
-    watcher: DiscoveryWatcher | XdsFeed | None = None
+    watcher: DiscoveryWatcher | XdsWatcher | None = None
 
     def close(self) -> None:
         if self.watcher is not None:
@@ -86,14 +92,16 @@
 
 
 @dataclass(slots=True)
-class _Open:
-    """A listener, and what its socket was bound by."""
+class _OpenListener:
+    """An open listener; `key` is its configured address, its name if the port is 0, and its protocol."""
 
     key: tuple[str, str, str]
-    front: SidecarFront | ThriftFront
+    front: HttpFrontend | ThriftFrontend
 
 
 class Sidecar:
+    """A sidecar's listeners, pools and admin listener, and the reloads that replace them."""
+
     def __init__(self, configuration: Configuration) -> None:
         self.loop = asyncio.get_running_loop()
         self.clock = Clock(self.loop)
@@ -103,19 +111,19 @@
         self.rejected: dict[str, Any] | None = None
         self.capacity = RequestCapacity(configuration.limits.max_open)
         self.budgets = Budgets()
-        self.gate = Gate(lambda: self.pools.values(), self.capacity)
-        self.managed: dict[str, _Managed] = {}
-        self.listeners: dict[str, _Open] = {}
+        self.admission = AdmissionControl(lambda: self.pools.values(), self.capacity)
+        self.managed: dict[str, _ManagedPool] = {}
+        self.listeners: dict[str, _OpenListener] = {}
         self.admin: Admin | None = None
         self._admin_key = ""
         self.leaving = False
-        self._retired: set[asyncio.Task[None]] = set()  # what ends listeners and pools of before
-        self._old: list[_Managed] = []  # pools that still hold requests
-        self._closed: list[Listener] = []  # listeners of before that still have connections
+        self._retired: set[asyncio.Task[None]] = set()  # they drain and close retired listeners and pools
+        self._retiring_pools: list[_ManagedPool] = []  # replaced pools that still have open requests
+        self._closed: list[Listener] = []  # removed listeners that still have connections
         self._stats_timer: asyncio.TimerHandle | None = None
-        self._planes: Planes | None = None  # streams to control planes, once there is one
+        self._control_planes: ControlPlaneStreams | None = None  # created with the first xDS list
 
-    # ----------------------------------------------------------------- what is told
+    # ----------------------------------------------------------------- admin rows
 
     @property
     def pools(self) -> dict[str, Pool]:
@@ -138,10 +146,10 @@
 
     def load_row(self) -> dict[str, Any]:
         listeners = {name: item.front.server for name, item in self.listeners.items()}
-        return self.gate.row(listeners, self.pools)
+        return self.admission.load_row(listeners, self.pools)
 
     def lists_row(self) -> dict[str, Any]:
-        """Where each pool's list comes from, and how old its update is where the source tells."""
+        """Return the source of each pool's server list, and the age of its last update where that is known."""
         rows: dict[str, Any] = {}
         for name, item in self.managed.items():
             source = item.model.servers_from
@@ -149,48 +157,51 @@
                 "source": plain(source) if source is not None else None,
                 "list_ms_ago": item.endpoint_list.age_ms(self.clock.ms()),
             }
-            told = getattr(item.watcher, "row", None)
-            if told is not None:
-                rows[name] |= told()
+            row = getattr(item.watcher, "row", None)
+            if row is not None:
+                rows[name] |= row()
         return rows
 
     # ------------------------------------------------------------------- life cycle
 
     async def start(self) -> None:
-        """Put the configuration in force. OSError if an address can't be had, ReloadError if what it needs is not
-        installed; then nothing is left open."""
-        await self._put(self.configuration)
-        self.gate.look()
+        """Apply the configuration.
+
+        Raises OSError if an address can't be bound, or ReloadError if a needed package is not installed; nothing is
+        left open then.
+        """
+        await self._apply(self.configuration)
+        self.admission.update()
         self._stats()
 
     async def reload(self, configuration: Configuration) -> None:
-        """Put another configuration in force; ReloadError or OSError leaves the one that is."""
+        """Apply another configuration; on ReloadError or OSError the current one stays in force."""
         if configuration.name != self.configuration.name:
             raise ReloadError(
                 f"name: {configuration.name!r} can't replace {self.configuration.name!r} while it runs; restart"
             )
-        await self._put(configuration)
+        await self._apply(configuration)
         self.configuration = configuration
         self.digest = digest(configuration)
         self.since = time.time()
         self.rejected = None
 
     def reject(self, why: str) -> None:
-        """Remember that a configuration was not put in force."""
+        """Record that a configuration was rejected, for the admin listener."""
         self.rejected = {"at": time.time(), "why": why}
 
     async def stop(self) -> None:
-        """Leave service: take what still comes, finish what is held, and end in time."""
+        """Shut down gracefully: accept and finish requests for a limited time, then close."""
         self.leaving = True
-        longest = max(item.give_up_ms for item in self.configuration.classes) / 1000.0
-        # Guard: what was open on a listener that a reload had removed was cut off long before its time.
-        doors = [item.front.server for item in self.listeners.values()] + self._closed
-        await finish(doors, longest, self._give_up)
+        longest_s = max(item.give_up_ms for item in self.configuration.classes) / 1000.0
+        # Guard: without the listeners that a reload has removed, their open requests would be cut off early.
+        draining = [item.front.server for item in self.listeners.values()] + self._closed
+        await finish(draining, longest_s, self._give_up)
         self.close()
 
     def _give_up(self) -> None:
-        """Answer all that is open; what still comes is refused."""
-        for managed in (*self.managed.values(), *self._old):
+        """Fail all open requests, and reject every later one."""
+        for managed in (*self.managed.values(), *self._retiring_pools):
             managed.pool.capacity.limit = 0
             managed.pool.answer_all(AnswerCause.LEAVING)
 
@@ -201,21 +212,21 @@
             item.front.server.close()
         if self.admin is not None:
             self.admin.server.close()
-        for managed in (*self.managed.values(), *self._old):
+        for managed in (*self.managed.values(), *self._retiring_pools):
             managed.close()
-        self.gate.close()
+        self.admission.close()
         if self._stats_timer is not None:
             self._stats_timer.cancel()
 
-    # ------------------------------------------------------------ putting in force
+    # ------------------------------------------------------- applying a configuration
 
-    async def _put(self, new: Configuration) -> None:
-        """First all that may fail, then the change in one step of the loop."""
-        importable(new)
+    async def _apply(self, new: Configuration) -> None:
+        """Do everything that may fail first, then make the change without yielding to the event loop."""
+        check_optional_imports(new)
         shares = share_out(descriptors_of(new), len(new.listeners), len(new.pools))
-        callers, boxes = shares.callers, shares.servers
-        pools = {model.name: self._pool(new, model, boxes) for model in new.pools}
-        plan = Plan(
+        caller_limit, server_limit = shares.callers, shares.servers
+        pools = {model.name: self._pool(new, model, server_limit) for model in new.pools}
+        plan = HttpPlan(
             name=new.name,
             router=router_of(new),
             pools={name: managed.pool for name, managed in pools.items()},
@@ -228,7 +239,7 @@
         thrift_plan = ThriftPlan(
             table=calls_of(new),
             pools=plan.pools,
-            forms={model.name: form_of(model) for model in new.pools},
+            forms={model.name: thrift_form(model) for model in new.pools},
             tenants=frozenset(item.name for item in new.tenants),
             key_fields={
                 item.name: field_ids(item.key_field) for item in new.classes if item.key_field is not None
@@ -248,34 +259,40 @@
             idle_s=new.limits.caller_idle_ms / 1000.0,
         )
         dialect = Dialect(
-            once=decisive(new),
+            once=unique_headers(new),
             max_body=new.limits.max_body_bytes,
             raw=True,
             request_s=new.limits.request_ms / 1000.0,
             idle_s=new.limits.caller_idle_ms / 1000.0,
             standard=True,
         )
-        listeners: dict[str, _Open] = {}
+        listeners: dict[str, _OpenListener] = {}
         bound: list[tuple[Listener, socket.socket]] = []
         admin, admin_key = self.admin, new.admin.address if new.admin else ""
-        kept = {item.key: item for item in self.listeners.values()}
+        open_listeners = {item.key: item for item in self.listeners.values()}
         try:
             for model in new.listeners:
                 _, port = parse_address(model.address)
-                # A free port is another one each time, so such a listener is known by its name.
+                # Port 0 binds a different port each time, so such a listener is identified by its name.
                 key = (model.address, model.name if port == 0 else "", model.protocol)
-                found = kept.get(key)
-                if found is None:
-                    front: SidecarFront | ThriftFront
+                listener = open_listeners.get(key)
+                if listener is None:
+                    front: HttpFrontend | ThriftFrontend
                     if model.protocol == "thrift":
-                        front = ThriftFront(callers, limits, thrift_plan, self.gate)
+                        front = ThriftFrontend(caller_limit, limits, thrift_plan, self.admission)
                     else:
-                        front = SidecarFront(
-                            callers, dialect, plan, model.deadline_header, model.tenant, None, self.gate
+                        front = HttpFrontend(
+                            caller_limit,
+                            dialect,
+                            plan,
+                            model.deadline_header,
+                            model.tenant,
+                            None,
+                            self.admission,
                         )
                     bound.append((front.server, _bind(model.address, f"listener {model.name!r}")))
-                    found = _Open(key, front)
-                listeners[model.name] = found
+                    listener = _OpenListener(key, front)
+                listeners[model.name] = listener
             if admin_key != self._admin_key:
                 admin = Admin(self) if new.admin else None
                 if admin is not None:
@@ -287,15 +304,15 @@
                 if managed is not self.managed.get(name):
                     managed.close()
             raise
-        # From here on nothing fails, and nothing waits until all is in force.
+        # Nothing below may fail, and nothing is awaited before the change is complete.
         if new.budget is not None:
             repeats = self.budgets.repeats
             repeats.keep_ms, repeats.most_bytes = new.budget.keep_ms, new.budget.keep_bytes
         for model in new.listeners:
             front = listeners[model.name].front
-            front.server.limit = callers
+            front.server.limit = caller_limit
             budget = self._budget(new, model)
-            if isinstance(front, ThriftFront):
+            if isinstance(front, ThriftFrontend):
                 front.plan, front.server.limits = thrift_plan, limits
                 front.configure(
                     model.tenant,
@@ -306,32 +323,35 @@
             else:
                 front.plan, front.server.dialect = plan, dialect
                 front.configure(model.deadline_header, model.tenant, budget)
-        going = [item for item in self.listeners.values() if item not in listeners.values()]
+        removed = [item for item in self.listeners.values() if item not in listeners.values()]
         old_pools = [item for name, item in self.managed.items() if item is not pools.get(name)]
         old_admin = self.admin if admin is not self.admin else None
-        before = self.managed
+        previous_pools = self.managed
         self.capacity.limit = new.limits.max_open
-        self.gate.configure(new.name, new.rules.retry_after and new.rules.max_retry_after_ms >= 1000.0)
+        self.admission.configure(new.name, new.rules.retry_after and new.rules.max_retry_after_ms >= 1000.0)
         self.listeners, self.managed = listeners, pools
         self.admin, self._admin_key = admin, admin_key
         for pool_model in new.pools:
-            self._feed(pools[pool_model.name], pool_model, new, boxes, before.get(pool_model.name))
+            self._follow_list(
+                pools[pool_model.name], pool_model, new, server_limit, previous_pools.get(pool_model.name)
+            )
         if old_admin is not None:
             old_admin.server.close()
             old_admin.server.close_idle()
-        # Guard: noted by the task that ends it, it was missed where the process was told to end in the same turn.
-        self._closed += [item.front.server for item in going]
-        for item in going:
+        # Guard: recorded here and not by the retiring task, as a shutdown that begins in the same loop iteration would
+        # miss the listener.
+        self._closed += [item.front.server for item in removed]
+        for item in removed:
             self._retire(self._end_listener(item.front))
         for managed in old_pools:
             self._retire(self._end_pool(managed))
         for server, raw in bound:
             await server.serve(raw)
 
-    def _budget(self, new: Configuration, listener: ListenerModel) -> FrontBudget | None:
+    def _budget(self, new: Configuration, listener: ListenerModel) -> FrontendBudget | None:
         if new.budget is None:
             return None
-        return front_budget(
+        return frontend_budget(
             self.budgets,
             new.budget,
             new.name,
@@ -341,71 +361,81 @@
             {pool.name: pool.round_trip_ms / 2.0 for pool in new.pools},
         )
 
-    def _pool(self, new: Configuration, model: PoolModel, boxes: int) -> _Managed:
-        """The pool that is there if its decisions would be the same, else a new one."""
+    def _pool(self, new: Configuration, model: PoolModel, server_limit: int) -> _ManagedPool:
+        """Return the existing pool if its settings and connections stay the same, else a new one."""
         settings = settings_of(new, model)
         known = self.managed.get(model.name)
-        if known is not None and known.settings == settings and connects_alike(known.model, model):
+        if known is not None and known.settings == settings and same_connection_settings(known.model, model):
             return known
-        back = back_of(new, model, boxes)
+        back = upstream_of(new, model, server_limit)
         pool = Pool(settings, random.getrandbits(64), self.clock, back, self.capacity)
-        return _Managed(pool, back, settings, model)
-
-    def _feed(
-        self, managed: _Managed, model: PoolModel, new: Configuration, boxes: int, old: _Managed | None
+        return _ManagedPool(pool, back, settings, model)
+
+    def _follow_list(
+        self,
+        managed: _ManagedPool,
+        model: PoolModel,
+        new: Configuration,
+        server_limit: int,
+        previous: _ManagedPool | None,
     ) -> None:
-        """Have a pool follow the list that its configuration names; `old` is the one it takes over from."""
+        """Start following the configured server list of a pool; `previous` is the pool that it replaces, if any."""
         source = model.servers_from
         assert source is not None  # as checked
-        rewire(managed.back, new, model, boxes)
-        fed = bool(managed.pool.up) or managed.watcher is not None
-        before = managed.model.servers_from if fed else None
+        update_upstream(managed.back, new, model, server_limit)
+        has_list = bool(managed.pool.up) or managed.watcher is not None
+        previous_source = managed.model.servers_from if has_list else None
         managed.model = model
-        if source == before:
+        if source == previous_source:
             return
-        going, managed.watcher = managed.watcher, None
+        replaced_watcher, managed.watcher = managed.watcher, None
         if source.source == "static":
             managed.endpoint_list = EndpointList(starts_known=True)
             managed.pool.on_server_list(
-                *managed.endpoint_list.replace(self.clock.ms(), static(source)).as_pool_arguments
+                *managed.endpoint_list.replace(self.clock.ms(), static_entries(source)).as_pool_arguments
             )
         elif source.source == "xds":
-            self._follow_xds(managed, source, new, old)
-        elif isinstance(going, DiscoveryWatcher) and before is not None and before.mode == source.mode:
-            going.move(parse_address(source.address))
-            going, managed.watcher = None, going
+            self._follow_xds(managed, source, new, previous)
+        elif (
+            isinstance(replaced_watcher, DiscoveryWatcher)
+            and previous_source is not None
+            and previous_source.mode == source.mode
+        ):
+            replaced_watcher.move(parse_address(source.address))
+            replaced_watcher, managed.watcher = None, replaced_watcher
         else:
             managed.endpoint_list = EndpointList(starts_known=True)
-            if old is not None and old is not managed:
-                # Guard: until discovery had answered, a pool made anew knew no box and refused everything.
-                held = old.endpoint_list.entries.values()
-                update = managed.endpoint_list.replace(self.clock.ms(), held, form=api.ListForm.CACHED)
+            if previous is not None and previous is not managed:
+                # Guard: without the previous pool's servers, the new one would reject all requests until discovery
+                # answers.
+                entries = previous.endpoint_list.entries.values()
+                update = managed.endpoint_list.replace(self.clock.ms(), entries, form=api.ListForm.CACHED)
                 managed.pool.on_server_list(*update.as_pool_arguments)
-            self._watch(managed, parse_address(source.address), source.mode == "push", new.rules)
-        if going is not None:
-            going.close()
+            self._follow_discovery(managed, parse_address(source.address), source.mode == "push", new.rules)
+        if replaced_watcher is not None:
+            replaced_watcher.close()
 
     def _follow_xds(
-        self, managed: _Managed, source: ListSource, new: Configuration, old: _Managed | None
+        self, managed: _ManagedPool, source: ListSource, new: Configuration, previous: _ManagedPool | None
     ) -> None:
-        # Imported here: only installations with such a list have what it needs.
-        from loadbalancer.runtime.xds import Planes, XdsFeed
+        # Imported here: the packages that it needs are installed only where an xDS list is used.
+        from loadbalancer.runtime.xds import ControlPlaneStreams, XdsWatcher
 
-        if self._planes is None:
-            self._planes = Planes(self.clock.ms)
+        if self._control_planes is None:
+            self._control_planes = ControlPlaneStreams(self.clock.ms)
         node = f"{new.zone}/{new.name}" if new.zone else new.name
-        # What an xDS list had before is not new to another one; of other lists nothing is known of what is cold.
+        # Servers of a previous xDS list are not cold in a new one. Other lists don't show which servers are cold.
         managed.endpoint_list = (
-            old.endpoint_list.copy()
-            if old is not None and not old.endpoint_list.starts_known
+            previous.endpoint_list.copy()
+            if previous is not None and not previous.endpoint_list.starts_known
             else EndpointList()
         )
-        managed.watcher = XdsFeed(
-            self._planes, source, node, managed.pool, managed.back, managed.endpoint_list
+        managed.watcher = XdsWatcher(
+            self._control_planes, source, node, managed.pool, managed.back, managed.endpoint_list
         )
         managed.watcher.start()
 
-    def _watch(self, managed: _Managed, address: Address, endless: bool, rules: Rules) -> None:
+    def _follow_discovery(self, managed: _ManagedPool, address: Address, endless: bool, rules: Rules) -> None:
         endpoint_list = managed.endpoint_list
 
         def on_update(form: api.ListForm, update: ServerListUpdate | None) -> None:
@@ -423,50 +453,50 @@
             managed.pool.on_server_list(api.ListForm.CACHED)
         watcher.start()
 
-    # -------------------------------------------------------- what a reload retires
+    # ---------------------------------------------- listeners and pools that a reload retires
 
     def _retire(self, ending: Any) -> None:
         task = asyncio.create_task(ending)
         self._retired.add(task)
         task.add_done_callback(self._retired.discard)
 
-    async def _end_listener(self, front: SidecarFront | ThriftFront) -> None:
-        """Take no more connections, answer what is open, and let each connection end between requests."""
+    async def _end_listener(self, front: HttpFrontend | ThriftFrontend) -> None:
+        """Accept no more connections, answer the open requests, and close each connection between requests."""
         server = front.server
         server.retire()
-        while server.held:
+        while server.connection_count:
             server.close_idle()
             await asyncio.sleep(RETIRE_S)
         self._closed.remove(server)
 
-    async def _end_pool(self, managed: _Managed) -> None:
-        """Its requests end where they began, by the list that they began with; drains still come."""
-        self._old.append(managed)
+    async def _end_pool(self, managed: _ManagedPool) -> None:
+        """Close a pool once its requests have ended; its server list, draining included, is followed until then."""
+        self._retiring_pools.append(managed)
         while managed.pool.requests:
             await asyncio.sleep(RETIRE_S)
-        self._old.remove(managed)
+        self._retiring_pools.remove(managed)
         managed.close()
 
-    # ---------------------------------------------------------------------- figures
+    # ------------------------------------------------------------------- periodic log
 
     def _stats(self) -> None:
-        """One line of figures every few seconds."""
+        """Log the counts and load figures since the last call, every `STATS_S`."""
         counts: Counter[str] = Counter()
-        for holder in (
+        for counter in (
             *(item.front.counts for item in self.listeners.values()),
             *(pool.counts for pool in self.pools.values()),
         ):
-            counts.update(holder)
-            holder.clear()
+            counts.update(counter)
+            counter.clear()
         figures = ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
         callers = sum(len(item.front.server.connections) for item in self.listeners.values())
         log.info("%s: %s; open %d, callers %d", self.configuration.name, figures, self.capacity.open, callers)
-        log.info("%s: %s", self.configuration.name, self.gate.line(self.pools.values()))
+        log.info("%s: %s", self.configuration.name, self.admission.log_text(self.pools.values()))
         self._stats_timer = self.loop.call_later(STATS_S, self._stats)
 
 
 def _bind(address: str, place: str) -> socket.socket:
-    """A bound socket; OSError that names the address and who wants it."""
+    """Return a bound socket; raises an OSError with the address and the configured place that names it."""
     try:
         return Listener.bind(*parse_address(address))
     except OSError as error:
@@ -474,7 +504,7 @@
 
 
 class PlacedError(OSError):
-    """An address that can't be had: `place` says who wants it."""
+    """An address that can't be bound; `place` is the listener in the configuration that names it."""
 
     def __init__(self, number: int, text: str, place: str, address: str) -> None:
         super().__init__(number, text)
--- a/loadbalancer/runtime/xds.py
+++ b/loadbalancer/runtime/xds.py
@@ -1,4 +1,4 @@
-"""Pools that follow xDS clusters; those of one control plane share a stream to it."""
+"""Pools whose servers come from xDS clusters; pools of the same control plane share a stream to it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from loadbalancer.core.pool import Pool
 from loadbalancer.discovery.endpoint_list import EndpointChange, EndpointList
-from loadbalancer.runtime.backs import AnyBack
+from loadbalancer.runtime.upstreams import AnyUpstream
 from loadbalancer.sidecar.models import ListSource
 from loadbalancer.xds.files import FileClient
 from loadbalancer.xds.protocol import Served, XdsClient
@@ -17,11 +17,11 @@
 
 log = logging.getLogger("loadbalancer")
 
-MOST = 0.5  # of a pool's servers: an update that takes more of them away is told in the log
+MAX_REMOVED_SHARE = 0.5  # of a pool's servers; an update that removes more is logged
 
 
-class Plane:
-    """One control plane, by one way: a stream that all pools share which follow clusters of it."""
+class ControlPlaneStream:
+    """The stream to one control plane over one transport, shared by all pools with clusters of it."""
 
     def __init__(self, source: ListSource, node: str, now_ms: Callable[[], float]) -> None:
         assert source.address is not None  # as checked
@@ -31,79 +31,79 @@
         self.client = XdsClient(node, (), delta, random.getrandbits(32), separate)
         kind = XdsPolling if polled else XdsStream
         self.stream = kind(source.address, self.client, now_ms, self._on_change)
-        self.feeds: list[XdsFeed] = []
+        self.watchers: list[XdsWatcher] = []
 
-    def join(self, feed: XdsFeed) -> None:
-        self.feeds.append(feed)
-        self._want()
-        if len(self.feeds) == 1:
+    def join(self, watcher: XdsWatcher) -> None:
+        self.watchers.append(watcher)
+        self._update_subscriptions()
+        if len(self.watchers) == 1:
             self.stream.start()
 
-    def leave(self, feed: XdsFeed) -> bool:
-        """Whether it was the last."""
-        self.feeds.remove(feed)
-        if self.feeds:
-            self._want()
+    def leave(self, watcher: XdsWatcher) -> bool:
+        """Remove a watcher; returns whether it was the last one, which closes the stream."""
+        self.watchers.remove(watcher)
+        if self.watchers:
+            self._update_subscriptions()
         else:
             self.stream.close()
-        return not self.feeds
+        return not self.watchers
 
-    def _want(self) -> None:
-        self.stream.want({feed.cluster for feed in self.feeds})
+    def _update_subscriptions(self) -> None:
+        self.stream.want({watcher.cluster for watcher in self.watchers})
 
     def _on_change(self) -> None:
-        for feed in list(self.feeds):
+        for watcher in list(self.watchers):
             try:
-                feed.on_change()
+                watcher.on_change()
             except Exception:
-                # Guard: a fault at one pool must not keep the others from hearing of a drain.
-                log.exception("xds: cluster %s could not be put in force", feed.cluster)
+                # Guard: an exception in one pool must not keep the others from an update that drains a server.
+                log.exception("xds: cluster %s could not be put in force", watcher.cluster)
 
 
-class Planes:
-    """The control planes that a sidecar follows."""
+class ControlPlaneStreams:
+    """The streams to all control planes of a sidecar."""
 
     def __init__(self, now_ms: Callable[[], float]) -> None:
         self.now_ms = now_ms
-        self._planes: dict[tuple[object, ...], Plane] = {}
+        self._control_planes: dict[tuple[object, ...], ControlPlaneStream] = {}
 
-    def join(self, source: ListSource, node: str, feed: XdsFeed) -> Plane:
+    def join(self, source: ListSource, node: str, watcher: XdsWatcher) -> ControlPlaneStream:
         key = (source.address, source.transport, source.updates, node)
-        plane = self._planes.get(key)
-        if plane is None:
-            plane = self._planes[key] = Plane(source, node, self.now_ms)
-        plane.join(feed)
-        return plane
+        stream = self._control_planes.get(key)
+        if stream is None:
+            stream = self._control_planes[key] = ControlPlaneStream(source, node, self.now_ms)
+        stream.join(watcher)
+        return stream
 
-    def leave(self, feed: XdsFeed) -> None:
-        for key, plane in list(self._planes.items()):
-            if feed in plane.feeds and plane.leave(feed):
-                del self._planes[key]
+    def leave(self, watcher: XdsWatcher) -> None:
+        for key, stream in list(self._control_planes.items()):
+            if watcher in stream.watchers and stream.leave(watcher):
+                del self._control_planes[key]
 
 
-class XdsFeed:
-    """Puts a cluster's endpoints in force at a pool as they come."""
+class XdsWatcher:
+    """Applies each update of a cluster's endpoints to a pool."""
 
     def __init__(
         self,
-        planes: Planes,
+        control_planes: ControlPlaneStreams,
         source: ListSource,
         node: str,
         pool: Pool,
-        back: AnyBack,
+        upstream: AnyUpstream,
         endpoint_list: EndpointList,
     ) -> None:
-        """`endpoint_list`: empty, or of the list that it takes over from, so that what that did not have is cold."""
+        """`endpoint_list` is empty, or a copy of the previous xDS list's: a server that it lacks is cold."""
         assert source.cluster is not None  # as checked
         self.cluster = source.cluster
         self.endpoint_list = endpoint_list
         self.client: XdsClient | FileClient | None = None
         self._source, self._node = source, node
-        self._planes = planes
+        self._control_planes = control_planes
         self._file: FileClient | None = None
         self._pool = pool
-        self._back = back
-        self._connect_s = back.connect_timeout_s  # the pool's own, of which a cluster may only ask for less
+        self._upstream = upstream
+        self._max_connect_s = upstream.connect_timeout_s  # the pool's setting; a cluster may only lower it
         self._served: Served | None = None
 
     def start(self) -> None:
@@ -112,17 +112,17 @@
             self.client = self._file = FileClient(self._source.path, self.cluster, now_ms, self.on_change)
             self._file.start()
             return
-        self.client = self._planes.join(self._source, self._node, self).client
-        self.on_change()  # what another pool of the same cluster has been told already
+        self.client = self._control_planes.join(self._source, self._node, self).client
+        self.on_change()  # another pool may have received the cluster already
 
     def close(self) -> None:
         if self._file is not None:
             self._file.close()
         else:
-            self._planes.leave(self)
+            self._control_planes.leave(self)
 
     def row(self) -> dict[str, Any]:
-        """For operators: how old the update is, and each resource."""
+        """Return the row of the admin path `/lists`: the age of the last update, and each resource."""
         now = self._pool.clock.ms()
         assert self.client is not None  # once it has started
         return {
@@ -138,20 +138,20 @@
         known = len(self.endpoint_list.entries)
         update = self.endpoint_list.replace(self._pool.clock.ms(), served.entries, served.levels)
         self._served = served
-        gone = sum(1 for _, change in update.changes if change is EndpointChange.REMOVED)
-        if gone > MOST * known:
-            # It is the control plane's word, and holding on to what it took away would break a drain.
+        removed = sum(1 for _, change in update.changes if change is EndpointChange.REMOVED)
+        if removed > MAX_REMOVED_SHARE * known:
+            # The update is applied all the same: to keep removed servers would break draining.
             log.warning(
-                "xds: an update takes %d of the %d servers of cluster %s away", gone, known, self.cluster
+                "xds: an update takes %d of the %d servers of cluster %s away", removed, known, self.cluster
             )
         if served.cluster is not None:
             limits = served.cluster.thresholds
             self._pool.max_open = limits.max_requests
             if limits.max_connections is not None:
-                self._back.limit = min(self._back.limit, max(1, limits.max_connections))
+                self._upstream.limit = min(self._upstream.limit, max(1, limits.max_connections))
             if served.cluster.connect_timeout_ms is not None:
-                self._back.connect_timeout_s = min(
-                    self._connect_s, served.cluster.connect_timeout_ms / 1000.0
+                self._upstream.connect_timeout_s = min(
+                    self._max_connect_s, served.cluster.connect_timeout_ms / 1000.0
                 )
             self._pool.extend_warm_up(served.cluster.warm_up_ms)
         self._pool.on_server_list(*update.as_pool_arguments)
--- a/tests/runtime/test_front.py
+++ b/tests/runtime/test_http_frontend.py
@@ -10,7 +10,7 @@
 from loopback import until
 
 from loadbalancer.emulator.box import Box
-from loadbalancer.runtime.front import passed_on
+from loadbalancer.runtime.http_frontend import end_to_end_fields
 
 
 def head_of(data: bytes) -> tuple[bytes, list[bytes], bytes]:
@@ -484,8 +484,11 @@
 
 def test_a_field_named_in_connection_ends_here_unless_it_must_not():
     headers = [(b"Host", b"h"), (b"X-A", b"1"), (b"x-b", b"2"), (b"Upgrade", b"h2c")]
-    assert passed_on(headers, b"x-a, Host", {b"upgrade"}, {b"host"}) == [(b"Host", b"h"), (b"x-b", b"2")]
-    assert passed_on(headers, None, {b"upgrade"}, ()) == headers[:3]
+    assert end_to_end_fields(headers, b"x-a, Host", {b"upgrade"}, {b"host"}) == [
+        (b"Host", b"h"),
+        (b"x-b", b"2"),
+    ]
+    assert end_to_end_fields(headers, None, {b"upgrade"}, ()) == headers[:3]
 
 
 def test_the_shipped_row_is_a_valid_configuration():
--- a/tests/runtime/test_load.py
+++ b/tests/runtime/test_load.py
@@ -43,12 +43,12 @@
 
 def starve(sidecar, waited: float, turn: float) -> None:
     turns = Starved(waited, turn)
-    sidecar.gate.turns = turns
+    sidecar.admission.turns = turns
     for item in sidecar.listeners.values():
         item.front.server.turns = turns
     for pool in sidecar.pools.values():
         pool.turns = pool.back.turns = turns
-    sidecar.gate.core.top_s = 1.0
+    sidecar.admission.core.top_s = 1.0
 
 
 async def load(sidecar):
@@ -96,7 +96,7 @@
             # Operators are answered however late the loop is, and see whose limit it was.
             page = await load(sidecar)
             assert page["node"]["refused"].get("own core", 0) == (status == 503)
-            assert "refused by nothing" in sidecar.gate.line([pool]) or status == 503
+            assert "refused by nothing" in sidecar.admission.log_text([pool]) or status == 503
 
     asyncio.run(main())
 
@@ -173,7 +173,7 @@
             await until(lambda: sum(task.done() for task in told) >= 2 * server.limit)
             assert {task.result() for task in told if task.done()} == {b"HTTP/1.1 503"}
             assert len(server.connections) <= server.limit
-            assert sidecar.gate.tally.by_owner()["callers' connections"] >= 2 * server.limit
+            assert sidecar.admission.rejections.by_owner()["callers' connections"] >= 2 * server.limit
             for task in told:
                 task.cancel()
             for _, writer in (*kept, *more):
@@ -233,16 +233,16 @@
         (box,) = boxes(1)
         async with running(box, classes=SHORT) as sidecar:
             starve(sidecar, 0.0, 0.0)
-            gate, pool = sidecar.gate, sidecar.pools["boxes"]
-            gate.look()
+            admission, pool = sidecar.admission, sidecar.pools["boxes"]
+            admission.update()
             app = application(sidecar)
             for at in range(40):
                 assert (await app.ask("GET", f"/{at}")).status == 200
-            gate.turns.busy_s += 1e6  # the core had nothing but work
+            admission.turns.busy_s += 1e6  # the core had nothing but work
             pool.server_ms += 40 * 100.0
             sidecar._stats()  # which begins the counts of attempts anew
-            gate.look()
-            assert 0.0 < gate.core.servers_s < 0.2
+            admission.update()
+            assert 0.0 < admission.core.servers_s < 0.2
 
     asyncio.run(main())
 
--- a/tests/runtime/test_xds_shared.py
+++ b/tests/runtime/test_xds_shared.py
@@ -14,7 +14,7 @@
 from loadbalancer.emulator.box import Box
 from loadbalancer.emulator.xds import CLUSTER, ControlPlane, cluster, endpoints
 from loadbalancer.runtime.sidecar import Sidecar
-from loadbalancer.runtime.xds import XdsFeed
+from loadbalancer.runtime.xds import XdsWatcher
 
 POOLS = ("ledger", "reports")
 
@@ -119,14 +119,14 @@
 
 
 def test_a_fault_at_one_pool_keeps_no_other_from_hearing(monkeypatch):
-    real = XdsFeed.on_change
+    real = XdsWatcher.on_change
 
-    def on_change(self: XdsFeed) -> None:
+    def on_change(self: XdsWatcher) -> None:
         if self.cluster == "box-0" and self.endpoint_list.entries:
             raise RuntimeError("a fault")
         real(self)
 
-    monkeypatch.setattr(XdsFeed, "on_change", on_change)
+    monkeypatch.setattr(XdsWatcher, "on_change", on_change)
 
     async def main():
         one, two = boxes(2)
