--- a/tests/http/test_requirements.py
+++ b/tests/http/test_requirements.py
@@ -1,4 +1,4 @@
-"""What RFC 9112 and RFC 9110 ask of an intermediary, one case each, towards callers and towards boxes.
+"""Requirements of RFC 9112 and RFC 9110 on an intermediary, one case each, towards callers and servers.
 
 `docs/design/http.md` has the table with what each means.
 """
@@ -14,7 +14,7 @@
 
 HEAD = b"Host: x\r\n"
 
-# section, what is asked, the request, the status of the answer, whether a box sees it
+# section, case, request, status of the answer, whether a server receives it
 CALLERS = [
     (
         "9112 2.2",
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize(
     ("section", "what", "data", "status", "seen"), CALLERS, ids=[row[1] for row in CALLERS]
 )
-def test_a_callers_request(section, what, data, status, seen):
+def test_request_is_forwarded_or_rejected_as_the_rfc_requires(section, what, data, status, seen):
     async def main():
         (box,) = boxes(1)
         async with running(box) as sidecar:
@@ -94,14 +94,14 @@
             answer = await raw(sidecar, data + ends + b"\r\n")
             assert int(answer[9:12]) == status, (section, answer)
             assert bool(box.taken) is seen
-            if seen and data.startswith(b"GET http://other"):  # its authority stands in place of Host
+            if seen and data.startswith(b"GET http://other"):  # its authority replaces Host
                 assert box.seen[0].header(b"host") == b"other"
                 assert box.seen[0].target.startswith(b"/")
 
     asyncio.run(main())
 
 
-# section, what is asked, the box's answer, what the caller gets
+# section, case, the server's answer, the status that the caller gets
 ANSWERS = [
     (
         "9112 6.3",
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize(("section", "what", "rest", "status"), ANSWERS, ids=[row[1] for row in ANSWERS])
-def test_a_boxs_answer(section, what, rest, status):
+def test_server_answer_is_forwarded_or_rejected_as_the_rfc_requires(section, what, rest, status):
     async def main():
         whole = b"HTTP/1.1 200 OK\r\n" + rest
         box = Box("box-0", answer=lambda seen: whole)
--- a/tests/runtime/beside.py
+++ b/tests/runtime/beside.py
@@ -1,4 +1,4 @@
-"""A sidecar in this process, beside stand-in boxes; shared by the tests of this folder."""
+"""Fixtures: a sidecar in the test process, with emulated servers ("boxes")."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def row(*boxes: Box, **more: Any) -> dict[str, Any]:
-    """A configuration's plain data, with parts replaced."""
+    """Return the plain data of a configuration for these servers; `more` replaces top-level keys."""
     servers = [{"id": box.name, "address": box.endpoint} for box in boxes]
     data: dict[str, Any] = {
         "kind": "configuration",
@@ -39,7 +39,7 @@
         "name": "beside",
         "listeners": [{"name": "application", "address": "127.0.0.1:0"}],
         "admin": {"address": "127.0.0.1:0"},
-        # Nothing is given up because this machine is slow.
+        # Long timeouts: a slow test machine must not make attempts fail.
         "pools": [
             {"name": "boxes", "connect_timeout_ms": 20000, "list": {"source": "static", "servers": servers}}
         ],
@@ -50,7 +50,7 @@
 
 
 def configuration(data: dict[str, Any]) -> Configuration:
-    """From plain data, through its TOML and the checker, as the program reads it."""
+    """Return the configuration from plain data, via TOML and the checker, as the program reads it."""
     document = parse(dumps(data, {}), "test.toml")
     check(document)
     assert document.mistakes == [], "\n".join(map(str, document.mistakes))
@@ -63,9 +63,9 @@
 
 
 @contextlib.asynccontextmanager
-async def alongside(around: Sequence[Any], data: Callable[[], dict[str, Any]]) -> AsyncIterator[Sidecar]:
-    """Started boxes and a sidecar; `data` is asked for once the boxes have addresses."""
-    for box in around:
+async def alongside(all_boxes: Sequence[Any], data: Callable[[], dict[str, Any]]) -> AsyncIterator[Sidecar]:
+    """Start servers and a sidecar; `data` is called once the servers have addresses."""
+    for box in all_boxes:
         await box.start()
     sidecar = Sidecar(configuration(data()))
     await sidecar.start()
@@ -73,19 +73,21 @@
         yield sidecar
     finally:
         sidecar.close()
-        for box in around:
+        for box in all_boxes:
             box.stop()
 
 
-def running(*around: Box, **more: Any) -> contextlib.AbstractAsyncContextManager[Sidecar]:
-    return alongside(around, lambda: row(*around, **more))
+def running(*all_boxes: Box, **more: Any) -> contextlib.AbstractAsyncContextManager[Sidecar]:
+    return alongside(all_boxes, lambda: row(*all_boxes, **more))
 
 
 async def what_is_open_ends(sidecar: Sidecar, pool: str = "boxes") -> None:
-    """Wait for the requests that are open now: what had left for a drained box before the drain came into force may be
-    on its way to it still, though the box knows nothing of it yet."""
-    held = set(sidecar.pools[pool].requests)
-    await until(lambda: held.isdisjoint(sidecar.pools[pool].requests))
+    """Wait until the requests that are open now have ended.
+
+    A request sent just before a drain was applied may still be on its way to the drained server.
+    """
+    open_ids = set(sidecar.pools[pool].requests)
+    await until(lambda: open_ids.isdisjoint(sidecar.pools[pool].requests))
 
 
 def address(sidecar: Sidecar, name: str = "application") -> tuple[str, int]:
@@ -102,7 +104,7 @@
 
 
 async def raw(sidecar: Sidecar, data: bytes, until: bytes | None = None) -> bytes:
-    """What comes back for these bytes: up to the end of the connection, or to these bytes."""
+    """Send bytes and return the response, up to `until` or the end of the connection."""
     reader, writer = await asyncio.open_connection(*address(sidecar))
     writer.write(data)
     try:
--- a/tests/runtime/test_budgets.py
+++ b/tests/runtime/test_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets at running sidecars: what boxes are told, who is refused, who joins whom, and what operators see."""
+"""Budgets in running sidecars: forwarded fields, loops, duplicates, attempts, and the admin page."""
 
 from __future__ import annotations
 
@@ -38,17 +38,17 @@
 
 BUDGET: dict[str, Any] = {"share": 0.5, "floor_per_s": 5.0}
 INSIDE = [{"name": "application", "address": "127.0.0.1:0", "trust": "inside"}]
-FIELD = 99  # of Thrift calls' arguments, where their budget stands
+FIELD = 99  # id of the Thrift argument that carries the budget
 
 
-def data(*around: Any, name: str = "beside", **more: Any) -> dict[str, Any]:
-    return row(*around, **({"name": name, "budget": BUDGET, "listeners": INSIDE} | more))
+def data(*all_boxes: Any, name: str = "beside", **more: Any) -> dict[str, Any]:
+    return row(*all_boxes, **({"name": name, "budget": BUDGET, "listeners": INSIDE} | more))
 
 
 @contextlib.asynccontextmanager
-async def served(*around: Any, **more: Any) -> AsyncIterator[tuple[Sidecar, Application]]:
-    """A sidecar with a budget beside started boxes, and an application that asks it."""
-    async with alongside(around, lambda: data(*around, **more)) as sidecar:
+async def budgeted_sidecar(*all_boxes: Any, **more: Any) -> AsyncIterator[tuple[Sidecar, Application]]:
+    """Start servers and a sidecar with a budget; yields the sidecar and a client of it."""
+    async with alongside(all_boxes, lambda: data(*all_boxes, **more)) as sidecar:
         app = application(sidecar)
         try:
             yield sidecar, app
@@ -60,20 +60,20 @@
     return {"Baggage": write_baggage(Carried(**values))}
 
 
-async def page(sidecar: Sidecar) -> dict[str, Any]:
+async def budgets_page(sidecar: Sidecar) -> dict[str, Any]:
     admin = operator(sidecar)
     found: dict[str, Any] = orjson.loads((await admin.ask("GET", "/budgets")).body)
     admin.close()
     return found
 
 
-# ----------------------------------------------------------------------- what is carried
+# ------------------------------------------------------------------- forwarded budget fields
 
 
-def test_a_box_is_told_what_is_left_of_a_request():
+def test_forwarded_request_carries_the_remaining_budget():
     async def main():
         (box,) = boxes(1)
-        async with served(box) as (_, app):
+        async with budgeted_sidecar(box) as (_, app):
             await app.ask("GET", "/balance/7", headers={"Baggage": "user=amina"} | {"grpc-timeout": "5S"})
         headers = box.seen[0].headers
         carried, others = read_baggage(box.seen[0].header(b"baggage").decode())
@@ -88,7 +88,7 @@
     asyncio.run(main())
 
 
-def test_without_a_budget_nothing_is_carried_and_callers_fields_go_on_as_they_came():
+def test_without_a_budget_callers_budget_fields_are_forwarded_unchanged():
     async def main():
         (box,) = boxes(1)
         async with running(box) as sidecar:
@@ -103,14 +103,16 @@
     asyncio.run(main())
 
 
-def test_at_the_edge_worth_and_names_are_dropped_and_time_only_shrinks():
+def test_edge_listener_ignores_worth_and_names_and_never_extends_the_time():
     async def main():
         (box,) = boxes(1)
         edge = [{"name": "application", "address": "127.0.0.1:0"}]
-        async with served(box, listeners=edge) as (sidecar, app):
-            rich = baggage(ms=8e7, worth=1e6, extra=50, id="forged", tenant="hotels", attempt=7, path=("x",))
-            assert (await app.ask("GET", "/balance/7", headers=rich)).status in (200, 503)
-            rows = await page(sidecar)
+        async with budgeted_sidecar(box, listeners=edge) as (sidecar, app):
+            forged = baggage(
+                ms=8e7, worth=1e6, extra=50, id="forged", tenant="hotels", attempt=7, path=("x",)
+            )
+            assert (await app.ask("GET", "/balance/7", headers=forged)).status in (200, 503)
+            rows = await budgets_page(sidecar)
         carried = read_http(box.seen[0].headers)
         assert carried.ms <= 30_000.0
         assert (carried.worth, carried.tenant, carried.extra) == (12.0, None, 0)
@@ -133,10 +135,10 @@
         ({"x-envoy-expected-rq-timeout-ms": "3600000"}, 200),
     ],
 )
-def test_odd_times_are_refused_unrun_or_count_as_not_said(headers, status):
+def test_expired_times_are_rejected_and_malformed_ones_ignored(headers, status):
     async def main():
         (box,) = boxes(1)
-        async with served(box) as (_, app):
+        async with budgeted_sidecar(box) as (_, app):
             answer = await app.ask("GET", "/balance/7", headers=headers)
         assert answer.status == status
         assert box.taken == (status == 200)
@@ -151,7 +153,7 @@
 
 @contextlib.asynccontextmanager
 async def ring(size: int, passes: frozenset[bytes], **more: Any) -> AsyncIterator[tuple[list, list]]:
-    """Applications that each call the next one through a sidecar beside them, the last one the first."""
+    """Start applications that each call the next one through a sidecar, and the last one the first."""
     apps = [TierApplication(f"app-{at}") for at in range(size)]
     for app in apps:
         app.behaviour.passes = passes
@@ -171,60 +173,67 @@
             app.stop()
 
 
-SHOWN = [TRACE, frozenset({b"baggage"}), frozenset({b"traceparent", b"tracestate"}), frozenset({b"via"})]
+FORWARDED_FIELDS = [
+    TRACE,
+    frozenset({b"baggage"}),
+    frozenset({b"traceparent", b"tracestate"}),
+    frozenset({b"via"}),
+]
 
 
-@pytest.mark.parametrize("passes", SHOWN, ids=["trace", "baggage", "tracestate", "via"])
+@pytest.mark.parametrize("passes", FORWARDED_FIELDS, ids=["trace", "baggage", "tracestate", "via"])
 @pytest.mark.parametrize("size", [1, 2, 3])
-def test_a_loop_ends_where_it_comes_back_to_whatever_field_the_applications_pass_on(size, passes):
+def test_loop_is_rejected_at_its_first_sidecar_for_each_forwarded_field(size, passes):
     async def main():
         async with ring(size, passes) as (apps, sidecars):
             caller = application(sidecars[0])
             trace = {"traceparent": f"00-{'a' * 32}-{'b' * 16}-01"}
             for method in ("GET", "POST"):
                 answer = await caller.ask(method, "/x", headers=trace)
-                # The application that was refused passes the refusal on; nobody takes it for a reason to try again.
+                # The rejected application passes 508 on, and no sidecar retries it.
                 assert answer.status == 508
             caller.close()
-            # Once round, and no further: each application was asked once by each request.
+            # Each request passed each application once.
             assert [app.begun for app in apps] == [2] * size
-            rows = await page(sidecars[0])
+            rows = await budgets_page(sidecars[0])
             assert rows["pools"]["boxes"]["read"]["requests"]["loop"] == 1
             assert rows["pools"]["boxes"]["post"]["requests"]["loop"] == 1
 
     asyncio.run(main())
 
 
-def test_applications_that_drop_every_field_show_no_loop_and_admission_ends_it():
+def test_loop_without_forwarded_fields_is_ended_by_admission():
     async def main():
         async with ring(2, frozenset()) as (apps, sidecars):
             caller = application(sidecars[0])
             answer = await caller.ask("POST", "/x")
-            # Round and round, until one of the two holds so many calls that its table refuses the next.
+            # The request goes round until one sidecar has so many open calls that its threshold table rejects the next.
             assert answer.status == 503
             assert (
                 2 < sum(app.begun for app in apps) <= 2 * (START_MOST + T1_ROOTS * math.sqrt(START_MOST)) + 2
             )
             caller.close()
-            # Each closes what it had asked for as its own caller goes, so nothing goes on for nobody.
+            # Each application closes its own call when its caller leaves, so no request stays open.
             await until(lambda: all(not sidecar.pools["boxes"].requests for sidecar in sidecars))
 
     asyncio.run(main())
 
 
-def test_a_list_that_names_the_sidecars_own_listener_ends_at_once():
+def test_server_list_with_the_sidecars_own_listener_is_detected_as_a_loop():
     async def main():
         (box,) = boxes(1)
         async with alongside([box], lambda: data(box)) as sidecar:
             me = "{}:{}".format(*address(sidecar))
             again = data(box)
             again["pools"][0]["list"]["servers"] = [{"id": "me", "address": me}]
-            await sidecar.reload(configuration(again))  # by a reload, as a file by itself would be found out
+            await sidecar.reload(
+                configuration(again)
+            )  # by a reload, as the checker would reject it in a file
             app = application(sidecar)
             answer = await app.ask("POST", "/x")
             assert answer.status == 508
             assert b"proxy_loop_detected" in answer.headers[b"proxy-status"]
-            rows = await page(sidecar)
+            rows = await budgets_page(sidecar)
             app.close()
         assert rows["pools"]["boxes"]["post"]["requests"] == {"came": 2, "loop": 1, "new": 1}
         assert box.taken == 0
@@ -232,7 +241,7 @@
     asyncio.run(main())
 
 
-def test_a_loop_made_by_a_reload_ends_while_the_request_is_under_way():
+def test_loop_created_by_a_reload_is_rejected():
     async def main():
         async with ring(2, TRACE) as (apps, sidecars):
             (box,) = boxes(1)
@@ -251,7 +260,7 @@
     asyncio.run(main())
 
 
-def test_coming_back_can_be_allowed():
+def test_revisits_setting_allows_a_second_pass():
     async def main():
         async with ring(2, TRACE, budget=BUDGET | {"revisits": 1}) as (apps, sidecars):
             caller = application(sidecars[0])
@@ -262,14 +271,14 @@
     asyncio.run(main())
 
 
-# ----------------------------------------------------------------------------- repeats
+# -------------------------------------------------------------------------- duplicates
 
 
-def test_a_second_copy_of_a_keyed_request_joins_the_first_and_both_get_its_answer():
+def test_duplicate_of_a_keyed_request_joins_the_first_and_gets_its_answer():
     async def main():
         (box,) = boxes(1)
         box.behaviour = Behaviour(hang=True)
-        async with served(box) as (sidecar, app):
+        async with budgeted_sidecar(box) as (sidecar, app):
             key = {"Idempotency-Key": "k1"}
             first = asyncio.create_task(app.ask("POST", "/move/1", b"a", key))
             await until(lambda: box.taken == 1)
@@ -284,7 +293,7 @@
                 )
             answers = [bytes((await task).body) for task in (first, second, other)]
             assert answers[0] == answers[1] != answers[2] or set(answers) == {b"a", b"another"}
-            # Just ended: its answer is kept for one that comes now.
+            # The answer is kept for a while for duplicates that arrive later.
             assert (await app.ask("POST", "/move/1", b"a", key)).status == 200
             assert sidecar.budgets.repeats.counts["replayed"] == 1
             assert box.taken == 2
@@ -302,26 +311,26 @@
     ],
     ids=["authorization", "cookie", "accept", "tenant"],
 )
-def test_nobody_is_given_the_answer_of_another_who_chose_the_same_key(other):
+def test_same_key_with_other_credentials_is_not_a_duplicate(other):
     async def main():
         (box,) = boxes(1)
         box.behaviour = Behaviour(hang=True)
         tenants = [{"name": "kilimanjaro", "quota_per_s": 100.0}, {"name": "zanzibar", "quota_per_s": 100.0}]
-        async with served(box, tenants=tenants) as (sidecar, app):
+        async with budgeted_sidecar(box, tenants=tenants) as (sidecar, app):
             mine = {"Idempotency-Key": "1", "Authorization": "Bearer one", "Accept": "*/*"}
             mine |= baggage(tenant="kilimanjaro", ms=20_000.0)
-            asked = [
+            tasks = [
                 asyncio.create_task(app.ask("POST", "/move/1", b"a", headers))
                 for headers in (mine, mine | other, mine | {"X-Request-Id": "again"})
             ]
             await until(lambda: box.taken == 2 and sidecar.budgets.repeats.counts["joined"] == 1)
-            for task in asked:
+            for task in tasks:
                 task.cancel()
 
     asyncio.run(main())
 
 
-def test_the_first_caller_may_leave_without_taking_the_second_ones_answer():
+def test_joined_caller_is_answered_after_the_first_caller_left():
     async def main():
         (box,) = boxes(1)
         box.behaviour = Behaviour(hang=True)
@@ -343,57 +352,57 @@
     asyncio.run(main())
 
 
-def test_when_all_who_wait_have_left_the_attempt_is_given_up():
+def test_attempt_is_cancelled_once_all_joined_callers_left():
     async def main():
         (box,) = boxes(1)
         box.behaviour = Behaviour(hang=True)
-        async with served(box) as (sidecar, app):
+        async with budgeted_sidecar(box) as (sidecar, app):
             key = {"Idempotency-Key": "k1"}
-            asked = [asyncio.create_task(app.ask("POST", "/move/1", b"a", key)) for _ in range(3)]
+            tasks = [asyncio.create_task(app.ask("POST", "/move/1", b"a", key)) for _ in range(3)]
             await until(lambda: sidecar.budgets.repeats.counts["joined"] == 2)
-            for task in asked:
+            for task in tasks:
                 task.cancel()
             await until(lambda: not box.connections and not sidecar.pools["boxes"].requests)
 
     asyncio.run(main())
 
 
-def test_one_who_joined_is_answered_when_its_own_time_ends():
+def test_joined_caller_is_answered_at_its_own_deadline():
     async def main():
         (box,) = boxes(1)
         box.behaviour = Behaviour(hang=True)
-        async with served(box) as (_, app):
+        async with budgeted_sidecar(box) as (_, app):
             key = {"Idempotency-Key": "k1"}
             first = asyncio.create_task(app.ask("POST", "/move/1", b"a", key))
             await until(lambda: box.taken == 1)
-            hasty = await app.ask("POST", "/move/1", b"a", key | {"Req-Deadline-Ms": "50"})
-            assert hasty.status == 504
+            short_deadline = await app.ask("POST", "/move/1", b"a", key | {"Req-Deadline-Ms": "50"})
+            assert short_deadline.status == 504
             assert not first.done()
             first.cancel()
 
     asyncio.run(main())
 
 
-def test_a_second_try_with_its_key_goes_where_the_first_may_have_run():
+def test_retry_with_a_key_goes_to_the_server_that_may_have_run_it():
     async def main():
-        around = boxes(4)
+        all_boxes = boxes(4)
         kind = {"name": "move", "pool": "boxes", "effect": "keyed", "memory_ms": 60_000, "key_scope": "cell"}
         again = {"classes": [kind | LONG], "routes": [{"class": "move", "path": "/move/**"}]}
 
-        def celled() -> dict[str, Any]:
-            found = data(*around, **again, budget=BUDGET | {"share": 1.0, "floor_per_s": 100.0})
+        def data_with_cells() -> dict[str, Any]:
+            found = data(*all_boxes, **again, budget=BUDGET | {"share": 1.0, "floor_per_s": 100.0})
             for cell, server in enumerate(found["pools"][0]["list"]["servers"]):
                 server["cell"] = cell
             return found
 
-        async with alongside(around, celled) as sidecar:
+        async with alongside(all_boxes, data_with_cells) as sidecar:
             app = application(sidecar)
             for at in range(8):
                 key = {"Idempotency-Key": f"k{at}"}
-                for box in around:
+                for box in all_boxes:
                     box.behaviour = Behaviour(error=1)
                 first = await app.ask("POST", "/move/1", b"a", key)
-                for box in around:
+                for box in all_boxes:
                     box.behaviour = Behaviour()
                 second = await app.ask("POST", "/move/1", b"a", key)
                 assert (first.status, second.status) == (500, 200)
@@ -403,18 +412,18 @@
     asyncio.run(main())
 
 
-def test_a_second_try_that_comes_after_the_boxes_memory_is_neither_sent_nor_called_harmless():
+def test_retry_after_the_servers_memory_of_the_key_fails_and_may_have_run():
     async def main():
         (box,) = boxes(1)
         kind = {"name": "move", "pool": "boxes", "effect": "keyed", "memory_ms": 1.0}
         again = {"classes": [kind | LONG], "routes": [{"class": "move", "path": "/move/**"}]}
-        async with served(box, **again) as (sidecar, app):
+        async with budgeted_sidecar(box, **again) as (sidecar, app):
             key = {"Idempotency-Key": "k"}
             box.behaviour = Behaviour(error=1)
             assert (await app.ask("POST", "/move/1", b"a", key)).status == 500
             sent = next(iter(sidecar.budgets.repeats._entries.values())).earlier
             assert sent is not None
-            # Its memory is over, and it is still known that it ran: boxes forget at twice that only.
+            # The servers' memory of the key has passed, but the sidecar's entry is kept for twice as long.
             await until(lambda: sidecar.clock.ms() > sent.sent_ms + kind["memory_ms"])
             sidecar.budgets.repeats._entries[
                 next(iter(sidecar.budgets.repeats._entries))
@@ -427,30 +436,30 @@
     asyncio.run(main())
 
 
-def test_an_unsafe_request_is_never_joined_and_a_safe_one_only_by_its_id_and_mark():
+def test_unsafe_requests_never_join_and_safe_ones_only_with_id_and_retry_mark():
     async def main():
         (box,) = boxes(1)
         box.behaviour = Behaviour(hang=True)
-        async with served(box) as (sidecar, app):
+        async with budgeted_sidecar(box) as (sidecar, app):
             same = baggage(id="one", ms=20_000.0)
-            asked = [
+            tasks = [
                 asyncio.create_task(app.ask(*call, headers=same | more))
                 for call in (("POST", "/x"), ("GET", "/balance/1"))
                 for more in ({}, {"Req-Retry": "1"})
             ]
             await until(lambda: box.taken == 3 and sidecar.budgets.repeats.counts["joined"] == 1)
             assert [seen.method for seen in box.seen].count(b"POST") == 2
-            for task in asked:
+            for task in tasks:
                 task.cancel()
 
     asyncio.run(main())
 
 
-def test_many_callers_of_one_thing_are_not_shut_out_by_one_refusal():
+def test_one_rejection_does_not_mark_equal_requests_of_other_callers_as_retries():
     async def main():
         (box,) = boxes(1)
-        little = {"share": 0.0, "floor_per_s": 0.0}
-        async with alongside([box], lambda: data(box, budget=little)) as sidecar:
+        small_budget = {"share": 0.0, "floor_per_s": 0.0}
+        async with alongside([box], lambda: data(box, budget=small_budget)) as sidecar:
             box.behaviour = Behaviour(decline=True)
             app = application(sidecar)
             assert (await app.ask("GET", "/balance/1")).status == 503
@@ -465,42 +474,42 @@
 # ------------------------------------------------------------------- attempts and worth
 
 
-def test_a_failing_box_is_asked_no_more_than_the_request_brings():
+def test_attempts_at_failing_servers_are_limited_by_the_carried_budget():
     async def main():
-        around = boxes(4)
-        async with served(*around) as (_, app):
-            for box in around:
+        all_boxes = boxes(4)
+        async with budgeted_sidecar(*all_boxes) as (_, app):
+            for box in all_boxes:
                 box.behaviour = Behaviour(error=1000)
             for extra, most in ((0, 1), (1, 2), (2, 2)):
-                before = sum(box.taken for box in around)
+                before = sum(box.taken for box in all_boxes)
                 mine = baggage(extra=extra, ms=20_000.0, path=("front",))
                 assert (await app.ask("GET", f"/balance/{extra}", headers=mine)).status == 500
-                assert sum(box.taken for box in around) - before <= most
+                assert sum(box.taken for box in all_boxes) - before <= most
 
     asyncio.run(main())
 
 
-def test_second_copies_of_a_slow_read_are_counted_and_the_loser_is_given_up():
+def test_hedged_attempts_are_counted_and_the_slower_one_is_cancelled():
     async def main():
-        around = boxes(2)
+        all_boxes = boxes(2)
         hedged = [{"name": "read", "pool": "boxes", "effect": "safe", "hedge": True} | LONG]
         routes = [{"class": "read", "path": "/**"}]
 
         def hedging() -> dict[str, Any]:
-            return data(*around, classes=hedged, routes=routes, budget=BUDGET | {"share": 1.0})
+            return data(*all_boxes, classes=hedged, routes=routes, budget=BUDGET | {"share": 1.0})
 
-        async with alongside(around, hedging) as sidecar:
+        async with alongside(all_boxes, hedging) as sidecar:
             app = application(sidecar)
             for at in range(40):
                 assert (await app.ask("GET", f"/balance/{at}")).status == 200
-            slow = around[0]
+            slow = all_boxes[0]
             slow.behaviour = Behaviour(hang=True)
-            asked = slow.taken
+            attempts_before = slow.taken
             for at in range(1000):
                 assert (await app.ask("GET", f"/again/{at}")).status == 200
-                if slow.taken > asked:
+                if slow.taken > attempts_before:
                     break
-            rows = await page(sidecar)
+            rows = await budgets_page(sidecar)
             app.close()
             await until(lambda: not sidecar.pools["boxes"].requests)
         assert rows["pools"]["boxes"]["read"]["attempts"]["hedge"] >= 1
@@ -510,13 +519,13 @@
     asyncio.run(main())
 
 
-def test_operators_see_budgets_by_pool_and_class():
+def test_admin_listener_shows_budgets_by_pool_and_class():
     async def main():
         (box,) = boxes(1)
-        async with served(box) as (sidecar, app):
+        async with budgeted_sidecar(box) as (sidecar, app):
             for at in range(5):
                 await app.ask("GET", f"/balance/{at}", headers={"Req-Deadline-Ms": "4000"})
-            rows = await page(sidecar)
+            rows = await budgets_page(sidecar)
         read = rows["pools"]["boxes"]["read"]
         assert read["attempts"] == {"first": 5}
         assert read["amplification"] == 1.0
@@ -529,7 +538,7 @@
     asyncio.run(main())
 
 
-def test_a_reload_changes_budgets_and_keeps_what_was_learned():
+def test_reload_changes_budgets_and_keeps_learned_patience():
     async def main():
         (box,) = boxes(1)
         async with alongside([box], lambda: data(box)) as sidecar:
@@ -548,7 +557,7 @@
     asyncio.run(main())
 
 
-def test_callers_that_leave_teach_how_long_they_wait():
+def test_patience_is_learned_from_callers_that_leave():
     async def main():
         (box,) = boxes(1)
         box.behaviour = Behaviour(hang=True)
@@ -556,15 +565,15 @@
             while box.taken < 10:
                 app = application(sidecar)
                 taken = box.taken
-                asked = asyncio.create_task(app.ask("GET", "/balance/1"))
-                # What was given up counts as in flight to the period's end: ten within one may be refused.
-                await until(lambda taken=taken, asked=asked: box.taken > taken or asked.done())
-                if asked.done():
-                    assert (await asked).status == 503
+                task = asyncio.create_task(app.ask("GET", "/balance/1"))
+                # Cancelled attempts count as in flight to the end of the period, so some of these may be rejected.
+                await until(lambda taken=taken, task=task: box.taken > taken or task.done())
+                if task.done():
+                    assert (await task).status == 503
                     continue
-                asked.cancel()
+                task.cancel()
                 await until(lambda: not sidecar.pools["boxes"].requests)
-            rows = await page(sidecar)
+            rows = await budgets_page(sidecar)
             assert 0.0 < rows["learned_patience_ms"]["read"] < 30_000.0
 
     asyncio.run(main())
@@ -573,7 +582,7 @@
 # ------------------------------------------------------------------------------ Thrift
 
 
-def thrift_data(*around: Any, **more: Any) -> dict[str, Any]:
+def thrift_data(*all_boxes: Any, **more: Any) -> dict[str, Any]:
     listeners = [
         {
             "name": "application",
@@ -583,11 +592,11 @@
             "budget_field": FIELD,
         }
     ]
-    return shape(*around, budget=BUDGET, listeners=listeners, **more)
+    return shape(*all_boxes, budget=BUDGET, listeners=listeners, **more)
 
 
-def said_by(box: Any) -> Carried:
-    """What the last call that a box took carried."""
+def carried_by_last_call(box: Any) -> Carried:
+    """Return the budget that the last call to a server carried."""
     message = box.calls[-1]
     found = field_at(message.body, message.form, (FIELD,))
     assert isinstance(found, bytes)
@@ -602,7 +611,7 @@
 
 @pytest.mark.parametrize("form", list(Form), ids=lambda form: form.value)
 @pytest.mark.parametrize("box_form", ["binary", "compact"])
-def test_a_thrift_box_is_told_in_an_argument_that_others_skip(form, box_form):
+def test_thrift_budget_is_carried_in_an_argument(form, box_form):
     async def main():
         (box,) = thrift_boxes(1)
         thrift = {"form": box_form, "budget_field": FIELD}
@@ -612,11 +621,11 @@
         ):
             reply = await caller.call("post", posting("p0", form))
             assert box_of(reply) == "box-0"
-            carried = said_by(box)
+            carried = carried_by_last_call(box)
             assert (carried.extra, carried.attempt, carried.path) == (1, 1, ("beside",))
             mine = with_budget(posting("p1", form), form, ms=900.0, extra=0, path=("front",))
             assert box_of(await caller.call("post", mine)) == "box-0"
-            carried = said_by(box)
+            carried = carried_by_last_call(box)
             assert carried.path == ("front", "beside")
             assert (carried.extra, carried.ms <= 895.0) == (0, True)
             assert box.ran == {"p0": 1, "p1": 1}
@@ -624,7 +633,7 @@
     asyncio.run(main())
 
 
-def test_a_thrift_loop_and_a_thrift_call_out_of_time_never_run():
+def test_thrift_loops_and_expired_calls_are_rejected_unexecuted():
     async def main():
         (box,) = thrift_boxes(1)
         async with (
@@ -640,7 +649,7 @@
     asyncio.run(main())
 
 
-def test_a_keyed_thrift_call_joins_its_first_copy_whatever_time_each_has_left():
+def test_duplicate_thrift_call_joins_the_first_despite_another_budget():
     async def main():
         (box,) = thrift_boxes(1)
         box.behaviour.hang = True
@@ -658,11 +667,11 @@
     asyncio.run(main())
 
 
-def test_a_stamp_of_another_node_is_told_from_a_time_without_one():
-    # The clock of the writer is an hour off; what counts is how much later than its quickest call this one came.
+def test_elapsed_time_is_computed_from_another_nodes_stamp_despite_clock_offset():
+    # The stamping node's clock is an hour off: only the delay relative to its fastest call counts.
     async def main():
         (box,) = boxes(1)
-        async with served(box) as (sidecar, app):
+        async with budgeted_sidecar(box) as (sidecar, app):
             clock = sidecar.clock.ms() - 3_600_000.0
             for back, status in ((0, 200), (0, 200), (5000, 503)):
                 mine = baggage(ms=4000.0, at=Stamp("other", int(clock - back)))
@@ -671,26 +680,26 @@
     asyncio.run(main())
 
 
-def test_baggage_in_several_fields_is_one():
+def test_baggage_in_several_fields_is_combined():
     async def main():
         (box,) = boxes(1)
         async with alongside([box], lambda: data(box)) as sidecar:
-            asked = b"GET /balance/1 HTTP/1.1\r\nHost: x\r\nBaggage: a=1\r\nBaggage: emberring-ms=700\r\n"
-            asked += b"baggage: b=2\r\nConnection: close\r\n\r\n"
-            assert b" 200 OK" in await raw(sidecar, asked)
+            request = b"GET /balance/1 HTTP/1.1\r\nHost: x\r\nBaggage: a=1\r\nBaggage: emberring-ms=700\r\n"
+            request += b"baggage: b=2\r\nConnection: close\r\n\r\n"
+            assert b" 200 OK" in await raw(sidecar, request)
         assert box.seen[0].header(b"baggage").endswith(b",a=1,b=2")
 
     asyncio.run(main())
 
 
-def test_a_tier_that_is_not_ours_and_tries_again_by_itself_costs_the_budget_of_the_next():
+def test_retries_by_another_tier_are_charged_to_the_next_sidecars_budget():
     async def main():
         (box,) = boxes(1)
         tier = TierApplication("middle")
         tier.behaviour.tries = 3
         tier.behaviour.passes = TRACE | OWN
-        little = {"share": 0.0, "floor_per_s": 0.1}
-        async with alongside([box], lambda: data(box, name="last", budget=little)) as last:
+        small_budget = {"share": 0.0, "floor_per_s": 0.1}
+        async with alongside([box], lambda: data(box, name="last", budget=small_budget)) as last:
             await tier.start()
             tier.next = address(last)
             front = Sidecar(configuration(data(tier, name="front")))
@@ -702,8 +711,8 @@
             caller.close()
             front.close()
             tier.stop()
-        # Three tries each would have been 15. Two were made before the pool was held to fail, and of the eight after
-        # those the floor let one through.
+        # Three attempts for each of 5 requests would be 15. Two retries were made before the pool counted as failing,
+        # and of the eight after that the floor of the budget admitted one.
         assert box.taken == 5 + 2 + 1
 
     asyncio.run(main())
--- a/tests/runtime/test_http_frontend.py
+++ b/tests/runtime/test_http_frontend.py
@@ -1,4 +1,4 @@
-"""What a plain HTTP/1.1 application gets through the sidecar, and what boxes get from it."""
+"""The sidecar's HTTP frontend: what callers and servers receive through it."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 def head_of(data: bytes) -> tuple[bytes, list[bytes], bytes]:
-    """The status line, the header lines, and the body."""
+    """Return the status line, the header lines, and the body."""
     head, _, body = data.partition(b"\r\n\r\n")
     first, *lines = head.split(b"\r\n")
     return first, lines, body
 
 
-def test_a_caller_that_knows_nothing_of_us_is_served_and_each_request_has_an_id():
+def test_ordinary_caller_is_served_and_each_request_has_an_id():
     async def main():
         (box,) = boxes(1)
         async with running(box) as sidecar:
@@ -36,7 +36,7 @@
     asyncio.run(main())
 
 
-def test_end_to_end_headers_and_the_body_are_passed_on_unchanged_both_ways():
+def test_end_to_end_headers_and_body_are_forwarded_unchanged_both_ways():
     async def main():
         answer = (
             b"HTTP/1.1 207 Multi-Status\r\nSet-Cookie: a=1\r\nset-cookie: b=2\r\nX-Thing:  spaced \r\n"
@@ -67,8 +67,8 @@
                 b"/x%20y/?q=1&q=2",
                 b"\xff\x00\r\n",
             )
-            kept = [pair for pair in seen.headers if not pair[0].startswith(b"Req-")]
-            assert kept == [
+            forwarded = [pair for pair in seen.headers if not pair[0].startswith(b"Req-")]
+            assert forwarded == [
                 (b"Host", b"ledger.example"),
                 (b"X-Two", b"1"),
                 (b"x-two", b"2"),
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("status", [200, 201, 204, 301, 304, 400, 404, 409, 418, 429, 451, 501])
-def test_any_answer_of_a_box_that_is_no_fault_is_the_answer(status):
+def test_answer_with_a_status_that_is_no_server_failure_is_passed_on(status):
     async def main():
         (box,) = boxes(1)
         async with running(box) as sidecar:
@@ -93,12 +93,12 @@
             assert b"proxy-status" not in answer.headers
             assert answer.headers[b"x-box"] == b"box-0"
             assert sidecar.pools["boxes"].counts["ok"] == 1
-            assert (await app.ask("POST", "/echo", b"next")).body == b"next"  # the connection is in step
+            assert (await app.ask("POST", "/echo", b"next")).body == b"next"  # the connection is still usable
 
     asyncio.run(main())
 
 
-def test_head_and_304_keep_the_length_they_speak_of_and_have_no_body():
+def test_head_and_304_keep_their_content_length_and_have_no_body():
     async def main():
         def reply(seen):
             if seen.target == b"/unchanged":
@@ -109,10 +109,10 @@
 
         box = Box("b", answer=reply)
         async with running(box) as sidecar:
-            asked = b"HEAD /x HTTP/1.1\r\nHost: x\r\n\r\nGET /unchanged HTTP/1.1\r\nHost: x\r\n\r\n"
-            asked += b"GET /x HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
-            said = await raw(sidecar, asked)
-            parts = re.split(rb"(?=HTTP/1\.1 )", said)[1:]
+            requests = b"HEAD /x HTTP/1.1\r\nHost: x\r\n\r\nGET /unchanged HTTP/1.1\r\nHost: x\r\n\r\n"
+            requests += b"GET /x HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+            response = await raw(sidecar, requests)
+            parts = re.split(rb"(?=HTTP/1\.1 )", response)[1:]
             assert [part.split(b"\r\n")[0] for part in parts] == [
                 b"HTTP/1.1 200 OK",
                 b"HTTP/1.1 304 Not Modified",
@@ -122,12 +122,12 @@
             assert parts[0].endswith(b"\r\n\r\n")
             assert parts[1].endswith(b"\r\n\r\n")
             assert parts[2].endswith(b"x" * 77)
-            assert box.accepted == 1  # each left the connection to the box of use
+            assert box.accepted == 1  # the connection to the server was reused
 
     asyncio.run(main())
 
 
-def test_a_body_where_none_belongs_is_not_taken_for_the_next_answer():
+def test_unexpected_body_is_not_taken_for_the_next_answer():
     async def main():
         box = Box(
             "b",
@@ -143,7 +143,7 @@
     asyncio.run(main())
 
 
-def test_chunked_empty_and_expected_bodies_reach_the_box_whole():
+def test_chunked_empty_and_absent_bodies_reach_the_server_unchanged():
     async def main():
         (box,) = boxes(1)
         async with running(box) as sidecar:
@@ -152,21 +152,21 @@
             assert b"\r\n\r\nabcde" in await raw(sidecar, chunked, b"abcde")
             empty = b"POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
             assert (await raw(sidecar, empty)).startswith(b"HTTP/1.1 200")
-            none = b"DELETE /c HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
-            assert (await raw(sidecar, none)).startswith(b"HTTP/1.1 200")
+            no_body = b"DELETE /c HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+            assert (await raw(sidecar, no_body)).startswith(b"HTTP/1.1 200")
             assert [bytes(seen.body) for seen in box.seen] == [b"abcde", b"", b""]
             assert [seen.header(b"content-length") for seen in box.seen] == [b"5", b"0", None]
 
     asyncio.run(main())
 
 
-def test_expect_behind_an_open_answer_is_told_to_go_on_when_its_turn_comes():
+def test_100_continue_is_sent_after_the_previous_answer():
     async def main():
         release = asyncio.Event()
         (box,) = boxes(1)
         async with running(box) as sidecar:
             box.behaviour.work_ms = 1.0
-            box.behaviour.cores = 0  # nothing is begun until the test says so
+            box.behaviour.cores = 0  # no request starts until the test sets it
             reader, writer = await asyncio.open_connection(*address(sidecar))
             writer.write(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\nA")
             writer.write(b"POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nExpect: 100-continue\r\n\r\n")
@@ -185,18 +185,18 @@
     asyncio.run(main())
 
 
-def test_requests_sent_before_their_answers_are_answered_in_their_order():
+def test_pipelined_requests_are_answered_in_order():
     async def main():
         (box,) = boxes(1)
         async with running(box) as sidecar:
             box.behaviour.work_ms = 2.0
-            asked = b"".join(
+            requests = b"".join(
                 b"POST /x HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n%s\r\n%02d"
                 % (b"Connection: close\r\n" if at == 19 else b"", at)
                 for at in range(20)
             )
-            said = await raw(sidecar, asked)
-            assert re.findall(rb"\r\n\r\n(\d\d)", said) == [b"%02d" % at for at in range(20)]
+            response = await raw(sidecar, requests)
+            assert re.findall(rb"\r\n\r\n(\d\d)", response) == [b"%02d" % at for at in range(20)]
 
     asyncio.run(main())
 
@@ -205,12 +205,12 @@
     ("route_ms", "given", "most"),
     [(None, None, 3000), (1000, None, 1000), (1000, "500", 500), (1000, "2000", 1000), (None, "9000", 3000)],
 )
-def test_the_shortest_of_class_route_and_callers_deadline_holds(route_ms, given, most):
+def test_shortest_of_class_route_and_callers_deadline_applies(route_ms, given, most):
     async def main():
         (box,) = boxes(1)
-        kinds = [CLASSES[0] | {"aim_ms": 2900, "give_up_ms": 3000, "late_worth": 1.0}]
+        class_rows = [CLASSES[0] | {"aim_ms": 2900, "give_up_ms": 3000, "late_worth": 1.0}]
         routes = [{"class": "read", "path": "/**"} | ({"deadline_ms": route_ms} if route_ms else {})]
-        async with running(box, classes=kinds, routes=routes) as sidecar:
+        async with running(box, classes=class_rows, routes=routes) as sidecar:
             headers = {"Req-Deadline-Ms": given} if given else {}
             assert (await application(sidecar).ask("GET", "/x", headers=headers)).status == 200
             left = int(box.seen[0].header(b"req-deadline-ms") or 0)
@@ -219,7 +219,7 @@
     asyncio.run(main())
 
 
-def test_the_callers_deadline_header_is_the_one_that_its_listener_names():
+def test_listener_configures_the_callers_deadline_header():
     async def main():
         (box,) = boxes(1)
         listener = {"name": "application", "address": "127.0.0.1:0", "deadline_header": "X-Timeout-Ms"}
@@ -234,21 +234,24 @@
     asyncio.run(main())
 
 
-def said(answer):
-    """The error's type of an answer of ours."""
+def error_and_details(answer):
+    """Return error type and details of an answer produced by the sidecar."""
     found = re.fullmatch(rb'beside; error=([a-z_]+); details="([^"]*)"', answer.headers[b"proxy-status"])
     assert found is not None
     return found[1].decode(), found[2].decode()
 
 
-def test_a_keyed_request_without_its_key_is_turned_away_and_never_sent():
+def test_keyed_request_without_its_key_is_rejected_and_never_sent():
     async def main():
         (box,) = boxes(1)
         async with running(box) as sidecar:
             app = application(sidecar)
             answer = await app.ask("POST", "/move/1", b"x")
             assert answer.status == 400
-            assert said(answer) == ("http_request_error", "refused: class move needs idempotency-key")
+            assert error_and_details(answer) == (
+                "http_request_error",
+                "refused: class move needs idempotency-key",
+            )
             assert box.taken == 0
             assert (await app.ask("POST", "/move/1", b"x", {"Idempotency-Key": "k"})).status == 200
             assert box.seen[0].header(b"idempotency-key") == b"k"
@@ -256,7 +259,7 @@
     asyncio.run(main())
 
 
-def test_a_header_that_decides_may_stand_once_only():
+def test_repeated_routing_header_is_rejected():
     async def main():
         (box,) = boxes(1)
         route = {"class": "read", "path": "/**", "headers": [{"name": "X-Book", "value": "a"}]}
@@ -270,7 +273,7 @@
     asyncio.run(main())
 
 
-def test_a_key_named_in_connection_still_goes_on():
+def test_key_named_in_connection_is_still_forwarded():
     async def main():
         (box,) = boxes(1)
         async with running(box) as sidecar:
@@ -282,29 +285,29 @@
     asyncio.run(main())
 
 
-def test_what_no_route_takes_is_404_and_a_path_with_dots_is_400():
+def test_unrouted_request_is_404_and_a_path_with_dots_is_400():
     async def main():
         (box,) = boxes(1)
         async with running(box, routes=[{"class": "read", "path": "/r/**"}], classes=CLASSES[:1]) as sidecar:
             app = application(sidecar)
             answer = await app.ask("GET", "/other")
-            assert (answer.status, said(answer)[0]) == (404, "destination_not_found")
+            assert (answer.status, error_and_details(answer)[0]) == (404, "destination_not_found")
             answer = await app.ask("GET", "/r/../other")
-            assert (answer.status, said(answer)[0]) == (400, "http_request_error")
+            assert (answer.status, error_and_details(answer)[0]) == (400, "http_request_error")
             assert box.taken == 0
             assert (await app.ask("GET", "/r/x")).status == 200
 
     asyncio.run(main())
 
 
-def test_a_refusal_is_503_and_says_that_nothing_ran():
+def test_rejection_is_503_and_states_that_nothing_ran():
     async def main():
         box = boxes(1)[0]
         box.behaviour.decline = True
         async with running(box) as sidecar:
             answer = await application(sidecar).ask("POST", "/x", b"1")
             assert answer.status == 503
-            assert said(answer) == ("destination_unavailable", "refused: it never ran")
+            assert error_and_details(answer) == ("destination_unavailable", "refused: it never ran")
             assert sum(box.ran.values()) == 0
 
     asyncio.run(main())
@@ -315,7 +318,7 @@
         (box,) = boxes(1)
         async with running(box) as sidecar:
             box.behaviour.decline = True
-            sidecar.pools["boxes"].balancer.table.cursor = 1  # times a period of 3 s, but 2 s at most
+            sidecar.pools["boxes"].balancer.table.cursor = 1  # asks for a period of 3 s, limited to 2 s
             answer = await application(sidecar).ask("POST", "/x", b"1")
             assert answer.status == 503
             assert answer.headers[b"retry-after"] == b"2"
@@ -323,30 +326,30 @@
     asyncio.run(main())
 
 
-def test_too_many_open_is_a_refusal():
+def test_request_beyond_the_limit_of_open_requests_is_rejected():
     async def main():
         (box,) = boxes(1)
         async with running(box, limits={"max_open": 1}) as sidecar:
             box.behaviour.hang = True
-            held = asyncio.create_task(application(sidecar).ask("POST", "/x", b"1"))
+            pending = asyncio.create_task(application(sidecar).ask("POST", "/x", b"1"))
             await until(lambda: box.taken)
             answer = await application(sidecar).ask("POST", "/x", b"2")
-            assert (answer.status, said(answer)) == (
+            assert (answer.status, error_and_details(answer)) == (
                 503,
                 ("connection_limit_reached", "refused: it never ran; too many requests are open"),
             )
-            held.cancel()
+            pending.cancel()
 
     asyncio.run(main())
 
 
-def test_an_unsafe_request_that_breaks_off_is_502_and_may_have_run():
+def test_unsafe_request_with_a_broken_off_answer_is_502_and_may_have_run():
     async def main():
         (box, other) = boxes(2)
         async with running(box, other) as sidecar:
             box.behaviour.die_mid_answer = other.behaviour.die_mid_answer = 1
             answer = await application(sidecar).ask("POST", "/x", b"1")
-            assert (answer.status, said(answer)) == (
+            assert (answer.status, error_and_details(answer)) == (
                 502,
                 ("connection_terminated", "failed: it may have run"),
             )
@@ -355,13 +358,13 @@
     asyncio.run(main())
 
 
-def test_an_unsafe_request_that_gets_no_answer_is_504():
+def test_unsafe_request_without_an_answer_is_504():
     async def main():
         (box,) = boxes(1)
         async with running(box) as sidecar:
             box.behaviour.hang = True
             answer = await application(sidecar).ask("POST", "/x", b"1", {"Req-Deadline-Ms": "150"})
-            assert (answer.status, said(answer)) == (
+            assert (answer.status, error_and_details(answer)) == (
                 504,
                 ("http_response_timeout", "failed: it may have run"),
             )
@@ -369,7 +372,7 @@
     asyncio.run(main())
 
 
-def test_a_safe_request_is_tried_elsewhere_and_a_boxs_last_error_is_passed_on():
+def test_safe_request_is_retried_and_the_last_server_error_is_passed_on():
     async def main():
         (box, other) = boxes(2)
         async with running(box, other) as sidecar:
@@ -377,21 +380,21 @@
             box.behaviour.error = other.behaviour.error = 1
             answer = await app.ask("GET", "/x")
             assert (answer.status, bytes(answer.body)) == (500, b"posted, then failed")
-            assert b"proxy-status" not in answer.headers  # it is a box's word
+            assert b"proxy-status" not in answer.headers  # it comes from a server
             assert box.taken == other.taken == 1
             box.behaviour.error = other.behaviour.error = 1
             answer = await app.ask("POST", "/x", b"1")
             assert (answer.status, bytes(answer.body)) == (500, b"posted, then failed")
-            assert box.taken + other.taken == 3  # an unsafe one was not sent again
+            assert box.taken + other.taken == 3  # the unsafe request was not retried
 
     asyncio.run(main())
 
 
-def test_a_class_with_fewer_attempts_than_the_rules_is_sent_no_more_often():
+def test_class_limit_of_attempts_overrides_a_higher_one_of_the_rules():
     async def main():
         three = boxes(3)
-        kinds = [CLASSES[0] | {"attempts": 2}]
-        async with running(*three, classes=kinds, routes=ROUTES[:1]) as sidecar:
+        class_rows = [CLASSES[0] | {"attempts": 2}]
+        async with running(*three, classes=class_rows, routes=ROUTES[:1]) as sidecar:
             for box in three:
                 box.behaviour.error = 9
             assert (await application(sidecar).ask("GET", "/x")).status == 500
@@ -400,7 +403,7 @@
     asyncio.run(main())
 
 
-def test_a_caller_that_leaves_has_its_attempt_given_up():
+def test_attempt_is_cancelled_when_its_caller_leaves():
     async def main():
         (box,) = boxes(1)
         async with running(box) as sidecar:
@@ -416,7 +419,7 @@
     asyncio.run(main())
 
 
-def test_a_tenant_is_told_to_boxes_and_to_the_module():
+def test_tenant_is_passed_to_servers_and_to_the_balancer():
     async def main():
         (box,) = boxes(1)
         listener = {"name": "application", "address": "127.0.0.1:0", "tenant": "hotels"}
@@ -430,7 +433,7 @@
     asyncio.run(main())
 
 
-def test_two_pools_have_a_module_each_and_only_their_own_boxes():
+def test_each_pool_has_its_own_balancer_and_servers():
     async def main():
         one, two = boxes(2)
         for box in (one, two):
@@ -442,27 +445,27 @@
             }
             for name, box in (("a", one), ("b", two))
         ]
-        kinds = [CLASSES[0] | {"name": f"read-{name}", "pool": name} for name in "ab"]
+        class_rows = [CLASSES[0] | {"name": f"read-{name}", "pool": name} for name in "ab"]
         routes = [{"class": f"read-{name}", "path": f"/{name}/**"} for name in "ab"]
-        async with running(pools=pools, classes=kinds, routes=routes) as sidecar:
+        async with running(pools=pools, classes=class_rows, routes=routes) as sidecar:
             app = application(sidecar)
             for target in ("/a/1", "/b/1", "/b/2"):
                 assert (await app.ask("GET", target)).status == 200
             assert (one.taken, two.taken) == (1, 2)
             assert sidecar.pools["a"].balancer is not sidecar.pools["b"].balancer
             one.behaviour.hang = True
-            held = asyncio.create_task(app.ask("GET", "/a/2"))
+            pending = asyncio.create_task(app.ask("GET", "/a/2"))
             await until(lambda: one.taken == 2)
             assert (await app.ask("GET", "/b/3")).status == 200
-            assert sidecar.capacity.open == 1  # open requests are counted over both
-            held.cancel()
+            assert sidecar.capacity.open == 1  # open requests are counted over both pools
+            pending.cancel()
         one.stop()
         two.stop()
 
     asyncio.run(main())
 
 
-def test_what_cant_be_read_is_answered_and_ended():
+def test_invalid_request_is_answered_and_the_connection_closed():
     async def main():
         (box,) = boxes(1)
         async with running(box, limits={"max_body_bytes": 100}) as sidecar:
@@ -482,7 +485,7 @@
     asyncio.run(main())
 
 
-def test_a_field_named_in_connection_ends_here_unless_it_must_not():
+def test_field_named_in_connection_is_removed_unless_it_must_be_forwarded():
     headers = [(b"Host", b"h"), (b"X-A", b"1"), (b"x-b", b"2"), (b"Upgrade", b"h2c")]
     assert end_to_end_fields(headers, b"x-a, Host", {b"upgrade"}, {b"host"}) == [
         (b"Host", b"h"),
@@ -491,11 +494,11 @@
     assert end_to_end_fields(headers, None, {b"upgrade"}, ()) == headers[:3]
 
 
-def test_the_shipped_row_is_a_valid_configuration():
+def test_fixture_data_is_a_configuration():
     assert row()["kind"] == "configuration"
 
 
-def test_a_refusal_after_an_attempt_that_may_have_run_does_not_say_that_it_never_did():
+def test_rejection_after_an_attempt_that_may_have_run_does_not_claim_that_nothing_ran():
     async def main():
         (box,) = boxes(1)
         async with running(box) as sidecar:
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -1,4 +1,4 @@
-"""A new configuration comes into force whole or not at all, and no request is lost over it."""
+"""Reloads: a new configuration is applied completely or not at all, and no request is lost."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 
 def listener(name: str, port: int = 0) -> dict[str, Any]:
-    """Port 0 takes a free one; such a listener is known by its name and kept over reloads."""
+    """Return a listener's data; with port 0 the listener is identified by its name and kept over reloads."""
     return {"name": name, "address": f"127.0.0.1:{port}"}
 
 
-def test_a_route_added_is_there_and_one_removed_is_gone():
+def test_reload_adds_and_removes_routes():
     async def main():
         (box,) = boxes(1)
         only = [{"class": "read", "path": "/a/**"}]
@@ -34,20 +34,20 @@
             other = [{"class": "read", "path": "/b/**"}]
             await sidecar.reload(configuration(row(box, classes=CLASSES[:1], routes=other)))
             assert [(await app.ask("GET", path)).status for path in ("/a/1", "/b/1")] == [404, 200]
-            assert sidecar.pools["boxes"] is pool  # what decides and what it has learned stay
+            assert sidecar.pools["boxes"] is pool  # the balancer and its state are kept
             assert box.accepted == 1
 
     asyncio.run(main())
 
 
-def test_a_request_open_on_a_route_class_and_pool_that_go_gets_its_answer():
+def test_open_request_of_a_removed_route_class_and_pool_is_answered():
     async def main():
         old, new = boxes(2)
         await new.start()
         async with running(old) as sidecar:
             app = application(sidecar)
             old.behaviour.work_ms, old.behaviour.cores = 1.0, 0
-            held = asyncio.create_task(app.ask("POST", "/x", b"held"))
+            pending = asyncio.create_task(app.ask("POST", "/x", b"held"))
             await until(lambda: old.taken)
             pools = [
                 {
@@ -62,26 +62,28 @@
             assert (await app.ask("GET", "/x")).headers[b"x-box"] == b"box-1"
             old.behaviour.cores = 9
             old._begin()
-            answer = await held
+            answer = await pending
             assert (answer.status, bytes(answer.body)) == (200, b"held")
-            await until(lambda: not old.connections)  # the pool that went is closed once it is empty
+            await until(
+                lambda: not old.connections
+            )  # the removed pool is closed once its requests have ended
         new.stop()
 
     asyncio.run(main())
 
 
-def test_listeners_come_and_go_and_a_removed_ones_open_request_is_answered():
+def test_open_request_of_a_removed_listener_is_answered():
     async def main():
         (box,) = boxes(1)
         async with running(box, listeners=[listener("one")]) as sidecar:
             box.behaviour.work_ms, box.behaviour.cores = 1.0, 0
             app = application(sidecar, "one")
-            held = asyncio.create_task(app.ask("GET", "/x"))
+            pending = asyncio.create_task(app.ask("GET", "/x"))
             await until(lambda: box.taken)
             await sidecar.reload(configuration(row(box, listeners=[listener("two")])))
             box.behaviour.cores = 9
             box._begin()
-            answer = await held
+            answer = await pending
             assert (answer.status, answer.headers[b"connection"]) == (200, b"close")
             assert (await application(sidecar, "two").ask("GET", "/x")).status == 200
             with pytest.raises(OSError, match=r"refused|Connect"):
@@ -90,27 +92,29 @@
     asyncio.run(main())
 
 
-def test_an_address_that_cant_be_had_changes_nothing():
+def test_reload_with_an_address_in_use_changes_nothing():
     async def main():
         (box,) = boxes(1)
         with socket.create_server(("127.0.0.1", 0)) as taken:
             async with running(
                 box, classes=CLASSES[:1], routes=[{"class": "read", "path": "/a/**"}]
             ) as sidecar:
-                before, mine, pool = sidecar.digest, sidecar.listeners, sidecar.pools["boxes"]
+                before, listeners, pool = sidecar.digest, sidecar.listeners, sidecar.pools["boxes"]
                 wanted = [
                     listener("application"),
                     listener("more"),
                     listener("bad", taken.getsockname()[1]),
                 ]
                 new = row(box, listeners=wanted, rules={"max_attempts": 2})
-                gc.collect()  # what other tests left behind must not go in between
-                held = len(os.listdir("/proc/self/fd"))
+                gc.collect()  # descriptors left by other tests must not be closed in between
+                open_descriptors = len(os.listdir("/proc/self/fd"))
                 with pytest.raises(OSError, match="in use"):
                     await sidecar.reload(configuration(new))
-                assert len(os.listdir("/proc/self/fd")) <= held  # what had been bound for it is free again
+                assert (
+                    len(os.listdir("/proc/self/fd")) <= open_descriptors
+                )  # sockets bound for the failed reload are closed
                 assert sidecar.digest == before
-                assert sidecar.listeners is mine
+                assert sidecar.listeners is listeners
                 assert sidecar.pools["boxes"] is pool
                 assert (await application(sidecar).ask("GET", "/b/1")).status == 404
                 assert (await application(sidecar).ask("GET", "/a/1")).status == 200
@@ -118,7 +122,7 @@
     asyncio.run(main())
 
 
-def test_another_name_needs_a_restart_and_says_so():
+def test_reload_with_another_name_is_rejected():
     async def main():
         (box,) = boxes(1)
         async with running(box) as sidecar:
@@ -129,7 +133,7 @@
     asyncio.run(main())
 
 
-def test_limits_change_live_and_keep_the_pool():
+def test_reload_of_limits_keeps_the_pool():
     async def main():
         (box,) = boxes(1)
         async with running(box) as sidecar:
@@ -144,7 +148,7 @@
     asyncio.run(main())
 
 
-def test_rules_that_change_make_a_new_module_and_the_old_ones_boxes_are_known_to_it_at_once():
+def test_reload_of_rules_replaces_the_pool_and_keeps_its_servers():
     async def main():
         (box,) = boxes(1)
         discovery = await Discovery().start()
@@ -154,7 +158,7 @@
             discovery.tell(box)
             await until(lambda: sidecar.ready)
             old = sidecar.pools["boxes"]
-            discovery.stop()  # it says nothing more
+            discovery.stop()  # no further update arrives
             await sidecar.reload(configuration(row(pools=pools, rules={"max_attempts": 1})))
             assert sidecar.pools["boxes"] is not old
             assert (await application(sidecar).ask("GET", "/x")).status == 200
@@ -162,7 +166,7 @@
     asyncio.run(main())
 
 
-def test_a_static_list_that_changes_keeps_the_pool_and_drains_what_went():
+def test_reload_of_a_static_list_keeps_the_pool_and_drains_removed_servers():
     async def main():
         one, two = boxes(2)
         await two.start()
@@ -178,7 +182,7 @@
     asyncio.run(main())
 
 
-def test_a_list_moves_from_static_to_discovery_to_another_one():
+def test_reload_changes_a_list_from_static_to_discovery_and_to_another_discovery():
     async def main():
         one, two, three = boxes(3)
         for box in (two, three):
@@ -188,7 +192,7 @@
         second.revision = 7
         second.tell(three)
 
-        def found(at: Discovery) -> dict[str, Any]:
+        def discovery_row(at: Discovery) -> dict[str, Any]:
             return row(
                 pools=[
                     {"name": "boxes", "list": {"source": "discovery", "address": at.endpoint, "mode": "push"}}
@@ -198,24 +202,24 @@
         async with running(one) as sidecar:
             app = application(sidecar)
             assert (await app.ask("GET", "/x")).headers[b"x-box"] == b"box-0"
-            await sidecar.reload(configuration(found(first)))
+            await sidecar.reload(configuration(discovery_row(first)))
             await until(lambda: sidecar.pools["boxes"].up == {"box-1"})
-            await sidecar.reload(configuration(found(second)))
+            await sidecar.reload(configuration(discovery_row(second)))
             await until(lambda: "box-2" in sidecar.pools["boxes"].up)
-        for stand in (first, second, two, three):
-            stand.stop()
+        for item in (first, second, two, three):
+            item.stop()
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize("change", ["rules", "listeners", "routes", "limits", "list"])
-def test_no_request_is_lost_and_none_runs_twice_while_reloads_come_under_load(change):
+def test_reloads_under_load_lose_no_request_and_run_none_twice(change):
     async def main():
-        around = boxes(3)
-        for box in around:
+        all_boxes = boxes(3)
+        for box in all_boxes:
             box.behaviour.work_ms = 3.0
         both = [listener("kept"), listener("comes-and-goes")]
-        async with running(*around, listeners=both) as sidecar:
+        async with running(*all_boxes, listeners=both) as sidecar:
             variants = {
                 "rules": [{"rules": {"max_attempts": at}} for at in (2, 3)],
                 "listeners": [{"listeners": both[:1]}, {"listeners": both}],
@@ -226,9 +230,9 @@
                 "limits": [{"limits": {"max_open": at}} for at in (500, 600)],
                 "list": [{}, {}],
             }[change]
-            rows = [row(*around, listeners=both) | variant for variant in variants]
+            rows = [row(*all_boxes, listeners=both) | variant for variant in variants]
             if change == "list":
-                rows = [row(*around[:2], listeners=both), row(*around, listeners=both)]
+                rows = [row(*all_boxes[:2], listeners=both), row(*all_boxes, listeners=both)]
             asked: list[str] = []
             answered: list[str] = []
             over = asyncio.Event()
@@ -253,7 +257,7 @@
                 await sidecar.reload(configuration(rows[at % 2]))
             over.set()
             await asyncio.gather(*clients)
-            ran = sum((box.ran for box in around), start=type(around[0].ran)())
+            ran = sum((box.ran for box in all_boxes), start=type(all_boxes[0].ran)())
             assert all(ran[name] == 1 for name in answered)
             assert max(ran.values()) == 1
             assert len(answered) > 0.9 * len(asked)
@@ -261,7 +265,7 @@
     asyncio.run(main())
 
 
-def test_a_connection_that_a_removed_listener_kept_is_closed_between_requests():
+def test_idle_connection_of_a_removed_listener_is_closed():
     async def main():
         (box,) = boxes(1)
         async with running(box, listeners=[listener("one"), listener("two")]) as sidecar:
@@ -284,13 +288,13 @@
     return answer.status, (orjson.loads(answer.body) if answer.status == 200 and answer.body else None)
 
 
-def test_the_admin_listener_tells_configuration_servers_and_requests():
+def test_admin_listener_shows_configuration_servers_and_requests():
     async def main():
         one, two = boxes(2)
         async with running(one, two) as sidecar:
             app = application(sidecar)
             one.behaviour.hang = two.behaviour.hang = True
-            held = asyncio.create_task(app.ask("POST", "/x", b"1"))
+            pending = asyncio.create_task(app.ask("POST", "/x", b"1"))
             await until(lambda: one.taken + two.taken)
             status, config = await get(sidecar, "/config")
             assert status == 200
@@ -300,7 +304,9 @@
             status, servers = await get(sidecar, "/servers")
             assert [row["state"] for row in servers["boxes"]] == ["up", "up"]
             assert sorted(row["in_flight"] for row in servers["boxes"]) == [0.0, 1.0]
-            assert servers["boxes"][0]["rank"] < servers["boxes"][1]["rank"]  # the busy one is ranked behind
+            assert (
+                servers["boxes"][0]["rank"] < servers["boxes"][1]["rank"]
+            )  # the busy server is ranked second
             assert servers["boxes"][1]["in_flight"] == 1.0
             assert await get(sidecar, "/requests") == (200, {"boxes": {"read": 0, "post": 1, "move": 0}})
             assert (await get(sidecar, "/up"))[0] == 200
@@ -309,12 +315,12 @@
             assert (answer.status, answer.headers[b"allow"]) == (405, b"GET, HEAD")
             sidecar.reject("a reason")
             assert (await get(sidecar, "/config"))[1]["rejected"]["why"] == "a reason"
-            held.cancel()
+            pending.cancel()
 
     asyncio.run(main())
 
 
-def test_to_look_at_servers_changes_no_decision():
+def test_servers_page_draws_no_random_numbers():
     async def main():
         one, two = boxes(2)
         async with running(one, two) as sidecar:
@@ -326,7 +332,7 @@
     asyncio.run(main())
 
 
-def test_it_is_not_ready_until_each_pool_knows_a_server():
+def test_sidecar_is_not_ready_until_each_pool_has_a_server():
     async def main():
         box = await Box("b").start()
         discovery = await Discovery().start()
--- a/tests/runtime/test_third_party_http_clients.py
+++ b/tests/runtime/test_third_party_http_clients.py
@@ -1,4 +1,4 @@
-"""HTTP clients that nobody here wrote, through a sidecar process, in front of boxes that are killed meanwhile."""
+"""Third-party HTTP clients that use a sidecar process, also while servers are killed."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 from loadbalancer.sidecar.toml import dumps
 
 ROOT = Path(__file__).parent.parent.parent
-LISTENS = re.compile(r"(listener application|admin) on 127\.0\.0\.1:(\d+)")
+LISTENING_LINE = re.compile(r"(listener application|admin) on 127\.0\.0\.1:(\d+)")
 
 
 @dataclass
 class Process:
-    """A sidecar process, the boxes that it knows, and its file."""
+    """A sidecar process, its configuration file and its discovery service."""
 
     process: subprocess.Popen[str]
     path: Path
     discovery: Discovery
     ports: dict[str, int]
-    said: list[str]
+    log_lines: list[str]
 
     @property
     def url(self) -> str:
@@ -46,15 +46,15 @@
     def admin(self) -> str:
         return f"http://127.0.0.1:{self.ports['admin']}"
 
-    async def hears(self, text: str) -> str:
-        """Wait for a line of its log."""
+    async def wait_for_log(self, text: str) -> str:
+        """Wait for a log line with this text, and return it."""
         assert self.process.stderr is not None
         async with asyncio.timeout(30):
             while True:
                 line = await asyncio.to_thread(self.process.stderr.readline)
-                assert line, "".join(self.said)
-                self.said.append(line)
-                found = LISTENS.search(line)
+                assert line, "".join(self.log_lines)
+                self.log_lines.append(line)
+                found = LISTENING_LINE.search(line)
                 if found:
                     self.ports[found[1]] = int(found[2])
                 if text in line:
@@ -63,7 +63,7 @@
     async def reload(self, data: dict[str, Any], text: str = "is in force") -> str:
         self.path.write_text(dumps(data, {}))
         self.process.send_signal(signal.SIGHUP)
-        return await self.hears(text)
+        return await self.wait_for_log(text)
 
 
 def data_of(discovery: Discovery, **more: Any) -> dict[str, Any]:
@@ -74,9 +74,9 @@
 
 
 @contextlib.asynccontextmanager
-async def process_of(tmp_path: Path, *around: Box, **more: Any) -> AsyncIterator[Process]:
+async def sidecar_process(tmp_path: Path, *all_boxes: Box, **more: Any) -> AsyncIterator[Process]:
     discovery = await Discovery().start()
-    for box in around:
+    for box in all_boxes:
         await box.start()
         discovery.tell(box)
     path = tmp_path / "sidecar.toml"
@@ -85,7 +85,7 @@
     process = subprocess.Popen(command, cwd=ROOT, stderr=subprocess.PIPE, text=True)
     found = Process(process, path, discovery, {}, [])
     try:
-        await found.hears("is in force")
+        await found.wait_for_log("is in force")
         async with httpx.AsyncClient() as client, asyncio.timeout(30):
             while (await client.get(f"{found.admin}/up")).status_code != 200:
                 await asyncio.sleep(0.01)
@@ -96,21 +96,24 @@
         process.kill()
         process.communicate()
         discovery.stop()
-        for box in around:
+        for box in all_boxes:
             box.stop()
 
 
-def ran(around: list[Box]) -> Counter[str]:
+def ran(all_boxes: list[Box]) -> Counter[str]:
     total: Counter[str] = Counter()
-    for box in around:
+    for box in all_boxes:
         total.update(box.ran)
     return total
 
 
-def test_httpx_keeps_its_connection_and_gets_headers_and_bodies_as_they_are(tmp_path):
+def test_httpx_keeps_its_connection_and_gets_headers_and_bodies_unchanged(tmp_path):
     async def main():
         (box,) = boxes(1)
-        async with process_of(tmp_path, box) as sidecar, httpx.AsyncClient(base_url=sidecar.url) as client:
+        async with (
+            sidecar_process(tmp_path, box) as sidecar,
+            httpx.AsyncClient(base_url=sidecar.url) as client,
+        ):
             big = {f"X-Big-{at}": "y" * 1500 for at in range(8)}
             for at in range(5):
                 answer = await client.post(f"/journal/{at}", content=b"\x00" * 1000 * at, headers=big)
@@ -138,8 +141,11 @@
 
 def test_aiohttp_sends_a_chunked_upload_with_expect_and_bursts_on_many_connections(tmp_path):
     async def main():
-        around = boxes(3)
-        async with process_of(tmp_path, *around) as sidecar, aiohttp.ClientSession(sidecar.url) as client:
+        all_boxes = boxes(3)
+        async with (
+            sidecar_process(tmp_path, *all_boxes) as sidecar,
+            aiohttp.ClientSession(sidecar.url) as client,
+        ):
 
             async def parts():
                 for at in range(50):
@@ -153,19 +159,19 @@
                 async with client.post("/x", data=b"%d" % at, headers={"X-Posting": f"p{at}"}) as answer:
                     assert (answer.status, await answer.read()) == (200, b"%d" % at)
 
-            for burst in range(8):  # of what is taken from the first moment on, none is refused
+            for burst in range(8):  # no request is rejected, from the first one on
                 await asyncio.gather(*(one(burst * 100 + at) for at in range(12)))
-            counts = ran(around)
+            counts = ran(all_boxes)
             assert all(counts[f"p{burst * 100 + at}"] == 1 for burst in range(8) for at in range(12))
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize("library", ["httpx", "aiohttp"])
-def test_the_rules_hold_over_a_box_killed_mid_answer_a_drain_and_reloads_under_load(tmp_path, library):
+def test_server_crash_drain_and_reloads_under_load_lose_and_repeat_no_unsafe_request(tmp_path, library):
     async def main():
-        around = boxes(4)
-        for box in around:
+        all_boxes = boxes(4)
+        for box in all_boxes:
             box.behaviour.work_ms = 4.0
         statuses: Counter[tuple[str, int]] = Counter()
         answered: dict[str, int] = {}
@@ -184,12 +190,12 @@
                 if status == 200:
                     assert body == (name.encode() if unsafe else b'{"balance":"1204.50"}')
                 elif own is not None:
-                    # Who is told that it never ran may trust that.
+                    # Only an answer that states "it never ran" is a 503 for an unsafe request.
                     assert status in (502, 503, 504)
                     assert ("refused: " in own) == (status == 503)
                     assert not unsafe or status != 503 or "refused: it never ran" in own
 
-        async with process_of(tmp_path, *around) as sidecar, contextlib.AsyncExitStack() as stack:
+        async with sidecar_process(tmp_path, *all_boxes) as sidecar, contextlib.AsyncExitStack() as stack:
             if library == "httpx":
                 limits = httpx.Limits(max_connections=50)
                 session = await stack.enter_async_context(
@@ -206,7 +212,7 @@
 
                 async def ask(method, target, name):
                     body = name.encode() if method == "POST" else None
-                    # aiohttp itself sends a GET again whose kept connection has gone; that is the caller's affair.
+                    # aiohttp itself retries a GET whose kept-alive connection was closed.
                     async with session.request(
                         method, target, data=body, headers={"X-Posting": name}
                     ) as answer:
@@ -214,7 +220,7 @@
 
             clients = [asyncio.create_task(client(at, ask)) for at in range(10)]
 
-            async def so_many_more(count: int) -> None:
+            async def wait_for_answers(count: int) -> None:
                 goal = len(answered) + count
                 async with asyncio.timeout(60):
                     while len(answered) < goal:
@@ -223,62 +229,62 @@
                                 task.result()
                         await asyncio.sleep(0.005)
 
-            await so_many_more(100)
-            # As many as it takes: of four alone, all could fall to calls that are safe to send again.
-            around[0].behaviour.die_mid_answer = 1000
+            await wait_for_answers(100)
+            # Broken answers go on until an unsafe request fails: a few of them could all hit safe, retried requests.
+            all_boxes[0].behaviour.die_mid_answer = 1000
             await until(lambda: any(status in (502, 504) for _, status in statuses))
-            around[0].behaviour.die_mid_answer = 0
-            await so_many_more(100)
-            around[0].stop()  # killed for good, as its connections hold requests
-            await so_many_more(100)
+            all_boxes[0].behaviour.die_mid_answer = 0
+            await wait_for_answers(100)
+            all_boxes[0].stop()  # killed while requests are open on its connections
+            await wait_for_answers(100)
             await sidecar.reload(data_of(sidecar.discovery, rules={"max_attempts": 2}))
-            await so_many_more(100)
-            sidecar.discovery.tell(around[1], "Terminating")
-            await so_many_more(200)
-            begun = around[1].taken
+            await wait_for_answers(100)
+            sidecar.discovery.tell(all_boxes[1], "Terminating")
+            await wait_for_answers(200)
+            begun = all_boxes[1].taken
             await sidecar.reload(data_of(sidecar.discovery, limits={"max_open": 500}))
-            await so_many_more(100)
-            assert around[1].taken == begun  # a drain that was told long ago holds over reloads
+            await wait_for_answers(100)
+            assert all_boxes[1].taken == begun  # an earlier drain still applies after a reload
             over.set()
             await asyncio.gather(*clients)
 
-        counts = ran(around)
+        counts = ran(all_boxes)
         unsafe = {name: status for name, status in answered.items() if name.startswith("u")}
         assert max(counts[name] for name in unsafe) == 1
         assert all(counts[name] == 1 for name, status in unsafe.items() if status == 200)
         assert all(counts[name] == 0 for name, status in unsafe.items() if status == 503)
         served = sum(count for (_, status), count in statuses.items() if status == 200)
         assert served > 0.9 * len(answered), statuses
-        assert any(status in (502, 504) for _, status in statuses), statuses  # the kill was seen
+        assert any(status in (502, 504) for _, status in statuses), statuses  # the failures reached callers
 
     asyncio.run(main())
 
 
-def test_a_bad_file_changes_nothing_and_is_told_by_the_admin_listener(tmp_path):
+def test_invalid_file_changes_nothing_and_is_shown_by_the_admin_listener(tmp_path):
     async def main():
         (box,) = boxes(1)
-        async with process_of(tmp_path, box) as sidecar, httpx.AsyncClient() as client:
+        async with sidecar_process(tmp_path, box) as sidecar, httpx.AsyncClient() as client:
             before = (await client.get(f"{sidecar.admin}/config")).json()
             sidecar.path.write_text('kind = "configuration"\nversion = 1\nnmae = "x"\n')
             sidecar.process.send_signal(signal.SIGHUP)
-            await sidecar.hears("the one in force stays")
+            await sidecar.wait_for_log("the one in force stays")
             async with asyncio.timeout(30):
                 while (after := (await client.get(f"{sidecar.admin}/config")).json())["rejected"] is None:
                     await asyncio.sleep(0.01)
             assert after["digest"] == before["digest"]
             assert f"{sidecar.path}:3: nmae: no such key; did you mean 'name'?" in after["rejected"]["why"]
             assert (await client.get(f"{sidecar.url}/balance/1")).status_code == 200
-            await sidecar.hears("nmae")
+            await sidecar.wait_for_log("nmae")
             await sidecar.reload(data_of(sidecar.discovery, name="else"), "can't replace 'beside'")
             assert (await client.get(f"{sidecar.admin}/config")).json()["digest"] == before["digest"]
 
     asyncio.run(main())
 
 
-def test_drift_is_told_of_running_sidecars(tmp_path):
+def test_drift_command_compares_running_sidecars(tmp_path):
     async def main():
         (box,) = boxes(1)
-        async with process_of(tmp_path, box) as sidecar:
+        async with sidecar_process(tmp_path, box) as sidecar:
 
             async def drift(*sources: str) -> tuple[int, str]:
                 command = [sys.executable, "-m", "loadbalancer.cli", "config", "drift", *sources]
@@ -292,27 +298,27 @@
             assert await drift(sidecar.admin.removeprefix("http://"), sidecar.admin) == (0, "")
             other = tmp_path / "other.toml"
             other.write_text(dumps(data_of(sidecar.discovery, rules={"cold_ms": 5.0}), {}))
-            code, said = await drift(sidecar.admin, str(other))
+            code, output = await drift(sidecar.admin, str(other))
             assert code == 1
-            assert "rules.cold_ms: DRIFT, endangers «no cold server pushed over»" in said
+            assert "rules.cold_ms: DRIFT, endangers «no cold server pushed over»" in output
 
     asyncio.run(main())
 
 
-def test_sigterm_finishes_what_is_open_and_ends_with_0(tmp_path):
+def test_sigterm_finishes_open_requests_and_exits_with_0(tmp_path):
     async def main():
         (box,) = boxes(1)
-        async with process_of(tmp_path, box) as sidecar, httpx.AsyncClient(timeout=60) as client:
+        async with sidecar_process(tmp_path, box) as sidecar, httpx.AsyncClient(timeout=60) as client:
             box.behaviour.work_ms, box.behaviour.cores = 1.0, 0
-            held = asyncio.create_task(client.post(f"{sidecar.url}/x", content=b"held"))
+            pending = asyncio.create_task(client.post(f"{sidecar.url}/x", content=b"held"))
             async with asyncio.timeout(30):
                 while not box.taken:
                     await asyncio.sleep(0.005)
             sidecar.process.send_signal(signal.SIGTERM)
-            await sidecar.hears("stops")
+            await sidecar.wait_for_log("stops")
             box.behaviour.cores = 9
             box._begin()
-            answer = await held
+            answer = await pending
             assert (answer.status_code, answer.content) == (200, b"held")
 
     asyncio.run(main())
@@ -327,7 +333,7 @@
         (None, "No such file"),
     ],
 )
-def test_a_sidecar_with_a_bad_configuration_does_not_start(tmp_path, text, said):
+def test_sidecar_with_an_invalid_configuration_does_not_start(tmp_path, text, said):
     path = tmp_path / "x.toml"
     if text is not None:
         path.write_text(text)
--- a/tests/runtime/test_xds_pool.py
+++ b/tests/runtime/test_xds_pool.py
@@ -1,4 +1,4 @@
-"""A sidecar's pool that follows an xDS cluster: drains of every form, on both kinds of stream, under load."""
+"""A sidecar's pool that follows an xDS cluster: each way to drain a server, over each transport, under load."""
 
 from __future__ import annotations
 
@@ -34,18 +34,18 @@
     return [{"name": "boxes", "list": source}]
 
 
-def rows_of(*around: Box) -> list[dict[str, Any]]:
-    return [{"address": box.endpoint} for box in around]
+def rows_of(*all_boxes: Box) -> list[dict[str, Any]]:
+    return [{"address": box.endpoint} for box in all_boxes]
 
 
 @contextlib.asynccontextmanager
-async def planned(
-    around: Sequence[Box], told: Callable[[ControlPlane], dict[str, Any]]
+async def with_control_plane(
+    all_boxes: Sequence[Box], fill: Callable[[ControlPlane], dict[str, Any]]
 ) -> AsyncIterator[tuple[ControlPlane, Sidecar]]:
-    """A control plane, boxes, and a sidecar that is ready; `told` fills the plane and gives the sidecar's data."""
+    """Start a control plane, servers and a sidecar; `fill` fills the plane and returns the sidecar's configuration."""
     plane = await ControlPlane().start()
     try:
-        async with alongside(around, lambda: told(plane)) as sidecar:
+        async with alongside(all_boxes, lambda: fill(plane)) as sidecar:
             await until(lambda: sidecar.ready)
             yield plane, sidecar
     finally:
@@ -53,16 +53,16 @@
 
 
 def following(
-    updates: str, *around: Box, **more: Any
+    updates: str, *all_boxes: Box, **more: Any
 ) -> contextlib.AbstractAsyncContextManager[tuple[ControlPlane, Sidecar]]:
-    def told(plane: ControlPlane) -> dict[str, Any]:
-        plane.put(cluster("ledger", **more), endpoints("ledger", *rows_of(*around)))
+    def fill(plane: ControlPlane) -> dict[str, Any]:
+        plane.put(cluster("ledger", **more), endpoints("ledger", *rows_of(*all_boxes)))
         return row(pools=pools_of(plane, updates))
 
-    return planned(around, told)
+    return with_control_plane(all_boxes, fill)
 
 
-GONE = {
+REMOVALS = {
     "draining": {"health_status": "DRAINING"},
     "unhealthy": {"health_status": "UNHEALTHY"},
     "timed-out": {"health_status": "TIMEOUT"},
@@ -71,13 +71,13 @@
 
 
 @pytest.mark.parametrize("updates", list(WAYS))
-@pytest.mark.parametrize("form", [*GONE, "removed", "cluster-removed"])
-def test_what_is_told_to_be_gone_gets_nothing_new_and_finishes_what_it_holds(form, updates):
+@pytest.mark.parametrize("form", [*REMOVALS, "removed", "cluster-removed"])
+def test_removed_server_gets_no_new_request_and_finishes_its_open_ones(form, updates):
     async def main():
-        around = boxes(4)
-        async with following(updates, *around) as (plane, sidecar):
-            last = around[-1]
-            for box in around:
+        all_boxes = boxes(4)
+        async with following(updates, *all_boxes) as (plane, sidecar):
+            last = all_boxes[-1]
+            for box in all_boxes:
                 box.behaviour.work_ms = 5.0
             statuses: Counter[int] = Counter()
             over = asyncio.Event()
@@ -92,24 +92,24 @@
                     assert answer.status != 200 or bytes(answer.body) == name.encode()
 
             clients = [asyncio.create_task(client(at)) for at in range(6)]
-            await until(lambda: all(box.served > 10 for box in around))
-            others = rows_of(*around[:-1])
+            await until(lambda: all(box.served > 10 for box in all_boxes))
+            others = rows_of(*all_boxes[:-1])
             if form == "cluster-removed":
                 plane.remove(CLUSTER, "ledger")
             elif form == "removed":
                 plane.put(endpoints("ledger", *others))
             else:
-                plane.put(endpoints("ledger", *others, {"address": last.endpoint} | GONE[form]))
-            # What had left for the box before it came into force may still begin.
+                plane.put(endpoints("ledger", *others, {"address": last.endpoint} | REMOVALS[form]))
+            # A request sent before the drain was applied may still start at the server.
             await until(lambda: last.endpoint not in sidecar.pools["boxes"].up)
             await what_is_open_ends(sidecar)
-            begun, told = last.taken, sum(statuses.values())
-            await until(lambda: sum(statuses.values()) > told + 200)
+            begun, answered_before = last.taken, sum(statuses.values())
+            await until(lambda: sum(statuses.values()) > answered_before + 200)
             assert last.taken == begun
             over.set()
             await asyncio.gather(*clients)
             ran: Counter[str] = Counter()
-            for box in around:
+            for box in all_boxes:
                 ran.update(box.ran)
             assert max(ran.values()) == 1
             assert statuses.keys() <= ({200, 503} if form == "cluster-removed" else {200})
@@ -118,30 +118,30 @@
     asyncio.run(main())
 
 
-def test_a_request_that_waits_for_a_connection_to_a_box_that_drains_goes_elsewhere():
+def test_request_waiting_for_a_connection_to_a_draining_server_is_sent_to_another():
     async def main():
         (box,) = boxes(1)
         async with following("incremental", box) as (plane, sidecar):
-            # A listener whose queue is full: connections to it neither come up nor fail.
-            with socket.socket() as deaf:
-                deaf.bind(("127.0.0.1", 0))
-                deaf.listen(0)
+            # The listener's accept queue is full: connections to it are neither established nor refused.
+            with socket.socket() as full_listener:
+                full_listener.bind(("127.0.0.1", 0))
+                full_listener.listen(0)
                 fillers = [socket.socket() for _ in range(4)]
                 for filler in fillers:
                     filler.setblocking(False)
-                    filler.connect_ex(deaf.getsockname())
-                stuck = f"127.0.0.1:{deaf.getsockname()[1]}"
+                    filler.connect_ex(full_listener.getsockname())
+                stuck = f"127.0.0.1:{full_listener.getsockname()[1]}"
                 heavy = {"address": stuck, "load_balancing_weight": 100_000}
                 plane.put(endpoints("ledger", heavy, *rows_of(box)))
                 await until(lambda: stuck in sidecar.pools["boxes"].up)
                 peers = sidecar.pools["boxes"].balancer.peers
-                peers[stuck].info.launched_ms = None  # it is not cold any more
+                peers[stuck].info.launched_ms = None  # the server is not cold any more
                 sidecar.pools["boxes"].back.connect_timeout_s = 60.0
-                held = asyncio.create_task(application(sidecar).ask("POST", "/x", b"1"))
+                pending = asyncio.create_task(application(sidecar).ask("POST", "/x", b"1"))
                 await until(lambda: sidecar.pools["boxes"].requests)
                 drained = {"address": stuck, "health_status": "DRAINING"}
                 plane.put(endpoints("ledger", drained, *rows_of(box)))
-                answer = await held
+                answer = await pending
                 assert (answer.status, answer.headers[b"x-box"]) == (200, b"box-0")
                 for filler in fillers:
                     filler.close()
@@ -149,7 +149,7 @@
     asyncio.run(main())
 
 
-def test_an_update_that_empties_the_pool_refuses_and_one_that_fills_it_serves_again():
+def test_empty_update_rejects_requests_until_the_next_update_adds_servers():
     async def main():
         (box,) = boxes(1)
         async with following("incremental", box) as (plane, sidecar):
@@ -162,12 +162,12 @@
             plane.put(endpoints("ledger", *rows_of(box)))
             await until(lambda: sidecar.pools["boxes"].up)
             info = next(iter(sidecar.pools["boxes"].balancer.peers.values())).info
-            assert info.launched_ms is not None  # it may be another process, so it is cold
+            assert info.launched_ms is not None  # it may be a new process, so it is cold
 
     asyncio.run(main())
 
 
-def test_limits_and_warm_up_of_a_cluster_hold_for_its_pool():
+def test_limits_and_warm_up_of_a_cluster_apply_to_its_pool():
     async def main():
         (box,) = boxes(1)
         limits = {"thresholds": [{"max_requests": 1, "max_connections": 2}]}
@@ -178,16 +178,16 @@
             assert pool.balancer.cfg.cold_ms == 90_000.0
             assert sidecar.managed["boxes"].back.limit == 2
             box.behaviour.hang = True
-            held = asyncio.create_task(application(sidecar).ask("POST", "/x", b"1"))
+            pending = asyncio.create_task(application(sidecar).ask("POST", "/x", b"1"))
             await until(lambda: box.taken)
             answer = await application(sidecar).ask("POST", "/x", b"2")
             assert (answer.status, b"connection_limit" in answer.headers[b"proxy-status"]) == (503, True)
-            held.cancel()
+            pending.cancel()
 
     asyncio.run(main())
 
 
-def test_the_admin_listener_tells_versions_age_and_what_was_rejected():
+def test_admin_listener_shows_versions_age_and_rejections():
     async def main():
         (box,) = boxes(1)
         async with following("incremental", box) as (plane, sidecar):
@@ -211,7 +211,7 @@
     asyncio.run(main())
 
 
-def test_a_reload_moves_a_pool_to_another_cluster_and_to_a_static_list():
+def test_reload_moves_a_pool_to_another_cluster_and_to_a_static_list():
     async def main():
         one, two, three = boxes(3)
         await two.start()
@@ -222,7 +222,7 @@
             await sidecar.reload(configuration(row(pools=pools_of(plane, name="other"))))
             await until(lambda: sidecar.pools["boxes"].up == {two.endpoint})
             info = next(iter(sidecar.pools["boxes"].balancer.peers.values())).info
-            assert info.launched_ms is not None  # the list before did not have it
+            assert info.launched_ms is not None  # the previous list did not have it, so it is cold
             await sidecar.reload(configuration(row(three)))
             assert (await app.ask("GET", "/x")).headers[b"x-box"] == b"box-2"
             assert sidecar.pools["boxes"].balancer.servers.levels is None
@@ -232,7 +232,7 @@
     asyncio.run(main())
 
 
-def test_endpoints_of_which_nothing_is_heard_count_as_unhealthy_once_they_are_stale():
+def test_endpoints_without_updates_count_as_unhealthy_once_stale():
     async def main():
         (box,) = boxes(1)
         async with following("incremental", box) as (plane, sidecar):
@@ -241,12 +241,12 @@
             )
             message.policy.endpoint_stale_after.FromSeconds(3600)
             plane.put(packed(message))
-            feed: Any = sidecar.managed["boxes"].watcher
-            await until(lambda: feed.client.endpoints.held["ledger"].version == "2")
+            watcher: Any = sidecar.managed["boxes"].watcher
+            await until(lambda: watcher.client.endpoints.held["ledger"].version == "2")
             now = sidecar.clock.ms()
-            assert not feed.client.tick(now + 3_599_000)
-            assert feed.client.tick(now + 3_700_000)
-            states = [entry.server.state.value for entry in feed.client.served("ledger").entries]
+            assert not watcher.client.tick(now + 3_599_000)
+            assert watcher.client.tick(now + 3_700_000)
+            states = [entry.server.state.value for entry in watcher.client.served("ledger").entries]
             assert states == ["sick"]
 
     asyncio.run(main())
--- a/tests/runtime/test_xds_shared.py
+++ b/tests/runtime/test_xds_shared.py
@@ -1,4 +1,4 @@
-"""Pools that follow clusters of one control plane over one stream."""
+"""Pools whose clusters come from one control plane share its stream."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 from beside import LONG, boxes, configuration, row
 from loopback import until
-from test_xds_pool import WAYS, planned, rows_of
+from test_xds_pool import WAYS, rows_of, with_control_plane
 
 from loadbalancer.emulator.box import Box
 from loadbalancer.emulator.xds import CLUSTER, ControlPlane, cluster, endpoints
@@ -20,7 +20,7 @@
 
 
 def shape(plane: ControlPlane, way: str, **clusters: str) -> dict[str, Any]:
-    """A configuration's data in which each pool follows a cluster."""
+    """Return the data of a configuration in which each pool follows a cluster."""
     address = plane.rest_endpoint if way == "rest" else plane.endpoint
     source = {"source": "xds", "address": address} | WAYS[way]
     return row(
@@ -31,16 +31,16 @@
 
 
 def following(
-    way: str, *around: Box, **clusters: str
+    way: str, *all_boxes: Box, **clusters: str
 ) -> contextlib.AbstractAsyncContextManager[tuple[ControlPlane, Sidecar]]:
-    """A box for each cluster, named as it is."""
+    """Start a control plane with one cluster per server, named after it, and a sidecar that follows `clusters`."""
 
-    def told(plane: ControlPlane) -> dict[str, Any]:
-        for box in around:
+    def fill(plane: ControlPlane) -> dict[str, Any]:
+        for box in all_boxes:
             plane.put(cluster(box.name), endpoints(box.name, *rows_of(box)))
         return shape(plane, way, **clusters)
 
-    return planned(around, told)
+    return with_control_plane(all_boxes, fill)
 
 
 def up(sidecar: Sidecar, name: str) -> set[str]:
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("way", list(WAYS))
-def test_pools_of_one_control_plane_share_its_streams_and_each_hears_of_its_cluster(way):
+def test_pools_of_one_control_plane_share_its_stream(way):
     async def main():
         one, two, three = boxes(3)
         async with following(way, one, two, three, ledger="box-0", reports="box-1") as (plane, sidecar):
@@ -58,7 +58,7 @@
             plane.remove(CLUSTER, "box-1")
             await until(lambda: not up(sidecar, "reports"))
             assert up(sidecar, "ledger") == {one.endpoint}
-            # Another cluster for one pool is asked for on the stream that is there.
+            # A pool's new cluster is requested on the existing stream.
             await sidecar.reload(configuration(shape(plane, way, ledger="box-0", reports="box-2")))
             await until(lambda: up(sidecar, "reports") == {three.endpoint})
             assert up(sidecar, "ledger") == {one.endpoint}
@@ -82,7 +82,7 @@
     asyncio.run(main())
 
 
-def test_a_cluster_of_two_pools_is_followed_until_the_last_one_leaves():
+def test_cluster_of_two_pools_is_followed_until_the_last_one_is_removed():
     async def main():
         one, two = boxes(2)
         async with following("incremental", one, two, ledger="box-0", reports="box-0") as (plane, sidecar):
@@ -99,7 +99,7 @@
     asyncio.run(main())
 
 
-def test_a_pool_made_anew_has_its_servers_at_once_though_the_control_plane_is_silent():
+def test_replaced_pool_has_its_servers_at_once_without_an_update():
     async def main():
         (one,) = boxes(1)
         async with following("incremental", one, ledger="box-0") as (plane, sidecar):
@@ -110,7 +110,7 @@
             await sidecar.reload(configuration(data))
             assert sidecar.pools["ledger"] is not before
             assert up(sidecar, "ledger") == {one.endpoint}
-            # It took over what the other knew: the server is not new, so it is not cold.
+            # The new pool takes over the previous one's list, so the server is not cold.
             assert [peer.info.launched_ms for peer in sidecar.pools["ledger"].balancer.peers.values()] == [
                 None
             ]
@@ -118,7 +118,7 @@
     asyncio.run(main())
 
 
-def test_a_fault_at_one_pool_keeps_no_other_from_hearing(monkeypatch):
+def test_exception_in_one_pool_does_not_keep_updates_from_the_others(monkeypatch):
     real = XdsWatcher.on_change
 
     def on_change(self: XdsWatcher) -> None:
