--- a/loadbalancer/core/clock.py
+++ b/loadbalancer/core/clock.py
@@ -7,7 +7,7 @@
 
 
 class Clock:
-    """Unix time in milliseconds that never goes back: the event loop's clock, anchored to it once."""
+    """Monotonic Unix time in milliseconds: the event loop's clock plus an offset that is taken once."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._time = loop.time
--- a/loadbalancer/core/listener.py
+++ b/loadbalancer/core/listener.py
@@ -163,7 +163,7 @@
         """Time after which an idle connection is closed."""
         raise NotImplementedError
 
-    def reject_before_accept(self, sock: socket.socket, no_slot: bool, accepted_enough: bool) -> bool:
+    def reject_unparsed(self, sock: socket.socket, no_slot: bool, accepted_enough: bool) -> bool:
         """Reject the request of a new connection and close it; returns False if the connection was left unchanged.
 
         This is done only if the complete request has arrived and is recognised without parsing, and there is no slot
@@ -277,7 +277,7 @@
             sock = self._accept_one(self._listener)
             if sock is None:
                 return
-            if self.orderly and self.reject_before_accept(sock, free_slots <= 0, to_accept <= 0):
+            if self.orderly and self.reject_unparsed(sock, free_slots <= 0, to_accept <= 0):
                 continue
             # A connection that can't be rejected this way is accepted, even if it is one beyond the limit.
             task = self.loop.create_task(self._attach(sock))
@@ -369,8 +369,8 @@
             stage is not self.lingering or not connection.drained
             for connection, stage in self.connections.items()
         )
-        coming = self._listener is not None and has_pending_event(self._listener, select.POLLIN)
-        return remaining or coming or bool(self._accepted)
+        pending = self._listener is not None and has_pending_event(self._listener, select.POLLIN)
+        return remaining or pending or bool(self._accepted)
 
     def retire(self) -> None:
         """Accept what has connected by now, stop listening, and close each connection after its answer."""
--- a/loadbalancer/core/pool.py
+++ b/loadbalancer/core/pool.py
@@ -124,7 +124,7 @@
             return self.balancer.handle(self.clock.ms(now), event, self.turns.lag(now) * 1000.0)
         except Exception:
             # An exception in the balancer must not leave a caller without an answer, nor stop alarms and watches.
-            log.exception("the decision module failed on %s", type(event).__name__)
+            log.exception("the balancer raised an exception on %s", type(event).__name__)
             self.counts["faults"] += 1
             self._recover(event)
             return []
--- a/loadbalancer/http/client.py
+++ b/loadbalancer/http/client.py
@@ -41,7 +41,7 @@
     def lost(self, written: bool) -> None:
         """Set a ConnectionError as the result."""
         if not self.done.done():
-            self.done.set_exception(ConnectionError("the connection ended without a whole answer"))
+            self.done.set_exception(ConnectionError("the connection ended without a complete answer"))
 
 
 class ClientConnection(Outgoing):
--- a/loadbalancer/http/server.py
+++ b/loadbalancer/http/server.py
@@ -126,9 +126,8 @@
         self._size = 0
         self._in_head = False
         self._head_bytes = 0  # bytes received of a head that is not complete
-        self._received_at = (
-            self._server.loop.time()
-        )  # earliest time at which the current data can have arrived
+        # Earliest time at which the current data can have arrived.
+        self._received_at = self._server.loop.time()
         self._continue_pending = False  # a caller waits for 100 Continue before it sends its body
         self._stuck = False  # the caller does not read its answers: the write buffer is full
         self._error_status = 0  # status of the final answer after an invalid request; 0: none
@@ -156,7 +155,7 @@
         if self._closing or (self._error_status and self._calls):
             return  # dropped, but read: unread bytes would reset the answer, and hide that the caller has left
         self._received_at = self.arrived()
-        if self._server.unread_rejection is not None and self._reject_unread(data):
+        if self._server.unparsed_rejection is not None and self._reject_unparsed(data):
             return
         self._parse(data)
         if self._calls:
@@ -180,20 +179,20 @@
             if self._head_bytes > MAX_HEAD + self._dialect.max_body:
                 self._error_status = self._error_status or 400
 
-    def _reject_unread(self, data: bytes) -> bool:
+    def _reject_unparsed(self, data: bytes) -> bool:
         """Reject a complete request without parsing it, if no request could be answered in time.
 
         Parsing, routing and rejecting it the usual way would take CPU time that answers need.
         """
-        unread_rejection = self._server.unread_rejection
-        if unread_rejection is None or self._calls or self._partial is not None or self._stuck:
+        unparsed_rejection = self._server.unparsed_rejection
+        if unparsed_rejection is None or self._calls or self._partial is not None or self._stuck:
             return False
-        head = unread_rejection(self._received_at)
+        head = unparsed_rejection(self._received_at)
         if head is None or not is_bodiless_request(data):
             return False
         # The connection is kept: callers would reconnect, which costs several times the CPU time of a rejection.
         close = self._server.stopping or b"\r\nconnection:" in data.lower()
-        self._server.on_unread_rejection(head)
+        self._server.on_unparsed_rejection(head)
         self._transport.write(head + (b"Connection: close\r\n\r\n" if close else b"\r\n"))
         self.known = True
         if close:
@@ -331,12 +330,12 @@
     def _rejects_before_body(self, length: bytes | None) -> bool:
         """Whether to reject a request before its body: none can be answered in time, and the body is not short."""
         if (
-            self._server.unread_rejection is None
+            self._server.unparsed_rejection is None
             or self._calls
             or (length and int(length) <= AWAITED_BODY_BYTES)
         ):
             return False
-        return self._server.unread_rejection(self._received_at) is not None
+        return self._server.unparsed_rejection(self._received_at) is not None
 
     def _send_continue(self) -> None:
         """Send 100 Continue if a caller waits for it, once all previous requests have been answered."""
@@ -420,10 +419,14 @@
 
     def _fail(self, status: int) -> None:
         """Answer an invalid or incomplete request, and close the connection."""
-        unread_rejection = self._server.unread_rejection
-        head = unread_rejection(self._received_at) if status == 503 and unread_rejection is not None else None
+        unparsed_rejection = self._server.unparsed_rejection
+        head = (
+            unparsed_rejection(self._received_at)
+            if status == 503 and unparsed_rejection is not None
+            else None
+        )
         if head is not None:
-            self._server.on_unread_rejection(head)
+            self._server.on_unparsed_rejection(head)
         self._transport.write((head or _head(status, 0, 0.0)) + b"Connection: close\r\n\r\n")
         self._end()
 
@@ -438,27 +441,26 @@
         self.on_call = on_call
         # Returns the rejection of a request that arrived at this time and is not parsed yet: a response head without
         # `Connection` and the final empty line; None: the request is parsed.
-        self.unread_rejection: Callable[[float], bytes | None] | None = None
+        self.unparsed_rejection: Callable[[float], bytes | None] | None = None
         # Returns the same for a request for which no slot is left.
         self.full_rejection: Callable[[], bytes | None] | None = None
-        self.on_unread_rejection: Callable[[bytes], None] = lambda head: (
-            None
-        )  # called for each of these that is sent
+        # Called for each of these that is sent.
+        self.on_unparsed_rejection: Callable[[bytes], None] = lambda head: None
         self.dialect = dialect
 
     def connection(self) -> ServerConnection:
         """Return a new connection."""
         return ServerConnection(self)
 
-    def reject_before_accept(self, sock: socket.socket, no_slot: bool, accepted_enough: bool) -> bool:
+    def reject_unparsed(self, sock: socket.socket, no_slot: bool, accepted_enough: bool) -> bool:
         """Reject the complete request of a new connection without parsing it; returns False if it was not rejected."""
-        if self.full_rejection is None or self.unread_rejection is None:
+        if self.full_rejection is None or self.unparsed_rejection is None:
             return False
         full = no_slot or not self.connection_limit.may_begin(self.active_requests)
         late_rejection = None
         if not full and accepted_enough:
             now = self.loop.time()
-            late_rejection = self.unread_rejection(min(self.turns.came(now), now - waited_s(sock)))
+            late_rejection = self.unparsed_rejection(min(self.turns.came(now), now - waited_s(sock)))
         if not full and late_rejection is None:
             return False
         try:
@@ -471,7 +473,7 @@
         if head is None:
             return False
         # The request is read before the connection is closed, as unread bytes would reset the answer.
-        self.on_unread_rejection(head)
+        self.on_unparsed_rejection(head)
         sock.recv(len(data))
         with contextlib.suppress(OSError):
             sock.send(head + b"Connection: close\r\n\r\n")
--- a/loadbalancer/runtime/admission_control.py
+++ b/loadbalancer/runtime/admission_control.py
@@ -97,7 +97,7 @@
         if self._timer is not None:
             self._timer.cancel()
 
-    def unread_rejection(self, arrived: float) -> bytes | None:
+    def unparsed_rejection(self, arrived: float) -> bytes | None:
         """Return the rejection for a request that arrived at this time and has not been parsed, or None to parse it.
 
         The rejection is a response head without its `Connection` field and final empty line.
@@ -110,7 +110,7 @@
         """Return the same for a request on a connection beyond the listener's limit."""
         return self._rejection_heads[RejectionSource.CALLERS]
 
-    def count_unread_rejection(self, head: bytes) -> None:
+    def count_unparsed_rejection(self, head: bytes) -> None:
         """Count a rejection of an unparsed request: its pool and class are unknown."""
         self.rejections.add(
             "",
--- a/loadbalancer/runtime/http_frontend.py
+++ b/loadbalancer/runtime/http_frontend.py
@@ -134,9 +134,9 @@
         self.plan = plan
         self.admission = admission
         self.server = Server(limit, self._on_call, dialect, orderly=True)
-        self.server.unread_rejection = admission.unread_rejection
+        self.server.unparsed_rejection = admission.unparsed_rejection
         self.server.full_rejection = admission.connection_limit_rejection
-        self.server.on_unread_rejection = admission.count_unread_rejection
+        self.server.on_unparsed_rejection = admission.count_unparsed_rejection
         self.counts: Counter[str] = Counter()
         self.configure(deadline_header, tenant, budget)
         self._ids = request_ids()
@@ -158,10 +158,10 @@
         try:
             route = plan.router.match(call.method, call.target, call.headers)
         except ValueError as error:
-            self._reject_malformed(call, 400, "http_request_error", str(error))
+            self._reject_permanently(call, 400, "http_request_error", str(error))
             return
         if route is None:
-            self._reject_malformed(call, 404, "destination_not_found", "no route takes this request")
+            self._reject_permanently(call, 404, "destination_not_found", "no route takes this request")
             return
         pool = plan.pools[route.pool]
         kind = pool.classes[route.service]
@@ -174,7 +174,7 @@
         max_wait_ms = caller_wait_ms(kind, route.deadline_ms)
         deadline_value = call.headers.get(self._deadline_header)
         if deadline_value is not None and not DEADLINE_VALUE.fullmatch(deadline_value):
-            self._reject_malformed(
+            self._reject_permanently(
                 call, 400, "http_request_error", "the deadline is not in whole milliseconds"
             )
             return
@@ -182,7 +182,9 @@
         key = plan.key_headers.get(kind.name)
         if kind.effect is api.Effect.KEYED and key is not None and not call.headers.get(key):
             # Guard: without its key no server could drop a duplicate of this request.
-            self._reject_malformed(call, 400, "http_request_error", f"class {kind.name} needs {key.decode()}")
+            self._reject_permanently(
+                call, 400, "http_request_error", f"class {kind.name} needs {key.decode()}"
+            )
             return
         admitted, budget, tenant = None, self._budget, self._tenant
         if budget is None:
@@ -203,7 +205,7 @@
             )
             if decision is Denial.LOOP:
                 # 508 (RFC 5842, section 7.2) instead of 503: a retry would run into the same loop.
-                self._reject_malformed(call, 508, "proxy_loop_detected", f"it never ran; {decision.value}")
+                self._reject_permanently(call, 508, "proxy_loop_detected", f"it never ran; {decision.value}")
                 return
             if isinstance(decision, Denial):
                 self.admission.rejections.add(route.pool, kind.name, RejectionSource.TIME)
@@ -268,7 +270,7 @@
         headers = end_to_end_fields(reply.raw, reply.headers.get(b"connection"), dropped, ())
         call.pass_on(reply.status, headers, bytes(reply.body))
 
-    def _reject_malformed(self, call: Call, status: int, error: str, detail: str) -> None:
+    def _reject_permanently(self, call: Call, status: int, error: str, detail: str) -> None:
         self._answer_locally(call, status, error, f"refused: {detail}")
 
     def _reject_unstarted(
--- a/loadbalancer/runtime/sidecar.py
+++ b/loadbalancer/runtime/sidecar.py
@@ -117,7 +117,7 @@
         self.admin: Admin | None = None
         self._admin_key = ""
         self.leaving = False
-        self._retired: set[asyncio.Task[None]] = set()  # they drain and close retired listeners and pools
+        self._retired: set[asyncio.Task[None]] = set()  # tasks that drain removed listeners and pools
         self._retiring_pools: list[_ManagedPool] = []  # replaced pools that still have open requests
         self._closed: list[Listener] = []  # removed listeners that still have connections
         self._stats_timer: asyncio.TimerHandle | None = None
@@ -511,4 +511,4 @@
         self.place, self.address = place, address
 
     def __str__(self) -> str:
-        return f"{self.place}: address {self.address} can't be had: {self.strerror}"
+        return f"{self.place}: address {self.address} can't be bound: {self.strerror}"
--- a/loadbalancer/runtime/thrift_frontend.py
+++ b/loadbalancer/runtime/thrift_frontend.py
@@ -51,13 +51,11 @@
     pools: Mapping[str, Pool]
     forms: Mapping[str, Form]  # by pool: the Thrift protocol of its servers
     tenants: frozenset[str] = frozenset()  # names of the configured ones
-    key_fields: Mapping[str, tuple[int, ...]] = field(
-        default_factory=dict
-    )  # by keyed class: path of field ids
+    # By keyed class: path of field ids.
+    key_fields: Mapping[str, tuple[int, ...]] = field(default_factory=dict)
     oneway_s: Mapping[str, float] = field(default_factory=dict)  # by class: how long a oneway call runs
-    budget_fields: Mapping[str, int] = field(
-        default_factory=dict
-    )  # by pool: id of the argument from which servers read the budget
+    # By pool: id of the argument from which servers read the budget.
+    budget_fields: Mapping[str, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True, eq=False)
@@ -120,7 +118,7 @@
         name = incoming.name.decode()
         route = plan.table.match(name)
         if route is None:
-            self._reject_malformed(call, ExceptionKind.UNKNOWN_METHOD, f"no route takes {name}")
+            self._reject_permanently(call, ExceptionKind.UNKNOWN_METHOD, f"no route takes {name}")
             return
         pool = plan.pools[route.pool]
         form = plan.forms[route.pool]
@@ -141,12 +139,14 @@
             key = None if key_path is None else field_at(incoming.body, incoming.form, key_path)
             if key_path is not None and key in (None, b""):
                 # Guard: without its key no server could drop a duplicate of this call.
-                self._reject_malformed(call, ExceptionKind.PROTOCOL_ERROR, f"class {kind.name} needs its key")
+                self._reject_permanently(
+                    call, ExceptionKind.PROTOCOL_ERROR, f"class {kind.name} needs its key"
+                )
                 return
             tenant = self._tenant_of(incoming)
             carried, others = self._carried(incoming)
         except ProtocolError as error:
-            self._reject_malformed(call, ExceptionKind.PROTOCOL_ERROR, str(error))
+            self._reject_permanently(call, ExceptionKind.PROTOCOL_ERROR, str(error))
             return
         max_wait_ms, admitted, budget = caller_wait_ms(kind, route.deadline_ms), None, self._budget
         if budget is not None:
@@ -163,7 +163,7 @@
                 key=None if key is None or call.oneway else str(key).encode(),
             )
             if decision is Denial.LOOP:
-                self._reject_malformed(call, ExceptionKind.UNKNOWN_METHOD, decision.value)
+                self._reject_permanently(call, ExceptionKind.UNKNOWN_METHOD, decision.value)
                 return
             if isinstance(decision, Denial):
                 self.admission.rejections.add(route.pool, kind.name, RejectionSource.TIME)
@@ -283,7 +283,7 @@
         self.counts[f"answered {reply.kind.name.lower()}"] += 1
         call.reply(reply.kind, reply.name, body)
 
-    def _reject_malformed(self, call: ThriftCall, kind: int, detail: str) -> None:
+    def _reject_permanently(self, call: ThriftCall, kind: int, detail: str) -> None:
         self._answer_locally(call, kind, bad_call(detail), "bad call")
 
     def _reject_unstarted(
--- a/loadbalancer/runtime/xds.py
+++ b/loadbalancer/runtime/xds.py
@@ -34,6 +34,7 @@
         self.watchers: list[XdsWatcher] = []
 
     def join(self, watcher: XdsWatcher) -> None:
+        """Add a watcher and subscribe to its cluster; the first one starts the stream."""
         self.watchers.append(watcher)
         self._update_subscriptions()
         if len(self.watchers) == 1:
@@ -57,7 +58,7 @@
                 watcher.on_change()
             except Exception:
                 # Guard: an exception in one pool must not keep the others from an update that drains a server.
-                log.exception("xds: cluster %s could not be put in force", watcher.cluster)
+                log.exception("xds: an update of cluster %s could not be applied", watcher.cluster)
 
 
 class ControlPlaneStreams:
@@ -142,7 +143,7 @@
         if removed > MAX_REMOVED_SHARE * known:
             # The update is applied all the same: to keep removed servers would break draining.
             log.warning(
-                "xds: an update takes %d of the %d servers of cluster %s away", removed, known, self.cluster
+                "xds: an update removes %d of the %d servers of cluster %s", removed, known, self.cluster
             )
         if served.cluster is not None:
             limits = served.cluster.thresholds
