--- a/loadbalancer/core/pool.py
+++ b/loadbalancer/core/pool.py
@@ -259,7 +259,7 @@
         self.open -= 1
         if open_request.backstop is not None:
             open_request.backstop.cancel()
-        # Without this, where the settings forbid to cancel calls, an attempt that waits for a connection would be sent
+        # Without this, where the settings forbid cancelling calls, an attempt that waits for a connection would be sent
         # after its caller has left. No server has received an unwritten attempt in full, so it may always be withdrawn.
         for attempt in open_request.attempts:
             if attempt is not None:
@@ -294,14 +294,14 @@
 
         sent = api.Earlier(action.server, self.clock.ms(began))
         open_request.first_attempt = open_request.first_attempt or sent
-        window: asyncio.TimerHandle | None = None
+        begin_timer: asyncio.TimerHandle | None = None
 
         def on_end(
             result: api.Result, reply: Reply, report: dict[str, float] | None, server_s: float = 0.0
         ) -> None:
-            if window is not None:
+            if begin_timer is not None:
                 # The timer's delay may be minutes (the servers' memory of keys); it would keep the request alive.
-                window.cancel()
+                begin_timer.cancel()
             open_request.attempts_in_flight -= 1
             open_request.attempts[number] = None
             if result.never_ran and open_request.first_attempt is sent:
@@ -314,7 +314,7 @@
         else:
             open_request.attempts[number] = attempt
             if action.begin_within_ms > 0.0:
-                window = self.loop.call_later(action.begin_within_ms / 1000.0, attempt.give_up_unwritten)
+                begin_timer = self.loop.call_later(action.begin_within_ms / 1000.0, attempt.give_up_unwritten)
 
     def _outcome(
         self,
--- a/tests/http/test_requirements.py
+++ b/tests/http/test_requirements.py
@@ -8,7 +8,7 @@
 import asyncio
 
 import pytest
-from beside import application, boxes, raw, running
+from beside import application, boxes, running, send_raw
 
 from loadbalancer.emulator.box import Box
 
@@ -91,7 +91,7 @@
         (box,) = boxes(1)
         async with running(box) as sidecar:
             ends = b"" if status == 400 else b"Connection: close\r\n"
-            answer = await raw(sidecar, data + ends + b"\r\n")
+            answer = await send_raw(sidecar, data + ends + b"\r\n")
             assert int(answer[9:12]) == status, (section, answer)
             assert bool(box.taken) is seen
             if seen and data.startswith(b"GET http://other"):  # its authority replaces Host
--- a/tests/runtime/beside.py
+++ b/tests/runtime/beside.py
@@ -98,12 +98,12 @@
     return Application(address(sidecar, name), timeout_s=20.0)
 
 
-def operator(sidecar: Sidecar) -> Application:
+def admin_client(sidecar: Sidecar) -> Application:
     assert sidecar.admin is not None
     return Application(sidecar.admin.server.address, timeout_s=20.0)
 
 
-async def raw(sidecar: Sidecar, data: bytes, until: bytes | None = None) -> bytes:
+async def send_raw(sidecar: Sidecar, data: bytes, until: bytes | None = None) -> bytes:
     """Send bytes and return the response, up to `until` or the end of the connection."""
     reader, writer = await asyncio.open_connection(*address(sidecar))
     writer.write(data)
--- a/tests/runtime/test_budgets.py
+++ b/tests/runtime/test_budgets.py
@@ -13,14 +13,14 @@
 from beside import (
     LONG,
     address,
+    admin_client,
     alongside,
     application,
     boxes,
     configuration,
-    operator,
-    raw,
     row,
     running,
+    send_raw,
 )
 from loopback import until
 from thrifty import Caller, box_of, posting, said, shape
@@ -61,7 +61,7 @@
 
 
 async def budgets_page(sidecar: Sidecar) -> dict[str, Any]:
-    admin = operator(sidecar)
+    admin = admin_client(sidecar)
     found: dict[str, Any] = orjson.loads((await admin.ask("GET", "/budgets")).body)
     admin.close()
     return found
@@ -685,7 +685,7 @@
         async with alongside([box], lambda: data(box)) as sidecar:
             request = b"GET /balance/1 HTTP/1.1\r\nHost: x\r\nBaggage: a=1\r\nBaggage: emberring-ms=700\r\n"
             request += b"baggage: b=2\r\nConnection: close\r\n\r\n"
-            assert b" 200 OK" in await raw(sidecar, request)
+            assert b" 200 OK" in await send_raw(sidecar, request)
         assert box.seen[0].header(b"baggage").endswith(b",a=1,b=2")
 
     asyncio.run(main())
--- a/tests/runtime/test_http_frontend.py
+++ b/tests/runtime/test_http_frontend.py
@@ -6,7 +6,7 @@
 import re
 
 import pytest
-from beside import CLASSES, ROUTES, address, application, boxes, raw, row, running
+from beside import CLASSES, ROUTES, address, application, boxes, row, running, send_raw
 from loopback import until
 
 from loadbalancer.emulator.box import Box
@@ -50,7 +50,7 @@
                 b"Connection: close, X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\nReq-Id: mine\r\nReq-Owner: me\r\n"
                 b"Authorization: Basic eDp5\r\nContent-Length: 4\r\n\r\n\xff\x00\r\n"
             )
-            first, lines, body = head_of(await raw(sidecar, request))
+            first, lines, body = head_of(await send_raw(sidecar, request))
             assert first == b"HTTP/1.1 207 Multi-Status"
             assert lines == [
                 b"Set-Cookie: a=1",
@@ -111,7 +111,7 @@
         async with running(box) as sidecar:
             requests = b"HEAD /x HTTP/1.1\r\nHost: x\r\n\r\nGET /unchanged HTTP/1.1\r\nHost: x\r\n\r\n"
             requests += b"GET /x HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
-            response = await raw(sidecar, requests)
+            response = await send_raw(sidecar, requests)
             parts = re.split(rb"(?=HTTP/1\.1 )", response)[1:]
             assert [part.split(b"\r\n")[0] for part in parts] == [
                 b"HTTP/1.1 200 OK",
@@ -149,11 +149,11 @@
         async with running(box) as sidecar:
             chunked = b"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
             chunked += b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
-            assert b"\r\n\r\nabcde" in await raw(sidecar, chunked, b"abcde")
+            assert b"\r\n\r\nabcde" in await send_raw(sidecar, chunked, b"abcde")
             empty = b"POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
-            assert (await raw(sidecar, empty)).startswith(b"HTTP/1.1 200")
+            assert (await send_raw(sidecar, empty)).startswith(b"HTTP/1.1 200")
             no_body = b"DELETE /c HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
-            assert (await raw(sidecar, no_body)).startswith(b"HTTP/1.1 200")
+            assert (await send_raw(sidecar, no_body)).startswith(b"HTTP/1.1 200")
             assert [bytes(seen.body) for seen in box.seen] == [b"abcde", b"", b""]
             assert [seen.header(b"content-length") for seen in box.seen] == [b"5", b"0", None]
 
@@ -195,7 +195,7 @@
                 % (b"Connection: close\r\n" if at == 19 else b"", at)
                 for at in range(20)
             )
-            response = await raw(sidecar, requests)
+            response = await send_raw(sidecar, requests)
             assert re.findall(rb"\r\n\r\n(\d\d)", response) == [b"%02d" % at for at in range(20)]
 
     asyncio.run(main())
@@ -266,7 +266,7 @@
         async with running(box, routes=[route, *ROUTES[1:]], classes=CLASSES) as sidecar:
             for name in (b"X-Book", b"Idempotency-Key", b"Req-Deadline-Ms"):
                 twice = b"%s: 1\r\n%s: 1\r\n" % (name, name.lower())
-                answer = await raw(sidecar, b"GET /x HTTP/1.1\r\nHost: x\r\n" + twice + b"\r\n")
+                answer = await send_raw(sidecar, b"GET /x HTTP/1.1\r\nHost: x\r\n" + twice + b"\r\n")
                 assert answer.startswith(b"HTTP/1.1 400"), name
             assert box.taken == 0
 
@@ -479,7 +479,7 @@
                 (b"GET / HTTP/1.1\r\nHost: x\r\nHost: y\r\n\r\n", b"400"),
                 (b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 101\r\n\r\n", b"413"),
             ):
-                assert (await raw(sidecar, data)).startswith(b"HTTP/1.1 " + status), data
+                assert (await send_raw(sidecar, data)).startswith(b"HTTP/1.1 " + status), data
             assert box.taken == 0
 
     asyncio.run(main())
--- a/tests/runtime/test_load.py
+++ b/tests/runtime/test_load.py
@@ -8,7 +8,7 @@
 
 import orjson
 import pytest
-from beside import CLASSES, ROUTES, address, application, boxes, operator, raw, row, running
+from beside import CLASSES, ROUTES, address, admin_client, application, boxes, row, running, send_raw
 from loopback import until
 
 from loadbalancer import interface as api
@@ -52,7 +52,7 @@
 
 
 async def load_page(sidecar):
-    return orjson.loads((await operator(sidecar).ask("GET", "/load")).body)
+    return orjson.loads((await admin_client(sidecar).ask("GET", "/load")).body)
 
 
 def error_type(answer: bytes) -> bytes:
@@ -88,7 +88,7 @@
         (box,) = boxes(1)
         async with running(box, classes=SHORT_CLASSES) as sidecar:
             starve(sidecar, waited, turn)
-            answer = await raw(sidecar, data, until=b"\r\n\r\n")
+            answer = await send_raw(sidecar, data, until=b"\r\n\r\n")
             assert (int(answer[9:12]), error_type(answer)) == (status, error)
             assert box.taken == (status == 200)
             pool = sidecar.pools["boxes"]
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -10,7 +10,7 @@
 
 import orjson
 import pytest
-from beside import CLASSES, ROUTES, application, boxes, configuration, operator, row, running
+from beside import CLASSES, ROUTES, admin_client, application, boxes, configuration, row, running
 from loopback import until
 
 from loadbalancer.emulator.box import Box
@@ -282,7 +282,7 @@
 
 
 async def get(sidecar, path):
-    answer = await operator(sidecar).ask("GET", path)
+    answer = await admin_client(sidecar).ask("GET", path)
     return answer.status, (orjson.loads(answer.body) if answer.status == 200 and answer.body else None)
 
 
@@ -308,7 +308,7 @@
             assert await get(sidecar, "/requests") == (200, {"boxes": {"read": 0, "post": 1, "move": 0}})
             assert (await get(sidecar, "/up"))[0] == 200
             assert (await get(sidecar, "/else"))[0] == 404
-            answer = await operator(sidecar).ask("POST", "/config")
+            answer = await admin_client(sidecar).ask("POST", "/config")
             assert (answer.status, answer.headers[b"allow"]) == (405, b"GET, HEAD")
             sidecar.reject("a reason")
             assert (await get(sidecar, "/config"))[1]["rejected"]["why"] == "a reason"
--- a/tests/runtime/test_xds_pool.py
+++ b/tests/runtime/test_xds_pool.py
@@ -11,7 +11,7 @@
 
 import orjson
 import pytest
-from beside import alongside, application, boxes, configuration, operator, row, what_is_open_ends
+from beside import admin_client, alongside, application, boxes, configuration, row, what_is_open_ends
 from envoy.config.endpoint.v3 import endpoint_pb2
 from loopback import until
 
@@ -197,7 +197,7 @@
             await until(plane.errors)
 
             async def lists() -> dict[str, Any]:
-                return orjson.loads((await operator(sidecar).ask("GET", "/lists")).body)["boxes"]
+                return orjson.loads((await admin_client(sidecar).ask("GET", "/lists")).body)["boxes"]
 
             found = await lists()
             assert found["connected"] is True
