--- a/tests/test_glossary.py
+++ b/tests/test_glossary.py
@@ -47,11 +47,8 @@
     "GATEWAYS_BY_WORD": "used by three packages; to be renamed in one commit",
     "starts_told": "setting of the decision module, used by experiments and runtime",
     "BEAT_S": "period of the loop's clock, in two modules",
-    "Beat": "measures the turns of the event loop",
     "told": "local of the same",
-    "_whole": "parser state of the HTTP client",
     "held": "connections that are held open, in listener and server",
-    "held_s": "how long a connection was held",
     "note_held": "records that",
 }
 
