--- a/emberring/cli/__init__.py
+++ b/emberring/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line's tools: one module a concern, imported only for tools, never by a role."""
+"""The tools of the command line, one module per group of commands. The roles do not import this package."""
--- a/emberring/cli/config_commands.py
+++ b/emberring/cli/config_commands.py
@@ -17,7 +17,7 @@
 from emberring.configuration.reading import parse_object_strictly
 from emberring.errors import BadRequestError, InvalidConfigurationError
 
-LIVE = "live"  # in place of a file name: the configuration in force
+LIVE = "live"  # used instead of a file name: the active configuration, read from a control node
 DEFAULT_TIMEOUT_S = 10.0
 
 app = typer.Typer(no_args_is_help=True, epilog=EXIT_CODES_TEXT)
@@ -26,7 +26,7 @@
 
 
 def read_file(path: Path) -> bytes:
-    """The bytes of a file; `BadRequestError` where it can't be read."""
+    """Return the content of a file. Raises `BadRequestError` if it cannot be read."""
     try:
         return path.read_bytes()
     except OSError as error:
@@ -34,7 +34,7 @@
 
 
 def configuration_errors(content: bytes) -> tuple[str, ...]:
-    """Every error in a complete configuration."""
+    """Return every error in a complete configuration."""
     try:
         return find_configuration_errors(parse_object_strictly(content))
     except InvalidConfigurationError as error:
@@ -43,7 +43,7 @@
 
 @app.command(epilog=EXIT_CODES_TEXT)
 def check(file: FileArgument, as_json: JsonOption = False) -> None:
-    """Check a whole configuration without sending it; every mistake is named."""
+    """Check a complete configuration without sending it and report every error."""
     mistakes = configuration_errors(read_file(file))
     if as_json:
         print_json({"File": str(file), "Valid": not mistakes, "Mistakes": mistakes})
@@ -57,63 +57,67 @@
 
 @app.command(epilog=EXIT_CODES_TEXT)
 def diff(
-    before: Annotated[str, typer.Argument(help=f"A file, or '{LIVE}' for the one in force.")],
-    after: Annotated[str, typer.Argument(help=f"A file, or '{LIVE}' for the one in force.")],
+    before: Annotated[str, typer.Argument(help=f"A file, or '{LIVE}' for the active configuration.")],
+    after: Annotated[str, typer.Argument(help=f"A file, or '{LIVE}' for the active configuration.")],
     control: ControlOption = None,
     timeout: TimeoutOption = DEFAULT_TIMEOUT_S,
     as_json: JsonOption = False,
 ) -> None:
-    """Show what differs between two configurations. Exit code 1 where something does."""
-    found = find_differences(
+    """Show the differences between two configurations. Exit code 1 if there are any."""
+    differences = find_differences(
         _load_configuration(before, control, timeout), _load_configuration(after, control, timeout)
     )
     if as_json:
-        print_json([attrs.asdict(item) for item in found])
+        print_json([attrs.asdict(difference) for difference in differences])
     else:
-        for item in found:
-            print_line(item.text())
-    if found:
+        for difference in differences:
+            print_line(difference.text())
+    if differences:
         exit_with(ExitCode.REFUSED)
 
 
-def _load_configuration(place: str, control: list[str] | None, timeout_s: float) -> dict[str, Any]:
-    if place == LIVE:
+def _load_configuration(source: str, control: list[str] | None, timeout_s: float) -> dict[str, Any]:
+    if source == LIVE:
         return _read_live(control, timeout_s)
     try:
-        return parse_object_strictly(read_file(Path(place)))
+        return parse_object_strictly(read_file(Path(source)))
     except InvalidConfigurationError as error:
-        raise BadRequestError(f"{place}: {error.detail}") from error
+        raise BadRequestError(f"{source}: {error.detail}") from error
 
 
 def _read_live(control: list[str] | None, timeout_s: float) -> dict[str, Any]:
-    found = send_request(control_addresses(control), "GET", "/v1/config", within_s=timeout_s)
-    if not isinstance(found, dict):
+    configuration = send_request(control_addresses(control), "GET", "/v1/config", within_s=timeout_s)
+    if not isinstance(configuration, dict):
         raise BadRequestError("the control node's answer is no configuration")
-    return found
+    return configuration
 
 
 @app.command(epilog=EXIT_CODES_TEXT)
 def get(
     control: ControlOption = None,
-    output: Annotated[Path | None, typer.Option("--output", "-o", help="Write it to a file.")] = None,
+    output: Annotated[
+        Path | None, typer.Option("--output", "-o", help="Write the configuration to this file.")
+    ] = None,
     timeout: TimeoutOption = DEFAULT_TIMEOUT_S,
     as_json: JsonOption = False,
 ) -> None:
-    """Read the configuration in force; it is JSON in any case."""
-    found = _read_live(control, timeout)
+    """Read the active configuration; it is always printed as JSON."""
+    configuration = _read_live(control, timeout)
     if output is None:
-        print_json(found)
+        print_json(configuration)
         return
-    output.write_bytes(orjson.dumps(found, option=orjson.OPT_INDENT_2) + b"\n")
+    output.write_bytes(orjson.dumps(configuration, option=orjson.OPT_INDENT_2) + b"\n")
     if as_json:
-        print_json({"File": str(output), "Version": found.get("Version")})
+        print_json({"File": str(output), "Version": configuration.get("Version")})
     else:
-        print_line(f"{output}: version {found.get('Version')}")
+        print_line(f"{output}: version {configuration.get('Version')}")
 
 
 IfMatchOption = Annotated[
     int | None,
-    typer.Option("--if-match", min=0, help="The version that it builds on. Default: the one in force."),
+    typer.Option(
+        "--if-match", min=0, help="The version that the change is based on. Default: the active one."
+    ),
 ]
 
 
@@ -125,7 +129,7 @@
     timeout: TimeoutOption = DEFAULT_TIMEOUT_S,
     as_json: JsonOption = False,
 ) -> None:
-    """Bring a whole configuration into force; it is checked before it is sent."""
+    """Replace the active configuration; the new one is checked before it is sent."""
     content = read_file(file)
     mistakes = configuration_errors(content)
     if mistakes:
@@ -141,7 +145,7 @@
     timeout: TimeoutOption = DEFAULT_TIMEOUT_S,
     as_json: JsonOption = False,
 ) -> None:
-    """Change named items of the configuration in force."""
+    """Change named items of the active configuration."""
     content = read_file(file)
     parse_object_strictly(content)
     _send("PATCH", content, control, if_match, timeout, as_json)
@@ -156,11 +160,13 @@
     as_json: bool,
 ) -> None:
     controls = control_addresses(control)
-    base = if_match if if_match is not None else int(_read_live(control, timeout_s).get("Version") or 0)
-    headers = {"If-Match": str(base)}
+    base_version = (
+        if_match if if_match is not None else int(_read_live(control, timeout_s).get("Version") or 0)
+    )
+    headers = {"If-Match": str(base_version)}
     send_request(controls, method, "/v1/config", content=content, headers=headers, within_s=timeout_s)
     version = parse_object_strictly(content).get("Version")
     if as_json:
-        print_json({"Taken": True, "Version": version, "BuiltOn": base})
+        print_json({"Taken": True, "Version": version, "BuiltOn": base_version})
     else:
-        print_line(f"version {version} is in force (built on {base})")
+        print_line(f"version {version} is in force (built on {base_version})")
--- a/emberring/cli/config_diff.py
+++ b/emberring/cli/config_diff.py
@@ -22,14 +22,14 @@
     after: Any = None
 
     def text(self) -> str:
-        """The difference as a line."""
+        """The difference as one line of text."""
         if self.what != "changed":
             return f"{self.what} {self.item}"
         return f"changed {self.item} {self.key}: {self.before!r} -> {self.after!r}"
 
 
 def find_differences(before: Mapping[str, Any], after: Mapping[str, Any]) -> list[Difference]:
-    """All differences, in the order of the documents."""
+    """Return all differences, in the order of the items in the documents."""
     return list(_differences(before, after))
 
 
--- a/emberring/cli/control_plane.py
+++ b/emberring/cli/control_plane.py
@@ -1,4 +1,4 @@
-"""Requests of the tools to the control plane's HTTP interface."""
+"""Sends the requests of the command line tools to the control plane's HTTP interface."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
     headers: Mapping[str, str] | None = None,
     within_s: float,
 ) -> Any:
-    """The JSON of the response to a request that was acknowledged, tried for `within_s` seconds.
+    """Send a request, with retries for up to `within_s` seconds, and return the JSON of the successful response.
 
-    Raises the error that the control node reports, `PeerUnavailableError` where no control node responds to a read, and
-    `UnknownOutcomeError` where a change may or may not have taken effect.
+    Raises the error that the control node reports, `PeerUnavailableError` if no control node responds to a read, and
+    `UnknownOutcomeError` if a change may or may not have taken effect.
     """
     operator = Operator(controls)
     outcome = asyncio.run(operator.send_request(method, path, content, headers or {}, within_s))
@@ -45,19 +45,19 @@
 def _error(outcome: RequestOutcome, controls: Sequence[str], method: str) -> EmberringError:
     reported = _parse_object(outcome.body)
     if outcome.status == 0:
-        where = ", ".join(controls)
-        detail = f"no clear answer from {where} after {outcome.attempts} tries in {outcome.took_s:.1f} s"
-        last = f" (last: {reported.get('Detail')})" if reported.get("Detail") else ""
+        addresses = ", ".join(controls)
+        detail = f"no clear answer from {addresses} after {outcome.attempts} tries in {outcome.took_s:.1f} s"
+        last_detail = f" (last: {reported.get('Detail')})" if reported.get("Detail") else ""
         if method == "GET":
-            return PeerUnavailableError(detail + last)
-        return UnknownOutcomeError(f"{detail}{last}: the order may or may not have been taken")
+            return PeerUnavailableError(detail + last_detail)
+        return UnknownOutcomeError(f"{detail}{last_detail}: the order may or may not have been taken")
     kind = reported.get("Error") or _KIND_OF_STATUS.get(outcome.status, "internal")
     return error_from_wire(str(kind), str(reported.get("Detail") or f"answered {outcome.status}"))
 
 
 def _parse_object(body: bytes) -> dict[str, Any]:
     try:
-        found = orjson.loads(body)
+        parsed = orjson.loads(body)
     except orjson.JSONDecodeError:
         return {}
-    return found if isinstance(found, dict) else {}
+    return parsed if isinstance(parsed, dict) else {}
--- a/emberring/cli/disk_reports.py
+++ b/emberring/cli/disk_reports.py
@@ -1,4 +1,4 @@
-"""The offline checks of a node's disk: every record is read and decoded, nothing is written."""
+"""Offline checks of a node's data on disk: every record is read and decoded, nothing is written."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class DiskReport:
-    """The findings. `damages` has a line for each thing that is lost or cannot be trusted; `bytes` are in use."""
+    """The result of a check. `damages` has one line for each loss or corruption; `bytes` counts the bytes in use."""
 
     directory: str
     identity: str
@@ -37,13 +37,13 @@
 
 
 def report_register(directory: Path) -> DiskReport:
-    """A control node's disk: its `DataDir`, or the folder of the register in it."""
+    """Check a control node's disk; `directory` is its `DataDir` or the register's folder in it."""
     folder = directory / REGISTER_FOLDER if (directory / REGISTER_FOLDER).is_dir() else directory
     scan = _scan(folder)
     acceptor = Acceptor("")
     damages = [*scan.damages, *_decode_errors(scan.records, acceptor.restore)]
     if scan.records and not acceptor.identity:
-        damages.append("no record names the replica's identity")
+        damages.append("no record contains the replica's identity")
     facts: dict[str, Any] = {"Promised": _ballot_text(acceptor.promised)}
     if acceptor.accepted is not None:
         facts["Accepted"] = _ballot_text(acceptor.accepted.number)
@@ -73,14 +73,16 @@
 
 
 def report_store(directory: Path) -> DiskReport:
-    """A store's disk: its `DataDir`."""
+    """Check a store's disk; `directory` is its `DataDir`."""
     scan = _scan(directory / JOURNAL_FOLDER)
     readable = [record for record in scan.records if not _decode_errors([record], decode_entry)]
     damages = [*scan.damages, *_decode_errors(scan.records, decode_entry)]
     identity = read_identity(directory)
     if identity is None:
-        there = (directory / FILE_NAME).exists()
-        damages.append(f"the file {FILE_NAME} is {'damaged' if there else 'missing'}: it will start anew")
+        exists = (directory / FILE_NAME).exists()
+        damages.append(
+            f"the file {FILE_NAME} is {'damaged' if exists else 'missing'}: the next start deletes the journal"
+        )
     replicas = restore(readable, 0.0)
     facts = {"Shards": [_shard_facts(replica) for replica in replicas.values() if replica.jobs]}
     return _report(directory, identity or "", scan, facts, damages)
@@ -106,12 +108,12 @@
         raise BadRequestError(f"{folder}: {error.strerror or error}") from error
 
 
-def _decode_errors(records: Sequence[Record], read: Callable[[bytes], object]) -> list[str]:
-    """Decode every record; a line for each that is complete on disk and cannot be decoded."""
+def _decode_errors(records: Sequence[Record], decode: Callable[[bytes], object]) -> list[str]:
+    """Decode every record; return one line for each that is complete on disk but cannot be decoded."""
     damages = []
     for record in records:
         try:
-            read(record.payload)
+            decode(record.payload)
         except CorruptRecordError as error:
             position = record.position
             damages.append(f"segment {position.segment}, offset {position.offset}: {error.detail}")
--- a/emberring/cli/job_commands.py
+++ b/emberring/cli/job_commands.py
@@ -1,4 +1,4 @@
-"""`emberring lots`: what stores hold of batch jobs, by shard and by job."""
+"""`emberring lots`: lists the batch jobs (lots) in the stores, by shard and by job."""
 
 from __future__ import annotations
 
@@ -22,37 +22,37 @@
 
 
 async def ask_stores(addresses: dict[str, str], jobs: bool, timeout_s: float) -> dict[str, StoreStatus]:
-    """The status of stores by name; a store that does not respond is reported on standard error."""
+    """Return the status of each store by name; a store that does not respond is reported on standard error."""
     network = Network()
 
-    async def ask(name: str, address: str) -> tuple[str, StoreStatus | None]:
+    async def request_status(name: str, address: str) -> tuple[str, StoreStatus | None]:
         try:
             return name, await network.call(address, StoreStatusRequest(jobs), StoreStatus, timeout_s)
         except EmberringError as error:
             print_error(f"{name}: {error.detail}")
             return name, None
 
-    found = await asyncio.gather(*(ask(name, address) for name, address in addresses.items()))
+    results = await asyncio.gather(*(request_status(name, address) for name, address in addresses.items()))
     await network.close()
-    return {name: status for name, status in found if status is not None}
+    return {name: status for name, status in results if status is not None}
 
 
-def _ask(control: list[str] | None, jobs: bool, timeout_s: float) -> dict[str, StoreStatus]:
+def _store_statuses(control: list[str] | None, jobs: bool, timeout_s: float) -> dict[str, StoreStatus]:
     nodes = first_status(control_addresses(control), timeout_s)["Nodes"]
     addresses = {node["Name"]: node["Address"] for node in nodes if node["Role"] == NodeRole.STORE.value}
-    found = asyncio.run(ask_stores(addresses, jobs, timeout_s))
-    if not found:
+    statuses = asyncio.run(ask_stores(addresses, jobs, timeout_s))
+    if not statuses:
         raise PeerUnavailableError("no store answers")
-    return found
+    return statuses
 
 
 @app.command(epilog=EXIT_CODES_TEXT)
 def shards(
     control: ControlOption = None, timeout: TimeoutOption = DEFAULT_TIMEOUT_S, as_json: JsonOption = False
 ) -> None:
-    """Show, shard by shard, which store owns it, who replicates it, and what waits there."""
-    found = _ask(control, False, timeout)
-    rows = [_shard_row(shard, found) for shard in sorted(_all_shards(found))]
+    """Show the owner, the replicas and the waiting items of each shard."""
+    statuses = _store_statuses(control, False, timeout)
+    rows = [_shard_row(shard, statuses) for shard in sorted(_all_shards(statuses))]
     if as_json:
         print_json(rows)
         return
@@ -62,18 +62,20 @@
     )
 
 
-def _all_shards(found: dict[str, StoreStatus]) -> set[int]:
-    return {shard.shard for status in found.values() for shard in status.shards}
+def _all_shards(statuses: dict[str, StoreStatus]) -> set[int]:
+    return {shard.shard for status in statuses.values() for shard in status.shards}
 
 
-def _shard_row(number: int, found: dict[str, StoreStatus]) -> dict[str, Any]:
-    held = {name: shard for name, status in found.items() for shard in status.shards if shard.shard == number}
-    owner = next((name for name, shard in held.items() if shard.owner), "")
-    reported = held[owner] if owner else next(iter(held.values()))
+def _shard_row(number: int, statuses: dict[str, StoreStatus]) -> dict[str, Any]:
+    shards_by_store = {
+        name: shard for name, status in statuses.items() for shard in status.shards if shard.shard == number
+    }
+    owner = next((name for name, shard in shards_by_store.items() if shard.owner), "")
+    reported = shards_by_store[owner] if owner else next(iter(shards_by_store.values()))
     return {
         "Shard": number,
         "Owner": owner or "none",
-        "Replicas": " ".join(sorted(held)),
+        "Replicas": " ".join(sorted(shards_by_store)),
         "Epoch": reported.epoch,
         "Term": reported.term,
         "Lots": reported.jobs,
@@ -86,9 +88,9 @@
 def list_jobs(
     control: ControlOption = None, timeout: TimeoutOption = DEFAULT_TIMEOUT_S, as_json: JsonOption = False
 ) -> None:
-    """List lots with how many of their items have a result; at most 500 of each store."""
-    found = _ask(control, True, timeout)
-    jobs = sorted((job for status in found.values() for job in status.jobs), key=lambda job: -job.age_s)
+    """List lots with the number of their items that have a result; at most 500 lots per store."""
+    statuses = _store_statuses(control, True, timeout)
+    jobs = sorted((job for status in statuses.values() for job in status.jobs), key=lambda job: -job.age_s)
     if as_json:
         print_json([attrs.asdict(job) for job in jobs])
         return
--- a/emberring/cli/options.py
+++ b/emberring/cli/options.py
@@ -1,4 +1,4 @@
-"""Options that several tools share, and how a tool finds the control nodes."""
+"""Options that several tools share, and the lookup of the control nodes' addresses."""
 
 from __future__ import annotations
 
@@ -19,37 +19,37 @@
         "--control",
         "-c",
         metavar="IP:PORT",
-        help=f"Control plane of a control node; may stand more than once. Default: ${CONTROL_VARIABLE} "
-        f"(parted by commas), else the seeds in the settings file that ${SETTINGS_VARIABLE} names.",
+        help=f"Control plane address of a control node; may be repeated. Default: ${CONTROL_VARIABLE} "
+        f"(separated by commas), else the seeds in the settings file that ${SETTINGS_VARIABLE} names.",
     ),
 ]
 JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON for programs.")]
 TimeoutOption = Annotated[
-    float, typer.Option("--timeout", min=0.1, help="Seconds after which no clear answer is awaited.")
+    float, typer.Option("--timeout", min=0.1, help="Seconds to wait for a clear answer.")
 ]
 
 
 def control_addresses(given: Sequence[str] | None) -> list[str]:
-    """The control plane's addresses: those given, else the environment's, else the seeds in a node's settings file.
+    """Return the control plane's addresses: those given, else the environment's, else the seeds in the settings file.
 
-    `BadRequestError` where none is known, `SettingsError` where one is no `ip:port`.
+    Raises `BadRequestError` if there are none, and `SettingsError` if one is not of the form `ip:port`.
     """
-    found = list(given or ())
-    if not found and os.environ.get(CONTROL_VARIABLE):
-        found = [item.strip() for item in os.environ[CONTROL_VARIABLE].split(",") if item.strip()]
-    if not found and os.environ.get(SETTINGS_VARIABLE):
-        found = list(load_settings().seed_nodes)
-    if not found:
+    addresses = list(given or ())
+    if not addresses and os.environ.get(CONTROL_VARIABLE):
+        addresses = [item.strip() for item in os.environ[CONTROL_VARIABLE].split(",") if item.strip()]
+    if not addresses and os.environ.get(SETTINGS_VARIABLE):
+        addresses = list(load_settings().seed_nodes)
+    if not addresses:
         raise BadRequestError(
             f"no control node is known: give --control IP:PORT, or set {CONTROL_VARIABLE} or {SETTINGS_VARIABLE}"
         )
-    for address in found:
+    for address in addresses:
         check_address(address)
-    return found
+    return addresses
 
 
 def check_address(address: str) -> str:
-    """The address itself; `SettingsError` unless it is `ip:port`."""
+    """Return the address unchanged. Raises `SettingsError` unless it has the form `ip:port`."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise SettingsError(f"{address!r} is not an address and a port")
--- a/emberring/cli/printing.py
+++ b/emberring/cli/printing.py
@@ -1,4 +1,4 @@
-"""Output of the tools: aligned tables for people, JSON for programs; errors as one line on standard error."""
+"""Output of the tools: aligned tables or JSON on standard output, errors as single lines on standard error."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class ExitCode(IntEnum):
-    """How a tool ended, for scripts."""
+    """The exit codes of the tools."""
 
     DONE = 0
     REFUSED = 1  # a check found errors, or the request was rejected
-    UNUSABLE_INPUT = 2  # the call, a file or the settings cannot be used
+    UNUSABLE_INPUT = 2  # the arguments, a file or the settings are invalid
     UNKNOWN_OUTCOME = 3  # no clear response: the request may or may not have taken effect
 
 
@@ -52,7 +52,7 @@
 
 
 def print_line(text: str) -> None:
-    """Print a line for people."""
+    """Print one line of text on standard output and flush it."""
     sys.stdout.write(text + "\n")
     sys.stdout.flush()
 
@@ -63,12 +63,12 @@
 
 
 def exit_code_of(error: EmberringError) -> ExitCode:
-    """The exit code for an error."""
+    """Return the exit code for an error."""
     if error.kind in _UNUSABLE_INPUT_KINDS:
         return ExitCode.UNUSABLE_INPUT
     return ExitCode.UNKNOWN_OUTCOME if error.kind in _UNKNOWN_OUTCOME_KINDS else ExitCode.REFUSED
 
 
 def exit_with(code: ExitCode) -> None:
-    """End the tool with this exit code."""
+    """Exit the tool with this code."""
     raise typer.Exit(int(code))
--- a/emberring/cli/retire_command.py
+++ b/emberring/cli/retire_command.py
@@ -1,4 +1,4 @@
-"""`emberring retire`: empty a store machine so that it can be taken away."""
+"""`emberring retire`: moves all data off a store machine so that the machine can be removed."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 def retire(
     node: Annotated[str, typer.Argument(metavar="NODE", help="Name of the store machine.")],
     control: ControlOption = None,
-    duration: Annotated[float, typer.Option(min=0, help="Seconds that it may take.")] = 60.0,
-    look: Annotated[bool, typer.Option("--look", help="Only ask how far it is.")] = False,
-    wait: Annotated[float, typer.Option(min=0, help="Wait so many seconds for its end.")] = 0.0,
+    duration: Annotated[float, typer.Option(min=0, help="Seconds that the retirement may take.")] = 60.0,
+    look: Annotated[bool, typer.Option("--look", help="Only read the state, start nothing.")] = False,
+    wait: Annotated[float, typer.Option(min=0, help="Seconds to wait for the completion.")] = 0.0,
     timeout: TimeoutOption = 4.0,
     as_json: JsonOption = False,
 ) -> None:
-    """Empty a store machine. Take it away only once its state is 'completed'.
+    """Move all data off a store machine. Remove the machine only once its state is 'completed'.
 
-    Exit code 1 where it is unknown, where too few would be left, or where --wait ended before its end.
+    Exit code 1 if it is unknown, if too few stores would remain, or if it is not completed within --wait seconds.
     """
     controls = control_addresses(control)
     path = f"/v1/retire/{node}"
--- a/emberring/cli/role_commands.py
+++ b/emberring/cli/role_commands.py
@@ -1,4 +1,4 @@
-"""`emberring gateway|control|store`: start a role, with its settings file named on the command line."""
+"""`emberring gateway|control|store`: starts a role with the settings file given on the command line."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
     if settings is not None:
         load_settings(settings)
         os.environ[SETTINGS_VARIABLE] = str(settings)
-    # The role's process begins anew: it imports nothing of what the command line did.
+    # Replaces this process, so that the role does not keep the modules that the command line has imported.
     os.execv(sys.executable, [sys.executable, "-m", "emberring", role])
 
 
 def gateway(settings: SettingsOption = None) -> None:
-    """Run a gateway: it carries the clients' traffic (edge machines)."""
+    """Run a gateway, which forwards the clients' traffic (edge machines)."""
     _start("gateway", settings)
 
 
 def control(settings: SettingsOption = None) -> None:
-    """Run a control node: configuration, servers, nodes (core machines)."""
+    """Run a control node, which manages the configuration, servers and nodes (core machines)."""
     _start("control", settings)
 
 
 def store(settings: SettingsOption = None) -> None:
-    """Run a store: it keeps lots (storage machines)."""
+    """Run a store, which stores lots (storage machines)."""
     _start("store", settings)
--- a/emberring/cli/simulation_commands.py
+++ b/emberring/cli/simulation_commands.py
@@ -1,4 +1,4 @@
-"""`emberring lab`: experiments with the tier's decisions in simulated time, beside plain baselines."""
+"""`emberring lab`: simulations of the tier's decisions, compared with simple baseline policies."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 app = typer.Typer(no_args_is_help=True, epilog=EXIT_CODES_TEXT)
 app.command(epilog=EXIT_CODES_TEXT)(ablation)
 
-SHOWN = (
+TABLE_KEYS = (
     "worth",
     "live_in_aim",
     "live_served",
@@ -41,15 +41,15 @@
 )
 
 
-def _plain(pick: Any) -> MakePolicy:
-    return lambda world, index: BaselinePolicy(pick, index * SEED_STEP)
+def _baseline(choose_server: Any) -> MakePolicy:
+    return lambda world, index: BaselinePolicy(choose_server, index * SEED_STEP)
 
 
 POLICIES: dict[str, MakePolicy] = {
     "admission": full_admission,
-    "least-in-flight": _plain(least_in_flight),
-    "round-robin": _plain(round_robin),
-    "two-choices": _plain(two_choices),
+    "least-in-flight": _baseline(least_in_flight),
+    "round-robin": _baseline(round_robin),
+    "two-choices": _baseline(two_choices),
 }
 
 
@@ -57,43 +57,49 @@
 def admission(
     site: Annotated[str, typer.Option(help=f"One of {', '.join(SITES)}.")] = "ledger",
     seconds: Annotated[float, typer.Option(min=1, max=600, help="Simulated seconds of traffic.")] = 10.0,
-    factor: Annotated[float, typer.Option(min=0.01, max=100, help="Times the site's traffic.")] = 1.0,
+    factor: Annotated[float, typer.Option(min=0.01, max=100, help="Factor on the site's traffic.")] = 1.0,
     trials: Annotated[int, typer.Option(min=1, max=100, help="Trials of each policy.")] = 3,
-    seed: Annotated[int, typer.Option(help="Of the first trial.")] = 1,
+    seed: Annotated[int, typer.Option(help="Seed of the first trial.")] = 1,
     policy: Annotated[
-        list[str] | None, typer.Option(help=f"Of {', '.join(POLICIES)}; all by default.")
+        list[str] | None,
+        typer.Option(help=f"Policy; may be repeated. Default: all. One of {', '.join(POLICIES)}."),
     ] = None,
     as_json: JsonOption = False,
 ) -> None:
-    """Play a site's traffic against emulated engines; the same requests for each policy."""
+    """Simulate a site's traffic on emulated engines, with the same requests for each policy."""
     if site not in SITES:
         raise BadRequestError(f"no site named {site!r}: there are {', '.join(SITES)}")
     names = policy or list(POLICIES)
     unknown = [name for name in names if name not in POLICIES]
     if unknown:
         raise BadRequestError(f"no policy named {unknown[0]!r}: there are {', '.join(POLICIES)}")
-    found: dict[str, list[Figures]] = {}
+    figures_by_policy: dict[str, list[Figures]] = {}
     for name in names:
         plan = TrialPlan(seconds, factor)
-        tallies = (run_trial(SITES[site], POLICIES[name], seed + at, plan) for at in range(trials))
-        found[name] = [figures_of(tally) for tally in tallies]
+        tallies = (run_trial(SITES[site], POLICIES[name], seed + offset, plan) for offset in range(trials))
+        figures_by_policy[name] = [figures_of(tally) for tally in tallies]
     if as_json:
-        print_json({name: [attrs.asdict(one) for one in figures] for name, figures in found.items()})
+        print_json(
+            {name: [attrs.asdict(one) for one in figures] for name, figures in figures_by_policy.items()}
+        )
         return
-    rows = [(name, *(_span(figures, key) for key in SHOWN)) for name, figures in found.items()]
-    print_table(("policy", *(key.replace("_", " ") for key in SHOWN)), rows)
+    rows = [
+        (name, *(_mean_and_half_range(figures, key) for key in TABLE_KEYS))
+        for name, figures in figures_by_policy.items()
+    ]
+    print_table(("policy", *(key.replace("_", " ") for key in TABLE_KEYS)), rows)
     print_line(f"{trials} trials of {seconds:g} s at {factor:g} times the traffic: mean and half the span")
 
 
-def _span(figures: list[Figures], key: str) -> str:
+def _mean_and_half_range(figures: list[Figures], key: str) -> str:
     values = [float(getattr(one, key)) for one in figures]
-    half = (max(values) - min(values)) / 2
+    half_range = (max(values) - min(values)) / 2
     digits = 0 if max(values) > 10 else 3
-    return f"{statistics.fmean(values):.{digits}f} ±{half:.{digits}f}"
+    return f"{statistics.fmean(values):.{digits}f} ±{half_range:.{digits}f}"
 
 
-MOST_GATEWAYS = 1000
-MOST_SERVERS = 20_000
+MAX_GATEWAYS = 1000
+MAX_SERVERS = 20_000
 
 ServersEachOption = Annotated[
     float, typer.Option("--servers-each", min=0.1, max=100, help="Model servers for each gateway.")
@@ -101,10 +107,10 @@
 
 
 def _size(gateways: int, servers_each: float, controls: int) -> Size:
-    """The size that is asked for; `BadRequestError` where it is more than is played."""
+    """Return the requested size. Raises `BadRequestError` if it exceeds the limits of the simulation."""
     size = Size(gateways, max(1, round(gateways * servers_each)), controls)
-    if not 1 <= size.gateways <= MOST_GATEWAYS or size.servers > MOST_SERVERS:
-        raise BadRequestError(f"1 to {MOST_GATEWAYS} gateways and at most {MOST_SERVERS} servers are played")
+    if not 1 <= size.gateways <= MAX_GATEWAYS or size.servers > MAX_SERVERS:
+        raise BadRequestError(f"1 to {MAX_GATEWAYS} gateways and at most {MAX_SERVERS} servers are played")
     return size
 
 
@@ -112,46 +118,48 @@
 def scale(
     gateways: Annotated[
         list[int] | None,
-        typer.Option(help="How many gateways; give it several times for a slope. 10, 30 and 100 by default."),
+        typer.Option(help="Number of gateways; repeat it to compare several sizes. Default: 10, 30 and 100."),
     ] = None,
     servers_each: ServersEachOption = 1.0,
     controls: Annotated[int, typer.Option(min=2, max=27, help="Control nodes.")] = 3,
-    seconds: Annotated[float, typer.Option(min=1, max=60, help="Calm seconds that are measured.")] = 3.0,
+    seconds: Annotated[
+        float, typer.Option(min=1, max=60, help="Seconds of the measurement without changes.")
+    ] = 3.0,
     as_json: JsonOption = False,
 ) -> None:
-    """Play the control plane at several sizes with hollow nodes in this process; what each role uses, how it grows."""
+    """Run the control plane at several sizes with emulated nodes; measure the resource use of each role."""
     counts = gateways or [10, 30, 100]
     sizes = [_size(count, servers_each, controls) for count in counts]
-    found = [measure(size, seconds) for size in sizes]
+    measurements = [measure(size, seconds) for size in sizes]
     if as_json:
-        print_json([attrs.asdict(one) for one in found])
+        print_json([attrs.asdict(one) for one in measurements])
         return
     header = ("", *(f"{size.gateways} + {size.servers}" for size in sizes), "power")
-    print_table(header, [_scale_row(name, found, read) for name, read in SCALE_ROWS])
+    print_table(header, [_scale_row(name, measurements, read) for name, read in SCALE_ROWS])
     print_line("gateways + servers; per node and second, middle (busiest) of a role; powers are in gateways")
 
 
 @app.command(epilog=EXIT_CODES_TEXT)
 def cut(
-    gateways: Annotated[int, typer.Option(min=3, max=MOST_GATEWAYS, help="Gateways.")] = 30,
+    gateways: Annotated[int, typer.Option(min=3, max=MAX_GATEWAYS, help="Gateways.")] = 30,
     servers_each: ServersEachOption = 1.0,
-    controls: Annotated[int, typer.Option(min=3, max=27, help="Control nodes; one is parted.")] = 3,
-    seconds: Annotated[float, typer.Option(min=4, max=600, help="How long the cut lasts.")] = 15.0,
+    controls: Annotated[int, typer.Option(min=3, max=27, help="Control nodes; one is partitioned.")] = 3,
+    seconds: Annotated[float, typer.Option(min=4, max=600, help="Duration of the partition.")] = 15.0,
     as_json: JsonOption = False,
 ) -> None:
-    """Part one control node with its gateways and servers from the rest; what each side knows when, and the cost."""
-    found = measure_partition(_size(gateways, servers_each, controls), seconds)
+    """Partition one control node with its gateways and servers from the rest; measure propagation delays and cost."""
+    measurement = measure_partition(_size(gateways, servers_each, controls), seconds)
     if as_json:
-        print_json(attrs.asdict(found))
+        print_json(attrs.asdict(measurement))
         return
-    print_table(("", "figure"), [(name, read(found)) for name, read in CUT_ROWS])
+    print_table(("", "figure"), [(name, read(measurement)) for name, read in CUT_ROWS])
     print_line(
-        f"{found.parted} of {gateways} gateways parted for {seconds:g} s; a control node's middle (busiest)"
+        f"{measurement.parted} of {gateways} gateways parted for {seconds:g} s; a control node's middle (busiest)"
     )
 
 
 def _control_row(figures: RoleFigures) -> str:
-    cpu, size = _middle_and_most(_cpu(figures)), _middle_and_most(_bytes(figures))
+    cpu, size = _median_and_max(_cpu_percent(figures)), _median_and_max(_kilobytes(figures))
     return f"{cpu} % of a core, {size} kB/s"
 
 
@@ -169,19 +177,19 @@
 )
 
 
-def _cpu(figures: RoleFigures) -> tuple[float, float]:
+def _cpu_percent(figures: RoleFigures) -> tuple[float, float]:
     return figures.cpu * 100.0, figures.cpu_most * 100.0
 
 
-def _bytes(figures: RoleFigures) -> tuple[float, float]:
+def _kilobytes(figures: RoleFigures) -> tuple[float, float]:
     return figures.bytes / 1000.0, figures.bytes_most / 1000.0
 
 
 SCALE_ROWS: tuple[tuple[str, Callable[[ScaleFigures], tuple[float, ...]]], ...] = (
-    ("control: processor, %", lambda one: _cpu(one.control)),
-    ("control: kB", lambda one: _bytes(one.control)),
-    ("gateway: processor, %", lambda one: _cpu(one.gateway)),
-    ("gateway: kB", lambda one: _bytes(one.gateway)),
+    ("control: processor, %", lambda one: _cpu_percent(one.control)),
+    ("control: kB", lambda one: _kilobytes(one.control)),
+    ("gateway: processor, %", lambda one: _cpu_percent(one.gateway)),
+    ("gateway: kB", lambda one: _kilobytes(one.gateway)),
     ("gateway: calls", lambda one: (one.gateway.calls,)),
     ("drain acknowledged, ms", lambda one: (one.drain_acknowledged_s * 1000.0,)),
     ("drain known to all, ms", lambda one: (one.drain_known_s * 1000.0,)),
@@ -190,12 +198,12 @@
 
 
 def _scale_row(
-    name: str, found: list[ScaleFigures], read: Callable[[ScaleFigures], tuple[float, ...]]
+    name: str, measurements: list[ScaleFigures], read: Callable[[ScaleFigures], tuple[float, ...]]
 ) -> tuple[str, ...]:
-    values = [read(one) for one in found]
-    slope = power([one.size.gateways for one in found], [value[0] for value in values])
-    return (name, *(_middle_and_most(value) for value in values), "" if slope != slope else f"{slope:.2f}")
+    values = [read(one) for one in measurements]
+    slope = power([one.size.gateways for one in measurements], [value[0] for value in values])
+    return (name, *(_median_and_max(value) for value in values), "" if slope != slope else f"{slope:.2f}")
 
 
-def _middle_and_most(value: tuple[float, ...]) -> str:
-    return f"{value[0]:.3g}" + (f" ({value[1]:.3g})" if len(value) > 1 else "")
+def _median_and_max(median_and_max: tuple[float, ...]) -> str:
+    return f"{median_and_max[0]:.3g}" + (f" ({median_and_max[1]:.3g})" if len(median_and_max) > 1 else "")
--- a/emberring/cli/simulator_checks.py
+++ b/emberring/cli/simulator_checks.py
@@ -12,7 +12,7 @@
 from emberring.cli.printing import ExitCode, exit_with, print_error, print_json, print_line
 
 PROGRESS_INTERVAL_S = 10.0
-SEEDS_PER_BATCH = 4  # handed to a process at once
+SEEDS_PER_BATCH = 4  # seeds in one task of the process pool
 
 
 class SomeSchedule(Protocol):
@@ -36,7 +36,7 @@
 
     @property
     def schedule(self) -> SomeSchedule:
-        """The fault schedule that was played."""
+        """The fault schedule of the run."""
 
     @property
     def events(self) -> int:
@@ -47,7 +47,7 @@
 
 
 def play_seeds(play_seed: Callable[[int], Verdict], first: int, seeds: int, jobs: int) -> Iterator[Verdict]:
-    """The verdicts of `seeds` seeds from `first` on, in their order, computed by `jobs` processes."""
+    """Yield the verdicts of `seeds` consecutive seeds from `first` on, in order, computed by `jobs` processes."""
     all_seeds = range(first, first + seeds)
     if jobs == 1:
         yield from map(play_seed, all_seeds)
@@ -58,7 +58,7 @@
 
 @attrs.define
 class _Tally:
-    """What the verdicts so far add up to."""
+    """Totals of the verdicts so far."""
 
     schedules: int = 0
     events: int = 0
@@ -66,31 +66,31 @@
 
 
 def run_check(
-    what: str,
+    simulator_name: str,
     verdicts: Iterable[Verdict],
     shorten: Callable[[Verdict], Verdict],
     describe: Callable[[Verdict], str],
-    most_shown: int,
+    max_shown: int,
     as_json: bool,
 ) -> None:
-    """Go through the verdicts and print the summary; ends with exit code 1 where a schedule failed.
+    """Consume the verdicts and print a summary; exits with code 1 if a schedule failed.
 
-    `most_shown` failing schedules are shortened by `shorten` and printed by `describe`, the shortest first.
+    At most `max_shown` failing schedules are shortened by `shorten` and printed by `describe`, the shortest first.
     """
     started_s = time.monotonic()
-    tally = _play_all(verdicts, show_progress=not as_json)
-    took_s = time.monotonic() - started_s
-    shown = sorted((shorten(verdict) for verdict in tally.failing[:most_shown]), key=_length)
-    descriptions = [describe(verdict) for verdict in shown]
+    tally = _tally_verdicts(verdicts, show_progress=not as_json)
+    duration_s = time.monotonic() - started_s
+    shortened = sorted((shorten(verdict) for verdict in tally.failing[:max_shown]), key=_step_count)
+    descriptions = [describe(verdict) for verdict in shortened]
     if as_json:
-        _print_json_summary(what, tally, took_s, descriptions)
+        _print_json_summary(simulator_name, tally, duration_s, descriptions)
     else:
-        _print_summary(what, tally, took_s, descriptions)
+        _print_summary(simulator_name, tally, duration_s, descriptions)
     if tally.failing:
         exit_with(ExitCode.REFUSED)
 
 
-def _play_all(verdicts: Iterable[SomeVerdict], *, show_progress: bool) -> _Tally:
+def _tally_verdicts(verdicts: Iterable[SomeVerdict], *, show_progress: bool) -> _Tally:
     tally = _Tally()
     last_progress_s = time.monotonic()
     for verdict in verdicts:
@@ -105,26 +105,26 @@
     return tally
 
 
-def _print_json_summary(what: str, tally: _Tally, took_s: float, descriptions: list[str]) -> None:
+def _print_json_summary(name: str, tally: _Tally, duration_s: float, descriptions: list[str]) -> None:
     print_json(
         {
-            "Checked": what,
+            "Checked": name,
             "Schedules": tally.schedules,
             "Events": tally.events,
-            "Seconds": round(took_s, 1),
+            "Seconds": round(duration_s, 1),
             "WrongSeeds": [verdict.schedule.seed for verdict in tally.failing],
             "Shortest": descriptions,
         }
     )
 
 
-def _print_summary(what: str, tally: _Tally, took_s: float, descriptions: list[str]) -> None:
+def _print_summary(name: str, tally: _Tally, duration_s: float, descriptions: list[str]) -> None:
     for description in descriptions:
         print_line(description)
     print_line(
-        f"{what}: {tally.schedules} schedules, {tally.events} events, {len(tally.failing)} wrong, in {took_s:.1f} s"
+        f"{name}: {tally.schedules} schedules, {tally.events} events, {len(tally.failing)} wrong, in {duration_s:.1f} s"
     )
 
 
-def _length(verdict: SomeVerdict) -> int:
+def _step_count(verdict: SomeVerdict) -> int:
     return len(verdict.schedule.steps)
--- a/emberring/cli/trial_command.py
+++ b/emberring/cli/trial_command.py
@@ -1,4 +1,4 @@
-"""`emberring try`: the whole tier on loopback, with stand-in model servers, traffic and kills, for half a minute."""
+"""`emberring try`: a complete tier on loopback for half a minute, with emulated model servers, traffic and faults."""
 
 from __future__ import annotations
 
@@ -19,46 +19,46 @@
 
 
 def try_out(
-    rate: Annotated[float, typer.Option(min=1, max=200, help="Streams a second.")] = 20.0,
-    servers: Annotated[int, typer.Option(min=2, max=20, help="Stand-in model servers.")] = 3,
-    seed: Annotated[int, typer.Option(help="Of the traffic.")] = 1,
+    rate: Annotated[float, typer.Option(min=1, max=200, help="Streams per second.")] = 20.0,
+    servers: Annotated[int, typer.Option(min=2, max=20, help="Emulated model servers.")] = 3,
+    seed: Annotated[int, typer.Option(help="Seed of the traffic.")] = 1,
     keep: Annotated[
-        Path | None, typer.Option(metavar="FOLDER", help="Keep settings, data and logs here.")
+        Path | None, typer.Option(metavar="FOLDER", help="Keep the settings, data and logs in this folder.")
     ] = None,
     as_json: JsonOption = False,
 ) -> None:
-    """Run the whole tier on loopback and kill a node of each role once; ends by itself in about half a minute.
+    """Run a complete tier on loopback and kill one node of each role; it ends after about half a minute.
 
-    Exit codes: 0 no rule was broken and every lot that was taken is whole; 1 otherwise; 3 it did not come up.
+    Exit codes: 0 no invariant was violated and every accepted lot is complete; 1 otherwise; 3 the tier did not start.
     """
     plan = TrialPlan(traffic=TrafficPlan(streams_per_s=rate), servers=servers)
     if keep is not None:
         keep.mkdir(parents=True, exist_ok=True)
-        report = _play(keep, plan, seed, as_json)
+        report = _run_trial(keep, plan, seed, as_json)
     else:
         with tempfile.TemporaryDirectory(prefix="emberring-try-") as folder:
-            report = _play(Path(folder), plan, seed, as_json)
+            report = _run_trial(Path(folder), plan, seed, as_json)
     if as_json:
         print_json(document(report))
     else:
-        show(report)
+        print_report(report)
     if not report.clean:
         exit_with(ExitCode.REFUSED)
 
 
-def _play(folder: Path, plan: TrialPlan, seed: int, quiet: bool) -> TrialReport:
-    def say(text: str) -> None:
+def _run_trial(folder: Path, plan: TrialPlan, seed: int, quiet: bool) -> TrialReport:
+    def report_progress(text: str) -> None:
         if not quiet:
             print_line(text)
 
-    async def play() -> TrialReport:
-        return await Trial(folder, plan, say, seed).play()
+    async def run() -> TrialReport:
+        return await Trial(folder, plan, report_progress, seed).run()
 
-    return asyncio.run(play())
+    return asyncio.run(run())
 
 
-def show(report: TrialReport) -> None:
-    """The report as tables."""
+def print_report(report: TrialReport) -> None:
+    """Print the report as tables."""
     print_line("")
     rows = [(item.what, item.node, _seconds(item.recovery_s)) for item in report.faults]
     print_table(("trouble", "who", "back after"), rows)
@@ -83,23 +83,23 @@
 def _stream_rows(report: TrialReport) -> list[tuple[object, ...]]:
     rows: list[tuple[object, ...]] = []
     for name, tally in report.tallies.items():
-        failures = ", ".join(f"{count} {end}" for end, count in tally.failures.most_common()) or "0"
+        failures = ", ".join(f"{count} {outcome}" for outcome, count in tally.failures.most_common()) or "0"
         p50, p99 = (f"{1000 * tally.delay_s(share):.0f}" for share in (0.5, 0.99))
         rows.append((name, tally.sent, tally.served, failures, p50, p99))
     return rows
 
 
 def _job_row(jobs: tuple[JobHistory, ...]) -> tuple[object, ...]:
-    taken = [history for history in jobs if history.accepted]
-    results = [result for history in taken for result in history.results]
-    items = sum(len(history.job.items) for history in taken)
-    done = sum(result.state == "completed" for result in results)
-    slowest = max((history.done_s for history in taken), default=0.0)
-    return (len(jobs), len(taken), items, done, len(results) - done, round(slowest, 1))
+    accepted = [history for history in jobs if history.accepted]
+    results = [result for history in accepted for result in history.results]
+    items = sum(len(history.job.items) for history in accepted)
+    completed = sum(result.state == "completed" for result in results)
+    slowest = max((history.done_s for history in accepted), default=0.0)
+    return (len(jobs), len(accepted), items, completed, len(results) - completed, round(slowest, 1))
 
 
 def document(report: TrialReport) -> dict[str, Any]:
-    """The report for programs."""
+    """Return the report as the JSON document of `--json`."""
     streams = {
         name: {
             "Asked": tally.sent,
@@ -110,7 +110,7 @@
         }
         for name, tally in report.tallies.items()
     }
-    jobs, taken, items, done, dead, slowest = _job_row(report.jobs)
+    jobs, accepted, items, completed, dead_letters, slowest = _job_row(report.jobs)
     return {
         "Clean": report.clean,
         "StartedAfterS": round(report.started_s, 2),
@@ -120,10 +120,10 @@
         "Streams": streams,
         "Lots": {
             "Sent": jobs,
-            "Taken": taken,
+            "Taken": accepted,
             "Items": items,
-            "Completed": done,
-            "DeadLetter": dead,
+            "Completed": completed,
+            "DeadLetter": dead_letters,
             "SlowestS": slowest,
         },
         "Broken": [
--- a/emberring/emulator/__init__.py
+++ b/emberring/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Emulated model servers, operator and clients, for `emberring try` and for tests of the tier."""
+"""Emulated model servers, operator and clients, for `emberring try` and the tests of the tier."""
--- a/emberring/emulator/connection.py
+++ b/emberring/emulator/connection.py
@@ -1,4 +1,4 @@
-"""An emulated model server's end of a connection: one request at a time, dropped when the caller disconnects."""
+"""The server side of an HTTP/1.1 connection to an emulated model server; it handles one request at a time."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 from emberring.emulator.wire import ServerRequest
 
-RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with no time: closing sends a reset
+RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0: closing the socket sends a reset
 
 
 class RequestHandler(Protocol):
-    """Handles the requests of connections."""
+    """The callbacks of a server for its connections and their requests."""
 
     def on_connection_opened(self, connection: ServerConnection) -> bool:
-        """Whether a new connection may stay."""
+        """Return whether to accept a new connection."""
 
     def handle_request(self, connection: ServerConnection, request: ServerRequest) -> None:
-        """Respond to a request by `write` and, at the end, `finish`."""
+        """Send the response with `write` and complete it with `finish`."""
 
     def on_connection_closed(self, connection: ServerConnection) -> None:
         """The connection has ended."""
@@ -43,13 +43,13 @@
         self._busy = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open; it is reset where the handler rejects it."""
+        """The connection is open; reset it if the handler rejects it."""
         self._transport = cast(asyncio.Transport, transport)
         if not self._handler.on_connection_opened(self):
             self.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Parse received bytes; bytes that are no HTTP reset the connection."""
+        """Parse received bytes; invalid HTTP resets the connection."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
@@ -107,7 +107,7 @@
         self._transport.abort()
 
     def pause(self) -> None:
-        """Stop reading."""
+        """Stop reading from the connection."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.pause_reading()
 
--- a/emberring/emulator/events.py
+++ b/emberring/emulator/events.py
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class StreamEvent:
-    """One complete event; `id` is None where the event has none."""
+    """One complete event; `id` is None if the event has no id."""
 
     id: int | None
     data: str
@@ -23,11 +23,11 @@
 
     @property
     def rest(self) -> bytes:
-        """The bytes of an event that is not complete yet."""
+        """The received bytes of the last, still incomplete event."""
         return self._rest
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """The events that these bytes complete; ValueError where an id is no number."""
+        """Return the events that these bytes complete. Raises ValueError if an id is not a number."""
         *blocks, self._rest = (self._rest + data).split(END_OF_EVENT)
         return [_parse(block) for block in blocks]
 
--- a/emberring/emulator/exchange.py
+++ b/emberring/emulator/exchange.py
@@ -13,10 +13,10 @@
 
 @attrs.define(eq=False)
 class Exchange:
-    """A request with its counterpart in the engine and its caller's connection.
+    """A request with its engine request and its caller's connection.
 
-    `started`: the engine has begun to execute it. `signature` is empty until the head of the response was sent. `timer`
-    ends the request at its deadline.
+    `started` is set once the engine has begun to execute the request. `signature` is empty until the response headers
+    are sent. `timer` ends the request at its deadline.
     """
 
     connection: ServerConnection
--- a/emberring/emulator/faults.py
+++ b/emberring/emulator/faults.py
@@ -7,21 +7,21 @@
 
 @attrs.define
 class Faults:
-    """The injected faults. A count is the number of next responses that have the fault."""
+    """The injected faults. A count is the number of coming responses that will have the fault."""
 
-    unresponsive: bool = False  # reads nothing, sends nothing, no heartbeats either
-    hanging: bool = False  # accepts requests and responds to none; heartbeats go on
+    unresponsive: bool = False  # reads nothing and sends nothing, including heartbeats
+    hanging: bool = False  # accepts requests but sends no responses; heartbeats continue
     overloaded: bool = False  # rejects all requests, as a full server does
     step_factor: float = 1.0  # multiplies the duration of each step of the engine
-    corrupt_responses: int = 0  # bytes that are no HTTP response, then the connection ends
-    surplus_responses: int = 0  # a surplus response, with another request's id, after a complete one
-    truncated_responses: int = 0  # the stream ends inside an event
-    failed_responses: int = 0  # 500, after the request ran
+    corrupt_responses: int = 0  # the response is invalid HTTP, then the connection is closed
+    surplus_responses: int = 0  # a second response with another request id follows a complete one
+    truncated_responses: int = 0  # the connection is reset in the middle of an event
+    failed_responses: int = 0  # status 500 after the request was executed
 
-    def take(self, name: str) -> bool:
-        """Whether the next response has the fault that this count names; counts it down."""
-        left: int = getattr(self, name)
-        if left <= 0:
+    def consume(self, name: str) -> bool:
+        """Return whether the next response has the fault with this field name, and decrement its count."""
+        remaining: int = getattr(self, name)
+        if remaining <= 0:
             return False
-        setattr(self, name, left - 1)
+        setattr(self, name, remaining - 1)
         return True
--- a/emberring/emulator/heartbeats.py
+++ b/emberring/emulator/heartbeats.py
@@ -1,4 +1,4 @@
-"""An emulated model server's heartbeats to the control nodes, its drain and its deregistration."""
+"""Sends an emulated model server's heartbeats, drain and deregistration to the control nodes."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class Heartbeats:
-    """Registers a server at a control node by heartbeats; after a failure it uses another control node."""
+    """Registers a server with a control node by heartbeats; after a failure it switches to another control node."""
 
     def __init__(
-        self, server: ModelServer, controls: Callable[[], Sequence[str]], every_s: float, seed: int = 0
+        self, server: ModelServer, controls: Callable[[], Sequence[str]], interval_s: float, seed: int = 0
     ) -> None:
         self._server = server
         self._controls = controls
-        self._every_s = every_s
+        self._interval_s = interval_s
         self._random = random.Random(f"{seed}/{server.id}")
         self._sequence = 0
         self._address = ""
@@ -32,23 +32,23 @@
         self.acknowledged = 0
 
     def start(self) -> None:
-        """Begin to send heartbeats."""
+        """Start sending heartbeats."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def stop(self) -> None:
-        """Send no more, as a server that has crashed."""
+        """Stop sending heartbeats without deregistering, as a crashed server does."""
         if self._task is not None:
             self._task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await self._task
 
     async def drain(self, attempts: int = 8) -> bool:
-        """Report that the server is draining; whether that was acknowledged."""
+        """Report that the server is draining. Returns whether a control node acknowledged it."""
         self._server.draining = True
         return await self._send("PUT", attempts)
 
     async def deregister(self, attempts: int = 8) -> bool:
-        """Deregister the server; whether that was acknowledged. No heartbeat follows."""
+        """Stop the heartbeats and deregister the server. Returns whether a control node acknowledged it."""
         await self.stop()
         return await self._send("DELETE", attempts)
 
@@ -56,7 +56,7 @@
         while True:
             if not self._server.faults.unresponsive:
                 await self._send("PUT", 4)
-            await asyncio.sleep(self._every_s * self._random.uniform(0.9, 1.1))
+            await asyncio.sleep(self._interval_s * self._random.uniform(0.9, 1.1))
 
     async def _send(self, method: str, attempts: int) -> bool:
         for _ in range(attempts):
@@ -78,10 +78,10 @@
             return False
         self.acknowledged += 1
         with contextlib.suppress(ValueError, AttributeError):
-            self._follow(orjson.loads(response.body or b"{}").get("HeartbeatUrl"))
+            self._use_address_of(orjson.loads(response.body or b"{}").get("HeartbeatUrl"))
         return True
 
-    def _follow(self, url: str | None) -> None:
+    def _use_address_of(self, url: str | None) -> None:
         if url:
             self._address = url.removeprefix("http://").split("/", 1)[0]
 
--- a/emberring/emulator/invariant_checker.py
+++ b/emberring/emulator/invariant_checker.py
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class Violation:
-    """A broken rule: its name, the id of the request or job, and what was observed."""
+    """A violated invariant: its name, the id of the request or job, and the observation."""
 
     rule: str
     id: str
@@ -24,39 +24,45 @@
 def check_stream(
     call: StreamCall, result: StreamResult, observations: Observations, stride: int, *, retryable: bool
 ) -> list[Violation]:
-    """The rules broken by one attempt of a client."""
-    found: list[Violation] = []
+    """Return the invariants violated by one attempt of a client."""
+    violations: list[Violation] = []
     runs = observations.runs.get(result.request_id, [])
     if not retryable and len(runs) > 1:
-        found.append(Violation("TWICE", result.request_id, f"ran on {[run.server_id for run in runs]}"))
+        violations.append(Violation("TWICE", result.request_id, f"ran on {[run.server_id for run in runs]}"))
     if result.end is StreamEnd.REJECTED and runs and not retryable:
-        found.append(Violation("REFUSED", result.request_id, f"{result.status}, yet it ran"))
-    texts = tuple(event.data for event in result.events)
+        violations.append(Violation("REFUSED", result.request_id, f"{result.status}, yet it ran"))
+    received = tuple(event.data for event in result.events)
     expected = complete_output(call.path, call.body, event_count(call.output_tokens, stride))
-    if texts != expected[: len(texts)]:
-        found.append(Violation("ORDER", result.request_id, f"events {texts[:3]}, not {expected[:3]}"))
+    if received != expected[: len(received)]:
+        violations.append(Violation("ORDER", result.request_id, f"events {received[:3]}, not {expected[:3]}"))
     if result.end is StreamEnd.SERVED:
-        if len(texts) < len(expected):
-            found.append(Violation("ORDER", result.request_id, f"{len(texts)} of {len(expected)} events"))
+        if len(received) < len(expected):
+            violations.append(
+                Violation("ORDER", result.request_id, f"{len(received)} of {len(expected)} events")
+            )
         if observations.signatures.get(result.signature) != result.request_id:
-            found.append(Violation("MIXED", result.request_id, f"signature {result.signature!r}"))
-    return found
+            violations.append(Violation("MIXED", result.request_id, f"signature {result.signature!r}"))
+    return violations
 
 
 def check_job(history: JobHistory, observations: Observations, stride: int) -> list[Violation]:
-    """The rules broken by the results that a client read of a batch job."""
+    """Return the invariants violated by the results of a batch job that a client has read."""
     job = history.job
-    found = [Violation("TWICE", job.id, f"position {at} has changed") for at in history.changed]
+    violations = [
+        Violation("TWICE", job.id, f"position {position} has changed") for position in history.changed
+    ]
     if history.wrong_total_count:
-        found.append(Violation("MIXED", job.id, f"Total was {history.total}, not {len(job.items)}"))
+        violations.append(Violation("MIXED", job.id, f"Total was {history.total}, not {len(job.items)}"))
     if history.failed_reads:
-        found.append(Violation("LOST", job.id, f"{history.failed_reads} reads found nothing"))
-    found += _check_results(history, stride)
-    refused = not history.accepted and history.statuses
-    if refused and all(status in (429, 503, 408, 421) for status in history.statuses):
-        ran = [item.id for item in job.items if observations.runs.get(item.id)]
-        found += [Violation("REFUSED", item_id, "ran though its lot was refused") for item_id in ran]
-    return found
+        violations.append(Violation("LOST", job.id, f"{history.failed_reads} reads found nothing"))
+    violations += _check_results(history, stride)
+    rejected = not history.accepted and history.statuses
+    if rejected and all(status in (429, 503, 408, 421) for status in history.statuses):
+        executed_ids = [item.id for item in job.items if observations.runs.get(item.id)]
+        violations += [
+            Violation("REFUSED", item_id, "ran though its lot was refused") for item_id in executed_ids
+        ]
+    return violations
 
 
 def _check_results(history: JobHistory, stride: int) -> Iterable[Violation]:
@@ -76,6 +82,6 @@
 
 
 def check_unsent(sent_ids: Iterable[str], observations: Observations) -> list[Violation]:
-    """Requests that servers executed and no client sent."""
+    """Return a violation for each request that a server executed and no client sent."""
     sent = set(sent_ids)
     return [Violation("UNASKED", name, "no client sent it") for name in observations.runs if name not in sent]
--- a/emberring/emulator/job_client.py
+++ b/emberring/emulator/job_client.py
@@ -17,15 +17,15 @@
 from emberring.emulator.http_calls import CALL_ERRORS, HttpResponse, call_once
 
 RESPONSE_TIMEOUT_S = 2.5
-READ_INTERVAL_S = 0.1  # between reads that brought nothing new
+READ_INTERVAL_S = 0.1  # pause after a read without new results
 RETRY_PAUSE_S = 0.1
-REREAD_SHARE = 0.2  # of the reads start at a known position, to check that its result is unchanged
-WAIT_MS = 1000  # for which a gateway may hold a read that has nothing new yet
+REREAD_SHARE = 0.2  # share of reads that start at a known position, to check that its result is unchanged
+WAIT_MS = 1000  # long poll: how long a gateway may delay a response while there are no new results
 
 
 @attrs.frozen
 class JobItem:
-    """An item of a batch job as the client made it."""
+    """An item of a batch job."""
 
     id: str
     path: str
@@ -35,11 +35,11 @@
 
     @property
     def tokens(self) -> int:
-        """The tokens of the prompt and the most tokens of the output."""
+        """The tokens of the prompt plus the maximum tokens of the output."""
         return sum(tokens for _, tokens in self.prompt_parts) + self.output_tokens
 
     def document(self) -> dict[str, Any]:
-        """The item as it is sent."""
+        """Return the item as the JSON object that is sent."""
         prompt = self.tokens - self.output_tokens
         headers = {
             "Model": "m",
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class BatchJob:
-    """A batch job by its id, with its items in order."""
+    """A batch job with its items in order."""
 
     id: str
     items: tuple[JobItem, ...]
@@ -66,7 +66,7 @@
 
 @attrs.frozen
 class JobResult:
-    """A result at a position: `state` is `completed` or `dead_letter`."""
+    """The result at one position; `state` is `completed` or `dead_letter`."""
 
     item_id: str
     state: str
@@ -77,7 +77,7 @@
 class JobHistory:
     """The responses that a client received about a batch job.
 
-    `changed` has the positions that held two different results.
+    `changed` lists the positions whose result differed between two reads.
     """
 
     job: BatchJob
@@ -88,7 +88,7 @@
     results: list[JobResult] = attrs.field(factory=list)
     changed: list[int] = attrs.field(factory=list)
     wrong_total_count: int = 0
-    failed_reads: int = 0  # reads that were answered 404 or 410 after the 202
+    failed_reads: int = 0  # reads with status 404 or 410 after the job was accepted
 
     @property
     def accepted(self) -> bool:
@@ -102,26 +102,26 @@
 
 
 def make_job(items: int, seed: int, output_tokens: int = 40) -> BatchJob:
-    """A batch job whose items share the first part of their prompts."""
+    """Make a random batch job whose items share the first part of their prompts."""
     rng = random.Random(seed)
-    made = []
+    job_items = []
     for _ in range(items):
         item_id = rng.randbytes(8).hex()
         parts = (("5eed01", 300), (item_id, rng.randint(50, 200)))
         path = f"{JOB_PREFIX}{item_id[:4]}"
-        made.append(JobItem(item_id, path, rng.randbytes(24), parts, output_tokens))
-    return BatchJob(secrets.token_hex(8), tuple(made))
+        job_items.append(JobItem(item_id, path, rng.randbytes(24), parts, output_tokens))
+    return BatchJob(secrets.token_hex(8), tuple(job_items))
 
 
 class JobClient:
-    """Submits batch jobs and follows them. `frontends` gives the gateways' addresses at each call."""
+    """Submits batch jobs and reads their results. `frontends` returns the gateways' current addresses."""
 
     def __init__(self, frontends: Callable[[], Sequence[str]], seed: int) -> None:
         self._frontends = frontends
         self._random = random.Random(seed)
 
     async def submit(self, job: BatchJob, within_s: float = 6.0) -> JobHistory:
-        """Submit a job, retried at other gateways until it is accepted, or rejected as wrong."""
+        """Submit a job, with retries at random gateways until it is accepted or rejected as invalid."""
         loop = asyncio.get_running_loop()
         history = JobHistory(job)
         started_s = loop.time()
@@ -138,22 +138,22 @@
         return history
 
     async def follow(self, history: JobHistory, within_s: float) -> JobHistory:
-        """Read results until all are there or the time is over."""
+        """Read results until the job is complete or `within_s` seconds have passed."""
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         while not history.complete and loop.time() - started_s < within_s:
-            at = len(history.results)
-            if at and self._random.random() < REREAD_SHARE:
-                at = self._random.randrange(at)
+            start = len(history.results)
+            if start and self._random.random() < REREAD_SHARE:
+                start = self._random.randrange(start)
             known = len(history.results)
-            await self.read(history, at)
+            await self.read(history, start)
             if len(history.results) == known:
                 await asyncio.sleep(READ_INTERVAL_S)
         history.done_s = history.accepted_s + loop.time() - started_s
         return history
 
     async def read(self, history: JobHistory, start_after: int) -> bool:
-        """Read one page into the history; whether it came."""
+        """Read one page of results into the history. Returns whether a page was received."""
         path = f"/v1/lots/{history.job.id}?StartAfter={start_after}"
         response = await self._call("GET", path, b"", {"Wait-Ms": str(WAIT_MS)})
         if response is None:
@@ -164,12 +164,12 @@
         _record_page(history, start_after, orjson.loads(response.body))
         return True
 
-    async def body_of(self, job: BatchJob, item_id: str) -> HttpResponse | None:
-        """The body of an item that is not listed yet."""
+    async def read_body(self, job: BatchJob, item_id: str) -> HttpResponse | None:
+        """Read the body of an item that has no result yet."""
         return await self._call("GET", f"/v1/items/{job.id}?Id={quote(item_id)}", b"", {})
 
     async def end(self, job: BatchJob, within_s: float = 6.0) -> bool:
-        """End a job; whether that was acknowledged."""
+        """End a job. Returns whether a gateway acknowledged it."""
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         while loop.time() - started_s < within_s:
@@ -182,10 +182,10 @@
     async def _call(
         self, method: str, path: str, content: bytes, headers: dict[str, str]
     ) -> HttpResponse | None:
-        places = self._frontends()
-        if not places:
+        addresses = self._frontends()
+        if not addresses:
             return None
-        url = f"http://{self._random.choice(list(places))}{path}"
+        url = f"http://{self._random.choice(list(addresses))}{path}"
         try:
             return await call_once(
                 method, url, headers={"Host": HOST, **headers}, content=content, timeout_s=RESPONSE_TIMEOUT_S
--- a/emberring/emulator/kv_cache.py
+++ b/emberring/emulator/kv_cache.py
@@ -1,4 +1,4 @@
-"""The KV cache of an emulated engine: parts of prompts, cached while they are used and while there is capacity."""
+"""The KV cache of an emulated engine: an LRU cache of prompt parts that can be shared between requests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class PromptPart:
-    """A part of a prompt, by the id under which it may be shared."""
+    """A part of a prompt; parts with the same id are shared in the cache."""
 
     id: str
     tokens: int
@@ -32,22 +32,22 @@
         """Tokens that cannot be evicted."""
         return self._pinned_tokens + self.generated
 
-    def known_tokens(self, parts: Sequence[PromptPart]) -> int:
-        """The tokens of a prompt that need no prefill: its parts up to the first that is not cached."""
-        known = 0
+    def cached_prefix_tokens(self, parts: Sequence[PromptPart]) -> int:
+        """Return the tokens of a prompt that need no prefill: its parts up to the first that is not cached."""
+        cached = 0
         for part in parts:
             if part.id not in self._parts:
                 break
-            known += part.tokens
-        return known
+            cached += part.tokens
+        return cached
 
     def fits(self, parts: Sequence[PromptPart], more_tokens: int) -> bool:
-        """Whether a request fits besides what is in use."""
-        new = sum(part.tokens for part in parts if not self._users[part.id])
-        return self.used + new + more_tokens <= self.capacity
+        """Return whether a request with these parts and `more_tokens` fits in addition to the tokens in use."""
+        new_tokens = sum(part.tokens for part in parts if not self._users[part.id])
+        return self.used + new_tokens + more_tokens <= self.capacity
 
     def pin(self, parts: Sequence[PromptPart]) -> None:
-        """Cache these parts and protect them for a running request."""
+        """Cache these parts and protect them from eviction for a running request."""
         for part in parts:
             if part.id not in self._parts:
                 self._parts[part.id] = part.tokens
@@ -59,7 +59,7 @@
         self.evict_unused()
 
     def release(self, parts: Sequence[PromptPart], generated: int) -> None:
-        """A request has ended or was preempted; its parts stay cached while there is capacity."""
+        """Unpin the parts of a request that has ended or was preempted; they stay cached until they are evicted."""
         self.generated -= generated
         for part in parts:
             self._users[part.id] -= 1
@@ -68,7 +68,7 @@
                 self._pinned_tokens -= self._parts[part.id]
 
     def evict_unused(self) -> bool:
-        """Evict the least recently used parts until the rest fits; whether it does."""
+        """Evict unpinned parts, least recently used first, until the content fits. Returns whether it fits."""
         if self._cached_tokens + self.generated <= self.capacity:
             return True
         for name in [name for name in self._parts if not self._users[name]]:
--- a/emberring/emulator/live_client.py
+++ b/emberring/emulator/live_client.py
@@ -1,4 +1,4 @@
-"""An emulated client of live streams: it reads events as they arrive and retries only where that is safe."""
+"""An emulated client of live streams: it reads events as they arrive and retries only requests that did not run."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from emberring.emulator.configurations import HOST
 from emberring.emulator.events import EventReader, StreamEvent
-from emberring.emulator.http_calls import plain_headers, timeouts
+from emberring.emulator.http_calls import headers_by_name, timeout_extension
 
 NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
 CONNECT_TIMEOUT_S = 1.0
@@ -24,12 +24,12 @@
     """How a stream ended for its client."""
 
     SERVED = "served"
-    REJECTED = "refused"  # with the promise that it was not executed
-    FAILED = "failed"  # no promise: 502, 504, 500
-    CLIENT_ERROR = "denied"  # another 4xx
+    REJECTED = "refused"  # a status that guarantees that the request was not executed
+    FAILED = "failed"  # 500, 502 or 504: the request may have been executed
+    CLIENT_ERROR = "denied"  # another 4xx status
     BROKEN = "broken"  # the connection ended early
     TIMED_OUT = "silent"
-    NOT_REACHED = "not reached"  # no connection came up
+    NOT_REACHED = "not reached"  # no connection was established
 
 
 RETRYABLE_ENDS = frozenset({StreamEnd.REJECTED, StreamEnd.NOT_REACHED})
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class StreamCall:
-    """A client's call. The last part of the prompt is unique to it."""
+    """A client's call; the last part of its prompt is not shared with other calls."""
 
     path: str
     body: bytes
@@ -49,7 +49,7 @@
 
 @attrs.frozen
 class StreamResult:
-    """One attempt of a client: `first_s` is the delay of the first event, `gap_s` the longest pause after it (s)."""
+    """The result of one attempt: `first_s` is the delay of the first event, `gap_s` the longest pause after it (s)."""
 
     request_id: str
     end: StreamEnd
@@ -65,7 +65,7 @@
 
 
 def stream_headers(call: StreamCall, request_id: str, remaining_s: float) -> list[tuple[str, str]]:
-    """The headers of a request for tokens."""
+    """Return the headers of a generation request."""
     prompt = sum(tokens for _, tokens in call.prompt_parts)
     return [
         ("Host", call.host),
@@ -92,19 +92,19 @@
         self._last = now
 
     def feed(self, data: bytes, now: float) -> None:
-        """Add bytes of a successful response."""
-        fresh = self.reader.feed(data)
-        if not fresh:
+        """Parse bytes of a successful response."""
+        new_events = self.reader.feed(data)
+        if not new_events:
             return
         if self.events:
             self.gap_s = max(self.gap_s, now - self._last)
         else:
             self.first_s = now - self.started_s
         self._last = now
-        self.events += fresh
+        self.events += new_events
 
     def result(self, end: StreamEnd, now: float, detail: str = "") -> StreamResult:
-        """The result of the attempt."""
+        """Return the result of the attempt."""
         retry_after = self.headers.get("retry-after", "0")
         return StreamResult(
             request_id=self.request_id,
@@ -130,46 +130,48 @@
 
 
 async def attempt_stream(frontend: str, call: StreamCall, remaining_s: float) -> StreamResult:
-    """One attempt on a connection of its own, for at most `remaining_s` seconds."""
+    """Make one attempt on its own connection, for at most `remaining_s` seconds."""
     loop = asyncio.get_running_loop()
-    reading = _ResponseState(secrets.token_hex(8), loop.time())
+    response_state = _ResponseState(secrets.token_hex(8), loop.time())
     try:
         async with asyncio.timeout(remaining_s):
-            await _read_answer(frontend, call, remaining_s, reading)
+            await _read_response(frontend, call, remaining_s, response_state)
     except TimeoutError:
-        return reading.result(StreamEnd.TIMED_OUT, loop.time(), "deadline")
+        return response_state.result(StreamEnd.TIMED_OUT, loop.time(), "deadline")
     except (httpcore.ConnectError, httpcore.ConnectTimeout) as error:
-        return reading.result(StreamEnd.NOT_REACHED, loop.time(), str(error))
+        return response_state.result(StreamEnd.NOT_REACHED, loop.time(), str(error))
     except httpcore.TimeoutException as error:
-        return reading.result(StreamEnd.TIMED_OUT, loop.time(), type(error).__name__)
+        return response_state.result(StreamEnd.TIMED_OUT, loop.time(), type(error).__name__)
     except (httpcore.NetworkError, httpcore.ProtocolError, ValueError) as error:
-        return reading.result(StreamEnd.BROKEN, loop.time(), f"{type(error).__name__}: {error}")
-    return reading.result(_end_of(reading.status), loop.time())
+        return response_state.result(StreamEnd.BROKEN, loop.time(), f"{type(error).__name__}: {error}")
+    return response_state.result(_end_of(response_state.status), loop.time())
 
 
-async def _read_answer(frontend: str, call: StreamCall, remaining_s: float, reading: _ResponseState) -> None:
+async def _read_response(
+    frontend: str, call: StreamCall, remaining_s: float, response_state: _ResponseState
+) -> None:
     loop = asyncio.get_running_loop()
-    limits = timeouts(READ_TIMEOUT_S)
-    limits["timeout"]["connect"] = CONNECT_TIMEOUT_S
+    timeouts = timeout_extension(READ_TIMEOUT_S)
+    timeouts["timeout"]["connect"] = CONNECT_TIMEOUT_S
     async with (
         httpcore.AsyncConnectionPool(max_keepalive_connections=0, retries=0) as pool,
         pool.stream(
             "POST",
             f"http://{frontend}{call.path}",
-            headers=stream_headers(call, reading.request_id, remaining_s),
+            headers=stream_headers(call, response_state.request_id, remaining_s),
             content=call.body,
-            extensions=limits,
+            extensions=timeouts,
         ) as response,
     ):
-        reading.status = response.status
-        reading.headers = plain_headers(response.headers)
+        response_state.status = response.status
+        response_state.headers = headers_by_name(response.headers)
         async for data in response.aiter_stream():
             if response.status == 200:
-                reading.feed(data, loop.time())
+                response_state.feed(data, loop.time())
 
 
 class LiveClient:
-    """Calls streams at the gateways in service, as clients do. `frontends` gives their addresses at each attempt."""
+    """Requests streams from the gateways, as clients do. `frontends` returns their addresses at each attempt."""
 
     def __init__(self, frontends: Callable[[], list[str]], seed: int, retries: int = 1) -> None:
         self._frontends = frontends
@@ -177,17 +179,17 @@
         self._retries = retries
 
     async def ask(self, call: StreamCall) -> tuple[StreamResult, ...]:
-        """The results of all attempts of a call; the last one says how it ended."""
+        """Make a call with retries; return the results of all attempts, the final one last."""
         loop = asyncio.get_running_loop()
         deadline_at_s = loop.time() + call.deadline_s
         results: list[StreamResult] = []
-        for at in range(1 + self._retries):
-            places = self._frontends()
-            if not places or loop.time() >= deadline_at_s:
+        for attempt in range(1 + self._retries):
+            addresses = self._frontends()
+            if not addresses or loop.time() >= deadline_at_s:
                 break
-            result = await attempt_stream(self._random.choice(places), call, deadline_at_s - loop.time())
+            result = await attempt_stream(self._random.choice(addresses), call, deadline_at_s - loop.time())
             results.append(result)
-            if result.end not in RETRYABLE_ENDS or at == self._retries:
+            if result.end not in RETRYABLE_ENDS or attempt == self._retries:
                 break
             pause_s = min(result.retry_after_s, (deadline_at_s - loop.time()) / 3)
             await asyncio.sleep(max(0.0, pause_s))
--- a/emberring/emulator/load_report.py
+++ b/emberring/emulator/load_report.py
@@ -1,4 +1,4 @@
-"""The load report that an emulated model server serves: the figures of its engine, refreshed now and then."""
+"""The load report of an emulated model server: the load of its engine, cached for a short time."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         self._body = b""
 
     def body(self, engine: Engine, now_s: float) -> bytes:
-        """The page at this time (seconds)."""
+        """Return the report at this time (seconds)."""
         if now_s - self._made_s >= REFRESH_INTERVAL_S:
             figures = engine.report()
             document = {
--- a/emberring/emulator/local_node.py
+++ b/emberring/emulator/local_node.py
@@ -1,4 +1,4 @@
-"""A node of the tier as a process on loopback: its settings file, its start, its kill by process id."""
+"""Runs a node of the tier as a process on loopback: writes its settings file, starts it and stops it."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 SOURCE_ROOT = Path(__file__).resolve().parent.parent.parent
 FRONTEND, READINESS, CONTROL_PLANE, FIRST_INTERNAL, LAST_INTERNAL = range(5)
-CLASSES = {"gateway": "edge", "control": "core", "store": "storage"}
-SERVES = {"gateway": "edge", "control": "controller", "store": "storage"}
+MACHINE_CLASSES = {"gateway": "edge", "control": "core", "store": "storage"}
+SERVED_CLASSES = {"gateway": "edge", "control": "controller", "store": "storage"}
 
 
 @attrs.frozen
-class NodePlace:
-    """The address of a node: all nodes have the same ports, each an IP address of its own."""
+class NodeSpec:
+    """The role and address of a node: all nodes use the same ports, each on its own IP address."""
 
     name: str
     role: str
@@ -31,24 +31,24 @@
     base_port: int
 
     def address(self, port: int) -> str:
-        """`ip:port` of one of its ports, by its offset from the first."""
+        """Return the `ip:port` of a port, which is given by its offset from the base port."""
         return f"{self.ip}:{self.base_port + port}"
 
 
 def settings_text(
-    place: NodePlace, seeds: Sequence[str], data_dir: Path, *, bootstrap: bool, grace_s: float
+    spec: NodeSpec, seeds: Sequence[str], data_dir: Path, *, bootstrap: bool, grace_s: float
 ) -> str:
-    """The settings file of a node."""
-    has_disk = place.role != "gateway"
+    """Return the text of a node's settings file."""
+    has_disk = spec.role != "gateway"
     lines = [
-        f'NodeName = "{place.name}"',
-        f'Role = "{place.role}"',
-        f'MachineClass = "{CLASSES[place.role]}"',
-        f'Serves = ["{SERVES[place.role]}"]',
-        f'Ip = "{place.ip}"',
-        f'Zone = "{place.zone}"',
+        f'NodeName = "{spec.name}"',
+        f'Role = "{spec.role}"',
+        f'MachineClass = "{MACHINE_CLASSES[spec.role]}"',
+        f'Serves = ["{SERVED_CLASSES[spec.role]}"]',
+        f'Ip = "{spec.ip}"',
+        f'Zone = "{spec.zone}"',
         'Region = "loopback"',
-        f"PortRange = [{place.base_port + FIRST_INTERNAL}, {place.base_port + FIRST_INTERNAL + 10}]",
+        f"PortRange = [{spec.base_port + FIRST_INTERNAL}, {spec.base_port + FIRST_INTERNAL + 10}]",
         f"SeedNodes = [{', '.join(repr(seed) for seed in seeds)}]".replace("'", '"'),
         f"Bootstrap = {str(bootstrap).lower()}",
         f"CountsForQuorum = {str(has_disk).lower()}",
@@ -57,40 +57,40 @@
     if has_disk:
         lines.append(f'DataDir = "{data_dir}"')
     lines += ["[Listen]"]
-    if place.role == "gateway":
-        lines.append(f'Frontend = "{place.address(FRONTEND)}"')
-        lines.append(f'Readiness = "{place.address(READINESS)}"')
-    if place.role == "control":
-        lines.append(f'ControlPlane = "{place.address(CONTROL_PLANE)}"')
+    if spec.role == "gateway":
+        lines.append(f'Frontend = "{spec.address(FRONTEND)}"')
+        lines.append(f'Readiness = "{spec.address(READINESS)}"')
+    if spec.role == "control":
+        lines.append(f'ControlPlane = "{spec.address(CONTROL_PLANE)}"')
     lines += ["[Limits]", "MemoryMb = 300", "MaxFds = 4096", f"DiskMb = {128 if has_disk else 0}"]
     lines += ["[FaultTolerance]", "Machines = 1", "[Bounds]", f"GraceS = {grace_s}"]
     return "\n".join(lines) + "\n"
 
 
 class LocalNode:
-    """One node: its folder holds the settings, the data and the log."""
+    """One node's process, and the folder with its settings, data and log."""
 
-    def __init__(self, place: NodePlace, seeds: Sequence[str], folder: Path, grace_s: float) -> None:
-        self.place = place
+    def __init__(self, spec: NodeSpec, seeds: Sequence[str], folder: Path, grace_s: float) -> None:
+        self.place = spec
         self.starts = 0
         self._seeds = tuple(seeds)
         self._grace_s = grace_s
-        self._folder = folder / place.name
+        self._folder = folder / spec.name
         self._process: subprocess.Popen[bytes] | None = None
 
     @property
     def log_path(self) -> Path:
-        """The path of its log."""
+        """The path of the log file."""
         return self._folder / "log"
 
     @property
     def settings_path(self) -> Path:
-        """The path of its settings file."""
+        """The path of the settings file."""
         return self._folder / "local.toml"
 
     @property
     def running(self) -> bool:
-        """Whether the process runs."""
+        """Whether the process is running."""
         return self._process is not None and self._process.poll() is None
 
     @property
@@ -99,7 +99,7 @@
         return self._process.pid if self._process is not None else 0
 
     def start(self, *, bootstrap: bool) -> None:
-        """Start the process; its log is appended to."""
+        """Write the settings file and start the process, which appends to the log."""
         data_dir = self._folder / "data"
         data_dir.mkdir(parents=True, exist_ok=True)
         text = settings_text(self.place, self._seeds, data_dir, bootstrap=bootstrap, grace_s=self._grace_s)
@@ -119,13 +119,13 @@
         self.starts += 1
 
     def kill(self) -> None:
-        """End the process at once, as a crash does."""
+        """Kill the process with SIGKILL, to emulate a crash."""
         if self._process is not None:
             os.kill(self._process.pid, signal.SIGKILL)
             self._process.wait()
 
     async def stop(self, within_s: float) -> int | None:
-        """Stop the process by SIGTERM; its exit code, or None where it had to be killed after `within_s` seconds."""
+        """Stop the process with SIGTERM. Returns its exit code, or None if it had to be killed after `within_s` s."""
         if self._process is None:
             return None
         if self._process.poll() is None:
@@ -137,7 +137,7 @@
             return None
 
     def log_tail(self, lines: int = 5) -> list[str]:
-        """The last lines of its log."""
+        """Return the last lines of the log."""
         if not self.log_path.exists():
             return []
         return self.log_path.read_text(errors="replace").splitlines()[-lines:]
--- a/emberring/emulator/model_server.py
+++ b/emberring/emulator/model_server.py
@@ -1,4 +1,4 @@
-"""An emulated model server: HTTP/1.1 in front of an emulated engine, in real time, with faults to inject."""
+"""An emulated model server: an HTTP/1.1 interface to an emulated engine in real time, with fault injection."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
     ServerRequest,
     chunk,
     complete_response,
-    head,
+    response_head,
 )
 
-NOT_EXECUTED = {"Not-Executed": "1"}  # the header that promises that a request did not run
-INVALID_PATH_PART = "/impossible/"  # requests with this in their path get 422
+NOT_EXECUTED = {"Not-Executed": "1"}  # the header that guarantees that a request was not executed
+INVALID_PATH_PART = "/impossible/"  # requests whose path contains this get status 422
 
 
 @attrs.frozen
 class ServerSpec:
-    """The properties of a server; `address` is `ip:port`, port 0 for any free one."""
+    """The properties of a server; `address` is `ip:port`, with port 0 for any free port."""
 
     service: str
     address: str = "127.0.0.1:0"
@@ -40,7 +40,7 @@
 
 
 class ModelServer:
-    """One incarnation of a server, with an id of its own. All methods belong to one event loop."""
+    """One incarnation of a server, with its own id. All methods must be called on the same event loop."""
 
     def __init__(self, spec: ServerSpec, observations: Observations) -> None:
         self.spec = spec
@@ -63,7 +63,7 @@
         return len(self._exchanges)
 
     async def start(self) -> None:
-        """Listen; `address` has the port from then on."""
+        """Start listening and set `address` to the actual port."""
         host, _, port = self.spec.address.rpartition(":")
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: ServerConnection(self), host, int(port))
@@ -81,7 +81,7 @@
             connection.abort()
 
     def become_unresponsive(self) -> None:
-        """Read and send nothing from now on."""
+        """Stop reading and sending without closing connections."""
         self.faults.unresponsive = True
         for connection in self._connections:
             connection.pause()
@@ -89,7 +89,7 @@
     # Requests
 
     def on_connection_opened(self, connection: ServerConnection) -> bool:
-        """Accept a new connection unless there are too many."""
+        """Accept a new connection unless the limit of connections is reached."""
         if len(self._connections) >= self.spec.max_connections:
             return False
         self._connections.add(connection)
@@ -98,7 +98,7 @@
         return True
 
     def on_connection_closed(self, connection: ServerConnection) -> None:
-        """A caller has disconnected: its request is dropped."""
+        """Drop the request of a caller that has disconnected."""
         self._connections.discard(connection)
         exchange = self._exchanges.pop(connection, None)
         if exchange is not None:
@@ -153,7 +153,7 @@
             self._step_at = loop.time()
             self._schedule_step()
 
-    # The engine's time
+    # Engine steps and the responses that they produce
 
     def _schedule_step(self) -> None:
         self.engine.step_factor = self.faults.step_factor
@@ -182,7 +182,7 @@
         event_id = FIRST_EVENT_ID + item.index
         request = exchange.request
         data = event_bytes(event_id, event_text(request.path, request.body, event_id))
-        if self.faults.take("truncated_responses"):
+        if self.faults.consume("truncated_responses"):
             exchange.connection.write(chunk(data[: len(data) // 2]))
             self._end_exchange(exchange, abort=True)
             return
@@ -191,18 +191,18 @@
             self._end_exchange(exchange)
 
     def _send_head(self, exchange: Exchange) -> bool:
-        if self.faults.take("corrupt_responses"):
+        if self.faults.consume("corrupt_responses"):
             exchange.connection.write(CORRUPT_RESPONSE)
             self._end_exchange(exchange, close=True)
             return False
-        if self.faults.take("failed_responses"):
+        if self.faults.consume("failed_responses"):
             self._forget_exchange(exchange)
             self._respond(exchange.connection, exchange.request, 500, b"", self._sign(exchange.request))
             return False
         headers = {**self._sign(exchange.request), "Content-Type": "text/event-stream"}
         exchange.signature = headers["Response-Signature"]
         headers["Transfer-Encoding"] = "chunked"
-        exchange.connection.write(head(200, self._common_headers(exchange.request, headers)))
+        exchange.connection.write(response_head(200, self._common_headers(exchange.request, headers)))
         return True
 
     def _end_exchange(self, exchange: Exchange, *, abort: bool = False, close: bool = False) -> None:
@@ -212,7 +212,7 @@
             return
         if not close:
             exchange.connection.write(LAST_CHUNK)
-        if self.faults.take("surplus_responses"):
+        if self.faults.consume("surplus_responses"):
             other = {"Request-Id": secrets.token_hex(8)}
             exchange.connection.write(complete_response(200, other, b"surplus"))
         exchange.connection.finish(close=close or self.draining)
@@ -237,7 +237,7 @@
             exchange.timer.cancel()
         self.engine.drop(exchange.engine_request)
 
-    # Responses
+    # Records and responses
 
     def _record_run(self, request: ServerRequest) -> None:
         at_s = asyncio.get_running_loop().time()
@@ -270,6 +270,6 @@
 
 
 def _received_events(request: ServerRequest) -> int:
-    """How many events the caller has received already."""
+    """Return the number of events that the caller has already received."""
     after = request.resume_after
     return 0 if after is None else max(0, after - FIRST_EVENT_ID + 1)
--- a/emberring/emulator/observations.py
+++ b/emberring/emulator/observations.py
@@ -1,4 +1,4 @@
-"""What the emulated servers observed: the data for the invariant checker."""
+"""Records of the emulated servers for the invariant checker."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class Run:
-    """A server began to execute a request. `resume_after` is the id of the event that it resumed after, or None."""
+    """The start of an execution. `resume_after` is the id of the event after which the stream resumed, or None."""
 
     request_id: str
     server_id: str
@@ -21,7 +21,7 @@
 
 
 class Observations:
-    """All executions by request id, and the signatures of the servers' responses."""
+    """All executions by request id, the signatures of the servers' responses, and the crashed servers."""
 
     def __init__(self) -> None:
         self.runs: dict[str, list[Run]] = defaultdict(list)
@@ -29,7 +29,7 @@
         self.crashed: set[str] = set()  # ids of servers
 
     def record_run(self, run: Run) -> None:
-        """Record that a server began to execute a request."""
+        """Record that a server has started to execute a request."""
         self.runs[run.request_id].append(run)
 
     def record_signature(self, signature: str, request_id: str) -> None:
--- a/emberring/emulator/operator.py
+++ b/emberring/emulator/operator.py
@@ -1,4 +1,4 @@
-"""An emulated operator: requests to a control node, retried at the next one until the outcome is known."""
+"""An emulated operator: sends requests to the control nodes in turn until the outcome is known."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from emberring.emulator.http_calls import CALL_ERRORS, HttpResponse, call_once
 
 READ_TIMEOUT_S = 1.0
-FIRST_PAUSE_S = 0.05
-MAX_PAUSE_S = 1.0
+INITIAL_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
 MAX_REDIRECTS = 2
 FINAL_STATUSES = frozenset({400, 409, 412, 413, 422})
 RETRYABLE_STATUSES = frozenset({408, 429})
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class RequestOutcome:
-    """The outcome of a request. `status` is 0 where it is unknown; `took_s` counts from the first attempt (seconds)."""
+    """The outcome of a request. `status` is 0 if it is unknown; `took_s` is the time since the first attempt (s)."""
 
     status: int
     body: bytes
@@ -37,11 +37,11 @@
 
 
 class Operator:
-    """Sends requests as the operator's tool does. `controls` are the control plane's addresses (`ip:port`)."""
+    """Sends requests for the operator's tools. `controls` are the control plane's addresses (`ip:port`)."""
 
     def __init__(self, controls: Sequence[str]) -> None:
         self._controls = list(controls)
-        self._turn: Iterator[int] = itertools.count()
+        self._next_index: Iterator[int] = itertools.count()
 
     async def put_configuration(
         self, document: Mapping[str, Any], builds_on: int, within_s: float = 10.0
@@ -52,7 +52,7 @@
     async def patch_configuration(
         self, document: Mapping[str, Any], builds_on: int, within_s: float = 10.0
     ) -> RequestOutcome:
-        """Change named items."""
+        """Send a patch that changes named items of the configuration."""
         return await self._configure("PATCH", document, builds_on, within_s)
 
     async def _configure(
@@ -62,12 +62,12 @@
         return await self.send_request(method, "/v1/config", orjson.dumps(document), headers, within_s)
 
     async def read_configuration(self, within_s: float = 5.0) -> dict[str, Any] | None:
-        """The newest configuration, or None where no control node sent it in time."""
+        """Read the newest configuration. Returns None if no control node sent it in time."""
         outcome = await self.send_request("GET", "/v1/config", b"", {}, within_s)
         if not outcome.acknowledged:
             return None
-        found = orjson.loads(outcome.body)
-        return found if isinstance(found, dict) else None
+        document = orjson.loads(outcome.body)
+        return document if isinstance(document, dict) else None
 
     async def retire(self, node: str, duration_s: float, within_s: float = 4.0) -> RequestOutcome:
         """Request the retirement of a store."""
@@ -81,15 +81,15 @@
     async def send_request(
         self, method: str, path: str, content: bytes, headers: Mapping[str, str], within_s: float
     ) -> RequestOutcome:
-        """Send a request until its outcome is known or `within_s` seconds are over."""
+        """Send a request with retries until its outcome is known or `within_s` seconds have passed."""
         loop = asyncio.get_running_loop()
         started_s = loop.time()
-        pause_s, attempts, other_client_errors = FIRST_PAUSE_S, 0, 0
+        backoff_s, attempts, other_client_errors = INITIAL_BACKOFF_S, 0, 0
         last = HttpResponse(0, {}, b"")
         while loop.time() - started_s < within_s:
-            node = self._controls[next(self._turn) % len(self._controls)]
+            node = self._controls[next(self._next_index) % len(self._controls)]
             attempts += 1
-            response = await self._try(method, node, path, content, headers)
+            response = await self._send_once(method, node, path, content, headers)
             if response is not None:
                 last = response
                 other_client_errors += _is_other_client_error(response.status)
@@ -97,11 +97,11 @@
                     return RequestOutcome(
                         response.status, response.body, attempts, loop.time() - started_s, node
                     )
-            await asyncio.sleep(min(pause_s, max(0.0, started_s + within_s - loop.time())))
-            pause_s = min(MAX_PAUSE_S, 2 * pause_s)
+            await asyncio.sleep(min(backoff_s, max(0.0, started_s + within_s - loop.time())))
+            backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
         return RequestOutcome(0, last.body, attempts, loop.time() - started_s)
 
-    async def _try(
+    async def _send_once(
         self, method: str, node: str, path: str, content: bytes, headers: Mapping[str, str]
     ) -> HttpResponse | None:
         url = f"http://{node}{path}"
--- a/emberring/emulator/server_fleet.py
+++ b/emberring/emulator/server_fleet.py
@@ -1,4 +1,4 @@
-"""The model servers of a trial: they start, crash, drain and are replaced."""
+"""Starts, crashes, drains and replaces the model servers of a trial."""
 
 from __future__ import annotations
 
@@ -11,13 +11,12 @@
 from emberring.emulator.observations import Observations
 from emberring.emulator.waiting import wait_until
 
-SERVE_AFTER_DRAIN_S = (
-    2.5  # after the acknowledgement of a drain; longer than gateways may take to learn of it
-)
+# Time for which a server continues to serve after its drain is acknowledged; longer than the propagation to gateways.
+SERVE_AFTER_DRAIN_S = 2.5
 
 
 class ServerFleet:
-    """Servers of one service with their heartbeats."""
+    """The servers of one service and their heartbeats."""
 
     def __init__(
         self,
@@ -35,7 +34,7 @@
         self._heartbeat_s = heartbeat_s
 
     async def add(self) -> ModelServer:
-        """Start a server at a free address."""
+        """Start a server on a free port."""
         spec = ServerSpec(self._service, zone=f"zone-{'abc'[len(self.servers) % 3]}", engine=self._engine)
         server = ModelServer(spec, self._observations)
         await server.start()
@@ -45,23 +44,23 @@
         return server
 
     async def crash(self, server_id: str) -> None:
-        """A server ends without a notification."""
+        """Stop a server without a drain or deregistration."""
         server, heartbeats = self.servers.pop(server_id)
         server.stop(crash=True)
         await heartbeats.stop()
 
     async def release(self, server_id: str) -> bool:
-        """A server drains, deregisters and ends; whether both were acknowledged."""
+        """Drain, deregister and stop a server. Returns whether the drain and the deregistration were acknowledged."""
         server, heartbeats = self.servers.pop(server_id)
         drained = await heartbeats.drain()
         await asyncio.sleep(SERVE_AFTER_DRAIN_S)
         await wait_until(lambda: server.in_flight == 0, SERVE_AFTER_DRAIN_S)
-        left = await heartbeats.deregister()
+        deregistered = await heartbeats.deregister()
         server.stop()
-        return drained and left
+        return drained and deregistered
 
     async def stop(self) -> None:
-        """End all servers."""
+        """Stop all servers."""
         for server, heartbeats in self.servers.values():
             server.stop()
             await heartbeats.stop()
--- a/emberring/emulator/store_scan.py
+++ b/emberring/emulator/store_scan.py
@@ -1,4 +1,4 @@
-"""Reads from the stores of a local tier what they own, so that a trial can kill the busiest one."""
+"""Reads the status of a local tier's stores, so that a trial can kill the store that owns the most jobs."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 from emberring.jobs.status import StoreStatus, StoreStatusRequest
 from emberring.transport.network import Network
 
-ANSWER_S = 1.0
+RESPONSE_TIMEOUT_S = 1.0
 
 
 async def scan_stores(tier: LocalTier) -> dict[str, StoreStatus]:
-    """The status of each store that answers, by name."""
+    """Return the status of each store that responds, by name."""
     network = Network()
 
-    async def ask(name: str, address: str) -> tuple[str, StoreStatus | None]:
+    async def request_status(name: str, address: str) -> tuple[str, StoreStatus | None]:
         try:
-            return name, await network.call(address, StoreStatusRequest(), StoreStatus, ANSWER_S)
+            return name, await network.call(address, StoreStatusRequest(), StoreStatus, RESPONSE_TIMEOUT_S)
         except EmberringError:
             return name, None
 
-    places = [node.place for node in tier.of_role("store")]
-    calls = (ask(place.name, place.address(INTERNAL_OF_ROLE["store"])) for place in places)
-    found = await asyncio.gather(*calls)
+    specs = [node.place for node in tier.of_role("store")]
+    calls = (request_status(spec.name, spec.address(INTERNAL_OF_ROLE["store"])) for spec in specs)
+    results = await asyncio.gather(*calls)
     await network.close()
-    return {name: status for name, status in found if status is not None}
+    return {name: status for name, status in results if status is not None}
 
 
 async def busiest_store(tier: LocalTier) -> str | None:
-    """The store that owns the most batch jobs; None where no store owns any."""
+    """Return the store that owns the most batch jobs, or None if no store owns any."""
     jobs = {
         name: sum(shard.jobs for shard in status.shards if shard.owner)
         for name, status in (await scan_stores(tier)).items()
--- a/emberring/emulator/traffic.py
+++ b/emberring/emulator/traffic.py
@@ -1,4 +1,4 @@
-"""The client traffic of a trial: streams at a steady rate and batch jobs at intervals, counted and checked."""
+"""The client traffic of a trial: streams at random intervals and periodic batch jobs, with checks of all responses."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class TrafficPlan:
-    """The amount of traffic: streams per second, seconds between batch jobs, and how long a job may take (seconds)."""
+    """The amount of traffic: streams per second, the interval of batch jobs and the timeout of a job (seconds)."""
 
     streams_per_s: float = 20.0
     job_every_s: float = 3.0
@@ -39,19 +39,19 @@
     sent: int = 0
     served: int = 0
     attempts: int = 0
-    failures: Counter[str] = attrs.field(factory=Counter)  # of calls that were not served
+    failures: Counter[str] = attrs.field(factory=Counter)  # calls that were not served, by outcome
     first_event_delays_s: list[float] = attrs.field(factory=list)
 
     def delay_s(self, share: float) -> float:
-        """The delay (seconds) that this share of the served calls did not exceed."""
+        """Return the quantile `share` of the delays until the first event (seconds)."""
         if not self.first_event_delays_s:
             return 0.0
-        ordered = sorted(self.first_event_delays_s)
-        return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+        sorted_delays_s = sorted(self.first_event_delays_s)
+        return sorted_delays_s[min(len(sorted_delays_s) - 1, int(share * len(sorted_delays_s)))]
 
 
 class Traffic:
-    """Sends calls until it is stopped; then `violations` has every violation that it found."""
+    """Sends streams and batch jobs until it is stopped; `violations` is complete after `stop`."""
 
     def __init__(
         self, frontends: Callable[[], list[str]], observations: Observations, plan: TrafficPlan, seed: int = 1
@@ -70,12 +70,12 @@
         self._sources: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start sending."""
         loop = asyncio.get_running_loop()
         self._sources = [loop.create_task(self._streams()), loop.create_task(self._jobs())]
 
     async def stop(self, within_s: float) -> None:
-        """Send nothing new, wait up to `within_s` for what is in progress, and check the batch jobs."""
+        """Stop sending, wait up to `within_s` seconds for the calls in progress, and check the batch jobs."""
         for source in self._sources:
             source.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -111,9 +111,9 @@
             name, prefix = "review", REVIEW_PREFIX
         elif self.added_route and drawn > 0.8:
             name, prefix = "added", ADDED_PREFIX
-        own = self._random.randbytes(4).hex()
-        parts = (self._random.choice(SHARED_PARTS), (own, self._random.randint(50, 300)))
-        return name, StreamCall(f"{prefix}{own}", self._random.randbytes(32), parts, OUTPUT_TOKENS)
+        unique_id = self._random.randbytes(4).hex()
+        parts = (self._random.choice(SHARED_PARTS), (unique_id, self._random.randint(50, 300)))
+        return name, StreamCall(f"{prefix}{unique_id}", self._random.randbytes(32), parts, OUTPUT_TOKENS)
 
     async def _one_stream(self) -> None:
         name, call = self._make_call()
--- a/emberring/emulator/trial.py
+++ b/emberring/emulator/trial.py
@@ -1,4 +1,4 @@
-"""A trial of a complete tier on loopback: traffic, one node of each role killed, servers lost and replaced."""
+"""A trial of a complete tier on loopback: traffic, a killed node of each role, and replaced model servers."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 @attrs.frozen
 class TrialPlan:
-    """What happens and when; times in seconds.
+    """The size, traffic and faults of a trial; times in seconds.
 
-    `pause_between_faults_s` lies between two faults of machines that count for a quorum.
+    `pause_between_faults_s` separates the faults of nodes that are members of a quorum.
     """
 
     size: TierSize = attrs.field(factory=TierSize)
@@ -44,7 +44,10 @@
 
 @attrs.frozen
 class Fault:
-    """An injected fault; `recovery_s` is the time from the restart to the recovery, None where there was none."""
+    """An injected fault or change.
+
+    `recovery_s` is the time from a node's restart to its recovery, or the duration of a change; None if it failed.
+    """
 
     what: str
     node: str
@@ -61,26 +64,28 @@
     jobs: tuple[JobHistory, ...]
     violations: tuple[Violation, ...]
     exit_codes: dict[str, int | None]
-    logs: dict[str, tuple[str, ...]]  # the last lines of nodes that did not end in order
+    logs: dict[str, tuple[str, ...]]  # the last log lines of nodes that did not exit with code 0
 
     @property
     def clean(self) -> bool:
-        """Whether no rule was broken, every accepted job is complete and every node recovered and ended normally."""
+        """Whether no invariant was violated, most streams were served, and all jobs, recoveries and exits succeeded."""
         recovered = all(fault.recovery_s is not None for fault in self.faults)
-        taken = [history for history in self.jobs if history.accepted]
-        jobs = bool(taken) and all(history.complete for history in taken)
-        ended = all(code == 0 for code in self.exit_codes.values())
+        accepted = [history for history in self.jobs if history.accepted]
+        jobs_complete = bool(accepted) and all(history.complete for history in accepted)
+        stopped_normally = all(code == 0 for code in self.exit_codes.values())
         sent = sum(tally.sent for tally in self.tallies.values())
         served = sum(tally.served for tally in self.tallies.values())
-        return not self.violations and recovered and jobs and ended and served * 2 > sent
+        return not self.violations and recovered and jobs_complete and stopped_normally and served * 2 > sent
 
 
 class Trial:
-    """Runs a trial by its plan; `say` is called with a line for each step."""
+    """Runs a trial by its plan; `report_progress` is called with one line of text for each step."""
 
-    def __init__(self, folder: Path, plan: TrialPlan, say: Callable[[str], None], seed: int = 1) -> None:
+    def __init__(
+        self, folder: Path, plan: TrialPlan, report_progress: Callable[[str], None], seed: int = 1
+    ) -> None:
         self._plan = plan
-        self._say = say
+        self._report_progress = report_progress
         self._observations = Observations()
         self._tier = LocalTier(folder, plan.size)
         self._operator = Operator(self._tier.controls())
@@ -89,16 +94,16 @@
         self._traffic = Traffic(self._tier.frontends, self._observations, plan.traffic, seed)
         self._faults: list[Fault] = []
 
-    async def play(self) -> TrialReport:
-        """Run the trial; `NotReadyError` where the tier does not start."""
+    async def run(self) -> TrialReport:
+        """Run the trial. Raises `NotReadyError` if the tier does not start."""
         try:
             started_s = await self._start()
             self._traffic.start()
             await asyncio.sleep(self._plan.calm_s)
             await self._inject_faults()
-            self._say("traffic ends; waiting for open streams and lots")
+            self._report_progress("traffic ends; waiting for open streams and lots")
             await self._traffic.stop(self._plan.finish_s)
-            self._say("asking every node to end")
+            self._report_progress("asking every node to end")
             codes = await self._tier.stop()
             return self._report(started_s, codes)
         finally:
@@ -109,19 +114,23 @@
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         size = self._plan.size
-        self._say(f"starting {size.controls} control nodes, {size.stores} stores, {size.gateways} gateways")
+        self._report_progress(
+            f"starting {size.controls} control nodes, {size.stores} stores, {size.gateways} gateways"
+        )
         self._tier.start()
         for _ in range(self._plan.servers):
             await self._fleet.add()
         outcome = await self._operator.put_configuration(self._configuration(), 0, START_TIMEOUT_S)
         if not outcome.acknowledged:
-            raise NotReadyError(f"no control node took the first configuration ({self._first_log()})")
-        self._say(f"version 1 taken after {loop.time() - started_s:.1f} s")
+            raise NotReadyError(
+                f"no control node accepted the first configuration ({self._first_crash_log()})"
+            )
+        self._report_progress(f"version 1 taken after {loop.time() - started_s:.1f} s")
         if await self._tier.wait_up(self._tier.nodes, START_TIMEOUT_S) is None:
-            raise NotReadyError(f"not every node came up ({self._first_log()})")
+            raise NotReadyError(f"not every node became ready ({self._first_crash_log()})")
         await self._tier.wait_frontends(size.gateways, START_TIMEOUT_S)
-        self._say(f"EMBERRING_CONTROL={','.join(self._tier.controls())}")
-        self._say(f"all nodes up after {loop.time() - started_s:.1f} s")
+        self._report_progress(f"EMBERRING_CONTROL={','.join(self._tier.controls())}")
+        self._report_progress(f"all nodes up after {loop.time() - started_s:.1f} s")
         return loop.time() - started_s
 
     def _configuration(self) -> dict[str, object]:
@@ -139,18 +148,18 @@
         node = self._tier.of_role(role)[0]
         if role == "store":
             node = self._tier.nodes[await busiest_store(self._tier) or node.place.name]
-        self._say(f"kill -9 {node.pid} ({node.place.name})")
+        self._report_progress(f"kill -9 {node.pid} ({node.place.name})")
         node.kill()
         await asyncio.sleep(self._plan.downtime_s)
         node.start(bootstrap=False)
         recovery_s = await self._tier.wait_up([node.place.name], RECOVERY_TIMEOUT_S)
         result = "did not come back" if recovery_s is None else f"back {recovery_s:.1f} s after its restart"
-        self._say(f"{node.place.name} {result}")
+        self._report_progress(f"{node.place.name} {result}")
         self._faults.append(Fault(f"{role} killed", node.place.name, recovery_s))
 
     async def _replace_servers(self) -> None:
         first, second, *_ = self._fleet.servers
-        self._say(f"model server {first} crashes, {second} drains, two new ones come")
+        self._report_progress(f"model server {first} crashes, {second} drains, two new ones come")
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         await self._fleet.crash(first)
@@ -163,18 +172,18 @@
     async def _change_configuration(self) -> None:
         outcome = await self._operator.patch_configuration(added_route(2), 1)
         took_s = outcome.took_s if outcome.acknowledged else None
-        self._say(f"version 2 adds a route: status {outcome.status}")
+        self._report_progress(f"version 2 adds a route: status {outcome.status}")
         self._faults.append(Fault("route added", "version 2", took_s))
         self._traffic.added_route = outcome.acknowledged
 
-    def _first_log(self) -> str:
+    def _first_crash_log(self) -> str:
         for node in self._tier.nodes.values():
             if not node.running and node.log_tail(1):
                 return f"{node.place.name}: {node.log_tail(1)[0]}"
         return "all nodes run"
 
     def _report(self, started_s: float, codes: dict[str, int | None]) -> TrialReport:
-        bad = [name for name, code in codes.items() if code != 0]
+        failed_nodes = [name for name, code in codes.items() if code != 0]
         return TrialReport(
             started_s=started_s,
             faults=tuple(self._faults),
@@ -182,5 +191,5 @@
             jobs=tuple(self._traffic.jobs),
             violations=tuple(self._traffic.violations),
             exit_codes=codes,
-            logs={name: tuple(self._tier.nodes[name].log_tail(8)) for name in bad},
+            logs={name: tuple(self._tier.nodes[name].log_tail(8)) for name in failed_nodes},
         )
--- a/emberring/emulator/waiting.py
+++ b/emberring/emulator/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for a condition, within a time limit."""
+"""Waits for a condition with a timeout."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 async def wait_until(condition: Callable[[], bool], within_s: float) -> bool:
-    """Poll until the condition holds; whether it did within `within_s` seconds."""
+    """Poll until the condition is true. Returns False if it is not within `within_s` seconds."""
     loop = asyncio.get_running_loop()
     deadline_at_s = loop.time() + within_s
     while not condition():
--- a/tests/emberring/cli/test_tier_check_disk.py
+++ b/tests/emberring/cli/test_tier_check_disk.py
@@ -1,4 +1,4 @@
-"""The offline checks: what is whole is counted, what is damaged is named, nothing is written."""
+"""The offline disk checks: valid records are counted, damage is reported, and nothing is written."""
 
 from __future__ import annotations
 
@@ -41,12 +41,12 @@
     asyncio.run(write())
 
 
-def files(folder: Path) -> list[Path]:
-    """The files of the segments in use, oldest first."""
+def segment_files(folder: Path) -> list[Path]:
+    """Return the files of the segments in use, oldest first."""
     return [folder / segment.file for segment in scan_journal(folder).segments]
 
 
-def flip(path: Path, offset: int) -> None:
+def flip_byte(path: Path, offset: int) -> None:
     data = bytearray(path.read_bytes())
     data[offset] ^= 0xFF
     path.write_bytes(data)
@@ -63,57 +63,57 @@
 
 
 def test_an_undamaged_journal_has_no_damages(journal):
-    survey = scan_journal(journal)
-    assert [record.payload for record in survey.records] == PAYLOADS
-    assert len(survey.segments) > 2
-    assert [segment.number for segment in survey.segments] == list(range(len(survey.segments)))
-    assert survey.damages == ()
+    scan = scan_journal(journal)
+    assert [record.payload for record in scan.records] == PAYLOADS
+    assert len(scan.segments) > 2
+    assert [segment.number for segment in scan.segments] == list(range(len(scan.segments)))
+    assert scan.damages == ()
 
 
-def test_a_torn_tail_is_no_damage(journal):
-    last = files(journal)[-1]
+def test_a_torn_last_record_is_not_reported_as_damage(journal):
+    newest_file = segment_files(journal)[-1]
     end = scan_journal(journal).segments[-1].end
-    flip(last, end - 1)
-    survey = scan_journal(journal)
-    assert survey.damages == ()
-    assert [record.payload for record in survey.records] == PAYLOADS[:-1]
+    flip_byte(newest_file, end - 1)
+    scan = scan_journal(journal)
+    assert scan.damages == ()
+    assert [record.payload for record in scan.records] == PAYLOADS[:-1]
 
 
 def damage_record(folder: Path) -> None:
-    flip(files(folder)[1], SEGMENT_HEADER_BYTES + 20)
+    flip_byte(segment_files(folder)[1], SEGMENT_HEADER_BYTES + 20)
 
 
 def remove_segment(folder: Path) -> None:
-    files(folder)[1].unlink()
+    segment_files(folder)[1].unlink()
 
 
 def damage_header(folder: Path) -> None:
-    flip(files(folder)[1], 20)
+    flip_byte(segment_files(folder)[1], 20)
 
 
-def other_format(folder: Path) -> None:
-    path = files(folder)[1]
+def change_format_version(folder: Path) -> None:
+    path = segment_files(folder)[1]
     data = bytearray(path.read_bytes())
     data[8:12] = struct.pack("<I", 77)
     path.write_bytes(data)
 
 
 @pytest.mark.parametrize(
-    ("damage", "said"),
+    ("damage", "message"),
     [
         (damage_record, "are damaged"),
         (remove_segment, "segments 1 to 1 are missing"),
         (damage_header, "header is damaged"),
-        (other_format, "format version 77"),
+        (change_format_version, "format version 77"),
     ],
 )
-def test_damage_is_reported_and_the_rest_is_read(damage: Callable[[Path], None], said, journal):
+def test_damage_is_reported_and_the_rest_is_read(damage: Callable[[Path], None], message, journal):
     damage(journal)
     before = {path.name: path.read_bytes() for path in journal.iterdir()}
-    survey = scan_journal(journal)
-    assert any(said in line for line in survey.damages)
-    assert PAYLOADS[-1] in [record.payload for record in survey.records]
-    assert len(survey.records) < len(PAYLOADS)
+    scan = scan_journal(journal)
+    assert any(message in line for line in scan.damages)
+    assert PAYLOADS[-1] in [record.payload for record in scan.records]
+    assert len(scan.records) < len(PAYLOADS)
     assert {path.name: path.read_bytes() for path in journal.iterdir()} == before
 
 
@@ -154,19 +154,19 @@
     assert json.loads(capsys.readouterr().out)["records"] == 6
 
 
-def test_a_store_without_its_identity_or_with_an_unknown_entry(store, capsys):
+def test_a_damaged_identity_and_an_unknown_entry_are_reported(store, capsys):
     write_journal(store / JOURNAL_FOLDER, [b"\x09nonsense"])
     (store / "identity").write_text("abc 00000000\n")
     assert main(["check", "store", str(store)]) == 1
-    told = capsys.readouterr()
-    assert "identity is damaged" in told.err
-    assert "segment 0, offset" in told.err
-    assert "Lots 2" in told.out
+    output = capsys.readouterr()
+    assert "identity is damaged" in output.err
+    assert "segment 0, offset" in output.err
+    assert "Lots 2" in output.out
     (store / "identity").unlink()
     assert any("missing" in line for line in report_store(store).damages)
 
 
-def test_a_register(tmp_path, capsys):
+def test_a_register_is_reported(tmp_path, capsys):
     directory = tmp_path / "core"
     acceptor = Acceptor("me")
     member = Member("me", "10.0.0.1:7721")
@@ -175,8 +175,8 @@
     acceptor.install(Proposal(ProposalNumber(3, "p"), state))
     records.append(acceptor.snapshot())
     write_journal(directory / "register", records)
-    for place in (directory, directory / "register"):
-        report = report_register(place)
+    for path in (directory, directory / "register"):
+        report = report_register(path)
         assert report.damages == ()
         assert report.identity == "me"
         assert report.facts["ConfigurationVersion"] == 4
@@ -196,7 +196,7 @@
 
 @attrs.frozen
 class FakeSchedule:
-    """A seed and as many steps."""
+    """A schedule with a seed and its steps."""
 
     seed: int
     steps: tuple[int, ...]
@@ -204,16 +204,16 @@
 
 @attrs.frozen
 class FakeVerdict:
-    """Wrong where there are violations."""
+    """A verdict that counts as failed if it has violations."""
 
     schedule: FakeSchedule
     violations: tuple[str, ...] = ()
     events: int = 10
 
 
-def verdicts(*wrong: int) -> list[FakeVerdict]:
+def verdicts(*failing_seeds: int) -> list[FakeVerdict]:
     return [
-        FakeVerdict(FakeSchedule(seed, tuple(range(seed))), ("oops",) if seed in wrong else ())
+        FakeVerdict(FakeSchedule(seed, tuple(range(seed))), ("oops",) if seed in failing_seeds else ())
         for seed in (5, 4, 3)
     ]
 
@@ -234,15 +234,15 @@
 
 @pytest.mark.parametrize("jobs", ["1", "2"])
 @pytest.mark.parametrize("what", ["register", "lots", "control"])
-def test_a_simulator_plays_from_the_command_line(what, jobs, capsys):
+def test_a_simulator_runs_from_the_command_line(what, jobs, capsys):
     assert main(["check", what, "--seeds", "2", "--first", "7", "--jobs", jobs, "--json"]) == 0
     assert json.loads(capsys.readouterr().out)["Schedules"] == 2
 
 
 def test_the_model_is_searched_from_the_command_line(capsys):
-    small = ["check", "model", "--losses", "0", "--restarts", "0", "--depth", "4"]
-    assert main([*small, "--json"]) == 0
-    found = json.loads(capsys.readouterr().out)
-    assert (found["depth"], found["whole"], found["wrong"]) == (4, False, "")
-    assert main([*small, "--ballots", "many"]) == 2
+    arguments = ["check", "model", "--losses", "0", "--restarts", "0", "--depth", "4"]
+    assert main([*arguments, "--json"]) == 0
+    result = json.loads(capsys.readouterr().out)
+    assert (result["depth"], result["whole"], result["wrong"]) == (4, False, "")
+    assert main([*arguments, "--ballots", "many"]) == 2
     assert "--ballots wants two whole numbers" in capsys.readouterr().err
--- a/tests/emberring/emulator/test_tier_emulated_clients.py
+++ b/tests/emberring/emulator/test_tier_emulated_clients.py
@@ -1,4 +1,4 @@
-"""The emulated operator, heartbeats and the parsing of events, against a scripted control node."""
+"""The emulated operator and heartbeats against a scripted control node, and the parsing of events."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 class ScriptedControl:
-    """Answers each call with the next of its answers, the last one again and again; None aborts."""
+    """Sends the given responses in order and repeats the last one; None resets the connection."""
 
-    def __init__(self, *answers: tuple[int, dict[str, str], bytes] | None) -> None:
-        self.answers = list(answers)
-        self.seen: list[ServerRequest] = []
+    def __init__(self, *responses: tuple[int, dict[str, str], bytes] | None) -> None:
+        self.responses = list(responses)
+        self.requests: list[ServerRequest] = []
         self.address = ""
-        self.asked = asyncio.Event()
+        self.request_received = asyncio.Event()
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
@@ -39,13 +39,13 @@
         pass
 
     def handle_request(self, connection: ServerConnection, request: ServerRequest) -> None:
-        self.seen.append(request)
-        self.asked.set()
-        answer = self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
-        if answer is None:
+        self.requests.append(request)
+        self.request_received.set()
+        response = self.responses.pop(0) if len(self.responses) > 1 else self.responses[0]
+        if response is None:
             connection.abort()
         else:
-            status, headers, body = answer
+            status, headers, body = response
             connection.write(complete_response(status, headers, body))
             connection.finish()
 
@@ -62,31 +62,31 @@
     asyncio.run(run())
 
 
-def plain(status: int):
+def empty_response(status: int):
     return (status, {}, b"")
 
 
 @pytest.mark.parametrize(
-    ("answers", "status", "attempts"),
+    ("responses", "status", "attempts"),
     [
-        ([plain(200)], 200, 1),
-        ([plain(503), plain(200)], 200, 2),
-        ([None, plain(200)], 200, 2),
-        ([plain(504), None, plain(200)], 200, 3),
-        ([plain(412)], 412, 1),
-        ([plain(400)], 400, 1),
-        ([plain(408), plain(429), plain(200)], 200, 3),
-        ([plain(404)], 404, 3),
+        ([empty_response(200)], 200, 1),
+        ([empty_response(503), empty_response(200)], 200, 2),
+        ([None, empty_response(200)], 200, 2),
+        ([empty_response(504), None, empty_response(200)], 200, 3),
+        ([empty_response(412)], 412, 1),
+        ([empty_response(400)], 400, 1),
+        ([empty_response(408), empty_response(429), empty_response(200)], 200, 3),
+        ([empty_response(404)], 404, 3),
     ],
 )
-def test_a_request_is_retried_until_its_outcome_is_known(answers, status, attempts):
+def test_a_request_is_retried_until_its_outcome_is_known(responses, status, attempts):
     async def run() -> None:
-        control = ScriptedControl(*answers)
+        control = ScriptedControl(*responses)
         await control.start()
         outcome = await Operator([control.address]).put_configuration({"Version": 3}, 2, within_s=5.0)
         assert (outcome.status, outcome.attempts) == (status, attempts)
-        assert {request.headers["if-match"] for request in control.seen} == {"2"}
-        assert {request.body for request in control.seen} == {b'{"Version":3}'}
+        assert {request.headers["if-match"] for request in control.requests} == {"2"}
+        assert {request.body for request in control.requests} == {b'{"Version":3}'}
         control.server.close()
 
     asyncio.run(run())
@@ -94,7 +94,7 @@
 
 def test_a_request_without_a_known_outcome_ends_at_its_time_limit():
     async def run() -> None:
-        control = ScriptedControl(plain(503))
+        control = ScriptedControl(empty_response(503))
         await control.start()
         outcome = await Operator([control.address]).retire("store-1", 10, within_s=0.2)
         assert outcome.status == 0
@@ -106,35 +106,35 @@
 
 def test_a_request_follows_redirects_to_another_node():
     async def run() -> None:
-        there = ScriptedControl(plain(200))
-        await there.start()
-        here = ScriptedControl((307, {"Location": f"http://{there.address}/v1/config"}, b""))
-        await here.start()
-        outcome = await Operator([here.address]).patch_configuration({"Version": 3}, 2)
+        target = ScriptedControl(empty_response(200))
+        await target.start()
+        redirecting = ScriptedControl((307, {"Location": f"http://{target.address}/v1/config"}, b""))
+        await redirecting.start()
+        outcome = await Operator([redirecting.address]).patch_configuration({"Version": 3}, 2)
         assert outcome.acknowledged
-        assert there.seen[0].method == "PATCH"
-        here.server.close()
-        there.server.close()
+        assert target.requests[0].method == "PATCH"
+        redirecting.server.close()
+        target.server.close()
 
     asyncio.run(run())
 
 
 def heartbeats_of(control: ScriptedControl) -> tuple[ModelServer, Heartbeats]:
     server = ModelServer(ServerSpec("s"), Observations())
-    return server, Heartbeats(server, lambda: [control.address], every_s=30.0)
+    return server, Heartbeats(server, lambda: [control.address], interval_s=30.0)
 
 
 def test_a_drain_and_a_deregistration_are_sent_until_they_are_acknowledged():
     async def run() -> None:
-        control = ScriptedControl(plain(503), plain(200))
+        control = ScriptedControl(empty_response(503), empty_response(200))
         await control.start()
-        server, beats = heartbeats_of(control)
-        assert await beats.drain()
-        assert await beats.deregister()
-        said = [(request.method, request.path) for request in control.seen]
+        server, heartbeats = heartbeats_of(control)
+        assert await heartbeats.drain()
+        assert await heartbeats.deregister()
+        sent = [(request.method, request.path) for request in control.requests]
         path = f"/v1/instances/{server.id}"
-        assert said == [("PUT", path), ("PUT", path), ("DELETE", path)]
-        bodies = [orjson.loads(request.body) for request in control.seen[:2]]
+        assert sent == [("PUT", path), ("PUT", path), ("DELETE", path)]
+        bodies = [orjson.loads(request.body) for request in control.requests[:2]]
         assert [body["State"] for body in bodies] == ["draining", "draining"]
         assert [body["Sequence"] for body in bodies] == [1, 2]
         control.server.close()
@@ -144,21 +144,21 @@
 
 def test_later_heartbeats_go_to_the_address_in_the_response():
     async def run() -> None:
-        there = ScriptedControl(plain(200))
-        await there.start()
-        body = orjson.dumps({"HeartbeatUrl": there.address})
-        here = ScriptedControl((200, {}, body))
-        await here.start()
-        _, beats = heartbeats_of(here)
-        beats.start()
-        await asyncio.wait_for(here.asked.wait(), 5)
-        assert await wait_until(lambda: beats.acknowledged > 0, 5)
-        assert await beats.drain()
-        assert len(here.seen) == 1
-        assert len(there.seen) == 1
-        await beats.stop()
-        here.server.close()
-        there.server.close()
+        target = ScriptedControl(empty_response(200))
+        await target.start()
+        body = orjson.dumps({"HeartbeatUrl": target.address})
+        first = ScriptedControl((200, {}, body))
+        await first.start()
+        _, heartbeats = heartbeats_of(first)
+        heartbeats.start()
+        await asyncio.wait_for(first.request_received.wait(), 5)
+        assert await wait_until(lambda: heartbeats.acknowledged > 0, 5)
+        assert await heartbeats.drain()
+        assert len(first.requests) == 1
+        assert len(target.requests) == 1
+        await heartbeats.stop()
+        first.server.close()
+        target.server.close()
 
     asyncio.run(run())
 
--- a/tests/emberring/emulator/test_tier_emulated_engine.py
+++ b/tests/emberring/emulator/test_tier_emulated_engine.py
@@ -1,4 +1,4 @@
-"""The emulated engine: batches, shared parts of prompts, a full KV cache."""
+"""The emulated engine: batching, shared prompt parts, and preemption and eviction with a full KV cache."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     return EngineRequest(name, (PromptPart(shared or name, tokens),), output, skip_events=skip)
 
 
-def run_until_idle(engine: Engine, most: int = 10_000) -> list[EventProduced]:
+def run_until_idle(engine: Engine, max_steps: int = 10_000) -> list[EventProduced]:
     produced: list[EventProduced] = []
-    for _ in range(most):
+    for _ in range(max_steps):
         if engine.idle:
             return produced
         produced += engine.step()
-    raise AssertionError("the engine did not come to an end")
+    raise AssertionError("the engine still has requests after the maximum number of steps")
 
 
 @pytest.mark.parametrize(
@@ -39,7 +39,7 @@
         (10, 3, [2]),
     ],
 )
-def test_events_come_each_stride_and_continue_where_they_are_resumed(output, skip, indexes):
+def test_an_event_is_produced_per_stride_and_resumed_streams_skip_events(output, skip, indexes):
     engine = Engine(SPEC)
     assert engine.submit(make_request("a", output=output, skip=skip))
     produced = run_until_idle(engine)
@@ -123,5 +123,5 @@
     cache.pin([two])
     cache.release([two], 0)
     cache.pin([three])
-    assert [cache.known_tokens([part]) for part in (one, two, three)] == [0, 40, 40]
-    assert cache.known_tokens([one, two]) == 0
+    assert [cache.cached_prefix_tokens([part]) for part in (one, two, three)] == [0, 40, 40]
+    assert cache.cached_prefix_tokens([one, two]) == 0
--- a/tests/emberring/emulator/test_tier_emulated_server.py
+++ b/tests/emberring/emulator/test_tier_emulated_server.py
@@ -1,4 +1,4 @@
-"""The emulated model server as its callers see it, and the invariant checker on its streams."""
+"""The HTTP interface of the emulated model server, and the invariant checker on its streams."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 def with_server(play: Callable[[ModelServer, Observations], Awaitable[None]], spec: ServerSpec | None = None):
     async def run() -> None:
-        seen = Observations()
-        server = ModelServer(spec or ServerSpec("s", engine=ENGINE), seen)
+        observations = Observations()
+        server = ModelServer(spec or ServerSpec("s", engine=ENGINE), observations)
         await server.start()
         try:
             async with asyncio.timeout(10):
-                await play(server, seen)
+                await play(server, observations)
         finally:
             server.stop()
 
@@ -37,28 +37,28 @@
 
 
 def test_a_stream_is_complete_signed_and_without_violations():
-    async def play(server: ModelServer, seen: Observations) -> None:
+    async def play(server: ModelServer, observations: Observations) -> None:
         result = await attempt_stream(server.address, CALL, 5.0)
         assert result.end is StreamEnd.SERVED
         assert [event.id for event in result.events] == [1, 2, 3]
-        assert seen.signatures[result.signature] == result.request_id
-        assert check_stream(CALL, result, seen, STRIDE, retryable=False) == []
+        assert observations.signatures[result.signature] == result.request_id
+        assert check_stream(CALL, result, observations, STRIDE, retryable=False) == []
 
     with_server(play)
 
 
 def test_a_stream_resumes_after_the_last_received_event():
-    async def play(server: ModelServer, seen: Observations) -> None:
+    async def play(server: ModelServer, observations: Observations) -> None:
         headers = {**GENERATION, "Last-Event-Id": "2"}
-        answer = await call_once("POST", f"http://{server.address}/p", headers=headers, content=b"x")
-        assert answer.body == event_bytes(3, event_text("/p", b"x", 3))
-        assert seen.runs["r1"][0].resume_after == 2
+        response = await call_once("POST", f"http://{server.address}/p", headers=headers, content=b"x")
+        assert response.body == event_bytes(3, event_text("/p", b"x", 3))
+        assert observations.runs["r1"][0].resume_after == 2
 
     with_server(play)
 
 
 @pytest.mark.parametrize(
-    ("headers", "path", "fault", "status", "not_run"),
+    ("headers", "path", "fault", "status", "not_executed"),
     [
         ({}, "/p", None, 400, True),
         ({"Request-Id": "r", "Prefix-Hash": "ab"}, "/p", None, 400, True),
@@ -69,16 +69,16 @@
         (GENERATION, "/p", "failed_responses", 500, False),
     ],
 )
-def test_rejections_say_whether_the_request_was_executed(headers, path, fault, status, not_run):
-    async def play(server: ModelServer, seen: Observations) -> None:
+def test_rejections_report_whether_the_request_was_executed(headers, path, fault, status, not_executed):
+    async def play(server: ModelServer, observations: Observations) -> None:
         if fault is not None:
             setattr(server.faults, fault, 1)
-        answer = await call_once("POST", f"http://{server.address}{path}", headers=headers, content=b"x")
-        assert answer.status == status
-        assert ("not-executed" in answer.headers) is not_run
-        assert ("response-signature" in answer.headers) is not not_run
-        assert bool(seen.runs) is not not_run
-        assert answer.headers.get("request-id") == headers.get("Request-Id")
+        response = await call_once("POST", f"http://{server.address}{path}", headers=headers, content=b"x")
+        assert response.status == status
+        assert ("not-executed" in response.headers) is not_executed
+        assert ("response-signature" in response.headers) is not not_executed
+        assert bool(observations.runs) is not not_executed
+        assert response.headers.get("request-id") == headers.get("Request-Id")
 
     with_server(play)
 
@@ -93,7 +93,7 @@
     ],
 )
 def test_a_fault_affects_one_response(fault, end):
-    async def play(server: ModelServer, seen: Observations) -> None:
+    async def play(server: ModelServer, observations: Observations) -> None:
         setattr(server.faults, fault, 1)
         assert (await attempt_stream(server.address, CALL, 5.0)).end is end
         assert (await attempt_stream(server.address, CALL, 5.0)).end is StreamEnd.SERVED
@@ -101,34 +101,34 @@
     with_server(play)
 
 
-@pytest.mark.parametrize("how", ["hanging", "unresponsive"])
-def test_a_hanging_server_sends_nothing(how):
-    async def play(server: ModelServer, seen: Observations) -> None:
-        if how == "unresponsive":
+@pytest.mark.parametrize("fault", ["hanging", "unresponsive"])
+def test_a_hanging_server_sends_nothing(fault):
+    async def play(server: ModelServer, observations: Observations) -> None:
+        if fault == "unresponsive":
             server.become_unresponsive()
         else:
             server.faults.hanging = True
         result = await attempt_stream(server.address, CALL, 0.1)
         assert result.end is StreamEnd.TIMED_OUT
-        assert seen.runs == {}
+        assert observations.runs == {}
 
     with_server(play)
 
 
 def test_a_request_ends_at_its_deadline():
-    async def play(server: ModelServer, seen: Observations) -> None:
+    async def play(server: ModelServer, observations: Observations) -> None:
         server.faults.step_factor = 10_000.0
         headers = {**GENERATION, "Deadline-Ms": "50"}
-        answer = await call_once("POST", f"http://{server.address}/p", headers=headers, content=b"x")
-        assert answer.status == 503
-        assert "not-executed" in answer.headers
+        response = await call_once("POST", f"http://{server.address}/p", headers=headers, content=b"x")
+        assert response.status == 503
+        assert "not-executed" in response.headers
         assert server.in_flight == 0
 
     with_server(play)
 
 
 def test_a_request_is_dropped_once_its_connection_closes():
-    async def play(server: ModelServer, seen: Observations) -> None:
+    async def play(server: ModelServer, observations: Observations) -> None:
         server.faults.step_factor = 10_000.0
         with pytest.raises(CALL_ERRORS):
             await call_once(
@@ -141,7 +141,7 @@
 
 
 def test_connections_beyond_the_limit_are_reset():
-    async def play(server: ModelServer, seen: Observations) -> None:
+    async def play(server: ModelServer, observations: Observations) -> None:
         host, _, port = server.address.rpartition(":")
         first_reader, first_writer = await asyncio.open_connection(host, int(port))
         first_writer.write(b"GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -156,12 +156,12 @@
 
 
 def test_a_draining_server_closes_and_is_not_healthy():
-    async def play(server: ModelServer, seen: Observations) -> None:
+    async def play(server: ModelServer, observations: Observations) -> None:
         server.draining = True
-        answer = await call_once("GET", f"http://{server.address}/healthz")
-        assert answer.status == 503
-        assert answer.headers["connection"] == "close"
-        assert answer.headers["instance-id"] == server.id
+        response = await call_once("GET", f"http://{server.address}/healthz")
+        assert response.status == 503
+        assert response.headers["connection"] == "close"
+        assert response.headers["instance-id"] == server.id
 
     with_server(play)
 
--- a/tests/golden/conftest.py
+++ b/tests/golden/conftest.py
@@ -1,4 +1,4 @@
-"""The golden tests use the fixtures of the tier's own tests, which lie in folders of their own."""
+"""Makes the fixtures of the tier's other test folders importable for the golden tests."""
 
 from __future__ import annotations
 
--- a/tests/golden/golden_api.py
+++ b/tests/golden/golden_api.py
@@ -1,7 +1,6 @@
-"""Helpers of the golden tests of what outsiders see: flat values, recorded reads of keys, shapes, recorded files.
+"""Helpers of the golden tests of external interfaces: flattened values, logs of read keys, JSON shapes, golden files.
 
-A recorded file is written once, by the untouched code (see `record_api.py`), and is never rewritten because a name
-in the code changes.
+A golden file is written once by `record_api.py`, and is never rewritten because an identifier in the code changes.
 """
 
 from __future__ import annotations
@@ -23,15 +22,15 @@
 DATA = Path(__file__).parent / "data"
 ROOT = Path(__file__).parents[2]
 RECORD_VARIABLE = "GOLDEN_API_RECORD"
-# The node's command by its name of before landing 13, as recorded, and by its name of today. Only the head of a written
-# configuration keeps the old name, as files that were written before are compared with it, and the node's id towards
-# xDS control planes, which is on the wire.
+# The former name of the node's command, which the golden files contain, and its present name. The former name remains
+# only in the first line of a generated configuration, because existing files are compared with it, and in the node id
+# that is sent to xDS control planes.
 FORMER_COMMAND, COMMAND = "orchidledge", "loadbalancer"
 WRITTEN_HEAD = f"# Written by `{FORMER_COMMAND} "
 
 
 def check_golden(name: str, found: Any) -> None:
-    """Compare with the recorded file; when recording, write it if it does not exist."""
+    """Compare with the golden file; when recording, write the file if it does not exist."""
     path = DATA / name
     text = json.dumps(found, indent=1, ensure_ascii=False, sort_keys=True) + "\n"
     if os.environ.get(RECORD_VARIABLE) == "1" and not path.exists():
@@ -41,13 +40,13 @@
 
 
 def with_todays_command(recorded: str) -> str:
-    """A recorded text with the node's command by its present name."""
+    """Replace the former name of the node's command in a golden file's text by the present name."""
     parts = recorded.split(WRITTEN_HEAD)
     return WRITTEN_HEAD.join(re.sub(rf"{FORMER_COMMAND}\b(?!-watch)", COMMAND, part) for part in parts)
 
 
 def flat(value: Any, path: str = "") -> dict[str, Any]:
-    """The plain values in a typed object by place, without the names of classes, attributes and enum members."""
+    """Flatten an object to plain values by positional path, without names of classes, attributes and enum members."""
     if attrs.has(type(value)):
         parts = [getattr(value, field.name) for field in attrs.fields(type(value)) if field.init]
         return _flat_items(enumerate(parts), path)
@@ -70,14 +69,14 @@
 
 
 def changed(before: dict[str, Any], after: dict[str, Any]) -> dict[str, list[Any]]:
-    """The places whose values differ, with both values; "absent" where there is none."""
+    """Return the paths whose values differ, with both values; "absent" where there is none."""
     places = [*before, *(place for place in after if place not in before)]
     pairs = {place: [before.get(place, "absent"), after.get(place, "absent")] for place in places}
     return {place: pair for place, pair in pairs.items() if pair[0] != pair[1]}
 
 
 class Recorded(dict[str, Any]):
-    """An object that notes each key read from it, and from objects within it, by its path."""
+    """A dict that logs the path of each key that is read from it or from a nested object."""
 
     def __init__(self, value: dict[str, Any], log: set[str], path: str = "") -> None:
         super().__init__({key: recorded(item, log, f"{path}{key}") for key, item in value.items()})
@@ -97,7 +96,7 @@
 
 
 def recorded(value: Any, log: set[str], path: str = "") -> Any:
-    """The value with each object in it noting its reads."""
+    """Return the value with each object in it replaced by a `Recorded` one."""
     if isinstance(value, dict):
         return Recorded(value, log, f"{path}." if path else "")
     if isinstance(value, list):
@@ -106,7 +105,7 @@
 
 
 def key_paths(value: Any, path: str = "") -> set[str]:
-    """The paths of all keys in a document, as `Recorded` notes them."""
+    """Return the paths of all keys in a document, in the form that `Recorded` logs."""
     found: set[str] = set()
     if isinstance(value, dict):
         for key, item in value.items():
@@ -119,7 +118,7 @@
 
 
 def places(value: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
-    """Where each key of a document stands, with positions in lists."""
+    """Yield the path of each key of a document, with list indices."""
     if isinstance(value, dict):
         for key, item in value.items():
             yield (*path, key)
@@ -130,7 +129,7 @@
 
 
 def without(document: Any, place: tuple[Any, ...], new_name: str | None = None) -> Any:
-    """A copy of the document without this key, or with the key renamed."""
+    """Return a copy of the document without this key, or with the key renamed."""
     copy = json.loads(json.dumps(document))
     holder = copy
     for step in place[:-1]:
@@ -142,7 +141,7 @@
 
 
 def shape(value: Any) -> Any:
-    """The keys and types of a JSON value, recursively; a list has the different shapes of its items."""
+    """Return the keys and types of a JSON value, recursively; a list has the distinct shapes of its items."""
     if isinstance(value, dict):
         return {key: shape(item) for key, item in value.items()}
     if isinstance(value, list):
@@ -155,7 +154,7 @@
 
 
 def outcome(call: Callable[[], Any], error: type[Exception]) -> Any:
-    """What a call returns, or the text of the error that it raises."""
+    """Return the result of a call, or the text of the error that it raises."""
     try:
         return call()
     except error as raised:
@@ -163,7 +162,7 @@
 
 
 def run_module(arguments: list[str], variables: dict[str, str], masks: dict[str, str]) -> dict[str, Any]:
-    """Exit code and output of `python -m ARGUMENTS`, with some texts masked."""
+    """Run `python -m ARGUMENTS`; return its exit code and its output with the masks applied."""
     environment = {key: value for key, value in os.environ.items() if not key.startswith("EMBERRING_")}
     environment.pop("PROXY_CONFIG", None)
     ended = subprocess.run(
@@ -183,7 +182,7 @@
 
 
 def masked(text: str, masks: dict[str, str]) -> str:
-    """The text with each regular expression replaced by its mask."""
+    """Replace each match of a regular expression by its mask."""
     for pattern, mask in masks.items():
         text = re.sub(pattern, mask, text)
     return text
--- a/tests/golden/record_api.py
+++ b/tests/golden/record_api.py
@@ -1,7 +1,7 @@
-"""Writes those recorded files of the golden API tests that do not exist yet: `python tests/golden/record_api.py`.
+"""Writes the missing golden files of the API tests: `python tests/golden/record_api.py`.
 
-Data files are never rewritten because a name in the code changes: they hold what outsiders saw of the code before.
-A file is deleted and recorded anew only when a change of the outer form itself is decided on.
+Golden files are never rewritten because an identifier changes: they contain the external interface as clients know it.
+A file is deleted and recorded again only for a deliberate change of the external interface.
 """
 
 from __future__ import annotations
--- a/tests/golden/record_disk.py
+++ b/tests/golden/record_disk.py
@@ -1,7 +1,7 @@
-"""Writes the golden files of what lies on disk: `python -m tests.golden.record_disk` from the root of the project.
+"""Writes the golden files of the on-disk formats: `python -m tests.golden.record_disk` from the root of the project.
 
-A file that is there is never rewritten: it holds what lies on the disks of nodes in service. Expected values are
-taken from the objects that are written, by the order of their fields and without any name.
+An existing file is never rewritten: it contains data as it is on the disks of nodes in service. Expected values are
+taken from the written objects as lists of fields in order, without names.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 
 
 def plain(value: Any) -> Any:
-    """A value as JSON: a record is the list of its fields in order."""
+    """Convert a value to JSON; a record becomes the list of its fields in order."""
     if attrs.has(type(value)):
         return [plain(getattr(value, field.name)) for field in attrs.fields(type(value)) if field.init]
     if isinstance(value, dict):
@@ -73,12 +73,12 @@
 
 
 def text(data: bytes) -> str:
-    """Bytes for a JSON file."""
+    """Encode bytes as text for a JSON file."""
     return base64.b64encode(data).decode()
 
 
 def write_json(name: str, value: Any) -> None:
-    """Write a file, unless it is there."""
+    """Write a file unless it exists."""
     path = DISK / name
     if not path.exists():
         path.write_bytes(orjson.dumps(value, option=orjson.OPT_INDENT_2) + b"\n")
@@ -93,7 +93,7 @@
 
 
 def register_records() -> list[bytes]:
-    """Each form of record that a replica writes, in the order of a life."""
+    """Each kind of record that a replica writes, in a possible order."""
     acceptor = Acceptor("replica:aa")
     found = [acceptor.snapshot()]
     steps: list[Any] = [
@@ -116,7 +116,7 @@
 
 
 def restored(records: list[bytes]) -> list[Any]:
-    """What a replica holds after these records."""
+    """Return the state of a replica after these records."""
     acceptor = Acceptor("")
     for record in records:
         acceptor.restore(record)
@@ -124,7 +124,7 @@
 
 
 def record_register() -> None:
-    """The records, each with what is held after it."""
+    """Write the records, each with the state of the replica after it."""
     records = register_records()
     founder = Acceptor(initial_identity(FOUNDERS[0]), initial_proposal(FOUNDERS)).snapshot()
     lives = [(records[:end], records[end - 1]) for end in range(1, len(records) + 1)]
@@ -213,14 +213,14 @@
 
 
 def control_states() -> list[ControlState]:
-    """The first state, one with a configuration, one with a placement as well."""
+    """Three states: the initial one, one with a configuration, and one with a configuration and a placement."""
     packed = pack(orjson.dumps(DOCUMENT))
     digests = (bytes(range(16)), bytes(range(16, 32)))
     return [ControlState(), ControlState(42, packed, digests), ControlState(42, packed, digests, PLACEMENT)]
 
 
 def record_control() -> None:
-    """The values in the register, the document and what it means, and an order's digest."""
+    """Write the values in the register, the configuration document with its parsed values, and a request's digest."""
     states = [{"value": text(state.encode()), "state": plain(state)} for state in control_states()]
     body = orjson.dumps({**DOCUMENT, "Version": 43}, option=orjson.OPT_INDENT_2)
     order = read_change_request(ChangeRequestKind.REPLACE, '"42"', body)
@@ -245,7 +245,7 @@
     )
 
 
-# Lots on stores.
+# Batch jobs (lots) on stores.
 
 TERMS = [Term(4, 17, "0011223344556677"), Term(5, 2**63, "8899aabbccddeeff")]
 JOB_TERMS = JobTerms("batch", "/lots", 42, 60000.5, 3600.25, 3, 100000)
@@ -265,7 +265,7 @@
 
 
 def job_records() -> list[Record]:
-    """A lot's slots: the definition, two results, the end and the mark that it is forgotten."""
+    """The slots of a batch job: the definition, two results, the end and the tombstone."""
     key = job_key("Batch.Example", "lot-é")
     definition = encode_definition(JOB_TERMS, compress(orjson.dumps(SUBMITTED)))
     return [
@@ -278,7 +278,7 @@
 
 
 def entries() -> list[tuple[int, float, Any]]:
-    """Each kind of entry, by the number that stands on disk."""
+    """Each kind of entry, in the order of its number on disk."""
     records = tuple(job_records())
     other = Record(job_key("other", "x"), 0, 5, b"copied value")
     return [
@@ -292,7 +292,7 @@
 
 
 def record_jobs() -> None:
-    """Entries, values and inventories with what they mean, and the figures that nodes must agree on."""
+    """Write entries, values and inventories with their decoded form, and the values that nodes must agree on."""
     state = {
         record.key: JobState(
             99,
@@ -343,8 +343,8 @@
 
 
 def run_steps(folder: Path, steps: list[list[Any]]) -> None:
-    """Carry out the steps of a journal's life: open it (with a nonce), commit records, release the oldest segment,
-    make the next file ahead, cut off the end of the newest record, put the last file's end back to zeros."""
+    """Execute steps on a journal: open it (with a nonce), commit records, release the oldest segment, preallocate
+    the next file, or overwrite the end of a file with zeros, which tears its last record."""
     ring: Ring | None = None
     for name, argument in steps:
         if name == "open":
@@ -360,7 +360,7 @@
             ring.release(argument)
         elif name == "prepare":
             ring.prepare_ahead()
-        elif name == "tear":  # [file, offset]: what was not synced when the power failed
+        elif name == "tear":  # [file, offset]: data that was not synced before a power failure
             path = folder / argument[0]
             data = path.read_bytes()
             path.write_bytes(data[: argument[1]] + bytes(len(data) - argument[1]))
@@ -369,12 +369,12 @@
 
 
 def files_in(folder: Path) -> dict[str, str]:
-    """The files of a folder, packed."""
+    """Return the files of a folder by name, compressed."""
     return {path.name: text(zlib.compress(path.read_bytes(), 9)) for path in sorted(folder.iterdir())}
 
 
 def record_journal(name: str, steps: list[list[Any]], expected: list[bytes]) -> None:
-    """Write a journal with its steps and the records that a start finds in it."""
+    """Write a journal, its steps and the records that are recovered from it."""
     with tempfile.TemporaryDirectory() as place:
         folder = Path(place) / "journal"
         run_steps(folder, steps)
@@ -386,13 +386,13 @@
 
 
 def commit(*payloads: bytes) -> list[Any]:
-    """A step that commits these records together."""
+    """Return a step that commits these records together."""
     return ["commit", [text(payload) for payload in payloads]]
 
 
 def record_journals() -> None:
-    """A control node's journal with a snapshot in its newest segment, a store's over several segments with a
-    released one whose file is used again, and one whose last record is torn, before and after the next start."""
+    """Write a control node's journal with a snapshot in its newest segment, a store's journal over several segments
+    with a reused file of a released segment, and a journal with a torn last record, before and after the next start."""
     register = register_records()
     filler = [
         Acceptor("replica:aa").prepare(Prepare("replica:aa", ProposalNumber(n, "p" * 40))).record
@@ -429,7 +429,7 @@
 
 
 def open_store(folder: Path) -> Any:
-    """What a store's role finds in its folder: its identity, and by shard what the replica promised and holds."""
+    """Open a store's folder; return its identity, and the promise and content of the replica of each shard."""
     disk = open_disk(folder, 0.0, 1000.0)
     asyncio.run(disk.journal.close())
     held = {
@@ -440,33 +440,33 @@
 
 
 def lay_out_store(folder: Path) -> None:
-    """A store's folder with the golden identity and journal."""
+    """Create a store's folder with the golden identity and journal."""
     small = read_json("small_files.json")
     (folder / small["store_identity"]["path"]).write_text(small["store_identity"]["text"])
     lay_out_journal("store", folder / small["store_journal"])
 
 
 def lay_out_journal(name: str, folder: Path) -> None:
-    """A folder with the files of a golden journal."""
+    """Write the files of a golden journal to a folder."""
     folder.mkdir()
     for file, packed in read_json(f"journal-{name}.json")["files"].items():
         (folder / file).write_bytes(zlib.decompress(base64.b64decode(packed)))
 
 
 def read_json(name: str) -> Any:
-    """What a golden file holds."""
+    """Return the content of a golden file."""
     return orjson.loads((DISK / name).read_bytes())
 
 
 def record_store_state() -> None:
-    """What a store's role finds in the golden folder."""
+    """Write the state that a store restores from the golden folder."""
     with tempfile.TemporaryDirectory() as place:
         lay_out_store(Path(place))
         write_json("store_state.json", open_store(Path(place)))
 
 
 def record_small_files() -> None:
-    """Files that are texts, by their paths below a node's data folder, and the folders of the journals."""
+    """Write the text files by their paths in a node's data folder, and the folders of the journals."""
     identity = "0123456789abcdef"
     write_json(
         "small_files.json",
@@ -483,7 +483,7 @@
 
 
 def record_all() -> None:
-    """Write all files that are not there."""
+    """Write all missing files."""
     record_register()
     record_control()
     record_jobs()
--- a/tests/golden/record_golden.py
+++ b/tests/golden/record_golden.py
@@ -1,8 +1,8 @@
 """Writes the golden files of this folder: `python -m tests.golden.record_golden` from the root of the project.
 
-Golden files are never rewritten when names change in the code: they hold what an older node sends and what lies on
-disks already. The writer only appends: lines of kinds of message that have none yet, and record files that are not
-there. Values are built from the types of the fields alone, so this file names no field of any message.
+Golden files are never rewritten when identifiers change: they contain messages as older nodes send them and data as
+it is on disks already. This script only adds lines for kinds of message without any, and missing record files.
+Values are built from the types of the fields alone, so this file contains no field name of any message.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 DEFAULTS = DATA / "message_defaults.jsonl"
 ENUMS = DATA / "enums.json"
 
-# Kinds whose texts hold the value of an enum, by the wire key.
+# Text fields that contain the value of an enum, by the wire key.
 ENUM_TEXTS = {("transport.error", "kind"): ErrorKind, ("lots.finish", "kind"): OutcomeKind}
 
 BINARY = b"\xff\x00binary\x80"
@@ -39,15 +39,15 @@
 
 
 def import_all() -> None:
-    """Import each module of the package, so that all kinds of message are registered."""
+    """Import every module of the package, so that all kinds of message are registered."""
     for module in pkgutil.walk_packages(emberring.__path__, f"{emberring.__name__}."):
         if not module.name.endswith(".__main__"):
             importlib.import_module(module.name)
 
 
 class Maker:
-    """Builds a value of a type with no part at its default. `picks` replaces the value at some paths; `choices` has
-    the other values that each path may take."""
+    """Builds a value of a type without any field at its default. `picks` replaces the value at some paths; `choices`
+    contains the alternative values of each path."""
 
     def __init__(self, picks: dict[tuple[Any, ...], Any] | None = None) -> None:
         self._numbers = itertools.count(1)
@@ -55,7 +55,7 @@
         self.choices: list[tuple[tuple[Any, ...], Any]] = []
 
     def make(self, kind: Any, path: tuple[Any, ...] = (), default: Any = attrs.NOTHING) -> Any:
-        """A value of this type."""
+        """Build a value of this type."""
         value, others = self._make(kind, path, default)
         if 1 not in path:  # one element of each list is enough for the variants
             self.choices += [(path, other) for other in others]
@@ -93,7 +93,7 @@
 
 
 def lines_of(kind: str) -> Iterator[bytes]:
-    """The lines of a kind: first one with every field filled, then one for each other variant of each part."""
+    """Yield the lines of a kind: first one with every field set, then one for each alternative value of each field."""
     full = Maker()
     line = encode(Envelope(7, full.make(_CLASS_OF[kind])))
     yield line
@@ -107,7 +107,7 @@
 
 
 def default_line_of(kind: str) -> bytes:
-    """A line of a kind whose fields are at their defaults where they have one."""
+    """Return a line of a kind in which all fields with a default have it."""
     cls = _CLASS_OF[kind]
     hints = typing.get_type_hints(cls)
     maker = Maker()
@@ -116,7 +116,7 @@
 
 
 def record_messages() -> None:
-    """Append lines of the kinds that have none."""
+    """Append the lines of the kinds without any."""
     import_all()
     for path, maker in (
         (MESSAGES, lambda kind: list(lines_of(kind))),
@@ -130,7 +130,7 @@
 
 
 def record_enums() -> None:
-    """Write the values of enums that travel as plain texts, in order, unless they are recorded."""
+    """Write the values, in order, of the enums that are sent as plain texts, unless the file exists."""
     enums = {"failure": ErrorKind, "run_end": OutcomeKind, "trouble": Fault}
     if not ENUMS.exists():
         values = {label: [member.value for member in enum] for label, enum in enums.items()}
--- a/tests/golden/test_golden_balancer.py
+++ b/tests/golden/test_golden_balancer.py
@@ -1,8 +1,8 @@
-"""Golden file of the balancer's decisions: seeded sequences of events, and a hash over the exact actions and figures.
+"""Golden file of the balancer's decisions: seeded sequences of events, and a hash of the exact actions and statistics.
 
-Each scenario drives a `Balancer` as a host does, through `handle`, `turns_away`, `survey` and `threshold` alone. Floats
-enter the hash with all their digits, so that another order of the arithmetic, of the random draws or of the actions
-shows. The file was recorded with the balancer in one module, before it was split.
+Each scenario drives a `Balancer` as a host does, only through `handle`, `turns_away`, `survey` and `threshold`. Floats
+enter the hash with all their digits, so that any change in the order of arithmetic, random draws or actions changes
+the hash.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 
 
 class Host:
-    """Drives one balancer with seeded servers, callers and lists, and hashes all that it says."""
+    """Drives one balancer with seeded servers, callers and server lists, and hashes all of its output."""
 
     def __init__(self, name: str, seed: int) -> None:
         self.name = name
@@ -74,7 +74,7 @@
         self.checkpoints: list[str] = []
         self.numbers = count()
         self.due: list[tuple[float, int, api.Event]] = []
-        self.sent: dict[str, list[tuple[float, str]]] = {}  # by request: when and where each attempt went
+        self.sent: dict[str, list[tuple[float, str]]] = {}  # by request: time and address of each attempt
         self.done: set[str] = set()
         self.out: set[tuple[str, int]] = set()
         self.requests: dict[str, api.Request] = {}
@@ -82,7 +82,7 @@
         self.lists = 0
 
     def run(self) -> dict[str, Any]:
-        """Play all events; what the golden file holds of this scenario."""
+        """Process all events; return the golden data of this scenario."""
         self.give(api.Membership(api.ListForm.FULL, self.servers(6), self.levels()))
         self.later(3.0, self.next_request())
         self.later(700.0, api.Membership(api.ListForm.FAILED))
@@ -107,7 +107,7 @@
         heapq.heappush(self.due, (self.now + delay_ms, next(self.numbers), event))
 
     def wanted(self, event: api.Event) -> bool:
-        """Whether the event still holds; keeps the host's own books."""
+        """Update the host's own state for an event; return whether the event still applies."""
         if isinstance(event, api.Request):
             self.later(self.random.expovariate(1.0) * self.pause_ms(), self.next_request())
             if self.random.random() < 0.3:
@@ -135,7 +135,7 @@
         return True
 
     def pause_ms(self) -> float:
-        """Callers come in waves, from idle to several times what the servers bear."""
+        """Return the mean time between requests; the load varies from idle to several times the servers' capacity."""
         return 4.0 + 14.0 * (1.0 + math.sin(self.now / 3000.0))
 
     def next_request(self) -> api.Request:
@@ -195,7 +195,7 @@
         return api.Membership(form, self.servers(random.choice((4, 6, 8))), self.levels())
 
     def change_faults(self) -> None:
-        """Some servers fail for a while; now and then all do."""
+        """Make some servers, and occasionally all of them, fail for some time."""
         kinds = (
             api.Result.ERROR,
             api.Result.FULL,
@@ -266,7 +266,7 @@
 
 
 def record(name: str) -> dict[str, Any]:
-    """Two seeds of one scenario."""
+    """Run one scenario with two seeds."""
     return {str(seed): Host(name, seed).run() for seed in (11, 47)}
 
 
--- a/tests/golden/test_golden_commands.py
+++ b/tests/golden/test_golden_commands.py
@@ -1,4 +1,4 @@
-"""Golden files of the command lines: commands, options, exit codes, keys of `--json`, with times and ids left out."""
+"""Golden files of the command lines: commands, options, exit codes, and keys of `--json`, without times and ids."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 from loadbalancer.cli import main as node_main
 
 GOOD = ROOT / "tests" / "sidecar" / "good"
-CORES = "--cores"  # its default is the machine's
+CORES = "--cores"  # its default depends on the machine
 Main = Callable[[list[str]], int]
 
 
 @pytest.fixture(autouse=True)
 def alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No control node is known by a variable, and no test waits for a disk."""
+    """Unset the variables that name control nodes, and skip disk syncs."""
     for name in ("EMBERRING_CONTROL", "EMBERRING_NODE_FILE"):
         monkeypatch.delenv(name, raising=False)
     monkeypatch.setenv("COLUMNS", "200")
@@ -48,7 +48,7 @@
 
 
 class Runner:
-    """Runs a command in this process and notes how it ended."""
+    """Runs commands in this process and records their exit codes and output."""
 
     def __init__(self, capsys: pytest.CaptureFixture[str], main: Main, masks: dict[str, str]) -> None:
         self._capsys, self._main = capsys, main
@@ -62,10 +62,10 @@
         self.found: dict[str, Any] = {}
 
     def __call__(self, *words: str, name: str = "") -> str:
-        """The standard output; what is JSON is noted by its keys and types."""
+        """Run a command and return its standard output; JSON output is recorded by its keys and types."""
         try:
             code = self._main(list(words))
-        except SystemExit as end:  # argparse, at a call that can't be read
+        except SystemExit as end:  # raised by argparse for invalid arguments
             code = end.code if isinstance(end.code, int) else -1
         told = self._capsys.readouterr()
         ended: dict[str, Any] = {"exit": code, "stderr": self._lines(told.err)}
@@ -78,7 +78,7 @@
 
     def _lines(self, text: str) -> list[str]:
         lines = masked(text, self._masks).splitlines()
-        # How a wrong call is explained is the parser's; that it is explained is ours.
+        # The parser words its usage message; the golden file only records that there is one.
         return ["usage"] if any(line.lower().lstrip().startswith("usage:") for line in lines) else lines
 
 
@@ -115,12 +115,12 @@
     check_golden("commands/tier_options.json", tier_commands(typer.main.get_command(tier_app), "emberring"))
 
 
-class _Parsed(Exception):  # noqa: N818 - no error: carries the parser out of the program
+class _Parsed(Exception):  # noqa: N818 - not an error: passes the parser to the test
     pass
 
 
 def node_parser(monkeypatch: pytest.MonkeyPatch, words: list[str]) -> argparse.ArgumentParser:
-    """The parser that the program builds for these words."""
+    """Return the parser that the program builds for these arguments."""
 
     def stop(parser: argparse.ArgumentParser, *_: Any) -> None:
         raise _Parsed(parser)
@@ -203,7 +203,7 @@
     run("config", "diff", valid, no_json)
     run("check", "settings", settings)
     told = json.loads(run("check", "settings", settings, "--json"))
-    # These keys are printed from the code's own names, so a renaming there would reach users.
+    # The keys of this output are attribute names of the settings classes, so renaming an attribute would change it.
     run.found["settings as shown"] = told["Settings"]
     run("check", "settings", no_json, "--json")
     for words in (
@@ -394,11 +394,11 @@
 
 
 def inlined(schema: dict[str, Any]) -> Any:
-    """A JSON Schema without the names of classes and their descriptions: each reference replaced by what it names."""
+    """Return a JSON Schema without class names and descriptions: each reference is replaced by its definition."""
     definitions = schema.get("$defs", {})
 
     def follow(value: Any, within: tuple[str, ...], names: bool) -> Any:
-        """`names`: the keys of this object are names of properties."""
+        """Inline references recursively; with `names`, the keys of this object are property names."""
         if isinstance(value, list):
             return [follow(item, within, False) for item in value]
         if not isinstance(value, dict):
--- a/tests/golden/test_golden_disk.py
+++ b/tests/golden/test_golden_disk.py
@@ -1,8 +1,8 @@
-"""Golden files of what lies on disk: records, values and whole journals of an earlier version are read as they were
-meant and written again byte by byte.
+"""Golden files of the on-disk formats: records, values and complete journals of an earlier version are decoded to the
+recorded values and encoded to the same bytes.
 
-Expected values stand beside the bytes, as lists of fields in order, and name no field of ours. What squeezes and
-packs is zlib, so the comparison of bytes holds for one zlib; reading does not depend on it.
+The expected values are stored with the bytes as lists of fields in order, without field names. Values are compressed
+by zlib, so the comparison of bytes depends on the version of zlib; decoding does not.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 from emberring.store import identity as store_identity
 from emberring.transport.network import Network
 
-ENTRY_CLASSES = (  # by the number that stands on disk
+ENTRY_CLASSES = (  # in the order of the numbers on disk
     replica_log.Written,
     replica_log.Promised,
     replica_log.Dropped,
@@ -50,17 +50,17 @@
 
 
 def unpacked(text: str) -> bytes:
-    """The bytes in a JSON file."""
+    """Decode the bytes in a JSON file."""
     return base64.b64decode(text)
 
 
 def is_empty(part: Any) -> bool:
-    """Whether a JSON value is what a field has by default."""
+    """Return whether a JSON value is the default of a field."""
     return part is None or part is False or part == []
 
 
 def only_empty(wholes: Any) -> set[str]:
-    """The keys that have no value in any object."""
+    """Return the keys whose value is empty in all objects."""
     empty, filled = set(), set()
     parts = [wholes]
     while parts:
@@ -74,8 +74,9 @@
 
 
 def changed_objects(whole: Any) -> Iterator[tuple[str, Any]]:
-    """Copies of a JSON value without one key, and with one key renamed, for each key of each object in it. Keys whose
-    value is empty are left out, as to drop them changes nothing: `only_empty` shows that each has a value elsewhere."""
+    """Yield copies of a JSON value without one key, and with one key renamed, for each key of each object in it. Keys
+    with an empty value are skipped, because removing them has no effect; `only_empty` checks that each key has a value
+    in some other object."""
 
     def paths(value: Any, path: tuple[Any, ...]) -> Iterator[tuple[Any, ...]]:
         pairs = (
@@ -99,7 +100,7 @@
 
 
 def unread_keys(whole: Any, read: Callable[[Any], Any]) -> list[str]:
-    """The changes of keys that make no difference to what is read."""
+    """Return the changes of keys that do not change the decoded value."""
     wanted = read(whole)
     found = []
     for title, changed in changed_objects(whole):
@@ -123,7 +124,7 @@
 
 
 def test_the_recorder_writes_the_same_files_today(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """All writers: the objects of the recorder become the golden bytes again."""
+    """Checks all encoders: the recorder's objects are encoded to the golden bytes."""
     golden = {path.name: path.read_bytes() for path in recorder.DISK.iterdir()}
     monkeypatch.setattr(recorder, "DISK", tmp_path)
     recorder.record_all()
@@ -139,7 +140,9 @@
     life = [unpacked(step["record"]) for step in REGISTER["life"]]
     for number, step in enumerate(REGISTER["life"], 1):
         assert restored(life[:number]) == step["held_after"]
-    assert restored([life[-1]]) == REGISTER["life"][-1]["held_after"]  # the snapshot alone says it all
+    assert (
+        restored([life[-1]]) == REGISTER["life"][-1]["held_after"]
+    )  # the snapshot alone contains the complete state
     assert restored([unpacked(REGISTER["founder"])]) == REGISTER["founder_held"]
 
 
@@ -153,7 +156,7 @@
 
 
 def positions(part: Any) -> Any:
-    """JSON as `plain` has it: objects as lists of their values."""
+    """Convert JSON to the form of `plain`: objects become lists of their values."""
     if isinstance(part, dict):
         return [positions(value) for value in part.values()]
     return [positions(value) for value in part] if isinstance(part, list) else part
@@ -170,7 +173,7 @@
 
 
 def test_each_key_of_register_records_has_a_value_in_one() -> None:
-    """But the state's last field, whose bytes stand behind the line."""
+    """The last field of the state is exempt: its bytes follow the JSON line."""
     heads = [json.loads(unpacked(record).partition(b"\n")[0]) for record in FORMS_OF_RECORDS]
     assert only_empty(heads) == {"payload"}
 
@@ -228,7 +231,7 @@
         assert json.loads(after.document) == json.loads(stated["body"])
 
 
-# Lots on stores.
+# Batch jobs (lots) on stores.
 
 
 def test_each_entry_of_a_replicas_log() -> None:
@@ -375,7 +378,7 @@
 
 @pytest.mark.parametrize("offset", [0, 8, 12, 16, 24, 32, 64, 68, 72, 76, 80, 100])
 def test_each_part_of_a_segment_counts(offset: int, tmp_path: Path) -> None:
-    """One changed byte in a header, or in a record that was synced, is found: magic, version, nonce, numbers, sums."""
+    """A changed byte in a segment header or a synced record is detected: magic, version, nonce, numbers, checksums."""
     lay_out_journal("store", tmp_path / "golden")
     path = max((tmp_path / "golden").iterdir(), key=lambda file: file.stat().st_size)
     data = bytearray(path.read_bytes())
@@ -402,7 +405,7 @@
         return found.snapshot()
 
     identity, _, accepted = REGISTER["life"][-1]["held_after"]
-    newest_promise = [59, "p" * 40]  # of the records before the snapshot
+    newest_promise = [59, "p" * 40]  # the newest promise in the records before the snapshot
     assert restored([asyncio.run(run())]) == [identity, newest_promise, accepted]
 
 
@@ -410,5 +413,5 @@
     own = [
         *recorder.DISK.rglob("*"),
         *recorder.DISK.parent.glob("*.json*"),
-    ]  # other golden tests have folders beside
+    ]  # other golden tests have their own folders in the same place
     assert sum(path.stat().st_size for path in own if path.is_file()) < 300_000
--- a/tests/golden/test_golden_errors.py
+++ b/tests/golden/test_golden_errors.py
@@ -1,5 +1,5 @@
-"""Golden file of the error kinds: value on the wire, HTTP status, answers of the gateway and of a control node,
-exit code of a tool."""
+"""Golden file of the error kinds: value on the wire, HTTP status, responses of the gateway and of a control node,
+and exit code of a tool."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 def error_of(kind: str) -> Exception:
-    """An error of this kind."""
+    """Create an error of this kind."""
     if kind == "invalid_configuration":
         return InvalidConfigurationError(("mistake one", "mistake two"))
     return error_from_wire(kind, DETAIL)
 
 
 class Raising:
-    """Any part of a control node: each method fails with one error."""
+    """Stands in for any component of a control node: every method raises the same error."""
 
     def __init__(self, error: Exception) -> None:
         self._error = error
@@ -45,7 +45,7 @@
 
 
 def control_answer(error: Exception) -> dict[str, Any]:
-    """What a control node answers when an order ends with this error."""
+    """Return a control node's response to a change request that fails with this error."""
     events: list[dict[str, Any]] = []
 
     async def receive() -> dict[str, Any]:
@@ -63,7 +63,7 @@
 
 
 def gateway_answer(error: Any) -> dict[str, Any]:
-    """What a gateway answers when a request ends with this error."""
+    """Return a gateway's response to a request that fails with this error."""
     answer = response_to_error(error)
     headers = [[name.decode(), value.decode()] for name, value in answer.headers(b"request-1")]
     return {"status": answer.status, "headers": headers, "body": answer.body.decode()}
--- a/tests/golden/test_golden_http.py
+++ b/tests/golden/test_golden_http.py
@@ -1,6 +1,6 @@
-"""Golden files of the HTTP interfaces: statuses, header names, JSON keys with their types, names and labels of figures.
+"""Golden files of the HTTP interfaces: statuses, header names, JSON keys with their types, metric names and labels.
 
-Times, ids and other values are left out: of a JSON value its keys and types are compared, of an error its kind too.
+Times, ids and other values are omitted: only the keys and types of JSON values and the kinds of errors are compared.
 """
 
 from __future__ import annotations
@@ -35,14 +35,14 @@
 
 @pytest.fixture(autouse=True)
 def unhurried(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A busy machine and its disk are not what these tests are about."""
+    """Make the tests independent of the load of the machine and the speed of its disk."""
     monkeypatch.setattr(connection_pool, "CONNECT_TIMEOUT_S", PATIENCE_S)
     monkeypatch.setattr(connect_timeout, "MIN_CONNECT_TIMEOUT_S", PATIENCE_S)
     monkeypatch.setattr(DiskFile, "sync", lambda self: None)
 
 
 def seen(answer: Received) -> dict[str, Any]:
-    """An answer without times and ids."""
+    """Return the recorded form of a response, without times and ids."""
     found: dict[str, Any] = {"status": answer.status, "headers": sorted(answer.headers)}
     kind = answer.headers.get("content-type", "")
     found["type"] = kind
@@ -330,7 +330,7 @@
 
 
 def mask_moves(placement: dict[str, Any]) -> None:
-    """Leave out of a placement's shape whether a shard moves just now."""
+    """Remove from a placement's shape whether a shard is currently moving."""
     shards = [{**shard, "Joining": type(shard["Joining"]).__name__} for shard in placement["Shards"]]
     placement["Shards"] = [shard for at, shard in enumerate(shards) if shard not in shards[:at]]
 
--- a/tests/golden/test_golden_messages.py
+++ b/tests/golden/test_golden_messages.py
@@ -1,9 +1,9 @@
-"""Golden lines of the messages between nodes: each kind, written by an earlier version, is still read and written.
+"""Golden lines of the messages between nodes: each kind, as an earlier version encoded it, is decoded and encoded.
 
-The first line of a kind in `messages.jsonl` has every field filled with a value that is no default; its other lines
-have the other variants (None, each value of an enum, the forms of bytes). `message_defaults.jsonl` has one line of
-each kind with all optional fields at their defaults. The checks go by wire keys and by the order of fields, and
-name no field of ours.
+The first line of a kind in `messages.jsonl` has every field set to a value other than its default; its other lines
+have the alternatives (None, each value of an enum, the forms of bytes). `message_defaults.jsonl` has one line of
+each kind with all optional fields at their defaults. The checks use wire keys and the order of fields, and no field
+names of the code.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 
 DATA = Path(__file__).parent / "data"
 KINDS = 48
-TEXT_ENUMS = {"failure": FailureKinds, "run_end": RunEnds, "trouble": Troubles}  # that travel as plain texts
+TEXT_ENUMS = {"failure": FailureKinds, "run_end": RunEnds, "trouble": Troubles}  # sent as plain texts
 
 
 def import_all() -> None:
-    """Import each module of the package, so that all kinds of message are registered."""
+    """Import every module of the package, so that all kinds of message are registered."""
     for module in pkgutil.walk_packages(package.__path__, f"{package.__name__}."):
         if not module.name.endswith(".__main__"):
             importlib.import_module(module.name)
@@ -48,19 +48,19 @@
 FULL_LINES: dict[str, bytes] = {}
 for recorded in LINES:
     FULL_LINES.setdefault(json.loads(recorded)["k"], recorded)
-# Other tests register kinds of their own in the same process.
+# Excludes the kinds that other tests register in the same process.
 CLASSES = {
     kind: cls for kind, cls in wire._CLASS_OF.items() if cls.__module__.startswith(f"{package.__name__}.")
 }
 
 
 def dump(parts: Any) -> bytes:
-    """JSON as nodes write it: no spaces, UTF-8."""
+    """Encode JSON as nodes do: without spaces, in UTF-8."""
     return json.dumps(parts, separators=(",", ":"), ensure_ascii=False).encode()
 
 
 def objects_in(value: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[tuple[Any, ...], dict[str, Any]]]:
-    """Each JSON object in a value with its path."""
+    """Yield each JSON object in a value with its path."""
     if isinstance(value, dict):
         yield path, value
     if isinstance(value, dict | list):
@@ -69,7 +69,7 @@
 
 
 def changed_lines(line: bytes) -> Iterator[tuple[str, bytes]]:
-    """The line without one key, and with one key renamed, for each key of each object in its body."""
+    """Yield the line without one key, and with one key renamed, for each key of each object in its body."""
     whole = json.loads(line)
     for path, found in objects_in(whole["b"], ("b",)):
         for key in found:
@@ -86,7 +86,7 @@
 
 
 def bytes_of(text: str) -> bytes:
-    """The bytes in a wire text, read by hand."""
+    """Decode the bytes in a wire text, independently of the code under test."""
     if text[0] == "t":
         return text[1:].encode()
     packed = base64.b64decode(text[1:])
@@ -94,7 +94,7 @@
 
 
 def same(part: Any, value: Any) -> bool:
-    """Whether a JSON part holds just this value: records by the order of their fields, whatever their names are."""
+    """Return whether a JSON value encodes exactly this value; records are compared by field order, not by names."""
     if attrs.has(type(value)):
         fields = [getattr(value, field.name) for field in attrs.fields(type(value))]
         return isinstance(part, dict) and len(part) == len(fields) and all(map(same, part.values(), fields))
@@ -114,7 +114,7 @@
 
 
 def read(line: bytes) -> Any | None:
-    """The message of a line; None where it is refused."""
+    """Decode a line to a message; None if it is rejected."""
     try:
         return wire.decode(line)
     except Exception:
@@ -122,7 +122,7 @@
 
 
 def faults_of(line: bytes, every_key: bool) -> list[str]:
-    """What is wrong with how the code reads and writes a golden line. With `every_key`, each key must count."""
+    """Return the faults in decoding and encoding a golden line. With `every_key`, each key must affect the result."""
     found = read(line)
     if found is None:
         return ["is refused"]
@@ -134,7 +134,7 @@
         faults.append("arrives with other values")
     for title, changed in changed_lines(line) if every_key else ():
         other = read(changed)
-        # The comparison is with the JSON, not by `==` of ours, which could leave fields out.
+        # Compares with the JSON instead of using `==` of the class, which could ignore fields.
         if other is not None and same(parts["b"], other.body):
             faults.append(f"{title}: nothing differs")
     return faults
@@ -160,7 +160,7 @@
 
 @pytest.mark.parametrize("kind", sorted(FULL_LINES))
 def test_full_lines_are_full(kind: str) -> None:
-    """No part of a full line is empty, and lists have several elements that differ."""
+    """No field of a full line is empty, and lists have several different elements."""
 
     def check(part: Any) -> None:
         assert part is not None
@@ -183,7 +183,7 @@
 
 @pytest.mark.parametrize("line", DEFAULT_LINES, ids=lambda line: json.loads(line)["k"])
 def test_defaults_stay(line: bytes) -> None:
-    """Whoever leaves an optional key out, as older nodes do, means the recorded default."""
+    """A missing optional key, as in messages of older nodes, is decoded to the recorded default."""
     assert faults_of(line, every_key=False) == []
     parts = json.loads(line)
     for key in parts["b"]:
@@ -192,11 +192,11 @@
         assert found is None or wire.encode(found) == line
 
 
-# The check itself: a class that differs from the one that wrote the lines is found.
+# Tests of the check itself: a class that differs from the one that encoded the lines is detected.
 
 
 def fields_below(kind: Any, part: Any, path: tuple[str, ...] = ()) -> Iterator[tuple[str, ...]]:
-    """The path, in wire keys, of each field of a record and of those nested in it."""
+    """Yield the path, in wire keys, of each field of a record and of its nested records."""
     if attrs.has(kind):
         hints = typing.get_type_hints(kind)
         for field, key in zip(attrs.fields(kind), part, strict=True):
@@ -207,15 +207,15 @@
 
 
 def inner_of(kind: Any, arguments: tuple[Any, ...], part: Any) -> tuple[Any, Any]:
-    """The type of what a tuple, dict or optional holds, and an example of it."""
+    """Return the type of the content of a tuple, dict or optional, and an example value."""
     if typing.get_origin(kind) is dict:
         return arguments[1], next(iter(part.values()))
     return arguments[0], part[0] if typing.get_origin(kind) is tuple else part
 
 
 def copy_of(kind: Any, part: Any, renamed: tuple[str, ...]) -> Any:
-    """The same type with fields named as the wire keys, whatever they are named in the code, and the one at the path
-    `renamed` named differently."""
+    """Return a copy of the type whose fields are named as the wire keys, with a different name for the field at the
+    path `renamed`."""
     if attrs.has(kind):
         hints = typing.get_type_hints(kind)
         made = {}
@@ -235,7 +235,7 @@
 
 
 def put(monkeypatch: pytest.MonkeyPatch, kind: str, cls: type[Any]) -> None:
-    """Let this class stand for a kind."""
+    """Register this class for a kind."""
     monkeypatch.setitem(wire._CLASS_OF, kind, cls)
     monkeypatch.setitem(wire._KIND_OF, cls, kind)
 
@@ -255,7 +255,7 @@
 
 
 def test_a_key_that_is_written_but_not_read_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A class that writes a constant for its field passes the comparison of bytes; the dropped key shows it."""
+    """A class that encodes a constant instead of its field passes the comparison of bytes, but not the removed key."""
     line = b'{"i":1,"k":"seeded","b":{"part":"constant"}}\n'
     cls = attrs.make_class("Seeded", {"part": attrs.field(default="constant", type=str)}, frozen=True)
     put(monkeypatch, "seeded", cls)
--- a/tests/golden/test_golden_settings.py
+++ b/tests/golden/test_golden_settings.py
@@ -1,6 +1,6 @@
-"""Golden files of what operators write: settings of each role, the platform node's file, the configuration.
+"""Golden files of the operators' input: settings of each role, the platform node's file, and the configuration.
 
-Each key that the code reads stands in the file, and each key in the file is read and has its recorded effect.
+Each key that the code reads is in the golden file, and each key in the file is read and has its recorded effect.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 def toml_text(document: dict) -> str:
-    """The document as TOML, for tables in tables of plain values."""
+    """Encode a document of nested tables and plain values as TOML."""
     plain = [f"{key} = {json.dumps(value)}" for key, value in document.items() if not isinstance(value, dict)]
     tables = [
         f"[{key}]\n" + "\n".join(f"{name} = {json.dumps(item)}" for name, item in value.items())
@@ -66,7 +66,7 @@
 
 
 def effects(document: dict, read_values, error: type[Exception]) -> dict:
-    """For each key what its absence changes: values by place, or the error."""
+    """Return the effect of removing each key: the changed values by path, or the error."""
     whole = read_values(document)
     found = {}
     for place in places(document):
@@ -74,7 +74,7 @@
         absent = outcome(lambda place=place: read_values(without(document, place)), error)
         if not isinstance(place[-1], str) or name.startswith(
             NAMES_OF_ZONES
-        ):  # a renamed zone is another zone, not an unknown key
+        ):  # a renamed zone is a different zone, not an unknown key
             renamed = absent
         else:
             renamed = outcome(
@@ -238,13 +238,13 @@
 
 
 def configuration_values(document: dict) -> dict:
-    """The typed values of a document; `ValueError` with all mistakes as a control node would name them."""
+    """Return the typed values of a document. Raises `ValueError` with all errors as a control node reports them."""
     mistakes = find_configuration_errors(document)
     if mistakes:
         raise ValueError("; ".join(mistakes))
     try:
         return flat(build_configuration(document))
-    except KeyError as error:  # a fault of today: a share without Weight passes the check and can't be built
+    except KeyError as error:  # known fault: a share without Weight passes the check and cannot be built
         raise ValueError(f"not built: {error}") from error
 
 
@@ -258,7 +258,7 @@
     document = Recorded(configuration_document(), log)
     assert not find_configuration_errors(document)
     build_configuration(document)
-    # Read of each item although one of them may have it: a service has its capacity in either place.
+    # Read in both objects, although only one needs it: a service's capacity may be given in either place.
     assert log == key_paths(configuration_document())
 
 
@@ -296,7 +296,7 @@
 
 
 def patch_of(kind: str) -> dict:
-    """A change of named items with every key that a change may have."""
+    """Return a patch of named items with every key that a patch may have."""
     document = configuration_document()
     route, service = document["Routes"][1], document["Services"][1]
     limits = {"MaxBodyBytes": 5000}
--- a/tests/versions/test_two_versions.py
+++ b/tests/versions/test_two_versions.py
@@ -1,6 +1,6 @@
-"""Nodes of two versions in one tier: each role on the other version, and a tier replaced node by node.
+"""Nodes of two versions in one tier: one role on another version than the rest, rolling upgrades and full restarts.
 
-All tests of this module share a worker (`--dist loadscope`), so one such tier runs at a time.
+All tests of this module run in one worker (`--dist loadscope`), so only one such tier runs at a time.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 WHOLE_S = 300.0
 STREAMS_PER_S = 8.0
 JOB_EVERY_S = 1.0
-SERVED_SHARE = 0.9  # of the streams while nodes are replaced; those refused ran nowhere, which is checked too
+SERVED_SHARE = 0.9  # minimum share of streams served during the upgrade; rejected ones must not be executed
 
 
 @pytest.fixture(scope="module")
@@ -25,7 +25,7 @@
 
 
 def run_world(folder: Path, programs: Mapping[str, Path], play: Callable[[World], Awaitable[None]]) -> None:
-    """Play in a tier of these programs by role; no process is left."""
+    """Run `play` in a tier with these programs by role; all processes are stopped at the end."""
 
     async def run() -> None:
         world = World(folder, programs)
@@ -39,7 +39,7 @@
 
 
 async def serve_all(world: World) -> None:
-    """Everything that a tier does for its users, once."""
+    """Use each function of a tier once: streams, batch jobs, a server's drain and a configuration change."""
     await world.start()
     await world.ask_streams(3)
     before = await world.submit_job(40, seed=3, gateway=0)
@@ -72,7 +72,7 @@
 
 
 async def replace_all(world: World, program: Path) -> None:
-    """Replace node after node by this program under traffic; nothing that was acknowledged is lost."""
+    """Upgrade all nodes to this program one by one under traffic; no acknowledged data or change is lost."""
     await world.start()
     finished = await world.submit_job(40, seed=3)
     await world.finish_job(finished)
@@ -91,7 +91,7 @@
     for job in (finished, open_job, *traffic.jobs):
         await world.read_job_again(job)
     world.check_drains()
-    # What was acknowledged before stands, and the replaced tier takes orders.
+    # Earlier acknowledged changes are still in effect, and the upgraded tier accepts changes.
     await world.settle()
     await world.ask_added_route()
     await world.drain_server()
@@ -102,7 +102,7 @@
 
 
 def check_traffic(world: World, traffic: Traffic) -> None:
-    """Every batch job was accepted and every result is listed once; streams were served, or ran nowhere."""
+    """Every batch job was accepted and each result is listed once; streams were served, or not executed at all."""
     assert world.own_violations(traffic) == [], world.logs()
     assert traffic.jobs
     for job in traffic.jobs:
@@ -118,7 +118,7 @@
 
 
 async def replace_whole(world: World, program: Path) -> None:
-    """Stop the whole tier and start this program on its data: no node can teach another what it could not read."""
+    """Stop all nodes before starting this program on their data, so no node gets data from an old node."""
     await world.start()
     finished = await world.submit_job(40, seed=3)
     await world.finish_job(finished)
