--- a/tests/versions/versioned_tier.py
+++ b/tests/versions/versioned_tier.py
@@ -1,7 +1,7 @@
 """A tier on loopback whose nodes run the program of this checkout or that of the reference commit.
 
-All names of the package that these tests use are imported here. Nothing is imported from the reference commit's
-worktree: its program is only started, as processes.
+All names that these tests use from the package are imported here. Nothing is imported from the reference commit's
+worktree: its program only runs in separate processes.
 """
 
 from __future__ import annotations
@@ -46,19 +46,19 @@
 from emberring.errors import EmberringError
 from emberring.settings import SETTINGS_VARIABLE
 
-# The last release before the renaming of landing 13: what stands in service while a node of this checkout starts.
+# The last release before the identifiers were renamed: the version in service when a node of this checkout starts.
 REFERENCE_COMMIT = "e0fe695"
 NEW_PROGRAM = Path(__file__).resolve().parent.parent.parent
 ROLES = ("control", "store", "gateway")
 
-START_S = 60.0  # several processes start at once, perhaps on a busy machine
+START_S = 60.0  # several processes start at once, possibly on a busy machine
 SETTLE_S = 60.0
 ORDER_S = 30.0
 JOBS_S = 60.0
-END_S = 20.0  # until a node that was told to end is killed, which fails the test
+END_S = 20.0  # time from SIGTERM until a node is killed, which fails the test
 NODE_GRACE_S = 3.0
 PAGE_S = 2.0
-FRESH_MAJORITY_S = 1.0  # a control node that heard of a majority longer ago is cut off
+FRESH_MAJORITY_S = 1.0  # a control node whose last contact with a majority is older counts as partitioned
 SIGNS_OF_FAULTS = ("protocol_violation", "Traceback", "level=ERROR")
 STRIDE = 8
 SERVERS = 3
@@ -71,7 +71,7 @@
 
 @contextmanager
 def reference_program(folder: Path) -> Iterator[Path]:
-    """A worktree of the reference commit. Skips where git or the commit is missing, and for no other reason."""
+    """Create a worktree of the reference commit. Skips the test only if git or the commit is missing."""
     if shutil.which("git") is None:
         pytest.skip("git is missing: the reference commit's program can't be had")
     if _git("cat-file", "-e", f"{REFERENCE_COMMIT}^{{commit}}").returncode != 0:
@@ -86,12 +86,12 @@
 
 
 def program_variables(program: Path) -> dict[str, str]:
-    """The environment of a process that runs this program: nothing of another one is on its path."""
+    """Return the environment of a process that runs this program, without any other program on its import path."""
     return {**os.environ, "PYTHONPATH": str(program)}
 
 
 def package_folder(program: Path) -> Path:
-    """Where a process of this program finds its package."""
+    """Return the folder from which a process of this program imports its package."""
     code = "import emberring; print(emberring.__file__)"
     found = subprocess.run(
         [sys.executable, "-c", code],
@@ -105,12 +105,12 @@
 
 
 class VersionedNode(LocalNode):
-    """A node whose program can be changed between a stop and a start; its data directory stays."""
+    """A node whose program can be changed while it is stopped; it keeps its data directory."""
 
     program = NEW_PROGRAM
 
     def start(self, *, bootstrap: bool) -> None:
-        """Start the process of the program; its log is continued."""
+        """Start a process of the program, which appends to the log."""
         data_dir = self._folder / "data"
         data_dir.mkdir(parents=True, exist_ok=True)
         text = settings_text(self.place, self._seeds, data_dir, bootstrap=bootstrap, grace_s=self._grace_s)
@@ -128,7 +128,7 @@
 
 
 class VersionedTier(LocalTier):
-    """The nodes' processes, each of the program that `programs` names for its role."""
+    """The processes of all nodes, each with the program that `programs` specifies for its role."""
 
     def __init__(self, folder: Path, programs: Mapping[str, Path]) -> None:
         super().__init__(folder, TierSize(grace_s=END_S))
@@ -139,11 +139,11 @@
             self.nodes[name] = versioned
 
     def versioned(self) -> list[VersionedNode]:
-        """All nodes."""
+        """Return all nodes."""
         return [node for node in self.nodes.values() if isinstance(node, VersionedNode)]
 
     async def replace(self, name: str, program: Path) -> None:
-        """End a node by SIGTERM and start it with this program on the same data directory."""
+        """Stop a node with SIGTERM and start it with this program on the same data directory."""
         node = self.nodes[name]
         assert isinstance(node, VersionedNode)
         code = await node.stop(END_S)
@@ -153,7 +153,7 @@
         assert await self.wait_up([name], START_S) is not None, (name, node.log_tail())
 
     async def replace_whole(self, program: Path) -> None:
-        """End all nodes, and only then start all with this program on the same data directories."""
+        """Stop all nodes, and only then start all with this program on the same data directories."""
         codes = await self.stop()
         assert set(codes.values()) == {0}, codes
         for node in self.versioned():
@@ -166,7 +166,7 @@
 
 
 async def holds_within(check: Callable[[], Awaitable[bool]], within_s: float) -> bool:
-    """Ask again and again until the answer is yes; whether it was within the time (seconds)."""
+    """Poll until the check returns True. Returns False if it does not within `within_s` seconds."""
     loop = asyncio.get_running_loop()
     give_up_at = loop.time() + within_s
     while not await check():
@@ -178,8 +178,8 @@
 
 @attrs.define
 class Views:
-    """What each node says of the tier: pages of the control nodes, figures of the gateways, shards of the stores.
-    A node that did not answer is not in it."""
+    """The tier as each node reports it: status pages of the control nodes, metrics of the gateways, shards of the
+    stores. Nodes that did not respond are missing."""
 
     controls: dict[str, dict[str, Any]] = attrs.field(factory=dict)
     gateways: dict[str, dict[str, float]] = attrs.field(factory=dict)
@@ -187,8 +187,7 @@
 
 
 class World:
-    """A tier of two programs with its model servers, clients and operator. Batch jobs are called lots here, as the
-    package does."""
+    """A tier of two programs with its model servers, clients and operator. The package also calls batch jobs lots."""
 
     def __init__(self, folder: Path, programs: Mapping[str, Path]) -> None:
         self.tier = VersionedTier(folder, programs)
@@ -197,15 +196,15 @@
         self.fleet = ServerFleet(SERVICE, EngineSpec(stride=STRIDE), self.tier.controls, self.seen)
         self.traffic: Traffic | None = None
         self.version = 0
-        self.drained: dict[str, float] = {}  # server id -> since when no gateway sends it anything
+        self.drained: dict[str, float] = {}  # server id -> time since which no gateway sends it requests
         self._asked = 0
         self._own_ids: set[str] = set()
         self._last = Views()
 
-    # Start and end
+    # Start and stop
 
     async def start(self) -> None:
-        """Start all nodes, bring the first configuration, and wait until every node knows all of it."""
+        """Start all nodes, send the first configuration, and wait until every node has received the complete state."""
         self.tier.start()
         for _ in range(SERVERS):
             await self.fleet.add()
@@ -217,13 +216,13 @@
         await self.settle()
 
     async def stop(self) -> None:
-        """End all nodes in order."""
+        """Stop all nodes with SIGTERM."""
         codes = await self.tier.stop()
         assert set(codes.values()) == {0}, (codes, self.logs())
         self.check_logs()
 
     def check_logs(self) -> None:
-        """No node met a message of another that it could not read, or an error that it did not expect."""
+        """No node logged a message that it could not decode or an unexpected error."""
         lines = [
             f"{name}: {line}"
             for name, node in self.tier.nodes.items()
@@ -233,19 +232,19 @@
         assert lines == []
 
     async def clear(self) -> None:
-        """End whatever still runs."""
+        """Kill all processes that are still running."""
         self.tier.kill_all()
         await self.fleet.stop()
 
     def logs(self) -> str:
-        """The last lines of every node's log."""
+        """Return the last lines of every node's log."""
         return "\n".join(f"{name}: {node.log_tail()}" for name, node in self.tier.nodes.items())
 
-    # What nodes know
+    # The state of the nodes
 
     async def settle(self) -> None:
-        """Wait until all nodes are known to each control node, every shard has one owner and all its replicas, and
-        every node has the newest configuration."""
+        """Wait until each control node knows all nodes, every shard has one owner and all its replicas, and every node
+        has the newest configuration."""
         assert await holds_within(self._is_settled, SETTLE_S), f"{self._last}\n{self.logs()}"
 
     async def _is_settled(self) -> bool:
@@ -298,14 +297,14 @@
             views.stores = {}
         return views
 
-    # What clients and the operator do
+    # Actions of the clients and the operator
 
     def gateway_addresses(self) -> list[str]:
-        """Where clients reach the gateways, in the order of their names."""
+        """Return the frontend addresses of the gateways, ordered by name."""
         return [node.place.address(FRONTEND) for node in self.tier.of_role("gateway")]
 
     async def ask_streams(self, count: int, prefix: str = EXPLAIN_PREFIX) -> None:
-        """Ask each gateway for so many streams, one after another; all are served and no rule is broken."""
+        """Request `count` streams from each gateway, one after another; all are served without violations."""
 
         async def ask(address: str) -> None:
             for _ in range(count):
@@ -314,7 +313,7 @@
         await asyncio.gather(*(ask(address) for address in self.gateway_addresses()))
 
     async def _ask_stream(self, address: str, prefix: str) -> set[str]:
-        """The servers that ran one stream, asked for at this gateway."""
+        """Request one stream from this gateway and return the servers that executed it."""
         self._asked += 1
         parts = (("ab", 200), (f"{self._asked:x}", 60))
         call = StreamCall(f"{prefix}{self._asked}", b"question", parts, 40)
@@ -326,7 +325,7 @@
         return {run.server_id for result in results for run in self.seen.runs.get(result.request_id, [])}
 
     async def submit_job(self, items: int, seed: int, gateway: int = 0) -> JobHistory:
-        """Submit a batch job at one gateway; it is accepted."""
+        """Submit a batch job to one gateway, which must accept it."""
         address = self.gateway_addresses()[gateway]
         job = make_job(items, seed)
         self._own_ids.update(item.id for item in job.items)
@@ -335,12 +334,12 @@
         return history
 
     async def finish_job(self, history: JobHistory) -> None:
-        """Follow a batch job at all gateways until each item is listed."""
+        """Read a batch job's results from all gateways until each item has a result."""
         await JobClient(self.tier.frontends, seed=1).follow(history, JOBS_S)
         self.check_job(history)
 
     def check_job(self, history: JobHistory) -> None:
-        """Every item of the batch job is listed once, as completed, with its own text."""
+        """Every item of the batch job is listed once, as completed, with the expected text."""
         known = (len(history.results), len(history.job.items))
         assert history.complete, (known, self.logs())
         assert check_job(history, self.seen, STRIDE) == []
@@ -349,7 +348,7 @@
         assert {result.state for result in history.results} == {"completed"}
 
     async def read_job_again(self, history: JobHistory) -> None:
-        """Each gateway lists the same results in the same order as before."""
+        """Each gateway returns the same results in the same order as before."""
         for address in self.gateway_addresses():
             again = JobHistory(history.job)
             await JobClient(lambda address=address: [address], seed=1).follow(again, JOBS_S)
@@ -357,11 +356,11 @@
             self.check_job(again)
 
     async def end_job(self, history: JobHistory) -> None:
-        """End a batch job; it is acknowledged."""
+        """End a batch job; the request must be acknowledged."""
         assert await JobClient(self.tier.frontends, seed=1).end(history.job, ORDER_S), self.logs()
 
     async def drain_server(self) -> str:
-        """A server drains; from the return on, no gateway sends it anything."""
+        """Drain a server; on return, no gateway sends it requests any more."""
         server_id = next(name for name in self.fleet.servers if name not in self.drained)
         server, beats = self._server(server_id)
         assert await beats.drain(), self.logs()
@@ -379,14 +378,14 @@
         return self.fleet.servers[server_id]
 
     async def _avoids(self, address: str, server_id: str) -> bool:
-        """Whether none of some streams asked for at this gateway ran on the server."""
+        """Return whether none of several streams that this gateway served was executed by the server."""
         ran: set[str] = set()
         for _ in range(2 * SERVERS):
             ran |= await self._ask_stream(address, EXPLAIN_PREFIX)
         return server_id not in ran
 
     def check_drains(self) -> None:
-        """Nothing ran on a drained server since gateways avoid it."""
+        """No request was executed by a drained server after the gateways had stopped using it."""
         late = [
             run
             for runs in self.seen.runs.values()
@@ -396,7 +395,7 @@
         assert late == []
 
     async def add_route(self) -> None:
-        """The operator adds a route; every gateway serves it."""
+        """Add a route as the operator; every gateway serves it."""
         outcome = await self.operator.patch_configuration(
             added_route(self.version + 1, TERMS), self.version, ORDER_S
         )
@@ -406,7 +405,7 @@
         await self.ask_added_route()
 
     async def replace_configuration(self) -> None:
-        """The operator brings a whole configuration anew; every node has it."""
+        """Send a complete configuration as the operator; every node receives it."""
         document = trial_configuration(self.version + 1, TERMS)
         outcome = await self.operator.put_configuration(document, self.version, ORDER_S)
         assert outcome.acknowledged, (outcome, self.logs())
@@ -417,23 +416,23 @@
         """Every gateway serves the added route."""
         await self.ask_streams(1, ADDED_PREFIX)
 
-    # Traffic beside
+    # Background traffic
 
     def start_traffic(self, streams_per_s: float, job_every_s: float) -> None:
-        """Begin to ask for streams and to submit batch jobs, on all routes."""
+        """Start requesting streams and submitting batch jobs on all routes."""
         plan = TrafficPlan(streams_per_s, job_every_s, job_timeout_s=JOBS_S, stride=STRIDE)
         self.traffic = Traffic(self.tier.frontends, self.seen, plan)
         self.traffic.added_route = True
         self.traffic.start()
 
     async def stop_traffic(self) -> Traffic:
-        """Ask nothing new, and wait for what is open."""
+        """Stop sending and wait for the requests in progress."""
         assert self.traffic is not None
         await self.traffic.stop(JOBS_S)
         return self.traffic
 
     def own_violations(self, traffic: Traffic) -> list[Any]:
-        """The rules that the traffic found broken; what this world asked for beside it is no breach."""
+        """Return the violations that the traffic found, except those caused by this world's other requests."""
         return [
             violation
             for violation in traffic.violations
@@ -450,14 +449,14 @@
 
 
 def _figures(page: bytes) -> dict[str, float]:
-    """The figures of a gateway, by their names after the common prefix."""
+    """Return the metrics of a gateway by name without the common prefix."""
     rows: Iterable[str] = (row for row in page.decode().splitlines() if not row.startswith("#"))
     pairs = (row.rsplit(" ", 1) for row in rows)
     return {name.removeprefix("emberring_gateway_"): float(value) for name, value in pairs}
 
 
 def _shards_are_whole(views: Views, stores: int) -> bool:
-    """Whether every shard of the placement has all its replicas, none on its way, and one owner."""
+    """Return whether every shard of the placement has all its replicas, no joining replica, and one owner."""
     if len(views.stores) != stores:
         return False
     owners: dict[int, int] = {}
