--- a/loadbalancer/experiments/__init__.py
+++ b/loadbalancer/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""A model of services that are balanced, policies side by side, and experiments that are kept and compared."""
+"""A simulation of load-balanced services: policies to compare, experiments, and their stored results."""
--- a/loadbalancer/experiments/compare.py
+++ b/loadbalancer/experiments/compare.py
@@ -1,4 +1,4 @@
-"""Two sets of runs beside each other: paired by seed, with intervals, and plain words where chance explains it."""
+"""Compares two sets of runs, paired by seed, with confidence intervals."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 
 from loadbalancer.experiments.results import Run
 
-DRAWS = 10_000  # of the bootstrap (Efron 1979), percentiles of the mean of paired differences
-LEVEL = 0.95
-LEAST = 3  # pairs under which no interval is stated
+BOOTSTRAP_SAMPLES = 10_000  # bootstrap samples (Efron 1979) of the mean of the paired differences
+CONFIDENCE = 0.95
+MIN_PAIRS = 3  # minimum number of pairs for an interval to be stated
 
 
 class CompareError(Exception):
-    """Runs that have nothing to compare."""
+    """No two runs can be compared, or a side has several runs of one seed."""
 
 
 def latency(name: str) -> Callable[[Run], float | None]:
-    """A percentile over all classes: the worst of them, in ms."""
+    """A latency percentile in ms: the highest over all classes."""
 
-    def of(run: Run) -> float | None:
-        found = [row["latency_ms"][name] for row in run.figures["classes"].values()]
-        return max((value for value in found if value is not None), default=None)
+    def figure_of(run: Run) -> float | None:
+        differences_by_setting = [row["latency_ms"][name] for row in run.figures["classes"].values()]
+        return max((value for value in differences_by_setting if value is not None), default=None)
 
-    return of
+    return figure_of
 
 
 def share(what: str) -> Callable[[Run], float]:
-    def of(run: Run) -> float:
+    def figure_of(run: Run) -> float:
         rows = run.figures["classes"].values()
         return float(sum(row[what] for row in rows) / max(1, sum(row["due"] for row in rows)))
 
-    return of
+    return figure_of
 
 
 FIGURES: dict[str, Callable[[Run], float | None]] = {
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """Of one figure: B less A, over pairs of one seed."""
+    """The difference B - A of one figure, over pairs of runs with equal seeds."""
 
     figure: str
     a: float
@@ -61,11 +61,11 @@
 
     @property
     def beyond_chance(self) -> bool:
-        return self.pairs >= LEAST and (self.low > 0.0 or self.high < 0.0)
+        return self.pairs >= MIN_PAIRS and (self.low > 0.0 or self.high < 0.0)
 
     @property
     def words(self) -> str:
-        if self.pairs < LEAST:
+        if self.pairs < MIN_PAIRS:
             return f"too few seeds to say ({self.pairs})"
         if not self.beyond_chance:
             return "no difference beyond chance"
@@ -73,44 +73,48 @@
 
 
 def interval(differences: list[float], seed: int = 0) -> tuple[float, float]:
-    """The bootstrap's 95% interval of their mean; the same for the same numbers."""
+    """The 95% bootstrap confidence interval of the mean; deterministic for given values."""
     values = np.asarray(differences)
-    drawn = np.random.Generator(np.random.PCG64(seed)).integers(0, len(values), (DRAWS, len(values)))
-    low, high = np.quantile(values[drawn].mean(axis=1), [(1 - LEVEL) / 2, (1 + LEVEL) / 2])
+    sample_indexes = np.random.Generator(np.random.PCG64(seed)).integers(
+        0, len(values), (BOOTSTRAP_SAMPLES, len(values))
+    )
+    low, high = np.quantile(values[sample_indexes].mean(axis=1), [(1 - CONFIDENCE) / 2, (1 + CONFIDENCE) / 2])
     return float(low), float(high)
 
 
 def compare(a: Iterable[Run], b: Iterable[Run]) -> dict[tuple[str, str], list[Difference]]:
-    """By setting (digest, what was swept). CompareError where no pair of one setting and seed is found."""
+    """The differences by setting (digest, swept values). CompareError if no pair has the same setting and seed."""
     sides: list[dict[tuple[str, str], dict[int, Run]]] = []
     for runs in (a, b):
-        by: dict[tuple[str, str], dict[int, Run]] = defaultdict(dict)
+        by_setting: dict[tuple[str, str], dict[int, Run]] = defaultdict(dict)
         for run in runs:
-            if run.manifest["seed"] in by[run.setting]:
+            if run.manifest["seed"] in by_setting[run.setting]:
                 raise CompareError(
-                    f"{run.folder}: seed {run.manifest['seed']} is there twice; name one policy a side"
+                    f"{run.folder}: more than one run has seed {run.manifest['seed']}; name one policy a side"
                 )
-            by[run.setting][run.manifest["seed"]] = run
-        sides.append(by)
-    found = {}
+            by_setting[run.setting][run.manifest["seed"]] = run
+        sides.append(by_setting)
+    differences_by_setting = {}
     for setting in sides[0].keys() & sides[1].keys():
         seeds = sorted(sides[0][setting].keys() & sides[1][setting].keys())
         if seeds:
             pairs = [(sides[0][setting][seed], sides[1][setting][seed]) for seed in seeds]
-            found[setting] = [row for name, of in FIGURES.items() if (row := _difference(name, of, pairs))]
-    if not found:
-        raise CompareError(
-            "no run on one side has the experiment, the swept values and the seed of one on the other"
-        )
-    return found
+            differences_by_setting[setting] = [
+                row for name, figure_of in FIGURES.items() if (row := _difference(name, figure_of, pairs))
+            ]
+    if not differences_by_setting:
+        raise CompareError("no runs of the two sides have the same experiment, swept values and seed")
+    return differences_by_setting
 
 
 def _difference(
-    name: str, of: Callable[[Run], float | None], pairs: list[tuple[Run, Run]]
+    name: str, figure_of: Callable[[Run], float | None], pairs: list[tuple[Run, Run]]
 ) -> Difference | None:
-    values = [(of(a), of(b)) for a, b in pairs]
-    whole = [(a, b) for a, b in values if a is not None and b is not None]
-    if not whole:
+    values = [(figure_of(a), figure_of(b)) for a, b in pairs]
+    complete = [(a, b) for a, b in values if a is not None and b is not None]
+    if not complete:
         return None
-    low, high = interval([b - a for a, b in whole])
-    return Difference(name, fmean(a for a, _ in whole), fmean(b for _, b in whole), low, high, len(whole))
+    low, high = interval([b - a for a, b in complete])
+    return Difference(
+        name, fmean(a for a, _ in complete), fmean(b for _, b in complete), low, high, len(complete)
+    )
--- a/loadbalancer/experiments/engine.py
+++ b/loadbalancer/experiments/engine.py
@@ -1,4 +1,4 @@
-"""Running what an experiment asks for: one run, or a sweep over all cores that goes on where it was stopped."""
+"""Runs experiments: a single run, or a sweep over several cores that can be resumed."""
 
 from __future__ import annotations
 
@@ -10,54 +10,54 @@
 from pathlib import Path
 from typing import Any
 
-from loadbalancer.experiments.results import FIGURES, Job, manifest, write
+from loadbalancer.experiments.results import FIGURES, Job, manifest, write_run
 from loadbalancer.experiments.world import World
 
 SIMULATED = "simulated time"
 
 
 class RunError(Exception):
-    """A policy or the model has raised; the run is told by name."""
+    """A policy or the model raised an exception; the message names the run."""
 
 
 def simulate(job: Job) -> dict[str, Any]:
-    """The figures of one run in simulated time; RunError where something in it raised."""
-    # A run makes no cycles that it lets go of, and the collector took a fifth of its time.
-    was = gc.isenabled()
+    """Simulate one run and return its figures; RunError if anything in it raised."""
+    # A run releases no reference cycles, and garbage collection took a fifth of its time.
+    collector_enabled = gc.isenabled()
     gc.disable()
     try:
         return World(job.plan, job.plan.policies[job.policy], job.seed).run()
     except Exception as error:
         raise RunError(f"{job.folder}: {type(error).__name__}: {error}") from error
     finally:
-        if was:
+        if collector_enabled:
             gc.enable()
 
 
-def keep(job: Job, under: Path) -> Path:
-    """Run one and keep it; one that is there already is left as it is."""
-    folder = under / job.folder
+def run_and_store(job: Job, results_folder: Path) -> Path:
+    """Run a job and store its result; a stored result is left unchanged and not run again."""
+    folder = results_folder / job.folder
     if not (folder / FIGURES).exists():
-        began = time.perf_counter()
+        started_s = time.perf_counter()
         figures = simulate(job)
-        write(folder, manifest(job, SIMULATED, time.perf_counter() - began), figures)
+        write_run(folder, manifest(job, SIMULATED, time.perf_counter() - started_s), figures)
     return folder
 
 
-def workers(cores: int) -> ProcessPoolExecutor:
-    """Processes for runs beside one another."""
-    # Guard: a fork of a process with threads may hang; each worker begins anew.
+def worker_pool(cores: int) -> ProcessPoolExecutor:
+    """A pool of processes for parallel runs."""
+    # Guard: forking a process that has threads can deadlock; workers are spawned instead.
     return ProcessPoolExecutor(max_workers=max(1, cores), mp_context=get_context("spawn"))
 
 
-def sweep(jobs: list[Job], under: Path, cores: int) -> Iterator[tuple[Job, Path | None, str]]:
-    """Each job as it is done, with its folder, or None and why; what has been kept before is not run again."""
-    under.mkdir(parents=True, exist_ok=True)
-    with workers(cores) as pool:
-        asked = {pool.submit(keep, job, under): job for job in jobs}
-        for done in as_completed(asked):
-            job = asked[done]
+def sweep(jobs: list[Job], results_folder: Path, cores: int) -> Iterator[tuple[Job, Path | None, str]]:
+    """Yield each job as it finishes, with its folder, or None and the error; stored jobs are not run again."""
+    results_folder.mkdir(parents=True, exist_ok=True)
+    with worker_pool(cores) as pool:
+        futures = {pool.submit(run_and_store, job, results_folder): job for job in jobs}
+        for future in as_completed(futures):
+            job = futures[future]
             try:
-                yield job, done.result(), ""
+                yield job, future.result(), ""
             except Exception as error:
                 yield job, None, str(error)
--- a/loadbalancer/experiments/experiment.py
+++ b/loadbalancer/experiments/experiment.py
@@ -1,6 +1,7 @@
-"""An experiment as its file states it: fleet, load, troubles, policies, seeds, and what is swept.
+"""The file format of experiments: fleet, load, troubles (faults), policies, seeds and swept values.
 
-Times are in the unit that a key's name ends with. Read, checked and complained of as the sidecar's files are.
+Times are in the unit that a key's name ends with. Files are read and checked, and their mistakes reported, as the
+sidecar's files are.
 """
 
 from __future__ import annotations
@@ -18,25 +19,27 @@
 
 
 class Service(Model):
-    """How long a call takes on a warm, idle core."""
+    """The distribution of a call's service time on a warm, idle core."""
 
     kind: Literal["fixed", "exponential", "lognormal", "bimodal", "histogram"] = "exponential"
     mean_ms: Milliseconds = 10.0
     cv: float = Field(1.0, gt=0, le=20, description="lognormal: standard deviation over the mean")
-    slow_ms: float = Field(0.0, ge=0, le=3_600_000, description="bimodal: the longer of the two")
+    slow_ms: float = Field(0.0, ge=0, le=3_600_000, description="bimodal: the longer service time")
     slow_share: Share = 0.0
-    values_ms: list[float] = Field([], description="histogram: each value,")
-    weights: list[float] = Field([], description="and how often it comes")
+    values_ms: list[float] = Field([], description="histogram: service times")
+    weights: list[float] = Field([], description="histogram: relative frequency of each value")
 
     @model_validator(mode="after")
-    def _whole(self) -> Self:
+    def _check_distribution(self) -> Self:
         if self.kind == "histogram":
             if not self.values_ms or len(self.values_ms) != len(self.weights):
-                raise ValueError("a histogram needs as many weights as values_ms, one at least")
+                raise ValueError("a histogram needs at least one value, and as many weights as values_ms")
             if min(self.values_ms) < 0 or min(self.weights) < 0 or sum(self.weights) <= 0:
-                raise ValueError("values_ms and weights are 0 or more, and one weight is more than 0")
+                raise ValueError(
+                    "values_ms and weights must not be negative, and at least one weight must be above 0"
+                )
         if self.kind == "bimodal" and self.slow_ms <= self.mean_ms:
-            raise ValueError("slow_ms is to be over mean_ms, which is the shorter of the two here")
+            raise ValueError("slow_ms must be greater than mean_ms, which is the shorter of the two times")
         return self
 
     @property
@@ -44,14 +47,14 @@
         if self.kind == "bimodal":
             return self.mean_ms + self.slow_share * (self.slow_ms - self.mean_ms)
         if self.kind == "histogram":
-            pairs = zip(self.values_ms, self.weights, strict=True)
-            return sum(value * weight for value, weight in pairs) / sum(self.weights)
+            weighted_values = zip(self.values_ms, self.weights, strict=True)
+            return sum(value * weight for value, weight in weighted_values) / sum(self.weights)
         return self.mean_ms
 
 
 class Class(Model):
     name: Name
-    share: float = Field(1.0, gt=0, le=1e6, description="of the requests, beside the other classes'")
+    share: float = Field(1.0, gt=0, le=1e6, description="share of requests, relative to the other classes")
     aim_ms: Milliseconds = 200.0
     give_up_ms: Milliseconds = 1000.0
     worth: float = Field(1.0, gt=0, le=1e6)
@@ -61,7 +64,7 @@
 
 
 class Dependency(Model):
-    """Something that all servers share."""
+    """A resource that all servers share, such as a database."""
 
     cores: int = Field(8, ge=1, le=100_000)
     work_ms: Milliseconds = 2.0
@@ -70,15 +73,23 @@
 class Fleet(Model):
     servers: int = Field(15, ge=1, le=50_000)
     cores: int = Field(4, ge=1, le=1024)
-    limit: int = Field(0, ge=0, le=1_000_000, description="calls that a server holds at most; 0: no limit")
+    limit: int = Field(
+        0, ge=0, le=1_000_000, description="maximum calls queued or served at a server; 0: no limit"
+    )
     zones: list[Name] = Field(["a"], min_length=1, max_length=16)
-    nodes: int = Field(4, ge=1, le=20_000, description="balancers; requests go to them evenly")
+    nodes: int = Field(
+        4, ge=1, le=20_000, description="number of balancers; requests are spread evenly over them"
+    )
     network_ms: float = Field(0.5, ge=0, le=10_000, description="one way")
-    cross_zone_ms: float = Field(0.0, ge=0, le=10_000, description="one way, beside that")
+    cross_zone_ms: float = Field(
+        0.0, ge=0, le=10_000, description="added to network_ms between zones, one way"
+    )
     cross_zone_price: float = Field(0.0, ge=0, le=1000)
-    list_late_ms: float = Field(200.0, ge=0, le=600_000, description="until nodes hear of a change")
+    list_late_ms: float = Field(
+        200.0, ge=0, le=600_000, description="delay until nodes receive a list change"
+    )
     lists: Literal["told", "static"] = Field(
-        "told", description="static: nodes hear of no change and of no start"
+        "told", description="static: nodes receive no list changes and no start times"
     )
     cold_from: float = Field(0.14, gt=0, le=1)
     cold_ms: float = Field(21_000.0, ge=0, le=86_400_000)
@@ -88,7 +99,7 @@
 
 
 class Repeats(Model):
-    """What callers do with an answer that is none."""
+    """How callers retry a request that was refused or failed."""
 
     most: int = Field(0, ge=0, le=20)
     backoff_ms: float = Field(100.0, ge=0, le=600_000)
@@ -98,23 +109,25 @@
 class Load(Model):
     kind: Literal["open", "closed"] = "open"
     of_capacity: float | None = Field(
-        None, gt=0, le=100, description="requests, as a multiple of what servers bear"
+        None, gt=0, le=100, description="request rate as a multiple of the servers' capacity"
     )
     rate_per_s: float | None = Field(None, gt=0, le=10_000_000)
     shape: Literal["steady", "ramp", "bursts", "daily"] = "steady"
-    to: float = Field(2.0, ge=0, le=100, description="ramp, bursts, daily: times the rate, at the highest")
+    to: float = Field(
+        2.0, ge=0, le=100, description="ramp, bursts, daily: peak rate as a multiple of the base rate"
+    )
     period_s: Seconds = 10.0
-    callers: int = Field(100, ge=1, le=1_000_000, description="of a closed loop")
-    think_ms: float = Field(0.0, ge=0, le=3_600_000, description="of a closed loop, on average")
+    callers: int = Field(100, ge=1, le=1_000_000, description="closed loop: number of callers")
+    think_ms: float = Field(0.0, ge=0, le=3_600_000, description="closed loop: mean time between requests")
     patience_ms: float = Field(
-        0.0, ge=0, le=3_600_000, description="after which callers leave, on average; 0: never"
+        0.0, ge=0, le=3_600_000, description="mean time after which callers leave; 0: never"
     )
     repeats: Repeats = Repeats()
 
     @model_validator(mode="after")
-    def _one_rate(self) -> Self:
+    def _check_rate(self) -> Self:
         if self.kind == "open" and (self.of_capacity is None) == (self.rate_per_s is None):
-            raise ValueError("an open loop has either of_capacity or rate_per_s")
+            raise ValueError("an open loop needs either of_capacity or rate_per_s")
         return self
 
 
@@ -128,16 +141,16 @@
     kind: TroubleName
     at_s: float = Field(ge=0, le=86_400)
     until_s: float | None = Field(None, ge=0, le=86_400)
-    servers: int = Field(1, ge=0, le=50_000, description="the first so many, or nodes of node_killed")
+    servers: int = Field(1, ge=0, le=50_000, description="how many servers (node_killed: nodes) are affected")
     zone: Name | None = None
     factor: float = Field(
-        10.0, gt=0, le=10_000, description="slow: of service times; failing: the share in 100"
+        10.0, gt=0, le=10_000, description="slow: factor of service times; failing: percentage of calls"
     )
 
     @model_validator(mode="after")
-    def _ends(self) -> Self:
+    def _check_end(self) -> Self:
         if self.until_s is not None and self.until_s <= self.at_s:
-            raise ValueError("until_s is to be after at_s")
+            raise ValueError("until_s must be after at_s")
         return self
 
 
@@ -148,13 +161,16 @@
     ] = "ours"
     limit: Literal["none", "fixed", "aimd", "gradient", "deadline"] = "none"
     most: float = Field(
-        0.0, ge=0, le=1e6, description="calls in flight a node, at first; 0: as fits the fleet"
+        0.0,
+        ge=0,
+        le=1e6,
+        description="initial limit of calls in flight at each node; 0: derived from the fleet",
     )
 
     @model_validator(mode="after")
-    def _own_limit(self) -> Self:
+    def _check_limit(self) -> Self:
         if self.pick == OURS and self.limit != "none":
-            raise ValueError("ours has a limit of its own; limit is for the others")
+            raise ValueError("policy ours has its own limit; limit can be set for other policies only")
         return self
 
 
@@ -164,7 +180,7 @@
 
 class Sweep(Model):
     set: str = Field(
-        pattern=r"^[a-z_]+(\.[a-z_]+)*$", description="a key of this file, as `load.of_capacity`"
+        pattern=r"^[a-z_]+(\.[a-z_]+)*$", description="a key of this file, such as `load.of_capacity`"
     )
     values: list[float | int | str | bool] = Field(min_length=1, max_length=100)
 
@@ -175,7 +191,9 @@
     name: Name
     title: str = Field("", max_length=400)
     seconds: Seconds = 30.0
-    warm_s: float = Field(5.0, ge=0, le=86_400, description="at the start, left out of all figures")
+    warm_s: float = Field(
+        5.0, ge=0, le=86_400, description="time at the start that is excluded from all figures"
+    )
     seeds: list[int] = Field([1, 2, 3], min_length=1, max_length=1000)
     fleet: Fleet = Fleet()
     classes: list[Class] = Field([Class(name="read")], min_length=1, max_length=64)
@@ -185,47 +203,47 @@
     sweep: list[Sweep] = Field([], max_length=4)
 
     @model_validator(mode="after")
-    def _fits(self) -> Self:
+    def _check_consistency(self) -> Self:
         if self.warm_s >= self.seconds:
-            raise ValueError("warm_s is to be under seconds")
-        for what, names in (("policies", self.policies), ("classes", self.classes)):
+            raise ValueError("warm_s must be less than seconds")
+        for key_name, names in (("policies", self.policies), ("classes", self.classes)):
             if len({item.name for item in names}) != len(names):
-                raise ValueError(f"{what}: a name stands twice")
+                raise ValueError(f"{key_name}: duplicate name")
         if len(set(self.seeds)) != len(self.seeds):
-            raise ValueError("seeds: one stands twice")
-        for at, item in enumerate(self.troubles):
+            raise ValueError("seeds: duplicate seed")
+        for index, item in enumerate(self.troubles):
             if item.zone is not None and item.zone not in self.fleet.zones:
-                raise ValueError(f"troubles[{at}].zone: {item.zone!r} is none of the fleet's zones")
+                raise ValueError(f"troubles[{index}].zone: {item.zone!r} is not one of the fleet's zones")
             if item.kind in ("zone_lost", "zone_stopped", "partition") and item.zone is None:
-                raise ValueError(f"troubles[{at}]: {item.kind} needs a zone")
+                raise ValueError(f"troubles[{index}]: {item.kind} needs a zone")
         return self
 
     @property
     def capacity_per_s(self) -> float:
-        """Requests that all warm servers bear, by their cores alone."""
+        """Requests a second that all servers can serve when warm, limited by their cores only."""
         shares = sum(item.share for item in self.classes)
         work = sum(item.share * item.service.average_ms for item in self.classes) / shares
         return self.fleet.servers * self.fleet.cores * 1000.0 / work
 
     @property
     def rate_per_s(self) -> float:
-        """Of an open loop, before its shape."""
+        """The base rate of an open loop, before its shape is applied."""
         return self.load.rate_per_s or (self.load.of_capacity or 1.0) * self.capacity_per_s
 
     def variants(self) -> list[tuple[dict[str, Any], Experiment]]:
-        """What is swept, each combination with the values that are set; ValueError where one can't be."""
-        found = []
+        """Each combination of swept values, with its experiment; ValueError if a value cannot be set."""
+        variants = []
         for values in itertools.product(*(item.values for item in self.sweep)):
             data = self.model_dump(exclude={"sweep"})
-            told: dict[str, Any] = {}
+            swept_values: dict[str, Any] = {}
             for item, value in zip(self.sweep, values, strict=True):
-                told[item.set] = value
+                swept_values[item.set] = value
                 *path, key = item.set.split(".")
                 table = data
-                for word in path:
-                    table = table[word] if isinstance(table, dict) and word in table else {}
+                for part in path:
+                    table = table[part] if isinstance(table, dict) and part in table else {}
                 if not isinstance(table, dict) or key not in table:
-                    raise ValueError(f"sweep: {item.set!r} is no key of an experiment")
+                    raise ValueError(f"sweep: {item.set!r} is not a key of an experiment")
                 table[key] = value
-            found.append((told, Experiment.model_validate(data)))
-        return found
+            variants.append((swept_values, Experiment.model_validate(data)))
+        return variants
--- a/loadbalancer/experiments/library.py
+++ b/loadbalancer/experiments/library.py
@@ -1,4 +1,4 @@
-"""The experiments that are shipped, by name, and reading one from a file."""
+"""The shipped experiments by name, and loading an experiment from a file."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class ExperimentError(Exception):
-    """Each line is a mistake: where, what is wrong, and what would be right."""
+    """An invalid experiment file. Each line of the message is one mistake: its place, the problem and a correction."""
 
 
 def shipped() -> dict[str, Path]:
-    """Name and file of each."""
+    """The names and files of the shipped experiments."""
     folder = Path(str(files("loadbalancer.experiments") / "definitions"))
     return {path.stem: path for path in sorted(folder.glob("*.toml"))}
 
 
 def load(name: str) -> Experiment:
-    """The experiment of a file, or a shipped one by its name; ExperimentError with all that is wrong."""
-    known = shipped()
-    path = str(known[name]) if name in known else name
+    """Load a shipped experiment by name, or one from a file; ExperimentError lists all mistakes."""
+    shipped_files = shipped()
+    path = str(shipped_files[name]) if name in shipped_files else name
     document: Document = read(path, KINDS)
     if document.mistakes:
         raise ExperimentError("\n".join(str(mistake) for mistake in document.mistakes))
--- a/loadbalancer/experiments/policies.py
+++ b/loadbalancer/experiments/policies.py
@@ -1,7 +1,7 @@
-"""Policies to compare with: each small, the project's own, of the published idea that its docstring names.
+"""Policies for comparison: small implementations, written for this project, of published ideas that are cited below.
 
-A picker says which server; a limit says whether a call is admitted at all. They know what a balancer knows: what it
-sent, what came back, when. Times are ms.
+A picker chooses the server; a limit decides whether a call is admitted. Both use only what a balancer can observe:
+which calls it sent, their results and their times. Times are ms.
 """
 
 from __future__ import annotations
@@ -15,94 +15,104 @@
 
 
 class Random:
-    """Any; the others derive from it."""
+    """A uniformly random server; the base class of the other pickers."""
 
     def __init__(self, draw: Draw, servers: Sequence[Server]) -> None:
         self.draw = draw
 
-    def pick(self, now: float, out: Sequence[int], among: Sequence[int]) -> int:
-        """One of `among` (never empty); `out`: this node's calls at each server."""
-        return among[int(self.draw() * len(among))]
+    def pick(self, now: float, in_flight: Sequence[int], candidates: Sequence[int]) -> int:
+        """Choose one of `candidates` (never empty); `in_flight`: this node's calls at each server."""
+        return candidates[int(self.draw() * len(candidates))]
 
-    def ended(self, now: float, server: int, latency_ms: float, good: bool) -> None:
+    def on_end(self, now: float, server: int, latency_ms: float, succeeded: bool) -> None:
         return
 
 
 class RoundRobin(Random):
-    """In turn, from a place that is drawn, so that nodes do not go in step."""
+    """In turn, from a random start, so that nodes do not run in lockstep."""
 
     def __init__(self, draw: Draw, servers: Sequence[Server]) -> None:
         super().__init__(draw, servers)
-        self.at = int(draw() * 1_000_000)
+        self.position = int(draw() * 1_000_000)
 
-    def pick(self, now: float, out: Sequence[int], among: Sequence[int]) -> int:
-        self.at += 1
-        return among[self.at % len(among)]
+    def pick(self, now: float, in_flight: Sequence[int], candidates: Sequence[int]) -> int:
+        self.position += 1
+        return candidates[self.position % len(candidates)]
 
 
 class LeastOutstanding(Random):
-    """The one with the fewest calls of this node; a draw among equals."""
+    """The server with the fewest calls of this node in flight; ties are broken at random."""
 
-    def pick(self, now: float, out: Sequence[int], among: Sequence[int]) -> int:
-        least = min(out[at] for at in among)
-        equal = [at for at in among if out[at] == least]
-        return equal[int(self.draw() * len(equal))] if len(equal) > 1 else equal[0]
+    def pick(self, now: float, in_flight: Sequence[int], candidates: Sequence[int]) -> int:
+        least = min(in_flight[index] for index in candidates)
+        tied = [index for index in candidates if in_flight[index] == least]
+        return tied[int(self.draw() * len(tied))] if len(tied) > 1 else tied[0]
 
 
 class TwoChoices(Random):
-    """The one with fewer calls of two that are drawn (Mitzenmacher 2001, The Power of Two Choices)."""
+    """The server with fewer calls in flight of two random ones (Mitzenmacher 2001, The Power of Two Choices)."""
 
-    def pick(self, now: float, out: Sequence[int], among: Sequence[int]) -> int:
-        size, draw = len(among), self.draw
-        first, second = among[int(draw() * size)], among[int(draw() * size)]
-        return second if out[second] < out[first] else first
+    def pick(self, now: float, in_flight: Sequence[int], candidates: Sequence[int]) -> int:
+        size, draw = len(candidates), self.draw
+        first, second = candidates[int(draw() * size)], candidates[int(draw() * size)]
+        return second if in_flight[second] < in_flight[first] else first
 
 
 class PeakEwma(Random):
-    """Of two that are drawn, the one with less of smoothed latency times calls, the latency following peaks at once
-    (as Finagle's documentation describes its Peak EWMA)."""
+    """Of two random servers the one with the lower product of smoothed latency and calls in flight; the latency follows
+    peaks immediately (as Finagle's documentation describes its Peak EWMA)."""
 
     DECAY_MS = 10_000.0
-    UNKNOWN_MS = 1.0
+    DEFAULT_LATENCY_MS = 1.0
 
     def __init__(self, draw: Draw, servers: Sequence[Server]) -> None:
         super().__init__(draw, servers)
-        self.cost = [0.0] * len(servers)
-        self.heard = [0.0] * len(servers)
-
-    def _cost(self, now: float, at: int, calls: int) -> float:
-        known = self.cost[at] * math.exp((self.heard[at] - now) / self.DECAY_MS)
-        return (known or self.UNKNOWN_MS) * (calls + 1)
-
-    def pick(self, now: float, out: Sequence[int], among: Sequence[int]) -> int:
-        size, draw = len(among), self.draw
-        first, second = among[int(draw() * size)], among[int(draw() * size)]
-        return second if self._cost(now, second, out[second]) < self._cost(now, first, out[first]) else first
-
-    def ended(self, now: float, server: int, latency_ms: float, good: bool) -> None:
-        weight = math.exp((self.heard[server] - now) / self.DECAY_MS)
-        known = self.cost[server]
-        self.cost[server] = latency_ms if latency_ms > known else known * weight + latency_ms * (1.0 - weight)
-        self.heard[server] = now
+        self.peak_latency_ms = [0.0] * len(servers)
+        self.last_update_ms = [0.0] * len(servers)
+
+    def _cost(self, now: float, index: int, calls: int) -> float:
+        latency = self.peak_latency_ms[index] * math.exp((self.last_update_ms[index] - now) / self.DECAY_MS)
+        return (latency or self.DEFAULT_LATENCY_MS) * (calls + 1)
+
+    def pick(self, now: float, in_flight: Sequence[int], candidates: Sequence[int]) -> int:
+        size, draw = len(candidates), self.draw
+        first, second = candidates[int(draw() * size)], candidates[int(draw() * size)]
+        return (
+            second
+            if self._cost(now, second, in_flight[second]) < self._cost(now, first, in_flight[first])
+            else first
+        )
+
+    def on_end(self, now: float, server: int, latency_ms: float, succeeded: bool) -> None:
+        weight = math.exp((self.last_update_ms[server] - now) / self.DECAY_MS)
+        latency = self.peak_latency_ms[server]
+        self.peak_latency_ms[server] = (
+            latency_ms if latency_ms > latency else latency * weight + latency_ms * (1.0 - weight)
+        )
+        self.last_update_ms[server] = now
 
 
 class Omniscient(Random):
-    """The one at which a call would begin first, known from inside; for a top, not for use."""
+    """The server at which the call would start first, by the servers' internal state; an upper bound for comparison."""
 
     def __init__(self, draw: Draw, servers: Sequence[Server]) -> None:
         super().__init__(draw, servers)
         self.servers = servers
 
-    def pick(self, now: float, out: Sequence[int], among: Sequence[int]) -> int:
-        best, least = among[0], math.inf
-        for at in among:
-            server = self.servers[at]
+    def pick(self, now: float, in_flight: Sequence[int], candidates: Sequence[int]) -> int:
+        best, least = candidates[0], math.inf
+        for index in candidates:
+            server = self.servers[index]
             if not server.up or server.refusing or server.failing:
                 continue
             speed = server.factor / server.warmth(now)
-            begins = max(now, server.free[0], server.stalled_until) - now + speed * (1.0 + 0.01 * self.draw())
+            begins = (
+                max(now, server.core_free_at[0], server.stalled_until)
+                - now
+                + speed * (1.0 + 0.01 * self.draw())
+            )
             if begins < least:
-                best, least = at, begins
+                best, least = index, begins
         return best
 
 
@@ -117,81 +127,89 @@
 
 
 class Unlimited:
-    """Admits all."""
+    """Admits every call."""
 
-    def __init__(self, most: float, aim_ms: float) -> None:
-        self.most, self.aim_ms = most, aim_ms
+    def __init__(self, max_in_flight: float, aim_ms: float) -> None:
+        self.max_in_flight, self.aim_ms = max_in_flight, aim_ms
 
-    def admits(self, now: float, out: int, left_ms: float) -> bool:
+    def admits(self, now: float, in_flight: int, remaining_ms: float) -> bool:
         return True
 
-    def ended(self, now: float, out: int, latency_ms: float, good: bool) -> None:
+    def on_end(self, now: float, in_flight: int, latency_ms: float, succeeded: bool) -> None:
         return
 
 
 class Fixed(Unlimited):
-    """So many calls in flight."""
+    """A fixed limit of calls in flight."""
 
-    def admits(self, now: float, out: int, left_ms: float) -> bool:
-        return out < self.most
+    def admits(self, now: float, in_flight: int, remaining_ms: float) -> bool:
+        return in_flight < self.max_in_flight
 
 
 class Aimd(Fixed):
-    """One more call for each window of answers in time, a tenth fewer for one that is late or bad, once a window
-    (additive increase, multiplicative decrease; Chiu and Jain 1989)."""
+    """Raises the limit by one for each window of timely answers and cuts it by a tenth, at most once a window, after a
+    late or failed one (additive increase, multiplicative decrease; Chiu and Jain 1989)."""
 
     BACKOFF = 0.9
 
-    def __init__(self, most: float, aim_ms: float) -> None:
-        super().__init__(most, aim_ms)
-        self._until = 0.0
+    def __init__(self, max_in_flight: float, aim_ms: float) -> None:
+        super().__init__(max_in_flight, aim_ms)
+        self._next_decrease_ms = 0.0
 
-    def ended(self, now: float, out: int, latency_ms: float, good: bool) -> None:
-        if good and latency_ms <= self.aim_ms:
-            if out * 2 >= self.most:
-                self.most += 1.0 / self.most
-        elif now >= self._until:
-            self.most = max(1.0, self.most * self.BACKOFF)
-            self._until = now + latency_ms
+    def on_end(self, now: float, in_flight: int, latency_ms: float, succeeded: bool) -> None:
+        if succeeded and latency_ms <= self.aim_ms:
+            if in_flight * 2 >= self.max_in_flight:
+                self.max_in_flight += 1.0 / self.max_in_flight
+        elif now >= self._next_decrease_ms:
+            self.max_in_flight = max(1.0, self.max_in_flight * self.BACKOFF)
+            self._next_decrease_ms = now + latency_ms
 
 
 class Gradient(Fixed):
-    """Scaled by the ratio of long-term to present latency, with the square root of itself as room to grow
-    (as gradient limits of concurrency are described in what is published of them)."""
+    """Scales the limit by the ratio of long-term to recent latency and adds its square root as headroom (as published
+    descriptions of gradient concurrency limits have it)."""
 
     SHORT, LONG, TOLERANCE = 0.1, 0.002, 1.5
 
-    def __init__(self, most: float, aim_ms: float) -> None:
-        super().__init__(most, aim_ms)
-        self.short = self.long = 0.0
-
-    def ended(self, now: float, out: int, latency_ms: float, good: bool) -> None:
-        self.short += (self.SHORT if self.short else 1.0) * (latency_ms - self.short)
-        self.long += (self.LONG if self.long else 1.0) * (latency_ms - self.long)
-        if self.long > 2.0 * self.short:  # what was learned under load is forgotten sooner
-            self.long *= 0.95
-        gradient = max(0.5, min(1.0, self.TOLERANCE * self.long / max(self.short, 1e-6)))
-        wanted = self.most * gradient + math.sqrt(self.most)
-        if gradient < 1.0 or out * 2 >= self.most:
-            self.most = max(1.0, 0.98 * self.most + 0.02 * wanted)
+    def __init__(self, max_in_flight: float, aim_ms: float) -> None:
+        super().__init__(max_in_flight, aim_ms)
+        self.short_latency_ms = self.long_latency_ms = 0.0
+
+    def on_end(self, now: float, in_flight: int, latency_ms: float, succeeded: bool) -> None:
+        self.short_latency_ms += (self.SHORT if self.short_latency_ms else 1.0) * (
+            latency_ms - self.short_latency_ms
+        )
+        self.long_latency_ms += (self.LONG if self.long_latency_ms else 1.0) * (
+            latency_ms - self.long_latency_ms
+        )
+        if self.long_latency_ms > 2.0 * self.short_latency_ms:  # forget latency learned under load sooner
+            self.long_latency_ms *= 0.95
+        gradient = max(
+            0.5, min(1.0, self.TOLERANCE * self.long_latency_ms / max(self.short_latency_ms, 1e-6))
+        )
+        wanted = self.max_in_flight * gradient + math.sqrt(self.max_in_flight)
+        if gradient < 1.0 or in_flight * 2 >= self.max_in_flight:
+            self.max_in_flight = max(1.0, 0.98 * self.max_in_flight + 0.02 * wanted)
 
 
 class DeadlineAware(Unlimited):
-    """Admits what can be expected to be in time: calls in flight over the rate of answers, within the time left."""
+    """Admits a call if the calls in flight, at the current rate of answers, finish within the remaining time."""
 
-    def __init__(self, most: float, aim_ms: float) -> None:
-        super().__init__(most, aim_ms)
-        self.rate = 0.0  # answers a ms, smoothed
-        self._then = 0.0
+    def __init__(self, max_in_flight: float, aim_ms: float) -> None:
+        super().__init__(max_in_flight, aim_ms)
+        self.answers_per_ms = 0.0  # smoothed rate of answers, per ms
+        self._last_end_ms = 0.0
 
-    def admits(self, now: float, out: int, left_ms: float) -> bool:
-        return out < self.most or out < self.rate * min(left_ms, self.aim_ms)
+    def admits(self, now: float, in_flight: int, remaining_ms: float) -> bool:
+        return in_flight < self.max_in_flight or in_flight < self.answers_per_ms * min(
+            remaining_ms, self.aim_ms
+        )
 
-    def ended(self, now: float, out: int, latency_ms: float, good: bool) -> None:
-        gap = max(1e-3, now - self._then)
-        self._then = now
+    def on_end(self, now: float, in_flight: int, latency_ms: float, succeeded: bool) -> None:
+        gap = max(1e-3, now - self._last_end_ms)
+        self._last_end_ms = now
         weight = -math.expm1(-gap / 1000.0)
-        self.rate += weight * (1.0 / gap - self.rate)
+        self.answers_per_ms += weight * (1.0 / gap - self.answers_per_ms)
 
 
 LIMITS: dict[str, type[Unlimited]] = {
--- a/loadbalancer/experiments/results.py
+++ b/loadbalancer/experiments/results.py
@@ -1,9 +1,9 @@
-"""Results that last: a folder a run, written whole or not at all, never overwritten.
+"""Stored results: one folder for each run, written atomically and never overwritten.
 
-`manifest.json` says what was run: the program's version, the digest of the experiment (SHA-256 of its canonical JSON),
-policy, seed, what was swept, machine. `figures.json` holds counts, samples by second and latencies as HDR histograms
-in their own compressed form (HdrHistogram V2, base64). Both are JSON with sorted keys; the figures of one seed are the
-same bytes each time.
+`manifest.json` describes the run: the program's version, the digest of the experiment (SHA-256 of its canonical JSON),
+policy, seed, swept values and machine. `figures.json` contains counts, samples by second and latencies as compressed
+HDR histograms (HdrHistogram V2, base64). Both are JSON with sorted keys; the figures of one seed are byte-identical in
+every run.
 """
 
 from __future__ import annotations
@@ -22,15 +22,16 @@
 from loadbalancer.experiments.experiment import Experiment
 
 MANIFEST, FIGURES = "manifest.json", "figures.json"
-SORTED = orjson.OPT_SORT_KEYS | orjson.OPT_APPEND_NEWLINE
+JSON_OPTIONS = orjson.OPT_SORT_KEYS | orjson.OPT_APPEND_NEWLINE
 
 
 class ResultError(Exception):
-    """A folder that holds no run, or one that holds another already."""
+    """A folder contains no readable run, or already contains a run when one is to be written."""
 
 
 def digest(plan: Experiment) -> str:
-    """Of an experiment, whatever its file's layout; without seeds, policies and sweep, which say how much was run."""
+    """The digest of an experiment, independent of its file's layout; seeds, policies, sweep and title are excluded, as
+    they do not change the setting of a run."""
     data = plan.model_dump(mode="json", exclude={"seeds", "policies", "sweep", "title"})
     return hashlib.sha256(orjson.dumps(data, option=orjson.OPT_SORT_KEYS)).hexdigest()
 
@@ -41,19 +42,19 @@
 
     plan: Experiment
     swept: tuple[tuple[str, Any], ...]
-    policy: int  # its place in the plan
+    policy: int  # its index in the plan
     seed: int
 
     @property
     def folder(self) -> str:
-        """Its name under the sweep's folder; the same job has the same."""
-        words = [self.plan.name, self.plan.policies[self.policy].name, f"seed{self.seed}"]
-        told = orjson.dumps([self.swept, digest(self.plan), self.plan.policies[self.policy].model_dump()])
-        return "-".join([*words, hashlib.sha256(told).hexdigest()[:10]])
+        """The name of its result folder, determined by the job's contents."""
+        name_parts = [self.plan.name, self.plan.policies[self.policy].name, f"seed{self.seed}"]
+        identity = orjson.dumps([self.swept, digest(self.plan), self.plan.policies[self.policy].model_dump()])
+        return "-".join([*name_parts, hashlib.sha256(identity).hexdigest()[:10]])
 
 
 def jobs(plan: Experiment) -> list[Job]:
-    """All runs that an experiment asks for, in the order of its file."""
+    """All runs of an experiment, in the order of its file."""
     return [
         Job(variant, tuple(sorted(swept.items())), policy, seed)
         for swept, variant in plan.variants()
@@ -83,21 +84,21 @@
     }
 
 
-def write(folder: Path, about: dict[str, Any], figures: dict[str, Any]) -> None:
-    """A run's folder, put in place by one rename; ResultError where it is there already."""
+def write_run(folder: Path, manifest_row: dict[str, Any], figures: dict[str, Any]) -> None:
+    """Write a run's folder and move it into place with one rename; ResultError if it exists."""
     if folder.exists():
-        raise ResultError(f"{folder}: is there already, and results are never overwritten")
-    # Guard: a sweep that was killed while it wrote left a folder that looked like a run.
-    fresh = folder.with_name(f".{folder.name}.{os.getpid()}")
-    fresh.mkdir(parents=True, exist_ok=True)
-    (fresh / FIGURES).write_bytes(orjson.dumps(figures, option=SORTED))
-    (fresh / MANIFEST).write_bytes(orjson.dumps(about, option=SORTED))
-    fresh.rename(folder)
+        raise ResultError(f"{folder}: exists already, and results are never overwritten")
+    # Guard: a sweep killed while writing would leave a partial folder that looks like a run.
+    partial = folder.with_name(f".{folder.name}.{os.getpid()}")
+    partial.mkdir(parents=True, exist_ok=True)
+    (partial / FIGURES).write_bytes(orjson.dumps(figures, option=JSON_OPTIONS))
+    (partial / MANIFEST).write_bytes(orjson.dumps(manifest_row, option=JSON_OPTIONS))
+    partial.rename(folder)
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One that was kept."""
+    """One stored run."""
 
     folder: Path
     manifest: dict[str, Any]
@@ -109,7 +110,7 @@
 
     @property
     def setting(self) -> tuple[str, str]:
-        """What two runs must share to be compared: the experiment's digest, and what was swept."""
+        """The experiment's digest and the swept values; only runs with equal settings are compared."""
         return self.manifest["digest"], orjson.dumps(
             self.manifest["swept"], option=orjson.OPT_SORT_KEYS
         ).decode()
@@ -117,25 +118,25 @@
 
 def read(folder: Path) -> Run:
     try:
-        about, figures = (orjson.loads((folder / name).read_bytes()) for name in (MANIFEST, FIGURES))
+        manifest_row, figures = (orjson.loads((folder / name).read_bytes()) for name in (MANIFEST, FIGURES))
     except (OSError, ValueError) as error:
         raise ResultError(f"{folder}: holds no run: {error}") from error
-    if not isinstance(about, dict) or about.get("format") != 1:
+    if not isinstance(manifest_row, dict) or manifest_row.get("format") != 1:
         raise ResultError(
-            f"{folder / MANIFEST}: format {about.get('format')!r} is not one that this program reads (1)"
+            f"{folder / MANIFEST}: format {manifest_row.get('format')!r} is not supported; this program reads format 1"
         )
-    return Run(folder, about, figures)
+    return Run(folder, manifest_row, figures)
 
 
 def runs(folder: Path) -> Iterator[Run]:
-    """The run of a folder, or all that are right below it, by name."""
+    """The run in a folder, or all runs in its direct subfolders, ordered by name."""
     if (folder / MANIFEST).exists():
         yield read(folder)
         return
-    found = sorted(
+    folders = sorted(
         path.parent for path in folder.glob(f"*/{MANIFEST}") if not path.parent.name.startswith(".")
     )
-    if not found:
+    if not folders:
         raise ResultError(f"{folder}: holds no runs")
-    for path in found:
+    for path in folders:
         yield read(path)
--- a/loadbalancer/experiments/returns.py
+++ b/loadbalancer/experiments/returns.py
@@ -1,9 +1,9 @@
-"""Does all of the service come back? Each trouble at each load, with callers that try again and callers that don't,
-beside the same run without the trouble: the same seed, the same arrivals.
+"""Checks whether the service fully recovers after a trouble: each trouble at each load, with and without callers that
+retry, compared with a run without the trouble, of the same seed and arrivals.
 
-A service that is held down by what a trouble left behind is metastable (Bronson et al., Metastable Failures in
-Distributed Systems, HotOS 2021; Huang et al., Metastable Failures in the Wild, OSDI 2022): it takes a run without the
-trouble to know what should be there.
+A service that stays degraded after the cause has ended is in a metastable failure (Bronson et al., Metastable Failures
+in Distributed Systems, HotOS 2021; Huang et al., Metastable Failures in the Wild, OSDI 2022). The run without the
+trouble gives the share that a full recovery must reach.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 from dataclasses import dataclass
 from itertools import product
 
-from loadbalancer.experiments.engine import simulate, workers
+from loadbalancer.experiments.engine import simulate, worker_pool
 from loadbalancer.experiments.experiment import Experiment, Trouble
 from loadbalancer.experiments.results import Job
 
-BEGINS_S, ENDS_S = 5.0, 13.0  # of each trouble
-AFTER_S, SEEN_S = 20.0, 10.0  # from its end to when it is to be over, and how long is looked at from there
+BEGINS_S, ENDS_S = 5.0, 13.0  # start and end of each trouble
+RECOVERY_S, WINDOW_S = 20.0, 10.0  # time allowed for the recovery, and the interval evaluated after it
 LOADS = (0.5, 0.7, 0.85, 1.0, 1.3)  # of capacity
 REPEATS = (0, 1, 2, 3)
-SHORT = 0.02  # of the requests, from which the service has not come back
+SHORT = 0.02  # missing share of requests above which the service has not recovered
 
 
 def troubles(zone: str, servers: int) -> dict[str, list[Trouble]]:
-    """What may go wrong, by name; `servers` is how many there are."""
+    """The troubles by name; `servers` is the number of servers in the fleet."""
     third, half = max(1, servers // 3), max(1, servers // 2)
 
     def one(kind: str, begins: float = BEGINS_S, ends: float = ENDS_S, **more: object) -> Trouble:
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True)
 class Return:
-    """How one trouble was got over. Shares are of requests, answered in time."""
+    """The recovery from one trouble, as shares of requests answered in time."""
 
     trouble: str
     load: float
@@ -64,35 +64,35 @@
 
     @property
     def short(self) -> float:
-        """What is missing; over SHORT it has not come back."""
+        """The share missing after the trouble; above SHORT the service has not recovered."""
         return self.without - self.with_it
 
 
-def _plan(base: Experiment, load: float, repeats: int, lists: str, some: list[Trouble]) -> Experiment:
+def _plan(base: Experiment, load: float, repeats: int, lists: str, chosen: list[Trouble]) -> Experiment:
     row = base.model_dump()
-    row["seconds"] = ENDS_S + AFTER_S + SEEN_S
+    row["seconds"] = ENDS_S + RECOVERY_S + WINDOW_S
     row["load"] |= {"of_capacity": load, "rate_per_s": None}
     row["load"]["repeats"]["most"] = repeats
     row["fleet"]["lists"] = lists
-    row |= {"troubles": [item.model_dump() for item in some], "sweep": []}
+    row |= {"troubles": [item.model_dump() for item in chosen], "sweep": []}
     return Experiment.model_validate(row)
 
 
 def share_after(plan: Experiment, policy: int, seed: int) -> float:
-    """Share answered in time of the requests that were due from 20 s after the trouble on, for 10 s."""
+    """The share answered in time of the requests due in the 10 s that begin 20 s after the trouble's end."""
     seconds = simulate(Job(plan, (), policy, seed))["seconds"]
-    rows = [row for row in seconds if ENDS_S + AFTER_S <= row[0] < ENDS_S + AFTER_S + SEEN_S]
-    due, good = (sum(int(row[at]) for row in rows) for at in (1, 2))
-    return good / max(1, due)
+    rows = [row for row in seconds if ENDS_S + RECOVERY_S <= row[0] < ENDS_S + RECOVERY_S + WINDOW_S]
+    due, in_time = (sum(int(row[at]) for row in rows) for at in (1, 2))
+    return in_time / max(1, due)
 
 
 def known(base: Experiment) -> dict[str, list[Trouble]]:
-    """The troubles that this fleet may have, by name."""
+    """The troubles that are possible in this fleet, by name."""
     zones = base.fleet.zones
-    some = troubles(zones[len(zones) // 2], base.fleet.servers)
-    if len(zones) == 1:  # there is nowhere else to go
-        some = {name: items for name, items in some.items() if not name.startswith("zone")}
-    return some
+    chosen = troubles(zones[len(zones) // 2], base.fleet.servers)
+    if len(zones) == 1:  # with one zone, no other zone can take over
+        chosen = {name: items for name, items in chosen.items() if not name.startswith("zone")}
+    return chosen
 
 
 def search(
@@ -104,17 +104,17 @@
     lists: Sequence[str] = ("told", "static"),
     only: Sequence[str] = (),
 ) -> Iterator[Return]:
-    """Each trouble, or `only` those of these names, at each load; `policy` is its place in the experiment, which is
-    played with its first seed."""
+    """Run each trouble, or those named in `only`, at each load; `policy` is its index in the experiment. The first seed
+    of the experiment is used."""
     seed = base.seeds[0]
     cases = list(product(loads, repeats, lists))
-    with workers(cores) as pool:
-        calm = {case: pool.submit(share_after, _plan(base, *case, []), policy, seed) for case in cases}
-        asked = {
-            (name, case): pool.submit(share_after, _plan(base, *case, some), policy, seed)
-            for name, some in known(base).items()
+    with worker_pool(cores) as pool:
+        baselines = {case: pool.submit(share_after, _plan(base, *case, []), policy, seed) for case in cases}
+        futures = {
+            (name, case): pool.submit(share_after, _plan(base, *case, chosen), policy, seed)
+            for name, chosen in known(base).items()
             if not only or name in only
             for case in cases
         }
-        for (name, case), found in asked.items():
-            yield Return(name, *case, found.result(), calm[case].result())
+        for (name, case), future in futures.items():
+            yield Return(name, *case, future.result(), baselines[case].result())
--- a/loadbalancer/experiments/servers.py
+++ b/loadbalancer/experiments/servers.py
@@ -1,7 +1,7 @@
-"""Servers of the model: cores, one queue in order of arrival, a limit, a warm-up, and what may go wrong with them.
+"""Simulated servers: cores, one FIFO queue, a limit, a warm-up, and faults.
 
-With one queue in order of arrival the end of a call is known when it comes (Lindley's recursion, for several cores the
-one of Kiefer and Wolfowitz), so a call costs one event. What goes wrong changes the calls that come from then on.
+With a FIFO queue the end of a call is known at its arrival (Lindley's recursion; for several cores that of Kiefer and
+Wolfowitz), so a call costs one event. A fault affects the calls that arrive after it began.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 from loadbalancer.interface import warmth
 
-OVERLOAD_MS = 1000.0  # over which it is counted whether a cold server is sent more than it bears
+OVERLOAD_MS = 1000.0  # window over which the work sent to a cold server is summed
 
 
-class Taken(NamedTuple):
-    """What becomes of a call, in ms: when it is begun, and when it ends; `full`: it was turned away at once."""
+class ScheduledCall(NamedTuple):
+    """Start and end of a call's service, in ms; `full`: it was rejected on arrival."""
 
     begins: float
     ends: float
@@ -24,20 +24,20 @@
 
 
 class Dependency:
-    """Something that several servers share: each of their calls has it for a time, in order of arrival."""
+    """A resource that several servers share: their calls use it for a time each, in order of arrival."""
 
     def __init__(self, cores: int) -> None:
-        self.free = [0.0] * cores
+        self.core_free_at = [0.0] * cores
 
-    def take(self, now: float, work_ms: float) -> float:
-        """When a call that asks for it now is done with it."""
-        ends = max(now, self.free[0]) + work_ms
-        heapreplace(self.free, ends)
+    def accept(self, now: float, work_ms: float) -> float:
+        """Return when a call that requests the resource now has finished with it."""
+        ends = max(now, self.core_free_at[0]) + work_ms
+        heapreplace(self.core_free_at, ends)
         return ends
 
 
 class Server:
-    """Times are ms of the model."""
+    """One simulated server. Times are ms of simulated time."""
 
     def __init__(
         self,
@@ -48,72 +48,72 @@
         cold_from: float = 1.0,
         cold_ms: float = 0.0,
     ) -> None:
-        """`limit`: calls that it holds at most, the served ones too (0: no limit); `cold_from`: its speed when it has
-        started, which grows evenly to 1 over `cold_ms`."""
+        """`limit`: maximum calls in the server, queued or in service (0: no limit); `cold_from`: relative speed right
+        after a start, which grows linearly to 1 over `cold_ms`."""
         self.name, self.zone, self.cores, self.limit = name, zone, cores, limit
         self.cold_from, self.cold_ms = cold_from, cold_ms
-        self.launched: float | None = None  # None: long ago
-        self.free = [-math.inf] * cores  # when each core is done; a heap
-        self.ends: list[float] = []  # of the calls that it holds, where it has a limit; a heap
-        self.factor = 1.0  # of its service times
+        self.launched: float | None = None  # start time; None: already warm
+        self.core_free_at = [-math.inf] * cores  # when each core becomes free; a heap
+        self.call_ends: list[float] = []  # end times of its calls, kept only with a limit; a heap
+        self.factor = 1.0  # multiplies its service times
         self.stalled_until = 0.0
-        self.failing = 0.0  # share of calls that end in an error, at once
+        self.failing = 0.0  # share of calls that fail immediately
         self.refusing = False
         self.up = True
         self.dependency: Dependency | None = None
         self.dependency_ms = 0.0
         self.busy_ms = 0.0
-        self.taken = 0
-        self.fell = 0  # times that it was pushed over when cold
-        self._window = 0.0
-        self._asked = 0.0  # ms of work that came in this window
+        self.accepted = 0
+        self.crashes = 0  # times it crashed from overload while cold
+        self._window_start = 0.0
+        self._window_work_ms = 0.0  # ms of work that arrived in this window
 
     def warmth(self, now: float) -> float:
-        """Its speed, of the warm one's (0 to 1)."""
+        """Its speed relative to a warm server (0 to 1)."""
         return 1.0 if self.launched is None else warmth(now - self.launched, self.cold_from, self.cold_ms)
 
-    def held(self, now: float) -> int:
-        """Calls that wait or are served."""
-        ends = self.ends
-        while ends and ends[0] <= now:
-            heappop(ends)
-        return len(ends)
-
-    def take(self, now: float, work_ms: float) -> Taken:
-        """A call comes whose service takes so long on a warm, idle core."""
-        if self.refusing or (self.limit and self.held(now) >= self.limit):
-            return Taken(now, now, True)
-        took = work_ms * self.factor / self.warmth(now)
-        begins = self.free[0]
+    def calls_in_server(self, now: float) -> int:
+        """The number of calls queued or in service."""
+        call_ends = self.call_ends
+        while call_ends and call_ends[0] <= now:
+            heappop(call_ends)
+        return len(call_ends)
+
+    def accept(self, now: float, work_ms: float) -> ScheduledCall:
+        """Schedule an arriving call; `work_ms` is its service time on a warm, idle core."""
+        if self.refusing or (self.limit and self.calls_in_server(now) >= self.limit):
+            return ScheduledCall(now, now, True)
+        service_ms = work_ms * self.factor / self.warmth(now)
+        begins = self.core_free_at[0]
         if begins < now:
             begins = now
         if begins < self.stalled_until:
             begins = self.stalled_until
-        ends = begins + took
+        ends = begins + service_ms
         if self.dependency is not None:
-            ends = self.dependency.take(ends, self.dependency_ms)
-        heapreplace(self.free, ends)
+            ends = self.dependency.accept(ends, self.dependency_ms)
+        heapreplace(self.core_free_at, ends)
         if self.limit:
-            heappush(self.ends, ends)
+            heappush(self.call_ends, ends)
         self.busy_ms += ends - begins
-        self.taken += 1
-        return Taken(begins, ends)
+        self.accepted += 1
+        return ScheduledCall(begins, ends)
 
-    def pushed(self, now: float, work_ms: float, factor: float) -> bool:
-        """Whether a cold server falls over by this call: over `factor` times what it can do has come in a second."""
+    def is_overloaded_by(self, now: float, work_ms: float, factor: float) -> bool:
+        """Whether this call crashes a cold server: over `factor` times its capacity has arrived within a second."""
         if self.launched is None or now - self.launched >= self.cold_ms:
             return False
-        if now - self._window >= OVERLOAD_MS:
-            self._window, self._asked = now, 0.0
-        self._asked += work_ms
-        return self._asked > factor * self.warmth(now) * self.cores * OVERLOAD_MS
+        if now - self._window_start >= OVERLOAD_MS:
+            self._window_start, self._window_work_ms = now, 0.0
+        self._window_work_ms += work_ms
+        return self._window_work_ms > factor * self.warmth(now) * self.cores * OVERLOAD_MS
 
     def restart(self, now: float) -> None:
-        """It has started anew: cold, with nothing in hand."""
+        """Start again: cold, with no calls."""
         self.up, self.launched = True, now
-        self.free = [-math.inf] * self.cores
-        self.ends.clear()
-        self._window, self._asked = now, 0.0
+        self.core_free_at = [-math.inf] * self.cores
+        self.call_ends.clear()
+        self._window_start, self._window_work_ms = now, 0.0
 
     def stop(self) -> None:
         self.up = False
--- a/tests/experiments/laboratory.py
+++ b/tests/experiments/laboratory.py
@@ -1,4 +1,4 @@
-"""What the tests of this folder share."""
+"""Helpers of the tests in this folder."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def plan(**more: Any) -> Experiment:
-    """A small experiment, with parts replaced."""
+    """A small experiment, with some keys replaced."""
     row = {
         "kind": "experiment",
         "version": 1,
--- a/tests/experiments/test_model.py
+++ b/tests/experiments/test_model.py
@@ -1,4 +1,4 @@
-"""The model against closed formulas of queueing theory, its seeds, and what goes wrong in it."""
+"""The simulation: agreement with closed formulas of queueing theory, determinism, and the effects of troubles."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from loadbalancer.experiments.library import load, shipped
 from loadbalancer.experiments.policies import LIMITS, PICKERS
 from loadbalancer.experiments.servers import Server
-from loadbalancer.experiments.world import World, times_of
+from loadbalancer.experiments.world import World, service_times
 from loadbalancer.interface import Result
 
-EVERY = [Policy(name=pick, pick=pick) for pick in ("ours", "peak_ewma", "omniscient")]  # type: ignore[arg-type]
+POLICIES = [Policy(name=pick, pick=pick) for pick in ("ours", "peak_ewma", "omniscient")]  # type: ignore[arg-type]
 
 
 def erlang_c(cores: int, load: float) -> float:
-    """The chance to wait in an M/M/c queue with so many erlangs."""
+    """The probability of waiting in an M/M/c queue with a load of so many erlangs."""
     terms = [load**n / math.factorial(n) for n in range(cores)]
     last = load**cores / math.factorial(cores) * cores / (cores - load)
     return last / (sum(terms) + last)
@@ -39,7 +39,7 @@
 
 
 def m_g_1(rho: float, cv: float) -> float:
-    """Pollaczek and Khinchine's mean wait."""
+    """The mean wait by the Pollaczek-Khinchine formula."""
     return rho * MEAN * (1.0 + cv * cv) / (2.0 * (1.0 - rho))
 
 
@@ -56,16 +56,16 @@
     ],
     ids=lambda value: value.kind if isinstance(value, Service) else "",
 )
-def test_waits_are_those_of_the_formulas(cores, rho, service, wait):
-    """Within 2%, and Little's law with them."""
+def test_mean_waits_agree_with_the_formulas(cores, rho, service, wait):
+    """Within 2%; Little's law is checked too."""
     server, gap = Server("s", cores=cores), draws.exponential(7, "gaps")
-    times, mean_gap = times_of(service, 7, "times"), MEAN / cores / rho
+    times, mean_gap = service_times(service, 7, "times"), MEAN / cores / rho
     now = waited = held = area = last = 0.0
     inside: list[float] = []
     calls = 600_000
     for _ in range(calls):
         now += gap() * mean_gap
-        taken = server.take(now, times())
+        taken = server.accept(now, times())
         waited += taken.begins - now
         held += taken.ends - now
         while inside and inside[0] <= now:
@@ -76,15 +76,15 @@
         last = now
         heappush(inside, taken.ends)
     assert waited / calls == pytest.approx(wait, rel=0.02)
-    # Little's law: calls held on average are the rate times the time of each, counted on its own.
+    # Little's law: the mean number of calls in the server is the rate times the mean time of a call.
     assert area / now == pytest.approx(calls / now * held / calls, rel=0.002)
 
 
-@pytest.mark.parametrize("policy", EVERY, ids=lambda policy: policy.name)
+@pytest.mark.parametrize("policy", POLICIES, ids=lambda policy: policy.name)
 @pytest.mark.parametrize("name", sorted(set(shipped()) - {"many-nodes"}))
-def test_each_shipped_experiment_gives_the_same_bytes_and_each_request_one_end(name, policy):
+def test_each_shipped_experiment_is_deterministic_and_ends_each_request_once(name, policy):
     whole = load(name)
-    # Everything of it, shrunk in time: troubles come as far into it as they did.
+    # The whole experiment, compressed in time: troubles keep their relative times.
     share = 0.8 / whole.seconds
     data = whole.model_dump(exclude={"sweep", "policies"}) | {"seconds": 0.8, "warm_s": 0.0}
     for row in data["troubles"]:
@@ -98,9 +98,12 @@
     for counts in orjson.loads(first)["classes"].values():
         ends = sum(counts[how] for how in ("in_time", "late", "refused", "failed"))
         assert ends == counts["due"]  # in time or not, each request has one end
-    # By the servers' own account as many calls are held as their rates and times say (Little's law).
-    assert sum(server.taken for server in world.servers) <= world.recorder.attempts
-    assert world.held_ms >= sum(server.busy_ms for server in world.servers) * 0.999 or small.fleet.dependency
+    # The calls that servers accepted are among the attempts, and their times in servers include the busy time.
+    assert sum(server.accepted for server in world.servers) <= world.recorder.attempts
+    assert (
+        world.time_in_servers_ms >= sum(server.busy_ms for server in world.servers) * 0.999
+        or small.fleet.dependency
+    )
     for server in world.servers:
         assert server.busy_ms <= server.cores * (world.end_ms + 60_000) * 10
 
@@ -142,7 +145,7 @@
 
 @pytest.mark.parametrize("policy", ["ours", "two_choices"])
 @pytest.mark.parametrize(("kind", "more", "how"), TROUBLES, ids=[row[0] for row in TROUBLES])
-def test_a_trouble_that_takes_everything_is_seen_and_ends(kind, more, how, policy):
+def test_a_trouble_of_the_whole_fleet_shows_in_the_figures_and_ends(kind, more, how, policy):
     fleet = {"servers": 6, "cores": 2, "nodes": 2, "cold_ms": 0.0, "list_late_ms": 10.0}
     trouble = {"kind": kind, "at_s": 1.5} | more
     if kind not in ("restart", "node_killed"):
@@ -152,11 +155,11 @@
     lost = sum(found[name] for name in how.split())
     assert lost > 0
     assert quiet["in_time"] == quiet["due"]
-    # It is over in the end: the last second is as good as the one before the trouble.
+    # The service has recovered in the last second.
     assert found["seconds"][-1][2] >= 0.95 * found["seconds"][-1][1]
 
 
-def test_a_partition_cuts_off_the_other_zones_alone_and_tries_elsewhere_help():
+def test_a_partition_affects_calls_across_zones_only_and_retries_elsewhere_help():
     fleet = {"servers": 6, "cores": 2, "nodes": 4, "zones": ["a", "b"], "max_attempts": 1}
     trouble = {"kind": "partition", "at_s": 1.0, "until_s": 3.0, "zone": "b"}
     cut = answered("random", fleet=fleet, troubles=[trouble])
@@ -164,18 +167,18 @@
     assert cut["failed"] > 0.2 * cut["due"] > tried["failed"]
 
 
-def test_callers_that_ask_again_heed_when_to_come_back_and_those_that_leave_are_counted():
+def test_retrying_callers_respect_retry_after_and_callers_that_leave_are_counted():
     storm = {"of_capacity": 3.0, "repeats": {"most": 3, "backoff_ms": 20.0}}
     asked = {heed: World(plan(load=storm | {"repeats": storm["repeats"] | {"heed_retry_after": heed}}),  # type: ignore[operator]
                          Policy(name="ours"), 1) for heed in (True, False)}  # fmt: skip
     for world in asked.values():
         world.run()
-    assert asked[True]._numbers < asked[False]._numbers
+    assert asked[True]._request_count < asked[False]._request_count
     patient, hasty = (answered("random", load={"of_capacity": 0.9, "patience_ms": ms}) for ms in (0.0, 15.0))
     assert hasty["failed"] > patient["failed"]
 
 
-def test_a_closed_loop_holds_no_more_than_its_callers():
+def test_a_closed_loop_has_at_most_one_request_in_flight_per_caller():
     world = World(
         plan(load={"kind": "closed", "callers": 9, "think_ms": 5.0}), Policy(name="p", pick="random"), 2
     )
@@ -183,7 +186,7 @@
     assert 0 < max(row["in_flight"] for row in world.recorder.samples) <= 9
 
 
-def test_a_cold_server_that_gets_a_warm_ones_share_is_pushed_over_and_ours_spares_it():
+def test_a_cold_server_crashes_under_a_warm_ones_share_but_not_with_ours():
     fleet = {
         "servers": 4,
         "cores": 2,
@@ -200,12 +203,12 @@
     assert fell["round_robin"] > 0 == fell["ours"]
 
 
-def test_what_is_stalled_answers_late_and_to_those_that_still_wait():
+def test_a_stalled_server_answers_late_to_callers_that_still_wait():
     world = World(plan(fleet={"servers": 1, "nodes": 1}, seconds=2.0), Policy(name="p", pick="random"), 1)
     call_ends: list[tuple[float, Result]] = []
-    world.nodes[0].over = lambda now, attempt, result, ms: call_ends.append((now, result))  # type: ignore[method-assign]
-    world._begin(0.0, -1)
-    world.at(1.0, world._stall, [0], 300.0)
+    world.nodes[0].on_attempt_end = lambda now, attempt, result, ms: call_ends.append((now, result))  # type: ignore[method-assign]
+    world._start_request(0.0, -1)
+    world.schedule(1.0, world._stall, [0], 300.0)
     while world._heap:
         when, _, what, args = heappop(world._heap)
         what(when, *args)
@@ -213,9 +216,9 @@
     assert call_ends[0][0] >= 300.0
 
 
-def test_a_zone_that_fell_silent_is_used_again_when_it_is_back():
-    """Static lists, few requests a node, callers that try again: what is left is overloaded, and stays so unless the
-    zone is asked."""
+def test_a_zone_that_stopped_responding_is_used_again_after_its_return():
+    """Static lists, few requests per node and retrying callers: the other zones are overloaded, and stay so unless
+    nodes try the returned zone again."""
     shipped_one = load("zone-stopped")
     row = World(shipped_one, shipped_one.policies[0], 1).run()
     seconds = {second: (due, good) for second, due, good, *_ in row["seconds"]}
