--- a/loadbalancer/emulator/__init__.py
+++ b/loadbalancer/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""The repository's own peers, for tests, benchmarks and `loadbalancer try`. All listen on loopback only."""
+"""Emulated servers, callers and control planes for tests, benchmarks and `loadbalancer try`; on loopback only."""
--- a/loadbalancer/emulator/caller.py
+++ b/loadbalancer/emulator/caller.py
@@ -1,4 +1,4 @@
-"""A stand-in application: plain HTTP/1.1, connections kept, one request at a time on each."""
+"""An emulated calling application: plain HTTP/1.1 with persistent connections, one request at a time on each."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass
 class Application:
-    """Asks at one address; `timeout_s` is how long it waits for an answer."""
+    """A client of one address; `timeout_s` limits the wait for each answer."""
 
     address: Address
     timeout_s: float = 10.0
@@ -22,8 +22,8 @@
     async def ask(
         self, method: str, target: str, body: bytes = b"", headers: dict[str, str] | None = None
     ) -> Response:
-        """The whole answer. TimeoutError or OSError without one; nothing is sent again."""
-        connection = await self._connect()
+        """Send a request and return the whole answer; TimeoutError or OSError without one. It does not retry."""
+        connection = await self._free_connection()
         lines = [f"{method} {target} HTTP/1.1", f"Host: {self.address[0]}:{self.address[1]}"]
         lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
         if body or method not in ("GET", "HEAD"):
@@ -40,7 +40,7 @@
             self.idle.append(connection)
         return response
 
-    async def _connect(self) -> ClientConnection:
+    async def _free_connection(self) -> ClientConnection:
         while self.idle:
             connection = self.idle.pop()
             if connection.usable:
--- a/loadbalancer/emulator/discovery.py
+++ b/loadbalancer/emulator/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in discovery: holds a list of boxes and tells its changes to those that watch."""
+"""An emulated discovery service: keeps a server list and reports its changes to watchers."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class Discovery(Listening):
-    """`GET /discovery/hosts` gives the whole list; `?since=REV&timeout_ms=T` the changes, as they come."""
+    """`GET /discovery/hosts` returns the whole list; `?since=REV&timeout_ms=T` is a long poll for changes."""
 
     def __init__(self) -> None:
         self.revision = 1
         self.rows: dict[str, dict[str, Any]] = {}
         self._changes: list[tuple[int, dict[str, Any]]] = []
-        self._news = asyncio.Event()
+        self._changed = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
         self.calls = 0
 
@@ -36,7 +36,7 @@
     def tell(
         self, box: Box, state: str = "Ready", zone: str = "", cell: int = 0, boot_ms: float = 0.0
     ) -> None:
-        """Put a box on the list, or change what the list says of it."""
+        """Add a server to the list, change its entry, or remove it (state `Gone`)."""
         self.revision += 1
         row = {
             "uid": box.name,
@@ -51,8 +51,8 @@
         else:
             self.rows[box.name] = row
         self._changes.append((self.revision, row))
-        self._news.set()
-        self._news = asyncio.Event()
+        self._changed.set()
+        self._changed = asyncio.Event()
 
     def listing(self, since: int | None) -> dict[str, Any]:
         if since is None or since < 1:
@@ -74,7 +74,7 @@
                 if since is not None and since >= self.revision and wait_s > 0.0:
                     try:
                         async with asyncio.timeout(wait_s):
-                            await self._news.wait()
+                            await self._changed.wait()
                     except TimeoutError:
                         pass
                 body = orjson.dumps(self.listing(since))
--- a/loadbalancer/emulator/listening.py
+++ b/loadbalancer/emulator/listening.py
@@ -1,4 +1,4 @@
-"""What listens on loopback."""
+"""Base classes and command line options of the emulated servers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Listening:
-    """A peer whose `_server` is there once it has been started."""
+    """An emulated server; `_server` is set once it has been started."""
 
     _server: asyncio.Server | None = None
 
@@ -21,7 +21,7 @@
 
 
 class Counting(Listening):
-    """A peer that knows the connections which it has and how many it has taken."""
+    """An emulated server that tracks its open connections and counts those it accepted."""
 
     def __init__(self) -> None:
         self.connections: set[Counted] = set()
@@ -29,7 +29,7 @@
 
 
 class Counted(asyncio.Protocol):
-    """One of these connections."""
+    """A tracked connection."""
 
     def __init__(self, peer: Counting) -> None:
         self._peer = peer
@@ -46,7 +46,7 @@
 
 
 class Box(Protocol):
-    """A box that can be started and ended."""
+    """An emulated server that can be started and stopped."""
 
     name: str
 
@@ -59,17 +59,17 @@
 
 
 def command(module: str, description: str) -> argparse.ArgumentParser:
-    """The options that all boxes have."""
+    """The command line options common to all emulated servers."""
     parser = argparse.ArgumentParser(prog=f"python -m {module}", description=description)
     parser.add_argument("--name", default="box")
-    parser.add_argument("--port", type=int, default=0, help="on 127.0.0.1; 0 takes a free one")
+    parser.add_argument("--port", type=int, default=0, help="port on 127.0.0.1; 0 selects a free one")
     parser.add_argument("--work-ms", type=float, default=0.0)
-    parser.add_argument("--seconds", type=float, default=3600.0, help="after which it ends by itself")
+    parser.add_argument("--seconds", type=float, default=3600.0, help="time after which it exits")
     return parser
 
 
 def run(box: Box, args: argparse.Namespace) -> int:
-    """Serve until it is ended, or for as long as the options say."""
+    """Serve until terminated, or for `--seconds`."""
 
     async def serve() -> None:
         await box.start(args.port)
--- a/loadbalancer/emulator/thrift.py
+++ b/loadbalancer/emulator/thrift.py
@@ -1,9 +1,9 @@
-"""A stand-in ledger box that speaks Thrift: keeps how often each posting ran, and misbehaves as told.
+"""An emulated ledger server that speaks Thrift: counts how often each posting ran, and injects faults.
 
     python -m loadbalancer.emulator.thrift --port 0 --name box-1 --work-ms 4
 
-prints `NAME listens on HOST:PORT` and serves until it is ended, or for `--seconds`. It takes any of the protocols and
-transports, runs the calls of a connection one after another, and speaks `loadbalancer/examples/ledger.thrift`.
+prints `NAME listens on HOST:PORT` and serves until it is terminated, or for `--seconds`. It accepts all protocols
+and transports, runs the calls of a connection one after another, and implements `loadbalancer/examples/ledger.thrift`.
 """
 
 from __future__ import annotations
@@ -17,30 +17,31 @@
 from loadbalancer.thrift.codec import Decoder, application_exception, encode, field_at, writer_of
 from loadbalancer.thrift.types import I64, STRING, STRUCT, Form, Message, MessageKind, ProtocolError
 
-POSTING = (1, 1)  # the path of a posting's id in the arguments
+POSTING = (1, 1)  # field path of the posting's id in the arguments
 LIMIT = 16 * 1024 * 1024
 
 
 @dataclass(slots=True)
 class ThriftBehaviour:
-    """How a box works from now on; changed while it runs. Numbers count the next replies that go wrong so."""
-
-    work_ms: float = 0.0  # for each call
-    slow: float = 1.0  # times the work
-    hang: bool = False  # take calls and answer none
-    decline: bool = False  # turn all away unrun, as a box that drains
-    declared: int = 0  # an exception that the service declares
-    error: int = 0  # an exception of the processor's own, after the work was done
-    die_before: int = 0  # the connection ends before the work begins
-    die_after: int = 0  # the connection ends after the work, with no reply
-    die_mid_reply: int = 0  # the reply breaks off halfway, the connection with it
-    stall_mid_reply: int = 0  # the reply breaks off halfway, the connection stays
+    """The behaviour and faults of an emulated server; may be changed while it runs. Each integer is the number of next
+    calls or replies with that fault."""
+
+    work_ms: float = 0.0  # service time of each call
+    slow: float = 1.0  # multiplies the work
+    hang: bool = False  # accept calls and never reply
+    decline: bool = False  # reject all calls without running them, as a draining server does
+    declared: int = 0  # reply with an exception that the service declares
+    error: int = 0  # reply with an application exception, after the work was done
+    die_before: int = 0  # the connection is aborted before the work starts
+    die_after: int = 0  # the connection is aborted after the work, without a reply
+    die_mid_reply: int = 0  # the reply is cut off halfway and the connection is closed
+    stall_mid_reply: int = 0  # the reply is cut off halfway, the connection stays open
     wrong_seqid: int = 0
     wrong_name: int = 0
-    wrong_kind: int = 0  # a call in place of a reply
-    wrong_body: int = 0  # a reply whose struct is none
-    twice: int = 0  # the reply comes two times
-    answer_oneway: int = 0  # a reply to a oneway call
+    wrong_kind: int = 0  # the reply has the message type CALL
+    wrong_body: int = 0  # the reply's body is not a valid struct
+    twice: int = 0  # the reply is sent twice
+    answer_oneway: int = 0  # a reply is sent to a oneway call
 
 
 class _Connection(Counted):
@@ -49,7 +50,7 @@
         self._box = box
         self._decoder = Decoder(LIMIT)
         self._calls: deque[Message] = deque()
-        self._busy = False
+        self._running = False
 
     def data_received(self, data: bytes) -> None:
         for found in self._decoder.feed(data):
@@ -59,96 +60,96 @@
                 return
             self._box.taken += 1
             self._calls.append(found)
-        self._begin()
+        self._run_queued()
 
-    def _begin(self) -> None:
+    def _run_queued(self) -> None:
         box = self._box
-        how = box.behaviour
-        while self._calls and not self._busy and not box.dead:
+        behaviour = box.behaviour
+        while self._calls and not self._running and not box.dead:
             call = self._calls.popleft()
-            if _spend(how, "die_before"):
+            if _inject(behaviour, "die_before"):
                 self.transport.abort()
                 return
-            if how.decline:
+            if behaviour.decline:
                 box.declined += 1
                 self._write(call, MessageKind.EXCEPTION, application_exception(call.form, 11, "draining"))
                 continue
             box.run(call)
-            if how.hang:
-                self._busy = True
-            elif how.work_ms > 0.0:
-                self._busy = True
-                delay_s = how.work_ms * how.slow / 1000.0
-                asyncio.get_running_loop().call_later(delay_s, self._worked, call)
+            if behaviour.hang:
+                self._running = True
+            elif behaviour.work_ms > 0.0:
+                self._running = True
+                delay_s = behaviour.work_ms * behaviour.slow / 1000.0
+                asyncio.get_running_loop().call_later(delay_s, self._on_work_done, call)
             else:
-                self._finish(call)
+                self._send_reply(call)
 
-    def _worked(self, call: Message) -> None:
-        if not self._box.behaviour.hang:  # else it began to hang while this was being worked on
-            self._busy = False
-            self._finish(call)
-            self._begin()
+    def _on_work_done(self, call: Message) -> None:
+        if not self._box.behaviour.hang:  # else the hang was set while this call was running
+            self._running = False
+            self._send_reply(call)
+            self._run_queued()
 
-    def _finish(self, call: Message) -> None:
-        box, how = self._box, self._box.behaviour
+    def _send_reply(self, call: Message) -> None:
+        box, behaviour = self._box, self._box.behaviour
         if self.transport.is_closing():
             return
-        if _spend(how, "die_after"):
+        if _inject(behaviour, "die_after"):
             self.transport.abort()
             return
         if call.kind is MessageKind.ONEWAY:
             box.served += 1
-            if _spend(how, "answer_oneway"):
+            if _inject(behaviour, "answer_oneway"):
                 self._write(call, MessageKind.REPLY, b"\0")
             return
-        if _spend(how, "error"):
+        if _inject(behaviour, "error"):
             self._write(
                 call, MessageKind.EXCEPTION, application_exception(call.form, 6, "posted, then failed")
             )
             return
-        declared = _spend(how, "declared")
+        declared = _inject(behaviour, "declared")
         self._write(call, MessageKind.REPLY, box.declared(call) if declared else box.result(call))
 
     def _write(self, call: Message, kind: MessageKind, body: bytes) -> None:
-        how, name, seqid = self._box.behaviour, call.name.rpartition(b":")[2], call.seqid
-        if _spend(how, "wrong_seqid"):
+        behaviour, name, seqid = self._box.behaviour, call.name.rpartition(b":")[2], call.seqid
+        if _inject(behaviour, "wrong_seqid"):
             seqid = (seqid + 1) & 0x7FFFFFFF
-        if _spend(how, "wrong_name"):
+        if _inject(behaviour, "wrong_name"):
             name = b"another"
-        if _spend(how, "wrong_kind"):
+        if _inject(behaviour, "wrong_kind"):
             kind = MessageKind.CALL
-        if _spend(how, "wrong_body"):
+        if _inject(behaviour, "wrong_body"):
             body = b"\x63\x00\x01\xff"
         data = encode(Message(call.form, kind, name, seqid, body), bool(self._decoder.framed))
-        if _spend(how, "die_mid_reply"):
+        if _inject(behaviour, "die_mid_reply"):
             self.transport.write(data[: len(data) // 2])
             self.transport.close()
-        elif _spend(how, "stall_mid_reply"):
+        elif _inject(behaviour, "stall_mid_reply"):
             self.transport.write(data[: len(data) // 2])
         else:
             self._box.served += call.kind is not MessageKind.ONEWAY
-            self.transport.write(data * 2 if _spend(how, "twice") else data)
+            self.transport.write(data * 2 if _inject(behaviour, "twice") else data)
 
 
-def _spend(how: ThriftBehaviour, key: str) -> bool:
-    """Whether one of the counted misdeeds is due."""
-    left: int = getattr(how, key)
-    if left > 0:
-        setattr(how, key, left - 1)
-    return left > 0
+def _inject(behaviour: ThriftBehaviour, key: str) -> bool:
+    """Whether the fault of this name is to be injected now; decrements its count."""
+    remaining: int = getattr(behaviour, key)
+    if remaining > 0:
+        setattr(behaviour, key, remaining - 1)
+    return remaining > 0
 
 
 class ThriftBox(Counting):
-    """One box. `ran` counts, for each posting, how often its work was begun."""
+    """One emulated server. `ran` counts, for each posting, how often its work was started."""
 
     def __init__(self, name: str = "box", behaviour: ThriftBehaviour | None = None) -> None:
         super().__init__()
         self.name = name
         self.behaviour = behaviour or ThriftBehaviour()
         self.ran: Counter[str] = Counter()
-        self.methods: Counter[str] = Counter()  # how many calls were begun
+        self.methods: Counter[str] = Counter()  # calls started, by method
         self.taken = self.served = self.declined = self.unreadable = 0
-        self.forms: set[tuple[Form, bytes]] = set()  # what it was spoken to in, and the names that were asked
+        self.forms: set[tuple[Form, bytes]] = set()  # protocols and method names of the calls received
         self.calls: deque[Message] = deque(maxlen=1000)
         self.dead = False
 
@@ -159,7 +160,7 @@
         return self
 
     def stop(self) -> None:
-        """Die: the listener goes and all connections are reset."""
+        """Crash: close the listener and reset all connections."""
         self.dead = True
         if self._server is not None:
             self._server.close()
@@ -167,7 +168,7 @@
             connection.transport.abort()
 
     def run(self, call: Message) -> None:
-        """The work begins."""
+        """Start the work of a call: record it."""
         posting = field_at(call.body, call.form, POSTING)
         if isinstance(posting, bytes):
             self.ran[posting.decode()] += 1
@@ -176,7 +177,7 @@
         self.calls.append(call)
 
     def result(self, call: Message) -> bytes:
-        """The result's struct: field 0 is what the method returns."""
+        """The result struct; field 0 is the return value."""
         writer = writer_of(call.form)
         writer.begin_struct()
         method = call.name.rpartition(b":")[2]
@@ -199,7 +200,7 @@
         return bytes(writer.out)
 
     def declared(self, call: Message) -> bytes:
-        """The result's struct with the declared exception, field 1."""
+        """The result struct with the declared exception in field 1."""
         writer = writer_of(call.form)
         writer.begin_struct()
         writer.field(STRUCT, 1)
@@ -212,7 +213,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    parser = command("loadbalancer.emulator.thrift", "A stand-in box that speaks Thrift.")
+    parser = command("loadbalancer.emulator.thrift", "An emulated server that speaks Thrift.")
     args = parser.parse_args(argv)
     return run(ThriftBox(args.name, ThriftBehaviour(work_ms=args.work_ms)), args)
 
--- a/loadbalancer/emulator/tier.py
+++ b/loadbalancer/emulator/tier.py
@@ -1,7 +1,7 @@
-"""A stand-in application of a middle tier: answers HTTP/1.1 by calling the next tier through the sidecar beside it.
+"""An emulated application of a middle tier: answers HTTP/1.1 by calling the next tier through its own sidecar.
 
-It passes on the header fields that it is told to, as an application does that propagates a trace, or none, as one that
-knows nothing of it. It can hang, fail at once, or try again by itself as a tier that is not ours.
+It forwards a configurable set of header fields: those of an application that propagates a trace, or none. It can hang,
+fail immediately, or retry by itself as an application outside of this project may.
 """
 
 from __future__ import annotations
@@ -23,30 +23,30 @@
 
 @dataclass(slots=True)
 class TierBehaviour:
-    """How the application behaves from now on; changed while it runs."""
-
-    work_ms: float = 0.0  # before it calls
-    hang: bool = False  # take requests and answer none
-    fail: bool = False  # answer 500 at once, and call nobody
-    tries: int = 1  # calls that it makes itself, until one has a good answer,
-    tried: frozenset[bytes] = frozenset((b"GET", b"POST"))  # of these methods
-    notices: bool = True  # that its caller has gone, and gives up what it asked for on its behalf
-    passes: frozenset[bytes] = TRACE | OWN  # header fields, by lower-case name, that go on
+    """The behaviour and faults of the application; may be changed while it runs."""
+
+    work_ms: float = 0.0  # time before it calls the next tier
+    hang: bool = False  # accept requests and never answer
+    fail: bool = False  # answer 500 immediately, without a call
+    tries: int = 1  # attempts of its own until one succeeds
+    tried: frozenset[bytes] = frozenset((b"GET", b"POST"))  # methods that it retries
+    notices: bool = True  # cancel the work of a request when its caller disconnects
+    passes: frozenset[bytes] = TRACE | OWN  # lower-case names of the header fields that are forwarded
     timeout_s: float = 30.0
 
 
 @dataclass(eq=False)
 class TierApplication:
-    """One instance. `begun` counts its requests, `paths` by what they asked."""
+    """One instance. `begun` counts its requests, `paths` counts them by target."""
 
     name: str
     behaviour: TierBehaviour = field(default_factory=TierBehaviour)
-    next: Address | None = None  # the sidecar beside it; None: it answers by itself
+    next: Address | None = None  # its own sidecar; None: it answers without a call
 
     def __post_init__(self) -> None:
         self.begun = 0
         self.paths: Counter[str] = Counter()
-        self.before_call: Callable[[], Awaitable[Any]] | None = None  # waited for before it calls
+        self.before_call: Callable[[], Awaitable[Any]] | None = None  # awaited before each call
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, port: int = 0) -> TierApplication:
@@ -61,7 +61,7 @@
         return f"{host}:{port}"
 
     def stop(self) -> None:
-        """Die: all connections are reset."""
+        """Crash: reset all connections."""
         self.server.close()
         for connection in list(self.server.connections):
             connection.abort()
@@ -84,13 +84,13 @@
         call.on_gone = gone
 
     async def _serve(self, call: Call) -> None:
-        how = self.behaviour
-        if how.fail:
+        behaviour = self.behaviour
+        if behaviour.fail:
             call.pass_on(500, [(b"X-Box", self.name.encode())], b"failed\n")
             return
-        if how.work_ms > 0.0:
-            await asyncio.sleep(how.work_ms / 1000.0)
-        if how.hang:
+        if behaviour.work_ms > 0.0:
+            await asyncio.sleep(behaviour.work_ms / 1000.0)
+        if behaviour.hang:
             await asyncio.Event().wait()
         if self.before_call is not None:
             await self.before_call()
@@ -100,13 +100,13 @@
         headers = {
             name.decode("latin-1"): value.decode("latin-1")
             for name, value in call.raw
-            if name.lower() in how.passes
+            if name.lower() in behaviour.passes
         }
         if self._caller is None:
-            self._caller = Application(self.next, how.timeout_s)
+            self._caller = Application(self.next, behaviour.timeout_s)
         target = call.target.decode("latin-1")
         status, body = 504, b"no answer\n"
-        for _ in range(how.tries if call.method in how.tried else 1):
+        for _ in range(behaviour.tries if call.method in behaviour.tried else 1):
             try:
                 reply = await self._caller.ask(call.method.decode(), target, bytes(call.body), headers)
             except (OSError, TimeoutError):
--- a/loadbalancer/emulator/xds.py
+++ b/loadbalancer/emulator/xds.py
@@ -1,5 +1,5 @@
-"""A stand-in control plane: an aggregated discovery server, state of the world and incremental, that misbehaves as
-told. Needs the extra `xds`."""
+"""An emulated xDS control plane: an aggregated discovery server, state of the world and incremental, with fault
+injection. Needs the extra `xds`."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def cluster(name: str, **more: Any) -> any_pb2.Any:
-    """An EDS cluster over the same stream, with changes in the API's JSON form."""
+    """An EDS cluster served by ADS; `more` overrides its fields, in the JSON form of the API."""
     data = {"name": name, "type": "EDS", "eds_cluster_config": {"eds_config": {"ads": {}}}} | more
     return packed(json_format.ParseDict(data, cluster_pb2.Cluster()))
 
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class Asked:
-    """One request as it came, by stream."""
+    """A received request and the number of its stream."""
 
     stream: int
     request: Any
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True)
 class _Stream:
-    """What one stream has been told: versions by type and name."""
+    """The state of one stream; `sent` maps types to the names and versions that it has received."""
 
     number: int
     queue: asyncio.Queue[Any] = field(default_factory=asyncio.Queue)
@@ -68,7 +68,7 @@
 
 
 def _subscribe_all(stream: _Stream, request: Any) -> None:
-    """State of the world: the request names all that is wanted."""
+    """State of the world: the request names all subscribed resources."""
     names = set(request.resource_names)
     if names != stream.names.get(request.type_url):
         stream.names[request.type_url] = names
@@ -76,7 +76,7 @@
 
 
 def _subscribe_changes(stream: _Stream, request: Any) -> None:
-    """Incremental: the request names what is wanted anew, and what no longer."""
+    """Incremental: the request names added and removed subscriptions."""
     names = stream.names.setdefault(request.type_url, set())
     names |= set(request.resource_names_subscribe)
     names -= set(request.resource_names_unsubscribe)
@@ -90,16 +90,16 @@
     cds_pb2_grpc.ClusterDiscoveryServiceServicer,  # type: ignore[misc]
     eds_pb2_grpc.EndpointDiscoveryServiceServicer,  # type: ignore[misc]
 ):
-    """`put` and `remove` change its state; streams are told at once unless `silent`."""
+    """`put` and `remove` change its resources; streams receive changes immediately, except for types in `silent`."""
 
     def __init__(self) -> None:
         self.resources: dict[str, dict[str, any_pb2.Any]] = {CLUSTER: {}, ENDPOINTS: {}}
         self.versions: dict[str, dict[str, str]] = {CLUSTER: {}, ENDPOINTS: {}}
         self.version = 0
         self.asked: list[Asked] = []
-        self.silent: set[str] = set()  # types of which nothing is told for now
+        self.silent: set[str] = set()  # resource types for which no responses are sent
         self.streams: dict[int, _Stream] = {}
-        self._opened = 0
+        self._stream_count = 0
         self._server: Any = None
         self._rest: Box
         self.port = 0
@@ -147,47 +147,47 @@
         self.tell()
 
     def tell(self) -> None:
-        """Have streams look for what is new."""
+        """Make each stream send its pending changes."""
         for stream in self.streams.values():
             stream.queue.put_nowait(None)
 
     def say(self, response: Any) -> None:
-        """Send this response on all streams, whatever it is."""
+        """Send this response unchanged on all streams."""
         for stream in self.streams.values():
             stream.queue.put_nowait(response)
 
     def drop_streams(self) -> None:
         for stream in self.streams.values():
-            stream.queue.put_nowait(ConnectionError("dropped"))
+            stream.queue.put_nowait(ConnectionError("stream dropped"))
 
     def forget(self) -> None:
-        """A restart that begins its versions anew."""
+        """Emulate a restart that resets all versions."""
         self.version = 0
         for versions in self.versions.values():
             for name in versions:
                 versions[name] = "0"
 
     def errors(self) -> list[str]:
-        """What has been rejected, in the words of those who did."""
+        """The error messages of all rejected responses (NACKs)."""
         return [
             item.request.error_detail.message for item in self.asked if item.request.HasField("error_detail")
         ]
 
     # --------------------------------------------------------------------- service
 
-    async def StreamAggregatedResources(  # noqa: N802 - the service's own name
+    async def StreamAggregatedResources(  # noqa: N802 - name defined by the service
         self, requests: AsyncIterator[Any], context: Any
     ) -> AsyncIterator[Any]:
         async for response in self._serve(
-            requests, discovery_pb2.DiscoveryResponse, _subscribe_all, self._state
+            requests, discovery_pb2.DiscoveryResponse, _subscribe_all, self._state_response
         ):
             yield response
 
-    async def DeltaAggregatedResources(  # noqa: N802 - the service's own name
+    async def DeltaAggregatedResources(  # noqa: N802 - name defined by the service
         self, requests: AsyncIterator[Any], context: Any
     ) -> AsyncIterator[Any]:
         kind = discovery_pb2.DeltaDiscoveryResponse
-        async for response in self._serve(requests, kind, _subscribe_changes, self._changes):
+        async for response in self._serve(requests, kind, _subscribe_changes, self._delta_response):
             yield response
 
     async def _serve(
@@ -197,8 +197,8 @@
         subscribe: Callable[[_Stream, Any], None],
         answer: Callable[[_Stream, str], Any],
     ) -> AsyncIterator[Any]:
-        """One stream: its scripted responses as they are, and else what is new after a request or a change."""
-        async with self._stream(requests) as stream:
+        """Serve one stream: scripted responses are sent unchanged, else pending changes after a request or a change."""
+        async with self._open_stream(requests) as stream:
             while True:
                 request = await stream.queue.get()
                 if isinstance(request, Exception):
@@ -217,12 +217,12 @@
     DeltaClusters = DeltaEndpoints = DeltaAggregatedResources
 
     def _poll(self, seen: Seen) -> bytes:
-        """`POST /v3/discovery:clusters` and `:endpoints`: the state, or 304 where the caller has it."""
+        """`POST /v3/discovery:clusters` and `:endpoints`: the state, or 304 if the client has this version."""
         request = json_format.Parse(bytes(seen.body), discovery_pb2.DiscoveryRequest())
         self.asked.append(Asked(0, request))
-        held = self.versions[request.type_url]
-        names = [name for name in request.resource_names if name in held]
-        version = str(max((int(held[name]) for name in names), default=0)) + f"-{len(names)}"
+        versions = self.versions[request.type_url]
+        names = [name for name in request.resource_names if name in versions]
+        version = str(max((int(versions[name]) for name in names), default=0)) + f"-{len(names)}"
         if request.type_url in self.silent or (version == request.version_info and names):
             return b"HTTP/1.1 304 Not Modified\r\n\r\n"
         response = discovery_pb2.DiscoveryResponse(
@@ -235,62 +235,62 @@
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
 
     @contextlib.asynccontextmanager
-    async def _stream(self, requests: AsyncIterator[Any]) -> AsyncIterator[_Stream]:
-        self._opened += 1
-        stream = self.streams[self._opened] = _Stream(self._opened)
+    async def _open_stream(self, requests: AsyncIterator[Any]) -> AsyncIterator[_Stream]:
+        self._stream_count += 1
+        stream = self.streams[self._stream_count] = _Stream(self._stream_count)
 
         async def read() -> None:
             async for request in requests:
                 self.asked.append(Asked(stream.number, request))
                 stream.queue.put_nowait(request)
-            stream.queue.put_nowait(ConnectionError("the caller has ended its side"))
+            stream.queue.put_nowait(ConnectionError("the client closed its side of the stream"))
 
-        reading = asyncio.create_task(read())
+        reader = asyncio.create_task(read())
         try:
             yield stream
         finally:
-            reading.cancel()
+            reader.cancel()
             self.streams.pop(stream.number, None)
 
-    def _wanted(self, stream: _Stream, type_url: str) -> dict[str, str]:
+    def _subscribed_versions(self, stream: _Stream, type_url: str) -> dict[str, str]:
         return {
             name: version
             for name, version in self.versions[type_url].items()
             if name in stream.names[type_url]
         }
 
-    def _state(self, stream: _Stream, type_url: str) -> Any:
+    def _state_response(self, stream: _Stream, type_url: str) -> Any:
         if type_url not in stream.names or type_url in self.silent:
             return None
-        wanted = self._wanted(stream, type_url)
-        if stream.sent.get(type_url) == wanted:
+        subscribed = self._subscribed_versions(stream, type_url)
+        if stream.sent.get(type_url) == subscribed:
             return None
-        stream.sent[type_url] = wanted
+        stream.sent[type_url] = subscribed
         stream.nonce += 1
         return discovery_pb2.DiscoveryResponse(
             version_info=str(self.version),
-            resources=[self.resources[type_url][name] for name in wanted],
+            resources=[self.resources[type_url][name] for name in subscribed],
             type_url=type_url,
             nonce=f"n{stream.nonce}",
         )
 
-    def _changes(self, stream: _Stream, type_url: str) -> Any:
+    def _delta_response(self, stream: _Stream, type_url: str) -> Any:
         if type_url not in stream.names or type_url in self.silent:
             return None
-        wanted, sent = self._wanted(stream, type_url), stream.sent[type_url]
-        news = [name for name, version in wanted.items() if sent.get(name) != version]
-        removed = [name for name in sent if name not in wanted and name in stream.names[type_url]]
-        if not news and not removed:
+        subscribed, sent = self._subscribed_versions(stream, type_url), stream.sent[type_url]
+        changed = [name for name, version in subscribed.items() if sent.get(name) != version]
+        removed = [name for name in sent if name not in subscribed and name in stream.names[type_url]]
+        if not changed and not removed:
             return None
-        stream.sent[type_url] = wanted
+        stream.sent[type_url] = subscribed
         stream.nonce += 1
         return discovery_pb2.DeltaDiscoveryResponse(
             system_version_info=str(self.version),
             resources=[
                 discovery_pb2.Resource(
-                    name=name, version=wanted[name], resource=self.resources[type_url][name]
+                    name=name, version=subscribed[name], resource=self.resources[type_url][name]
                 )
-                for name in news
+                for name in changed
             ],
             removed_resources=removed,
             type_url=type_url,
--- a/loadbalancer/test_rig/__init__.py
+++ b/loadbalancer/test_rig/__init__.py
@@ -1,1 +1,1 @@
-"""Many processes of the program on one machine, and what goes wrong between them."""
+"""Test rig: runs many processes of the program on one machine and injects faults."""
--- a/loadbalancer/test_rig/processes.py
+++ b/loadbalancer/test_rig/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a rig: started in parallel, told ready by what they say, ended by their ids, never left behind."""
+"""Child processes of a test rig: started in parallel, ready when they print a given text, and never left running."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
 from loadbalancer.sidecar.toml import dumps
 
-READY_S = 30.0
+READY_TIMEOUT_S = 30.0
 PR_SET_PDEATHSIG = 1  # prctl(2)
 
 
 class NotReadyError(Exception):
-    """A process has ended, or has not said that it is ready in time."""
+    """A process exited, or did not report that it is ready in time."""
 
 
-def _ends_with(parent: int) -> None:
-    """Have the kernel kill this process when the rig's does.
+def _die_with_parent(parent: int) -> None:
+    """Make the kernel kill this process when the parent exits.
 
-    Guard: a rig that was killed left all that it had started, with their ports.
+    Guard: a killed rig would leave its child processes running, with their ports in use.
     """
     ctypes.CDLL(None, use_errno=True).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
-    if os.getppid() != parent:  # it has gone meanwhile
+    if os.getppid() != parent:  # the parent exited before prctl took effect
         os._exit(1)
 
 
 @dataclass
 class Started:
-    """One process. Its log is the file `log`, one line a message."""
+    """One process; its output goes to the file `log`."""
 
     name: str
     process: asyncio.subprocess.Process
@@ -47,16 +47,16 @@
 
 @dataclass
 class Supervisor:
-    """Starts and ends processes whose logs go to `folder`; as a context it leaves none behind."""
+    """Starts and stops processes whose logs go to `folder`; leaving the context kills all of them."""
 
     folder: Path
     running: dict[str, Started] = field(default_factory=dict)
 
-    async def start(self, name: str, command: Sequence[str], says: str) -> Started:
-        """Start `python ARGUMENTS...` and wait until a line of its output has `says` in it; NotReadyError if it
-        does not come."""
+    async def start(self, name: str, command: Sequence[str], ready_text: str) -> Started:
+        """Start `python COMMAND...` and wait until its output contains `ready_text`; NotReadyError if it exits or does
+        not print the text in time."""
         log = self.folder / f"{name}.log"
-        begins = log.stat().st_size if log.exists() else 0
+        log_offset = log.stat().st_size if log.exists() else 0
         parent = os.getpid()
         with log.open("ab") as output:
             process = await asyncio.create_subprocess_exec(
@@ -65,31 +65,33 @@
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=output,
                 stderr=output,
-                preexec_fn=lambda: _ends_with(parent),
+                preexec_fn=lambda: _die_with_parent(parent),
             )
         started = self.running[name] = Started(name, process, log)
         try:
-            async with asyncio.timeout(READY_S):
-                while says not in (text := log.read_bytes()[begins:].decode(errors="replace")):
+            async with asyncio.timeout(READY_TIMEOUT_S):
+                while ready_text not in (text := log.read_bytes()[log_offset:].decode(errors="replace")):
                     if process.returncode is not None:
-                        raise NotReadyError(f"{name} ended with {process.returncode}: {text.strip()[-500:]}")
+                        raise NotReadyError(f"{name} exited with {process.returncode}: {text.strip()[-500:]}")
                     await asyncio.sleep(0.02)
         except TimeoutError:
-            raise NotReadyError(f"{name} did not say {says!r} within {READY_S:g} s; see {log}") from None
+            raise NotReadyError(
+                f"{name} did not print {ready_text!r} within {READY_TIMEOUT_S:g} s; see {log}"
+            ) from None
         return started
 
     async def sidecar(self, name: str, configuration: dict[str, Any]) -> Started:
-        """A sidecar with this configuration, which is written to the folder."""
+        """Start a sidecar with this configuration, which is written to the folder."""
         path = self.folder / f"{name}.toml"
         path.write_text(dumps(configuration, {}))
         return await self.start(name, ["-m", "loadbalancer.cli", "sidecar", str(path)], "in force")
 
     async def kill(self, *names: str) -> None:
-        """SIGKILL to all of them at once; returns when they have ended."""
-        some = [self.running.pop(name) for name in names if name in self.running]
-        for item in some:
+        """Send SIGKILL to all of them, then wait until they have exited."""
+        processes = [self.running.pop(name) for name in names if name in self.running]
+        for item in processes:
             item.send(signal.SIGKILL)
-        await asyncio.gather(*(item.process.wait() for item in some))
+        await asyncio.gather(*(item.process.wait() for item in processes))
 
     async def __aenter__(self) -> Supervisor:
         return self
--- a/tests/test_rig/test_processes.py
+++ b/tests/test_rig/test_processes.py
@@ -1,4 +1,4 @@
-"""What a rig starts is ready when it says so, outlives nothing, and keeps its counts."""
+"""Processes of a rig: they report when they are ready, exit with the rig, and their counts survive a kill."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def has_ended(process: int, within_s: float) -> bool:
-    """Whether the process of this descriptor (of `pidfd_open`) has ended, or ends in this time."""
+    """Whether the process of this descriptor (from `pidfd_open`) has exited, or exits within this time."""
     readable, _, _ = select.select([process], [], [], within_s)
     return bool(readable)
 
@@ -49,16 +49,16 @@
         os.close(process)
 
 
-def test_a_process_that_does_not_come_up_is_told_with_its_words(tmp_path):
+def test_a_process_that_does_not_start_is_reported_with_its_output(tmp_path):
     async def main():
         async with Supervisor(tmp_path) as supervisor:
-            with pytest.raises(NotReadyError, match=r"one ended with 3: .*no such ledger"):
+            with pytest.raises(NotReadyError, match=r"one exited with 3: .*no such ledger"):
                 await supervisor.start("one", ["-c", "print('no such ledger'); raise SystemExit(3)"], "ready")
 
     asyncio.run(main())
 
 
-def test_a_cold_box_that_is_pushed_over_has_written_it_down_before_it_is_killed(tmp_path):
+def test_a_cold_server_that_crashes_has_recorded_it_before_it_is_killed(tmp_path):
     record = tmp_path / "a.jsonl"
     command = ["-m", "loadbalancer.test_rig.boxes", "--record", str(record), "--cold", "--cold-ms", "600000"]
     box = "127.9.8.7:0"
