--- a/benchmarks/check_files.py
+++ b/benchmarks/check_files.py
@@ -1,9 +1,9 @@
-"""How long `loadbalancer config check` takes over many files.
+"""Duration of `loadbalancer config check` over many files.
 
     python benchmarks/check_files.py --files 1000
 
-Catalogues, descriptions and configurations are written to a folder for the time, a fifth of them with a mistake;
-the whole command is timed, its start with it, and the check alone in this process.
+Catalogues, descriptions and configurations are written to a temporary folder, a fifth of them with a mistake. Measured
+are the whole command with its start-up, and the check alone in this process.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def write(folder: Path, count: int) -> list[str]:
-    """One catalogue, and descriptions and configurations in turn."""
+    """Write one catalogue, then descriptions and configurations alternately; returns their paths."""
     shipped = files("loadbalancer.examples")
     catalogue = parse((shipped / "ledger.toml").read_text(), "ledger.toml")
     check(catalogue)
@@ -60,27 +60,27 @@
         paths = write(Path(folder), args.files)
         size = sum(os.path.getsize(path) for path in paths)
         command = [sys.executable, "-m", "loadbalancer.cli", "config", "check", *paths]
-        whole, alone, found = [], [], 0
+        command_times, check_times, mistake_count = [], [], 0
         for _ in range(args.rounds):
-            began = time.perf_counter()
-            ended = subprocess.run(command, capture_output=True, check=False, text=True)
-            whole.append(time.perf_counter() - began)
-            assert ended.returncode == 1, ended.stderr
-            began = time.perf_counter()
+            start_s = time.perf_counter()
+            completed = subprocess.run(command, capture_output=True, check=False, text=True)
+            command_times.append(time.perf_counter() - start_s)
+            assert completed.returncode == 1, completed.stderr
+            start_s = time.perf_counter()
             documents, _ = check_files(paths, 65536)
-            alone.append(time.perf_counter() - began)
-            found = sum(len(document.mistakes) for document in documents)
-            assert len(ended.stdout.splitlines()) == found
+            check_times.append(time.perf_counter() - start_s)
+            mistake_count = sum(len(document.mistakes) for document in documents)
+            assert len(completed.stdout.splitlines()) == mistake_count
         memory = resource.getrusage(resource.RUSAGE_CHILDREN).ru_maxrss / 1024
     print(
-        f"{args.files} files, {size / 1e6:.1f} MB, {found} mistakes, {args.rounds} rounds, medians; "
+        f"{args.files} files, {size / 1e6:.1f} MB, {mistake_count} mistakes, {args.rounds} rounds, medians; "
         f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}"
     )
     print(f"{'case':<22}{'seconds':>9}{'ms a file':>11}{'least':>8}{'most':>8}")
-    for label, times in (("the whole command", whole), ("the check alone", alone)):
-        middle = statistics.median(times)
+    for label, times in (("the whole command", command_times), ("the check alone", check_times)):
+        median_s = statistics.median(times)
         print(
-            f"{label:<22}{middle:>9.2f}{middle / args.files * 1e3:>11.2f}{min(times):>8.2f}{max(times):>8.2f}"
+            f"{label:<22}{median_s:>9.2f}{median_s / args.files * 1e3:>11.2f}{min(times):>8.2f}{max(times):>8.2f}"
         )
     print(f"the command's memory: {memory:.0f} MB at most")
     return 0
--- a/benchmarks/drains.py
+++ b/benchmarks/drains.py
@@ -1,10 +1,10 @@
-"""How long after an update was written a box that it takes away still had a request begun, on every way in.
+"""Measures, for each update channel, how long after an update a removed server still receives new requests.
 
     python benchmarks/drains.py
 
-A sidecar, four boxes and a load of 12 callers in this process, over loopback; for each way and each form of "gone" the
-update is written, the load goes on for a second, and the box's own clock says when it began its last request. The rule
-allows 500 ms. Needs the extra `xds`.
+A sidecar, four emulated servers and 12 callers run in this process, over loopback. For each channel and each form of
+removal the update is published, the load continues for a second, and the server reports when its last request arrived.
+The limit is 500 ms. Needs the extra `xds`.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 from loadbalancer.runtime.sidecar import Sidecar
 from loadbalancer.sidecar.models import Configuration
 
-WAYS: dict[str, dict[str, str]] = {
+CHANNELS: dict[str, dict[str, str]] = {
     "aggregated state": {"updates": "state"},
     "aggregated changes": {},
     "separate state": {"transport": "separate", "updates": "state"},
@@ -35,7 +35,7 @@
     "polling": {"transport": "rest"},
     "file": {},
 }
-GONE: dict[str, dict[str, Any] | None] = {
+REMOVALS: dict[str, dict[str, Any] | None] = {
     "draining": {"health_status": "DRAINING"},
     "unhealthy": {"health_status": "UNHEALTHY"},
     "timed out": {"health_status": "TIMEOUT"},
@@ -46,21 +46,21 @@
 
 
 class Timed(Box):
-    """Knows when it began its last request."""
+    """Records when its last request arrived."""
 
-    last = 0.0
+    last_request_s = 0.0
 
     def take(self, connection: Any, seen: Seen) -> None:
-        self.last = time.monotonic()
+        self.last_request_s = time.monotonic()
         super().take(connection, seen)
 
 
-def configuration(way: str, plane: ControlPlane, path: Path) -> Configuration:
-    source: dict[str, Any] = {"source": "xds", "cluster": "ledger"} | WAYS[way]
-    if way == "file":
+def configuration(channel: str, plane: ControlPlane, path: Path) -> Configuration:
+    source: dict[str, Any] = {"source": "xds", "cluster": "ledger"} | CHANNELS[channel]
+    if channel == "file":
         source["path"] = str(path)
     else:
-        source["address"] = plane.rest_endpoint if way == "polling" else plane.endpoint
+        source["address"] = plane.rest_endpoint if channel == "polling" else plane.endpoint
     kind = {"name": "post", "pool": "boxes", "effect": "unsafe", "aim_ms": 2000.0, "give_up_ms": 4000.0}
     return Configuration.model_validate(
         {
@@ -76,7 +76,7 @@
 
 
 def write(path: Path, rows: list[dict[str, Any]] | None) -> None:
-    """Move a bootstrap into place; without rows it has no cluster."""
+    """Replace the bootstrap file atomically; without rows it has no cluster."""
     found = []
     for row in rows or []:
         host, _, port = row["address"].rpartition(":")
@@ -89,23 +89,23 @@
     os.replace(new, path)
 
 
-async def case(way: str, form: str, folder: Path) -> tuple[float, int, int, int]:
-    """Lateness of the last request begun in ms, requests answered, those run twice, those without an answer."""
-    plane, path = await ControlPlane().start(), folder / f"{way}-{form}.json".replace(" ", "-")
-    around = [Timed(f"b{at}", Behaviour(work_ms=4.0)) for at in range(4)]
-    for box in around:
+async def measure_removal(channel: str, removal: str, folder: Path) -> tuple[float, int, int, int]:
+    """Delay in ms of the last request at a removed server; counts of requests answered, run twice and unanswered."""
+    plane, path = await ControlPlane().start(), folder / f"{channel}-{removal}.json".replace(" ", "-")
+    servers = [Timed(f"b{at}", Behaviour(work_ms=4.0)) for at in range(4)]
+    for box in servers:
         await box.start()
-    rows = [{"address": box.endpoint} for box in around]
+    rows = [{"address": box.endpoint} for box in servers]
     plane.put(cluster("ledger"), endpoints("ledger", *rows))
     write(path, rows)
-    sidecar = Sidecar(configuration(way, plane, path))
+    sidecar = Sidecar(configuration(channel, plane, path))
     await sidecar.start()
-    over, answered, lost = asyncio.Event(), 0, 0
+    stopped, answered, lost = asyncio.Event(), 0, 0
 
     async def caller(at: int) -> None:
         nonlocal answered, lost
         app, number = Application(sidecar.listeners["application"].front.server.address), 0
-        while not over.is_set():
+        while not stopped.is_set():
             number += 1
             try:
                 await app.ask("POST", "/x", b"1", {"X-Posting": f"{at}-{number}"})
@@ -118,28 +118,28 @@
             await asyncio.sleep(0.01)
     callers = [asyncio.create_task(caller(at)) for at in range(12)]
     await asyncio.sleep(0.5)
-    told = time.monotonic()
-    gone = around if form == "cluster" else around[-1:]
-    change = GONE[form]
-    left = rows[:-1] + ([rows[-1] | change] if change is not None else [])
-    if way == "file":
-        write(path, None if form == "cluster" else left)
-    elif form == "cluster":
+    updated_at = time.monotonic()
+    removed = servers if removal == "cluster" else servers[-1:]
+    change = REMOVALS[removal]
+    remaining_rows = rows[:-1] + ([rows[-1] | change] if change is not None else [])
+    if channel == "file":
+        write(path, None if removal == "cluster" else remaining_rows)
+    elif removal == "cluster":
         plane.remove(CLUSTER, "ledger")
     else:
-        plane.put(endpoints("ledger", *left))
+        plane.put(endpoints("ledger", *remaining_rows))
     await asyncio.sleep(1.0)
-    late = max(box.last for box in gone) - told
-    over.set()
+    delay_ms = max(box.last_request_s for box in removed) - updated_at
+    stopped.set()
     await asyncio.gather(*callers)
     ran: Counter[str] = Counter()
-    for box in around:
+    for box in servers:
         ran.update(box.ran)
     sidecar.close()
     await plane.stop()
-    for box in around:
+    for box in servers:
         box.stop()
-    return late * 1000.0, answered, sum(1 for count in ran.values() if count > 1), lost
+    return delay_ms * 1000.0, answered, sum(1 for count in ran.values() if count > 1), lost
 
 
 def main() -> int:
@@ -152,24 +152,28 @@
         f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}; ms after the update"
     )
     print(
-        f"{'way':<20}" + "".join(f"{form:>12}" for form in GONE) + f"{'answered':>10}{'twice':>7}{'lost':>6}"
+        f"{'channel':<20}"
+        + "".join(f"{removal:>12}" for removal in REMOVALS)
+        + f"{'answered':>10}{'twice':>7}{'lost':>6}"
     )
     worst = 0.0
     with tempfile.TemporaryDirectory() as folder:
-        for way in WAYS:
-            lates, sums = [], [0, 0, 0]
-            for form in GONE:
-                rounds = [asyncio.run(case(way, form, Path(folder))) for _ in range(args.rounds)]
-                lates.append(max(found[0] for found in rounds))
+        for channel in CHANNELS:
+            delays_ms, sums = [], [0, 0, 0]
+            for removal in REMOVALS:
+                rounds = [
+                    asyncio.run(measure_removal(channel, removal, Path(folder))) for _ in range(args.rounds)
+                ]
+                delays_ms.append(max(found[0] for found in rounds))
                 for found in rounds:
                     sums = [one + two for one, two in zip(sums, found[1:], strict=True)]
-            worst = max(worst, *lates)
+            worst = max(worst, *delays_ms)
             print(
-                f"{way:<20}"
-                + "".join(f"{late:>12.0f}" for late in lates)
+                f"{channel:<20}"
+                + "".join(f"{delay_ms:>12.0f}" for delay_ms in delays_ms)
                 + f"{sums[0]:>10}{sums[1]:>7}{sums[2]:>6}"
             )
-    print(f"the latest of all: {worst:.0f} ms of 500")
+    print(f"highest delay: {worst:.0f} ms; limit 500 ms")
     return 0 if worst <= 500.0 else 1
 
 
--- a/benchmarks/own_load.py
+++ b/benchmarks/own_load.py
@@ -1,13 +1,13 @@
-"""A fresh sidecar on one core beside stand-in boxes: what it serves, refuses and loses, in a closed and an open loop.
+"""Load on a fresh sidecar with one core: requests served, refused and lost, in a closed and an open loop.
 
-    python benchmarks/own_load.py closed                       # idle boxes, 4 to 1,024 connections
-    python benchmarks/own_load.py core                         # idle boxes, an open loop beyond what the core can do
-    python benchmarks/own_load.py boxes --rates 0.7,2,5        # boxes of 800/s in all, an open loop
-    python benchmarks/own_load.py boxes --node before=/some/checkout --node after=.    # side by side, in one run
+    python benchmarks/own_load.py closed                       # idle servers, 4 to 1,024 connections
+    python benchmarks/own_load.py core                         # idle servers, an open loop beyond the core's capacity
+    python benchmarks/own_load.py boxes --rates 0.7,2,5        # servers with 800/s in total, an open loop
+    python benchmarks/own_load.py boxes --node before=/some/checkout --node after=.    # two versions in one run
 
-Each row has a sidecar of its own, started for it. A request counts from when it is given to a connection (or to one
-that is opened for it); an arrival for which none is free and no more may be opened is not sent, and is told as such.
-All on 127.0.0.1; the sidecar has a core, the boxes have two, the load has the rest.
+A sidecar is started for each row. Latency counts from when a request is assigned to a connection, which may have to be
+opened for it; an arrival without a free connection, when no more may be opened, is counted as "not sent". All on
+127.0.0.1; the sidecar has one core, the servers two, the load the rest.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 BOXES = 4
 AIM_S, GIVE_UP_S = 1.0, 2.5
 TICK_S = 0.002
-DRAIN_S = 4.0  # after the load, for what is still open
+DRAIN_S = 4.0  # wait after the load for open requests
 REQUEST = b"GET /balance/7f3a HTTP/1.1\r\nHost: box\r\nAccept: application/json\r\n\r\n"
 CONFIGURATION = """kind = "configuration"
 version = 1
@@ -63,19 +63,19 @@
 
 
 class Caller(asyncio.Protocol):
-    """One connection: a request at a time."""
+    """One connection, with one request at a time."""
 
     def __init__(self, load: Load) -> None:
         self.load = load
         self.transport: asyncio.Transport | None = None
         self.asked_at: float | None = None
-        self.held = b""
+        self.buffer = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.load.held += 1
-        self.load.most_held = max(self.load.most_held, self.load.held)
+        self.load.open_connections += 1
+        self.load.max_open_connections = max(self.load.max_open_connections, self.load.open_connections)
         if self.asked_at is not None:
             transport.write(REQUEST)
 
@@ -85,20 +85,22 @@
             self.transport.write(REQUEST)
 
     def data_received(self, data: bytes) -> None:
-        self.held += data
-        head, mark, body = self.held.partition(b"\r\n\r\n")
+        self.buffer += data
+        head, mark, body = self.buffer.partition(b"\r\n\r\n")
         if not mark:
             return
         low = head.lower()
         at = low.index(b"content-length:") + 15
         if len(body) < int(head[at:].split(b"\r\n", 1)[0]):
             return
-        self.held = b""
+        self.buffer = b""
         asked_at, self.asked_at = self.asked_at, None
         if asked_at is not None:
             at = low.find(b"proxy-status:")
-            said = low[at:].split(b"\r\n", 1)[0].split(b"error=")[-1].split(b";")[0] if at >= 0 else b""
-            self.load.answered(head[9:12].decode(), said.decode(), asked_at)
+            proxy_error = (
+                low[at:].split(b"\r\n", 1)[0].split(b"error=")[-1].split(b";")[0] if at >= 0 else b""
+            )
+            self.load.answered(head[9:12].decode(), proxy_error.decode(), asked_at)
         if b"connection: close" in low:
             assert self.transport is not None
             self.transport.close()
@@ -106,8 +108,8 @@
             self.load.free(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.load.held -= 1
-        self.load.lost(self, "reset" if exc is not None else "closed")
+        self.load.open_connections -= 1
+        self.load.on_connection_lost(self, "reset" if exc is not None else "closed")
 
 
 class Load:
@@ -117,17 +119,17 @@
         self.counts: Counter[str] = Counter()
         self.taken: list[float] = []
         self.idle: deque[Caller] = deque()
-        self.open = self.held = self.most_held = 0
+        self.open = self.open_connections = self.max_open_connections = 0
         self.opened = 0
         self.closed = how["rate"] == 0
         self.over = False
 
-    def answered(self, status: str, said: str, asked_at: float) -> None:
+    def answered(self, status: str, proxy_error: str, asked_at: float) -> None:
         now = time.perf_counter()
         took = now - asked_at
         if asked_at < self.begins or asked_at > self.ends:
             return
-        self.counts[f"said {status} {said}".strip()] += 1
+        self.counts[f"said {status} {proxy_error}".strip()] += 1
         if status != "200":
             self.counts["refused" if status == "503" else "failed"] += 1
             if took > GIVE_UP_S:
@@ -147,7 +149,7 @@
         else:
             self.idle.append(caller)
 
-    def lost(self, caller: Caller, how: str) -> None:
+    def on_connection_lost(self, caller: Caller, how: str) -> None:
         self.open -= 1
         if caller.asked_at is not None and self.begins <= caller.asked_at <= self.ends and not self.over:
             self.counts["no answer"] += 1
@@ -171,7 +173,7 @@
                     port = self.ports[self.opened % len(self.ports)]
                     await loop.create_connection(lambda: caller, "127.0.0.1", port)
             except (OSError, TimeoutError):
-                self.lost(caller, "not connected")
+                self.on_connection_lost(caller, "not connected")
 
         task = asyncio.create_task(go())
         self.tasks.add(task)
@@ -195,22 +197,22 @@
             while due < self.ends:
                 now = time.perf_counter()
                 while due <= now:
-                    self.arrive(now)
+                    self.on_arrival(now)
                     due += rng.expovariate(how["rate"])
                 await asyncio.sleep(TICK_S)
         until = time.perf_counter() + DRAIN_S
-        while time.perf_counter() < until and self.counts["sent"] > self.known():
+        while time.perf_counter() < until and self.counts["sent"] > self.accounted_count():
             await asyncio.sleep(0.02)
         self.over = True
-        self.counts["no answer"] += max(0, self.counts["sent"] - self.known())
+        self.counts["no answer"] += max(0, self.counts["sent"] - self.accounted_count())
         self.counts["opened"] = self.opened
-        return {"counts": self.counts, "taken": self.taken, "held": self.most_held}
+        return {"counts": self.counts, "taken": self.taken, "held": self.max_open_connections}
 
-    def known(self) -> int:
+    def accounted_count(self) -> int:
         found = self.counts
         return sum(found[name] for name in ("refused", "failed", "in time", "late", "no answer"))
 
-    def arrive(self, now: float) -> None:
+    def on_arrival(self, now: float) -> None:
         while self.idle:
             caller = self.idle.pop()
             if caller.transport is not None and not caller.transport.is_closing():
@@ -224,7 +226,7 @@
 
 
 def play(args: argparse.Namespace, root: str | None, row: dict[str, Any], cores: list[int]) -> dict[str, Any]:
-    """One row: fresh boxes, a fresh sidecar (none for `root` None), and the load."""
+    """Run one row with fresh servers, a fresh sidecar (none if `root` is None) and the load."""
     running: list[subprocess.Popen[bytes]] = []
     with tempfile.TemporaryDirectory() as folder:
         try:
@@ -319,7 +321,7 @@
 
 
 def cpu_s(pid: int) -> float:
-    """Processor time that a process has had, on Linux."""
+    """Processor time used by a process, on Linux."""
     words = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -334,17 +336,17 @@
 
 def rows_of(args: argparse.Namespace) -> list[dict[str, Any]]:
     numbers = [int(word) for word in args.connections.split(",")]
-    files = [int(word) for word in args.descriptors.split(",")]
+    descriptor_limits = [int(word) for word in args.descriptors.split(",")]
     if args.case == "closed":
         return [
             {
                 "name": f"closed {count}",
                 "rate": 0.0,
                 "connections": count,
-                "descriptors": held,
+                "descriptors": descriptors,
                 "work_ms": 0.0,
             }
-            for held in files
+            for descriptors in descriptor_limits
             for count in numbers
         ]
     rates = [float(word) for word in args.rates.split(",")]
@@ -352,14 +354,14 @@
     capacity = args.capacity if args.case == "core" else BOXES * 4 / (work_ms / 1000.0)
     return [
         {
-            "name": f"{rate:g}x {count} {held}",
+            "name": f"{rate:g}x {count} {descriptors}",
             "rate": rate * capacity,
             "capacity": capacity,
             "connections": count,
-            "descriptors": held,
+            "descriptors": descriptors,
             "work_ms": work_ms,
         }
-        for held in files
+        for descriptors in descriptor_limits
         for count in numbers
         for rate in rates
     ]
@@ -375,14 +377,18 @@
     )
     parser.add_argument("case", choices=("closed", "core", "boxes"))
     parser.add_argument("--node", action="append", default=[], metavar="LABEL=CHECKOUT")
-    parser.add_argument("--direct", action="store_true", help="round robin without a sidecar beside them")
+    parser.add_argument("--direct", action="store_true", help="also run round robin without a sidecar")
     parser.add_argument("--connections", help="callers' connections at most; default 4..1024, or 4096")
     parser.add_argument("--descriptors", default="4096", help="of the sidecar")
     parser.add_argument("--rates", default="0.7,1.5,2,2.5,5", help="offered, as multiples of the capacity")
     parser.add_argument("--capacity", type=float, default=5000.0, help="of the core, requests a second")
     parser.add_argument("--seconds", type=float, default=6.0)
-    parser.add_argument("--warm", type=float, default=None, help="seconds before that, not counted")
-    parser.add_argument("--slow", type=float, default=1.0, help="times the work, at the first box")
+    parser.add_argument(
+        "--warm", type=float, default=None, help="warm-up before that in seconds, not counted"
+    )
+    parser.add_argument(
+        "--slow", type=float, default=1.0, help="factor of the service time at the first server"
+    )
     parser.add_argument("--procs", type=int, default=2, help="of the load")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--budget", action="store_true", help="with [budget]")
@@ -394,7 +400,7 @@
     args.warm = (0.0 if closed else 2.0) if args.warm is None else args.warm
     cores = sorted(os.sched_getaffinity(0))
     if len(cores) < 4:
-        raise SystemExit("four cores are needed: for the sidecar, the boxes and the load")
+        raise SystemExit("four cores are needed: for the sidecar, the servers and the load")
     nodes: dict[str, str | None] = dict(item.split("=", 1) for item in args.node) or {"here": str(ROOT)}
     if args.direct:
         nodes["direct"] = None
@@ -421,12 +427,12 @@
                 + f"{found['cpu'] / (args.seconds + args.warm):>6.2f}",
                 flush=True,
             )
-            told = {
+            answer_counts = {
                 name: count
                 for name, count in sorted(counts.items())
                 if name.startswith(("said", "no answer:"))
             }
-            print(f"    {told}, opened {counts['opened']}, held {found['held']}")
+            print(f"    {answer_counts}, opened {counts['opened']}, held {found['held']}")
             if args.pages:
                 print(json.dumps(found["page"], indent=1))
     return 0
--- a/benchmarks/retry_storm.py
+++ b/benchmarks/retry_storm.py
@@ -1,16 +1,15 @@
-"""Attempts that reach the last of three tiers for each client request, with budgets and without, through troubles.
+"""Attempts at the last of three tiers per client request, with and without retry budgets, during troubles.
 
     python benchmarks/retry_storm.py
 
-Twelve sidecars, each a process of its own, four of them beside clients, four beside applications of the second tier and
-four beside those of the third; behind them four boxes. Applications, boxes and clients are in this process, all on
-loopback. Applications work on when their own caller leaves, as blocking ones do, unless `--notice` is given.
-Clients ask at a steady rate, wait 0.7 s, and ask again up to three times at once after any failure; half of
-them mark that, half state how long they wait. Each phase of trouble is followed by a calm one.
+Twelve sidecars run as processes: four serve the clients, four the applications of the second tier and four those of the
+third, which call four emulated servers. Applications, servers and clients run in this process, all on loopback.
+Applications continue their work when their caller disconnects, as blocking ones do, unless `--notice` is given.
+Clients send at a steady rate, wait 0.7 s, and retry immediately up to three times after any failure; half of them mark
+their retries, half state their timeout. Each trouble is followed by a phase without one.
 
-For each variant: attempts that the boxes got for each client request, in the mean and in the worst 10 s, the most for
-one request, work that was begun when its caller had given up, how long after each trouble good answers were back, and
-what the four rules say by the boxes' counts.
+Printed for each variant: attempts at the servers per client request (mean, worst 10 s, and highest for one request),
+work started after its caller had given up, the time to recovery after each trouble, and unsafe requests that ran twice.
 """
 
 from __future__ import annotations
@@ -36,52 +35,56 @@
 from loadbalancer.sidecar.models import BudgetModel
 from loadbalancer.test_rig.processes import Supervisor
 
-WIDE = 4  # instances in each tier
+INSTANCES_PER_TIER = 4  # instances in each tier
 PATIENCE_S = 0.7
 TRIES = 4
 GIVE_UP_MS = (2000.0, 1000.0, 500.0)
-WORK_MS, CORES = 10.0, 4  # of a box
-BACK = 0.95  # of the calm share of good answers that counts as back
+WORK_MS, CORES = 10.0, 4  # of an emulated server
+RECOVERED_SHARE = 0.95  # share of the success rate before the troubles that counts as recovered
 WINDOW_S = 10
-MIX = (("GET", "balance", 0.7), ("POST", "journal", 0.15), ("POST", "invoice", 0.15))
+REQUEST_MIX = (("GET", "balance", 0.7), ("POST", "journal", 0.15), ("POST", "invoice", 0.15))
 
 
 @dataclass
 class Tally:
-    """What was seen; times are seconds of the monotonic clock."""
+    """The observations of one run; times are seconds of the monotonic clock."""
 
     began: float = 0.0
-    firsts: list[float] = field(default_factory=list)
-    reached: list[tuple[float, int]] = field(default_factory=list)  # at a box: when, for which request
-    good: list[float] = field(default_factory=list)  # when its first try began, of each request answered well
-    begun: list[tuple[float, bool]] = field(
+    request_starts: list[float] = field(default_factory=list)
+    server_arrivals: list[tuple[float, int]] = field(
         default_factory=list
-    )  # at a box: when, whether for a caller still there
-    ended: dict[str, float] = field(
+    )  # attempts at servers: time, number of the request
+    succeeded_starts: list[float] = field(
+        default_factory=list
+    )  # start of the first attempt of each successful request
+    work_starts: list[tuple[float, bool]] = field(
+        default_factory=list
+    )  # work started at servers: time, whether the caller still waits
+    attempt_ends: dict[str, float] = field(
         default_factory=dict
-    )  # by try: when its client gave it up or had its answer
-    marked: set[int] = field(default_factory=set)  # requests whose clients mark their repeats
+    )  # by attempt: when its client gave up or received the answer
+    marking_requests: set[int] = field(default_factory=set)  # requests whose clients mark their retries
     answers: Counter[str] = field(default_factory=Counter)
-    postings: Counter[str] = field(default_factory=Counter)  # of unsafe tries, at boxes
-    late: float = 0.0  # the longest that this process's loop was late
+    unsafe_runs: Counter[str] = field(default_factory=Counter)  # unsafe attempts that ran at servers
+    max_lateness_s: float = 0.0  # highest lateness of this process's event loop
     phases: list[tuple[str, float, float]] = field(default_factory=list)
 
 
 class Counted(Box):
-    """Tells the tally of each attempt that comes."""
+    """Records each arriving attempt in the tally."""
 
     tally: Tally
 
     def take(self, connection: Any, seen: Seen) -> None:
         name = (seen.header(b"x-posting") or b"0-0").decode()
-        self.tally.reached.append((time.monotonic(), int(name.split("-")[0])))
+        self.tally.server_arrivals.append((time.monotonic(), int(name.split("-")[0])))
         super().take(connection, seen)
 
     def note(self, seen: Seen) -> None:
         name = (seen.header(b"x-posting") or b"0-0").decode()
-        self.tally.begun.append((time.monotonic(), name not in self.tally.ended))
+        self.tally.work_starts.append((time.monotonic(), name not in self.tally.attempt_ends))
         if seen.target.startswith(b"/journal"):
-            self.tally.postings[name] += 1
+            self.tally.unsafe_runs[name] += 1
 
 
 def free_port() -> int:
@@ -107,7 +110,7 @@
         "pools": [
             {
                 "name": "next",
-                "siblings": WIDE,
+                "siblings": INSTANCES_PER_TIER,
                 "list": {
                     "source": "static",
                     "servers": [{"id": one, "address": address} for one, address in servers],
@@ -125,13 +128,13 @@
 
 
 async def client(tally: Tally, app: Application, number: int, rng: Random) -> None:
-    """One request with all its tries."""
-    method, kind, _ = rng.choices(MIX, [share for *_, share in MIX])[0]
+    """Send one request with all its retries."""
+    method, kind, _ = rng.choices(REQUEST_MIX, [share for *_, share in REQUEST_MIX])[0]
     marks, states = rng.random() < 0.5, rng.random() < 0.5
     began = time.monotonic()
-    tally.firsts.append(began)
+    tally.request_starts.append(began)
     if marks:
-        tally.marked.add(number)
+        tally.marking_requests.add(number)
     for at in range(TRIES):
         name = f"{number}-{at}"
         headers = {"X-Posting": name}
@@ -152,10 +155,10 @@
             outcome = "none in time"
         except OSError:
             outcome = "broken"
-        tally.ended[name] = time.monotonic()
+        tally.attempt_ends[name] = time.monotonic()
         tally.answers[outcome] += 1
         if outcome == "200":
-            tally.good.append(began)
+            tally.succeeded_starts.append(began)
             return
 
 
@@ -164,7 +167,7 @@
     due = time.monotonic()
     while due < until:
         await asyncio.sleep(max(0.0, due - time.monotonic()))
-        tally.late = max(tally.late, time.monotonic() - due)
+        tally.max_lateness_s = max(tally.max_lateness_s, time.monotonic() - due)
         number += 1
         task = asyncio.create_task(
             client(tally, apps[number % len(apps)], number, Random(seed * 10**6 + number))
@@ -176,7 +179,7 @@
 
 
 def trouble(name: str, boxes: list[Counted], tiers: list[TierApplication], begins: bool) -> None:
-    """Begin or end one."""
+    """Start or end a trouble."""
     good = Behaviour(work_ms=WORK_MS, cores=CORES)
     for at, box in enumerate(boxes):
         bad = Behaviour(work_ms=WORK_MS, cores=CORES)
@@ -204,11 +207,13 @@
 
 async def play(args: argparse.Namespace, budget: dict[str, Any] | None, folder: Path) -> Tally:
     tally = Tally()
-    boxes = [Counted(f"box-{at}", Behaviour(work_ms=WORK_MS, cores=CORES)) for at in range(WIDE)]
+    boxes = [
+        Counted(f"box-{at}", Behaviour(work_ms=WORK_MS, cores=CORES)) for at in range(INSTANCES_PER_TIER)
+    ]
     for box in boxes:
         box.tally, box.on_begin = tally, box.note
         await box.start()
-    tiers = [[TierApplication(f"tier{tier}-{at}") for at in range(WIDE)] for tier in (2, 3)]
+    tiers = [[TierApplication(f"tier{tier}-{at}") for at in range(INSTANCES_PER_TIER)] for tier in (2, 3)]
     for app in (*tiers[0], *tiers[1]):
         app.behaviour.passes = TRACE | OWN
         app.behaviour.notices = args.notice
@@ -220,9 +225,9 @@
     ]
     rows, entries = [], []
     for tier in range(3):
-        for at in range(WIDE):
+        for at in range(INSTANCES_PER_TIER):
             port = free_port()
-            # The name is the application's: instances of one are one place in a path.
+            # The name is that of the application: its instances count as one hop of a path.
             rows.append(configuration(f"tier{tier}", tier, port, behind[tier], budget))
             if tier == 0:
                 entries.append(Application(("127.0.0.1", port), PATIENCE_S))
@@ -251,31 +256,31 @@
 
 
 def windows(tally: Tally) -> list[float]:
-    """Attempts for each client request in each 10 s, a second apart."""
+    """Attempts per client request in 10 s windows that start one second apart."""
     first, last = int(tally.began), int(tally.phases[-1][2])
-    asked = Counter(int(at) for at in tally.firsts)
-    reached = Counter(int(at) for at, _ in tally.reached)
+    asked = Counter(int(at) for at in tally.request_starts)
+    server_arrivals = Counter(int(at) for at, _ in tally.server_arrivals)
     found = []
     for begin in range(first, max(first + 1, last - WINDOW_S)):
         span = range(begin, begin + WINDOW_S)
         requests = sum(asked[second] for second in span)
         if requests:
-            found.append(sum(reached[second] for second in span) / requests)
+            found.append(sum(server_arrivals[second] for second in span) / requests)
     return found
 
 
 def back_after(tally: Tally) -> dict[str, float | None]:
-    """Seconds after each trouble's end from when on requests are answered as in calm times; None: never."""
-    good = set(tally.good)
-    calm = [at for at in tally.firsts if at < tally.phases[0][2]][20:]
+    """Seconds from each trouble's end until requests succeed as often as before the troubles; None: never."""
+    good = set(tally.succeeded_starts)
+    calm = [at for at in tally.request_starts if at < tally.phases[0][2]][20:]
     usual = sum(at in good for at in calm) / max(1, len(calm))
     found: dict[str, float | None] = {}
     for (name, _, end), (_, _, until) in zip(tally.phases[1::2], tally.phases[2::2], strict=True):
         answer = None
         for tenth in range(int((until - end - 2.0) * 10)):
             start = end + tenth / 10
-            asked = [at for at in tally.firsts if start <= at < start + 2.0]
-            if asked and sum(at in good for at in asked) >= BACK * usual * len(asked):
+            asked = [at for at in tally.request_starts if start <= at < start + 2.0]
+            if asked and sum(at in good for at in asked) >= RECOVERED_SHARE * usual * len(asked):
                 answer = tenth / 10
                 break
         found[name] = answer
@@ -283,34 +288,35 @@
 
 
 def report(name: str, tally: Tally) -> bool:
-    """Print it; whether the rules were kept."""
-    each = Counter(number for _, number in tally.reached)
+    """Print the results; returns whether no unsafe request ran twice."""
+    each = Counter(number for _, number in tally.server_arrivals)
     rolled = windows(tally)
-    twice = sum(1 for count in tally.postings.values() if count > 1)
+    twice = sum(1 for count in tally.unsafe_runs.values() if count > 1)
     tries = sum(tally.answers.values())
     print(
-        f"\n{name}: {len(tally.firsts)} requests, {tries} tries, loop late {tally.late * 1000:.0f} ms at most"
+        f"\n{name}: {len(tally.request_starts)} requests, {tries} tries, "
+        f"loop late {tally.max_lateness_s * 1000:.0f} ms at most"
     )
-    mean = len(tally.reached) / len(tally.firsts)
-    print(f"  attempts at the boxes for a request: mean {mean:.3f}, worst 10 s {max(rolled):.3f}, ", end="")
+    mean = len(tally.server_arrivals) / len(tally.request_starts)
+    print(f"  attempts at the servers per request: mean {mean:.3f}, worst 10 s {max(rolled):.3f}, ", end="")
     most = [
-        max((count for one, count in each.items() if (one in tally.marked) is marks), default=0)
+        max((count for one, count in each.items() if (one in tally.marking_requests) is marks), default=0)
         for marks in (True, False)
     ]
     print(f"median 10 s {statistics.median(rolled):.3f}, most for one {most[0]} marked, {most[1]} unmarked")
-    nobody = sum(1 for _, wanted in tally.begun if not wanted)
-    share = nobody / len(tally.begun)
-    print(f"  begun for callers who had given up: {nobody} of {len(tally.begun)} ({share:.2%})")
+    nobody = sum(1 for _, wanted in tally.work_starts if not wanted)
+    share = nobody / len(tally.work_starts)
+    print(f"  started for callers who had given up: {nobody} of {len(tally.work_starts)} ({share:.2%})")
     for (trouble_name, begin, end), after in zip(tally.phases[1::2], back_after(tally).values(), strict=True):
-        asked = [at for at in tally.firsts if begin <= at < end]
-        got = sum(1 for at in tally.good if begin <= at < end)
-        reached = sum(1 for at, _ in tally.reached if begin <= at < end)
-        begun = [wanted for at, wanted in tally.begun if begin <= at < end + PATIENCE_S]
-        nobody = begun.count(False) / len(begun) if begun else 0.0
+        asked = [at for at in tally.request_starts if begin <= at < end]
+        got = sum(1 for at in tally.succeeded_starts if begin <= at < end)
+        server_arrivals = sum(1 for at, _ in tally.server_arrivals if begin <= at < end)
+        work_starts = [wanted for at, wanted in tally.work_starts if begin <= at < end + PATIENCE_S]
+        nobody = work_starts.count(False) / len(work_starts) if work_starts else 0.0
         back = "not" if after is None else f"{after:.1f} s after"
         print(
-            f"  {trouble_name:<18} {got / len(asked):>6.1%} answered well, "
-            f"{reached / len(asked):>6.2f} attempts a request, {nobody:>6.1%} for nobody, back {back}"
+            f"  {trouble_name:<18} {got / len(asked):>6.1%} succeeded, "
+            f"{server_arrivals / len(asked):>6.2f} attempts a request, {nobody:>6.1%} for callers gone, back {back}"
         )
     print(f"  answers: {', '.join(f'{key} {count}' for key, count in sorted(tally.answers.items()))}")
     print(f"  unsafe tries that ran twice: {twice}")
@@ -325,13 +331,15 @@
     parser.add_argument("--calm", type=float, default=10.0, help="seconds of each calm phase")
     parser.add_argument("--trouble", type=float, default=10.0, help="seconds of each trouble")
     parser.add_argument("--troubles", default=",".join(TROUBLES))
-    ours = BudgetModel()  # what a catalogue has that says nothing of its own
+    ours = BudgetModel()  # the defaults of a catalogue
     parser.add_argument("--share", type=float, default=ours.share, help="of the retry budget")
     parser.add_argument(
         "--floor", type=float, default=ours.floor_per_s, help="of the retry budget, attempts a second"
     )
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--notice", action="store_true", help="applications notice when their callers leave")
+    parser.add_argument(
+        "--notice", action="store_true", help="applications cancel work when their caller disconnects"
+    )
     parser.add_argument("--only", choices=["plain", "budgets"])
     args = parser.parse_args()
     args.rate = min(args.rate, 500.0)
--- a/benchmarks/thrift_fuzz.py
+++ b/benchmarks/thrift_fuzz.py
@@ -1,9 +1,9 @@
-"""Mutated Thrift messages against the codec: no crash, no growth, no connection out of step.
+"""Fuzzes the Thrift codec with mutated messages: no crash, no memory growth, no loss of framing.
 
     python -m benchmarks.thrift_fuzz --frames 1000000
 
-Over half of the messages are in frames, with a good call behind each: what comes after a frame that was taken must be
-that call. Ends by itself. Exit code 1 if something broke.
+Over half of the messages are framed and followed by a valid call: the message after an accepted frame must be that
+call. Exit code 1 if a check failed.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def mutate(rng: random.Random, data: bytes) -> bytes:
-    """One to four bytes or runs changed, added or taken away; sizes made the largest or less than none."""
+    """Apply one to four mutations: bytes changed, inserted or deleted, or a size set to the maximum or below zero."""
     found = bytearray(data)
     for _ in range(rng.randint(1, 4)):
         at = rng.randrange(len(found) + 1)
@@ -75,7 +75,7 @@
             continue
         if decoder.pending > LIMIT + len(data):
             counts["BROKEN holds too much"] += 1
-        # A frame that was taken leaves the connection at the next one.
+        # After an accepted frame the decoder must be at the start of the next one.
         taken = [item.name for item in found if isinstance(item, Message)]
         lost = len(found) == 1 and taken != [b"good"] and bool(taken)
         if framed and (lost or (len(taken) == 2 and taken[1] != b"good")):
--- a/benchmarks/thrift_kill.py
+++ b/benchmarks/thrift_kill.py
@@ -1,8 +1,9 @@
-"""Thrift boxes killed and replaced at random under pipelined calls: what ran how often, and what callers heard.
+"""Kills and replaces emulated Thrift servers at random under pipelined calls, and checks how often each call ran
+against the reply that its caller received.
 
     python -m benchmarks.thrift_kill --seconds 60
 
-Sidecars, boxes and callers share this process and speak over loopback. Ends by itself. Exit code 1 if a rule broke.
+Sidecars, servers and callers share this process and communicate over loopback. Exit code 1 if a rule was violated.
 """
 
 from __future__ import annotations
@@ -24,21 +25,21 @@
 from loadbalancer.thrift.codec import Decoder, encode, read_exception, writer_of
 from loadbalancer.thrift.types import STRING, STRUCT, Form, Message, MessageKind
 
-PATIENCE_S = 30.0  # for a reply that has to come: longer than any deadline here
+PATIENCE_S = 30.0  # timeout for a reply, longer than any deadline here
 
 
 @dataclass
 class Found:
-    """What one play showed. Each of `broken` is a rule that did not hold."""
+    """The results of one run; each entry of `broken` describes a violated rule."""
 
     heard: Counter[str] = field(default_factory=Counter)
-    sent: dict[str, str] = field(default_factory=dict)  # posting: what its caller heard
+    sent: dict[str, str] = field(default_factory=dict)  # posting: the outcome that its caller received
     ran: Counter[str] = field(default_factory=Counter)
     kills: int = 0
     broken: list[str] = field(default_factory=list)
 
     def judge(self) -> None:
-        """Hold what callers heard against the boxes' own count."""
+        """Compare the outcomes that callers received with the servers' own counts."""
         for name, heard in self.sent.items():
             times = self.ran[name]
             if times > 1:
@@ -49,7 +50,7 @@
                 self.broken.append(f"{name} ran, and its caller heard {heard}")
 
 
-def shape(name: str, ports: list[int], siblings: int) -> dict[str, Any]:
+def configuration(name: str, ports: list[int], siblings: int) -> dict[str, Any]:
     servers = [{"id": f"box-{at}", "address": f"127.0.0.1:{port}"} for at, port in enumerate(ports)]
     times = {"aim_ms": 1000, "give_up_ms": 4000}
     return {
@@ -105,25 +106,25 @@
         ports = [int(box.endpoint.rpartition(":")[2]) for box in self.boxes]
         sidecars = []
         for at in range(nodes):
-            sidecar = Sidecar(Configuration.model_validate(shape(f"node-{at}", ports, nodes)))
+            sidecar = Sidecar(Configuration.model_validate(configuration(f"node-{at}", ports, nodes)))
             await sidecar.start()
             sidecars.append(sidecar)
-        talking = [
+        caller_tasks = [
             asyncio.create_task(self._call(f"{at}.{number}", sidecar))
             for at, sidecar in enumerate(sidecars)
             for number in range(callers)
         ]
-        killing = asyncio.create_task(self._kill(ports))
-        await asyncio.wait([*talking, killing], timeout=seconds, return_when=asyncio.FIRST_EXCEPTION)
+        kill_task = asyncio.create_task(self._kill(ports))
+        await asyncio.wait([*caller_tasks, kill_task], timeout=seconds, return_when=asyncio.FIRST_EXCEPTION)
         self.over = True
-        for task in (*talking, killing):
+        for task in (*caller_tasks, kill_task):
             try:
                 await task
             except Exception as error:
                 self.found.broken.append(f"a caller or the killer failed: {type(error).__name__}: {error}")
-        # Oneway calls that count as sent may still be on their way to a box's loop.
-        last = time.monotonic() + 2.0
-        while any(sidecar.pools["boxes"].requests for sidecar in sidecars) and time.monotonic() < last:
+        # Oneway calls that are counted as sent may not have reached their server yet.
+        wait_until = time.monotonic() + 2.0
+        while any(sidecar.pools["boxes"].requests for sidecar in sidecars) and time.monotonic() < wait_until:
             await asyncio.sleep(0.01)
         for sidecar in sidecars:
             sidecar.close()
@@ -147,20 +148,20 @@
             new = ThriftBox(old.name, ThriftBehaviour(work_ms=self.work_ms))
             self.boxes[at] = await new.start(ports[at])
 
-    async def _call(self, mark: str, sidecar: Sidecar) -> None:
-        """One caller: pipelines a few calls of all kinds, and holds each reply against what is owed."""
-        rng = random.Random(f"{mark}-{self.rng.random()}")
+    async def _call(self, caller_id: str, sidecar: Sidecar) -> None:
+        """One caller: pipelines a few calls of all kinds and checks each reply against the expected one."""
+        rng = random.Random(f"{caller_id}-{self.rng.random()}")
         form = rng.choice((Form.BINARY, Form.COMPACT))
         framed = rng.random() < 0.7
         reader, writer = await asyncio.open_connection(*sidecar.listeners["application"].front.server.address)
-        decoder, waiting = Decoder(1 << 20), []
+        decoder, received = Decoder(1 << 20), []
         seqid = 0
         while not self.over:
-            owed: list[tuple[int, str, str]] = []
+            expected: list[tuple[int, str, str]] = []
             for _ in range(rng.randint(1, 6)):
                 seqid += 1
                 kind = rng.choice(("post", "post", "note", "balance"))
-                name = f"{mark}-{seqid}"
+                name = f"{caller_id}-{seqid}"
                 oneway = kind == "note"
                 body = posting(name, form) if kind != "balance" else b"\0"
                 call = MessageKind.ONEWAY if oneway else MessageKind.CALL
@@ -168,17 +169,17 @@
                 if oneway:
                     self.found.sent[name] = "nothing, as it should"
                 else:
-                    owed.append((seqid, kind, name))
-            for number, kind, name in owed:
+                    expected.append((seqid, kind, name))
+            for number, kind, name in expected:
                 async with asyncio.timeout(PATIENCE_S):
-                    while not waiting:
+                    while not received:
                         data = await reader.read(65536)
                         if not data:
                             raise ConnectionError("the sidecar ended the connection")
-                        waiting += decoder.feed(data)
-                reply = waiting.pop(0)
+                        received += decoder.feed(data)
+                reply = received.pop(0)
                 if not isinstance(reply, Message) or reply.seqid != number:
-                    raise ValueError(f"{reply} came where {number} was owed")
+                    raise ValueError(f"received {reply}, expected a reply to call {number}")
                 heard = "answered"
                 if reply.kind is MessageKind.EXCEPTION:
                     _, text = read_exception(reply.body, reply.form)
@@ -186,8 +187,8 @@
                 self.found.heard[f"{kind}: {heard}"] += 1
                 if kind == "post":
                     self.found.sent[name] = heard
-            if waiting:
-                raise ValueError(f"{waiting[0]} came and nothing was owed")
+            if received:
+                raise ValueError(f"received {received[0]}, expected no reply")
         writer.close()
 
 
@@ -200,7 +201,7 @@
     parser.add_argument("--nodes", type=int, default=4)
     parser.add_argument("--boxes", type=int, default=4)
     parser.add_argument("--callers", type=int, default=4, help="for each node")
-    parser.add_argument("--work-ms", type=float, default=3.0, help="of a box for each call")
+    parser.add_argument("--work-ms", type=float, default=3.0, help="service time of a call")
     args = parser.parse_args(argv)
     found = asyncio.run(Play(args.seed, args.nodes, args.boxes, args.callers, args.work_ms).run(args.seconds))
     print(
@@ -209,7 +210,7 @@
     )
     print(f"{'kills':<44} {found.kills:>8}")
     print(f"{'postings and oneway calls':<44} {len(found.sent):>8}")
-    print(f"{'run by boxes':<44} {sum(found.ran.values()):>8}")
+    print(f"{'run by servers':<44} {sum(found.ran.values()):>8}")
     print(f"{'run twice':<44} {sum(1 for times in found.ran.values() if times > 1):>8}")
     for words, count in sorted(found.heard.items()):
         print(f"{words:<44} {count:>8}")
--- a/benchmarks/thrift_speed.py
+++ b/benchmarks/thrift_speed.py
@@ -1,9 +1,10 @@
-"""Thrift: the codec beside others', a node's calls a second beside HTTP's in one run, memory of idle connections.
+"""Thrift: the codec compared with other libraries, a node's calls a second compared with HTTP, memory of idle
+connections.
 
     python -m benchmarks.thrift_speed
 
-Box, node and load are processes of their own on 127.0.0.1, with one core each where there are enough. Needs the
-packages `thrift` and `thriftpy2` (the extra `dev`). Ends by itself.
+Server, node and load are separate processes on 127.0.0.1, with one core each if there are enough. Needs the packages
+`thrift` and `thriftpy2` (the extra `dev`).
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 
 
 def body(form: Form, rows: int) -> bytes:
-    """A posting with this many lines."""
+    """The arguments of a `post` call with this many lines."""
     out = writer_of(form)
     out.begin_struct()
     out.field(STRUCT, 1)
@@ -68,13 +69,13 @@
 
     kind = TCompactProtocol if form.compact else TBinaryProtocol
 
-    def once() -> None:
+    def run_once() -> None:
         found = kind(TFramedTransport(TMemoryBuffer(data)))
         found.readMessageBegin()
         found.skip(TType.STRUCT)
         found.readMessageEnd()
 
-    return once
+    return run_once
 
 
 def thriftpy(data: bytes, form: Form, compiled: bool) -> Callable[[], None]:
@@ -86,40 +87,40 @@
     kind: Any = TCyBinaryProtocol if compiled else TCompactProtocol if form.compact else TBinaryProtocol
     frames: Any = TCyFramedTransport if compiled else TFramedTransport
 
-    def once() -> None:
+    def run_once() -> None:
         found = kind(frames(TMemoryBuffer(data)))
         found.read_message_begin()
         found.skip(TType.STRUCT)
         found.read_message_end()
 
-    return once
+    return run_once
 
 
 def ours(data: bytes, form: Form) -> Callable[[], None]:
-    def once() -> None:
+    def run_once() -> None:
         (found,) = Decoder(1 << 24).feed(data)
         assert isinstance(found, Message)
         check(found.body, form)
 
-    return once
+    return run_once
 
 
-def copied(data: bytes, form: Form, other: Form) -> Callable[[], None]:
-    def once() -> None:
+def ours_transcoded(data: bytes, form: Form, other: Form) -> Callable[[], None]:
+    def run_once() -> None:
         (found,) = Decoder(1 << 24).feed(data)
         assert isinstance(found, Message)
         transcode(found.body, form, other)
 
-    return once
+    return run_once
 
 
-def speed(once: Callable[[], None], seconds: float) -> float:
-    """Times a second, the median of five plays."""
+def speed(run_once: Callable[[], None], seconds: float) -> float:
+    """Calls of `run_once` a second, the median of five runs."""
     rates = []
     for _ in range(5):
         began, count = time.perf_counter(), 0
         while time.perf_counter() - began < seconds / 5:
-            once()
+            run_once()
             count += 1
         rates.append(count / (time.perf_counter() - began))
     return statistics.median(rates)
@@ -130,16 +131,16 @@
     for form, other in ((Form.BINARY, Form.COMPACT), (Form.COMPACT, Form.BINARY)):
         for rows in (0, 2000):
             data = encode(Message(form, MessageKind.CALL, b"post", 7, body(form, rows)), True)
-            ways = {
+            cases = {
                 "ours, checked whole": ours(data, form),
-                f"ours, written in {other.value}": copied(data, form, other),
+                f"ours, written in {other.value}": ours_transcoded(data, form, other),
                 "thrift (Apache), skip": apache(data, form),
                 "thriftpy2, skip": thriftpy(data, form, False),
             }
             if form is Form.BINARY:
-                ways["thriftpy2 compiled, skip"] = thriftpy(data, form, True)
-            for name, once in ways.items():
-                rate = speed(once, seconds)
+                cases["thriftpy2 compiled, skip"] = thriftpy(data, form, True)
+            for name, run_once in cases.items():
+                rate = speed(run_once, seconds)
                 print(
                     f"{form.value + ': ' + name:<46} {len(data):>8} {rate:>10.0f} {rate * len(data) / 1e6:>8.1f}"
                 )
@@ -190,32 +191,32 @@
 
 
 class Caller(asyncio.Protocol):
-    """Calls, waits for the reply, calls again, until its time is over."""
+    """One connection of a closed loop: calls, waits for the reply, repeats until the time is over."""
 
     def __init__(self, load: ThriftLoad) -> None:
         self.load = load
-        self.held = b""
-        self.began = 0.0
+        self.buffer = b""
+        self.sent_at = 0.0
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.ask()
+        self.send_request()
 
-    def ask(self) -> None:
-        self.began = time.perf_counter()
+    def send_request(self) -> None:
+        self.sent_at = time.perf_counter()
         self.transport.write(self.load.call)
 
     def data_received(self, data: bytes) -> None:
-        self.held += data
-        if len(self.held) < 4 or len(self.held) < 4 + struct.unpack_from(">i", self.held)[0]:
+        self.buffer += data
+        if len(self.buffer) < 4 or len(self.buffer) < 4 + struct.unpack_from(">i", self.buffer)[0]:
             return
-        (found,) = Decoder(1 << 20).feed(self.held)
+        (found,) = Decoder(1 << 20).feed(self.buffer)
         assert isinstance(found, Message)
-        self.held = b""
-        if self.load.told(found.kind.name, self.began):
-            self.ask()
+        self.buffer = b""
+        if self.load.on_answer(found.kind.name, self.sent_at):
+            self.send_request()
         else:
             self.transport.close()
 
@@ -237,9 +238,9 @@
 
 
 @contextlib.contextmanager
-def process(core: int, *words: str) -> Iterator[subprocess.Popen[bytes]]:
+def process(core: int, *arguments: str) -> Iterator[subprocess.Popen[bytes]]:
     running = subprocess.Popen(
-        [sys.executable, *words], cwd=ROOT, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL
+        [sys.executable, *arguments], cwd=ROOT, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL
     )
     with contextlib.suppress(OSError):
         os.sched_setaffinity(running.pid, {core % (os.cpu_count() or 1)})
@@ -250,14 +251,14 @@
         running.wait(20)
 
 
-async def up(port: int) -> None:
+async def wait_until_listening(port: int) -> None:
     for _ in range(400):
         with contextlib.suppress(OSError):
             _, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.close()
             return
         await asyncio.sleep(0.05)
-    raise TimeoutError(f"nothing listens on port {port}")
+    raise TimeoutError(f"no process listens on port {port}")
 
 
 def resident_mb(pid: int) -> float:
@@ -277,7 +278,7 @@
         stack.enter_context(process(cores - 3, *box))
         sidecar = stack.enter_context(process(cores - 4, "-m", "loadbalancer.cli", "sidecar", str(path)))
         for port in ports.values():
-            await up(port)
+            await wait_until_listening(port)
         cases: dict[str, Callable[[], Any]] = {
             "HTTP box directly": lambda: Load(connections, seconds).run(ports["http_box"]),
             "HTTP through the node": lambda: Load(connections, seconds).run(ports["http"]),
@@ -298,12 +299,12 @@
         print(f"{connections} connections, {rounds} rounds of {seconds:g} s in turns; medians")
         print(f"{'case':<46} {'calls/s':>10} {'p50 ms':>8} {'p99 ms':>8}")
         for name, rows in found.items():
-            rate, middle, late = (statistics.median(row[at] for row in rows) for at in range(3))
-            print(f"{name:<46} {rate:>10.0f} {middle:>8.2f} {late:>8.2f}")
+            rate, median_ms, p99_ms = (statistics.median(row[at] for row in rows) for at in range(3))
+            print(f"{name:<46} {rate:>10.0f} {median_ms:>8.2f} {p99_ms:>8.2f}")
         before = resident_mb(sidecar.pid)
-        held = [await asyncio.open_connection("127.0.0.1", ports["thrift"]) for _ in range(idle)]
+        idle_connections = [await asyncio.open_connection("127.0.0.1", ports["thrift"]) for _ in range(idle)]
         call = ThriftLoad(1, 1.0, Form.BINARY).call
-        for reader, writer in held:  # each has had one call
+        for reader, writer in idle_connections:  # one call on each connection
             writer.write(call)
             (size,) = struct.unpack(">i", await reader.readexactly(4))
             await reader.readexactly(size)
@@ -312,7 +313,7 @@
             f"memory: {before:.1f} MB, {after:.1f} MB with {idle} idle Thrift connections "
             f"({(after - before) * 1e3 / idle:.1f} kB each)"
         )
-        for _, writer in held:
+        for _, writer in idle_connections:
             writer.close()
 
 
@@ -320,10 +321,10 @@
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("--seconds", type=float, default=2.0, help="of each case")
+    parser.add_argument("--seconds", type=float, default=2.0, help="duration of each case")
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--connections", type=int, default=32)
-    parser.add_argument("--idle", type=int, default=1000, help="connections whose memory is told")
+    parser.add_argument("--idle", type=int, default=1000, help="idle connections whose memory is measured")
     args = parser.parse_args(argv)
     print(f"{platform.machine()}, {os.cpu_count()} cores, Python {platform.python_version()}")
     codec(args.seconds / 2)
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -1,10 +1,10 @@
-"""Requests a second and latencies through one node on one core, against asking the stand-in box directly.
+"""Requests a second and latencies through one node on one core, compared with direct requests to the server.
 
     python benchmarks/throughput.py                  # this checkout's platform node, sidecar, sidecar with budgets
-    python benchmarks/throughput.py --node before=/some/checkout --node after=.   # pairs, in turns, in one run
+    python benchmarks/throughput.py --node before=/some/checkout --node after=.   # two versions in one run
 
-All on 127.0.0.1. The box, the node and the load have a core each; each case is played `--rounds` times in turns, so
-that what the machine does meanwhile falls on all alike, and the medians are told.
+All on 127.0.0.1. The server, the node and the load have a core each. Cases alternate for `--rounds` rounds, so that
+other load on the machine affects all of them alike; medians are reported.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 
 
 def free_port() -> int:
-    """Guard: of a port among those that the kernel gives to connecting sockets another one could be taken, by a
-    connection to itself too, before what is to listen there has come up."""
+    """Guard: a port in the ephemeral range could be taken by an outgoing connection, even one to itself, before the
+    process that is to listen on it has started."""
     while True:
         port = random.randrange(20_000, 32_000)
         try:
@@ -40,74 +40,74 @@
 
 
 class Caller(asyncio.Protocol):
-    """Asks, waits for the answer, asks again, until its time is over."""
+    """One connection of a closed loop: sends a request, waits for the answer, repeats until the time is over."""
 
     def __init__(self, load: Load) -> None:
         self.load = load
         self.transport: asyncio.Transport
-        self.began = 0.0
-        self.held = b""
+        self.sent_at = 0.0
+        self.buffer = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.ask()
+        self.send_request()
 
-    def ask(self) -> None:
-        self.load.asked += 1
-        self.began = time.perf_counter()
-        self.transport.write(REQUEST % self.load.asked)
+    def send_request(self) -> None:
+        self.load.sent_count += 1
+        self.sent_at = time.perf_counter()
+        self.transport.write(REQUEST % self.load.sent_count)
 
     def data_received(self, data: bytes) -> None:
-        self.held += data
-        head, mark, body = self.held.partition(b"\r\n\r\n")
+        self.buffer += data
+        head, mark, body = self.buffer.partition(b"\r\n\r\n")
         if not mark:
             return
         at = head.lower().index(b"content-length:") + 15
         if len(body) < int(head[at:].split(b"\r\n", 1)[0]):
             return
-        self.held = b""
-        if self.load.told(head[9:12].decode(), self.began):
-            self.ask()
+        self.buffer = b""
+        if self.load.on_answer(head[9:12].decode(), self.sent_at):
+            self.send_request()
         else:
             self.transport.close()
 
 
 class Load:
-    good = "200"  # the status that counts as served
+    good = "200"  # the status of a successful answer
 
     def __init__(self, connections: int, seconds: float, label: str = "") -> None:
         self.label = label
         self.connections, self.seconds = connections, seconds
         self.latencies: list[float] = []
         self.statuses: dict[str, int] = {}
-        self.asked = 0
-        self.left = connections
+        self.sent_count = 0
+        self.open_connections = connections
 
     def caller(self) -> asyncio.Protocol:
         return Caller(self)
 
-    def told(self, status: str, began: float) -> bool:
-        """An answer has come to what was asked then; whether to ask again."""
+    def on_answer(self, status: str, sent_at: float) -> bool:
+        """Record the answer to a request sent at `sent_at`; returns whether to send another."""
         now = time.perf_counter()
-        self.latencies.append(now - began)
+        self.latencies.append(now - sent_at)
         self.statuses[status] = self.statuses.get(status, 0) + 1
-        if now < self.until:
+        if now < self.end_time:
             return True
-        self.left -= 1
-        if not self.left:
-            self.over.set_result(None)
+        self.open_connections -= 1
+        if not self.open_connections:
+            self.finished.set_result(None)
         return False
 
     async def run(self, port: int) -> tuple[float, float, float]:
-        """Requests a second, median and 99th percentile in ms."""
+        """Run the load; returns requests a second, and the median and 99th percentile latency in ms."""
         loop = asyncio.get_running_loop()
-        self.over = loop.create_future()
+        self.finished = loop.create_future()
         began = time.perf_counter()
-        self.until = began + self.seconds
+        self.end_time = began + self.seconds
         for _ in range(self.connections):
             await loop.create_connection(self.caller, "127.0.0.1", port)
-        await asyncio.wait_for(self.over, self.seconds + 30)
+        await asyncio.wait_for(self.finished, self.seconds + 30)
         took = time.perf_counter() - began
         bad = {status: count for status, count in self.statuses.items() if status != self.good}
         if bad:
@@ -180,11 +180,11 @@
             return
         except OSError:
             time.sleep(0.025)
-    raise SystemExit(f"nothing came up on port {port}")
+    raise SystemExit(f"no process listens on port {port}")
 
 
 def resident_mb(pid: int) -> float:
-    """What a process holds in memory, on Linux."""
+    """Resident memory of a process, on Linux."""
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return next(float(line.split()[1]) / 1024 for line in lines if line.startswith("VmRSS"))
 
@@ -203,7 +203,7 @@
     args = parser.parse_args()
     cores = sorted(os.sched_getaffinity(0))
     if len(cores) < 3:
-        raise SystemExit("three cores are needed: for the box, the node and the load")
+        raise SystemExit("three cores are needed: for the server, the node and the load")
     os.sched_setaffinity(0, {cores[2]})
     nodes = dict(item.split("=", 1) for item in args.node) or {"node": str(ROOT)}
     running: list[subprocess.Popen[bytes]] = []
--- a/benchmarks/xds_updates.py
+++ b/benchmarks/xds_updates.py
@@ -1,8 +1,8 @@
-"""Clusters and endpoints at size: time and memory to first serving, and from an update to its being in force.
+"""Large numbers of clusters and endpoints: time and memory until first served, and delay until an update is in force.
 
     python benchmarks/xds_updates.py
 
-The stand-in control plane runs in this process, what follows it in another. Needs the extra `xds`.
+The emulated control plane runs in this process, its client in another. Needs the extra `xds`.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 from loadbalancer.emulator.xds import ControlPlane, cluster, endpoints
 
-MOST_S = 120.0
+TIMEOUT_S = 120.0
 
 
 def rows(count: int, first: int = 0) -> list[dict[str, Any]]:
@@ -35,7 +35,7 @@
 
 
 async def follow(address: str, count: int, delta: bool) -> None:
-    """In the other process: print, as JSON lines, when all clusters were first served, and each change of the first."""
+    """The client process: prints JSON lines when all clusters were first served and at each change of the first one."""
     from loadbalancer.discovery.endpoint_list import EndpointList
     from loadbalancer.xds.protocol import XdsClient
     from loadbalancer.xds.stream import XdsStream
@@ -61,43 +61,45 @@
 
     stream = XdsStream(address, client, lambda: time.time() * 1000.0, on_change)
     stream.start()
-    await asyncio.sleep(MOST_S)
+    await asyncio.sleep(TIMEOUT_S)
 
 
-async def case(clusters: int, each: int, delta: bool, updates: int) -> tuple[float, float, list[float]]:
+async def measure_updates(
+    clusters: int, each: int, delta: bool, updates: int
+) -> tuple[float, float, list[float]]:
     plane = await ControlPlane().start()
     plane.put(*(cluster(f"c{at}") for at in range(clusters)), tell=False)
     plane.put(*(endpoints(f"c{at}", *rows(each, at * each)) for at in range(clusters)), tell=False)
-    words = ["--follow", plane.endpoint, "--clusters", str(clusters)] + (["--delta"] if delta else [])
+    arguments = ["--follow", plane.endpoint, "--clusters", str(clusters)] + (["--delta"] if delta else [])
     process = await asyncio.create_subprocess_exec(
-        sys.executable, __file__, *words, cwd=ROOT, stdout=subprocess.PIPE, limit=2**20
+        sys.executable, __file__, *arguments, cwd=ROOT, stdout=subprocess.PIPE, limit=2**20
     )
     assert process.stdout is not None
     try:
-        async with asyncio.timeout(MOST_S):
+        async with asyncio.timeout(TIMEOUT_S):
             first = json.loads(await process.stdout.readline())
             await process.stdout.readline()
-            lags = []
+            delays_ms = []
             for at in range(updates):
                 changed = rows(each)
                 changed[0]["load_balancing_weight"] = 2 + at
                 message = endpoints("c0", *changed)
-                told = time.time()
+                sent_at = time.time()
                 plane.put(message)
-                lags.append((json.loads(await process.stdout.readline())["at"] - told) * 1000.0)
+                delays_ms.append((json.loads(await process.stdout.readline())["at"] - sent_at) * 1000.0)
     finally:
         process.kill()
         await process.wait()
         await plane.stop()
-    return first["first_s"], first["mb"], lags
+    return first["first_s"], first["mb"], delays_ms
 
 
-async def under_load(seconds: float) -> list[tuple[str, float, float]]:
-    """Requests a second and 99th percentile through a sidecar, still and while updates come 10 a second."""
+async def measure_under_load(seconds: float) -> list[tuple[str, float, float]]:
+    """Requests a second and 99th percentile through a sidecar, without updates and with 10 updates a second."""
     plane = await ControlPlane().start()
     cores = sorted(os.sched_getaffinity(0))
     running = []
-    found = []
+    results = []
     with tempfile.TemporaryDirectory() as folder:
         try:
             port, listen = free_port(), free_port()
@@ -119,19 +121,23 @@
                     plane.put(endpoints("box", live, *idle))
                     await asyncio.sleep(0.1)
 
-            for label, busy in (("still", False), ("10 updates a second", True), ("still again", False)):
-                task = asyncio.create_task(update()) if busy else None
+            for label, with_updates in (
+                ("still", False),
+                ("10 updates a second", True),
+                ("still again", False),
+            ):
+                task = asyncio.create_task(update()) if with_updates else None
                 rate, _, p99 = await Load(32, seconds).run(listen)
                 if task is not None:
                     task.cancel()
-                found.append((label, rate, p99))
+                results.append((label, rate, p99))
         finally:
             for process in running:
                 process.terminate()
             for process in running:
                 process.wait()
             await plane.stop()
-    return found
+    return results
 
 
 XDS = """source = "xds"
@@ -144,7 +150,7 @@
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("--updates", type=int, default=20)
-    parser.add_argument("--seconds", type=float, default=5.0, help="of each load")
+    parser.add_argument("--seconds", type=float, default=5.0, help="duration of each load")
     parser.add_argument("--follow", help=argparse.SUPPRESS)
     parser.add_argument("--clusters", type=int, default=1, help=argparse.SUPPRESS)
     parser.add_argument("--delta", action="store_true", help=argparse.SUPPRESS)
@@ -156,14 +162,14 @@
     print(f"{'clusters x endpoints':<22}{'stream':<13}{'first s':>8}{'MB':>7}{'update ms':>11}{'most ms':>9}")
     for clusters, each in ((1, 10), (1000, 10), (1, 10_000)):
         for delta in (False, True):
-            first, memory, lags = asyncio.run(case(clusters, each, delta, args.updates))
+            first, memory, delays_ms = asyncio.run(measure_updates(clusters, each, delta, args.updates))
             name = "incremental" if delta else "state"
             print(
                 f"{f'{clusters} x {each}':<22}{name:<13}{first:>8.2f}{memory:>7.1f}"
-                f"{statistics.median(lags):>11.1f}{max(lags):>9.1f}"
+                f"{statistics.median(delays_ms):>11.1f}{max(delays_ms):>9.1f}"
             )
-    print("a sidecar, 32 connections, one box and 200 draining endpoints")
-    for label, rate, p99 in asyncio.run(under_load(args.seconds)):
+    print("a sidecar, 32 connections, one server and 200 draining endpoints")
+    for label, rate, p99 in asyncio.run(measure_under_load(args.seconds)):
         print(f"{label:<22}{rate:>10.0f} requests/s{p99:>9.2f} ms p99")
     return 0
 
--- a/benchmarks/zone_return.py
+++ b/benchmarks/zone_return.py
@@ -1,12 +1,13 @@
-"""A zone of boxes is stopped, killed and comes back cold: does all of the service come back?
+"""Stops, kills and restarts a zone of servers, cold: does the service recover fully?
 
     python benchmarks/zone_return.py
 
-Sidecars, each a process of its own; boxes, a process a zone. Callers ask at a steady rate and try again up to three
-times in all when they are refused, heeding Retry-After; latency counts from when a request was due. One zone is stopped
-(SIGSTOP), killed and started again cold at the same addresses. Lists are static: nobody tells the sidecars.
+Each sidecar is a process, and so is each zone of emulated servers. Callers send at a steady rate and make up to three
+attempts when refused, respecting Retry-After; latency counts from the time when a request was due. One zone is stopped
+(SIGSTOP), killed and restarted cold at the same addresses. Lists are static: sidecars are not informed.
 
-Prints, for each second, the share answered in time by class and what each zone's boxes took, then falls of cold boxes.
+Prints, for each second, the share answered in time by class and the requests that each zone accepted, then the crashes
+of cold servers.
 """
 
 from __future__ import annotations
@@ -29,15 +30,15 @@
 
 AIM_S, GIVE_UP_S = 1.0, 2.5
 CLASSES = {"high": 12.0, "low": 2.0}
-LEAST_WAIT_S = 0.1  # before another try
+MIN_RETRY_WAIT_S = 0.1  # minimum wait before a retry
 
 
 def configuration(args: argparse.Namespace, at: int, boxes: dict[str, list[str]]) -> dict[str, object]:
-    limit = {"aim_ms": AIM_S * 1000.0, "give_up_ms": GIVE_UP_S * 1000.0}
+    deadlines = {"aim_ms": AIM_S * 1000.0, "give_up_ms": GIVE_UP_S * 1000.0}
     servers = [
         {"id": one.replace(":", "-"), "address": one, "zone": zone}
-        for zone, some in boxes.items()
-        for one in some
+        for zone, addresses in boxes.items()
+        for one in addresses
     ]
     return {
         "kind": "configuration",
@@ -56,7 +57,7 @@
             }
         ],
         "classes": [
-            {"name": name, "pool": "boxes", "effect": "safe", "worth": worth} | limit
+            {"name": name, "pool": "boxes", "effect": "safe", "worth": worth} | deadlines
             for name, worth in CLASSES.items()
         ],
         "routes": [{"class": name, "path": f"/{name}/**"} for name in CLASSES],
@@ -67,17 +68,17 @@
     def __init__(self, apps: list[Application], rate: float, tries: int, seed: int) -> None:
         self.apps, self.rate, self.tries, self.rng = apps, rate, tries, Random(seed)
         self.due: Counter[tuple[int, str]] = Counter()
-        self.good: Counter[tuple[int, str]] = Counter()
+        self.in_time: Counter[tuple[int, str]] = Counter()
         self.statuses: Counter[str] = Counter()
-        self.asked = 0
-        self.late_s = 0.0
+        self.attempt_count = 0
+        self.max_lateness_s = 0.0
 
     async def run(self, seconds: float) -> None:
         began, at = time.monotonic(), 0.0
         pending: set[asyncio.Task[None]] = set()
         while at < seconds:
             await asyncio.sleep(max(0.0, began + at - time.monotonic()))
-            self.late_s = max(self.late_s, time.monotonic() - began - at)
+            self.max_lateness_s = max(self.max_lateness_s, time.monotonic() - began - at)
             name = "high" if self.rng.random() < 0.5 else "low"
             app = self.apps[self.rng.randrange(len(self.apps))]
             task = asyncio.create_task(self._one(began + at, int(at), name, app))
@@ -92,8 +93,8 @@
             left = due + GIVE_UP_S - time.monotonic()
             if left <= 0.0:
                 return
-            self.asked += 1
-            wait = LEAST_WAIT_S * 2.0**number
+            self.attempt_count += 1
+            wait = MIN_RETRY_WAIT_S * 2.0**number
             try:
                 async with asyncio.timeout(left):
                     reply = await app.ask("GET", f"/{name}/{second}", b"", {})
@@ -102,11 +103,11 @@
                 continue
             self.statuses[str(reply.status)] += 1
             if reply.status == 200:
-                self.good[second, name] += time.monotonic() - due <= AIM_S
+                self.in_time[second, name] += time.monotonic() - due <= AIM_S
                 return
-            told = reply.headers.get(b"retry-after")
-            if told is not None:
-                wait = max(wait, float(told))
+            retry_after = reply.headers.get(b"retry-after")
+            if retry_after is not None:
+                wait = max(wait, float(retry_after))
             await asyncio.sleep(wait)
 
 
@@ -115,10 +116,10 @@
         zone: [f"127.1.{at + 1}.{one + 1}:7070" for one in range(args.boxes)] for at, zone in enumerate("abc")
     }
 
-    def command(zone: str, *more: str) -> list[str]:
+    def command(zone: str, *increase: str) -> list[str]:
         record = str(folder / f"{zone}.jsonl")
         fixed = ["--work-ms", str(args.work_ms), "--cold-ms", str(args.cold_ms), "--record", record]
-        return ["-m", "loadbalancer.test_rig.boxes", *fixed, *more, *boxes[zone]]
+        return ["-m", "loadbalancer.test_rig.boxes", *fixed, *increase, *boxes[zone]]
 
     async with Supervisor(folder) as supervisor:
         await asyncio.gather(*(supervisor.start(f"zone-{zone}", command(zone), "ready") for zone in boxes))
@@ -133,50 +134,60 @@
         await asyncio.sleep(began + args.back_at - time.monotonic())
         await supervisor.kill("zone-b")
         await supervisor.start("zone-b", command("b", "--cold"), "ready")
-        back = time.monotonic() - began
+        restarted_s = time.monotonic() - began
         await running
         for app in apps:
             app.close()
-    report(args, load, folder, boxes, began, back)
+    report(args, load, folder, boxes, began, restarted_s)
 
 
 def report(
-    args: argparse.Namespace, load: Load, folder: Path, boxes: dict[str, list[str]], began: float, back: float
+    args: argparse.Namespace,
+    load: Load,
+    folder: Path,
+    boxes: dict[str, list[str]],
+    began: float,
+    restarted_s: float,
 ) -> None:
     taken: Counter[tuple[int, str]] = Counter()
-    fell = 0
+    crashes = 0
     for zone in boxes:
         last: dict[str, list[int]] = {}
         for line in (folder / f"{zone}.jsonl").read_text().splitlines():
             row = json.loads(line)
             for name, counts in row["boxes"].items():
                 before = last.get(name, [0, 0])
-                # A process that was started again counts from nothing.
-                more = [now - then if now >= then else now for now, then in zip(counts, before, strict=True)]
-                taken[int(row["at"] - began), zone] += more[0]
-                fell += more[1]
+                # The counts of a restarted process begin at zero.
+                increase = [
+                    now - then if now >= then else now for now, then in zip(counts, before, strict=True)
+                ]
+                taken[int(row["at"] - began), zone] += increase[0]
+                crashes += increase[1]
                 last[name] = counts
 
-    def share(name: str, begin: float, end: float) -> float:
-        seconds = range(int(begin), int(end))
+    def share(name: str, start_s: float, end_s: float) -> float:
+        seconds = range(int(start_s), int(end_s))
         due = sum(load.due[second, name] for second in seconds)
-        return sum(load.good[second, name] for second in seconds) / max(1, due)
+        return sum(load.in_time[second, name] for second in seconds) / max(1, due)
 
     print(f"{'s':>3} {'high':>6} {'low':>6}  taken by zone")
     for second in range(int(args.seconds)):
         high, low = (share(name, second, second + 1) for name in CLASSES)
         zones = " ".join(f"{taken[second, zone]:>5}" for zone in boxes)
         print(f"{second:>3} {high:>6.2f} {low:>6.2f}  {zones}")
-    warm = back + args.cold_ms / 1000.0
+    warm = restarted_s + args.cold_ms / 1000.0
 
-    for what, begin, end in (
-        ("away", args.stop_at + 2, back),
-        ("warming", back, warm),
+    for phase, start_s, end_s in (
+        ("away", args.stop_at + 2, restarted_s),
+        ("warming", restarted_s, warm),
         ("8 s after warm, to the end", warm + 8, args.seconds - 1),
     ):
-        print(f"{what}: high {share('high', begin, end):.3f}, low {share('low', begin, end):.3f}")
-    print(f"tries a request {load.asked / sum(load.due.values()):.2f}, falls of cold boxes {fell}, ", end="")
-    print(f"callers late by {load.late_s * 1000:.0f} ms at most, {dict(load.statuses)}")
+        print(f"{phase}: high {share('high', start_s, end_s):.3f}, low {share('low', start_s, end_s):.3f}")
+    print(
+        f"tries a request {load.attempt_count / sum(load.due.values()):.2f}, crashes of cold servers {crashes}, ",
+        end_s="",
+    )
+    print(f"callers late by {load.max_lateness_s * 1000:.0f} ms at most, {dict(load.statuses)}")
 
 
 def main() -> int:
@@ -185,9 +196,11 @@
     )
     parser.add_argument("--rate", type=float, default=510.0, help="requests a second (up to 1,000)")
     parser.add_argument("--sidecars", type=int, default=12, help="up to 64")
-    parser.add_argument("--boxes", type=int, default=4, help="in each of three zones (up to 64)")
-    parser.add_argument("--work-ms", type=float, default=20.0, help="of a box's one core, for each request")
-    parser.add_argument("--cold-ms", type=float, default=6000.0, help="until a box that was started is warm")
+    parser.add_argument("--boxes", type=int, default=4, help="servers in each of three zones (up to 64)")
+    parser.add_argument(
+        "--work-ms", type=float, default=20.0, help="service time of a request on a server's one core"
+    )
+    parser.add_argument("--cold-ms", type=float, default=6000.0, help="warm-up time of a started server")
     parser.add_argument("--tries", type=int, default=3)
     parser.add_argument("--stop-at", type=float, default=6.0, help="seconds")
     parser.add_argument("--back-at", type=float, default=14.0)
