--- a/emberring/simulation/admission/__init__.py
+++ b/emberring/simulation/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Trials of admission in simulated time: sites, traffic, policies, and what is counted."""
+"""Trials of admission in simulated time: sites, traffic, policies and metrics."""
--- a/emberring/simulation/admission/baselines.py
+++ b/emberring/simulation/admission/baselines.py
@@ -1,6 +1,6 @@
-"""Baseline policies that admission is compared with, with the interface of `Admission` that trials use.
+"""Baseline policies for comparison with admission. They implement the part of `Admission` that trials use.
 
-They refuse nothing and limit batch items only by the slots of the servers; full servers reject calls themselves.
+They reject no live request and limit batch items only by the slots of the servers; full servers reject calls.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Policy(Protocol):
-    """The decisions of a gateway, as a trial uses them."""
+    """The admission interface of a gateway that trials use."""
 
     def set_servers(
         self,
@@ -29,7 +29,7 @@
         """Replace the known servers."""
 
     def offer(self, now_s: float, call: CallInfo) -> Decision:
-        """Decide whether the call is taken, and by which server."""
+        """Decide whether the call is admitted, and select its server."""
 
     def started(self, now_s: float, call_id: str, server_id: str) -> None:
         """Record that the call has been sent."""
@@ -41,10 +41,10 @@
         """Record a later event."""
 
     def finished(self, now_s: float, call_id: str, outcome: CallOutcome) -> None:
-        """Record how the attempt ended."""
+        """Record the outcome of the attempt."""
 
     def batch_room(self, now_s: float) -> int:
-        """Return how many more batch items would be taken now."""
+        """Return how many more batch items would be admitted now."""
 
     def in_flight(self) -> dict[str, int]:
         """Return calls in flight by server."""
@@ -54,14 +54,14 @@
 
 
 class BaselinePolicy:
-    """A choice by a simple rule over this gateway's own calls in flight."""
+    """Selects servers by a simple rule over the calls in flight of this gateway."""
 
     def __init__(self, choose: ServerChoice, seed: int) -> None:
         self.random = Random(seed)
         self.calls: dict[str, int] = {}
-        self.turn = 0
+        self.next_index = 0
         self._choose = choose
-        self._placed: dict[str, str] = {}
+        self._server_by_call: dict[str, str] = {}
         self._ready: list[str] = []
         self._slots = 0
         self._gateways = 1
@@ -82,7 +82,7 @@
         self.calls = {name: self.calls.get(name, 0) for name in self._ready}
 
     def offer(self, now_s: float, call: CallInfo) -> Decision:
-        """Take a call while there is a server; a batch item while there is a free slot."""
+        """Admit a call if there is a server, a batch item only if there is a free slot."""
         names = [name for name in self._ready if name not in call.excluded]
         if not names:
             return NoServer()
@@ -90,7 +90,7 @@
             return Refused(0.1)
         name = self._choose(self, names, call)
         self.calls[name] += 1
-        self._placed[call.id] = name
+        self._server_by_call[call.id] = name
         return Admitted(name)
 
     def started(self, now_s: float, call_id: str, server_id: str) -> None:
@@ -104,12 +104,12 @@
 
     def finished(self, now_s: float, call_id: str, outcome: CallOutcome) -> None:
         """Release the slot."""
-        name = self._placed.pop(call_id, "")
+        name = self._server_by_call.pop(call_id, "")
         if self.calls.get(name, 0) > 0:
             self.calls[name] -= 1
 
     def batch_room(self, now_s: float) -> int:
-        """Return this gateway's even share of the slots, less its calls in flight."""
+        """Return an even share of the slots minus the calls in flight of this gateway."""
         return max(0, self._slots // self._gateways - sum(self.calls.values()))
 
     def in_flight(self) -> dict[str, int]:
@@ -123,9 +123,9 @@
 
 
 def round_robin(policy: BaselinePolicy, names: list[str], call: CallInfo) -> str:
-    """Return the servers in turn."""
-    policy.turn += 1
-    return names[policy.turn % len(names)]
+    """Return the next server in turn."""
+    policy.next_index += 1
+    return names[policy.next_index % len(names)]
 
 
 def two_choices(policy: BaselinePolicy, names: list[str], call: CallInfo) -> str:
--- a/emberring/simulation/admission/engine_model.py
+++ b/emberring/simulation/admission/engine_model.py
@@ -1,4 +1,4 @@
-"""A model of a model server's engine, for experiments with admission: no sockets, no clock of its own.
+"""A model of the engine of a model server for experiments with admission, without sockets and clock.
 
 The engine works in steps. A step generates one token for each running request and prefills a chunk of the waiting
 prompts, in the order of arrival; it takes longer with more running requests, longer contexts and a larger chunk. The
@@ -77,7 +77,7 @@
 
 @attrs.define
 class EngineCounters:
-    """What the engine has done so far."""
+    """Counters of the work of the engine."""
 
     busy_ms: float = 0.0
     prefilled: int = 0
@@ -203,7 +203,7 @@
             chain = f"{chain}/{part.id}"
             broken = broken or chain not in self._cache
             if broken:
-                if chain in self._cache:  # cached, but useless since a part before it was evicted
+                if chain in self._cache:  # cached but unusable, because an earlier part was evicted
                     self._evict(chain)
                 self._cache[chain] = part.tokens
                 self._cached_total += part.tokens
--- a/emberring/simulation/admission/simulator.py
+++ b/emberring/simulation/admission/simulator.py
@@ -1,6 +1,6 @@
-"""Trials of admission: engines, several gateways that each see their own calls only, clients and batch jobs.
+"""Trials of admission: engines, several gateways that each see only their own calls, clients and batch jobs.
 
-`run_trial` runs a site for some seconds and returns what was counted. Everything random comes from the seed, and
+`run_trial` runs a site for some seconds and returns its record. All randomness comes from the seed, and
 the draws of the traffic do not depend on the decisions, so that policies are compared on the same requests.
 Times inside are milliseconds.
 """
@@ -29,10 +29,10 @@
 from emberring.simulation.admission.trial import TrialRecord
 
 SERVICE = "llm"
-REPORT_MS = 100.0  # period after which a gateway reports its calls in flight and gets the sums
-LOAD_REPORT_DELAY_MS = 50.0  # age of the sums, which control nodes exchange among themselves
-LOAD_AGGREGATION_MS = 25.0  # the sums are computed once for all gateways within this time
-ITEM_POLL_MS = 60.0  # period after which a gateway takes items while it has capacity
+REPORT_MS = 100.0  # interval at which a gateway reports its calls in flight and receives the sums
+LOAD_REPORT_DELAY_MS = 50.0  # age of the sums, which control nodes exchange with each other
+LOAD_AGGREGATION_MS = 25.0  # interval at which the sums are recomputed for all gateways
+ITEM_POLL_MS = 60.0  # interval at which a gateway polls for items
 SERVER_LOSS_MS = 4800.0  # silence after which a server is removed from the list
 SERVER_DISCOVERY_MS = 500.0  # delay until the gateways know a new server
 ATTEMPT_TIMEOUT_MS = 1000.0  # silence after which the gateway gives up an attempt
@@ -57,14 +57,16 @@
         self._items: list[Request] = []
         self._random = Random(seed + 7)
         self._reported: dict[int, dict[str, int]] = {}
-        self._sums: deque[tuple[float, dict[str, int]]] = deque()  # with the time of each
+        self._sums: deque[tuple[float, dict[str, int]]] = deque()  # (time, sums)
         for position in range(site.servers):
             self._add_server(position)
         self.policies = [make(self, index) for index in range(len(site.gateway_shares))]
         for index in range(len(self.policies)):
             self._update_policy(index)
             self.call_at(REPORT_MS * index / len(self.policies), functools.partial(self._report, index))
-            self.call_at(ITEM_POLL_MS * index / len(self.policies), functools.partial(self._poll, index))
+            self.call_at(
+                ITEM_POLL_MS * index / len(self.policies), functools.partial(self._poll_items, index)
+            )
 
     # ------------------------------------------------------------- time
 
@@ -73,7 +75,7 @@
         heapq.heappush(self._events, (when_ms, next(self._order), callback))
 
     def run_until(self, end_ms: float) -> None:
-        """Advance the time, calling what is due."""
+        """Advance the time and run all due callbacks."""
         while self._events and self._events[0][0] <= end_ms:
             self.now_ms, _, callback = heapq.heappop(self._events)
             callback()
@@ -98,14 +100,16 @@
         for server in self.servers:
             if server.position == crash.server and server.up:
                 server.up, server.silent = False, crash.silent
-                self._account(server)
+                self._record_counters(server)
                 if not crash.silent:
                     for attempt in list(server.attempts):
-                        self._after_network_delay(functools.partial(self._end, attempt, CallOutcome.BROKEN))
+                        self._after_network_delay(
+                            functools.partial(self._end_attempt, attempt, CallOutcome.BROKEN)
+                        )
                 self.call_at(self.now_ms + SERVER_LOSS_MS, functools.partial(self._make_known, server, False))
         self.call_at(self.now_ms + crash.duration_s * 1000.0, lambda: self._add_server(crash.server))
 
-    def _account(self, server: Server) -> None:
+    def _record_counters(self, server: Server) -> None:
         counters, record = server.engine.counters, self.record
         record.busy_ms[server.id] = counters.busy_ms
         record.calls[server.id] = counters.calls
@@ -202,7 +206,7 @@
             return
         request.record.refusals += 1
         if self._half_idle():
-            self.record.refusals_with_room += 1
+            self.record.refusals_with_free_slots += 1
         self._retry_by_client(request, retry_after_s)
 
     def _half_idle(self) -> bool:
@@ -213,20 +217,20 @@
         )
 
     def _retry_by_client(self, request: Request, wait_s: float) -> None:
-        left_ms = request.deadline_ms - self.now_ms
+        remaining_ms = request.deadline_ms - self.now_ms
         request.finished = True
-        if request.retries_left <= 0 or left_ms <= 0.0 or request.events > 0:
+        if request.retries_left <= 0 or remaining_ms <= 0.0 or request.events > 0:
             return
-        again = attrs.evolve(
+        retry = attrs.evolve(
             request,
             retries_left=request.retries_left - 1,
             finished=False,
             excluded=frozenset(),
             budget=AttemptBudget(request.kind.max_attempts, request.kind.resumable),
         )
-        wait_ms = min(wait_s * 1000.0, left_ms / 3.0) + 2.0 * CLIENT_NETWORK_MS
+        wait_ms = min(wait_s * 1000.0, remaining_ms / 3.0) + 2.0 * CLIENT_NETWORK_MS
         gateway = self._random.randrange(len(self.policies))
-        self.call_at(self.now_ms + wait_ms, lambda: self.submit(again, gateway))
+        self.call_at(self.now_ms + wait_ms, lambda: self.submit(retry, gateway))
 
     def _arrive(self, attempt: Attempt) -> None:
         server = attempt.server
@@ -236,18 +240,18 @@
             if server.silent:
                 self.call_at(self.now_ms + ATTEMPT_TIMEOUT_MS, lambda: self._time_out(attempt))
             else:
-                self._after_network_delay(lambda: self._end(attempt, CallOutcome.CONNECT_FAILED))
+                self._after_network_delay(lambda: self._end_attempt(attempt, CallOutcome.CONNECT_FAILED))
             return
         request = attempt.request
         attempt.call = EngineCall(
             attempt.id,
             request.parts,
             request.tokens_out,
-            on_event=lambda when, number: self._event(attempt, when),
+            on_event=lambda when, number: self._send_event(attempt, when),
             on_end=lambda when: self._complete(attempt, when),
         )
         if not server.engine.submit(attempt.call):
-            self._after_network_delay(lambda: self._end(attempt, CallOutcome.FULL))
+            self._after_network_delay(lambda: self._end_attempt(attempt, CallOutcome.FULL))
             return
         if request.kind.items_per_job is None:
             self.call_at(self.now_ms + CLIENT_SILENCE_TIMEOUT_MS, lambda: self._check_client_timeout(attempt))
@@ -258,7 +262,7 @@
 
     def _time_out(self, attempt: Attempt) -> None:
         if not attempt.finished:
-            self._end(attempt, CallOutcome.SILENT)
+            self._end_attempt(attempt, CallOutcome.SILENT)
 
     def _check_client_timeout(self, attempt: Attempt) -> None:
         """Cancel a stream whose client has waited for too long."""
@@ -279,9 +283,9 @@
         if attempt.call is not None:
             attempt.server.engine.drop(attempt.call)
         attempt.request.retries_left = 0
-        self._end(attempt, CallOutcome.CANCELLED)
+        self._end_attempt(attempt, CallOutcome.CANCELLED)
 
-    def _event(self, attempt: Attempt, when_ms: float) -> None:
+    def _send_event(self, attempt: Attempt, when_ms: float) -> None:
         if attempt.server.up:
             self.call_at(when_ms + self.site.network_delay_ms, lambda: self._receive_event(attempt))
 
@@ -308,14 +312,15 @@
         request.last_event_ms = self.now_ms
 
     def _complete(self, attempt: Attempt, when_ms: float) -> None:
-        if when_ms < 0.0:  # larger than the server's KV cache
-            self._after_network_delay(lambda: self._end(attempt, CallOutcome.FULL))
+        if when_ms < 0.0:  # the request exceeds the KV cache of the server
+            self._after_network_delay(lambda: self._end_attempt(attempt, CallOutcome.FULL))
         elif attempt.server.up:
             self.call_at(
-                when_ms + self.site.network_delay_ms, lambda: self._end(attempt, CallOutcome.COMPLETED)
+                when_ms + self.site.network_delay_ms,
+                lambda: self._end_attempt(attempt, CallOutcome.COMPLETED),
             )
 
-    def _end(self, attempt: Attempt, outcome: CallOutcome) -> None:
+    def _end_attempt(self, attempt: Attempt, outcome: CallOutcome) -> None:
         if attempt.finished:
             return
         attempt.finished = True
@@ -340,14 +345,16 @@
 
     # ------------------------------------------------------------- batch jobs
 
-    def _poll(self, index: int) -> None:
-        self.call_at(self.now_ms + ITEM_POLL_MS * self._random.uniform(0.8, 1.2), lambda: self._poll(index))
-        room = min(self.policies[index].batch_room(self.now_ms / 1000.0), len(self._items))
-        if room <= 0:
+    def _poll_items(self, index: int) -> None:
+        self.call_at(
+            self.now_ms + ITEM_POLL_MS * self._random.uniform(0.8, 1.2), lambda: self._poll_items(index)
+        )
+        item_count = min(self.policies[index].batch_room(self.now_ms / 1000.0), len(self._items))
+        if item_count <= 0:
             return
         self._items.sort(key=lambda request: request.deadline_ms)
-        taken, self._items = self._items[:room], self._items[room:]
-        for request in taken:
+        polled, self._items = self._items[:item_count], self._items[item_count:]
+        for request in polled:
             self.submit(request, index)
 
     def add_item(self, request: Request) -> None:
@@ -358,7 +365,7 @@
         """End the trial and return its record."""
         for server in self.servers:
             if server.up:
-                self._account(server)
+                self._record_counters(server)
         return self.record
 
 
@@ -368,8 +375,8 @@
 
     Args:
         seconds: simulated seconds of traffic.
-        factor: times the site's traffic.
-        bursts: times of more traffic.
+        factor: multiple of the traffic of the site.
+        bursts: periods of increased traffic.
         crashes: crashes of servers.
     """
 
@@ -380,7 +387,7 @@
 
 
 def run_trial(site: Site, make: MakePolicy, seed: int, plan: TrialPlan) -> TrialRecord:
-    """Run a site's traffic under a policy and return what was counted."""
+    """Run the traffic of a site under a policy and return the record of the trial."""
     world = World(site, make, seed)
     for kind in site.kinds:
         bursts = [burst for burst in plan.bursts if burst.kind == kind.name]
--- a/emberring/simulation/admission/site.py
+++ b/emberring/simulation/admission/site.py
@@ -9,16 +9,16 @@
 
 @attrs.frozen
 class LengthDistribution:
-    """A random length: log-normal with this mean and spread (of the logarithm), at most `most`."""
+    """A log-normal length with this mean and spread of the logarithm, limited to `maximum`."""
 
     mean: float
-    spread: float
-    most: float
+    log_spread: float
+    maximum: float
 
 
 @attrs.frozen
 class SharedPrefixLevel:
-    """A level of shared prompt parts: how many, how long, and how uneven their popularity is (Zipf)."""
+    """A level of shared prompt parts: their number, length and skew of popularity (Zipf)."""
 
     count: int
     tokens: LengthDistribution
@@ -34,13 +34,13 @@
         value: value of a request served in time.
         late_value: value of a request served late.
         latency_target_ms: time to the first event of a request in time.
-        timeout_ms: after which the client leaves.
+        timeout_ms: time after which the client gives up.
         shared: levels of shared prompt parts.
         own_tokens: length of the request's own prompt part.
         output_events: events of the answer.
         event_gap_target_ms: time between events of a request in time.
         items_per_job: items of a batch job; None for live requests.
-        completion_target_s: time after which a batch job is due.
+        completion_target_s: time within which a batch job should complete.
     """
 
     name: str
@@ -62,7 +62,7 @@
 
 @attrs.frozen
 class Site:
-    """A deployment. `gateway_shares` are the uneven shares of clients that each gateway gets."""
+    """A deployment. `gateway_shares` are the uneven shares of client traffic of the gateways."""
 
     name: str
     servers: int
--- a/emberring/simulation/admission/traffic.py
+++ b/emberring/simulation/admission/traffic.py
@@ -1,4 +1,4 @@
-"""The traffic of a trial of admission: requests and items drawn from a seed, independent of decisions about them."""
+"""Generates the traffic of a trial of admission from a seed, independently of admission decisions."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class TrafficSink(Protocol):
-    """The world of a trial, as far as traffic needs it."""
+    """The part of the world of a trial that traffic generation uses."""
 
     record: TrialRecord
 
@@ -33,12 +33,12 @@
 
 
 def _draw_length(random: Random, sizes: LengthDistribution) -> int:
-    mu = math.log(sizes.mean) - sizes.spread**2 / 2.0
-    return max(1, int(min(sizes.most, random.lognormvariate(mu, sizes.spread))))
+    mu = math.log(sizes.mean) - sizes.log_spread**2 / 2.0
+    return max(1, int(min(sizes.maximum, random.lognormvariate(mu, sizes.log_spread))))
 
 
 class _SharedParts:
-    """The shared prompt parts of a request kind at one level: their lengths, and a draw by their popularity."""
+    """The shared prompt parts of a request kind at one level, drawn by popularity."""
 
     def __init__(self, random: Random, name: str, count: int, sizes: LengthDistribution, skew: float) -> None:
         self._parts = [PromptPart(f"{name}-{at}", _draw_length(random, sizes), True) for at in range(count)]
@@ -50,7 +50,7 @@
 
 
 class TrafficGenerator:
-    """Generates the requests of a kind; independent of what is decided about them."""
+    """Generates the requests of a kind, independently of admission decisions."""
 
     def __init__(self, kind: RequestKind, site: Site, seed: int) -> None:
         self._kind, self._site = kind, site
--- a/emberring/simulation/admission/trial.py
+++ b/emberring/simulation/admission/trial.py
@@ -1,4 +1,4 @@
-"""What a trial of admission counts, and the figures derived from it."""
+"""The record of a trial of admission, and the metrics derived from it."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 import attrs
 
-# The value of a request over that of one of mean size: base, part in proportion to its size, and limit.
+# Value of a request relative to one of mean size: base, share proportional to its size, and maximum.
 VALUE_BASE, VALUE_PER_RELATIVE_SIZE, VALUE_MAX = 0.3, 0.7, 4.0
-OUTPUT_TOKEN_WEIGHT = 10  # size of an output token in prompt tokens
+OUTPUT_TOKEN_WEIGHT = 10  # weight of an output token, in prompt tokens
 LARGEST_SHARE, SECOND_LARGEST_SHARE = 0.1, 0.2  # of the requests, by size
 
 
@@ -31,10 +31,10 @@
 
 @attrs.define
 class TrialRecord:
-    """Everything that was counted in a trial."""
+    """Counters and request records of a trial."""
 
     requests: list[RequestRecord] = attrs.field(factory=list)
-    refusals_with_room: int = 0
+    refusals_with_free_slots: int = 0
     full_answers: int = 0
     busy_ms: dict[str, float] = attrs.field(factory=dict)
     calls: dict[str, int] = attrs.field(factory=dict)
@@ -46,7 +46,7 @@
 
 @attrs.frozen
 class Figures:
-    """The result of a trial; shares are of 1. Field names are keys of the JSON output."""
+    """The metrics of a trial; shares are fractions. Field names are keys of the JSON output."""
 
     live: int
     live_in_aim: float
@@ -67,7 +67,7 @@
 
 
 def figures_of(record: TrialRecord) -> Figures:
-    """Return the figures of a finished trial."""
+    """Return the metrics of a finished trial."""
     live = [one for one in record.requests if not one.batch]
     items = [one for one in record.requests if one.batch]
     firsts = sorted(one.first_event_ms for one in live if one.first_event_ms is not None)
@@ -82,7 +82,7 @@
         items_done=_share(items, lambda one: one.served),
         worth=_earned_value(record.requests),
         refused=sum(one.refusals for one in live),
-        refused_with_room=record.refusals_with_room,
+        refused_with_room=record.refusals_with_free_slots,
         full_answers=record.full_answers,
         balance=_balance(record),
         shared_prefilled=record.shared_prefilled,
@@ -101,7 +101,7 @@
 
 
 def _earned_value(requests: list[RequestRecord]) -> float:
-    """Return the earned over the possible value, by relative size within each kind."""
+    """Return the ratio of earned to possible value, weighted by relative size within each kind."""
     means: dict[str, float] = {}
     for kind in {one.kind for one in requests}:
         sizes = [one.size for one in requests if one.kind == kind]
@@ -116,7 +116,7 @@
 
 
 def _balance(record: TrialRecord) -> float:
-    """Return the busiest server's share of time at work over the mean; servers that were up briefly are left out."""
+    """Return the ratio of the highest to the mean utilization of servers, excluding servers that were up briefly."""
     longest_ms = max(record.up_ms.values(), default=0.0)
     busy = [
         record.busy_ms[name] / up
@@ -127,7 +127,7 @@
 
 
 def _largest_served(live: list[RequestRecord]) -> float:
-    """Return the lowest served share of the largest tenth and the fifth below it, over that of their kind."""
+    """Return the minimum served share of the largest tenth and the next fifth of requests, relative to their kind."""
     least = 1.0
     for kind in {one.kind for one in live}:
         ordered = sorted((one for one in live if one.kind == kind), key=lambda one: -one.size)
--- a/emberring/simulation/common/scheduled_step.py
+++ b/emberring/simulation/common/scheduled_step.py
@@ -1,4 +1,4 @@
-"""A step of a fault schedule, of any simulator's kinds."""
+"""A step of a fault schedule, generic in the kinds of steps of a simulator."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
     """One step of a schedule.
 
     Attributes:
-        at_s: when it happens, in seconds from the start of the faults.
-        kind: what happens.
-        slot: picks a machine among those that exist, modulo their number.
-        lasts_s: how long it goes on, or until the machine is back, in seconds.
+        at_s: the time of the step, in seconds from the start of the fault period.
+        kind: the kind of fault or client action.
+        slot: index of the affected machine among the present ones, modulo their number.
+        duration_s: how long the fault lasts, or until the machine restarts, in seconds.
     """
 
     at_s: float
     kind: KindOfStep
     slot: int = 0
-    lasts_s: float = 0.0
+    duration_s: float = 0.0
 
     def __str__(self) -> str:
-        """Return the line that reports show."""
-        return f"{self.at_s:6.3f} s  {self.kind.value:<20} machine {self.slot}  for {self.lasts_s:.3f} s"
+        """Return the line that reports print for this step."""
+        return f"{self.at_s:6.3f} s  {self.kind.value:<20} machine {self.slot}  for {self.duration_s:.3f} s"
--- a/emberring/simulation/common/shrinking.py
+++ b/emberring/simulation/common/shrinking.py
@@ -1,4 +1,4 @@
-"""Shrinking a failing schedule to few steps; one algorithm for all simulators."""
+"""Shrinks a failing schedule to a minimal number of steps; shared by all simulators."""
 
 from __future__ import annotations
 
@@ -8,51 +8,53 @@
 import attrs
 
 
-class Judged(Protocol):
-    """The verdict on a schedule."""
+class HasViolations(Protocol):
+    """A verdict that lists violated invariants."""
 
     @property
     def violations(self) -> Sequence[str]:
-        """The violated invariants; empty where there were none."""
+        """The violated invariants; empty if there were none."""
 
 
-class JudgedSchedule(Judged, Protocol):
+class ScheduleVerdict(HasViolations, Protocol):
     """A verdict with its schedule, an `attrs` class with a field `steps`."""
 
     @property
     def schedule(self) -> Any:
-        """The schedule that was played; every simulator has a class of its own."""
+        """The schedule that was run; each simulator has its own class."""
 
 
 Step = TypeVar("Step")
-Verdict = TypeVar("Verdict", bound=Judged)
-OfSchedule = TypeVar("OfSchedule", bound=JudgedSchedule)
+Verdict = TypeVar("Verdict", bound=HasViolations)
+VerdictWithSchedule = TypeVar("VerdictWithSchedule", bound=ScheduleVerdict)
 
 
-def shortened(verdict: OfSchedule, play: Callable[[Any], OfSchedule]) -> OfSchedule:
-    """Return the verdict of a schedule that still fails, with as few steps as leaving out one by one gives.
+def shrink_schedule(
+    verdict: VerdictWithSchedule, play: Callable[[Any], VerdictWithSchedule]
+) -> VerdictWithSchedule:
+    """Remove steps of the schedule one by one as long as it still fails, and return the verdict of the shortest one.
 
-    `play` plays a schedule.
+    `play` runs a schedule.
     """
-    return fewest_steps(
+    return shrink_steps(
         verdict, verdict.schedule.steps, lambda steps: play(attrs.evolve(verdict.schedule, steps=steps))
     )
 
 
-def fewest_steps(
+def shrink_steps(
     verdict: Verdict, steps: Sequence[Step], replay: Callable[[tuple[Step, ...]], Verdict]
 ) -> Verdict:
-    """Return the verdict of a schedule that still fails, with as few of `steps` as leaving out one by one gives.
+    """Remove `steps` one by one as long as the schedule still fails, and return the verdict of the shortest one.
 
-    `replay` plays a schedule with other steps.
+    `replay` runs the schedule with the given steps.
     """
-    best, kept = verdict, tuple(steps)
-    shorter = True
-    while shorter:
-        shorter = False
-        for index in range(len(kept) - 1, -1, -1):
-            fewer = kept[:index] + kept[index + 1 :]
+    best, remaining = verdict, tuple(steps)
+    improved = True
+    while improved:
+        improved = False
+        for index in range(len(remaining) - 1, -1, -1):
+            fewer = remaining[:index] + remaining[index + 1 :]
             trial = replay(fewer)
             if trial.violations:
-                best, kept, shorter = trial, fewer, True
+                best, remaining, improved = trial, fewer, True
     return best
--- a/emberring/simulation/common/task_owner.py
+++ b/emberring/simulation/common/task_owner.py
@@ -1,4 +1,4 @@
-"""Tasks with an owner: a node whose CPU time is measured, or a simulated process that can be paused and killed."""
+"""Assigns tasks to an owner: a node whose CPU time is measured, or a simulated process to pause or kill."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class TaskOwner:
-    """The owner of tasks; tasks that its tasks start are its own too.
+    """The owner of a group of tasks, which includes the tasks that these tasks start.
 
-    `own_tasks` must have been called for the loop.
+    Requires that `install_owner_task_factory` has been called for the event loop.
     """
 
     def __init__(self) -> None:
@@ -28,57 +28,57 @@
         """Start a task that belongs to this owner."""
         return asyncio.get_running_loop().create_task(coroutine, context=self._context)
 
-    def call(self, work: Any, *arguments: Any) -> Any:
-        """Call a function in the context of this owner: tasks that it starts belong to the owner."""
-        return self._context.run(work, *arguments)
+    def call(self, function: Any, *arguments: Any) -> Any:
+        """Call a function in the context of this owner; the tasks that it starts belong to the owner."""
+        return self._context.run(function, *arguments)
 
     def pause(self) -> Awaitable[None] | None:
-        """Return what a task has to wait for before it goes on; None: nothing.
+        """Return an awaitable that a task must await before its next step, or None to continue at once.
 
-        An exception thrown into the task meanwhile is raised in it afterwards.
+        An exception thrown into the task during that wait is raised in the task afterwards.
         """
         return None
 
     def step(self, resume: Callable[[], Any]) -> Any:
-        """Let a task run to its next wait."""
+        """Run a task up to its next await."""
         return resume()
 
-    def adopt(self, task: asyncio.Task[Any]) -> None:
-        """Take note of a started task of this owner."""
+    def on_task_started(self, task: asyncio.Task[Any]) -> None:
+        """Handle the start of a task of this owner."""
 
 
 @types.coroutine
-def _stepped(coroutine: Coroutine[Any, Any, Result], owner: TaskOwner) -> Generator[Any, Any, Result]:
-    """Run a coroutine from wait to wait, each part by its owner's `step`."""
+def _run_stepwise(coroutine: Coroutine[Any, Any, Result], owner: TaskOwner) -> Generator[Any, Any, Result]:
+    """Run a coroutine from one await to the next, each part through its owner's `step`."""
     value: Any = None
-    raised: BaseException | None = None
+    thrown: BaseException | None = None
     while True:
         while (pause := owner.pause()) is not None:
             try:
                 yield from pause.__await__()
             except BaseException as error:  # also cancellation: it is passed on to the coroutine
-                raised = error
+                thrown = error
         resume = functools.partial(coroutine.send, value)
-        if raised is not None:
-            resume = functools.partial(coroutine.throw, raised)
+        if thrown is not None:
+            resume = functools.partial(coroutine.throw, thrown)
         try:
-            wanted = owner.step(resume)
+            awaited = owner.step(resume)
         except StopIteration as done:
             result: Result = done.value
             return result
-        value, raised = None, None
+        value, thrown = None, None
         try:
-            value = yield wanted
+            value = yield awaited
         except BaseException as error:  # also cancellation: it is passed on to the coroutine
-            raised = error
+            thrown = error
 
 
-async def _owned(coroutine: Coroutine[Any, Any, Result], owner: TaskOwner) -> Result:
-    return await _stepped(coroutine, owner)
+async def _run_owned(coroutine: Coroutine[Any, Any, Result], owner: TaskOwner) -> Result:
+    return await _run_stepwise(coroutine, owner)
 
 
-def own_tasks(loop: asyncio.AbstractEventLoop) -> None:
-    """Make the loop's tasks belong to the owner in whose context they are started."""
+def install_owner_task_factory(loop: asyncio.AbstractEventLoop) -> None:
+    """Install a task factory that assigns each task to the owner in whose context it is started."""
 
     def make(
         _: asyncio.AbstractEventLoop, coroutine: Any, context: contextvars.Context | None = None
@@ -86,8 +86,8 @@
         owner = context.get(_OWNER) if context is not None else _OWNER.get()
         if owner is None:
             return asyncio.Task(coroutine, loop=loop, context=context)
-        task = asyncio.Task(_owned(coroutine, owner), loop=loop, context=context)
-        owner.adopt(task)
+        task = asyncio.Task(_run_owned(coroutine, owner), loop=loop, context=context)
+        owner.on_task_started(task)
         return task
 
     loop.set_task_factory(make)
--- a/emberring/simulation/common/virtual_time.py
+++ b/emberring/simulation/common/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop on virtual time: where it would wait for a timer, its clock jumps to that timer."""
+"""An event loop on virtual time: instead of waiting for a timer, it advances its clock to that timer."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 
 
 class _JumpingSelector(selectors.DefaultSelector):
-    """A selector that never blocks; the time that it would have waited is added to `waited_s` (seconds)."""
+    """A selector that never blocks and adds each requested timeout to `elapsed_s` (seconds)."""
 
-    waited_s = 0.0
+    elapsed_s = 0.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        found = super().select(0)
-        if not found and timeout:
-            self.waited_s += timeout
-        return found
+        ready = super().select(0)
+        if not ready and timeout:
+            self.elapsed_s += timeout
+        return ready
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop with a clock of its own that begins at 0."""
+    """An event loop with a virtual clock that starts at 0."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _JumpingSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        return self._jumping.waited_s
+        return self._virtual_selector.elapsed_s
 
 
-def run_virtually(play: Coroutine[Any, Any, None]) -> None:
-    """Run a coroutine on virtual time; it may wait for timers alone. Tasks that are left are cancelled."""
+def run_virtually(main: Coroutine[Any, Any, None]) -> None:
+    """Run a coroutine on virtual time and cancel the remaining tasks. It may wait only for timers, not for I/O."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
-        runner.run(play)
+        runner.run(main)
--- a/emberring/simulation/common/wire.py
+++ b/emberring/simulation/common/wire.py
@@ -1,4 +1,4 @@
-"""Simulated messages in the form in which programs exchange them."""
+"""Encodes and decodes simulated messages with the real codec."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def over_wire(body: Body) -> Body:
-    """Return a message as its receiver gets it: encoded to a line and decoded again."""
+    """Return a message as its receiver sees it: encoded to a line and decoded again."""
     received = decode(encode(Envelope(1, body)).rstrip(b"\n")).body
     if not isinstance(received, type(body)):
         raise TypeError(f"{type(body).__name__} arrived as {type(received).__name__}")
--- a/emberring/simulation/control_plane/__init__.py
+++ b/emberring/simulation/control_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The whole control plane in simulated time: real register, cluster state, operator requests, placement, followers."""
+"""Simulator of the complete control plane: real register, cluster state, operator requests, placement, followers."""
--- a/emberring/simulation/control_plane/client_steps.py
+++ b/emberring/simulation/control_plane/client_steps.py
@@ -1,4 +1,4 @@
-"""The steps of a schedule that operators and model servers carry out."""
+"""Steps of a schedule that are performed by operators and model servers."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from emberring.simulation.control_plane.history import ACCEPTED, ObservedRequest
 from emberring.simulation.control_plane.schedule import Step
 
-MANY = 40  # requests in a row
-ANSWERS_LOST = 0.7  # share of the answers to operators, while they are lost
+CHANGES_IN_SERIES = 40  # change requests
+RESPONSE_LOSS_SHARE = 0.7  # share of the responses to operators that are lost during the step
 
 
 class ClientSteps:
-    """The steps of clients; none is carried out once `_ended`."""
+    """Performs the steps of clients; does nothing once `_ended` is set."""
 
     def __init__(self, deployment: Deployment) -> None:
         self._deployment = deployment
@@ -27,13 +27,13 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._accepted_requests: list[tuple[ObservedRequest, ChangeRequestKind]] = []
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _later(self, wait_s: float, work: Callable[..., None], *arguments: Any) -> None:
-        self._world.at(self._world.now_s + wait_s, work, *arguments)
+    def _call_later(self, wait_s: float, callback: Callable[..., None], *arguments: Any) -> None:
+        self._world.at(self._world.now_s + wait_s, callback, *arguments)
 
     def _control_machine(self, step: Step) -> ControlMachine:
         control_machines = self._deployment.control_machines
@@ -42,39 +42,41 @@
     # Operators.
 
     def _kind(self) -> ChangeRequestKind:
-        patch = self._deployment.operators.known > 0 and self._world.rng.random() < 0.5
+        patch = self._deployment.operators.known_version > 0 and self._world.rng.random() < 0.5
         return ChangeRequestKind.PATCH if patch else ChangeRequestKind.REPLACE
 
-    def _request(self, step: Step, version: int | None = None) -> None:
+    def _send_change(self, step: Step, version: int | None = None) -> None:
         operators = self._deployment.operators
-        known = operators.known
+        known_version = operators.known_version
         kind = self._kind()
-        request = operators.request(known, version or known + self._world.rng.randint(1, 3), kind)
+        request = operators.request(
+            known_version, version or known_version + self._world.rng.randint(1, 3), kind
+        )
         self._spawn(self._send(request, kind, self._control_machine(step)))
 
     async def _send(self, request: ObservedRequest, kind: ChangeRequestKind, machine: ControlMachine) -> None:
         if await self._deployment.operators.send(request, kind, machine) == ACCEPTED:
             self._accepted_requests.append((request, kind))
 
-    def _race(self, step: Step) -> None:
-        version = self._deployment.operators.known + self._world.rng.randint(1, 3)
-        self._request(step, version)
-        self._request(Step(step.at_s, step.kind, step.slot + 1), version)
+    def _send_concurrent_changes(self, step: Step) -> None:
+        version = self._deployment.operators.known_version + self._world.rng.randint(1, 3)
+        self._send_change(step, version)
+        self._send_change(Step(step.at_s, step.kind, step.slot + 1), version)
 
-    def _many(self, step: Step) -> None:
-        self._spawn(self._send_many())
+    def _send_change_series(self, step: Step) -> None:
+        self._spawn(self._send_all_of_series())
 
-    async def _send_many(self) -> None:
+    async def _send_all_of_series(self) -> None:
         operators = self._deployment.operators
-        for _ in range(MANY):
+        for _ in range(CHANGES_IN_SERIES):
             if self._ended:
                 return
             kind = self._kind()
-            request = operators.request(operators.known, operators.known + 1, kind)
+            request = operators.request(operators.known_version, operators.known_version + 1, kind)
             if await operators.send(request, kind) == ACCEPTED:
                 self._accepted_requests.append((request, kind))
 
-    def _repeat(self, step: Step) -> None:
+    def _repeat_change(self, step: Step) -> None:
         if self._accepted_requests:
             request, kind = self._accepted_requests[step.slot % len(self._accepted_requests)]
             self._spawn(self._deployment.operators.repeat(request, kind, self._control_machine(step)))
@@ -85,27 +87,27 @@
     async def _read_at(self, machine: ControlMachine) -> None:
         await self._deployment.operators.read(machine)
 
-    def _lose_answers(self, step: Step) -> None:
-        self._deployment.platform.answers_lost = ANSWERS_LOST
-        self._later(step.lasts_s, setattr, self._deployment.platform, "answers_lost", 0.0)
+    def _lose_responses(self, step: Step) -> None:
+        self._deployment.platform.response_loss_share = RESPONSE_LOSS_SHARE
+        self._call_later(step.duration_s, setattr, self._deployment.platform, "response_loss_share", 0.0)
 
     # Model servers.
 
-    def _server(self, step: Step) -> None:
+    def _start_server(self, step: Step) -> None:
         self._deployment.add_server()
 
-    def _staying(self, step: Step) -> ModelServer | None:
+    def _ready_server(self, step: Step) -> ModelServer | None:
         found = [server for server in self._deployment.servers if not server.gone and server.state == "ready"]
         return found[step.slot % len(found)] if found else None
 
-    def _drain(self, step: Step) -> None:
-        if (server := self._staying(step)) is not None:
+    def _drain_server(self, step: Step) -> None:
+        if (server := self._ready_server(step)) is not None:
             server.drain()
 
-    def _goodbye(self, step: Step) -> None:
-        if (server := self._staying(step)) is not None:
-            server.say_goodbye()
+    def _deregister_server(self, step: Step) -> None:
+        if (server := self._ready_server(step)) is not None:
+            server.deregister()
 
-    def _crash(self, step: Step) -> None:
-        if (server := self._staying(step)) is not None:
+    def _crash_server(self, step: Step) -> None:
+        if (server := self._ready_server(step)) is not None:
             server.crash()
--- a/emberring/simulation/control_plane/clients.py
+++ b/emberring/simulation/control_plane/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the control nodes: operators, who send changes and reads, and model servers."""
+"""Simulated clients of the control nodes: operators that send changes and reads, and model servers."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from emberring.simulation.control_plane.history import ACCEPTED, REJECTED, ObservedRequest
 from emberring.simulation.control_plane.world import ControlWorld
 
-ANSWER_TIMEOUT_S = 1.0  # of one call
+ANSWER_TIMEOUT_S = 1.0  # of one HTTP call
 FIRST_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 0.6
-TIMEOUT_S = 40.0  # of a request with all its retries
+TIMEOUT_S = 40.0  # of a request including all retries
 DRAIN_MS = 2000.0
-LINGER_S = 3.0  # a draining server goes on serving for so long after the acknowledgement
-UNACKNOWLEDGED_S = 6.0  # a server whose drain is not acknowledged ends after so long
+SERVING_AFTER_ACK_S = 3.0  # a draining server keeps serving this long after the acknowledgement
+UNACKNOWLEDGED_S = 6.0  # a server stops after this time if its drain is not acknowledged
 MAX_REPLY_BYTES = 4096
 
 
 def mark_route(number: int) -> dict[str, Any]:
-    """A route that identifies the request that made a configuration."""
+    """A route whose path identifies the request that produced a configuration."""
     return {
         "Name": "mark",
         "Host": HOST,
@@ -41,7 +41,7 @@
 
 
 def request_body(kind: ChangeRequestKind, number: int, version: int) -> bytes:
-    """The body of a request: a complete configuration, or a patch."""
+    """The body of a change request: a complete configuration or a patch."""
     if kind is ChangeRequestKind.PATCH:
         return json.dumps({"Version": version, "Upsert": {"Routes": [mark_route(number)]}}).encode()
     document = trial_configuration(version)
@@ -50,7 +50,7 @@
 
 
 def version_and_mark(body: bytes) -> tuple[int, int]:
-    """The version of a configuration that was read, and the number of the request that made it."""
+    """The version of a configuration document and the number of the request that produced it."""
     document = json.loads(body)
     prefixes = [route["PathPrefix"] for route in document["Routes"] if route["Name"] == "mark"]
     return document["Version"], int(prefixes[0][len(MARK_PREFIX) :].strip("/")) if prefixes else 0
@@ -59,24 +59,24 @@
 class Platform:
     """The network between clients and control nodes.
 
-    `machines` gives the control machines that clients know; the share `answers_lost` of the answers to operators is
-    lost.
+    `machines` returns the control machines known to clients. `response_loss_share` is the share of responses to
+    operators that is lost.
     """
 
     def __init__(self, world: ControlWorld, machines: Callable[[], list[ControlMachine]]) -> None:
         self.world = world
         self.machines = machines
-        self.answers_lost = 0.0
+        self.response_loss_share = 0.0
 
     async def call(
         self, machine: ControlMachine, method: str, path: str, body: bytes = b"", if_match: str = ""
     ) -> Answer | None:
-        """One call; None after a time-out, a refused or a broken connection."""
+        """Send one call; returns None after a timeout, a refused connection or a broken one."""
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 await asyncio.sleep(self.world.delay_s())
                 if machine.process is None:
-                    await self._wait_for_dark(machine)
+                    await self._wait_if_powered_off(machine)
                     return None
                 answer = await machine.http(method, path, body, if_match)
                 await asyncio.sleep(self.world.delay_s())
@@ -84,8 +84,8 @@
         except TimeoutError:
             return None
 
-    async def _wait_for_dark(self, machine: ControlMachine) -> None:
-        if machine.name in self.world.dark:
+    async def _wait_if_powered_off(self, machine: ControlMachine) -> None:
+        if machine.name in self.world.powered_off:
             await asyncio.sleep(ANSWER_TIMEOUT_S)
 
     def shuffled(self) -> list[ControlMachine]:
@@ -96,9 +96,9 @@
 
 
 class Operators:
-    """Changes and reads of operators, retried as the protocol requires.
+    """Sends changes and reads of operators, with the retries that the protocol requires.
 
-    `on_accepted` is called with acknowledged versions.
+    `on_accepted` is called with each acknowledged version.
     """
 
     def __init__(self, platform: Platform, on_accepted: Callable[[int], None]) -> None:
@@ -106,10 +106,10 @@
         self._world = platform.world
         self._on_accepted = on_accepted
         self._numbers = 0
-        self.known = 0  # the newest version that an operator knows to be in force
+        self.known_version = 0  # the newest version acknowledged to an operator
 
     def request(self, base: int, version: int, kind: ChangeRequestKind) -> ObservedRequest:
-        """A new request, not sent yet."""
+        """Create a new request without sending it."""
         self._numbers += 1
         body = request_body(kind, self._numbers, version)
         digest = read_change_request(kind, str(base), body).digest
@@ -118,10 +118,10 @@
     async def send(
         self, request: ObservedRequest, kind: ChangeRequestKind, first: ControlMachine | None = None
     ) -> int:
-        """Send a request until its outcome is known; its last status, 0 after the time-out."""
+        """Send a request until its outcome is known; returns the last status, or 0 after the timeout."""
         body = request_body(kind, request.number, request.version)
-        self._world.seen.request_sent(request)
-        pause_s = FIRST_BACKOFF_S
+        self._world.control_history.request_sent(request)
+        backoff_s = FIRST_BACKOFF_S
         waiting = [first] if first is not None else []
         while self._world.sync() < request.sent_s + TIMEOUT_S:
             waiting = waiting or self._platform.shuffled()
@@ -129,8 +129,8 @@
             status = await self._send_once(machine, request, kind, body)
             if status:
                 return status
-            await asyncio.sleep(pause_s)
-            pause_s = min(MAX_BACKOFF_S, 2 * pause_s)
+            await asyncio.sleep(backoff_s)
+            backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
         return 0
 
     async def _send_once(
@@ -138,14 +138,14 @@
     ) -> int:
         answer = await self._platform.call(machine, kind.value, "/v1/config", body, str(request.base))
         now_s = self._world.sync()
-        if answer is None or self._world.rng.random() < self._platform.answers_lost:
+        if answer is None or self._world.rng.random() < self._platform.response_loss_share:
             return 0
         if answer.status == ACCEPTED:
-            self._world.seen.request_accepted(now_s, request)
-            self.known = max(self.known, request.version)
+            self._world.control_history.request_accepted(now_s, request)
+            self.known_version = max(self.known_version, request.version)
             self._on_accepted(request.version)
         elif answer.status in REJECTED:
-            self._world.seen.request_rejected(now_s, request, answer.status)
+            self._world.control_history.request_rejected(now_s, request, answer.status)
         else:
             return 0
         return answer.status
@@ -153,55 +153,57 @@
     async def repeat(
         self, request: ObservedRequest, kind: ChangeRequestKind, machine: ControlMachine
     ) -> None:
-        """Send an acknowledged request once more, as after a lost answer: it must not be rejected."""
+        """Send an acknowledged request again, as after a lost response: it must not be rejected."""
         body = request_body(kind, request.number, request.version)
         answer = await self._platform.call(machine, kind.value, "/v1/config", body, str(request.base))
         if answer is not None and answer.status in REJECTED:
-            self._world.seen.wrong(
-                f"{request} was acknowledged, and refused with {answer.status} when repeated"
+            self._world.control_history.add_violation(
+                f"{request} was acknowledged, then rejected with {answer.status} when repeated"
             )
 
     async def read(self, machine: ControlMachine) -> int | None:
-        """Read the configuration at a machine; its version, or None where it gave none."""
+        """Read the configuration from a machine; returns its version, or None if the read failed."""
         sent_s = self._world.sync()
         answer = await self._platform.call(machine, "GET", "/v1/config")
         if answer is None or answer.status != ACCEPTED:
             return None
         version, mark = version_and_mark(answer.body)
-        self._world.seen.read(sent_s, self._world.sync(), machine.name, version, mark)
+        self._world.control_history.read(sent_s, self._world.sync(), machine.name, version, mark)
         return version
 
 
 class ModelServer:
-    """A model server: its heartbeats and its shutdown.
+    """A model server that sends heartbeats and shuts down.
 
-    `on_left` is called when its drain or goodbye was acknowledged.
+    `on_shutdown_acknowledged` is called when its drain or deregistration is acknowledged.
     """
 
-    def __init__(self, platform: Platform, name: str, on_left: Callable[[ModelServer], None]) -> None:
+    def __init__(
+        self, platform: Platform, name: str, on_shutdown_acknowledged: Callable[[ModelServer], None]
+    ) -> None:
         self.name = name
         self.state = "ready"
-        self.acknowledged_s: float | None = None  # when its drain or goodbye was
+        self.acknowledged_s: float | None = None  # when its drain or deregistration was acknowledged
         self.leaving_s: float | None = None
         self.gone = False
         self._platform = platform
         self._world = platform.world
-        self._on_left = on_left
+        self._on_shutdown_acknowledged = on_shutdown_acknowledged
         self._sequence = 0
         self._last_answering: ControlMachine | None = None
         self._task = asyncio.get_running_loop().create_task(self._send_heartbeats())
 
     def crash(self) -> None:
-        """End without a drain or goodbye."""
+        """Stop without a drain or deregistration."""
         self.gone = True
         self._task.cancel()
 
     def drain(self) -> None:
-        """Drain, as for planned maintenance."""
+        """Start draining, as for planned maintenance."""
         self._begin_shutdown("draining")
 
-    def say_goodbye(self) -> None:
-        """Send a goodbye without draining before."""
+    def deregister(self) -> None:
+        """Deregister without draining first."""
         self._begin_shutdown("gone")
 
     def _begin_shutdown(self, state: str) -> None:
@@ -221,8 +223,8 @@
         while self._world.sync() < since_s + UNACKNOWLEDGED_S:
             if await self._report_state():
                 self.acknowledged_s = self._world.sync()
-                self._on_left(self)
-                await asyncio.sleep(LINGER_S)
+                self._on_shutdown_acknowledged(self)
+                await asyncio.sleep(SERVING_AFTER_ACK_S)
                 break
             await asyncio.sleep(FIRST_BACKOFF_S)
         if self.state == "draining":
@@ -231,9 +233,9 @@
         self.gone = True
 
     async def _report_state(self) -> bool:
-        """Send a heartbeat, or a goodbye, to the node that answered last, or else to others in turn.
+        """Send a heartbeat or a deregistration to the node that answered last, then to the others in turn.
 
-        Whether one accepted it.
+        Returns whether a node accepted it.
         """
         machines = self._platform.shuffled()
         if self._last_answering in machines:
--- a/emberring/simulation/control_plane/control_machine.py
+++ b/emberring/simulation/control_plane/control_machine.py
@@ -1,4 +1,4 @@
-"""A simulated control machine: its disk, its replica of the register, and on it a whole control node."""
+"""A simulated control machine: a disk, a replica of the register, and a complete control node."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 FIRST_PORT = 7000
 INTERNAL_PORT = FIRST_PORT + 1
 HEARTBEAT_MS = 1200.0
-ANSWER_LIMIT_S = 30.0
+RESPONSE_TIMEOUT_S = 30.0
 
 
 def internal_address(ip: str) -> str:
@@ -51,8 +51,7 @@
 class ControlMachine(Machine):
     """One control machine.
 
-    `founders` are the addresses of the machines that bootstrap the register, `bootstrap` is whether this is one of
-    them.
+    `founders` are the addresses of the machines that bootstrap the register; `bootstrap` is true for those machines.
     """
 
     world: ControlWorld
@@ -60,7 +59,7 @@
     def __init__(
         self,
         world: ControlWorld,
-        hub: dict[str, SimulatedNetwork],
+        networks: dict[str, SimulatedNetwork],
         ip: str,
         founders: tuple[str, ...],
         bootstrap: bool,
@@ -70,28 +69,28 @@
         self.process: Process | None = None
         self.control: ControlNode | None = None
         self.learned_version = 0
-        self._hub = hub
+        self._networks = networks
         self._futures: dict[int, asyncio.Future[bytes | None]] = {}
         self._callbacks: list[Callable[[bytes], None]] = []
         self._last_learned: bytes | None = None
 
-    # Starts and ends.
+    # Start and stop.
 
     def start(self) -> None:
-        """Start the replica on what the disk holds, and the control node on it."""
+        """Start the replica from the contents of the disk, and then the control node."""
         if self.node is not None:
             return
         self._futures, self._callbacks, self._last_learned = {}, [], None
         self.learned_version = 0
         super().start()
         if self.node is not None:
-            self._boot()
+            self._start_process()
 
-    def _boot(self) -> None:
+    def _start_process(self) -> None:
         world = self.world
-        world.dark.discard(self.name)
+        world.powered_off.discard(self.name)
         self.process = Process(self.name)
-        network = SimulatedNetwork(world, self.process, self._hub)
+        network = SimulatedNetwork(world, self.process, self._networks)
         self.control = self.process.call(self._make_control, network)
         self.process.start(self._run(self.control))
 
@@ -114,24 +113,24 @@
     async def _run(control: ControlNode) -> None:
         control.start()
 
-    def leave(self) -> None:
-        """SIGTERM: the node announces its shutdown."""
+    def begin_shutdown(self) -> None:
+        """Simulate SIGTERM: the node announces its shutdown."""
         if self.process is not None and self.control is not None:
             self.process.call(self.control.announce_shutdown)
 
     def freeze(self, until_s: float) -> None:
-        """Freeze the process until then (s)."""
+        """Freeze the process until the given time (s)."""
         self.thaw_at_s = max(self.thaw_at_s, until_s)
         if self.process is not None:
             self.process.freeze(until_s)
 
     def lose_power(self) -> None:
         super().lose_power()
-        self.world.dark.add(self.name)
+        self.world.powered_off.add(self.name)
 
     def wipe(self) -> None:
         super().wipe()
-        self.world.dark.add(self.name)
+        self.world.powered_off.add(self.name)
 
     def _end(self) -> None:
         super()._end()
@@ -140,13 +139,13 @@
             self.process.kill()
             self.process = None
 
-    # The register's host.
+    # The host of the register replica.
 
     def note_peers(self) -> None:
-        """Nothing: the control node reports the live peers itself."""
+        """Do nothing: the control node reports the live peers itself."""
 
     async def job(self, event: Callable[[int, float], Event], timeout_s: float) -> bytes | None:
-        """Carry out a change or a read on the register; its result. Raises its error."""
+        """Run a change or a read on the register; returns its result or raises its error."""
         now_s = self.world.sync()
         self._requests += 1
         number = self._requests
@@ -156,7 +155,7 @@
         return await future
 
     def on_live_peers(self, records: Sequence[NodeRecord]) -> None:
-        """The control node reports the other live ones."""
+        """Handle the live control nodes that the control node reports."""
         self.world.sync()
         peers = tuple(
             Peer(record.name, Member(record.identity, record.address), record.zone, record.leaving)
@@ -165,7 +164,7 @@
         self._handle(self.incarnation, PeersChanged(peers))
 
     def subscribe(self, callback: Callable[[bytes], None]) -> None:
-        """Call this with each committed value that the replica learns of."""
+        """Register a callback for each committed value that the replica learns."""
         self._callbacks.append(callback)
         if self._last_learned is not None:
             callback(self._last_learned)
@@ -181,21 +180,21 @@
 
     def _learn_value(self, payload: bytes) -> None:
         state = ControlState.decode(payload)
-        self.world.seen.state_learned(self.world.now_s, self.name, state, self.learned_version)
+        self.world.control_history.on_state_learned(self.world.now_s, self.name, state, self.learned_version)
         self.learned_version = state.version
         self._last_learned = payload
         for callback in list(self._callbacks):
             assert self.process is not None
             self.process.call(callback, payload)
 
-    # Calls from outside.
+    # HTTP calls of clients.
 
     async def http(self, method: str, path: str, body: bytes, if_match: str) -> Answer | None:
-        """The response to a request that reached this machine; None where the process does not run or ends before."""
+        """Respond to a request; returns None if the process is not running or ends before it responds."""
         if self.process is None or self.control is None:
             return None
         answering = self.process.start(self._respond(self.control, method, path, body, if_match))
-        await asyncio.wait({answering}, timeout=ANSWER_LIMIT_S)
+        await asyncio.wait({answering}, timeout=RESPONSE_TIMEOUT_S)
         if answering.cancelled() or not answering.done():
             return None
         return answering.result()
@@ -217,7 +216,7 @@
 
 
 class HostedRegister:
-    """The register as the control node sees it: the machine's replica."""
+    """The register interface of the control node, backed by the replica of the machine."""
 
     def __init__(self, machine: ControlMachine) -> None:
         self._machine = machine
@@ -228,34 +227,34 @@
         return self._machine.identity
 
     async def start(self) -> None:
-        """Nothing: the machine has started the replica."""
+        """Do nothing: the machine starts the replica."""
 
     async def stop(self) -> None:
-        """Nothing: the replica ends with the machine."""
+        """Do nothing: the replica stops with the machine."""
 
     async def change(self, decide: Callable[[bytes | None], bytes | None], timeout_s: float) -> bytes | None:
-        """Swap the value."""
+        """Replace the value by the result of `decide`."""
         return await self._machine.job(
             lambda operation, until_s: ChangeRequested(operation, decide, until_s), timeout_s
         )
 
     async def read(self, timeout_s: float) -> bytes | None:
-        """The value that a quorum holds."""
+        """Read the value from a quorum."""
         return await self._machine.job(
             lambda operation, until_s: ReadRequested(operation, until_s), timeout_s
         )
 
     def subscribe(self, callback: Callable[[bytes], None]) -> None:
-        """Call this with every committed value."""
+        """Register a callback for every committed value."""
         self._machine.subscribe(callback)
 
     def majority_age_s(self) -> float:
-        """How long ago (s) a majority was in contact."""
+        """Return the time (s) since the last contact with a majority."""
         node = self._machine.node
         return float("inf") if node is None else node.majority_age_s(self._machine.world.sync())
 
     def is_quorum(self, identities: frozenset[str]) -> bool:
-        """Whether these replicas are a quorum of the current replica set."""
+        """Return whether these replicas form a quorum of the current replica set."""
         node = self._machine.node
         return node is not None and node.is_quorum(identities)
 
--- a/emberring/simulation/control_plane/fault_injector.py
+++ b/emberring/simulation/control_plane/fault_injector.py
@@ -1,4 +1,4 @@
-"""Carries out the steps of a schedule on a simulated deployment, within the faults to be tolerated."""
+"""Applies the steps of a schedule to a simulated deployment, within the faults that it must tolerate."""
 
 from __future__ import annotations
 
@@ -14,39 +14,39 @@
 from emberring.simulation.control_plane.schedule import Kind, Step
 from emberring.simulation.register.world import NetworkConditions
 
-CATCH_UP_S = 4.9  # a machine that lost its disk counts as lost for so long after its return
+CATCH_UP_S = 4.9  # a machine that lost its disk counts as lost until this long after its restart
 SHUTDOWN_NOTICE_S = 0.3
 SLOW_SYNC_S = 0.2
-QUOTA_PERIOD_S = 0.1  # a process whose share of a core is a quota runs at the start of each such period
-THROTTLED_S = 0.095  # and stands still for the rest of it
-RETURN_INTERVAL_S = 0.7  # between the machines that come back in an order
+QUOTA_PERIOD_S = 0.1  # period of a CPU quota; the process runs at the start of each period
+THROTTLED_S = 0.095  # the process is stopped for this part of each period
+RETURN_INTERVAL_S = 0.7  # between the restarts of machines that restart in a given order
 
 
 class FaultInjector(ClientSteps):
-    """Carries out steps.
+    """Applies steps to the deployment.
 
-    Disks are lost one at a time: another one only after the last one's machine was back, without any other fault, for
-    as long as a new member may take to catch up.
+    Only one disk is lost at a time: the next one may be lost only after the machine of the last one has been back,
+    without any other fault, for as long as a new member may take to catch up.
     """
 
     def __init__(self, deployment: Deployment) -> None:
         super().__init__(deployment)
-        self._recovered_s = 0.0  # no other disk is lost before then
-        self._faults_until_s = 0.0  # the faults of now, other than lost disks, are over then
+        self._next_disk_loss_s = 0.0  # earliest time of the next disk loss
+        self._faults_until_s = 0.0  # end of the current faults other than lost disks
 
     def run(self, step: Step) -> None:
-        """Begin a step, unless all has ended."""
+        """Apply a step, unless the fault period has ended."""
         if not self._ended:
             _STEPS[step.kind](self, step)
 
     def end(self) -> None:
-        """End all faults, and start what is still there."""
+        """End all faults and start all machines that were not removed."""
         deployment, world = self._deployment, self._world
         self._ended = True
-        deployment.fair()
+        deployment.restore_conditions()
         world.conditions.slowest_s = 0.003
-        world.join()
-        deployment.platform.answers_lost = 0.0
+        world.heal_partitions()
+        deployment.platform.response_loss_share = 0.0
         deployment.on_fault()
         for machine in deployment.control_machines:
             machine.folder.refusing = False
@@ -61,287 +61,297 @@
 
     # Control machines.
 
-    def _down(self, machine: ControlMachine, how: Callable[[], None], lasts_s: float) -> None:
+    def _stop_machine(self, machine: ControlMachine, stop: Callable[[], None], duration_s: float) -> None:
         if machine not in self._deployment.control_machines:
             return
-        self._note_fault(lasts_s)
-        how()
+        self._note_fault(duration_s)
+        stop()
         machine.folder.refusing = False
-        self._later(lasts_s, self._up, machine)
+        self._call_later(duration_s, self._restart_machine, machine)
 
-    def _up(self, machine: ControlMachine) -> None:
+    def _restart_machine(self, machine: ControlMachine) -> None:
         if machine in self._deployment.control_machines:
             self._note_fault()
             machine.start()
 
-    def _note_fault(self, lasts_s: float = 0.0, slow: bool = False) -> None:
-        """Note a fault that lasts so long (s), with slow links or disks where `slow`.
+    def _note_fault(self, duration_s: float = 0.0, slow: bool = False) -> None:
+        """Record a fault of this duration (s); `slow` means slow links or disks.
 
-        A recovery under way takes longer.
+        A fault during a recovery extends that recovery.
         """
-        self._deployment.on_fault(lasts_s if slow else 0.0)
+        self._deployment.on_fault(duration_s if slow else 0.0)
         now_s = self._world.sync()
-        self._faults_until_s = max(self._faults_until_s, now_s + lasts_s)
-        if now_s < self._recovered_s:
-            self._recovered_s = max(self._recovered_s, self._faults_until_s + CATCH_UP_S)
+        self._faults_until_s = max(self._faults_until_s, now_s + duration_s)
+        if now_s < self._next_disk_loss_s:
+            self._next_disk_loss_s = max(self._next_disk_loss_s, self._faults_until_s + CATCH_UP_S)
 
-    def _kill(self, step: Step) -> None:
+    def _kill_machine(self, step: Step) -> None:
         machine = self._control_machine(step)
-        self._down(machine, machine.stop, min(1.0, step.lasts_s))
+        self._stop_machine(machine, machine.stop, min(1.0, step.duration_s))
 
-    def _power(self, step: Step) -> None:
+    def _cut_power(self, step: Step) -> None:
         machine = self._control_machine(step)
-        self._down(machine, machine.lose_power, step.lasts_s)
+        self._stop_machine(machine, machine.lose_power, step.duration_s)
 
     def _kill_all(self, step: Step) -> None:
         for machine in list(self._deployment.control_machines):
-            self._down(machine, machine.stop, 0.2 + 0.5 * self._world.rng.random())
+            self._stop_machine(machine, machine.stop, 0.2 + 0.5 * self._world.rng.random())
 
-    def _power_all(self, step: Step) -> None:
+    def _cut_all_power(self, step: Step) -> None:
         for machine in list(self._deployment.control_machines):
-            self._down(machine, machine.lose_power, step.lasts_s * (0.5 + 0.5 * self._world.rng.random()))
+            self._stop_machine(
+                machine, machine.lose_power, step.duration_s * (0.5 + 0.5 * self._world.rng.random())
+            )
         for follower in self._deployment.followers:
-            self._follower_down(follower, step.lasts_s, dark=True)
+            self._stop_follower(follower, step.duration_s, power_lost=True)
 
     def _may_lose_disk(self) -> bool:
-        return self._world.sync() >= self._recovered_s
+        return self._world.sync() >= self._next_disk_loss_s
 
-    def _on_disk_lost(self, back_s: float) -> None:
-        """Note that a disk is lost; its machine, or another in its place, is back after so long (s)."""
-        self._recovered_s = max(self._world.sync() + back_s, self._faults_until_s) + CATCH_UP_S
+    def _note_disk_loss(self, outage_s: float) -> None:
+        """Record a disk loss; the machine or its replacement restarts after `outage_s`."""
+        self._next_disk_loss_s = max(self._world.sync() + outage_s, self._faults_until_s) + CATCH_UP_S
 
-    def _wipe(self, step: Step) -> None:
+    def _lose_disk(self, step: Step) -> None:
         machine = self._control_machine(step)
         if self._may_lose_disk():
-            self._on_disk_lost(step.lasts_s)
-            self._down(machine, machine.wipe, step.lasts_s)
+            self._note_disk_loss(step.duration_s)
+            self._stop_machine(machine, machine.wipe, step.duration_s)
 
-    def _wipe_one_power_rest(self, step: Step) -> None:
+    def _lose_one_disk_and_all_power(self, step: Step) -> None:
         if not self._may_lose_disk():
             return
-        self._on_disk_lost(step.lasts_s)
+        self._note_disk_loss(step.duration_s)
         lost = self._control_machine(step)
         for machine in list(self._deployment.control_machines):
-            how = machine.wipe if machine is lost else machine.lose_power
-            self._down(machine, how, step.lasts_s * (0.5 + 0.5 * self._world.rng.random()))
+            stop = machine.wipe if machine is lost else machine.lose_power
+            self._stop_machine(machine, stop, step.duration_s * (0.5 + 0.5 * self._world.rng.random()))
         for follower in self._deployment.followers:
-            self._follower_down(follower, step.lasts_s, dark=True)
-        self._on_disk_lost(step.lasts_s)
+            self._stop_follower(follower, step.duration_s, power_lost=True)
+        self._note_disk_loss(step.duration_s)
 
-    def _after_ack(self, step: Step) -> None:
-        """Cut the power of all right after the next acknowledgement; in every other case one loses its disk too."""
-        strike = self._wipe_one_power_rest if step.slot % 2 else self._power_all
-        self._deployment.after_acknowledgement.append(lambda: self._strike(strike, step))
+    def _cut_power_after_acknowledgement(self, step: Step) -> None:
+        """Cut all power right after the next acknowledgement; with an odd slot one machine also loses its disk."""
+        fault = self._lose_one_disk_and_all_power if step.slot % 2 else self._cut_all_power
+        self._deployment.after_next_acknowledgement.append(lambda: self._run_unless_ended(fault, step))
 
-    def _strike(self, strike: Callable[[Step], None], step: Step) -> None:
+    def _run_unless_ended(self, fault: Callable[[Step], None], step: Step) -> None:
         if not self._ended:
-            strike(step)
+            fault(step)
 
     def _replace(self, step: Step) -> None:
-        """Remove a machine for good; an empty one starts at another address."""
+        """Remove a machine permanently; an empty one starts at another address."""
         if self._may_lose_disk():
-            self._on_disk_lost(step.lasts_s)
+            self._note_disk_loss(step.duration_s)
             self._note_fault()
             self._deployment.remove_control_machine(self._control_machine(step))
-            self._up_later(self._deployment.add_control_machine(), step.lasts_s)
+            self._restart_later(self._deployment.add_control_machine(), step.duration_s)
 
-    def _up_later(self, machine: ControlMachine, wait_s: float) -> None:
-        self._world.dark.add(machine.name)
-        self._later(wait_s, self._up, machine)
+    def _restart_later(self, machine: ControlMachine, wait_s: float) -> None:
+        self._world.powered_off.add(machine.name)
+        self._call_later(wait_s, self._restart_machine, machine)
 
-    def _replace_planned(self, step: Step) -> None:
-        """Start the new machine first; then shut the old one down and remove it with its disk."""
+    def _replace_as_planned(self, step: Step) -> None:
+        """Start a new machine, then shut down the old one and remove it with its disk."""
         if not self._may_lose_disk():
             return
         old = self._control_machine(step)
-        self._on_disk_lost(step.lasts_s + SHUTDOWN_NOTICE_S)
-        self._up(self._deployment.add_control_machine())
-        self._later(step.lasts_s, old.leave)
-        self._later(step.lasts_s + SHUTDOWN_NOTICE_S, self._remove, old)
+        self._note_disk_loss(step.duration_s + SHUTDOWN_NOTICE_S)
+        self._restart_machine(self._deployment.add_control_machine())
+        self._call_later(step.duration_s, old.begin_shutdown)
+        self._call_later(step.duration_s + SHUTDOWN_NOTICE_S, self._remove, old)
 
     def _remove(self, machine: ControlMachine) -> None:
         self._note_fault()
         self._deployment.remove_control_machine(machine)
 
-    def _add(self, step: Step) -> None:
-        self._up(self._deployment.add_control_machine())
+    def _add_machine(self, step: Step) -> None:
+        self._restart_machine(self._deployment.add_control_machine())
 
-    def _freeze(self, step: Step) -> None:
+    def _freeze_machine(self, step: Step) -> None:
         machine = self._control_machine(step)
-        self._note_fault(step.lasts_s)
-        machine.freeze(self._world.now_s + step.lasts_s)
-        self._later(step.lasts_s, self._note_fault)
+        self._note_fault(step.duration_s)
+        machine.freeze(self._world.now_s + step.duration_s)
+        self._call_later(step.duration_s, self._note_fault)
 
     def _throttle(self, step: Step) -> None:
-        """Stop all control nodes for most of each tenth of a second; no fault, so that all promises hold."""
-        until_s = self._world.sync() + step.lasts_s
+        """Stop all control nodes for most of each quota period; not recorded as a fault, so all deadlines apply."""
+        until_s = self._world.sync() + step.duration_s
         for number, machine in enumerate(list(self._deployment.control_machines)):
-            self._later(number * QUOTA_PERIOD_S / 7, self._throttle_period, machine, until_s)
+            self._call_later(number * QUOTA_PERIOD_S / 7, self._throttle_period, machine, until_s)
 
     def _throttle_period(self, machine: ControlMachine, until_s: float) -> None:
         if self._ended or self._world.sync() >= until_s:
             return
         machine.freeze(self._world.now_s + THROTTLED_S)
-        self._later(QUOTA_PERIOD_S, self._throttle_period, machine, until_s)
+        self._call_later(QUOTA_PERIOD_S, self._throttle_period, machine, until_s)
 
-    def _zone_kill(self, step: Step) -> None:
-        """Kill a control machine, a store and a gateway at once."""
-        self._kill(step)
-        self._store_kill(step)
-        self._gateway_kill(step)
+    def _kill_zone(self, step: Step) -> None:
+        """Kill a control machine, a store and a gateway at the same time."""
+        self._kill_machine(step)
+        self._kill_store(step)
+        self._kill_gateway(step)
 
-    def _power_in_order(self, step: Step) -> None:
-        """Cut all power; control machines come back in the order that the slot selects, followers with the last."""
+    def _cut_power_return_in_order(self, step: Step) -> None:
+        """Cut all power; the slot selects the restart order of control machines; followers restart with the last."""
         machines = list(self._deployment.control_machines)
         orders = list(itertools.permutations(machines))
         for number, machine in enumerate(orders[step.slot % len(orders)]):
-            self._down(machine, machine.lose_power, step.lasts_s + number * RETURN_INTERVAL_S)
+            self._stop_machine(machine, machine.lose_power, step.duration_s + number * RETURN_INTERVAL_S)
         for follower in self._deployment.followers:
-            self._follower_down(follower, step.lasts_s + len(machines) * RETURN_INTERVAL_S, dark=True)
+            self._stop_follower(
+                follower, step.duration_s + len(machines) * RETURN_INTERVAL_S, power_lost=True
+            )
 
     # Partitions.
 
-    def _cut(
-        self, ones: list[ControlMachine], lasts_s: float, back: bool = True, all_others: bool = False
+    def _partition(
+        self,
+        isolated: list[ControlMachine],
+        duration_s: float,
+        both_directions: bool = True,
+        all_others: bool = False,
     ) -> None:
-        """Partition these from the other control machines, in both directions with `back`.
+        """Partition `isolated` from the other control machines; `both_directions` drops messages both ways.
 
-        With `all_others` from followers too.
+        `all_others` partitions them from the followers too.
         """
-        until_s = self._world.now_s + lasts_s
-        others = [machine.name for machine in self._deployment.control_machines if machine not in ones]
+        until_s = self._world.now_s + duration_s
+        others = [machine.name for machine in self._deployment.control_machines if machine not in isolated]
         if all_others:
             others += [follower.address for follower in self._deployment.followers]
-        for one in ones:
+        for one in isolated:
             for other in others:
                 self._world.block(one.name, other, until_s)
-                if back:
+                if both_directions:
                     self._world.block(other, one.name, until_s)
-        self._note_fault(lasts_s)
-        self._later(lasts_s, self._note_fault)
+        self._note_fault(duration_s)
+        self._call_later(duration_s, self._note_fault)
 
-    def _cut_off(self, step: Step) -> None:
-        self._cut([self._control_machine(step)], step.lasts_s)
+    def _partition_machine(self, step: Step) -> None:
+        self._partition([self._control_machine(step)], step.duration_s)
 
-    def _cut_one_way(self, step: Step) -> None:
-        self._cut([self._control_machine(step)], step.lasts_s, back=False)
+    def _partition_one_way(self, step: Step) -> None:
+        self._partition([self._control_machine(step)], step.duration_s, both_directions=False)
 
-    def _cut_near(self, step: Step) -> None:
-        self._cut([self._control_machine(step)], step.lasts_s, all_others=True)
+    def _partition_from_all(self, step: Step) -> None:
+        self._partition([self._control_machine(step)], step.duration_s, all_others=True)
 
-    def _cut_in_two(self, step: Step) -> None:
-        """Partition the control machines into halves, and the stores; all others reach both."""
+    def _partition_in_halves(self, step: Step) -> None:
+        """Partition the control machines into two halves, and also the stores; other nodes reach both halves."""
         control_machines = self._deployment.control_machines
-        self._cut(
+        self._partition(
             [machine for number, machine in enumerate(control_machines) if (number + step.slot) % 2],
-            step.lasts_s,
+            step.duration_s,
         )
         stores = self._deployment.stores
-        until_s = self._world.now_s + step.lasts_s
+        until_s = self._world.now_s + step.duration_s
         for one in stores[::2]:
             for other in stores[1::2]:
                 self._world.block(one.address, other.address, until_s)
                 self._world.block(other.address, one.address, until_s)
 
-    def _behind(self, step: Step) -> None:
-        """A member misses changes; then another one loses its disk, the rest lose power, and the partition heals."""
+    def _make_member_stale(self, step: Step) -> None:
+        """Isolate a member while changes commit; as it heals, another loses its disk and the rest lose power."""
         if not self._may_lose_disk():
             return
-        late = self._control_machine(step)
-        self._on_disk_lost(2 * step.lasts_s + 1.0)
-        self._cut([late], step.lasts_s + 1.0)
-        self._spawn(self._send_many())
-        self._later(step.lasts_s + 1.0, self._lose_the_rest, late, step.lasts_s)
-
-    def _lose_the_rest(self, late: ControlMachine, lasts_s: float) -> None:
-        others = [machine for machine in self._deployment.control_machines if machine is not late]
+        stale = self._control_machine(step)
+        self._note_disk_loss(2 * step.duration_s + 1.0)
+        self._partition([stale], step.duration_s + 1.0)
+        self._spawn(self._send_all_of_series())
+        self._call_later(step.duration_s + 1.0, self._fail_other_members, stale, step.duration_s)
+
+    def _fail_other_members(self, stale: ControlMachine, duration_s: float) -> None:
+        others = [machine for machine in self._deployment.control_machines if machine is not stale]
         if self._ended or not others:
             return
-        self._on_disk_lost(lasts_s)
-        self._down(others[0], others[0].wipe, min(1.0, lasts_s))
+        self._note_disk_loss(duration_s)
+        self._stop_machine(others[0], others[0].wipe, min(1.0, duration_s))
         for machine in others[1:]:
-            self._down(machine, machine.lose_power, lasts_s)
+            self._stop_machine(machine, machine.lose_power, duration_s)
 
-    # Disks, the network.
+    # Disks and network.
 
-    def _disk_slow(self, step: Step) -> None:
+    def _slow_disk(self, step: Step) -> None:
         machine = self._control_machine(step)
         machine.sync_s = SLOW_SYNC_S
-        self._note_fault(step.lasts_s, slow=True)
-        self._later(step.lasts_s, self._fair_disk, machine)
+        self._note_fault(step.duration_s, slow=True)
+        self._call_later(step.duration_s, self._restore_disk, machine)
 
-    def _fair_disk(self, machine: ControlMachine) -> None:
+    def _restore_disk(self, machine: ControlMachine) -> None:
         if not self._ended:
             machine.sync_s = self._deployment.schedule.sync_s
 
-    def _disk_refuses(self, step: Step) -> None:
+    def _fail_disk(self, step: Step) -> None:
         machine = self._control_machine(step)
         machine.folder.refusing = True
-        self._note_fault(step.lasts_s, slow=True)
-        self._later(step.lasts_s, setattr, machine.folder, "refusing", False)
+        self._note_fault(step.duration_s, slow=True)
+        self._call_later(step.duration_s, setattr, machine.folder, "refusing", False)
 
-    def _bad_network(self, step: Step) -> None:
+    def _degrade_network(self, step: Step) -> None:
         self._world.conditions = NetworkConditions(
-            lost=0.15, doubled=0.2, slowest_s=min(1.0, step.lasts_s / 4)
+            lost=0.15, doubled=0.2, slowest_s=min(1.0, step.duration_s / 4)
         )
-        self._note_fault(step.lasts_s, slow=True)
-        self._later(step.lasts_s, self._end_bad_network)
+        self._note_fault(step.duration_s, slow=True)
+        self._call_later(step.duration_s, self._restore_network)
 
-    def _end_bad_network(self) -> None:
+    def _restore_network(self) -> None:
         if not self._ended:
-            self._deployment.fair()
+            self._deployment.restore_conditions()
 
     # Gateways and stores.
 
-    def _follower_down(self, follower: FollowerMachine, lasts_s: float, dark: bool) -> None:
-        follower.stop(dark)
-        self._later(lasts_s, self._follower_up, follower)
+    def _stop_follower(self, follower: FollowerMachine, duration_s: float, power_lost: bool) -> None:
+        follower.stop(power_lost)
+        self._call_later(duration_s, self._restart_follower, follower)
 
-    def _follower_up(self, follower: FollowerMachine) -> None:
+    def _restart_follower(self, follower: FollowerMachine) -> None:
         self._note_fault()
         follower.start()
 
-    def _gateway_kill(self, step: Step) -> None:
+    def _kill_gateway(self, step: Step) -> None:
         gateways = self._deployment.gateways
-        self._follower_down(gateways[step.slot % len(gateways)], step.lasts_s, dark=step.slot % 2 == 0)
+        self._stop_follower(
+            gateways[step.slot % len(gateways)], step.duration_s, power_lost=step.slot % 2 == 0
+        )
 
-    def _store_kill(self, step: Step) -> None:
+    def _kill_store(self, step: Step) -> None:
         if (store := self._store(step)) is not None:
-            self._note_fault(step.lasts_s)
-            self._follower_down(store, step.lasts_s, dark=step.slot % 2 == 0)
+            self._note_fault(step.duration_s)
+            self._stop_follower(store, step.duration_s, power_lost=step.slot % 2 == 0)
 
-    def _store_wipe(self, step: Step) -> None:
+    def _lose_store_disk(self, step: Step) -> None:
         store = self._store(step)
         if store is not None and self._may_lose_disk():
-            self._on_disk_lost(step.lasts_s)
+            self._note_disk_loss(step.duration_s)
             self._note_fault()
             store.lose_disk()
-            self._later(step.lasts_s, self._follower_up, store)
+            self._call_later(step.duration_s, self._restart_follower, store)
 
-    def _store_add(self, step: Step) -> None:
+    def _add_store(self, step: Step) -> None:
         self._note_fault()
         self._deployment.add_store()
 
-    def _retire(self, step: Step) -> None:
+    def _retire_one(self, step: Step) -> None:
         if (store := self._store(step)) is not None:
-            self._spawn(self._empty(store))
+            self._spawn(self._retire_store(store))
 
     def _retire_two(self, step: Step) -> None:
-        self._spawn(self._empty_two(step))
+        self._spawn(self._retire_and_lose_disk(step))
 
-    async def _empty_two(self, step: Step) -> None:
-        """Retire two stores at once; right after, another one loses its disk."""
+    async def _retire_and_lose_disk(self, step: Step) -> None:
+        """Retire two stores at the same time; right after that, another store loses its disk."""
         stores = [store for store in self._deployment.stores if not store.gone]
         first, second = stores[step.slot % len(stores)], stores[(step.slot + 1) % len(stores)]
-        await asyncio.gather(self._empty(first), self._empty(second))
+        await asyncio.gather(self._retire_store(first), self._retire_store(second))
         if first.gone and second.gone and not self._ended:
-            self._store_wipe(step)
+            self._lose_store_disk(step)
             self._deployment.copies.check()
 
-    async def _empty(self, store: FollowerMachine) -> None:
-        """Retire a store; once that is completed it is removed with its disk, which is no loss."""
+    async def _retire_store(self, store: FollowerMachine) -> None:
+        """Retire a store and remove it with its disk on completion, which does not count as a disk loss."""
         path = f"/v1/retire/{store.name}"
-        if not await self._asked_for(path):
+        if not await self._request_retirement(path):
             return
         platform = self._deployment.platform
         while not self._ended:
@@ -349,12 +359,12 @@
             answer = await platform.call(platform.shuffled()[0], "GET", path)
             if answer is not None and answer.status == ACCEPTED and b"completed" in answer.body:
                 store.gone = True
-                store.stop(dark=True)
+                store.stop(power_lost=True)
                 self._deployment.copies.check()
                 self._note_fault()
                 return
 
-    async def _asked_for(self, path: str) -> bool:
+    async def _request_retirement(self, path: str) -> bool:
         platform = self._deployment.platform
         while not self._ended:
             answer = await platform.call(platform.shuffled()[0], "POST", path, b'{"DurationS":10}')
@@ -367,42 +377,42 @@
 
 
 _STEPS: dict[Kind, Callable[[FaultInjector, Step], None]] = {
-    Kind.ORDER: FaultInjector._request,
-    Kind.RACE: FaultInjector._race,
-    Kind.MANY: FaultInjector._many,
-    Kind.REPEAT: FaultInjector._repeat,
+    Kind.CHANGE: FaultInjector._send_change,
+    Kind.RACE: FaultInjector._send_concurrent_changes,
+    Kind.CHANGE_SERIES: FaultInjector._send_change_series,
+    Kind.REPEATED_CHANGE: FaultInjector._repeat_change,
     Kind.READ: FaultInjector._read,
-    Kind.ANSWERS_LOST: FaultInjector._lose_answers,
-    Kind.SERVER: FaultInjector._server,
-    Kind.DRAIN: FaultInjector._drain,
-    Kind.GOODBYE: FaultInjector._goodbye,
-    Kind.CRASH: FaultInjector._crash,
-    Kind.KILL: FaultInjector._kill,
-    Kind.POWER: FaultInjector._power,
+    Kind.RESPONSES_LOST: FaultInjector._lose_responses,
+    Kind.SERVER_START: FaultInjector._start_server,
+    Kind.SERVER_DRAIN: FaultInjector._drain_server,
+    Kind.SERVER_DEREGISTRATION: FaultInjector._deregister_server,
+    Kind.SERVER_CRASH: FaultInjector._crash_server,
+    Kind.KILL: FaultInjector._kill_machine,
+    Kind.POWER_LOSS: FaultInjector._cut_power,
     Kind.KILL_ALL: FaultInjector._kill_all,
-    Kind.POWER_ALL: FaultInjector._power_all,
-    Kind.WIPE: FaultInjector._wipe,
-    Kind.WIPE_ONE_POWER_REST: FaultInjector._wipe_one_power_rest,
+    Kind.POWER_LOSS_ALL: FaultInjector._cut_all_power,
+    Kind.DISK_LOSS: FaultInjector._lose_disk,
+    Kind.DISK_LOSS_POWER_LOSS_REST: FaultInjector._lose_one_disk_and_all_power,
     Kind.REPLACE: FaultInjector._replace,
-    Kind.REPLACE_PLANNED: FaultInjector._replace_planned,
-    Kind.ADD: FaultInjector._add,
-    Kind.FREEZE: FaultInjector._freeze,
-    Kind.CUT_OFF: FaultInjector._cut_off,
-    Kind.CUT_ONE_WAY: FaultInjector._cut_one_way,
-    Kind.CUT_NEAR: FaultInjector._cut_near,
-    Kind.CUT_IN_TWO: FaultInjector._cut_in_two,
-    Kind.BEHIND: FaultInjector._behind,
-    Kind.DISK_SLOW: FaultInjector._disk_slow,
-    Kind.DISK_REFUSES: FaultInjector._disk_refuses,
-    Kind.BAD_NETWORK: FaultInjector._bad_network,
-    Kind.STORE_KILL: FaultInjector._store_kill,
-    Kind.STORE_WIPE: FaultInjector._store_wipe,
-    Kind.STORE_ADD: FaultInjector._store_add,
-    Kind.RETIRE: FaultInjector._retire,
+    Kind.REPLACE_PLANNED: FaultInjector._replace_as_planned,
+    Kind.ADD: FaultInjector._add_machine,
+    Kind.FREEZE: FaultInjector._freeze_machine,
+    Kind.PARTITION: FaultInjector._partition_machine,
+    Kind.PARTITION_ONE_WAY: FaultInjector._partition_one_way,
+    Kind.PARTITION_FROM_ALL: FaultInjector._partition_from_all,
+    Kind.PARTITION_IN_HALVES: FaultInjector._partition_in_halves,
+    Kind.STALE_MEMBER: FaultInjector._make_member_stale,
+    Kind.DISK_SLOW: FaultInjector._slow_disk,
+    Kind.DISK_FAILS: FaultInjector._fail_disk,
+    Kind.BAD_NETWORK: FaultInjector._degrade_network,
+    Kind.STORE_KILL: FaultInjector._kill_store,
+    Kind.STORE_DISK_LOSS: FaultInjector._lose_store_disk,
+    Kind.STORE_ADD: FaultInjector._add_store,
+    Kind.RETIRE: FaultInjector._retire_one,
     Kind.RETIRE_TWO: FaultInjector._retire_two,
-    Kind.AFTER_ACK: FaultInjector._after_ack,
-    Kind.GATEWAY_KILL: FaultInjector._gateway_kill,
+    Kind.POWER_LOSS_AFTER_ACK: FaultInjector._cut_power_after_acknowledgement,
+    Kind.GATEWAY_KILL: FaultInjector._kill_gateway,
     Kind.THROTTLE: FaultInjector._throttle,
-    Kind.ZONE_KILL: FaultInjector._zone_kill,
-    Kind.POWER_IN_ORDER: FaultInjector._power_in_order,
+    Kind.ZONE_KILL: FaultInjector._kill_zone,
+    Kind.POWER_LOSS_ALL_RETURN_IN_ORDER: FaultInjector._cut_power_return_in_order,
 }
--- a/emberring/simulation/control_plane/mutations.py
+++ b/emberring/simulation/control_plane/mutations.py
@@ -1,4 +1,4 @@
-"""Seeded mutations of the control plane, to show that the simulator's checks find them."""
+"""Mutations of the control plane that the checks of the simulator must detect."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Mutation(Enum):
-    """A mutation; some for each of the first four guarantees."""
+    """A fault seeded into the code of the control plane; each of the first four guarantees is covered."""
 
     READS_FROM_MEMORY = "reads-from-memory"
     LATE_JOBS = "late-jobs"
@@ -54,7 +54,7 @@
 _decide = ProposalLoop._decide
 
 
-def _decide_with_late_jobs(self: ProposalLoop, found: Proposal, committed: bool) -> State:
+def _decide_including_queued_jobs(self: ProposalLoop, found: Proposal, committed: bool) -> State:
     self._in_attempt.extend(self._queued)
     self._queued.clear()
     return _decide(self, found, committed)
@@ -78,7 +78,7 @@
 
 def _apply_older(self: FollowerView, now_s: float, update: Any, *rest: Any) -> bool:
     if update.configuration_version < self.configuration_version:
-        self.configuration_version = 0  # so that the next one received counts as newer
+        self.configuration_version = 0  # makes the next received version count as newer
     return _apply_update(self, now_s, update, *rest)
 
 
@@ -126,7 +126,7 @@
         ring.release(ring.oldest)
 
 
-def _never_hears(self: CatchUp, *_: object) -> None:
+def _ignore_announcement(self: CatchUp, *_: object) -> None:
     return
 
 
@@ -145,7 +145,7 @@
 
 _PATCHES: dict[Mutation, tuple[tuple[Any, str, Callable[..., Any]], ...]] = {
     Mutation.READS_FROM_MEMORY: ((HostedRegister, "read", _read_from_memory),),
-    Mutation.LATE_JOBS: ((ProposalLoop, "_decide", _decide_with_late_jobs),),
+    Mutation.LATE_JOBS: ((ProposalLoop, "_decide", _decide_including_queued_jobs),),
     Mutation.LONE_DRAINS: ((HeartbeatHandler, "_is_replicated", _always_replicated),),
     Mutation.KEEPS_WEAK_SOURCES: ((SourceSelector, "answered", _answered_whatever_its_quorum),),
     Mutation.TAKES_OLDER_CONFIGURATION: ((FollowerView, "apply_update", _apply_older),),
@@ -154,7 +154,7 @@
     Mutation.REFUSES_BY_MEMORY: ((operator_requests.OperatorRequests, "configure", _configure_by_memory),),
     Mutation.OLD_SET_ALONE: ((ReplicaSet, "has_quorum", _quorum_of_members),),
     Mutation.REWRITES_WITHOUT_SNAPSHOT: ((ControlMachine, "_reclaim", _reclaim_without_snapshot),),
-    Mutation.NEVER_FETCHES: ((CatchUp, "on_announced", _never_hears),),
+    Mutation.NEVER_FETCHES: ((CatchUp, "on_announced", _ignore_announcement),),
     Mutation.FORGETS_PROMISES: ((Acceptor, "restore", _restore_without_promise),),
     Mutation.ENCODES_NO_DRAIN: ((network, "over_wire", _without_drains),),
 }
@@ -162,8 +162,8 @@
 
 @contextlib.contextmanager
 def seeded(mutation: Mutation | None) -> Iterator[None]:
-    """Patch the program with this mutation inside the `with` block."""
+    """Patch the code with this mutation for the duration of the `with` block."""
     with contextlib.ExitStack() as stack:
-        for owner, name, wrong in _PATCHES.get(mutation, ()) if mutation is not None else ():
-            stack.enter_context(mock.patch.object(owner, name, wrong))
+        for owner, name, replacement in _PATCHES.get(mutation, ()) if mutation is not None else ():
+            stack.enter_context(mock.patch.object(owner, name, replacement))
         yield
--- a/emberring/simulation/control_plane/schedule.py
+++ b/emberring/simulation/control_plane/schedule.py
@@ -1,4 +1,4 @@
-"""Schedules of a simulated control plane, made from seeds."""
+"""Generates the schedules of a simulated control plane from seeds."""
 
 from __future__ import annotations
 
@@ -11,115 +11,128 @@
 
 
 class Kind(Enum):
-    """The kind of a step. Its slot selects the machine, in ways that each kind has."""
+    """The kind of a step. Each kind interprets the slot of the step, usually as the index of a machine."""
 
-    ORDER = "order"
+    CHANGE = "order"
     RACE = "race"
-    MANY = "many orders"
-    REPEAT = "repeated order"
+    CHANGE_SERIES = "many orders"
+    REPEATED_CHANGE = "repeated order"
     READ = "read"
-    ANSWERS_LOST = "answers lost"
-    SERVER = "server starts"
-    DRAIN = "server drains"
-    GOODBYE = "server says goodbye"
-    CRASH = "server crashes"
+    RESPONSES_LOST = "answers lost"
+    SERVER_START = "server starts"
+    SERVER_DRAIN = "server drains"
+    SERVER_DEREGISTRATION = "server says goodbye"
+    SERVER_CRASH = "server crashes"
     KILL = "kill"
-    POWER = "power lost"
+    POWER_LOSS = "power lost"
     KILL_ALL = "all killed"
-    POWER_ALL = "all power lost"
-    WIPE = "disk lost"
-    WIPE_ONE_POWER_REST = "disk lost, power lost"
+    POWER_LOSS_ALL = "all power lost"
+    DISK_LOSS = "disk lost"
+    DISK_LOSS_POWER_LOSS_REST = "disk lost, power lost"
     REPLACE = "replaced"
     REPLACE_PLANNED = "replaced as planned"
     ADD = "added"
     FREEZE = "frozen"
-    CUT_OFF = "cut off"
-    CUT_ONE_WAY = "cut off one way"
-    CUT_NEAR = "cut off from all"
-    CUT_IN_TWO = "cut in two"
-    BEHIND = "left behind"
+    PARTITION = "cut off"
+    PARTITION_ONE_WAY = "cut off one way"
+    PARTITION_FROM_ALL = "cut off from all"
+    PARTITION_IN_HALVES = "cut in two"
+    STALE_MEMBER = "left behind"
     DISK_SLOW = "disk slow"
-    DISK_REFUSES = "disk refuses"
+    DISK_FAILS = "disk refuses"
     BAD_NETWORK = "bad network"
     STORE_KILL = "store killed"
-    STORE_WIPE = "store's disk lost"
+    STORE_DISK_LOSS = "store's disk lost"
     STORE_ADD = "store added"
     RETIRE = "store emptied"
     RETIRE_TWO = "two stores emptied, disk lost"
-    AFTER_ACK = "power lost after acknowledgement"
+    POWER_LOSS_AFTER_ACK = "power lost after acknowledgement"
     GATEWAY_KILL = "gateway killed"
-    # Written by hand only: a new kind in the tuples below would make other schedules of all seeds.
+    # Used only in hand-written schedules: adding a kind to the tuples below would change the schedules of all seeds.
     THROTTLE = "core as a quota"
     ZONE_KILL = "zone killed"
-    POWER_IN_ORDER = "all power lost, back in an order"
+    POWER_LOSS_ALL_RETURN_IN_ORDER = "all power lost, back in an order"
 
 
 Step = ScheduledStep[Kind]
 
 CLIENTS = (
-    Kind.ORDER,
-    Kind.ORDER,
-    Kind.ORDER,
+    Kind.CHANGE,
+    Kind.CHANGE,
+    Kind.CHANGE,
     Kind.RACE,
-    Kind.REPEAT,
+    Kind.REPEATED_CHANGE,
     Kind.READ,
     Kind.READ,
-    Kind.SERVER,
-    Kind.DRAIN,
-    Kind.DRAIN,
-    Kind.GOODBYE,
-    Kind.CRASH,
+    Kind.SERVER_START,
+    Kind.SERVER_DRAIN,
+    Kind.SERVER_DRAIN,
+    Kind.SERVER_DEREGISTRATION,
+    Kind.SERVER_CRASH,
+)
+PARTITIONS = (
+    Kind.PARTITION,
+    Kind.PARTITION,
+    Kind.PARTITION_ONE_WAY,
+    Kind.PARTITION_FROM_ALL,
+    Kind.PARTITION_IN_HALVES,
 )
-CUTS = (Kind.CUT_OFF, Kind.CUT_OFF, Kind.CUT_ONE_WAY, Kind.CUT_NEAR, Kind.CUT_IN_TWO)
 LOSSES = (
-    Kind.WIPE,
-    Kind.WIPE,
+    Kind.DISK_LOSS,
+    Kind.DISK_LOSS,
     Kind.REPLACE,
     Kind.REPLACE_PLANNED,
-    Kind.WIPE_ONE_POWER_REST,
-    Kind.BEHIND,
-    Kind.STORE_WIPE,
+    Kind.DISK_LOSS_POWER_LOSS_REST,
+    Kind.STALE_MEMBER,
+    Kind.STORE_DISK_LOSS,
     Kind.RETIRE_TWO,
-    Kind.AFTER_ACK,
-    Kind.AFTER_ACK,
-    Kind.MANY,
+    Kind.POWER_LOSS_AFTER_ACK,
+    Kind.POWER_LOSS_AFTER_ACK,
+    Kind.CHANGE_SERIES,
+)
+STORES = (
+    Kind.STORE_KILL,
+    Kind.STORE_DISK_LOSS,
+    Kind.STORE_ADD,
+    Kind.RETIRE,
+    Kind.RETIRE,
+    Kind.PARTITION_IN_HALVES,
 )
-STORES = (Kind.STORE_KILL, Kind.STORE_WIPE, Kind.STORE_ADD, Kind.RETIRE, Kind.RETIRE, Kind.CUT_IN_TWO)
-CROWDS = (
-    Kind.MANY,
+CONTENTION = (
+    Kind.CHANGE_SERIES,
     Kind.RACE,
     Kind.RACE,
     Kind.KILL,
     Kind.BAD_NETWORK,
-    Kind.ANSWERS_LOST,
+    Kind.RESPONSES_LOST,
     Kind.READ,
     Kind.READ,
 )
 FAULTS = (
-    *CUTS,
+    *PARTITIONS,
     *LOSSES,
     *STORES,
     Kind.KILL,
-    Kind.POWER,
+    Kind.POWER_LOSS,
     Kind.KILL_ALL,
-    Kind.POWER_ALL,
+    Kind.POWER_LOSS_ALL,
     Kind.ADD,
     Kind.FREEZE,
     Kind.DISK_SLOW,
-    Kind.DISK_REFUSES,
+    Kind.DISK_FAILS,
     Kind.BAD_NETWORK,
     Kind.GATEWAY_KILL,
-    Kind.MANY,
-    Kind.ANSWERS_LOST,
+    Kind.CHANGE_SERIES,
+    Kind.RESPONSES_LOST,
 )
 SPAN_S = 14.0
-CUT_SPAN_S = 26.0
+PARTITION_SPAN_S = 26.0
 MAX_FAULTS = 7
 
 
 @attrs.frozen
 class Schedule:
-    """The steps of `span_s` seconds, and the seed of all random choices.
+    """The steps of a run of `span_s` seconds, and the seed of all random choices.
 
     `spares` is the number of control nodes beyond the founders; `slowest_s` is the longest delay of the `slow_share`
     of messages that are slow; `sync_s` is the time of a sync to disk.
@@ -135,25 +148,25 @@
 
 
 def make_schedule(seed: int) -> Schedule:
-    """The schedule of a seed.
+    """Return the schedule of a seed.
 
-    One in four has long partitions, one losses, one many requests at all nodes over slow links, one has all kinds of
-    faults.
+    The seed modulo 4 selects the theme: long partitions, disk losses, many requests at all nodes over slow links, or
+    all kinds of faults.
     """
     rng = random.Random(f"control {seed}")
     theme = seed % 4
-    span_s = CUT_SPAN_S if theme == 0 else SPAN_S
+    span_s = PARTITION_SPAN_S if theme == 0 else SPAN_S
     steps: list[Step] = []
     if theme == 0:
-        steps += _cuts(rng)
+        steps += _partition_steps(rng)
     elif theme == 1:
-        steps += _some(rng, LOSSES, span_s, 5)
+        steps += _random_steps(rng, LOSSES, span_s, 5)
     elif theme == 2:
-        steps += [Step(rng.random(), Kind.MANY, number) for number in range(3)]
-        steps += _some(rng, CROWDS, span_s, 4)
+        steps += [Step(rng.random(), Kind.CHANGE_SERIES, number) for number in range(3)]
+        steps += _random_steps(rng, CONTENTION, span_s, 4)
     else:
-        steps += _some(rng, FAULTS, span_s, MAX_FAULTS)
-    steps += _some(rng, CLIENTS, span_s, 26)
+        steps += _random_steps(rng, FAULTS, span_s, MAX_FAULTS)
+    steps += _random_steps(rng, CLIENTS, span_s, 26)
     return Schedule(
         seed,
         tuple(sorted(steps, key=lambda step: step.at_s)),
@@ -165,16 +178,16 @@
     )
 
 
-def _cuts(rng: random.Random) -> list[Step]:
-    """A partition of 15 to 25 s, beside at most three other faults."""
+def _partition_steps(rng: random.Random) -> list[Step]:
+    """Return a partition of 15 to 25 s and at most three other faults."""
     at_s = rng.random() * 2
-    steps = [Step(at_s, rng.choice(CUTS), rng.randrange(6), 15 + rng.random() * 10)]
-    return steps + _some(rng, FAULTS, CUT_SPAN_S, 3)
+    steps = [Step(at_s, rng.choice(PARTITIONS), rng.randrange(6), 15 + rng.random() * 10)]
+    return steps + _random_steps(rng, FAULTS, PARTITION_SPAN_S, 3)
 
 
-def _some(rng: random.Random, kinds: tuple[Kind, ...], span_s: float, most: int) -> list[Step]:
+def _random_steps(rng: random.Random, kinds: tuple[Kind, ...], span_s: float, max_count: int) -> list[Step]:
     steps = []
-    for _ in range(rng.randint(1, most)):
-        lasts_s = 0.05 + rng.random() ** 2 * 5
-        steps.append(Step(rng.random() * span_s, rng.choice(kinds), rng.randrange(12), lasts_s))
+    for _ in range(rng.randint(1, max_count)):
+        duration_s = 0.05 + rng.random() ** 2 * 5
+        steps.append(Step(rng.random() * span_s, rng.choice(kinds), rng.randrange(12), duration_s))
     return steps
--- a/emberring/simulation/control_plane/simulator.py
+++ b/emberring/simulation/control_plane/simulator.py
@@ -1,4 +1,4 @@
-"""Plays the whole control plane in virtual time on schedules from seeds, and checks histories and progress."""
+"""Runs the complete control plane in virtual time on schedules from seeds; checks histories and progress."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 import attrs
 
 from emberring.configuration.change_requests import ChangeRequestKind
-from emberring.simulation.common.shrinking import shortened
-from emberring.simulation.common.task_owner import own_tasks
+from emberring.simulation.common.shrinking import shrink_schedule
+from emberring.simulation.common.task_owner import install_owner_task_factory
 from emberring.simulation.common.virtual_time import run_virtually
 from emberring.simulation.control_plane.deployment import APPLY_S, CONTACT_S, Deployment
 from emberring.simulation.control_plane.fault_injector import FaultInjector
@@ -18,26 +18,26 @@
 from emberring.simulation.control_plane.schedule import Schedule, make_schedule
 
 ACK_S = 4.0
-# Inside the bound of 4.9 s, and before the change that is made after the last fault could help a replica.
+# Below the bound of 4.9 s, and before the change sent after the last fault could help a replica to catch up.
 CATCH_UP_S = 2.9
-COMPLETE_S = 8.0  # from the last fault on, until the replica set is complete
-SERVERS_KNOWN_S = 8.0  # from the last fault on, until every gateway knows every server
+COMPLETE_S = 8.0  # deadline for a complete replica set, from the last fault
+SERVERS_KNOWN_S = 8.0  # deadline for every gateway to know every server, from the last fault
 POLL_S = 0.02
 
 
 @attrs.frozen
 class Times:
-    """How long recovery took, in seconds from the end of the last fault."""
+    """Recovery times in seconds, from the end of the last fault."""
 
-    order_s: float = 0.0
-    followers_s: float = 0.0  # from the acknowledgement on
+    change_s: float = 0.0
+    followers_s: float = 0.0  # from the acknowledgement
     replicas_s: float = 0.0
-    whole_s: float = 0.0
+    replica_set_s: float = 0.0
 
 
 @attrs.frozen
 class Verdict:
-    """The violations found on a schedule, and how much happened in it."""
+    """The violations found in the run of a schedule, and counts of its activity."""
 
     schedule: Schedule
     violations: tuple[str, ...]
@@ -46,8 +46,8 @@
     times: Times = Times()
 
 
-class _Play:
-    """One schedule in one deployment."""
+class _ScheduleRun:
+    """One run of a schedule."""
 
     def __init__(self, schedule: Schedule, mutation: Mutation | None) -> None:
         self._schedule = schedule
@@ -55,11 +55,11 @@
         self.verdict = Verdict(schedule, ())
 
     async def run(self) -> None:
-        """Play the schedule and set `verdict`."""
-        own_tasks(asyncio.get_running_loop())
+        """Run the schedule and set `verdict`."""
+        install_owner_task_factory(asyncio.get_running_loop())
         deployment = Deployment(self._schedule, self._mutation)
         asyncio.get_running_loop().set_exception_handler(
-            lambda _, context: deployment.world.seen.wrong(
+            lambda _, context: deployment.world.control_history.add_violation(
                 f"fault: {context.get('exception', context['message'])!r}"
             )
         )
@@ -72,42 +72,42 @@
         fault_injector.end()
         times = await _Recovery(deployment).run()
         await deployment.stop()
-        seen = deployment.world.seen
-        acknowledged = sum(1 for request in seen.requests if request.status == ACCEPTED)
+        history = deployment.world.control_history
+        acknowledged = sum(1 for request in history.requests if request.status == ACCEPTED)
         self.verdict = Verdict(
-            self._schedule, tuple(seen.finish()), acknowledged, deployment.world.handled, times
+            self._schedule, tuple(history.finish()), acknowledged, deployment.world.events_handled, times
         )
 
 
 class _Recovery:
-    """Checks what must hold in time after the last fault."""
+    """Checks that the deployment recovers in time after the last fault."""
 
     def __init__(self, deployment: Deployment) -> None:
         self._deployment = deployment
         self._world = deployment.world
 
     async def run(self) -> Times:
-        """Wait for each condition; one that does not hold in time is a violation."""
-        whole, request = await asyncio.gather(
-            self._until(self._replica_set_is_complete, COMPLETE_S, "the replica set is not whole"),
-            self._request(),
+        """Wait for each condition; a condition that misses its deadline is a violation."""
+        complete_s, request = await asyncio.gather(
+            self._until(self._replica_set_is_complete, COMPLETE_S, "the replica set is not complete"),
+            self._check_change(),
         )
         await self._until(self._servers_known, SERVERS_KNOWN_S, "a gateway does not know all servers")
-        await self._drain()
-        await self._last_reads()
-        return Times(request[0], request[1], request[2], whole)
+        await self._check_drain()
+        await self._check_final_reads()
+        return Times(request[0], request[1], request[2], complete_s)
 
-    async def _until(self, condition: Callable[[], bool], within_s: float, wrong: str) -> float:
+    async def _until(self, condition: Callable[[], bool], within_s: float, message: str) -> float:
         began_s = self._world.sync()
         while not condition():
             await asyncio.sleep(POLL_S)
             if self._world.sync() - began_s > within_s:
-                self._world.seen.wrong(f"{wrong} {within_s} s after it could be")
+                self._world.control_history.add_violation(f"{message} within {within_s} s")
                 return within_s
         return self._world.now_s - began_s
 
-    async def _request(self) -> tuple[float, float, float]:
-        """Send a change of the newest version once machines are in contact again."""
+    async def _check_change(self) -> tuple[float, float, float]:
+        """Send a change based on the newest version once machines are in contact again."""
         replicas = asyncio.get_running_loop().create_task(
             self._until(self._replicas_agree, CATCH_UP_S, "a replica has not caught up")
         )
@@ -115,17 +115,24 @@
         operators = self._deployment.operators
         began_s = self._world.sync()
         base = max(
-            [operators.known, *(machine.learned_version for machine in self._deployment.control_machines)]
+            [
+                operators.known_version,
+                *(machine.learned_version for machine in self._deployment.control_machines),
+            ]
         )
         request = operators.request(base, base + 1, ChangeRequestKind.REPLACE)
         status = await operators.send(request, ChangeRequestKind.REPLACE)
         took_s = self._world.sync() - began_s
         if status != ACCEPTED:
-            self._world.seen.wrong(f"in the calm at the end, {request} was answered {status}")
+            self._world.control_history.add_violation(
+                f"after the last fault, {request} was answered {status}"
+            )
         if took_s > ACK_S:
-            self._world.seen.wrong(f"in the calm at the end, {request} took {took_s:.1f} s")
+            self._world.control_history.add_violation(f"after the last fault, {request} took {took_s:.1f} s")
         followers_s = await self._until(
-            lambda: self._followers_have(request.version), APPLY_S, "a follower has not the newest version"
+            lambda: self._followers_have(request.version),
+            APPLY_S,
+            "a follower does not have the newest version",
         )
         return took_s, followers_s, await replicas
 
@@ -160,52 +167,52 @@
             server for server in self._deployment.servers if not server.gone and server.state == "ready"
         ]
         return all(
-            self._deployment.uses(gateway, server)
+            self._deployment.routes_to(gateway, server)
             for gateway in self._deployment.gateways
             for server in serving
         )
 
-    async def _drain(self) -> None:
-        """Check that a drain is acknowledged in time; `Deployment` checks that no gateway uses the server then."""
+    async def _check_drain(self) -> None:
+        """Check that a drain is acknowledged in time; `Deployment` checks that gateways stop using the server."""
         server = self._deployment.add_server()
         await asyncio.sleep(APPLY_S)
         server.drain()
         await self._until(lambda: server.acknowledged_s is not None, ACK_S, "a drain was not acknowledged")
         await asyncio.sleep(APPLY_S + POLL_S)
 
-    async def _last_reads(self) -> None:
-        """Check that every control machine answers with the newest version."""
+    async def _check_final_reads(self) -> None:
+        """Check that every control machine responds to a read; the history checks its version."""
         for machine in self._deployment.control_machines:
             if await self._deployment.operators.read(machine) is None:
-                self._world.seen.wrong(f"the last read at {machine.name} had no answer")
+                self._world.control_history.add_violation(f"the last read at {machine.name} was not answered")
 
 
 def play(schedule: Schedule, mutation: Mutation | None = None) -> Verdict:
-    """Play a schedule; the same one gives the same verdict in the same process."""
-    playing = _Play(schedule, mutation)
+    """Run a schedule; a schedule always gives the same verdict in the same process."""
+    schedule_run = _ScheduleRun(schedule, mutation)
     with seeded(mutation):
-        run_virtually(playing.run())
-    return playing.verdict
+        run_virtually(schedule_run.run())
+    return schedule_run.verdict
 
 
 def play_seed(seed: int, mutation: Mutation | None = None) -> Verdict:
-    """Play the schedule of a seed."""
+    """Run the schedule of a seed."""
     return play(make_schedule(seed), mutation)
 
 
 def shorten(verdict: Verdict, mutation: Mutation | None = None) -> Verdict:
-    """Shrink a failing schedule; the verdict of the one with the fewest steps found."""
-    return shortened(verdict, lambda schedule: play(schedule, mutation))
+    """Shrink a failing schedule; returns the verdict of the shortest failing one found."""
+    return shrink_schedule(verdict, lambda schedule: play(schedule, mutation))
 
 
 def describe(verdict: Verdict) -> str:
-    """Describe a failing schedule: its seed, its steps as a test would write them, the violations."""
+    """Describe a failing schedule: seed, steps in the syntax of a test, and violations."""
     schedule = verdict.schedule
     lines = [
         f"seed {schedule.seed}: {len(schedule.steps)} steps in {schedule.span_s} s, {schedule.spares} spares, "
-        f"ways of up to {schedule.slowest_s} s, syncs of {schedule.sync_s} s"
+        f"delays of up to {schedule.slowest_s} s, syncs of {schedule.sync_s} s"
     ]
     for step in schedule.steps:
-        lines.append(f"  Step({step.at_s:.4f}, Kind.{step.kind.name}, {step.slot}, {step.lasts_s:.4f}),")
+        lines.append(f"  Step({step.at_s:.4f}, Kind.{step.kind.name}, {step.slot}, {step.duration_s:.4f}),")
     lines += [f"  wrong: {violation}" for violation in verdict.violations]
     return "\n".join(lines)
--- a/emberring/simulation/jobs/client.py
+++ b/emberring/simulation/jobs/client.py
@@ -1,4 +1,4 @@
-"""Simulated clients of batch jobs: they hand in, try again, read on and back, and end some batch jobs early."""
+"""Simulated clients of batch jobs: they submit with retries, read and reread results, and end some jobs early."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Clients:
-    """All clients. `on_submitted` is called after each accepted submission."""
+    """All clients. `on_submitted` is called after each accepted submission, `on_result_read` after each new result."""
 
     def __init__(self, world: World, history: History, gateways: list[SimulatedGateway]) -> None:
         self.world = world
@@ -33,7 +33,7 @@
         self.gateways = gateways
         self.on_submitted: Callable[[], None] = lambda: None
         self.on_result_read: Callable[[], None] = lambda: None
-        self.ending = False
+        self.stopping = False
 
     def submit_job(self) -> None:
         """Submit a new batch job."""
@@ -59,43 +59,43 @@
 
     def _attempt_submission(self, job: JobRecord, message: SubmitJob) -> None:
         gateway = self._gateway()
-        over = [False]
+        resolved = [False]
 
-        def done(how: SubmissionOutcome) -> None:
-            if over[0]:
+        def done(outcome: SubmissionOutcome) -> None:
+            if resolved[0]:
                 return
-            over[0] = True
-            self.history.submission_attempted(self.world.now_s, job, how)
-            if how is SubmissionOutcome.TAKEN:
+            resolved[0] = True
+            self.history.submission_attempted(self.world.now_s, job, outcome)
+            if outcome is SubmissionOutcome.ACCEPTED:
                 self.on_submitted()
-                self._follow(job)
-            elif len(job.attempts) < MAX_ATTEMPTS_TO_SUBMIT and not self.ending:
+                self._schedule_reads(job)
+            elif len(job.attempts) < MAX_ATTEMPTS_TO_SUBMIT and not self.stopping:
                 self.world.after(0.1 + self.world.rng.random() * 0.5, self._attempt_submission, job, message)
 
-        self.world.after(3.5, done, SubmissionOutcome.UNCLEAR)  # the gateway died or froze
+        self.world.after(3.5, done, SubmissionOutcome.UNKNOWN)  # the gateway ended or is frozen
         gateway.when_awake(gateway.incarnation, gateway.submit, message, done)
 
-    def _follow(self, job: JobRecord) -> None:
-        self.world.after(0.2, self._read_on, job)
+    def _schedule_reads(self, job: JobRecord) -> None:
+        self.world.after(0.2, self._read_next, job)
         if self.world.rng.random() < 0.2:
-            self.world.after(self.world.rng.random() * 2.0, self._end, job)
+            self.world.after(self.world.rng.random() * 2.0, self._end_job, job)
 
-    def _read_on(self, job: JobRecord) -> None:
+    def _read_next(self, job: JobRecord) -> None:
         complete = len(job.visible) == len(job.items)
-        back = self.world.rng.random() < 0.2
-        start = self.world.rng.randint(0, len(job.visible)) if back or complete else len(job.visible)
+        reread = self.world.rng.random() < 0.2
+        start = self.world.rng.randint(0, len(job.visible)) if reread or complete else len(job.visible)
         self.read(job, start, 400)
-        if not self.ending:
-            self.world.after(0.3 + self.world.rng.random() * 0.5, self._read_on, job)
+        if not self.stopping:
+            self.world.after(0.3 + self.world.rng.random() * 0.5, self._read_next, job)
 
     def read(self, job: JobRecord, start: int, wait_ms: int) -> None:
-        """Read a page; what was listed when the question left must be in the answer."""
-        gateway, asked_s = self._gateway(), self.world.now_s
+        """Read a page; results that were visible when the request was sent must be in the response."""
+        gateway, sent_s = self._gateway(), self.world.now_s
         known = dict(job.visible)
 
         def done(body: Any, outcome_unknown: bool) -> None:
             if isinstance(body, NotFoundError):
-                self.history.not_found(self.world.now_s, job, asked_s)
+                self.history.not_found(self.world.now_s, job, sent_s)
             elif isinstance(body, JobPage) and (start in known or body.results):
                 self.history.read(self.world.now_s, job, start, page_json(body))
                 if len(job.visible) > len(known):
@@ -103,25 +103,29 @@
 
         message = ReadJob(HOST, job.id, start, wait_ms)
         limit_s = wait_ms / 1000 + 1.1
-        gateway.when_awake(gateway.incarnation, gateway.ask, message, limit_s, wait_ms / 1000 + 0.8, done)
+        gateway.when_awake(
+            gateway.incarnation, gateway.call_with_retries, message, limit_s, wait_ms / 1000 + 0.8, done
+        )
 
-    def _end(self, job: JobRecord) -> None:
+    def _end_job(self, job: JobRecord) -> None:
         if job.end_requested_s is None:
             job.end_requested_s = self.world.now_s
         gateway = self._gateway()
-        over = [False]
+        resolved = [False]
 
         def done(body: Any, outcome_unknown: bool) -> None:
-            if over[0]:
+            if resolved[0]:
                 return
-            over[0] = True
+            resolved[0] = True
             if isinstance(body, NotFoundError):
                 self.history.not_found(self.world.now_s, job, self.world.now_s)
             elif body is not None and not is_error(body):
                 if job.end_acknowledged_s is None:
                     job.end_acknowledged_s = self.world.now_s
             else:
-                self.world.after(0.3, self._end, job)
+                self.world.after(0.3, self._end_job, job)
 
         self.world.after(4.0, done, None, True)
-        gateway.when_awake(gateway.incarnation, gateway.ask, EndJob(HOST, job.id), 2.8, 0.8, done)
+        gateway.when_awake(
+            gateway.incarnation, gateway.call_with_retries, EndJob(HOST, job.id), 2.8, 0.8, done
+        )
--- a/emberring/simulation/jobs/gateway.py
+++ b/emberring/simulation/jobs/gateway.py
@@ -1,4 +1,4 @@
-"""Simulated gateway: it runs items at simulated servers and carries its clients' calls to the owner."""
+"""Simulated gateway that runs items on simulated servers and forwards calls of clients to the owner."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 class SimulatedGateway:
-    """A simulated gateway. Its runs end with it."""
+    """A simulated gateway. Its runs are lost when it is killed."""
 
     def __init__(
         self, world: World, history: History, name: str, shard: int, stores: dict[str, SimulatedStore]
@@ -72,12 +72,12 @@
         self._loop(self.incarnation, POLL_S, self._poll)
         self._loop(self.incarnation, REPORT_INTERVAL_S, self._report)
 
-    def kill(self, lasts_s: float) -> None:
-        """Kill the gateway; it comes back empty."""
+    def kill(self, duration_s: float) -> None:
+        """Kill the gateway; it restarts without state after `duration_s`."""
         self.running = False
         self.incarnation += 1
         self.runs = {}
-        self.world.after(lasts_s, self._start, self.incarnation)
+        self.world.after(duration_s, self._start, self.incarnation)
 
     def _start(self, incarnation: int) -> None:
         if incarnation == self.incarnation:
@@ -93,7 +93,7 @@
         self.world.after(every_s, self._loop, incarnation, every_s, work)
 
     def when_awake(self, incarnation: int, work: Callable[..., None], *arguments: Any) -> None:
-        """Call `work` in that incarnation, once it is not frozen."""
+        """Call `work` in that incarnation once the gateway is not frozen."""
         if incarnation != self.incarnation or not self.running:
             return
         if self.world.now_s < self.frozen_until_s:
@@ -104,48 +104,50 @@
     # Calls to the owner.
 
     def call(self, request: Any, wait_s: float, done: Callback) -> None:
-        """Make one attempt at the store that may own the shard; `done` gets the answer, an error, or None."""
+        """Make one attempt at the assumed owner of the shard; `done` gets the response, an error, or None."""
         names = list(self.stores)
         if self.assumed_owner not in self.stores or self.world.rng.random() < 0.05:
             self.assumed_owner = self.world.rng.choice(names)
-        asked, incarnation = self.assumed_owner, self.incarnation
-        open_call = [True]
+        target, incarnation = self.assumed_owner, self.incarnation
+        pending = [True]
 
         def finish(body: Any) -> None:
-            if not open_call[0]:
+            if not pending[0]:
                 return
-            open_call[0] = False
+            pending[0] = False
             if is_error(body) and not isinstance(body, NotFoundError | QuotaExceededError):
                 self.assumed_owner = self.world.rng.choice(names)
             self.when_awake(incarnation, done, body)
 
         self.world.after(wait_s, finish, None)
-        store = self.stores[asked]
-        if not store.running and self.world.reach(self.name, asked):
+        store = self.stores[target]
+        if not store.running and self.world.is_reachable(self.name, target):
             self.world.after(0.001, finish, PeerUnavailableError())
             return
-        self.world.send(self.name, asked, store.ask, self.name, request, finish)
+        self.world.send(self.name, target, store.handle_request, self.name, request, finish)
 
-    def ask(self, request: Any, limit_s: float, wait_s: float, done: Callable[[Any, bool], None]) -> None:
-        """Retry until the owner answers or time is up.
+    def call_with_retries(
+        self, request: Any, limit_s: float, wait_s: float, done: Callable[[Any, bool], None]
+    ) -> None:
+        """Retry until the owner responds or the deadline passes.
 
-        `done` gets the answer (None for none), and whether the outcome is unknown.
+        `done` gets the response, or None, and whether the outcome is unknown.
         """
         until_s = self.world.now_s + limit_s
         outcome_unknown = [False]
 
         def answered(body: Any) -> None:
             if isinstance(body, NotOwnerError | PeerUnavailableError | NotReadyError):
-                again()
+                retry()
             elif body is None or (
                 is_error(body) and not isinstance(body, NotFoundError | QuotaExceededError)
             ):
                 outcome_unknown[0] = True
-                again()
+                retry()
             else:
                 done(body, outcome_unknown[0])
 
-        def again() -> None:
+        def retry() -> None:
             if self.world.now_s + RETRY_PAUSE_S >= until_s:
                 done(None, outcome_unknown[0])
             else:
@@ -161,9 +163,9 @@
 
         def answered(body: Any, outcome_unknown: bool) -> None:
             if body is not None and not is_error(body):
-                done(SubmissionOutcome.TAKEN)
+                done(SubmissionOutcome.ACCEPTED)
             elif outcome_unknown:
-                done(SubmissionOutcome.UNCLEAR)
+                done(SubmissionOutcome.UNKNOWN)
             else:
                 done(
                     SubmissionOutcome.QUOTA
@@ -171,16 +173,16 @@
                     else SubmissionOutcome.NOT_READY
                 )
 
-        self.ask(request, 2.6, CALL_TIMEOUT_S, answered)
+        self.call_with_retries(request, 2.6, CALL_TIMEOUT_S, answered)
 
     # Items.
 
     def _poll(self) -> None:
         capacity = CAPACITY - sum(1 for run in self.runs.values() if run.kind is None)
         if capacity > 0:
-            self.call(LeaseItems(self.name, capacity, 0), CALL_TIMEOUT_S, self._leased)
+            self.call(LeaseItems(self.name, capacity, 0), CALL_TIMEOUT_S, self._on_leased)
 
-    def _leased(self, body: Any) -> None:
+    def _on_leased(self, body: Any) -> None:
         if is_error(body):
             return
         for assignment in body.items:
@@ -188,15 +190,15 @@
             events = list(unpack_events(assignment.events))
             self.runs[assignment.ticket] = _Run(assignment, now_s + INITIAL_LEASE_S, events, len(events))
             wait_s = self.world.rng.random() ** 3 * 1.2
-            self.world.after(wait_s, self.when_awake, self.incarnation, self._begin, assignment.ticket)
+            self.world.after(wait_s, self.when_awake, self.incarnation, self._start_run, assignment.ticket)
 
-    def _begin(self, ticket: int) -> None:
+    def _start_run(self, ticket: int) -> None:
         run = self.runs.get(ticket)
         if run is None or run.stopped:
             return
         rng = self.world.rng
         if self.world.now_s >= run.allowed_until_s or rng.random() < 0.05:
-            self._ended(run, OutcomeKind.NOT_RUN)
+            self._finish_run(run, OutcomeKind.NOT_RUN)
             return
         name = run.assignment.id
         resume = run.events[-1].id if run.events else None
@@ -205,31 +207,38 @@
         item = job.items[name]
         if item.impossible:
             item.refused_422 = True
-            self._ended(run, OutcomeKind.IMPOSSIBLE_422)
+            self._finish_run(run, OutcomeKind.IMPOSSIBLE_422)
         elif rng.random() < 0.08:
             item.failures += 1
-            self._ended(run, OutcomeKind.FAILED_500)
+            self._finish_run(run, OutcomeKind.FAILED_500)
         else:
-            self._next(ticket, number, 0 if resume is None else resume + 1, item)
+            self._produce_event(ticket, number, 0 if resume is None else resume + 1, item)
 
-    def _next(self, ticket: int, number: int, event: int, item: Any) -> None:
-        """Let the server produce the next event; the gateway receives it while it runs."""
+    def _produce_event(self, ticket: int, number: int, event: int, item: Any) -> None:
+        """Produce the next event of the server, which the gateway receives while it runs."""
         run = self.runs.get(ticket)
         if run is None or run.stopped:
             return
         if event == item.events:
             item.finished = True
-            self._ended(run, OutcomeKind.COMPLETED)
+            self._finish_run(run, OutcomeKind.COMPLETED)
         elif self.world.rng.random() < 0.03:
-            self._ended(run, OutcomeKind.BROKEN)
+            self._finish_run(run, OutcomeKind.BROKEN)
         else:
             run.events.append(EventData(event, f"{run.assignment.id}#{number}#{event}"))
             pause_s = 0.01 + self.world.rng.random() * 0.1
             self.world.after(
-                pause_s, self.when_awake, self.incarnation, self._next, ticket, number, event + 1, item
+                pause_s,
+                self.when_awake,
+                self.incarnation,
+                self._produce_event,
+                ticket,
+                number,
+                event + 1,
+                item,
             )
 
-    def _ended(self, run: _Run, kind: OutcomeKind) -> None:
+    def _finish_run(self, run: _Run, kind: OutcomeKind) -> None:
         run.kind = kind
         run.deliver_until_s = self.world.now_s + DELIVERY_TIMEOUT_S
         self._deliver(run, run.acked)
@@ -279,17 +288,17 @@
         def done(body: Any) -> None:
             if isinstance(body, ReportRunsReply):
                 for answer in body.runs:
-                    self._reported(answer.ticket, answer.lease_renewed, answer.events_received, sent_s)
+                    self._on_reported(answer.ticket, answer.lease_renewed, answer.events_received, sent_s)
 
         self.call(ReportRuns(self.name, self.shard, progress), CALL_TIMEOUT_S, done)
 
-    def _reported(self, ticket: int, lease_renewed: bool, have: int, sent_s: float) -> None:
+    def _on_reported(self, ticket: int, lease_renewed: bool, events_received: int, sent_s: float) -> None:
         run = self.runs.get(ticket)
         if run is None:
             return
         if lease_renewed:
             run.allowed_until_s = max(run.allowed_until_s, sent_s + ITEM_LEASE_S)
-            run.acked = min(have, len(run.events))
+            run.acked = min(events_received, len(run.events))
         elif run.kind is None:
             run.stopped = True
             self.runs.pop(ticket)
--- a/emberring/simulation/jobs/history.py
+++ b/emberring/simulation/jobs/history.py
@@ -1,4 +1,4 @@
-"""History of simulated batch jobs as clients and model servers saw it, and the checks of it."""
+"""History of simulated batch jobs as observed by clients and model servers, and its checks."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import attrs
 import orjson
 
-SETTLING_S = 0.0  # an owner's answer is certain: it holds at once
+SETTLING_S = 0.0  # the response of an owner takes effect at once
 CANCEL_S = 3.0
 QUOTA_TOLERANCE = 1.1
 
@@ -15,15 +15,15 @@
 class SubmissionOutcome(Enum):
     """Outcome of a client's attempt to submit a batch job."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     QUOTA = "quota"
     NOT_READY = "not_ready"
-    UNCLEAR = "unclear"
+    UNKNOWN = "unclear"
 
 
 @attrs.define(eq=False)
 class ItemRecord:
-    """What servers did with an item."""
+    """What servers have done with an item."""
 
     tokens: int
     events: int
@@ -36,7 +36,7 @@
 
 @attrs.define(eq=False)
 class RunRecord:
-    """A run at a server, and the event after which it was to continue (None: from the start)."""
+    """A run at a server; `resume_after` is the event after which it resumes, or None to run from the start."""
 
     item: str
     resume_after: int | None
@@ -45,7 +45,7 @@
 
 @attrs.define(eq=False)
 class JobRecord:
-    """A batch job as its client knows it."""
+    """The state of a batch job as observed by its client."""
 
     id: str
     items: dict[str, ItemRecord]
@@ -58,7 +58,7 @@
 
 
 class History:
-    """Everything that happened, and the violations found in it."""
+    """All observed events, and the violations found in them."""
 
     def __init__(self, max_tokens: int, max_attempts: int, retention_s: float) -> None:
         self.max_tokens = max_tokens
@@ -67,28 +67,28 @@
         self.jobs: dict[str, JobRecord] = {}
         self.runs: dict[int, RunRecord] = {}
         self.violations: list[str] = []
-        self._owners: dict[str, JobRecord] = {}
+        self._job_of_item: dict[str, JobRecord] = {}
 
     def add_violation(self, now_s: float, text: str) -> None:
         """Add a violation."""
         self.violations.append(f"{now_s:.3f} s: {text}")
 
     def submitted(self, now_s: float, job: JobRecord) -> None:
-        """Note the first submission of a batch job."""
+        """Record the first submission of a batch job."""
         self.jobs[job.id] = job
         for item in job.items:
-            self._owners[item] = job
+            self._job_of_item[item] = job
 
-    def submission_attempted(self, now_s: float, job: JobRecord, how: SubmissionOutcome) -> None:
-        """Note the outcome of an attempt to submit."""
-        job.attempts.append(how)
-        if how is SubmissionOutcome.TAKEN and job.accepted_s is None:
+    def submission_attempted(self, now_s: float, job: JobRecord, outcome: SubmissionOutcome) -> None:
+        """Record the outcome of an attempt to submit."""
+        job.attempts.append(outcome)
+        if outcome is SubmissionOutcome.ACCEPTED and job.accepted_s is None:
             job.accepted_s = now_s
-            waiting = sum(self._waiting(other) for other in self.jobs.values())
+            waiting = sum(self._waiting_tokens(other) for other in self.jobs.values())
             if waiting > self.max_tokens * QUOTA_TOLERANCE:
-                self.add_violation(now_s, f"QUOTA {waiting} tokens wait after {job.id}")
+                self.add_violation(now_s, f"QUOTA {waiting} tokens queued after {job.id}")
 
-    def _waiting(self, job: JobRecord) -> int:
+    def _waiting_tokens(self, job: JobRecord) -> int:
         if job.accepted_s is None or job.end_requested_s is not None:
             return 0
         dead = {item for item, state, _ in job.visible.values() if state == "dead_letter"}
@@ -101,8 +101,8 @@
     # Servers.
 
     def started(self, now_s: float, item: str, resume_after: int | None) -> int:
-        """Note that an item reached a server; return the number of the run."""
-        job = self._owners[item]
+        """Record that an item reached a server; returns the number of the run."""
+        job = self._job_of_item[item]
         job.items[item].started += 1
         if job.end_acknowledged_s is not None and now_s > job.end_acknowledged_s + CANCEL_S:
             self.add_violation(now_s, f"UNASKED {item} ran after the end of {job.id}")
@@ -121,7 +121,7 @@
         if page["NextPageToken"] != start + len(results):
             self.add_violation(now_s, f"MIXED NextPageToken of {job.id}")
         if not results and start in job.visible:
-            self.add_violation(now_s, f"LOST nothing at {start} of {job.id}, which was read before")
+            self.add_violation(now_s, f"LOST no result at {start} of {job.id}, which was read before")
         for offset, result in enumerate(results):
             found = (result["Id"], result["State"], result["Message"])
             self._check_result(now_s, job, start + offset, found)
@@ -137,16 +137,16 @@
         job.visible[position] = found
         item = job.items.get(found[0])
         if item is None:
-            self.add_violation(now_s, f"MIXED {found[0]} is not of {job.id}")
+            self.add_violation(now_s, f"MIXED {found[0]} is not an item of {job.id}")
         elif found[1] == "completed":
             self._check_text(now_s, found[0], item, found[2])
-        elif not self._may_be_dead(now_s, job, item):
-            self.add_violation(now_s, f"MIXED {found[0]} dead too soon")
+        elif not self._may_be_dead_letter(now_s, job, item):
+            self.add_violation(now_s, f"MIXED {found[0]} became a dead letter too early")
 
-    def _may_be_dead(self, now_s: float, job: JobRecord, item: ItemRecord) -> bool:
-        old = now_s - job.sent_s >= self.retention_s
+    def _may_be_dead_letter(self, now_s: float, job: JobRecord, item: ItemRecord) -> bool:
+        expired = now_s - job.sent_s >= self.retention_s
         ended = job.end_requested_s is not None
-        return item.refused_422 or item.failures >= self.max_attempts or old or ended
+        return item.refused_422 or item.failures >= self.max_attempts or expired or ended
 
     def _check_text(self, now_s: float, name: str, item: ItemRecord, text: str) -> None:
         last_run, last = 0, -1
@@ -156,27 +156,29 @@
             if found != name or number != last + 1:
                 self.add_violation(now_s, f"ORDER {line} after {last} in the text of {name}")
                 return
-            asked = self.runs[run].resume_after
-            if run != last_run and (last if last >= 0 else None) != asked:
-                self.add_violation(now_s, f"ORDER run {run} of {name} goes on after {last}, asked {asked}")
+            resume_after = self.runs[run].resume_after
+            if run != last_run and (last if last >= 0 else None) != resume_after:
+                self.add_violation(
+                    now_s, f"ORDER run {run} of {name} resumed after {last}, requested {resume_after}"
+                )
             last_run, last = run, number
         if last != item.events - 1:
             self.add_violation(now_s, f"MIXED the text of {name} ends after {last}")
 
-    def not_found(self, now_s: float, job: JobRecord, asked_s: float) -> None:
+    def not_found(self, now_s: float, job: JobRecord, sent_s: float) -> None:
         """Check a read that was answered with `NotFoundError`."""
-        if job.accepted_s is not None and asked_s >= job.accepted_s + SETTLING_S:
+        if job.accepted_s is not None and sent_s >= job.accepted_s + SETTLING_S:
             self.add_violation(now_s, f"LOST {job.id} is not found")
 
-    # The end.
+    # Final checks.
 
     def finish(self, now_s: float) -> list[str]:
         """Check that rejected batch jobs never ran and accepted ones are complete; return all violations."""
         for job in self.jobs.values():
-            refused = job.attempts and all(
-                how in (SubmissionOutcome.QUOTA, SubmissionOutcome.NOT_READY) for how in job.attempts
+            rejected = job.attempts and all(
+                outcome in (SubmissionOutcome.QUOTA, SubmissionOutcome.NOT_READY) for outcome in job.attempts
             )
-            if refused and any(item.started for item in job.items.values()):
+            if rejected and any(item.started for item in job.items.values()):
                 self.add_violation(now_s, f"REFUSED {job.id} ran")
             if (
                 job.accepted_s is not None
--- a/emberring/simulation/jobs/mutations.py
+++ b/emberring/simulation/jobs/mutations.py
@@ -1,4 +1,4 @@
-"""Known faults to seed into the simulated stores, which show that the checks find them."""
+"""Faults seeded into the simulated stores that the checks must detect."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 class Mutations:
     """Seeded mutations.
 
-    `tokenless`: replicas accept writes and lease renewals of any term. `shows_early`: results are shown
-    before they are committed. `unsynced`: replicas confirm before the disk has synced. `keeps_identity`:
-    a lost disk's identity is used again. `doubles`: a new owner keeps one item at two positions.
-    `single_quorum`: a change of the group needs a quorum of the next members alone. `endless_lease`: an
-    owner's lease never expires.
+    `tokenless`: replicas accept writes and lease renewals of any term. `shows_early`: results become visible
+    before they are committed. `unsynced`: replicas confirm writes before the disk has synced. `keeps_identity`:
+    a store reuses its identity after the loss of its disk. `doubles`: a new owner keeps one item at two positions.
+    `single_quorum`: a change of the group requires a quorum of the next members only. `endless_lease`: the lease of
+    an owner never expires.
     """
 
     tokenless: bool = False
@@ -37,7 +37,7 @@
 
 
 class _TokenlessReplica(Replica):
-    """Accepts every write and lease renewal, whatever was promised."""
+    """Accepts every write and lease renewal, regardless of the promised term."""
 
     def _on_write(self, now_s: float, call: int, message: WriteSlots) -> list[ReplicaAction]:
         promised, self.promised = self.promised, NO_TERM
@@ -55,27 +55,27 @@
 
 
 def make_replica(mutations: Mutations, shard: int) -> Replica:
-    """Return a replica, with its mutation if it has one."""
+    """Return a replica, with its mutation if one is set."""
     return _TokenlessReplica(shard) if mutations.tokenless else Replica(shard)
 
 
 def make_owner(mutations: Mutations, me: str, replica: Replica, seed: int) -> ShardOwner:
-    """Return an owner, with its mutation if it has one."""
+    """Return an owner, with its mutation if one is set."""
     return _EndlessOwner(me, replica, seed) if mutations.endless_lease else ShardOwner(me, replica, seed)
 
 
-def _quorum_of_the_next(group: Group, identities: set[str]) -> bool:
+def _quorum_of_next_members(group: Group, identities: set[str]) -> bool:
     members = group.joining or group.members
     return len(identities.intersection(members)) >= quorum(members)
 
 
 @contextlib.contextmanager
 def seeded(mutations: Mutations) -> Iterator[None]:
-    """Patch the mutations of functions within this context."""
+    """Patch the functions that mutations replace for the duration of the `with` block."""
     with contextlib.ExitStack() as stack:
         if mutations.doubles:
             stack.enter_context(mock.patch.object(owner_recovery, "duplicate_positions", return_value=set()))
         if mutations.single_quorum:
             for module in (merge, owner, replication):
-                stack.enter_context(mock.patch.object(module, "has_quorum", _quorum_of_the_next))
+                stack.enter_context(mock.patch.object(module, "has_quorum", _quorum_of_next_members))
         yield
--- a/emberring/simulation/jobs/schedule.py
+++ b/emberring/simulation/jobs/schedule.py
@@ -1,4 +1,4 @@
-"""Fault schedules of the simulator of batch jobs, each made from a seed, and verdicts."""
+"""Fault schedules of the simulator of batch jobs, generated from seeds, and its verdicts."""
 
 from __future__ import annotations
 
@@ -20,28 +20,28 @@
 
     JOB = "lot"
     KILL = "kill"
-    POWER = "power"
+    POWER_LOSS = "power"
     KILL_ALL = "kill_all"
-    POWER_ALL = "power_all"
-    WIPE = "wipe"
+    POWER_LOSS_ALL = "power_all"
+    DISK_LOSS = "wipe"
     REPLACE = "replace"
-    POWER_AFTER_ACK = "power_after_ack"
-    POWER_AFTER_READ = "power_after_read"
-    OWNER_POWER_AFTER_READ = "owner_power_after_read"
-    WIPE_AFTER_ACK = "wipe_after_ack"
-    WIPE_ONE_POWER_REST = "wipe_one_power_rest"
+    POWER_LOSS_AFTER_ACK = "power_after_ack"
+    POWER_LOSS_AFTER_READ = "power_after_read"
+    OWNER_POWER_LOSS_AFTER_READ = "owner_power_after_read"
+    DISK_LOSS_AFTER_ACK = "wipe_after_ack"
+    DISK_LOSS_POWER_LOSS_REST = "wipe_one_power_rest"
     FREEZE = "freeze"
-    CUT_OFF = "cut_off"
-    CUT_LINK = "cut_link"
+    PARTITION = "cut_off"
+    LINK_PARTITION = "cut_link"
     SLOW_DISK = "slow_disk"
-    REFUSING_DISK = "refusing_disk"
+    FAILING_DISK = "refusing_disk"
     BAD_NETWORK = "bad network"
     ADD = "add"
     RETIRE = "retire"
-    TERM = "term"
+    SIGTERM = "term"
     GATEWAY_KILL = "gateway_kill"
     GATEWAY_FREEZE = "gateway_freeze"
-    GATEWAY_CUT = "gateway_cut"
+    GATEWAY_PARTITION = "gateway_cut"
 
 
 _FAULT_KINDS = tuple(kind for kind in StepKind if kind is not StepKind.JOB)
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class Schedule:
-    """A seed, from which all randomness in the world comes, and the steps."""
+    """The seed of all random choices in the world, the number of stores, and the steps."""
 
     seed: int
     stores: int
@@ -61,12 +61,12 @@
 
 @attrs.frozen
 class Verdict:
-    """What was wrong with a schedule (empty: nothing), and how much happened in it."""
+    """The violations found in the run of a schedule, and counts of its activity."""
 
     schedule: Schedule
     violations: tuple[str, ...]
-    taken: int = 0
-    listed: int = 0
+    accepted: int = 0
+    results_read: int = 0
     runs: int = 0
     events: int = 0
 
@@ -85,7 +85,9 @@
     return Schedule(seed, rng.choice((3, 3, 4)), tuple(sorted(steps, key=lambda step: step.at_s)))
 
 
-def usual_network(seed: int) -> NetworkConditions:
-    """Return the usual network conditions of a seed: some have slow links, and some lose messages."""
-    rng = random.Random(f"weather {seed}")  # the text of earlier versions: seeds keep their schedules
+def normal_network(seed: int) -> NetworkConditions:
+    """Return the network conditions of a seed without network faults; some have slow links, some lose messages."""
+    rng = random.Random(
+        f"weather {seed}"
+    )  # unchanged from earlier versions so that seeds keep their schedules
     return NetworkConditions(rng.choice((0.0, 0.0, 0.01, 0.03)), 0.002 * 20 ** rng.random())
--- a/emberring/simulation/jobs/store.py
+++ b/emberring/simulation/jobs/store.py
@@ -53,20 +53,20 @@
     entries: list[bytes] = attrs.field(factory=list)
     pending: list[tuple[bytes, int]] = attrs.field(factory=list)
     sync_s: float = SYNC_S
-    usual_sync_s: float = SYNC_S
+    normal_sync_s: float = SYNC_S
     refusing: bool = False
 
 
 class SimulatedStore:
-    """One machine with a disk, and the process on it while it runs. Calls and replies pass through the world."""
+    """A machine with a disk, and its process while it runs. Calls and replies are sent through the world."""
 
     def __init__(self, world: World, shard: int, name: str, mutations: Mutations) -> None:
         self.world = world
         self.shard = shard
         self.name = name
         self.mutations = mutations
-        usual_s = SYNC_S * 40 ** world.rng.random()
-        self.disk = Disk(self._new_identity(), sync_s=usual_s, usual_sync_s=usual_s)
+        normal_s = SYNC_S * 40 ** world.rng.random()
+        self.disk = Disk(self._new_identity(), sync_s=normal_s, normal_sync_s=normal_s)
         self.running = False
         self.frozen_until_s = 0.0
         self.leaving = False
@@ -94,7 +94,7 @@
     # Lifecycle.
 
     def start(self) -> None:
-        """Start the process on what its disk holds."""
+        """Start the process from the contents of its disk."""
         if self.running or self.disk.refusing:
             if not self.running:
                 self.world.after(0.25, self.start)
@@ -112,19 +112,19 @@
         seed = self.world.rng.getrandbits(32)
         self.owner = make_owner(self.mutations, self.identity, self.replica, seed)
         self.job_manager = JobManager(self.shard, self.owner.records, 30.0, seed)
-        self.learn(self.placement)
+        self.apply_placement(self.placement)
         self._tick(self.incarnation)
         self._renew_leases(self.incarnation)
 
     def kill(self) -> None:
-        """Kill the process; what it had written stays."""
+        """Kill the process; written entries are kept, synced or not."""
         if self.running:
             self.running = False
             self.disk.entries += [payload for payload, _ in self.disk.pending]
             self.disk.pending = []
 
     def lose_power(self) -> None:
-        """Lose power: what was not synced may be lost; the journal keeps a beginning of it."""
+        """Lose power: only a random prefix of the unsynced entries is kept."""
         self.running = False
         kept = self.world.rng.randint(0, len(self.disk.pending))
         self.disk.entries += [payload for payload, _ in self.disk.pending[:kept]]
@@ -134,11 +134,11 @@
         """Lose the disk."""
         self.running = False
         identity = self.identity if self.mutations.keeps_identity else self._new_identity()
-        usual_s = self.disk.usual_sync_s
-        self.disk = Disk(identity, sync_s=usual_s, usual_sync_s=usual_s)
+        normal_s = self.disk.normal_sync_s
+        self.disk = Disk(identity, sync_s=normal_s, normal_sync_s=normal_s)
 
     def when_awake(self, incarnation: int, work: Callable[..., None], *arguments: Any) -> None:
-        """Call `work` in that incarnation of the process, once it is not frozen."""
+        """Call `work` in that incarnation once the process is not frozen."""
         if not self.running or incarnation != self.incarnation:
             return
         if self.world.now_s < self.frozen_until_s:
@@ -146,7 +146,7 @@
             return
         work(*arguments)
 
-    # Time.
+    # Periodic work.
 
     def _tick(self, incarnation: int) -> None:
         if not self.running or incarnation != self.incarnation:
@@ -155,14 +155,14 @@
             now_s = self.world.now_s
             stalled = self.replica.oldest_pending_s(now_s) > DISK_STALL_TIMEOUT_S
             healthy = not (self.leaving or stalled or self.disk.refusing)
-            live = {machine.identity for machine in self.machines.values() if self._seems_live(machine)}
+            live = {machine.identity for machine in self.machines.values() if self._is_reachable(machine)}
             self.perform(self.owner.tick(now_s, healthy, live))
             if self.owner.serving(now_s):
                 self.perform_job_manager(self.job_manager.tick(now_s))
         self.world.after(TICK_INTERVAL_S, self._tick, incarnation)
 
-    def _seems_live(self, machine: SimulatedStore) -> bool:
-        return machine.running and self.world.reach(self.name, machine.name)
+    def _is_reachable(self, machine: SimulatedStore) -> bool:
+        return machine.running and self.world.is_reachable(self.name, machine.name)
 
     def _renew_leases(self, incarnation: int) -> None:
         if not self.running or incarnation != self.incarnation:
@@ -183,8 +183,8 @@
 
         return done
 
-    def learn(self, placement: Placement | None) -> None:
-        """Apply a newer placement, which reached this machine."""
+    def apply_placement(self, placement: Placement | None) -> None:
+        """Apply a placement that is not older than the current one."""
         if placement is None:
             return
         if self.placement is None or placement.epoch >= self.placement.epoch:
@@ -192,18 +192,18 @@
             if self.running:
                 self.perform(self.owner.set_group(self.world.now_s, placement.groups[self.shard]))
                 if self.owner.group is not None and self.identity not in self.owner.group.everyone:
-                    self._act(self.replica.leave(self.world.now_s))
+                    self._execute(self.replica.leave(self.world.now_s))
 
     # Calls to replicas.
 
     def _call(self, target: str, message: Any, done: Callback) -> None:
-        """Call the machine with this identity; `done` gets the reply, or None after a while."""
+        """Call the machine with this identity; `done` gets the reply, or None after the timeout."""
         incarnation = self.incarnation
-        open_call = [True]
+        pending = [True]
 
         def finish(reply: Any) -> None:
-            if open_call[0]:
-                open_call[0] = False
+            if pending[0]:
+                pending[0] = False
                 self.when_awake(incarnation, done, reply)
 
         self.world.after(CALL_TIMEOUT_S, finish, None)
@@ -212,10 +212,10 @@
             self.world.send(self.name, machine.name, machine.receive, self.name, message, finish)
 
     def receive(self, origin: str, message: Any, finish: Callback) -> None:
-        """Receive a call of another store."""
-        self.when_awake(self.incarnation, self._receive, origin, message, finish)
+        """Handle a call of another store."""
+        self.when_awake(self.incarnation, self._handle_call, origin, message, finish)
 
-    def _receive(self, origin: str, message: Any, finish: Callback) -> None:
+    def _handle_call(self, origin: str, message: Any, finish: Callback) -> None:
         def reply(body: Any) -> None:
             self.world.send(self.name, origin, finish, body)
 
@@ -223,14 +223,14 @@
             reply(None)
         elif isinstance(message, RenewLeases):
             answer, actions = self.replica.renew_lease(self.world.now_s, message.leases[0])
-            self._act(actions)
+            self._execute(actions)
             reply(RenewLeasesReply((answer,)))
         else:
             self._number += 1
             self._calls[self._number] = reply
-            self._act(self.replica.handle(self.world.now_s, self._number, message))
+            self._execute(self.replica.handle(self.world.now_s, self._number, message))
 
-    def _act(self, actions: list[ReplicaAction]) -> None:
+    def _execute(self, actions: list[ReplicaAction]) -> None:
         for action in actions:
             if isinstance(action, SendReply):
                 self._calls.pop(action.call)(action.body)
@@ -242,20 +242,20 @@
     def _persist(self, action: PersistEntry) -> None:
         payload = encode_entry(self.shard, self.world.now_s, action.entry)
         if self.disk.refusing:
-            self.world.after(0.0, self.when_awake, self.incarnation, self._refused, action.token)
+            self.world.after(0.0, self.when_awake, self.incarnation, self._on_persist_failed, action.token)
             return
         self.disk.pending.append((payload, action.token))
         if self.mutations.unsynced:
-            self._act(self.replica.persisted(self.world.now_s, action.token, 0))
+            self._execute(self.replica.persisted(self.world.now_s, action.token, 0))
         if not self._syncing:
             self._syncing = True
             self.world.after(self.disk.sync_s, self._synced, self.incarnation, len(self.disk.pending))
 
-    def _refused(self, token: int) -> None:
-        self._act(self.replica.persist_failed(token))
+    def _on_persist_failed(self, token: int) -> None:
+        self._execute(self.replica.persist_failed(token))
 
     def _synced(self, incarnation: int, count: int) -> None:
-        """Complete a sync. The disk works while the process is frozen; the process is notified later."""
+        """Complete a sync. The disk continues while the process is frozen; the process is notified after the freeze."""
         if not self.running or incarnation != self.incarnation:
             return
         done, self.disk.pending = self.disk.pending[:count], self.disk.pending[count:]
@@ -265,19 +265,19 @@
             self.world.after(self.disk.sync_s, self._synced, incarnation, len(self.disk.pending))
         if not self.mutations.unsynced:
             for _, token in done:
-                self.when_awake(incarnation, self._lasting, token)
+                self.when_awake(incarnation, self._on_persisted, token)
 
-    def _lasting(self, token: int) -> None:
-        self._act(self.replica.persisted(self.world.now_s, token, 0))
+    def _on_persisted(self, token: int) -> None:
+        self._execute(self.replica.persisted(self.world.now_s, token, 0))
 
     # Owner and job manager.
 
     def perform(self, actions: list[OwnerAction]) -> None:
-        """Carry out the owner's actions."""
+        """Execute the actions of the owner."""
         now_s = self.world.now_s
         for action in actions:
             if isinstance(action, SendToReplica):
-                self._call(action.target, action.message, self._answered(action.ticket))
+                self._call(action.target, action.message, self._on_call_ended(action.ticket))
             elif isinstance(action, SlotCommitted):
                 self.perform_job_manager(self.job_manager.on_committed(now_s, action.key, action.slot))
             elif isinstance(action, OwnershipGained):
@@ -287,7 +287,7 @@
             elif isinstance(action, MigrationCompleted):
                 self.on_migration_completed(self.name, self.shard, action.epoch)
 
-    def _answered(self, ticket: int) -> Callback:
+    def _on_call_ended(self, ticket: int) -> Callback:
         def done(reply: Any) -> None:
             now_s = self.world.now_s
             if reply is None:
@@ -298,7 +298,7 @@
         return done
 
     def perform_job_manager(self, actions: list[JobManagerAction]) -> None:
-        """Carry out the job manager's actions."""
+        """Execute the actions of the job manager."""
         for action in actions:
             if isinstance(action, AnswerCall):
                 self._resolve(action.call, action.body)
@@ -322,13 +322,13 @@
         if done is not None:
             done(body)
 
-    # Calls of gateways.
+    # Calls from gateways.
 
-    def ask(self, origin: str, request: Any, finish: Callback) -> None:
-        """Receive a gateway's call; `finish` gets the answer or an error."""
-        self.when_awake(self.incarnation, self._ask, origin, request, finish)
+    def handle_request(self, origin: str, request: Any, finish: Callback) -> None:
+        """Handle a call of a gateway; `finish` gets the response or an error."""
+        self.when_awake(self.incarnation, self._handle_request, origin, request, finish)
 
-    def _ask(self, origin: str, request: Any, finish: Callback) -> None:
+    def _handle_request(self, origin: str, request: Any, finish: Callback) -> None:
         now_s = self.world.now_s
 
         def reply(body: Any) -> None:
@@ -344,7 +344,7 @@
             reply(self.job_manager.report_runs(now_s, request))
         else:
             self._number += 1
-            self._job_manager_calls[self._number] = self._checked(request, reply)
+            self._job_manager_calls[self._number] = self._with_ownership_check(request, reply)
             self.perform_job_manager(self._dispatch(now_s, self._number, request))
 
     def _dispatch(self, now_s: float, call: int, request: Any) -> list[JobManagerAction]:
@@ -360,8 +360,8 @@
             return self.job_manager.finish_run(now_s, call, request)
         raise InternalError(f"{type(request).__name__} is no request of a gateway")
 
-    def _checked(self, request: Any, reply: Callback) -> Callback:
-        """Wrap `reply` so that after a wait only an owner answers reads."""
+    def _with_ownership_check(self, request: Any, reply: Callback) -> Callback:
+        """Wrap `reply` so that a read that waited is answered only if this store is still the owner."""
 
         def done(body: Any) -> None:
             stale = isinstance(request, ReadJob) and not self.owner.serving(self.world.now_s)
@@ -371,5 +371,5 @@
 
 
 def is_error(body: Any) -> bool:
-    """Whether a gateway's call ended with an error or not at all."""
+    """Return whether a call of a gateway ended with an error or without a response."""
     return body is None or isinstance(body, EmberringError)
--- a/emberring/simulation/jobs/world.py
+++ b/emberring/simulation/jobs/world.py
@@ -1,4 +1,4 @@
-"""Simulated world of stores and gateways: clock, network, partitions, all from one seed."""
+"""Simulated world of stores and gateways: clock, network and partitions, all driven by one seed."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
         self.rng = random.Random(seed)
         self.now_s = 0.0
         self.conditions = NetworkConditions()
-        self.cut: set[str] = set()  # names of partitioned machines
-        self.cut_links: set[frozenset[str]] = set()
-        self.handled = 0
+        self.partitioned: set[str] = set()  # names of partitioned machines
+        self.partitioned_links: set[frozenset[str]] = set()
+        self.events_handled = 0
         self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._order = 0
 
     def at(self, when_s: float, work: Callable[..., None], *arguments: Any) -> None:
-        """Call `work` at that time."""
+        """Call `work` at the given time."""
         self._order += 1
         heapq.heappush(self._heap, (when_s, self._order, work, arguments))
 
@@ -41,28 +41,32 @@
         self.at(self.now_s + wait_s, work, *arguments)
 
     def run(self, until_s: float) -> None:
-        """Run until that time."""
+        """Run all events up to the given time."""
         while self._heap and self._heap[0][0] <= until_s:
             self.now_s, _, work, arguments = heapq.heappop(self._heap)
-            self.handled += 1
+            self.events_handled += 1
             work(*arguments)
         self.now_s = until_s
 
-    def reach(self, one: str, other: str) -> bool:
-        """Whether messages pass between two machines."""
+    def is_reachable(self, one: str, other: str) -> bool:
+        """Return whether messages can be delivered between two machines."""
         if one == other:
             return True
-        return not (one in self.cut or other in self.cut or frozenset((one, other)) in self.cut_links)
+        return not (
+            one in self.partitioned
+            or other in self.partitioned
+            or frozenset((one, other)) in self.partitioned_links
+        )
 
     def send(self, origin: str, target: str, work: Callable[..., None], *arguments: Any) -> None:
-        """Carry a message, perhaps late or never.
+        """Deliver a message, possibly late or never.
 
-        Across a partition it is lost, or arrives after the partition.
+        A message across a partition is lost, or sent again after a delay.
         """
         if origin == target:
             self.at(self.now_s, work, *arguments)
             return
-        if not self.reach(origin, target):
+        if not self.is_reachable(origin, target):
             if self.rng.random() < 0.3:
                 self.after(0.3 + self.rng.random(), self.send, origin, target, work, *arguments)
             return
--- a/emberring/simulation/register/disk.py
+++ b/emberring/simulation/register/disk.py
@@ -1,4 +1,4 @@
-"""A simulated folder of files that can lose power: what was synced stays, later writes are kept, torn or lost."""
+"""A simulated folder of files on a disk that can lose power: synced data stays, later writes are kept, torn or lost."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 import attrs
 
 ALL_LOST_SHARE = 0.3
-"""In this share of power losses no write after the last sync survives."""
+"""Share of power losses in which no write after the last sync survives."""
 
 
 @attrs.define(eq=False)
 class SimulatedFile:
-    """A file: its content as the process sees it (`current`), and what is on the disk for certain (`durable`)."""
+    """A file: its content as the process sees it (`current`), and its content that survives power loss (`durable`)."""
 
     name: str
     folder: SimulatedFolder
@@ -60,7 +60,7 @@
     sync: bool = False
 
     def apply(self, content: bytearray) -> None:
-        """Carry the step out on this content."""
+        """Apply the step to this content."""
         if self.length is not None:
             if self.length < len(content):
                 del content[self.length :]
@@ -74,13 +74,13 @@
 class SimulatedFolder:
     """A machine's disk.
 
-    Steps since the last `settle` are in flight: a kill or a power loss takes effect after any of them.
+    Steps since the last `settle` are in flight: a kill or a power loss takes effect after a random one of them.
 
     Attributes:
         files: by name.
         steps: the steps in flight.
-        refusing: whether every step fails.
-        refuse_after: after so many more steps every step fails; None: never.
+        refusing: whether every step fails with `OSError`.
+        refuse_after: number of steps after which every step fails; None means never.
     """
 
     def __init__(self) -> None:
@@ -90,11 +90,11 @@
         self.refuse_after: int | None = None
 
     def check(self) -> None:
-        """Raise `OSError` where the disk is to fail."""
+        """Raise `OSError` if the disk is set to fail."""
         if self.refuse_after is not None:
             self.refuse_after -= 1
         if self.refusing or (self.refuse_after is not None and self.refuse_after < 0):
-            raise OSError("the disk refuses")
+            raise OSError("simulated disk failure")
 
     def names(self) -> list[str]:
         """Return the names of its files."""
@@ -111,22 +111,22 @@
         return self.files[name]
 
     def sync(self) -> None:
-        """Make the names durable; here the sync of a file does that."""
+        """Do nothing: the sync of a file also makes its name durable."""
 
     def settle(self) -> None:
-        """End the steps in flight: what was synced is durable."""
-        left: list[_Step] = []
+        """Complete the synced steps in flight: their data becomes durable."""
+        remaining: list[_Step] = []
         last_sync = {step.file: index for index, step in enumerate(self.steps) if step.sync}
         for index, step in enumerate(self.steps):
             if index <= last_sync.get(step.file, -1):
                 step.apply(step.file.durable)
                 step.file.named = step.file.named or step.sync
             else:
-                left.append(step)
-        self.steps = left
+                remaining.append(step)
+        self.steps = remaining
 
     def kill(self, rng: random.Random) -> None:
-        """End the process among the steps in flight: those after a random one never happen, the others stay."""
+        """Kill the process during the steps in flight: those after a random one never happen, the others stay."""
         done = self.steps[: rng.randint(0, len(self.steps))]
         for file in self.files.values():
             file.current = bytearray(file.durable)
@@ -136,14 +136,14 @@
         self.settle()
 
     def lose_power(self, rng: random.Random) -> None:
-        """Lose power among the steps in flight: what was not synced is kept, torn or lost."""
+        """Lose power during the steps in flight: unsynced data is kept, torn or lost."""
         self.kill(rng)
         all_lost = rng.random() < ALL_LOST_SHARE
         for step in self.steps:
-            fate = 0.0 if all_lost else rng.random()
-            if fate > 0.6:
+            draw = 0.0 if all_lost else rng.random()
+            if draw > 0.6:
                 step.apply(step.file.durable)
-            elif fate > 0.3 and step.data:
+            elif draw > 0.3 and step.data:
                 kept = step.data[: rng.randrange(len(step.data))]
                 attrs.evolve(step, data=kept).apply(step.file.durable)
         self.steps = []
@@ -154,7 +154,7 @@
             file.current = bytearray(file.durable)
 
     def wipe(self) -> None:
-        """Empty the disk; it works again."""
+        """Erase the disk and clear its failure."""
         self.files = {}
         self.steps = []
         self.refusing = False
--- a/emberring/simulation/register/history.py
+++ b/emberring/simulation/register/history.py
@@ -1,8 +1,8 @@
 """The history of operations on the register, and the check that it is linearizable.
 
-Every change appends its own number to the value, unless it is in it; so each value shows the whole order of the
-changes before it, and linearizability means: of any two values one is a prefix of the other, no number is in a value
-twice, and an operation that began after another had ended sees at least as many changes.
+Each change appends its number to the value unless the value contains it already, so a value lists all changes before
+it in order. The history is linearizable if of any two values one is a prefix of the other, no value contains a number
+twice, and an operation that began after another one had ended sees at least as many changes.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 class Operation:
     """A change (with its number in the value) or a read (0), at a node; times in seconds.
 
-    `ended_s` is None while it has not ended; `error` is the kind of its error, empty where it succeeded.
+    `ended_s` is None until it ends; `error` is the kind of its error, empty on success.
     """
 
     number: int
@@ -31,7 +31,7 @@
 
 
 def append_number(payload: bytes | None, number: int) -> bytes | None:
-    """Return the value with this number appended, or None where it is in it already."""
+    """Return the value with this number appended, or None if the value contains it already."""
     numbers = parse_value(payload)
     if number in numbers:
         return None
@@ -43,7 +43,7 @@
 
     Attributes:
         operations: in the order in which they began.
-        violations: what was found wrong so far.
+        violations: the violations found so far.
     """
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
         self._longest: tuple[int, ...] = ()
         self._acknowledged: list[
             tuple[float, int]
-        ] = []  # when an operation ended, how long a value it proved
+        ] = []  # end time of an operation, length of the value that it confirmed
 
     def begin(self, number: int, node: str, now_s: float) -> Operation:
         """Record that an operation was called."""
@@ -84,19 +84,19 @@
         value = parse_value(payload)
         self._check_order(value, f"learned by {node}")
         if value[: len(before)] != before:
-            self.violations.append(f"{node} was told {value} after {before}")
+            self.violations.append(f"{node} learned {value} after {before}")
         return value
 
     def _check_order(self, value: tuple[int, ...], where: str) -> None:
         if len(set(value)) != len(value):
-            self.violations.append(f"{where}: a change stands twice in {value}")
+            self.violations.append(f"{where}: a change appears twice in {value}")
         shorter, longer = sorted((value, self._longest), key=len)
         if longer[: len(shorter)] != shorter:
             self.violations.append(f"{where}: {value} and {self._longest} are two histories")
         self._longest = longer
 
     def finish(self) -> list[str]:
-        """Return all violations, once nothing happens any more."""
+        """Run the checks that need the complete history; returns all violations."""
         ends: dict[int, set[str]] = {}
         for operation in self.operations:
             end = "pending" if operation.ended_s is None else operation.error
@@ -104,5 +104,5 @@
         # A change may be requested more than once: any of the requests may have committed it.
         for number, seen in ends.items():
             if number in self._longest and seen == {"no_quorum"}:
-                self.violations.append(f"change {number} was taken after a no_quorum without doubt")
+                self.violations.append(f"change {number} was committed after a no_quorum error without doubt")
         return self.violations
--- a/emberring/simulation/register/machine.py
+++ b/emberring/simulation/register/machine.py
@@ -42,17 +42,17 @@
 """Size of the simulated journal."""
 
 RECLAIM_ABOVE = 16 * 1024
-"""Above this size, in bytes, segments are emptied."""
+"""Journal size, in bytes, above which segments are reclaimed."""
 
 REPAIR_INTERVAL_S = 0.25
-"""How often a failed disk is tried again, in seconds."""
+"""Interval between repair attempts of a failed disk, in seconds."""
 
-PATIENCE_S = 1.0
-"""Time-out of an operation, in seconds."""
+OPERATION_TIMEOUT_S = 1.0
+"""Timeout of an operation, in seconds."""
 
 
 class Machine:
-    """One machine: its disk, and the process on it while it runs."""
+    """A machine with a disk, and its process while it runs."""
 
     def __init__(self, world: World, name: str, founders: tuple[str, ...], bootstrap: bool) -> None:
         self.world = world
@@ -74,14 +74,14 @@
         self._writing: list[Append] = []
         self._busy = False
         self._failed = False
-        self._durable: list[tuple[set[int], Reply]] = []
+        self._replies_awaiting_sync: list[tuple[set[int], Reply]] = []
         self._wake_s = float("inf")
         self.identity = ""
         self._acceptor: Acceptor | None = None
 
     @property
-    def held(self) -> Proposal | None:
-        """The proposal that its replica accepted last, also while it is down."""
+    def accepted_proposal(self) -> Proposal | None:
+        """The proposal that its replica accepted last, also while the process is down."""
         return None if self._acceptor is None else self._acceptor.accepted
 
     @property
@@ -92,15 +92,15 @@
     # Start and stop.
 
     def start(self) -> None:
-        """Start the process on the content of its disk."""
+        """Start the process from the contents of its disk."""
         if self.node is not None:
             return
         rng = self.world.rng
         self.incarnation += 1
         if self.folder.refusing:
-            self.world.at(self.world.now_s + REPAIR_INTERVAL_S, self._start_again, self.incarnation)
+            self.world.at(self.world.now_s + REPAIR_INTERVAL_S, self._retry_start, self.incarnation)
             return
-        self._queue, self._writing, self._durable, self._replies = [], [], [], {}
+        self._queue, self._writing, self._replies_awaiting_sync, self._replies = [], [], [], {}
         self._busy = self._failed = False
         self._operations, self._calls, self.learned = {}, set(), ()
         acceptor = self._restore_replica()
@@ -116,12 +116,12 @@
             len(self._founders),
             random.Random(rng.getrandbits(32)),
             self.world.now_s,
-            self.world.patience,
+            self.world.timeouts,
         )
         self._wake_s = self.world.now_s
         self.note_peers()
 
-    def _start_again(self, incarnation: int) -> None:
+    def _retry_start(self, incarnation: int) -> None:
         if incarnation == self.incarnation:
             self.start()
 
@@ -152,7 +152,7 @@
         return acceptor
 
     def stop(self) -> None:
-        """Kill the process; its files stay as it left them."""
+        """Kill the process; its files are kept."""
         self._end()
         self.folder.kill(self.world.rng)
 
@@ -162,7 +162,7 @@
         self.folder.lose_power(self.world.rng)
 
     def wipe(self) -> None:
-        """Switch the machine off and empty its disk."""
+        """Stop the machine and erase its disk."""
         self._end()
         self.folder.wipe()
 
@@ -171,16 +171,16 @@
         self.incarnation += 1
         self.thaw_at_s = 0.0
 
-    # Callers.
+    # Requests of callers.
 
-    def ask(self, number: int, patience_s: float = PATIENCE_S) -> None:
-        """Request a change with this number, or a read (0), at this node."""
+    def ask(self, number: int, timeout_s: float = OPERATION_TIMEOUT_S) -> None:
+        """Request a change with this number, or a read if it is 0."""
         if self.node is None:
             return
         operation = self.world.history.begin(number, self.name, self.world.now_s)
         self._requests += 1
         self._operations[self._requests] = operation
-        until_s = self.world.now_s + patience_s
+        until_s = self.world.now_s + timeout_s
         if number:
             event: Event = ChangeRequested(
                 self._requests, lambda value: append_number(value, number), until_s
@@ -194,7 +194,7 @@
         others = [
             machine
             for name, machine in self.world.machines.items()
-            if name != self.name and self.world.reach(self.name, name)
+            if name != self.name and self.world.is_reachable(self.name, name)
         ]
         peers = tuple(Peer(found.name, Member(found.identity, found.name)) for found in others)
         self._handle(self.incarnation, PeersChanged(peers))
@@ -209,7 +209,7 @@
         if now_s < self.thaw_at_s:
             self.world.at(self.thaw_at_s, self._handle, incarnation, event)
             return
-        self.world.handled += 1
+        self.world.events_handled += 1
         for action in node.handle(now_s, event):
             self._execute(action)
         if self.node is node:
@@ -219,8 +219,8 @@
                 self.world.at(wake_s, self._tick, incarnation, wake_s)
 
     def _tick(self, incarnation: int, armed_for_s: float) -> None:
-        # An event loop may run a timer up to its clock's resolution early, so the clock does not tell whether this is
-        # the timer that was armed last; a tick dropped for that left the node without a timer.
+        # An event loop may run a timer early by up to the resolution of its clock. The timer armed last is therefore
+        # identified by its deadline, not by the clock: dropping its tick would leave the node without a timer.
         if incarnation == self.incarnation and armed_for_s == self._wake_s:
             self._wake_s = float("inf")
             self._handle(incarnation, Tick())
@@ -245,7 +245,7 @@
             case NotifyLearned():
                 if action.address in world.machines:
                     target = world.machines[action.address]
-                    world.send(self.name, action.address, target.hint, action)
+                    world.send(self.name, action.address, target.receive_notice, action)
             case Append():
                 self._queue.append(action)
                 self._write()
@@ -261,7 +261,7 @@
                 self.learned = world.history.learned(self.name, action.payload, self.learned)
 
     def receive(self, origin: str, incarnation: int, call: int, action: Call) -> None:
-        """Take in a call from another machine."""
+        """Handle a call from another machine."""
         if self.node is None:
             return
         self._requests += 1
@@ -269,8 +269,8 @@
         self._replies[self._requests] = (origin, sender._replied, (incarnation, call))
         self._handle(self.incarnation, Received(self._requests, over_wire(action.message)))
 
-    def hint(self, action: NotifyLearned) -> None:
-        """Take in a notice from another machine."""
+    def receive_notice(self, action: NotifyLearned) -> None:
+        """Handle a notification from another machine."""
         self._handle(self.incarnation, Received(0, over_wire(action.message)))
 
     def _replied(self, incarnation: int, call: int, reply: object | None) -> None:
@@ -281,7 +281,7 @@
     def _reply(self, action: Reply) -> None:
         waiting = {append.append for append in (*self._writing, *self._queue)}
         if action.durable and waiting and not self.world.mutations.unsynced:
-            self._durable.append((waiting, action))
+            self._replies_awaiting_sync.append((waiting, action))
         else:
             self._answer(action)
 
@@ -299,25 +299,25 @@
         sync_duration_s = self.sync_s * (0.5 + self.world.rng.random())
         try:
             if self._failed:
-                raise DiskFailedError("the disk refuses")
+                raise DiskFailedError("simulated disk failure")
             written = self._ring.commit([append.record for append in self._writing])
             if not written:
                 self.world.history.violations.append(f"the ring of {self.name} is full")
-            # As in the journal, what does not fit waits until a segment is reclaimed.
+            # As in the real journal, records that do not fit wait until a segment is reclaimed.
             self._queue[:0] = self._writing[len(written) :]
             del self._writing[len(written) :]
             self._ring.prepare_ahead()
             written_ok = True
         except (DiskFailedError, OSError):
-            self._fail()
+            self._on_disk_failed()
             written_ok = False
-        self.world.at(self.world.now_s + sync_duration_s, self._written, self.incarnation, written_ok)
+        self.world.at(self.world.now_s + sync_duration_s, self._on_written, self.incarnation, written_ok)
 
-    def _written(self, incarnation: int, written_ok: bool) -> None:
+    def _on_written(self, incarnation: int, written_ok: bool) -> None:
         if incarnation != self.incarnation:
             return
         if self.world.now_s < self.thaw_at_s:
-            self.world.at(self.thaw_at_s, self._written, incarnation, written_ok)
+            self.world.at(self.thaw_at_s, self._on_written, incarnation, written_ok)
             return
         done, self._writing = self._writing, []
         if written_ok:
@@ -332,17 +332,17 @@
         self._write()
 
     def _release(self, done: set[int], written_ok: bool) -> None:
-        left = []
-        for waiting, action in self._durable:
+        remaining = []
+        for waiting, action in self._replies_awaiting_sync:
             if waiting & done and not written_ok:
                 self._replies.pop(action.request, None)
                 continue
             waiting -= done
             if waiting:
-                left.append((waiting, action))
+                remaining.append((waiting, action))
             else:
                 self._answer(action)
-        self._durable = left
+        self._replies_awaiting_sync = remaining
 
     def _reclaim(self) -> None:
         ring = self._ring
@@ -351,17 +351,17 @@
         try:
             ring.commit([self.node.acceptor.snapshot()], reclaiming=True)
         except DiskFailedError:
-            self._fail()
+            self._on_disk_failed()
             return
         self.folder.settle()
         while ring.crowded and ring.oldest is not None:
             ring.release(ring.oldest)
 
-    def _fail(self) -> None:
+    def _on_disk_failed(self) -> None:
         self._failed = True
-        self.world.at(self.world.now_s + REPAIR_INTERVAL_S, self._heal, self.incarnation)
+        self.world.at(self.world.now_s + REPAIR_INTERVAL_S, self._repair_disk, self.incarnation)
 
-    def _heal(self, incarnation: int) -> None:
+    def _repair_disk(self, incarnation: int) -> None:
         if incarnation != self.incarnation or self._ring is None:
             return
         try:
@@ -369,4 +369,4 @@
             self.folder.settle()
             self._failed = False
         except DiskFailedError:
-            self.world.at(self.world.now_s + REPAIR_INTERVAL_S, self._heal, incarnation)
+            self.world.at(self.world.now_s + REPAIR_INTERVAL_S, self._repair_disk, incarnation)
--- a/emberring/simulation/register/model.py
+++ b/emberring/simulation/register/model.py
@@ -1,13 +1,15 @@
-"""A model checker of the register: every order of events in a small one, with the real acceptors and attempts.
-
-There are three replicas and a spare, and two proposers with a few attempts each, numbered in turn, of which the first
-also replaces the third replica by the spare. A message is delivered late, or never; an attempt goes on with any quorum
-of the promises that it got. A disk may be lost, and a replica may restart from its records. What a quorum of its own
-replica set has accepted is committed; of any two committed proposals the later one's value must begin with the earlier
-one's. States that differ by the names of the first two replicas alone are visited once.
-
-Replies need no events of their own: a rejection says no more than silence, as a proposer may give up at any time, and
-an acceptance is known to the proposer or not, which the choice of what it knows at its next attempt covers.
+"""A model checker of the register: explores every order of events in a small one, with real acceptors and attempts.
+
+There are three replicas, a spare, and two proposers with a few attempts each, which are numbered alternately. The first
+proposer also replaces the third replica by the spare. A message may be late or lost; an attempt continues with any
+quorum of the promises that it received. A disk may be lost, and a replica may restart from its records. A proposal is
+committed once a quorum of its own replica set has accepted it; of any two committed proposals, the value of the later
+one must start with the value of the earlier one. States that differ only by the names of the first two replicas are
+visited once.
+
+Replies need no events of their own. A rejection is equivalent to no reply, because a proposer may give up at any time.
+An acceptance may or may not be known to the proposer, which is covered by the choice of what it knows at its next
+attempt.
 """
 
 from __future__ import annotations
@@ -27,25 +29,25 @@
 FOUNDERS = ("a", "b", "c")
 INITIAL = initial_proposal(FOUNDERS)
 SPARE = Member("d", "d")
-NAMES = ("founder:a", "founder:b", "founder:c", "d")  # by slot of a model's acceptors
+NAMES = ("founder:a", "founder:b", "founder:c", "d")  # identities by index of the acceptors of a model
 MIRROR = (1, 0, 2, 3)  # the first two are interchangeable
 REPLACED = "c"
-WANTED = 3
+REPLICA_COUNT = 3
 PROPOSERS = 2
 
-AcceptorNumbers = tuple[int, int]  # the counters of the ballots promised and accepted; -1: none
+AcceptorNumbers = tuple[int, int]  # counters of the promised and the accepted attempt; -1: none
 UNDECIDED = -1
 
 
 class _States:
-    """Numbers for the states proposed so far, so that a model consists of numbers alone."""
+    """Assigns numbers to the proposed states, so that a model consists only of numbers."""
 
     def __init__(self) -> None:
         self._numbers: dict[State, int] = {}
         self._states: list[State] = []
 
     def number(self, state: State) -> int:
-        """Return the number of a state; a new one where it has none."""
+        """Return the number of a state; assigns one if it has none."""
         found = self._numbers.get(state)
         if found is None:
             found = self._numbers[state] = len(self._states)
@@ -64,11 +66,11 @@
     """Limits of a search.
 
     Attributes:
-        depth: events in a row.
-        states: states in all, about.
+        depth: maximum number of consecutive events.
+        states: approximate maximum number of visited states.
         attempts: attempts of each of the two proposers.
-        losses: disks that may be lost.
-        restarts: replicas that may restart.
+        losses: maximum number of disk losses.
+        restarts: maximum number of replica restarts.
     """
 
     depth: int = 30
@@ -80,12 +82,12 @@
 
 @attrs.frozen(cache_hash=True)
 class Attempt:
-    """An attempt that was begun.
+    """A started attempt.
 
     Attributes:
         known: the counter of the proposal that its proposer knew.
-        promises: who promised: slot, and counter of what it had accepted then.
-        state: the number of the state that it proposes; `UNDECIDED` before.
+        promises: for each promise, the index of the acceptor and the counter of the proposal that it had accepted.
+        state: the number of the proposed state; `UNDECIDED` before the attempt has decided.
     """
 
     known: int
@@ -103,8 +105,8 @@
     """One state of the model.
 
     Attributes:
-        acceptors: by slot; None where the disk is lost.
-        attempts: those begun, by counter.
+        acceptors: by index; None if the disk is lost.
+        attempts: the started attempts, by counter.
         committed: counters of the committed proposals.
         known: for each proposer, the counter of the newest proposal that it knows to be committed.
         losses: disks lost so far.
@@ -119,22 +121,22 @@
     restarts: int = 0
 
     def attempt(self, counter: int) -> Attempt | None:
-        """Return the attempt with this counter, if it was begun."""
+        """Return the attempt with this counter, if it was started."""
         return next((found for number, found in self.attempts if number == counter), None)
 
     def proposal(self, counter: int) -> Proposal:
-        """Return what was proposed under this counter; `LookupError` where nothing was."""
+        """Return the proposal with this counter; raises `LookupError` if there is none."""
         if counter == 0:
             return INITIAL
         attempt = self.attempt(counter)
         if attempt is None or attempt.proposed is None:
-            raise LookupError(f"attempt {counter} has proposed nothing")
+            raise LookupError(f"attempt {counter} has no proposal")
         return Proposal(_proposal_number(counter), attempt.proposed)
 
     def mirrored(self) -> Model:
-        """Return the same with the first two replicas swapped.
+        """Return this state with the first two replicas swapped.
 
-        Names in proposed sets stay, as they are the same for both.
+        Names in proposed replica sets stay, because they are the same for both.
         """
         attempts = tuple((number, _mirrored(found)) for number, found in self.attempts)
         acceptors = tuple(self.acceptors[MIRROR[slot]] for slot in range(len(NAMES)))
@@ -152,11 +154,11 @@
     """The result of a search. The names of the fields are keys of `emberring check model --json`.
 
     Attributes:
-        states: how many states were visited.
-        depth: how many events deep.
-        whole: whether there were no more states.
-        wrong: what was violated; empty where nothing was.
-        way: the events that lead to the violation.
+        states: number of visited states.
+        depth: number of consecutive events.
+        whole: whether all reachable states were visited.
+        wrong: the violation; empty if there was none.
+        way: the events that led to the violation.
     """
 
     states: int
@@ -176,7 +178,7 @@
 
 
 def _acceptor(model: Model, slot: int) -> Acceptor:
-    """Return the real acceptor of a slot; `LookupError` where its disk is lost."""
+    """Return the real acceptor at this index; raises `LookupError` if its disk is lost."""
     numbers = model.acceptors[slot]
     if numbers is None:
         raise LookupError(f"the disk of {NAMES[slot]} is lost")
@@ -203,10 +205,10 @@
 
 
 class _Decide:
-    """What an attempt proposes on top of what it found.
+    """Computes the state that an attempt proposes from the proposal that it found.
 
-    The value with the attempt's counter at its end, and for the first proposer a step of the reconfiguration, under
-    the conditions of `ProposalLoop`.
+    It appends the counter of the attempt to the value. The first proposer also performs the next step of the
+    reconfiguration, under the same conditions as `ProposalLoop`.
     """
 
     def __init__(self, counter: int) -> None:
@@ -223,7 +225,7 @@
 def _reconfiguration_step(replicas: ReplicaSet) -> ReplicaSet | None:
     dead = frozenset(member.identity for member in replicas.members if member.address == REPLACED)
     view = ReplicaSetView({}, dead, {}, frozenset(), {}, {}, (Candidate(SPARE),))
-    return next_replica_set(replicas, view, WANTED)
+    return next_replica_set(replicas, view, REPLICA_COUNT)
 
 
 # Events.
@@ -238,7 +240,7 @@
         for known in {model.known[proposer], max(model.committed)}:
             other = _with_attempt(model, counter, Attempt(known))
             known_now = tuple(known if at == proposer else found for at, found in enumerate(model.known))
-            yield f"ballot {counter} begins, knowing {known}", attrs.evolve(other, known=known_now)
+            yield f"attempt {counter} starts, knowing {known}", attrs.evolve(other, known=known_now)
 
 
 def _promise_events(model: Model) -> Iterator[tuple[str, Model]]:
@@ -255,11 +257,11 @@
             accepted_before = -1 if verdict.reply.accepted is None else verdict.reply.accepted.counter
             promised = Attempt(attempt.known, tuple(sorted((*attempt.promises, (slot, accepted_before)))))
             other = _with_attempt(_with_acceptor(model, slot, _numbers_of(acceptor)), counter, promised)
-            yield f"{NAMES[slot]} promises ballot {counter}", other
+            yield f"{NAMES[slot]} promises attempt {counter}", other
 
 
 def _is_newest(model: Model, counter: int) -> bool:
-    """Return whether its proposer has begun no attempt after it."""
+    """Return whether its proposer has started no later attempt."""
     return not any(
         number > counter and _proposer(number) == _proposer(counter) for number, _ in model.attempts
     )
@@ -277,13 +279,13 @@
                     other = _with_attempt(
                         model, counter, attrs.evolve(attempt, state=STATES.number(proposed))
                     )
-                    yield f"ballot {counter} decides on the promises of {names}", other
+                    yield f"attempt {counter} decides on the promises of {names}", other
 
 
 def _proposed(
     model: Model, counter: int, attempt: Attempt, promises: tuple[tuple[int, int], ...]
 ) -> State | None:
-    """Return what the real attempt proposes once the last of these promises has come; None where nothing."""
+    """Return the state that the real attempt proposes on receipt of the last of these promises, or None."""
     known = model.proposal(attempt.known)
     attempt_run = ProposalAttempt(_proposal_number(counter), known, _Decide(counter))
     attempt_run.start(known.state.replicas.all_members)
@@ -313,11 +315,11 @@
             acceptor.accept(Accept(NAMES[slot], _proposal_number(counter), proposed))
             if _numbers_of(acceptor) != numbers:
                 other = _with_committed(_with_acceptor(model, slot, _numbers_of(acceptor)))
-                yield f"{NAMES[slot]} accepts ballot {counter}", other
+                yield f"{NAMES[slot]} accepts attempt {counter}", other
 
 
 def _with_committed(model: Model) -> Model:
-    """Return the model with what a quorum of its own set has accepted by now among the committed."""
+    """Return the model with the proposals marked as committed that a quorum of their own set has accepted."""
     committed = set(model.committed)
     for counter, attempt in model.attempts:
         proposed = attempt.proposed
@@ -347,29 +349,29 @@
 
 
 def _restarted(acceptor: Acceptor) -> AcceptorNumbers:
-    """Return what a replica has promised and accepted once it has read its records."""
+    """Return the promised and accepted numbers of a replica after it has restored its records."""
     fresh = Acceptor("")
     fresh.restore(acceptor.snapshot())
     return _numbers_of(fresh)
 
 
 def _violation(model: Model) -> str:
-    """Return why no register could have come here; empty where one could."""
+    """Return the violation in this state; empty if there is none."""
     for earlier, later in itertools.pairwise(model.committed):
         before = model.proposal(earlier).state.payload or b""
         after = model.proposal(later).state.payload or b""
         if not after.startswith(before):
-            return f"ballot {later} was chosen with {after!r} after ballot {earlier} with {before!r}"
+            return f"attempt {later} committed {after!r} after attempt {earlier} committed {before!r}"
     return ""
 
 
 def _key(model: Model) -> int:
-    """Return a key that is equal for states that differ by the names of the mirrored replicas alone."""
+    """Return a key that is equal for states that differ only by the names of the mirrored replicas."""
     return max(hash(model), hash(model.mirrored()))
 
 
 def search(bounds: Bounds, keeps_identity: bool = False) -> SearchResult:
-    """Visit every state within the bounds, the nearest first.
+    """Visit every state within the bounds in breadth-first order.
 
     `keeps_identity` seeds a mutation: a replica that lost its disk keeps its identity.
     """
