--- a/loadbalancer/core/connection_pool.py
+++ b/loadbalancer/core/connection_pool.py
@@ -159,7 +159,7 @@
 
     async def _open(self, server: _Server) -> None:
         loop, turns = asyncio.get_running_loop(), self._pool.turns
-        began, own_before_s = loop.time(), turns.spent_s
+        began, own_before_s = loop.time(), turns.own_time_s
         self._check_connect_timeout(loop, began, own_before_s)
         try:
             connection = await self._pool.open(server.endpoint)
@@ -175,7 +175,7 @@
         if self._connect_timer is not None:
             self._connect_timer.cancel()
         # Time in which the loop was busy is not counted, as the server may have accepted during it.
-        self._server_connect_s = max(0.0, loop.time() - began - (turns.spent_s - own_before_s))
+        self._server_connect_s = max(0.0, loop.time() - began - (turns.own_time_s - own_before_s))
         server.waiting.discard(self)
         if self._over:
             connection.abort()
@@ -193,7 +193,7 @@
 
         Otherwise long loop iterations of this process would time out servers that accept at once.
         """
-        own_s = self._pool.turns.spent_s - own_before_s
+        own_s = self._pool.turns.own_time_s - own_before_s
         left_s = began + own_s + self._pool.connect_timeout_s - loop.time()
         if left_s > 0.0:
             self._connect_timer = loop.call_later(
@@ -245,7 +245,7 @@
             server_s += max(0.0, self._pool.turns.came(now) - self._sent_at)
             # Hanging attempts use a connection for longest, so they must be included in the mean.
             if self._connection is not None:
-                self._pool.wait_queue.note_held(now - self._sent_at)
+                self._pool.wait_queue.record_hold_time(now - self._sent_at)
         if self._in_queue:
             self._pool.dequeued()
         self._on_end(result, response, report, server_s)
@@ -416,7 +416,7 @@
 
     def release(self, server: _Server, connection: Outgoing, in_use_s: float) -> None:
         """Return a connection to the pool after its answer."""
-        self.wait_queue.note_held(in_use_s)
+        self.wait_queue.record_hold_time(in_use_s)
         if self._rest_s <= 0.0:
             self._reuse_or_idle(server, connection)
             return
--- a/loadbalancer/core/listener.py
+++ b/loadbalancer/core/listener.py
@@ -11,7 +11,7 @@
 
 from loadbalancer.core.outgoing import LOCAL_RESOURCE_ERRORS, has_pending_event, readable
 from loadbalancer.core.turns import turns_of
-from loadbalancer.overload.connections import SILENT_S, ConnectionLimit
+from loadbalancer.overload.connections import NO_DATA_TIMEOUT_S, ConnectionLimit
 
 BACKLOG = 4096  # connections that may wait in the kernel, which may set a lower limit
 MIN_IDLE_TO_CLOSE_S = 2.0  # more recently used connections are closed only to free a slot for a request
@@ -318,7 +318,7 @@
             if connection.drained:
                 connection.abort()
                 return True
-        cutoff = self.loop.time() - SILENT_S
+        cutoff = self.loop.time() - NO_DATA_TIMEOUT_S
         for connection in list(islice(self.waiting, MAX_SEARCHED)):
             if connection.stage_entered_at <= cutoff and connection.received_nothing:
                 connection.expire()
--- a/loadbalancer/overload/connections.py
+++ b/loadbalancer/overload/connections.py
@@ -13,10 +13,10 @@
 SERVER_SHARE = 0.35  # the same: connections to servers; the rest is for discovery, admin and closing ones
 KEEP_ALIVE_SHARE = 0.7  # of the client connections: how many may stay open between requests
 ACTIVE_SHARE = 0.75  # of the client connections: how many may have an accepted request; others are rejected
-SILENT_S = 1.0  # a connection that has sent nothing for this long may be closed when no slot is free
+NO_DATA_TIMEOUT_S = 1.0  # a connection that has sent nothing for this long may be closed when no slot is free
 QUEUE_WAIT_SHARE = 0.5  # of an attempt's remaining time: longest expected wait for a connection
 HOLD_TIME_GAIN = 0.05  # smoothing factor of the time that an attempt occupies a connection
-MOST = 65_536  # descriptors, if the configuration sets no limit and the process is allowed more
+MAX_DESCRIPTORS = 65_536  # descriptors, if the configuration sets no limit and the process is allowed more
 
 
 @dataclass(slots=True, frozen=True)
@@ -75,7 +75,7 @@
 
     hold_s: float = 0.0  # smoothed time that an attempt occupies a connection
 
-    def note_held(self, seconds: float) -> None:
+    def record_hold_time(self, seconds: float) -> None:
         """Record for how long an attempt has occupied a connection."""
         gain = HOLD_TIME_GAIN if self.hold_s else 1.0
         self.hold_s += gain * (seconds - self.hold_s)
--- a/loadbalancer/overload/core.py
+++ b/loadbalancer/overload/core.py
@@ -35,24 +35,26 @@
     ----------
     top_s: the longest deadline of any class, less the latency of its servers; updated by the owner.
     cost_s: estimated CPU time of a request that is served.
-    servers_s: estimated server latency, over all classes.
+    server_latency_s: estimated server latency, over all classes.
     """
 
     top_s: float = math.inf
     cost_s: float = INITIAL_COST_S
-    servers_s: float = 0.0
+    server_latency_s: float = 0.0
 
-    def learn(self, interval_s: float, busy_s: float, served: int, rejected: int, servers_s: float) -> None:
+    def update_costs(
+        self, interval_s: float, busy_s: float, served: int, rejected: int, server_latency_s: float
+    ) -> None:
         """Update the estimates from an interval of `interval_s`, in which the core was busy for `busy_s`.
 
-        `servers_s` is the mean server latency of the served requests.
+        `server_latency_s` is the mean server latency of the served requests.
         """
         # Guard: with few requests, other work would be attributed to them, and the next burst would be rejected.
         if busy_s >= MIN_BUSY_SHARE * interval_s and served > 0:
             weight = served / (served + HALF_WEIGHT_REQUESTS)
             cost = busy_s / (served + REJECTION_COST * rejected)
             self.cost_s += COST_GAIN * weight * (cost - self.cost_s)
-            self.servers_s += COST_GAIN * weight * (servers_s - self.servers_s)
+            self.server_latency_s += COST_GAIN * weight * (server_latency_s - self.server_latency_s)
 
     def allows(
         self,
@@ -92,4 +94,4 @@
 
     def _queue_s(self, open_requests: int) -> float:
         """Return the CPU time of the open requests that are not at a server, by Little's law for a fully busy core."""
-        return open_requests * self.cost_s - self.servers_s
+        return open_requests * self.cost_s - self.server_latency_s
--- a/loadbalancer/overload/rejections.py
+++ b/loadbalancer/overload/rejections.py
@@ -32,7 +32,7 @@
         return self.value[1]
 
     @property
-    def words(self) -> str:
+    def explanation(self) -> str:
         """The explanation for the client; empty if there is none."""
         return self.value[2]
 
@@ -54,7 +54,7 @@
             rows.setdefault(pool, {}).setdefault(kind, {})[source.label] = count
         return rows
 
-    def by_owner(self) -> Counter[str]:
+    def by_source(self) -> Counter[str]:
         """Return the counts by source alone."""
         sums: Counter[str] = Counter()
         for (_, _, source), count in self.counts.items():
--- a/loadbalancer/runtime/admission_control.py
+++ b/loadbalancer/runtime/admission_control.py
@@ -57,7 +57,9 @@
         """Set the name in `Proxy-Status`, and whether a rejection may carry `Retry-After`."""
         self._rejection_heads = {}
         for source in (RejectionSource.CORE, RejectionSource.CALLERS):
-            proxy_status = f'{name}; error={source.error}; details="refused: it never ran; {source.words}"'
+            proxy_status = (
+                f'{name}; error={source.error}; details="refused: it never ran; {source.explanation}"'
+            )
             lines = ["HTTP/1.1 503 Service Unavailable", f"Proxy-Status: {proxy_status}", "Content-Length: 0"]
             if retry_after:
                 lines.append(f"Retry-After: {RETRY_AFTER_S}")
@@ -67,7 +69,7 @@
     def update(self) -> None:
         """Update the cost estimate from the work done since the last call; repeats every `UPDATE_INTERVAL_S`."""
         pools = list(self._pools())
-        if self.turns.told:
+        if self.turns.has_polls:
             sample = (
                 self.loop.time(),
                 self.turns.busy_s,
@@ -81,7 +83,7 @@
                 max(0, current - previous)
                 for current, previous in zip(sample, self._last_sample, strict=True)
             )
-            self.core.learn(elapsed, busy, int(admitted), int(rejected), server_time / max(1, answers))
+            self.core.update_costs(elapsed, busy, int(admitted), int(rejected), server_time / max(1, answers))
             self._last_sample = sample
         times = [
             useful_time_s(kind) - expected_server_s(pool, kind)
@@ -103,7 +105,7 @@
         The rejection is a response head without its `Connection` field and final empty line.
         """
         now = self.loop.time()
-        rejects_all = self.core.shut(self.turns.so_far(now), now - arrived, self._capacity.open)
+        rejects_all = self.core.shut(self.turns.turn_length(now), now - arrived, self._capacity.open)
         return self._rejection_heads[RejectionSource.CORE] if rejects_all else None
 
     def connection_limit_rejection(self) -> bytes:
@@ -126,7 +128,7 @@
         worth = kind.worth / (pool.balancer.top_worth or 1.0)
         now = self.loop.time()
         admitted = self.core.allows(
-            self.turns.so_far(now),
+            self.turns.turn_length(now),
             now - arrived,
             self._capacity.open,
             expected_server_s(pool, kind),
@@ -153,9 +155,9 @@
                 "turn_ms": round(self.turns.turn_s * 1000.0, 3),
                 "cost_us": round(self.core.cost_s * 1e6, 1),
                 "busy_s": round(self.turns.busy_s, 3),
-                "away_s": round(self.turns.away_s, 3),
+                "away_s": round(self.turns.unavailable_s, 3),
                 "own_share": own_share(pools.values()),
-                "refused": dict(self.rejections.by_owner()),
+                "refused": dict(self.rejections.by_source()),
                 "listeners": {name: listener_row(listener) for name, listener in listeners.items()},
             },
             "pools": {name: pool_row(pool) for name, pool in pools.items()},
@@ -165,7 +167,7 @@
     def log_text(self, pools: Iterable[Pool]) -> str:
         """Return the load figures for the periodic log line, with the rejections since the last call."""
         p50, p99 = self.turns.lags_ms()
-        counts = self.rejections.by_owner()
+        counts = self.rejections.by_source()
         since, self._last_logged = counts - self._last_logged, counts
         refused = ", ".join(f"{name} {count}" for name, count in sorted(since.items())) or "nothing"
         cursors = " ".join(f"{pool.balancer.table.cursor}" for pool in pools)
--- a/loadbalancer/runtime/building.py
+++ b/loadbalancer/runtime/building.py
@@ -10,7 +10,7 @@
 from loadbalancer.core.descriptors import descriptors_here
 from loadbalancer.discovery.endpoint_list import EndpointEntry
 from loadbalancer.http.server import FRAMING
-from loadbalancer.overload.connections import MOST
+from loadbalancer.overload.connections import MAX_DESCRIPTORS
 from loadbalancer.router.calls import CallTable
 from loadbalancer.router.router import Router
 from loadbalancer.sidecar.checks import call_route_of, route_of
@@ -38,7 +38,7 @@
     """Return the sidecar's limit of file descriptors: the configured one, else that of the process."""
     if configuration.limits.descriptors is not None:
         return configuration.limits.descriptors
-    return min(MOST, descriptors_here())
+    return min(MAX_DESCRIPTORS, descriptors_here())
 
 
 def settings_of(configuration: Configuration, pool: PoolModel) -> api.Settings:
--- a/loadbalancer/runtime/http_frontend.py
+++ b/loadbalancer/runtime/http_frontend.py
@@ -233,7 +233,7 @@
             if admitted is not None:
                 admitted.on_answered()
             source = self.admission.count_rejection(route.pool, kind.name, rejection.cause, tried=False)
-            self._reject(call, rejection.retry_after_ms, source.error, detail=source.words)
+            self._reject(call, rejection.retry_after_ms, source.error, detail=source.explanation)
             return
         always_forwarded = (b"host",) if key is None else (b"host", key)
         headers = end_to_end_fields(
@@ -256,7 +256,7 @@
                     pool, open_request.kind, answer.cause, bool(open_request.attempts)
                 )
                 self._reject(
-                    call, answer.retry_after_ms, source.error, open_request.may_have_run, source.words
+                    call, answer.retry_after_ms, source.error, open_request.may_have_run, source.explanation
                 )
             else:
                 status, error = FAILURES[answer.cause]
@@ -278,7 +278,7 @@
     ) -> None:
         """Reject a request for which no attempt was made."""
         self.admission.rejections.add(pool, kind, source)
-        self._reject(call, retry_after_ms, source.error, detail=source.words)
+        self._reject(call, retry_after_ms, source.error, detail=source.explanation)
 
     def _reject(
         self, call: Call, retry_after_ms: float, error: str, may_have_run: bool = False, detail: str = ""
--- a/loadbalancer/runtime/thrift_frontend.py
+++ b/loadbalancer/runtime/thrift_frontend.py
@@ -194,7 +194,7 @@
             if admitted is not None:
                 admitted.on_answered()
             source = self.admission.count_rejection(route.pool, kind.name, rejection.cause, tried=False)
-            self._reject(call, rejection.retry_after_ms, source.words or "no box takes it now")
+            self._reject(call, rejection.retry_after_ms, source.explanation or "no box takes it now")
             return
         message = ForwardedCall(
             incoming.kind, incoming.name, body, shared_request=shared_request, form=form, others=others
@@ -260,7 +260,9 @@
             source = self.admission.count_rejection(
                 message.pool, open_request.kind, answer.cause, bool(open_request.attempts)
             )
-            self._reject(call, answer.retry_after_ms, source.words or "no box takes it now", message.sent > 0)
+            self._reject(
+                call, answer.retry_after_ms, source.explanation or "no box takes it now", message.sent > 0
+            )
         else:
             kind, detail = FAILURES[answer.cause]
             if message.sent:
@@ -291,7 +293,7 @@
     ) -> None:
         """Reject a call for which no attempt was made."""
         self.admission.rejections.add(pool, kind, source)
-        self._reject(call, retry_after_ms, source.words)
+        self._reject(call, retry_after_ms, source.explanation)
 
     def _reject(
         self, call: ThriftCall, retry_after_ms: float, detail: str, may_have_run: bool = False
--- a/tests/overload/test_overload_limits.py
+++ b/tests/overload/test_overload_limits.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("case", "polls", "arrived_s", "away_s"),
+    ("case", "polls", "arrived_s", "unavailable_s"),
     [
         ("a response that ended a wait arrived at its end", [(0.0, 0.0), (0.1, 0.4)], 0.4, 0.0),
         ("a response found at once arrived after the previous poll", [(0.0, 0.0), (0.5, 0.5)], 0.0, 0.0),
@@ -31,12 +31,12 @@
         ),
     ],
 )
-def test_the_earliest_arrival_of_the_current_events(case, polls, arrived_s, away_s):
+def test_the_earliest_arrival_of_the_current_events(case, polls, arrived_s, unavailable_s):
     turns = Turns()
     for began, ended in polls:
-        turns.poll(began, ended, 0.01 if away_s else 1.0, 1)
+        turns.poll(began, ended, 0.01 if unavailable_s else 1.0, 1)
     assert turns.came(polls[-1][1] + 0.05) == pytest.approx(arrived_s), case
-    assert turns.away_s == pytest.approx(away_s)
+    assert turns.unavailable_s == pytest.approx(unavailable_s)
 
 
 def test_without_recorded_polls_no_time_counts_as_the_process_own():
@@ -69,7 +69,7 @@
 
 
 def test_requests_of_the_lowest_worth_are_rejected_first_and_those_with_time_left_are_not():
-    limit = CoreLimit(top_s=1.0, servers_s=0.1)
+    limit = CoreLimit(top_s=1.0, server_latency_s=0.1)
     # The open requests are at their servers.
     assert limit.allows(MIN_LONG_TURN_S, 0.05, 10_000, 0.0, 1.0, relative_worth=1.0)
     most = [
@@ -78,7 +78,7 @@
     ]
     assert most[0] > most[1] > most[2]
     # This queue is in addition to the requests that are at their servers.
-    assert most[2] * limit.cost_s > limit.servers_s + 0.9 * MIN_QUEUE_SHARE
+    assert most[2] * limit.cost_s > limit.server_latency_s + 0.9 * MIN_QUEUE_SHARE
     assert not CoreLimit().allows(0.2, 0.9, 0, 0.0, 1.0, relative_worth=1.0)  # it would miss its deadline
     # The server's latency counts as well.
     assert not CoreLimit().allows(0.05, 0.05, 0, 0.95, 1.0, relative_worth=1.0)
@@ -137,7 +137,7 @@
     wait_queue = WaitQueue()
     assert wait_queue.may_wait(1000, 1, 1.0)  # there is no estimate yet
     for _ in range(200):
-        wait_queue.note_held(0.1)
+        wait_queue.record_hold_time(0.1)
     waiting = 0
     while wait_queue.may_wait(waiting, 10, 1.0):
         waiting += 1
--- a/tests/runtime/test_load.py
+++ b/tests/runtime/test_load.py
@@ -25,7 +25,7 @@
 
     def __init__(self, waited: float, turn: float) -> None:
         super().__init__()
-        self.told, self.waited, self.turn_s = True, waited, turn
+        self.has_polls, self.waited, self.turn_s = True, waited, turn
 
     def came(self, now: float) -> float:
         return now - self.waited
@@ -33,11 +33,11 @@
     def lag(self, now: float) -> float:
         return self.waited
 
-    def so_far(self, now: float) -> float:
+    def turn_length(self, now: float) -> float:
         return self.turn_s
 
     @property
-    def spent_s(self) -> float:
+    def own_time_s(self) -> float:
         return asyncio.get_running_loop().time()
 
 
@@ -175,7 +175,7 @@
             await until(lambda: sum(task.done() for task in answers) >= 2 * server.limit)
             assert {task.result() for task in answers if task.done()} == {b"HTTP/1.1 503"}
             assert len(server.connections) <= server.limit
-            assert sidecar.admission.rejections.by_owner()["callers' connections"] >= 2 * server.limit
+            assert sidecar.admission.rejections.by_source()["callers' connections"] >= 2 * server.limit
             for task in answers:
                 task.cancel()
             for _, writer in (*kept, *extra_connections):
@@ -244,7 +244,7 @@
             pool.server_ms += 40 * 100.0
             sidecar._stats()  # resets the counts of attempts
             admission.update()
-            assert 0.0 < admission.core.servers_s < 0.2
+            assert 0.0 < admission.core.server_latency_s < 0.2
 
     asyncio.run(main())
 
--- a/tests/test_glossary.py
+++ b/tests/test_glossary.py
@@ -46,10 +46,6 @@
     "DEAD_LETTER": "the state of an item on the given pages",
     "GATEWAYS_BY_WORD": "used by three packages; to be renamed in one commit",
     "starts_told": "setting of the decision module, used by experiments and runtime",
-    "BEAT_S": "period of the loop's clock, in two modules",
-    "told": "local of the same",
-    "held": "connections that are held open, in listener and server",
-    "note_held": "records that",
 }
 
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -351,7 +351,7 @@
     own = True
 
     @property
-    def spent_s(self) -> float:
+    def own_time_s(self) -> float:
         return asyncio.get_running_loop().time() if self.own else 0.0
 
 
