--- a/emberring/gateway/upstream.py
+++ b/emberring/gateway/upstream.py
@@ -102,12 +102,12 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._spoilt = True
+            self._unusable = True
         if self._reading_head and self._head_bytes > MAX_HEAD_BYTES:
-            self._spoilt = True
+            self._unusable = True
         if self._completed:
             self._finish_exchange()
-        elif self._spoilt:
+        elif self._unusable:
             self._adapter = None
             self._lose(self._written)
 
@@ -130,7 +130,7 @@
         self._headers = []
         self._reading_head = True
         if self._completed:
-            self._spoilt = True  # an unsolicited response: the connection is not reused
+            self._unusable = True  # an unsolicited response: the connection is not reused
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Collect a header; called by httptools."""
@@ -145,7 +145,7 @@
         self._reading_head = False
         head = self._read_head(status)
         if head is None or self._adapter is None:
-            self._spoilt = True
+            self._unusable = True
             return
         if self._discarding:
             return
@@ -153,13 +153,13 @@
             self.failed_request_ids.add(self._request_id)
         bodiless = self._bodiless or status in BODILESS_STATUSES
         if not bodiless and head.length is None and not self._is_chunked():
-            self._spoilt = True  # the body would end with the connection, which looks the same as a failure
+            self._unusable = True  # the body would end with the connection, which looks the same as a failure
             return
         self._adapter.exchange.head(head)
         if bodiless:
             self._completed, self._bodiless = True, True
             if not self._parser.should_keep_alive():
-                self._spoilt = True
+                self._unusable = True
 
     def _read_head(self, status: int) -> ResponseHead | None:
         """Return the head, or None if it is invalid; sets `_discarding` if the response belongs to another request."""
@@ -184,17 +184,17 @@
 
     def on_body(self, body: bytes) -> None:
         """Pass a part of the body to the exchange; called by httptools."""
-        if self._completed or self._spoilt:
-            self._spoilt = True
+        if self._completed or self._unusable:
+            self._unusable = True
         elif not self._discarding and self._adapter is not None:
             self._adapter.exchange.body(body)
 
     def on_message_complete(self) -> None:
         """End a message, which may be an interim or an unsolicited response; called by httptools."""
-        if self._completed or self._spoilt:
+        if self._completed or self._unusable:
             return
         if not self._parser.should_keep_alive():
-            self._spoilt = True
+            self._unusable = True
         if self._reading_head or self._discarding:  # interim or unsolicited: the expected response may follow
             self._discarding = False
             self._reading_head, self._head_bytes = True, 0
--- a/loadbalancer/cli/sidecar.py
+++ b/loadbalancer/cli/sidecar.py
@@ -13,7 +13,7 @@
 from loadbalancer.core.shutdown import signals
 from loadbalancer.core.turns import TurnLoop
 from loadbalancer.runtime.building import ReloadError, descriptors_of
-from loadbalancer.runtime.sidecar import PlacedError, Sidecar
+from loadbalancer.runtime.sidecar import ListenAddressError, Sidecar
 from loadbalancer.sidecar.checks import check
 from loadbalancer.sidecar.load import UnusableError, read
 from loadbalancer.sidecar.models import Configuration
@@ -115,7 +115,7 @@
     try:
         with asyncio.Runner(loop_factory=TurnLoop) as runner:
             return runner.run(serve(args.configuration))
-    except PlacedError as error:
+    except ListenAddressError as error:
         print(f"{args.configuration}: {error}", file=sys.stderr)
         return 1
     except OSError as error:
--- a/loadbalancer/core/connection_pool.py
+++ b/loadbalancer/core/connection_pool.py
@@ -258,17 +258,17 @@
     ----------
     server_idle_s: the servers' idle timeout.
     connect_timeout_s: the time within which a server has to accept a connection.
-    rest_s: pause after an answer before a connection is used again.
+    reuse_delay_s: pause after an answer before a connection is used again.
     """
 
     def __init__(
-        self, limit: int, server_idle_s: float, connect_timeout_s: float, rest_s: float = 0.0
+        self, limit: int, server_idle_s: float, connect_timeout_s: float, reuse_delay_s: float = 0.0
     ) -> None:
         self.limit = limit
-        self._rest_s = rest_s
+        self._reuse_delay_s = reuse_delay_s
         # Connections in the pause after an answer, the oldest first, each with the loop's time at which it ends.
-        self._resting: deque[tuple[float, _Server, Outgoing]] = deque()
-        self._rest_timer: asyncio.TimerHandle | None = None
+        self._awaiting_reuse: deque[tuple[float, _Server, Outgoing]] = deque()
+        self._reuse_timer: asyncio.TimerHandle | None = None
         self.connect_timeout_s = connect_timeout_s
         self._idle_s = server_idle_s * IDLE_SHARE
         self._servers: dict[str, _Server] = {}
@@ -354,7 +354,7 @@
             self.remove(name)
         for connection in list(self._open):
             connection.abort()
-        for timer in (self._sweep_timer, self._rest_timer):
+        for timer in (self._sweep_timer, self._reuse_timer):
             if timer is not None:
                 timer.cancel()
 
@@ -417,24 +417,24 @@
     def release(self, server: _Server, connection: Outgoing, in_use_s: float) -> None:
         """Return a connection to the pool after its answer."""
         self.wait_queue.record_hold_time(in_use_s)
-        if self._rest_s <= 0.0:
+        if self._reuse_delay_s <= 0.0:
             self._reuse_or_idle(server, connection)
             return
         # A second answer of a server to the same request, some ms after the first, would be taken for the answer to
         # the next request on the connection. During the pause it arrives unrequested, which closes the connection.
         loop = asyncio.get_running_loop()
-        self._resting.append((loop.time() + self._rest_s, server, connection))
-        if self._rest_timer is None:
-            self._rest_timer = loop.call_later(self._rest_s, self._end_rests)
+        self._awaiting_reuse.append((loop.time() + self._reuse_delay_s, server, connection))
+        if self._reuse_timer is None:
+            self._reuse_timer = loop.call_later(self._reuse_delay_s, self._end_reuse_delays)
 
-    def _end_rests(self) -> None:
+    def _end_reuse_delays(self) -> None:
         loop = asyncio.get_running_loop()
-        self._rest_timer = None
-        while self._resting and self._resting[0][0] <= loop.time():
-            _, server, connection = self._resting.popleft()
+        self._reuse_timer = None
+        while self._awaiting_reuse and self._awaiting_reuse[0][0] <= loop.time():
+            _, server, connection = self._awaiting_reuse.popleft()
             self._reuse_or_idle(server, connection)
-        if self._resting and self._rest_timer is None:
-            self._rest_timer = loop.call_at(self._resting[0][0], self._end_rests)
+        if self._awaiting_reuse and self._reuse_timer is None:
+            self._reuse_timer = loop.call_at(self._awaiting_reuse[0][0], self._end_reuse_delays)
 
     def _reuse_or_idle(self, server: _Server, connection: Outgoing) -> None:
         """Use a connection for the next waiting attempt, or keep it idle."""
--- a/loadbalancer/core/listener.py
+++ b/loadbalancer/core/listener.py
@@ -181,7 +181,7 @@
         self.connection_limit = ConnectionLimit(limit)
 
     @property
-    def crowded(self) -> bool:
+    def over_limit(self) -> bool:
         """Whether there are so many connections that one is closed with its answer."""
         if self.orderly:
             return not self.connection_limit.may_keep(self.connection_count)
@@ -392,7 +392,7 @@
 
     def close_excess(self, min_idle_s: float = MIN_IDLE_TO_CLOSE_S) -> bool:
         """Close connections without a request until the limit is met; returns False if that is not enough."""
-        while self.crowded:
+        while self.over_limit:
             if not self._close_one(min_idle_s):
                 return False
         return True
--- a/loadbalancer/core/outgoing.py
+++ b/loadbalancer/core/outgoing.py
@@ -48,7 +48,7 @@
         self._on_closed = on_closed
         self._transport: asyncio.Transport | None = None
         self._exchange: Exchange | None = None
-        self._spoilt = False
+        self._unusable = False
         self._written = True
         self.idle_since = 0.0
 
@@ -59,7 +59,7 @@
         transport = self._transport
         return (
             transport is not None
-            and not self._spoilt
+            and not self._unusable
             and self._exchange is None
             and not transport.is_closing()
             and not readable(transport)
@@ -73,7 +73,7 @@
     def abort(self) -> None:
         """Close at once, unsent bytes included. The exchange, if any, is not notified."""
         self._exchange = None
-        self._spoilt = True
+        self._unusable = True
         if self._transport is not None:
             self._transport.abort()
 
@@ -94,8 +94,8 @@
         exchange, self._exchange = self._exchange, None
         # A server that answers before it has received the complete request may take the rest for the next one.
         if not self._written:
-            self._spoilt = True
-        if self._spoilt:
+            self._unusable = True
+        if self._unusable:
             self.abort()
         if exchange is not None:
             exchange.answered(response)
@@ -120,11 +120,11 @@
 
     def eof_received(self) -> bool:
         """Close the connection after the server closed its side; called by asyncio."""
-        self._spoilt = True
+        self._unusable = True
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         """End the exchange, if any, without an answer; called by asyncio."""
-        self._spoilt = True
+        self._unusable = True
         self._on_closed(self)
         self._lose(self._written)
--- a/loadbalancer/discovery/watcher.py
+++ b/loadbalancer/discovery/watcher.py
@@ -14,7 +14,7 @@
 
 from loadbalancer.core.address import Address, parse_address
 from loadbalancer.discovery.endpoint_list import EndpointEntry, EndpointList, EndpointUpdate
-from loadbalancer.http.client import Awaited, ClientConnection
+from loadbalancer.http.client import ClientConnection, ResponseFuture
 from loadbalancer.interface import ListForm, Server, ServerState
 
 log = logging.getLogger("loadbalancer")
@@ -261,7 +261,7 @@
     async def _request(self, wait_ms: int) -> ServerListUpdate:
         """Request the changes since the current revision, or the complete list if there is none."""
         connection = await self._acquire_connection()
-        exchange = Awaited()
+        exchange = ResponseFuture()
         host = f"{self._address[0]}:{self._address[1]}"
         target = "/discovery/hosts"
         if self._revision is not None:
--- a/loadbalancer/emulator/caller.py
+++ b/loadbalancer/emulator/caller.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from loadbalancer.core.address import Address
-from loadbalancer.http.client import Awaited, ClientConnection, Response
+from loadbalancer.http.client import ClientConnection, Response, ResponseFuture
 
 MAX_BODY = 16 * 1024 * 1024
 
@@ -28,7 +28,7 @@
         lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
         if body or method not in ("GET", "HEAD"):
             lines.append(f"Content-Length: {len(body)}")
-        exchange = Awaited()
+        exchange = ResponseFuture()
         connection.start("\r\n".join(lines).encode() + b"\r\n\r\n" + body, exchange, method == "HEAD")
         try:
             async with asyncio.timeout(self.timeout_s):
--- a/loadbalancer/http/client.py
+++ b/loadbalancer/http/client.py
@@ -27,7 +27,7 @@
     body: bytearray = field(default_factory=bytearray)
 
 
-class Awaited:
+class ResponseFuture:
     """An exchange with a future for its result: the complete answer, or ConnectionError."""
 
     def __init__(self) -> None:
@@ -76,16 +76,16 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._spoilt = True
+            self._unusable = True
         # The parser reports a header only once it is complete, so received bytes are limited, interim answers included.
         if self._in_head:
             self._head_bytes += len(data)
-            self._spoilt = self._spoilt or self._head_bytes > MAX_HEAD
+            self._unusable = self._unusable or self._head_bytes > MAX_HEAD
         if self._complete:
             if self._bodiless or self._response.status in NO_BODY_STATUSES:
                 self._parser = httptools.HttpResponseParser(self)  # the old one may expect a body
             self._answer(self._response)
-        elif self._spoilt:
+        elif self._unusable:
             self._lose(self._written)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -97,7 +97,7 @@
     def on_message_begin(self) -> None:
         """Note that an answer begins; called by the parser."""
         if self._complete:
-            self._spoilt = True  # a second answer to one request
+            self._unusable = True  # a second answer to one request
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Store a header; called by the parser."""
@@ -123,23 +123,23 @@
         # A body that is announced as too long is not awaited. Without a length or chunked coding, a complete body can't
         # be distinguished from one that broke off.
         if length is None:
-            self._spoilt = self._spoilt or b"transfer-encoding" not in headers
+            self._unusable = self._unusable or b"transfer-encoding" not in headers
         elif b"transfer-encoding" in headers or int(length) > self._max_body:
-            self._spoilt = True
+            self._unusable = True
 
     def on_body(self, body: bytes) -> None:
         """Append a part of the body; called by the parser."""
         if self._complete:  # the answer must not have a body
-            self._spoilt = True
+            self._unusable = True
             return
         self._grow(len(body), self._max_body)
-        if not self._spoilt:
+        if not self._unusable:
             self._response.body += body
 
     def on_message_complete(self) -> None:
         """Complete the answer, or discard an interim one; called by the parser."""
         status = self._parser.get_status_code()
-        if self._complete or self._spoilt:
+        if self._complete or self._unusable:
             return
         if status < 200:  # an interim answer: the final one follows
             self._response, self._size = Response(), 0
@@ -150,9 +150,9 @@
         self._response.status = self._parser.get_status_code()
         self._complete = True
         if not self._parser.should_keep_alive():
-            self._spoilt = True
+            self._unusable = True
 
     def _grow(self, size: int, limit: int) -> None:
         self._size += size
         if self._size > limit:
-            self._spoilt = True
+            self._unusable = True
--- a/loadbalancer/http/connection_pool.py
+++ b/loadbalancer/http/connection_pool.py
@@ -30,9 +30,14 @@
     """Pooled HTTP/1.1 connections; `wire` encodes messages and interprets answers."""
 
     def __init__(
-        self, limit: int, server_idle_s: float, connect_timeout_s: float, wire: Wire, rest_s: float = 0.0
+        self,
+        limit: int,
+        server_idle_s: float,
+        connect_timeout_s: float,
+        wire: Wire,
+        reuse_delay_s: float = 0.0,
     ) -> None:
-        super().__init__(limit, server_idle_s, connect_timeout_s, rest_s)
+        super().__init__(limit, server_idle_s, connect_timeout_s, reuse_delay_s)
         self.wire = wire
 
     def connection(self) -> ClientConnection:
--- a/loadbalancer/http/server.py
+++ b/loadbalancer/http/server.py
@@ -37,7 +37,7 @@
 class Dialect:
     """What a listener accepts from its callers, and its timeouts."""
 
-    once: frozenset[bytes] = FRAMING  # lower-case names of the headers that may occur only once
+    unique_headers: frozenset[bytes] = FRAMING  # lower-case names of the headers that may occur only once
     ready_path: bytes | None = None  # answered by the listener itself: 200 while ready, else 503
     max_body: int = MAX_BODY  # bytes
     raw: bool = False  # whether the headers are also kept unchanged, beside those by name
@@ -129,7 +129,7 @@
         # Earliest time at which the current data can have arrived.
         self._received_at = self._server.loop.time()
         self._continue_pending = False  # a caller waits for 100 Continue before it sends its body
-        self._stuck = False  # the caller does not read its answers: the write buffer is full
+        self._write_buffer_full = False  # the caller does not read its answers: the write buffer is full
         self._error_status = 0  # status of the final answer after an invalid request; 0: none
 
     def close_if_idle(self) -> bool:
@@ -143,7 +143,7 @@
     def expire(self) -> None:
         """Handle the timeout of the current stage."""
         # A caller that does not read its answers would occupy memory and its slot forever.
-        if self._closing or self._stuck:
+        if self._closing or self._write_buffer_full:
             self.abort_if_read()
         elif self._partial is not None or (self.received_nothing and self._server.orderly):
             self._fail(408)
@@ -159,7 +159,7 @@
             return
         self._parse(data)
         if self._calls:
-            if not self._stuck:
+            if not self._write_buffer_full:
                 self._server.stage(self, None)
                 self._serve()
         elif self._error_status:
@@ -185,7 +185,7 @@
         Parsing, routing and rejecting it the usual way would take CPU time that answers need.
         """
         unparsed_rejection = self._server.unparsed_rejection
-        if unparsed_rejection is None or self._calls or self._partial is not None or self._stuck:
+        if unparsed_rejection is None or self._calls or self._partial is not None or self._write_buffer_full:
             return False
         head = unparsed_rejection(self._received_at)
         if head is None or not is_bodiless_request(data):
@@ -204,14 +204,14 @@
     def pause_writing(self) -> None:
         """Stop reading while the caller does not read its answers; called by asyncio."""
         # Otherwise the answers of a caller that sends requests and never reads would pile up without limit.
-        self._stuck = True
+        self._write_buffer_full = True
         self._transport.pause_reading()
         if not self._calls or not self._calls[0].begun:
             self._server.stage(self, self._server.waiting)
 
     def resume_writing(self) -> None:
         """Resume reading; called by asyncio."""
-        self._stuck = False
+        self._write_buffer_full = False
         if self._closing:
             return
         self._transport.resume_reading()
@@ -266,7 +266,7 @@
         if self._partial is None or self._error_status:
             return
         # Trailers are rejected, as they could overwrite fields of the head.
-        if not self._in_head or (name in self._dialect.once and name in self._partial.headers):
+        if not self._in_head or (name in self._dialect.unique_headers and name in self._partial.headers):
             self._error_status = 400
         if self._dialect.raw:
             # Trailing whitespace is not part of a value (RFC 9110, section 5.5), but the parser keeps it.
@@ -391,13 +391,13 @@
         if self._transport.is_closing() or not self._calls or self._calls[0] is not call:
             return
         self.known = self.known or not unusable
-        close = not call.keep_alive or self._server.stopping or self._server.crowded
+        close = not call.keep_alive or self._server.stopping or self._server.over_limit
         close = close and len(self._calls) == 1
         self._transport.write(head + (b"Connection: close\r\n\r\n" if close else b"\r\n") + body)
         self._calls.popleft()
         if close:
             self._end()
-        elif self._stuck:
+        elif self._write_buffer_full:
             self._server.stage(self, self._server.waiting)
         elif self._calls:
             self._server.loop.call_soon(self._next)
@@ -409,7 +409,7 @@
             self._server.stage(self, self._server.waiting if incomplete else self._server.idle)
 
     def _next(self) -> None:
-        if self._calls and not self._closing and not self._stuck:
+        if self._calls and not self._closing and not self._write_buffer_full:
             self._serve()
 
     def reject_partial(self) -> None:
--- a/loadbalancer/node/front.py
+++ b/loadbalancer/node/front.py
@@ -23,7 +23,7 @@
     b"host req-id idempotency-key req-owner req-retry req-cost req-extra".split()
     + b"accept content-type content-encoding".split()
 )
-DIALECT = Dialect(once=FORWARDED | FRAMING | {b"req-deadline-ms"}, ready_path=b"/up")
+DIALECT = Dialect(unique_headers=FORWARDED | FRAMING | {b"req-deadline-ms"}, ready_path=b"/up")
 
 STATUS_BY_CAUSE = {
     AnswerCause.TIMEOUT: 504,
--- a/loadbalancer/runtime/sidecar.py
+++ b/loadbalancer/runtime/sidecar.py
@@ -112,7 +112,7 @@
         self.capacity = RequestCapacity(configuration.limits.max_open)
         self.budgets = Budgets()
         self.admission = AdmissionControl(lambda: self.pools.values(), self.capacity)
-        self.managed: dict[str, _ManagedPool] = {}
+        self.managed_pools: dict[str, _ManagedPool] = {}
         self.listeners: dict[str, _OpenListener] = {}
         self.admin: Admin | None = None
         self._admin_key = ""
@@ -127,11 +127,11 @@
 
     @property
     def pools(self) -> dict[str, Pool]:
-        return {name: item.pool for name, item in self.managed.items()}
+        return {name: item.pool for name, item in self.managed_pools.items()}
 
     @property
     def ready(self) -> bool:
-        return not self.leaving and all(item.pool.up for item in self.managed.values())
+        return not self.leaving and all(item.pool.up for item in self.managed_pools.values())
 
     def config_row(self) -> dict[str, Any]:
         return {
@@ -151,7 +151,7 @@
     def lists_row(self) -> dict[str, Any]:
         """Return the source of each pool's server list, and the age of its last update where that is known."""
         rows: dict[str, Any] = {}
-        for name, item in self.managed.items():
+        for name, item in self.managed_pools.items():
             source = item.model.servers_from
             rows[name] = {
                 "source": plain(source) if source is not None else None,
@@ -201,7 +201,7 @@
 
     def _give_up(self) -> None:
         """Fail all open requests, and reject every later one."""
-        for managed in (*self.managed.values(), *self._retiring_pools):
+        for managed in (*self.managed_pools.values(), *self._retiring_pools):
             managed.pool.capacity.limit = 0
             managed.pool.answer_all(AnswerCause.LEAVING)
 
@@ -212,7 +212,7 @@
             item.front.server.close()
         if self.admin is not None:
             self.admin.server.close()
-        for managed in (*self.managed.values(), *self._retiring_pools):
+        for managed in (*self.managed_pools.values(), *self._retiring_pools):
             managed.close()
         self.admission.close()
         if self._stats_timer is not None:
@@ -259,7 +259,7 @@
             idle_s=new.limits.caller_idle_ms / 1000.0,
         )
         dialect = Dialect(
-            once=unique_headers(new),
+            unique_headers=unique_headers(new),
             max_body=new.limits.max_body_bytes,
             raw=True,
             request_s=new.limits.request_ms / 1000.0,
@@ -301,7 +301,7 @@
             for _, raw in bound:
                 raw.close()
             for name, managed in pools.items():
-                if managed is not self.managed.get(name):
+                if managed is not self.managed_pools.get(name):
                     managed.close()
             raise
         # Nothing below may fail, and nothing is awaited before the change is complete.
@@ -324,12 +324,12 @@
                 front.plan, front.server.dialect = plan, dialect
                 front.configure(model.deadline_header, model.tenant, budget)
         removed = [item for item in self.listeners.values() if item not in listeners.values()]
-        old_pools = [item for name, item in self.managed.items() if item is not pools.get(name)]
+        old_pools = [item for name, item in self.managed_pools.items() if item is not pools.get(name)]
         old_admin = self.admin if admin is not self.admin else None
-        previous_pools = self.managed
+        previous_pools = self.managed_pools
         self.capacity.limit = new.limits.max_open
         self.admission.configure(new.name, new.rules.retry_after and new.rules.max_retry_after_ms >= 1000.0)
-        self.listeners, self.managed = listeners, pools
+        self.listeners, self.managed_pools = listeners, pools
         self.admin, self._admin_key = admin, admin_key
         for pool_model in new.pools:
             self._follow_list(
@@ -364,7 +364,7 @@
     def _pool(self, new: Configuration, model: PoolModel, server_limit: int) -> _ManagedPool:
         """Return the existing pool if its settings and connections stay the same, else a new one."""
         settings = settings_of(new, model)
-        known = self.managed.get(model.name)
+        known = self.managed_pools.get(model.name)
         if known is not None and known.settings == settings and same_connection_settings(known.model, model):
             return known
         back = upstream_of(new, model, server_limit)
@@ -500,10 +500,10 @@
     try:
         return Listener.bind(*parse_address(address))
     except OSError as error:
-        raise PlacedError(error.errno or 0, error.strerror or str(error), place, address) from error
+        raise ListenAddressError(error.errno or 0, error.strerror or str(error), place, address) from error
 
 
-class PlacedError(OSError):
+class ListenAddressError(OSError):
     """An address that can't be bound; `place` is the listener in the configuration that names it."""
 
     def __init__(self, number: int, text: str, place: str, address: str) -> None:
--- a/loadbalancer/thrift/client.py
+++ b/loadbalancer/thrift/client.py
@@ -91,7 +91,7 @@
         if message is not None and message.kind is MessageKind.ONEWAY and self._written and transport:
             # Guard: a reset would discard data that the server has not read yet, of a call that counts as sent.
             self._exchange = None
-            self._spoilt = True
+            self._unusable = True
             transport.close()
         else:
             super().abort()
@@ -112,7 +112,7 @@
             self._lose(self._written)
             return
         if len(messages) > 1 or self._decoder.pending:
-            self._spoilt = True  # data follows the reply, so the connection is not used again
+            self._unusable = True  # data follows the reply, so the connection is not used again
         self._answer(reply)
 
     def _matches(self, reply: Message, message: Outbound) -> bool:
--- a/loadbalancer/thrift/server.py
+++ b/loadbalancer/thrift/server.py
@@ -62,7 +62,7 @@
         # Type and text of the error that ends this connection after the queued calls.
         self._error: tuple[int, str] | None = None
         self._caller_gone = False  # the caller has closed the connection
-        self._stuck = False  # the caller does not read the replies written to it
+        self._write_buffer_full = False  # the caller does not read the replies written to it
         self._reading = True
 
     # ----------------------------------------------------------------- called by the listener
@@ -75,7 +75,7 @@
 
     def expire(self) -> None:
         # Guard: a caller that never reads its replies would occupy memory and a connection slot for ever.
-        if self._closing or self._stuck:
+        if self._closing or self._write_buffer_full:
             self.abort_if_read()
         elif self._decoder.pending:
             self.abort()
@@ -119,10 +119,10 @@
             self._server.stage(self, self._server.waiting)
 
     def pause_writing(self) -> None:
-        self._stuck = True
+        self._write_buffer_full = True
 
     def resume_writing(self) -> None:
-        self._stuck = False
+        self._write_buffer_full = False
         if not self._closing:
             self._after_reply()
 
@@ -139,7 +139,7 @@
     def _on_caller_gone(self) -> None:
         """Handle that the caller is gone: queued oneway calls still run, calls that expect a reply are dropped."""
         self._closing = self._caller_gone = True
-        self._stuck = False
+        self._write_buffer_full = False
         self._server.stage(self, self._server.lingering)
         calls, self._calls = self._calls, deque(call for call in self._calls if call.oneway)
         for call in calls:
@@ -168,21 +168,21 @@
         if not self._reading and not self._closing:
             self._reading = True
             self._transport.resume_reading()
-        if self._stuck:
+        if self._write_buffer_full:
             self._server.stage(self, self._server.waiting)
         else:
             self._server.loop.call_soon(self._after_reply)
 
     def _after_reply(self) -> None:
         """Continue after a reply: serve the next call, close the connection, or mark it idle."""
-        if self._closing or self._stuck:
+        if self._closing or self._write_buffer_full:
             return
         if self._calls:
             self._server.stage(self, None)
             self._dispatch()
         elif self._error is not None:
             self._send_error()
-        elif self._server.stopping or self._server.crowded:
+        elif self._server.stopping or self._server.over_limit:
             self._end()
         else:
             waiting = self._decoder.pending or not self.known
@@ -190,7 +190,7 @@
 
     def _dispatch(self) -> None:
         """Start the first call unless it has been started."""
-        if not self._calls or self._calls[0].started or self._stuck:
+        if not self._calls or self._calls[0].started or self._write_buffer_full:
             return
         # Guard: calls of a caller that has gone would be sent to a server, as the end of the stream is read only after
         # the calls, and not at all while reading is paused.
--- a/loadbalancer/xds/stream.py
+++ b/loadbalancer/xds/stream.py
@@ -19,7 +19,7 @@
 from google.protobuf import json_format
 
 from loadbalancer.core.address import parse_address
-from loadbalancer.http.client import Awaited, ClientConnection
+from loadbalancer.http.client import ClientConnection, ResponseFuture
 from loadbalancer.xds.protocol import XdsClient
 from loadbalancer.xds.resources import CLUSTER, ENDPOINTS
 
@@ -190,7 +190,7 @@
         """The response to a poll; None if nothing changed (status 304, or the version that was accepted last)."""
         body = json_format.MessageToJson(request, preserving_proto_field_name=True).encode()
         header = f"POST {POLL_PATHS[type_url]} HTTP/1.1\r\nHost: {self.address}\r\nContent-Type: application/json\r\n"
-        call = Awaited()
+        call = ResponseFuture()
         connection.start(f"{header}Content-Length: {len(body)}\r\n\r\n".encode() + body, call)
         async with asyncio.timeout(POLL_TIMEOUT_S):
             http_response = await call.done
--- a/tests/faults/test_answers.py
+++ b/tests/faults/test_answers.py
@@ -11,7 +11,7 @@
 
 def delayed_connections(node):
     """Connections that have delivered a response and may not be reused yet."""
-    return [connection for _, _, connection in node.back._resting]
+    return [connection for _, _, connection in node.back._awaiting_reuse]
 
 
 def test_a_late_second_response_is_not_delivered_to_the_next_request():
@@ -25,7 +25,7 @@
 
         server = Peer(script)
         async with running(server) as node:
-            node.back._rest_s = REUSE_DELAY_S
+            node.back._reuse_delay_s = REUSE_DELAY_S
             assert (await ask(node, request(name="q1"))).body == b"q1"
             assert (await ask(node, request(name="q2"))).body == b"q2"
             assert server.connections == 2
@@ -37,15 +37,15 @@
     async def main():
         server = Peer()
         async with running(server) as node:
-            node.back._rest_s = REUSE_DELAY_S
+            node.back._reuse_delay_s = REUSE_DELAY_S
             assert (await ask(node, request(name="q1"))).status == 200
             (connection,) = delayed_connections(node)
             server._writers[0].write(reply(200, b"again"))
             await until(lambda: not connection.usable)
             await until(lambda: node.back.size == 0)
-            node.back._rest_timer.cancel()
-            node.back._resting[0] = (0.0, *node.back._resting[0][1:])
-            node.back._end_rests()  # the reuse delay is over
+            node.back._reuse_timer.cancel()
+            node.back._awaiting_reuse[0] = (0.0, *node.back._awaiting_reuse[0][1:])
+            node.back._end_reuse_delays()  # the reuse delay is over
             assert node.back._servers["s0"].idle == []
             assert (await ask(node, request(name="q2"))).status == 200
             assert server.connections == 2
@@ -72,7 +72,7 @@
 
         server = Peer(script)
         async with running(server) as node:
-            node.back._rest_s = 0.0  # without a delay it would be reused at once
+            node.back._reuse_delay_s = 0.0  # without a delay it would be reused at once
             for name in ("q1", "q2"):
                 assert (await ask(node, request(name=name))).body == name.encode()
             assert server.connections == 2
--- a/tests/faults/test_callers_that_leave.py
+++ b/tests/faults/test_callers_that_leave.py
@@ -231,7 +231,7 @@
 
         server = Peer(script)
         async with running(server) as node:
-            node.back._rest_s = 0.0  # a connection is available for the next request
+            node.back._reuse_delay_s = 0.0  # a connection is available for the next request
             raw = socket.socket()
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             raw.setblocking(False)
@@ -243,7 +243,7 @@
             )
             connection._transport.set_write_buffer_limits(high=1)
             await node.loop.sock_sendall(raw, b"".join(request(name=f"q{at}") for at in range(20)))
-            await until(lambda: connection._stuck and len(connection._calls) > 1)
+            await until(lambda: connection._write_buffer_full and len(connection._calls) > 1)
             before = len(server.seen)
             raw.shutdown(socket.SHUT_WR)
             while await node.loop.sock_recv(raw, 65536):
@@ -351,7 +351,7 @@
         (box,) = boxes(1)
         budget = {"share": 0.5, "floor_per_s": 5.0}
         async with alongside((box,), lambda: row(box, budget=budget)) as sidecar:
-            gate = Gate(sidecar.managed["boxes"], int(box.endpoint.rpartition(":")[2]))
+            gate = Gate(sidecar.managed_pools["boxes"], int(box.endpoint.rpartition(":")[2]))
             _, writer = await asyncio.open_connection(*address(sidecar))
             writer.write(request("move", "q1", Idempotency_Key="k"))
             await until(lambda: gate.delayed)
--- a/tests/faults/test_drains.py
+++ b/tests/faults/test_drains.py
@@ -86,7 +86,7 @@
             assert (await ask(node, request("post", "q1"))).status == 200
             drain(node, leaving.port)
             assert (await ask(node, request("post", "q2"))).status == 200
-            await until(lambda: not node.back._resting)
+            await until(lambda: not node.back._awaiting_reuse)
             assert (len(leaving.seen), len(staying.seen)) == (1, 1)
             await until(lambda: leaving.readers[0].at_eof())
 
--- a/tests/faults/test_thrift_callers_that_leave.py
+++ b/tests/faults/test_thrift_callers_that_leave.py
@@ -115,7 +115,7 @@
                     + call("p1")
                     + call("n1", "note", ONEWAY),
                 )
-                await until(lambda: connection._stuck and len(connection._calls) == 2)
+                await until(lambda: connection._write_buffer_full and len(connection._calls) == 2)
                 raw.shutdown(socket.SHUT_WR)
                 await until(lambda: connection._closing)
                 while await sidecar.loop.sock_recv(
--- a/tests/runtime/test_load.py
+++ b/tests/runtime/test_load.py
@@ -194,10 +194,10 @@
             await until(lambda: server.connections)
             (connection,) = server.connections
             sent_requests = 0
-            while not connection._stuck:
+            while not connection._write_buffer_full:
                 writer.write(b"GET /big/100000 HTTP/1.1\r\nHost: x\r\n\r\n")
                 sent_requests += 1
-                await until(lambda n=sent_requests: connection._stuck or box.served == n)
+                await until(lambda n=sent_requests: connection._write_buffer_full or box.served == n)
             assert not connection._transport.is_reading()
             writer.write(REQUEST * 20)
             served = box.served
--- a/tests/runtime/test_xds_pool.py
+++ b/tests/runtime/test_xds_pool.py
@@ -176,7 +176,7 @@
         async with following("incremental", box, **more) as (_, sidecar):
             pool = sidecar.pools["boxes"]
             assert pool.balancer.cfg.cold_ms == 90_000.0
-            assert sidecar.managed["boxes"].back.limit == 2
+            assert sidecar.managed_pools["boxes"].back.limit == 2
             box.behaviour.hang = True
             pending = asyncio.create_task(application(sidecar).ask("POST", "/x", b"1"))
             await until(lambda: box.taken)
@@ -241,7 +241,7 @@
             )
             message.policy.endpoint_stale_after.FromSeconds(3600)
             plane.put(packed(message))
-            watcher: Any = sidecar.managed["boxes"].watcher
+            watcher: Any = sidecar.managed_pools["boxes"].watcher
             await until(lambda: watcher.client.endpoints.held["ledger"].version == "2")
             now = sidecar.clock.ms()
             assert not watcher.client.tick(now + 3_599_000)
--- a/tests/thrift/test_both_protocols.py
+++ b/tests/thrift/test_both_protocols.py
@@ -123,7 +123,7 @@
                 data["pools"][0]["list"] = {"source": "static", "servers": only_full_listener}
                 await sidecar.reload(configuration(data))
                 request = asyncio.create_task(protocol.ask(sidecar, "p"))
-                await until(lambda: sidecar.managed["boxes"].back.size == 1)
+                await until(lambda: sidecar.managed_pools["boxes"].back.size == 1)
                 data["pools"][0]["list"] = {"source": "static", "servers": listed}
                 await sidecar.reload(configuration(data))
                 assert await request == "box-0"
@@ -137,7 +137,7 @@
 def test_upstream_connections_stay_within_their_share_of_the_descriptors(protocol):
     async def main():
         async with serving(protocol, 2, limits={"descriptors": 64}) as (sidecar, servers):
-            back = sidecar.managed["boxes"].back
+            back = sidecar.managed_pools["boxes"].back
             most = 0
             for box in servers:
                 box.behaviour.work_ms = 20.0
--- a/tests/thrift/test_thrift_calls.py
+++ b/tests/thrift/test_thrift_calls.py
@@ -355,7 +355,9 @@
                 assert box_of(await other.call("post", posting("p"))) == "box-0"
             assert len(servers[0].connections) <= 2
             (connection,) = (
-                one for one in sidecar.listeners["application"].front.server.connections if one._stuck
+                one
+                for one in sidecar.listeners["application"].front.server.connections
+                if one._write_buffer_full
             )
             assert connection._transport.get_write_buffer_size() < 2 * len(text)
             reader.writer.transport.resume_reading()
--- a/tests/xds/test_xds_files.py
+++ b/tests/xds/test_xds_files.py
@@ -171,7 +171,7 @@
                 assert (await app.ask("GET", "/x")).headers[b"x-box"] == b"box-1"
             assert one.taken == taken_before
             path.write_text("static_resources: [")
-            feed = sidecar.managed["boxes"].watcher
+            feed = sidecar.managed_pools["boxes"].watcher
             await until(lambda: feed.client.rejected)
             assert (await app.ask("GET", "/x")).status == 200
         finally:
