--- a/loadbalancer/budget/carried.py
+++ b/loadbalancer/budget/carried.py
@@ -17,7 +17,7 @@
 Also read: `grpc-timeout` (gRPC over HTTP/2, "Requests"), `x-envoy-expected-rq-timeout-ms` and
 `x-envoy-attempt-count` (Envoy, "HTTP header manipulation"), `Via` (RFC 9110, section 7.6.3), `traceparent` and
 `tracestate` (W3C Trace Context, sections 3.2 and 3.3), `Req-Retry`. A value that can't be parsed is
-ignored and reported in `Carried.unreadable`.
+ignored and reported in `PropagatedBudget.unreadable`.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
     + b"via traceparent tracestate".split()
 )
 # Headers rewritten for each attempt that propagates a budget.
-WRITTEN = frozenset(b"baggage grpc-timeout x-envoy-expected-rq-timeout-ms via tracestate".split())
+WRITTEN_HEADERS = frozenset(b"baggage grpc-timeout x-envoy-expected-rq-timeout-ms via tracestate".split())
 
 
 @dataclass(slots=True, frozen=True)
@@ -64,7 +64,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Carried:
+class PropagatedBudget:
     """The budget that a request propagates; None for what it does not state."""
 
     ms: float | None = None  # time left when it was written
@@ -80,7 +80,7 @@
     unreadable: tuple[str, ...] = ()  # names of headers and members that can't be parsed
 
 
-NOTHING = Carried()
+NO_BUDGET = PropagatedBudget()
 
 
 def _parse_member(name: str, value: str, fields: dict[str, object]) -> bool:
@@ -113,7 +113,7 @@
     return True
 
 
-def read_baggage(text: str) -> tuple[Carried, list[str]]:
+def read_baggage(text: str) -> tuple[PropagatedBudget, list[str]]:
     """The budget in a baggage value, and the foreign members unchanged.
 
     Guard: a duplicated member is ignored, because one node could use the first value and the next node the second.
@@ -123,7 +123,7 @@
     foreign: list[str] = []
     seen_names: set[str] = set()
     if len(text) > MAX_BAGGAGE_BYTES:
-        return Carried(unreadable=("baggage",)), []
+        return PropagatedBudget(unreadable=("baggage",)), []
     for member in text.split(",")[:MAX_BAGGAGE_MEMBERS]:
         member = member.strip(" \t")
         key, _, value = member.partition("=")
@@ -138,10 +138,10 @@
             invalid.append(name[:32])
             fields.pop("attempt" if name == "try" else name, None)
         seen_names.add(name)
-    return Carried(**fields, unreadable=tuple(invalid)), foreign  # type: ignore[arg-type]
+    return PropagatedBudget(**fields, unreadable=tuple(invalid)), foreign  # type: ignore[arg-type]
 
 
-def write_baggage(carried: Carried, foreign: Sequence[str] = ()) -> str:
+def write_baggage(carried: PropagatedBudget, foreign: Sequence[str] = ()) -> str:
     """The value of a baggage header: the budget first, then as many foreign members as fit the limits."""
     members: list[str] = []
     if carried.ms is not None:
@@ -181,11 +181,11 @@
     return {key.lower(): value for key, value in headers}
 
 
-def read_http(headers: Sequence[Header], by_name: Mapping[bytes, bytes] | None = None) -> Carried:
+def read_http(headers: Sequence[Header], by_name: Mapping[bytes, bytes] | None = None) -> PropagatedBudget:
     """The budget in a request's header fields. `by_name`: the same fields by lower-case name, if already known."""
     by_name = by_lower_name(headers) if by_name is None else by_name
     if READ_HEADERS.isdisjoint(by_name):
-        return NOTHING
+        return NO_BUDGET
     carried, _ = read_baggage(_joined_values(headers, b"baggage"))
     invalid = list(carried.unreadable)
     times = [] if carried.ms is None else [carried.ms]
@@ -245,12 +245,12 @@
 
 def write_http(
     headers: Sequence[Header],
-    carried: Carried,
+    carried: PropagatedBudget,
     name: str,
     wait_ms: float,
     by_name: Mapping[bytes, bytes] | None = None,
 ) -> list[Header]:
-    """The `WRITTEN` headers of an attempt by the node `name`; `headers` are those of the request it received.
+    """The `WRITTEN_HEADERS` of an attempt by the node `name`; `headers` are those of the request it received.
 
     Foreign timeouts are rewritten only if the request had them, `tracestate` only if it had a `traceparent`.
     """
--- a/loadbalancer/budget/decider.py
+++ b/loadbalancer/budget/decider.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from loadbalancer.budget.carried import Carried, Stamp
+from loadbalancer.budget.carried import PropagatedBudget, Stamp
 from loadbalancer.budget.elapsed import Elapsed
 from loadbalancer.budget.patience import Patience
 from loadbalancer.interface import ServiceClass
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class ListenerTerms:
     """The settings of one listener."""
 
     name: str  # this node's name in paths
@@ -51,10 +51,10 @@
 
 @dataclass(slots=True)
 class Allowance:
-    """The attempt tokens of one request: `kept` for the balancer's retries, the rest for the first attempt."""
+    """The attempt tokens of one request: `own_tokens` for the balancer's retries, the rest for the first attempt."""
 
-    kept: int
-    handed: int  # passed on with the first attempt
+    own_tokens: int
+    passed_on_tokens: int  # passed on with the first attempt
     attempt: int = 1  # attempt number of the request on arrival: 1 for a first attempt
     attempts_written: int = 0
 
@@ -62,7 +62,7 @@
         """The tokens and the attempt number that the next attempt carries."""
         self.attempts_written += 1
         if self.attempts_written == 1:
-            return self.handed, self.attempt
+            return self.passed_on_tokens, self.attempt
         return 0, max(2, self.attempt)
 
 
@@ -83,15 +83,17 @@
     @property
     def attempts(self) -> int:
         """The maximum number of attempts by this node's balancer."""
-        return 1 + self.allowance.kept
+        return 1 + self.allowance.own_tokens
 
-    def carry(self, now_ms: float, mark: str, left_ms: float, tenant: str | None, name: str) -> Carried:
+    def budget_for_attempt(
+        self, now_ms: float, mark: str, left_ms: float, tenant: str | None, name: str
+    ) -> PropagatedBudget:
         """The budget to write into the next attempt.
 
         `left_ms`: how long this node waits for that attempt; `name`: the id of the request at this node.
         """
         extra, attempt = self.allowance.next_attempt()
-        return Carried(
+        return PropagatedBudget(
             ms=max(0.0, left_ms),
             at=Stamp(mark, int(now_ms)),
             extra=extra,
@@ -110,7 +112,7 @@
     elapsed: Elapsed = field(default_factory=Elapsed)
     patience: dict[str, Patience] = field(default_factory=dict)
 
-    def of(self, service: str) -> Patience:
+    def patience_of(self, service: str) -> Patience:
         patience = self.patience.get(service)
         if patience is None:
             patience = self.patience[service] = Patience()
@@ -118,11 +120,11 @@
 
     def decide(
         self,
-        terms: Terms,
+        terms: ListenerTerms,
         service_class: ServiceClass,
         limit_ms: float,
         requested_ms: float | None,
-        carried: Carried,
+        carried: PropagatedBudget,
         now_ms: float,
         on_ignored: Callable[[str], None] = lambda name: None,
     ) -> Grant | Denial:
@@ -146,9 +148,9 @@
         stated = bool(limits)
         wait_ms = min(limit_ms, *limits) if limits else limit_ms
         if stated:
-            self.of(service_class.name).stated(wait_ms)
+            self.patience_of(service_class.name).stated(wait_ms)
         elif terms.learn:
-            wait_ms = min(wait_ms, self.of(service_class.name).ms or wait_ms)
+            wait_ms = min(wait_ms, self.patience_of(service_class.name).ms or wait_ms)
         if wait_ms <= terms.min_wait_ms:
             return Denial.OVER
         attempt = carried.attempt if inside and carried.attempt is not None else None
--- a/loadbalancer/budget/figures.py
+++ b/loadbalancer/budget/figures.py
@@ -32,22 +32,22 @@
 
 
 @dataclass(slots=True)
-class ClassFigures:
+class ClassStatistics:
     at_arrival: Histogram = field(default_factory=Histogram)  # time left when a request arrived
     at_end: Histogram = field(default_factory=Histogram)  # time left when its response was sent
     counts: Counter[str] = field(default_factory=Counter)
 
 
-class Figures:
+class BudgetStatistics:
     """The statistics of one node, by pool and class."""
 
     def __init__(self) -> None:
-        self.classes: dict[tuple[str, str], ClassFigures] = {}
+        self.classes: dict[tuple[str, str], ClassStatistics] = {}
 
-    def of(self, pool: str, service: str) -> ClassFigures:
+    def class_statistics(self, pool: str, service: str) -> ClassStatistics:
         figures = self.classes.get((pool, service))
         if figures is None:
-            figures = self.classes[pool, service] = ClassFigures()
+            figures = self.classes[pool, service] = ClassStatistics()
         return figures
 
     def rows(
@@ -62,7 +62,7 @@
             pool_counts = spent.get(pool, Counter())
             rows[pool] = {}
             for name in names:
-                class_figures = self.classes.get((pool, name), ClassFigures())
+                class_figures = self.classes.get((pool, name), ClassStatistics())
                 figures = {
                     counter: count
                     for (service, counter), count in sorted(pool_counts.items())
--- a/loadbalancer/budget/patience.py
+++ b/loadbalancer/budget/patience.py
@@ -27,11 +27,11 @@
         self._estimate: float | None = None
         self._since_update = 0
 
-    def left(self, waited_ms: float) -> None:
+    def record_disconnect(self, waited_ms: float) -> None:
         """A caller without a stated deadline has disconnected."""
         self._add(waited_ms, True)
 
-    def answered(self, waited_ms: float) -> None:
+    def record_response(self, waited_ms: float) -> None:
         """A caller without a stated deadline has got its response."""
         self._add(waited_ms, False)
 
--- a/loadbalancer/budget/repeats.py
+++ b/loadbalancer/budget/repeats.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True)
-class Identity:
+class RequestIdentity:
     """What distinguishes a request from others."""
 
     service: str
@@ -84,7 +84,7 @@
     return state.digest()
 
 
-class Kind(Enum):
+class RepeatKind(Enum):
     """The classification of an arriving request."""
 
     NEW = "new"
@@ -95,7 +95,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Verdict:
-    kind: Kind
+    kind: RepeatKind
     guessed: bool = False  # REPEAT is a guess, since many callers may send equal requests
     token: Any = None  # JOIN: the token passed to `begin`; REPLAY: the answer passed to `end`
     earlier: Earlier | None = None  # keyed REPEAT: where an earlier attempt may have run
@@ -112,19 +112,19 @@
 
 
 @dataclass(slots=True)
-class Repeats:
+class RepeatTracker:
     """Tracks running requests and, for a limited time and within limits, finished ones."""
 
     keep_ms: float = 2000.0  # how long a stored response or a failure is kept
-    most_bytes: int = 1 << 20  # of stored responses
+    max_answer_bytes: int = 1 << 20  # of stored responses
     max_entries: int = 4096
     counts: Counter[str] = field(default_factory=Counter)
-    held: int = 0  # bytes of stored responses
+    answer_bytes: int = 0  # bytes of stored responses
     _entries: OrderedDict[tuple[str, bytes, bytes | str], _Entry] = field(default_factory=OrderedDict)
     _ended: OrderedDict[tuple[str, bytes, bytes | str], None] = field(default_factory=OrderedDict)
     _failures: OrderedDict[tuple[str, bytes], tuple[int, float]] = field(default_factory=OrderedDict)
 
-    def arrive(self, now_ms: float, request: Identity) -> Verdict:
+    def classify(self, now_ms: float, request: RequestIdentity) -> Verdict:
         """Classify an arriving request."""
         self._expire(now_ms)
         match_key = request.match_key
@@ -132,12 +132,12 @@
         if entry is not None and (request.effect is Effect.KEYED or request.marked):
             if entry.running:
                 self.counts["joined"] += 1
-                return Verdict(Kind.JOIN, token=entry.token)
+                return Verdict(RepeatKind.JOIN, token=entry.token)
             if entry.answer is not None:
                 self.counts["replayed"] += 1
-                return Verdict(Kind.REPLAY, token=entry.answer)
+                return Verdict(RepeatKind.REPLAY, token=entry.answer)
         if entry is not None and entry.earlier is not None:
-            return Verdict(Kind.REPEAT, earlier=entry.earlier)
+            return Verdict(RepeatKind.REPEAT, earlier=entry.earlier)
         failed = self._failures.get((request.service, request.content)) if self._failures else None
         if failed is not None and not request.marked:
             self.counts["taken for a repeat"] += 1
@@ -148,10 +148,10 @@
             else:
                 del self._failures[request.service, request.content]
         if request.marked:
-            return Verdict(Kind.REPEAT)
-        return Verdict(Kind.REPEAT, guessed=True) if failed is not None else Verdict(Kind.NEW)
+            return Verdict(RepeatKind.REPEAT)
+        return Verdict(RepeatKind.REPEAT, guessed=True) if failed is not None else Verdict(RepeatKind.NEW)
 
-    def begin(self, request: Identity, token: Any) -> None:
+    def begin(self, request: RequestIdentity, token: Any) -> None:
         """Record that a request runs; requests that join it get this token."""
         match_key = request.match_key
         if match_key is None or len(self._entries) >= self.max_entries:
@@ -165,7 +165,7 @@
     def end(
         self,
         now_ms: float,
-        request: Identity,
+        request: RequestIdentity,
         token: Any,
         answer: Any = None,
         size: int = 0,
@@ -195,9 +195,9 @@
             return
         entry.running, entry.token = False, None
         entry.until_ms = now_ms + self.keep_ms
-        if answer is not None and size <= self.most_bytes:
+        if answer is not None and size <= self.max_answer_bytes:
             entry.answer, entry.size = answer, size
-            self.held += size
+            self.answer_bytes += size
         elif earlier is not None:
             # A late repeat must still go to the group of servers that may remember its key, and to no other group.
             entry.earlier = earlier
@@ -206,14 +206,14 @@
             self._drop(match_key)
             return
         self._ended[match_key] = None
-        while self.held > self.most_bytes:
+        while self.answer_bytes > self.max_answer_bytes:
             self._drop(next(key for key in self._ended if self._entries[key].size))
 
     def _drop(self, match_key: tuple[str, bytes, bytes | str]) -> None:
         entry = self._entries.pop(match_key, None)
         self._ended.pop(match_key, None)
         if entry is not None:
-            self.held -= entry.size
+            self.answer_bytes -= entry.size
 
     def _expire(self, now_ms: float) -> None:
         """Remove expired entries.
--- a/loadbalancer/runtime/budgets.py
+++ b/loadbalancer/runtime/budgets.py
@@ -10,10 +10,10 @@
 from typing import Any, Protocol
 
 from loadbalancer import interface as api
-from loadbalancer.budget.carried import Carried
-from loadbalancer.budget.decider import Decider, Denial, Grant, Terms, Trust
-from loadbalancer.budget.figures import ClassFigures, Figures
-from loadbalancer.budget.repeats import Identity, Kind, Repeats, Verdict
+from loadbalancer.budget.carried import PropagatedBudget
+from loadbalancer.budget.decider import Decider, Denial, Grant, ListenerTerms, Trust
+from loadbalancer.budget.figures import BudgetStatistics, ClassStatistics
+from loadbalancer.budget.repeats import RepeatKind, RepeatTracker, RequestIdentity, Verdict
 from loadbalancer.core.pool import OpenRequest, Pool
 from loadbalancer.core.types import Answer, AnswerKind
 from loadbalancer.runtime.frontend_common import ANSWER_MARGIN_S
@@ -26,8 +26,8 @@
     def __init__(self) -> None:
         self.instance_id = secrets.token_hex(6)
         self.decider = Decider()
-        self.repeats = Repeats()
-        self.figures = Figures()
+        self.repeats = RepeatTracker()
+        self.figures = BudgetStatistics()
         self.problems: Counter[str] = Counter()  # carried values that were malformed or not trusted
 
     def rows(self, pools: Mapping[str, Pool]) -> dict[str, Any]:
@@ -46,7 +46,7 @@
                 for name, patience in sorted(self.decider.patience.items())
                 if patience.ms is not None
             },
-            "repeats": dict(sorted(self.repeats.counts.items())) | {"bytes_kept": self.repeats.held},
+            "repeats": dict(sorted(self.repeats.counts.items())) | {"bytes_kept": self.repeats.answer_bytes},
             "not_believed": dict(sorted(self.problems.items())),
         }
 
@@ -56,7 +56,7 @@
     """The budget of one listener; a reload replaces the object as a whole."""
 
     budgets: Budgets
-    terms: Terms
+    terms: ListenerTerms
     model: BudgetModel
     one_way_ms: Mapping[str, float] = field(default_factory=dict)  # by pool: network latency in one direction
 
@@ -67,7 +67,7 @@
         kind: api.ServiceClass,
         max_wait_ms: float,
         requested_ms: float | None,
-        carried: Carried,
+        carried: PropagatedBudget,
         arrived: float,
         tenant: str | None,
         request_parts: tuple[bytes, ...],
@@ -79,7 +79,7 @@
         `request_parts`, `fields` and `key` identify the request: two that agree in them are duplicates.
         """
         budgets = self.budgets
-        figures = budgets.figures.of(pool_name, kind.name)
+        figures = budgets.figures.class_statistics(pool_name, kind.name)
         figures.counts["came"] += 1
 
         def on_problem(name: str) -> None:
@@ -95,14 +95,16 @@
         figures.at_arrival.add(grant.wait_ms)
         tenant = tenant or grant.tenant
         identity_parts = ((tenant or "").encode(), *request_parts)
-        identity = Identity(kind.name, kind.effect, identity_parts, key, grant.id, grant.is_retry, fields)
-        verdict = budgets.repeats.arrive(now, identity)
+        identity = RequestIdentity(
+            kind.name, kind.effect, identity_parts, key, grant.id, grant.is_retry, fields
+        )
+        verdict = budgets.repeats.classify(now, identity)
         if verdict.guessed and not pool.balancer.sender.failing:
             # A likely duplicate without a retry mark counts as new while the pool is healthy: no load has to be shed.
-            verdict = Verdict(Kind.NEW)
-        if verdict.kind is Kind.REPEAT and not grant.paid:
+            verdict = Verdict(RepeatKind.NEW)
+        if verdict.kind is RepeatKind.REPEAT and not grant.paid:
             grant.is_retry = True
-            grant.allowance.kept = grant.allowance.handed = 0
+            grant.allowance.own_tokens = grant.allowance.passed_on_tokens = 0
             grant.allowance.attempt = max(2, grant.allowance.attempt)
         figures.counts[verdict.kind.value] += 1
         return AdmittedRequest(
@@ -119,11 +121,11 @@
     pool: Pool
     kind: api.ServiceClass
     grant: Grant
-    identity: Identity
+    identity: RequestIdentity
     verdict: Verdict
     tenant: str | None
     arrived: float
-    figures: ClassFigures
+    figures: ClassStatistics
 
     def resolve_repeat(
         self, caller: Caller, replay: Callable[[Any], None], answer_late: Callable[[], None]
@@ -133,9 +135,9 @@
         `replay` is called with the reply of a first one that has ended. `answer_late` is called if the duplicate's own
         deadline passes before a first one that is still open is answered.
         """
-        if self.verdict.kind is Kind.REPLAY:
+        if self.verdict.kind is RepeatKind.REPLAY:
             replay(self.verdict.token)
-        elif self.verdict.kind is Kind.JOIN:
+        elif self.verdict.kind is RepeatKind.JOIN:
             running: SharedRequest = self.verdict.token
             running.join(caller, self, answer_late)
         else:
@@ -146,14 +148,14 @@
         """Note that the caller left before its answer."""
         if not self.grant.stated:
             waited = self.pool.loop.time() - self.arrived
-            self.budget.budgets.decider.of(self.kind.name).left(waited * 1000.0)
+            self.budget.budgets.decider.patience_of(self.kind.name).record_disconnect(waited * 1000.0)
         self.figures.counts["left"] += 1
 
     def on_answered(self) -> None:
         """Note that the caller has been answered."""
         waited = (self.pool.loop.time() - self.arrived) * 1000.0
         if not self.grant.stated:
-            self.budget.budgets.decider.of(self.kind.name).answered(waited)
+            self.budget.budgets.decider.patience_of(self.kind.name).record_response(waited)
         self.figures.at_end.add(self.grant.wait_ms - waited)
 
 
@@ -234,7 +236,7 @@
         self._record_end(open_request, answer, size)
         return [caller for caller, _, _ in waiting]
 
-    def carried(self, wait_s: float) -> Carried | None:
+    def carried(self, wait_s: float) -> PropagatedBudget | None:
         """Return the budget to send with an attempt that starts now with this timeout; None where none is carried."""
         admitted = self.admitted
         if admitted is None or not admitted.budget.model.carry:
@@ -243,7 +245,9 @@
             admitted.grant.worth = admitted.kind.worth
         left_ms = wait_s * 1000.0 - admitted.budget.one_way_ms.get(admitted.pool_name, 0.0)
         instance_id = admitted.budget.budgets.instance_id
-        return admitted.grant.carry(self.pool.clock.ms(), instance_id, left_ms, admitted.tenant, self.name)
+        return admitted.grant.budget_for_attempt(
+            self.pool.clock.ms(), instance_id, left_ms, admitted.tenant, self.name
+        )
 
     def _on_caller_gone(self, caller: Caller) -> None:
         """Handle a caller that closed its connection."""
@@ -289,7 +293,7 @@
     one_way_ms: Mapping[str, float],
 ) -> FrontendBudget:
     """Return a listener's budget from the configuration; `attempts` is `max_attempts` of the rules."""
-    terms = Terms(
+    terms = ListenerTerms(
         name=name,
         trust=Trust(trust or "edge"),
         extra=attempts - 1 if model.extra is None else model.extra,
--- a/loadbalancer/runtime/http_frontend.py
+++ b/loadbalancer/runtime/http_frontend.py
@@ -14,7 +14,7 @@
 from functools import lru_cache, partial
 
 from loadbalancer import interface as api
-from loadbalancer.budget.carried import WRITTEN, read_http, write_http
+from loadbalancer.budget.carried import WRITTEN_HEADERS, read_http, write_http
 from loadbalancer.budget.decider import Denial
 from loadbalancer.core.pool import OpenRequest, Pool
 from loadbalancer.core.types import Answer, AnswerCause, AnswerKind
@@ -147,7 +147,7 @@
         self._budget = budget
         self._dropped = REQUEST_DROPPED | {self._deadline_header}
         if budget is not None and budget.model.carry:
-            self._dropped |= WRITTEN
+            self._dropped |= WRITTEN_HEADERS
 
     # ------------------------------------------------------------------- requests
 
--- a/loadbalancer/runtime/sidecar.py
+++ b/loadbalancer/runtime/sidecar.py
@@ -307,7 +307,7 @@
         # Nothing below may fail, and nothing is awaited before the change is complete.
         if new.budget is not None:
             repeats = self.budgets.repeats
-            repeats.keep_ms, repeats.most_bytes = new.budget.keep_ms, new.budget.keep_bytes
+            repeats.keep_ms, repeats.max_answer_bytes = new.budget.keep_ms, new.budget.keep_bytes
         for model in new.listeners:
             front = listeners[model.name].front
             front.server.limit = caller_limit
--- a/loadbalancer/runtime/thrift_frontend.py
+++ b/loadbalancer/runtime/thrift_frontend.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from loadbalancer.budget.carried import NOTHING, Carried, read_baggage, write_baggage
+from loadbalancer.budget.carried import NO_BUDGET, PropagatedBudget, read_baggage, write_baggage
 from loadbalancer.budget.decider import Denial
 from loadbalancer.core.pool import OpenRequest, Pool
 from loadbalancer.core.types import Answer, AnswerCause, AnswerKind
@@ -216,12 +216,12 @@
             if message.sent:
                 on_sent()
 
-    def _carried(self, incoming: Message) -> tuple[Carried, list[str]]:
+    def _carried(self, incoming: Message) -> tuple[PropagatedBudget, list[str]]:
         """Return the budget in the arguments, and the other baggage members beside it."""
         if self._budget is None or self._budget_field is None:
-            return NOTHING, []
+            return NO_BUDGET, []
         found = field_at(incoming.body, incoming.form, (self._budget_field,))
-        return read_baggage(found.decode("latin-1")) if isinstance(found, bytes) else (NOTHING, [])
+        return read_baggage(found.decode("latin-1")) if isinstance(found, bytes) else (NO_BUDGET, [])
 
     def _without_budget(self, incoming: Message) -> bytes:
         """Return the arguments without the budget, which differs between retries of the same call."""
--- a/tests/budget/test_carried.py
+++ b/tests/budget/test_carried.py
@@ -8,8 +8,8 @@
 
 from loadbalancer.budget.carried import (
     MAX_BAGGAGE_MEMBERS,
-    NOTHING,
-    Carried,
+    NO_BUDGET,
+    PropagatedBudget,
     Stamp,
     read_baggage,
     read_http,
@@ -17,7 +17,7 @@
     write_http,
 )
 
-FULL = Carried(
+FULL = PropagatedBudget(
     ms=1200.0,
     at=Stamp("a1b2", 123456),
     extra=2,
@@ -29,7 +29,7 @@
 )
 NAMES = st.from_regex(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}", fullmatch=True)
 ALL = st.builds(
-    Carried,
+    PropagatedBudget,
     ms=st.none() | st.integers(0, 86_400_000).map(float),
     at=st.none() | st.builds(Stamp, st.from_regex(r"[a-z0-9]{1,12}", fullmatch=True), st.integers(0, 10**14)),
     extra=st.none() | st.integers(0, 100),
@@ -99,7 +99,7 @@
 
 
 def test_baggage_over_the_size_limit_is_unreadable():
-    assert read_baggage("a=" + "x" * 9000)[0] == Carried(unreadable=("baggage",))
+    assert read_baggage("a=" + "x" * 9000)[0] == PropagatedBudget(unreadable=("baggage",))
 
 
 @pytest.mark.parametrize(
@@ -146,7 +146,7 @@
     assert read_http([(b"Req-Retry", b"1")]).marked_retry
     assert read_http([(b"X-Envoy-Attempt-Count", b"2")]).marked_retry
     assert not read_http([(b"x-envoy-attempt-count", b"1")]).marked_retry
-    assert read_http([(b"accept", b"*/*")]) is NOTHING
+    assert read_http([(b"accept", b"*/*")]) is NO_BUDGET
 
 
 def test_names_in_via_and_tracestate_are_read():
--- a/tests/budget/test_chain.py
+++ b/tests/budget/test_chain.py
@@ -285,7 +285,7 @@
             for gate in gates:
                 gate.set()
             denied = lambda: sum(  # noqa: E731
-                sidecar.budgets.figures.of("boxes", "post").counts["over"]
+                sidecar.budgets.figures.class_statistics("boxes", "post").counts["over"]
                 for sidecar in deployment.sidecars[1]
             )
             await until(lambda: denied() == 1)
--- a/tests/budget/test_decider.py
+++ b/tests/budget/test_decider.py
@@ -7,17 +7,24 @@
 import pytest
 
 from loadbalancer import interface as api
-from loadbalancer.budget.carried import NOTHING, Carried, Stamp
-from loadbalancer.budget.decider import Allowance, Decider, Denial, Grant, Terms, Trust
+from loadbalancer.budget.carried import NO_BUDGET, PropagatedBudget, Stamp
+from loadbalancer.budget.decider import Allowance, Decider, Denial, Grant, ListenerTerms, Trust
 from loadbalancer.budget.elapsed import MAX_EXCESS_MS, MAX_WRITERS, WINDOW_MS, Elapsed
 from loadbalancer.budget.patience import MIN_OBSERVATIONS, Patience
 
 KIND = api.ServiceClass("read", aim_ms=1000, give_up_ms=2500, worth=12, effect=api.Effect.SAFE)
-INSIDE = Terms("post", Trust.INSIDE, extra=2, tenants=frozenset({"hotels"}))
-EDGE = Terms("post", Trust.EDGE, extra=2, tenants=frozenset({"hotels"}))
-
-
-def decide(carried: Carried = NOTHING, terms: Terms = INSIDE, requested=None, decider=None, now=0.0, **more):
+INSIDE = ListenerTerms("post", Trust.INSIDE, extra=2, tenants=frozenset({"hotels"}))
+EDGE = ListenerTerms("post", Trust.EDGE, extra=2, tenants=frozenset({"hotels"}))
+
+
+def decide(
+    carried: PropagatedBudget = NO_BUDGET,
+    terms: ListenerTerms = INSIDE,
+    requested=None,
+    decider=None,
+    now=0.0,
+    **more,
+):
     return (decider or Decider()).decide(terms, KIND, 2500.0, requested, carried, now, **more)
 
 
@@ -30,12 +37,12 @@
 )
 def test_the_wait_is_the_remaining_time_and_at_most_that_of_the_class(ms, wait):
     for terms in (INSIDE, EDGE):
-        assert decide(Carried(ms=ms), terms).wait_ms == wait
+        assert decide(PropagatedBudget(ms=ms), terms).wait_ms == wait
 
 
 @pytest.mark.parametrize("ms", [0.0, 3.0, 6.0])
 def test_a_request_without_time_left_is_rejected(ms):
-    assert decide(Carried(ms=ms)) is Denial.OVER
+    assert decide(PropagatedBudget(ms=ms)) is Denial.OVER
     assert decide(requested=0.0) is Denial.OVER
 
 
@@ -51,17 +58,23 @@
         mark = f"m{hour}"
         for _ in range(3):  # the shortest transit: 2 ms
             stamp = Stamp(mark, int(10_000_000 + hour))
-            assert decide(Carried(ms=800.0, at=stamp), decider=decider, now=10_000_002.0).wait_ms == 795.0
+            assert (
+                decide(PropagatedBudget(ms=800.0, at=stamp), decider=decider, now=10_000_002.0).wait_ms
+                == 795.0
+            )
         late = Stamp(mark, int(10_000_000 + hour))
-        granted = decide(Carried(ms=800.0, at=late), decider=decider, now=10_000_302.0)
+        granted = decide(PropagatedBudget(ms=800.0, at=late), decider=decider, now=10_000_302.0)
         assert granted.wait_ms == pytest.approx(495.0)
-        assert decide(Carried(ms=800.0, at=late), decider=decider, now=10_000_900.0) is Denial.OVER
+        assert decide(PropagatedBudget(ms=800.0, at=late), decider=decider, now=10_000_900.0) is Denial.OVER
 
 
 def test_stamps_are_ignored_at_the_edge():
     decider = Decider()
-    decide(Carried(ms=800.0, at=Stamp("x", 0)), EDGE, decider=decider)
-    assert decide(Carried(ms=800.0, at=Stamp("x", 0)), EDGE, decider=decider, now=700.0).wait_ms == 795.0
+    decide(PropagatedBudget(ms=800.0, at=Stamp("x", 0)), EDGE, decider=decider)
+    assert (
+        decide(PropagatedBudget(ms=800.0, at=Stamp("x", 0)), EDGE, decider=decider, now=700.0).wait_ms
+        == 795.0
+    )
 
 
 def test_clock_jumps_and_drift_do_not_make_requests_look_expired():
@@ -85,13 +98,15 @@
 # -------------------------------------------------------------------------- attempts
 
 
-def attempts_at_last_tier(rng: Random, carried: Carried, depth: int) -> int:
+def attempts_at_last_tier(rng: Random, carried: PropagatedBudget, depth: int) -> int:
     """Attempts at the last tier for one call if every attempt fails and each tier uses all its attempts."""
-    granted = decide(carried, Terms(f"n{depth}-{rng.random()}", Trust.INSIDE, extra=rng.randint(0, 9)))
+    granted = decide(
+        carried, ListenerTerms(f"n{depth}-{rng.random()}", Trust.INSIDE, extra=rng.randint(0, 9))
+    )
     assert isinstance(granted, Grant)
     total = 0
     for _ in range(granted.attempts):
-        onward = granted.carry(0.0, "m", 900.0, None, "x")
+        onward = granted.budget_for_attempt(0.0, "m", 900.0, None, "x")
         total += 1 if depth == 0 else attempts_at_last_tier(rng, onward, depth - 1)
     return total
 
@@ -101,40 +116,40 @@
     for seed in range(30):
         rng = Random(seed)
         for depth in range(6):
-            made = attempts_at_last_tier(rng, Carried(extra=extra, ms=1000.0), depth)
+            made = attempts_at_last_tier(rng, PropagatedBudget(extra=extra, ms=1000.0), depth)
             assert made <= 1 + extra
             if depth == 0:
                 assert made <= 1 + (extra + 1) // 2
 
 
 def test_a_marked_retry_gets_no_new_allowance():
-    for carried in (Carried(marked_retry=True, extra=9), Carried(attempt=2, extra=9)):
+    for carried in (PropagatedBudget(marked_retry=True, extra=9), PropagatedBudget(attempt=2, extra=9)):
         for terms in (INSIDE, EDGE):
             granted = decide(carried, terms)
             assert granted.attempts == 1
             assert granted.is_retry
-            assert granted.carry(0.0, "m", 9.0, None, "x").extra == 0
-            assert granted.carry(0.0, "m", 9.0, None, "x").attempt >= 2
+            assert granted.budget_for_attempt(0.0, "m", 9.0, None, "x").extra == 0
+            assert granted.budget_for_attempt(0.0, "m", 9.0, None, "x").attempt >= 2
 
 
 def test_later_attempts_carry_their_number_to_the_next_tier():
     granted = decide()
-    assert granted.carry(0.0, "m", 900.0, None, "x").attempt == 1
-    assert granted.carry(0.0, "m", 900.0, None, "x").attempt == 2
+    assert granted.budget_for_attempt(0.0, "m", 900.0, None, "x").attempt == 1
+    assert granted.budget_for_attempt(0.0, "m", 900.0, None, "x").attempt == 2
     assert Allowance(1, 1).next_attempt() == (1, 1)
 
 
 def test_only_an_inside_listener_accepts_a_retry_as_paid():
-    assert decide(Carried(attempt=2)).paid
-    assert not decide(Carried(attempt=2), EDGE).paid
-    assert decide(Carried(attempt=2), EDGE).is_retry
+    assert decide(PropagatedBudget(attempt=2)).paid
+    assert not decide(PropagatedBudget(attempt=2), EDGE).paid
+    assert decide(PropagatedBudget(attempt=2), EDGE).is_retry
 
 
 # --------------------------------------------------------------- values not accepted
 
 
 def test_no_caller_can_raise_worth_time_or_attempts_or_claim_a_tenant():
-    excessive = Carried(ms=1e7, extra=99, worth=1e6, tenant="hotels", id="x", attempt=1)
+    excessive = PropagatedBudget(ms=1e7, extra=99, worth=1e6, tenant="hotels", id="x", attempt=1)
     ignored: list[str] = []
     granted = decide(excessive, EDGE, on_ignored=ignored.append)
     assert (granted.wait_ms, granted.attempts, granted.worth) == (2500.0, 2, None)
@@ -143,8 +158,8 @@
     granted = decide(excessive, INSIDE)
     assert (granted.wait_ms, granted.attempts, granted.worth) == (2500.0, 2, 12.0)
     assert (granted.tenant, granted.id) == ("hotels", "x")
-    assert decide(Carried(tenant="nobody"), INSIDE).tenant is None
-    assert decide(Carried(worth=0.5), INSIDE).worth == 0.5
+    assert decide(PropagatedBudget(tenant="nobody"), INSIDE).tenant is None
+    assert decide(PropagatedBudget(worth=0.5), INSIDE).worth == 0.5
 
 
 # ------------------------------------------------------------------------------ loops
@@ -154,9 +169,9 @@
 @pytest.mark.parametrize(
     "carried",
     [
-        Carried(path=("post",)),
-        Carried(path=("front", "post", "archive")),
-        Carried(passed_nodes=frozenset({"post"})),
+        PropagatedBudget(path=("post",)),
+        PropagatedBudget(path=("front", "post", "archive")),
+        PropagatedBudget(passed_nodes=frozenset({"post"})),
     ],
 )
 def test_a_returning_request_is_rejected_whichever_header_shows_it(terms, carried):
@@ -164,14 +179,14 @@
 
 
 def test_revisits_are_allowed_by_configuration():
-    twice = Terms("post", Trust.INSIDE, revisits=1)
-    assert isinstance(decide(Carried(path=("post", "front")), twice), Grant)
-    assert decide(Carried(path=("post", "front", "post")), twice) is Denial.LOOP
+    twice = ListenerTerms("post", Trust.INSIDE, revisits=1)
+    assert isinstance(decide(PropagatedBudget(path=("post", "front")), twice), Grant)
+    assert decide(PropagatedBudget(path=("post", "front", "post")), twice) is Denial.LOOP
 
 
 def test_the_path_ends_with_this_node_and_has_at_most_32_names():
-    assert decide(Carried(path=("front",))).path == ("front", "post")
-    assert len(decide(Carried(path=tuple(f"n{at}" for at in range(32)))).path) == 32
+    assert decide(PropagatedBudget(path=("front",))).path == ("front", "post")
+    assert len(decide(PropagatedBudget(path=tuple(f"n{at}" for at in range(32)))).path) == 32
 
 
 # ---------------------------------------------------------------------------- patience
@@ -180,28 +195,28 @@
 def test_patience_is_learned_from_disconnects_among_many_answered_requests():
     patience = Patience()
     for _ in range(200):
-        patience.answered(30.0)
+        patience.record_response(30.0)
     assert patience.ms is None
     for _ in range(MIN_OBSERVATIONS + 20):
-        patience.left(1000.0)
+        patience.record_disconnect(1000.0)
     assert patience.ms == pytest.approx(1050.0)
 
 
 def test_two_kinds_of_callers_give_the_longer_time():
     patience = Patience()
     for _ in range(40):
-        patience.left(500.0)
-        patience.left(2000.0)
+        patience.record_disconnect(500.0)
+        patience.record_disconnect(2000.0)
     assert patience.ms == pytest.approx(2100.0)
 
 
 def test_the_estimate_follows_callers_that_become_more_patient():
     patience = Patience()
     for _ in range(40):
-        patience.left(500.0)
+        patience.record_disconnect(500.0)
     assert patience.ms == pytest.approx(525.0)
     for _ in range(600):  # answered with any status before they disconnected
-        patience.answered(520.0)
+        patience.record_response(520.0)
     assert patience.ms is None
 
 
@@ -215,10 +230,10 @@
 def test_learned_patience_limits_callers_without_a_deadline():
     decider = Decider()
     for _ in range(60):
-        decider.of("read").left(700.0)
+        decider.patience_of("read").record_disconnect(700.0)
     assert decide(decider=decider).wait_ms == pytest.approx(735.0)
     assert decide(requested=1500.0, decider=decider).wait_ms == 1500.0
-    assert decide(terms=Terms("post", learn=False), decider=decider).wait_ms == 2500.0
+    assert decide(terms=ListenerTerms("post", learn=False), decider=decider).wait_ms == 2500.0
     for _ in range(600):
-        decider.of("read").left(60_000.0)
+        decider.patience_of("read").record_disconnect(60_000.0)
     assert decide(decider=decider).wait_ms == 2500.0
--- a/tests/faults/test_callers_that_leave.py
+++ b/tests/faults/test_callers_that_leave.py
@@ -15,7 +15,7 @@
 from loopback import Caller, Held, Peer, Scripted, ask, reply, request, running, until
 
 from loadbalancer import interface as api
-from loadbalancer.budget.repeats import Repeats
+from loadbalancer.budget.repeats import RepeatTracker
 from loadbalancer.core import connection_pool
 
 # More than the limit of concurrent connection attempts to one server, so that some are queued.
@@ -339,13 +339,13 @@
 
 def test_a_keyed_request_that_was_never_sent_does_not_bind_its_retry_to_a_server(monkeypatch):
     """Guard: the retry had to go to a server to which the first attempt had only waited to connect."""
-    earlier_servers, end = [], Repeats.end
+    earlier_servers, end = [], RepeatTracker.end
 
     def recording_end(self, *args, **more):
         earlier_servers.append(more["earlier"])
         end(self, *args, **more)
 
-    monkeypatch.setattr(Repeats, "end", recording_end)
+    monkeypatch.setattr(RepeatTracker, "end", recording_end)
 
     async def main():
         (box,) = boxes(1)
--- a/tests/runtime/test_budgets.py
+++ b/tests/runtime/test_budgets.py
@@ -26,7 +26,7 @@
 from thrifty import Caller, box_of, posting, said, shape
 from thrifty import boxes as thrift_boxes
 
-from loadbalancer.budget.carried import Carried, Stamp, read_baggage, read_http, write_baggage
+from loadbalancer.budget.carried import PropagatedBudget, Stamp, read_baggage, read_http, write_baggage
 from loadbalancer.emulator.box import Behaviour
 from loadbalancer.emulator.caller import Application
 from loadbalancer.emulator.tier import OWN, TRACE, TierApplication
@@ -57,7 +57,7 @@
 
 
 def baggage(**values: Any) -> dict[str, str]:
-    return {"Baggage": write_baggage(Carried(**values))}
+    return {"Baggage": write_baggage(PropagatedBudget(**values))}
 
 
 async def budgets_page(sidecar: Sidecar) -> dict[str, Any]:
@@ -541,7 +541,7 @@
     async def main():
         (box,) = boxes(1)
         async with alongside([box], lambda: data(box)) as sidecar:
-            sidecar.budgets.decider.of("read").left(5.0)
+            sidecar.budgets.decider.patience_of("read").record_disconnect(5.0)
             await sidecar.reload(configuration(data(box, budget=BUDGET | {"extra": 0})))
             app = application(sidecar)
             await app.ask("GET", "/balance/1")
@@ -594,7 +594,7 @@
     return shape(*all_boxes, budget=BUDGET, listeners=listeners, **more)
 
 
-def carried_by_last_call(box: Any) -> Carried:
+def carried_by_last_call(box: Any) -> PropagatedBudget:
     """Return the budget that the last call to a server carried."""
     message = box.calls[-1]
     found = field_at(message.body, message.form, (FIELD,))
@@ -605,7 +605,7 @@
 def with_budget(body: bytes, form: Form, **values: Any) -> bytes:
     from loadbalancer.thrift.codec import with_text
 
-    return with_text(body, form, FIELD, write_baggage(Carried(**values), ["user=amina"]).encode())
+    return with_text(body, form, FIELD, write_baggage(PropagatedBudget(**values), ["user=amina"]).encode())
 
 
 @pytest.mark.parametrize("form", list(Form), ids=lambda form: form.value)
