--- a/loadbalancer/cli/xds.py
+++ b/loadbalancer/cli/xds.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from loadbalancer.xds.protocol import Served, XdsClient
+    from loadbalancer.xds.protocol import ActiveCluster, XdsClient
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -67,7 +67,7 @@
     return 1 if missing else 0
 
 
-def _cluster_lines(name: str, served: Served, after_s: float) -> list[str]:
+def _cluster_lines(name: str, served: ActiveCluster, after_s: float) -> list[str]:
     if served.cluster is None:
         return [f"{after_s:7.2f} s  {name}: removed"]
     lines = [f"{after_s:7.2f} s  {name}: {len(served.entries)} endpoints"]
--- a/loadbalancer/runtime/thrift_frontend.py
+++ b/loadbalancer/runtime/thrift_frontend.py
@@ -28,7 +28,7 @@
 from loadbalancer.runtime.admission_control import AdmissionControl
 from loadbalancer.runtime.budgets import FrontendBudget, SharedRequest
 from loadbalancer.runtime.frontend_common import ANSWER_MARGIN_S, caller_wait_ms, request_ids
-from loadbalancer.thrift.client import Outbound
+from loadbalancer.thrift.client import OutgoingCall
 from loadbalancer.thrift.codec import check, field_at, transcode, with_text
 from loadbalancer.thrift.server import Limits, ThriftCall, ThriftServer, bad_call
 from loadbalancer.thrift.types import ExceptionKind, Form, Message, MessageKind, ProtocolError
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class ForwardedCall(Outbound):
+class ForwardedCall(OutgoingCall):
     """A call as it is sent to a server, and the request whose callers wait for its reply."""
 
     shared_request: SharedRequest | None = None
--- a/loadbalancer/runtime/upstreams.py
+++ b/loadbalancer/runtime/upstreams.py
@@ -11,7 +11,7 @@
 from loadbalancer.runtime.http_frontend import HttpWire
 from loadbalancer.sidecar.models import Configuration, PoolModel, ThriftModel
 from loadbalancer.thrift.back import ThriftConnectionPool
-from loadbalancer.thrift.client import Outbound, ThriftWire
+from loadbalancer.thrift.client import OutgoingCall, ThriftWire
 from loadbalancer.thrift.types import Form
 
 
@@ -66,7 +66,7 @@
             part.remove(name)
 
     def send(self, name: str, message: Any, timeout_s: float, on_end: OnEnd) -> Attempt | None:
-        part = self.thrift if isinstance(message, Outbound) else self.http
+        part = self.thrift if isinstance(message, OutgoingCall) else self.http
         return part.send(name, message, timeout_s, on_end)
 
     def close(self) -> None:
--- a/loadbalancer/runtime/xds.py
+++ b/loadbalancer/runtime/xds.py
@@ -12,7 +12,7 @@
 from loadbalancer.runtime.upstreams import AnyUpstream
 from loadbalancer.sidecar.models import ListSource
 from loadbalancer.xds.files import FileClient
-from loadbalancer.xds.protocol import Served, XdsClient
+from loadbalancer.xds.protocol import ActiveCluster, XdsClient
 from loadbalancer.xds.stream import XdsPolling, XdsStream
 
 log = logging.getLogger("loadbalancer")
@@ -50,7 +50,7 @@
         return not self.watchers
 
     def _update_subscriptions(self) -> None:
-        self.stream.want({watcher.cluster for watcher in self.watchers})
+        self.stream.subscribe({watcher.cluster for watcher in self.watchers})
 
     def _on_change(self) -> None:
         for watcher in list(self.watchers):
@@ -105,7 +105,7 @@
         self._pool = pool
         self._upstream = upstream
         self._max_connect_s = upstream.connect_timeout_s  # the pool's setting; a cluster may only lower it
-        self._served: Served | None = None
+        self._served: ActiveCluster | None = None
 
     def start(self) -> None:
         if self._source.path is not None:
--- a/loadbalancer/thrift/back.py
+++ b/loadbalancer/thrift/back.py
@@ -4,7 +4,7 @@
 
 from loadbalancer.core.connection_pool import Attempt, ConnectionPool
 from loadbalancer.interface import Result
-from loadbalancer.thrift.client import Outbound, ThriftConnection, ThriftWire
+from loadbalancer.thrift.client import OutgoingCall, ThriftConnection, ThriftWire
 from loadbalancer.thrift.codec import read_exception
 from loadbalancer.thrift.types import ExceptionKind, Message, MessageKind, ProtocolError
 
@@ -31,10 +31,12 @@
     def connection(self) -> ThriftConnection:
         return ThriftConnection(self.forget, self.wire)
 
-    def start(self, connection: ThriftConnection, message: Outbound, wait_s: float, attempt: Attempt) -> None:
+    def start(
+        self, connection: ThriftConnection, message: OutgoingCall, wait_s: float, attempt: Attempt
+    ) -> None:
         connection.start(message, wait_s, attempt)
 
-    def outcome(self, message: Outbound, reply: Message | None) -> tuple[Result, dict[str, float] | None]:
+    def outcome(self, message: OutgoingCall, reply: Message | None) -> tuple[Result, dict[str, float] | None]:
         """The result of an attempt, and no load report.
 
         An exception that the service declares is a successful reply. `reply` is None for a oneway call that is
--- a/loadbalancer/thrift/client.py
+++ b/loadbalancer/thrift/client.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Outbound:
+class OutgoingCall:
     """A call to an upstream server, encoded in that server's protocol."""
 
     kind: MessageKind
@@ -54,11 +54,11 @@
         self._wire = wire
         self._decoder = Decoder(wire.limit)
         self._seqid = 0
-        self._message: Outbound | None = None  # the last one that was sent
+        self._message: OutgoingCall | None = None  # the last one that was sent
         self._timeout_s = 0.0
         self._timer: asyncio.TimerHandle | None = None
 
-    def start(self, message: Outbound, wait_s: float, exchange: Exchange) -> None:
+    def start(self, message: OutgoingCall, wait_s: float, exchange: Exchange) -> None:
         """Send a call under the next sequence id of this connection."""
         wire = self._wire
         self._seqid = (self._seqid + 1) & 0x7FFFFFFF
@@ -115,7 +115,7 @@
             self._unusable = True  # data follows the reply, so the connection is not used again
         self._answer(reply)
 
-    def _matches(self, reply: Message, message: Outbound) -> bool:
+    def _matches(self, reply: Message, message: OutgoingCall) -> bool:
         """Whether this is the reply to the current call and its body is well-formed."""
         if reply.seqid != self._seqid:
             return False
--- a/loadbalancer/thrift/server.py
+++ b/loadbalancer/thrift/server.py
@@ -16,7 +16,7 @@
 from loadbalancer.thrift.codec import Decoder, application_exception, encode
 from loadbalancer.thrift.types import ExceptionKind, Form, Message, MessageKind, ProtocolError
 
-PIPELINE = 32  # complete calls queued on one connection, at which reading from it pauses
+MAX_PIPELINED_CALLS = 32  # complete calls queued on one connection, at which reading from it pauses
 
 
 @dataclass(slots=True, eq=False)
@@ -106,7 +106,7 @@
                 continue
             break
         if self._reading and (
-            len(self._calls) >= PIPELINE or self._queued_bytes > self._server.limits.message
+            len(self._calls) >= MAX_PIPELINED_CALLS or self._queued_bytes > self._server.limits.message
         ):
             self._reading = False
             self._transport.pause_reading()
--- a/loadbalancer/xds/files.py
+++ b/loadbalancer/xds/files.py
@@ -23,7 +23,7 @@
 from google.protobuf import json_format
 
 from loadbalancer.interface import Levels
-from loadbalancer.xds.protocol import Served
+from loadbalancer.xds.protocol import ActiveCluster
 from loadbalancer.xds.resources import (
     Assignment,
     Cluster,
@@ -133,7 +133,7 @@
         ) from error
 
 
-def served_from_files(cluster: Cluster, endpoints: Resources | None) -> Served | None:
+def served_from_files(cluster: Cluster, endpoints: Resources | None) -> ActiveCluster | None:
     """The active form of a cluster read from files; None while its endpoints are missing."""
     assignment = cluster.assignment
     if cluster.kind is Kind.EDS:
@@ -141,7 +141,7 @@
     if assignment is None:
         return None
     entries, levels = membership(cluster, assignment)
-    return Served(cluster, entries, levels)
+    return ActiveCluster(cluster, entries, levels)
 
 
 class FileClient:
@@ -158,7 +158,7 @@
         self._on_change = on_change
         self._file_stamps: dict[str, tuple[int, int, int]] = {}
         self._loaded: dict[str, Resources] = {}
-        self._served: Served | None = None
+        self._served: ActiveCluster | None = None
         self._task: asyncio.Task[None] | None = None
 
     @property
@@ -172,7 +172,7 @@
         if self._task is not None:
             self._task.cancel()
 
-    def served(self, name: str) -> Served | None:
+    def served(self, name: str) -> ActiveCluster | None:
         return self._served if name == self.cluster else None
 
     def rows(self, now_ms: float) -> list[dict[str, Any]]:
@@ -210,7 +210,7 @@
             return False
         before = self._served
         if cluster is None:
-            self._served = Served(None, (), Levels()) if before is not None else None
+            self._served = ActiveCluster(None, (), Levels()) if before is not None else None
         else:
             # Make before break: while the new endpoints are missing, the cluster keeps its old ones.
             self._served = served_from_files(cluster, endpoints) or before
--- a/loadbalancer/xds/protocol.py
+++ b/loadbalancer/xds/protocol.py
@@ -68,7 +68,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Served:
+class ActiveCluster:
     """A cluster as its pool uses it; no cluster and no entries once it has been removed."""
 
     cluster: Cluster | None
@@ -95,7 +95,7 @@
         self.connected = False
         self.last_news_ms: float | None = None
         self.failures = 0
-        self._active: dict[str, Served] = {}
+        self._active: dict[str, ActiveCluster] = {}
         self._warming: dict[str, float] = {}  # by cluster that waits for its endpoints: since when
         self._rng = random.Random(seed)
         self._node_sent = False
@@ -138,7 +138,7 @@
         self._activate(now_ms)
         return requests + self._subscribe_endpoints()
 
-    def want(self, names: Iterable[str]) -> list[Request]:
+    def subscribe(self, names: Iterable[str]) -> list[Request]:
         """Subscribe to exactly these clusters; returns the requests to send."""
         names = set(names)
         if names == self.clusters.subscribed:
@@ -156,7 +156,7 @@
 
     # ----------------------------------------------------------------- state
 
-    def served(self, name: str) -> Served | None:
+    def served(self, name: str) -> ActiveCluster | None:
         """The active form of a cluster; None before it was first activated."""
         return self._active.get(name)
 
@@ -321,7 +321,7 @@
             if cluster is None:
                 if name in self._active:
                     # The cluster was removed, so its endpoints get no new requests.
-                    self._active[name] = Served(None, (), Levels())
+                    self._active[name] = ActiveCluster(None, (), Levels())
                 self._warming.pop(name, None)
                 continue
             assignment = (
@@ -333,7 +333,7 @@
                 since_ms = self._warming.setdefault(name, now_ms)
                 if self._same_source(name, cluster) or now_ms - since_ms >= INITIAL_FETCH_TIMEOUT_MS:
                     # The endpoints in use were removed, or none arrived in time.
-                    self._active[name] = Served(cluster, (), Levels())
+                    self._active[name] = ActiveCluster(cluster, (), Levels())
                 else:
                     self._refresh(name)
                 continue
@@ -349,7 +349,7 @@
             ):
                 # "endpoint_stale_after": endpoints without an update for this long count as unhealthy.
                 entries = tuple(EndpointEntry(_unhealthy(entry.server), entry.endpoint) for entry in entries)
-            self._active[name] = Served(cluster, entries, levels)
+            self._active[name] = ActiveCluster(cluster, entries, levels)
 
     def _refresh(self, name: str) -> None:
         """Update the active form of a cluster that waits for new endpoints with the current state of its old ones."""
@@ -359,7 +359,7 @@
         old = self.endpoints.resource_of(served.cluster.service)
         if old is not None:
             entries, levels = membership(served.cluster, old)
-            self._active[name] = Served(served.cluster, entries, levels)
+            self._active[name] = ActiveCluster(served.cluster, entries, levels)
 
     def _same_source(self, name: str, cluster: Cluster) -> bool:
         """Whether the active form of a cluster has the same source of endpoints as its accepted form."""
--- a/loadbalancer/xds/stream.py
+++ b/loadbalancer/xds/stream.py
@@ -61,9 +61,9 @@
         self._tasks: list[asyncio.Task[None]] = []
         self._outgoing: asyncio.Queue[Any] = asyncio.Queue()  # requests to be written to the stream
 
-    def want(self, names: Iterable[str]) -> None:
+    def subscribe(self, names: Iterable[str]) -> None:
         """Subscribe to exactly these clusters."""
-        self._send(self.client.want(names))
+        self._send(self.client.subscribe(names))
 
     def start(self) -> None:
         self._tasks = [asyncio.create_task(self._run()), asyncio.create_task(self._run_ticks())]
--- a/tests/faults/test_thrift_callers_that_leave.py
+++ b/tests/faults/test_thrift_callers_that_leave.py
@@ -14,7 +14,7 @@
 from thrifty import Caller, address, boxes, posting, running
 
 from loadbalancer.thrift.codec import encode
-from loadbalancer.thrift.server import PIPELINE
+from loadbalancer.thrift.server import MAX_PIPELINED_CALLS
 from loadbalancer.thrift.types import Form, Message, MessageKind
 
 ONEWAY = MessageKind.ONEWAY
@@ -38,7 +38,9 @@
     await until(lambda: not server.connections and not sidecar.pools["boxes"].requests)
 
 
-@pytest.mark.parametrize("waiting_calls", [5, PIPELINE + 8], ids=["still reading", "reading paused"])
+@pytest.mark.parametrize(
+    "waiting_calls", [5, MAX_PIPELINED_CALLS + 8], ids=["still reading", "reading paused"]
+)
 def test_disconnect_while_pipelined_calls_wait_for_an_earlier_one(waiting_calls):
     """Guard: with many calls waiting, reading stops; the end of stream went unnoticed, and all calls were forwarded."""
 
@@ -51,7 +53,7 @@
                     caller.send("post", posting(f"p{at}"))
                 await until(lambda: box.ran)
                 (connection,) = sidecar.listeners["application"].front.server.connections
-                await until(lambda: len(connection._calls) >= min(waiting_calls, PIPELINE))
+                await until(lambda: len(connection._calls) >= min(waiting_calls, MAX_PIPELINED_CALLS))
             await asyncio.sleep(0)
             release(box)
             await until_nothing_is_open(sidecar)
--- a/tests/xds/test_protocol.py
+++ b/tests/xds/test_protocol.py
@@ -291,7 +291,7 @@
     bed = Bed(delta, "one", "two")
     bed.respond(CLUSTER, cluster("one"), cluster("two"))
     bed.respond(ENDPOINTS, endpoints("one", A), endpoints("two", B))
-    first, second = bed.client.want(["two", "three"])
+    first, second = bed.client.subscribe(["two", "three"])
     if delta:
         assert list(first.resource_names_subscribe) == ["three"]
         assert list(first.resource_names_unsubscribe) == list(second.resource_names_unsubscribe) == ["one"]
@@ -300,7 +300,7 @@
         assert list(second.resource_names) == ["two"]
     assert bed.addresses("one") is None
     assert bed.addresses("two") == ["127.0.0.1:7002"]
-    assert bed.client.want(["two", "three"]) == []
+    assert bed.client.subscribe(["two", "three"]) == []
 
 
 @BOTH_VARIANTS
