--- a/emberring/admission/load_meter.py
+++ b/emberring/admission/load_meter.py
@@ -12,10 +12,10 @@
     BASELINE_FALL_GAIN,
     BASELINE_MIN_OUTCOMES,
     BASELINE_RISE_GAIN,
-    JAMMED_LEVEL,
-    QUIET_LEVEL,
+    LIGHT_LOAD_SLACK,
+    OVERLOADED_LEVEL,
     REJECTED_SHARE_TARGET,
-    UNCROWDED_SLACK,
+    UNLOADED_LEVEL,
 )
 
 OUTCOMES_FOR_HALF_WEIGHT = 10.0  # waits in a period that get half the weight in the smoothed wait
@@ -59,7 +59,7 @@
     @property
     def congested(self) -> bool:
         """Whether waits are close to the latency target."""
-        return self.smoothed_wait > JAMMED_LEVEL
+        return self.smoothed_wait > OVERLOADED_LEVEL
 
     def close_period(self, may_raise_baseline: bool) -> float:
         """End the period and return its load.
@@ -73,8 +73,8 @@
         else:
             self.smoothed_wait *= IDLE_DECAY
         load = 0.0
-        if self.baseline is not None and self.smoothed_wait >= QUIET_LEVEL:
-            load = self.smoothed_wait / (self.baseline + UNCROWDED_SLACK * (1.0 - self.baseline))
+        if self.baseline is not None and self.smoothed_wait >= UNLOADED_LEVEL:
+            load = self.smoothed_wait / (self.baseline + LIGHT_LOAD_SLACK * (1.0 - self.baseline))
         if self._period_outcomes:
             load = max(load, self._period_full / self._period_outcomes / REJECTED_SHARE_TARGET)
         self._period_waits, self._period_outcomes, self._period_full = [], 0, 0
@@ -85,7 +85,7 @@
         if self.baseline is None or len(self._initial_waits) < BASELINE_MIN_OUTCOMES:
             self._initial_waits += self._period_waits
             self.smoothed_wait = self.baseline = min(
-                JAMMED_LEVEL, sorted(self._initial_waits)[len(self._initial_waits) // 2]
+                OVERLOADED_LEVEL, sorted(self._initial_waits)[len(self._initial_waits) // 2]
             )
             return
         self.smoothed_wait += count / (count + OUTCOMES_FOR_HALF_WEIGHT) * (median - self.smoothed_wait)
--- a/loadbalancer/balancer.py
+++ b/loadbalancer/balancer.py
@@ -66,7 +66,7 @@
         self._watch_failures = 0
 
     @property
-    def peers(self) -> dict[str, TrackedServer]:
+    def servers_by_address(self) -> dict[str, TrackedServer]:
         """All servers of the server list, by address."""
         return self.servers.by_address
 
@@ -164,7 +164,7 @@
         """Return the table's entry at the cursor, in the row of this worth (1: the highest)."""
         return self.table.threshold(worth, servers, self.estimate)
 
-    def turns_away(self, now: float, request: api.Request) -> api.Refuse | None:
+    def reject_if_over_threshold(self, now: float, request: api.Request) -> api.Refuse | None:
         """Return the threshold table's rejection, or None; lets a host check admission before other work."""
         # The host marks a request that passes as `admitted`, so that it is checked once. One with an earlier
         # copy always passes, because it needs the full checks. Rejecting early matters in overload: at five
@@ -267,7 +267,7 @@
             acts.extend(api.Cancel(state.request.id, at) for at in pending)
 
     def _note_report(self, now: float, address: str, report: dict[str, float] | None) -> None:
-        server = self.peers.get(address)
+        server = self.servers_by_address.get(address)
         if server is not None and report:
             server.record_report(now, report)
 
--- a/loadbalancer/core/pool.py
+++ b/loadbalancer/core/pool.py
@@ -208,7 +208,7 @@
 
     def rejection(self, request: api.Request) -> Answer | None:
         """Return the rejection of a request that the threshold table does not admit; None: it may be submitted."""
-        refusal = self.balancer.turns_away(self.clock.ms(), request)
+        refusal = self.balancer.reject_if_over_threshold(self.clock.ms(), request)
         if refusal is None:
             request.admitted = True
             return None
--- a/loadbalancer/experiments/nodes.py
+++ b/loadbalancer/experiments/nodes.py
@@ -9,7 +9,7 @@
 from loadbalancer.balancer import Balancer
 from loadbalancer.experiments.experiment import Experiment
 from loadbalancer.experiments.policies import Random, Unlimited
-from loadbalancer.sidecar.models import NEAR_MS, start_calls
+from loadbalancer.sidecar.models import LATENCY_TOLERANCE_MS, start_calls
 
 if TYPE_CHECKING:
     from loadbalancer.experiments.world import Attempt, Call, World
@@ -184,7 +184,7 @@
         siblings=fleet.nodes,
         start_calls=start,
         quiet_calls=start,
-        near_ms=NEAR_MS,
+        near_ms=LATENCY_TOLERANCE_MS,
         may_cancel=True,
         retry_after=True,
         max_retry_after_ms=2000.0,
--- a/loadbalancer/interface.py
+++ b/loadbalancer/interface.py
@@ -255,7 +255,7 @@
     paid: bool = False  # the retry was charged to the retry budget of an earlier tier: not charged here
     attempts: int = 0  # upper limit below that of the class; 0: the limit of the class
     worth: float | None = None  # upper limit below the worth of the class
-    admitted: bool = False  # already admitted by the threshold table (`Balancer.turns_away`)
+    admitted: bool = False  # already admitted by the threshold table (`Balancer.reject_if_over_threshold`)
     earlier: Earlier | None = None  # an earlier request with the same key that may have been executed
 
 
--- a/loadbalancer/load_estimate.py
+++ b/loadbalancer/load_estimate.py
@@ -11,12 +11,12 @@
 BASELINE_MIN_OUTCOMES = 20  # outcomes from which the first baseline is computed
 BASELINE_FALL_GAIN = 0.1  # smoothing factor of the baseline towards a lower latency,
 BASELINE_RISE_GAIN = 0.01  # and towards a higher one
-QUIET_LEVEL = 0.1  # a relative latency below this is never load, regardless of the baseline
+UNLOADED_LEVEL = 0.1  # a relative latency below this is never load, regardless of the baseline
 QUIET_MIN_OUTCOMES = 8  # responses needed to judge the pool before its first period has ended
 LEVEL_HALF_WEIGHT_OUTCOMES = 20.0  # outcomes with which a period gets half the weight in the smoothed latency
-JAMMED_LEVEL = 0.6  # overload: a smoothed latency above this counts even in a period without responses
+OVERLOADED_LEVEL = 0.6  # overload: a smoothed latency above this counts even in a period without responses
 CROWDED_SLACK = 0.11  # target level: baseline plus this share of the distance to the latency target
-UNCROWDED_SLACK = 0.3  # the same at low load, where differences in latency are mostly noise
+LIGHT_LOAD_SLACK = 0.3  # the same at low load, where differences in latency are mostly noise
 # The same if utilisation is reported: latency then only shows the load of the tiers below.
 UTILISATION_SLACK = 0.35
 CROWDED_CALLS_PER_SERVER = 5.0  # in flight, over all siblings, from which servers may be crowded
@@ -47,7 +47,7 @@
         self.baseline: float | None = None  # the level without load; None until known
         self.load, self.target_level = 0.0, 1.0  # of the last period; the level above which latency is load
         self.completion_rate = self.peak_rate = 0.0  # completed units per ms
-        # Maximum number of calls in flight with a latency below QUIET_LEVEL, since the last step of the
+        # Maximum number of calls in flight with a latency below UNLOADED_LEVEL, since the last step of the
         # cursor.
         self.low_latency_in_flight = 0.0
         self.mean_target_ms = sum(kind.aim_ms for kind in settings.classes) / len(settings.classes)
@@ -61,8 +61,8 @@
         """Whether latency is known to be so low that it is no load, regardless of the baseline."""
         if self.baseline is None:  # A burst at the start may arrive within the first period.
             latencies = self.relative_latencies
-            return len(latencies) >= QUIET_MIN_OUTCOMES and max(latencies) < QUIET_LEVEL
-        return self.level < QUIET_LEVEL
+            return len(latencies) >= QUIET_MIN_OUTCOMES and max(latencies) < UNLOADED_LEVEL
+        return self.level < UNLOADED_LEVEL
 
     def note_ended(self, rejected: bool) -> None:
         """Count an attempt that a server ended; `rejected`: for lack of capacity there or in a lower tier."""
@@ -77,7 +77,7 @@
         self, latency_ms: float, target_ms: float, queue_weight: float, in_flight: float
     ) -> None:
         """Count a success; `in_flight` is the weight in flight when the request arrived."""
-        if latency_ms < QUIET_LEVEL * target_ms:
+        if latency_ms < UNLOADED_LEVEL * target_ms:
             self.low_latency_in_flight = max(self.low_latency_in_flight, in_flight)
         self._completed += queue_weight
         self.mean_target_ms += TARGET_GAIN * (target_ms - self.mean_target_ms)
@@ -120,12 +120,12 @@
         load = 0.0
         # With less than one response per period, each empty period would move the cursor left and the
         # overload would persist.
-        overloaded = self.level > JAMMED_LEVEL and in_flight > 0.0
+        overloaded = self.level > OVERLOADED_LEVEL and in_flight > 0.0
         if self.baseline is not None and (self.relative_latencies or overloaded):
             # A strict target with few outcomes sheds work that servers have capacity for; a loose one lets
             # crowded servers become slow.
             crowded = self._siblings * in_flight >= CROWDED_CALLS_PER_SERVER * servers
-            slack = CROWDED_SLACK if crowded else UNCROWDED_SLACK
+            slack = CROWDED_SLACK if crowded else LIGHT_LOAD_SLACK
             slack = slack if utilisation is None else UTILISATION_SLACK
             self.target_level = self.baseline + slack * (1.0 - self.baseline)
             load = self.level / self.target_level
@@ -140,7 +140,7 @@
     def _cursor_step(self) -> int:
         if self.load <= 1.0:
             return -1
-        if self.level > JAMMED_LEVEL:
+        if self.level > OVERLOADED_LEVEL:
             return 1
         # The effect of a step only shows in responses to calls sent after it. With few responses per period,
         # the cursors of all siblings would move 6 to 10 steps right before that, and leave servers half idle.
--- a/loadbalancer/node/config.py
+++ b/loadbalancer/node/config.py
@@ -9,7 +9,7 @@
 from loadbalancer.core.address import Address, parse_address
 from loadbalancer.discovery.watcher import MAX_NOTIFICATION_DELAY_S, ServerListUpdate, parse_server_list
 from loadbalancer.interface import Settings
-from loadbalancer.settings import Row, settings_from
+from loadbalancer.settings import Row, parse_settings
 
 
 @dataclass(slots=True, frozen=True)
@@ -63,7 +63,7 @@
 
 def _settings(row: Row) -> Settings:
     """Read the settings; a polled server list expires, because discovery may become unreachable."""
-    settings = settings_from(row)
+    settings = parse_settings(row)
     return (
         replace(settings, list_expires_ms=MAX_NOTIFICATION_DELAY_S * 1000.0)
         if settings.ask_discovery
--- a/loadbalancer/node/front.py
+++ b/loadbalancer/node/front.py
@@ -11,7 +11,7 @@
 from loadbalancer.core.types import Answer, AnswerCause, AnswerKind
 from loadbalancer.http.client import MAX_BODY, Response
 from loadbalancer.http.server import FRAMING, Call, Dialect, Server
-from loadbalancer.settings import report_from
+from loadbalancer.settings import parse_load_report
 
 ANSWER_TRANSIT_S = 0.015  # a response is sent this long before the client's deadline
 
@@ -146,7 +146,7 @@
 def report_of(response: Response, fields: tuple[str, ...]) -> dict[str, float] | None:
     """Return the load report in a response's headers, or None."""
     load = response.headers.get(b"srv-load")
-    return report_from(load.decode("latin-1"), fields) if load else None
+    return parse_load_report(load.decode("latin-1"), fields) if load else None
 
 
 class PlatformWire:
--- a/loadbalancer/ranking.py
+++ b/loadbalancer/ranking.py
@@ -159,7 +159,7 @@
                 factor = max(factor, relative_latency(waited_ms, mean_ms, self.cfg.near_ms))
         return factor
 
-    def survey(self, now: float) -> list[tuple[Server, float, float, float]]:
+    def server_status(self, now: float) -> list[tuple[Server, float, float, float]]:
         """Return each server's list entry, rank, load in flight and error share, without side effects."""
         state = self._rng.getstate()  # This method must not affect later random draws.
         rows = []
--- a/loadbalancer/runtime/admin.py
+++ b/loadbalancer/runtime/admin.py
@@ -89,7 +89,7 @@
             "in_flight": load,
             "errors": round(errors, 4),
         }
-        for info, rank, load, errors in pool.balancer.ranking.survey(pool.clock.ms())
+        for info, rank, load, errors in pool.balancer.ranking.server_status(pool.clock.ms())
     ]
     return sorted(rows, key=lambda row: (row["state"] != "up", row["rank"], row["id"]))
 
--- a/loadbalancer/runtime/building.py
+++ b/loadbalancer/runtime/building.py
@@ -15,7 +15,7 @@
 from loadbalancer.router.router import Router
 from loadbalancer.sidecar.checks import call_route_of, route_of
 from loadbalancer.sidecar.models import (
-    NEAR_MS,
+    LATENCY_TOLERANCE_MS,
     BudgetModel,
     ClassModel,
     Configuration,
@@ -54,7 +54,7 @@
         siblings=pool.siblings,
         start_calls=initial_calls,
         quiet_calls=initial_calls,
-        near_ms=NEAR_MS,
+        near_ms=LATENCY_TOLERANCE_MS,
         ask_discovery=source is not None and source.source == "discovery" and source.mode != "push",
         over_share_worth=rules.over_share_worth,
         report_fields=tuple(pool.report_fields),
--- a/loadbalancer/runtime/http_frontend.py
+++ b/loadbalancer/runtime/http_frontend.py
@@ -25,7 +25,7 @@
 from loadbalancer.runtime.admission_control import AdmissionControl
 from loadbalancer.runtime.budgets import FrontendBudget, SharedRequest
 from loadbalancer.runtime.frontend_common import ANSWER_MARGIN_S, caller_wait_ms, request_ids
-from loadbalancer.settings import report_from
+from loadbalancer.settings import parse_load_report
 
 DEADLINE_VALUE = re.compile(rb"[0-9]{1,9}")
 
@@ -112,7 +112,7 @@
 
     def read(self, response: Response) -> tuple[api.Result, dict[str, float] | None]:
         load = response.headers.get(b"srv-load")
-        report = report_from(load.decode("latin-1"), self._fields) if load else None
+        report = parse_load_report(load.decode("latin-1"), self._fields) if load else None
         if response.status in (503, 504) and response.headers.get(b"srv-declined") == b"1":
             return api.Result.FULL, report
         return (api.Result.ERROR if response.status in ERROR_STATUSES else api.Result.OK), report
--- a/loadbalancer/settings.py
+++ b/loadbalancer/settings.py
@@ -21,7 +21,7 @@
 REPORTED_NUMBER = re.compile(r"[0-9]{1,6}(\.[0-9]{1,9})?")
 
 
-def settings_from(config: Row) -> Settings:
+def parse_settings(config: Row) -> Settings:
     """Parse the settings of a node from a configuration row; unknown keys are ignored."""
     bounds: Row = config.get("bounds") or {}
     rules: Row = config.get("invariants") or {}
@@ -79,7 +79,7 @@
     )
 
 
-def report_from(text: str, fields: tuple[str, ...]) -> dict[str, float] | None:
+def parse_load_report(text: str, fields: tuple[str, ...]) -> dict[str, float] | None:
     """Parse a load report in text form, `TEXT name=value, name=value`, and return the configured fields.
 
     A report with any malformed or out-of-range number is ignored as a whole.
--- a/loadbalancer/sidecar/models.py
+++ b/loadbalancer/sidecar/models.py
@@ -18,11 +18,12 @@
 from loadbalancer.router.paths import PathPattern
 
 VERSION = 1  # format version of all three files
-NEAR_MS = 1.0  # differences in latency below this count little: a turn of the event loop can cause them
+# Differences in latency below this count little: a turn of the event loop can cause them.
+LATENCY_TOLERANCE_MS = 1.0
 # Assumed capacity of a server in calls in flight, until its service rate is known: START_PER_S for each second of the
-# shortest aim, limited to the range from START_LEAST to START_MOST.
+# shortest aim, limited to the range from MIN_START_CALLS to MAX_START_CALLS.
 START_PER_S = 64.0
-START_LEAST, START_MOST = 7.0, 64.0
+MIN_START_CALLS, MAX_START_CALLS = 7.0, 64.0
 
 EffectName = Literal["safe", "keyed", "unsafe"]  # from least to most strict
 EFFECTS: tuple[EffectName, ...] = ("safe", "keyed", "unsafe")
@@ -31,7 +32,7 @@
 def start_calls(aims_ms: Iterable[float]) -> float:
     """The default `start_calls` of a pool: its servers are assumed to meet the shortest of these aims until they are
     observed."""
-    return max(START_LEAST, min(START_MOST, START_PER_S * min(aims_ms, default=0.0) / 1000.0))
+    return max(MIN_START_CALLS, min(MAX_START_CALLS, START_PER_S * min(aims_ms, default=0.0) / 1000.0))
 
 
 def _address(text: str) -> str:
--- a/loadbalancer/simulator_adapter.py
+++ b/loadbalancer/simulator_adapter.py
@@ -34,7 +34,7 @@
     Wake,
     Watch,
 )
-from loadbalancer.settings import Row, settings_from
+from loadbalancer.settings import Row, parse_settings
 
 RESULT_BY_CODE = {
     0: Result.OK,
@@ -57,7 +57,7 @@
     """One hosted balancer and its settings."""
 
     def __init__(self, config: Row, seed: int, now_ms: float) -> None:
-        self.settings = settings_from(config)
+        self.settings = parse_settings(config)
         self.balancer = Balancer(self.settings, seed, now_ms)
 
     def report(self, values: list[float | None] | None) -> dict[str, float] | None:
--- a/loadbalancer/threshold_table.py
+++ b/loadbalancer/threshold_table.py
@@ -18,7 +18,7 @@
 TOP_ROW_EXPONENT = 0.5  # exponent of the slot ratio in the top row (1 in the lowest): low worth is shed first
 MIN_THRESHOLD = 0.1  # lower limit of all entries, so that some calls still probe the servers
 T1_SLACK = 0.30  # T1 covers the completions within the baseline plus this share of the rest to the target
-T1_ROOTS = 2.0  # plus this many times its square root, for random variation
+T1_SQRT_FACTOR = 2.0  # plus this many times its square root, for random variation
 STARTUP_MS = 3000.0  # during it T1 is at least Settings.start_calls per ready server,
 FLOOR_CALLS_PER_SERVER = 2.0  # and at least this many calls per ready server afterwards
 LOW_LATENCY_IN_FLIGHT_FACTOR = 2.0  # T1 allows this many times the calls in flight seen at low latency
@@ -60,4 +60,4 @@
         t1 = max(
             t1, shared_floor, LOW_LATENCY_IN_FLIGHT_FACTOR * estimate.low_latency_in_flight if quiet else 0.0
         )
-        return t1 + T1_ROOTS * math.sqrt(t1)
+        return t1 + T1_SQRT_FACTOR * math.sqrt(t1)
--- a/tests/faults/test_expired_list.py
+++ b/tests/faults/test_expired_list.py
@@ -68,7 +68,7 @@
         ) as node:
             await until_failed(node)
             # The first attempt goes to the server that delays its response.
-            node.pool.balancer.peers["s1"].info.weight = 1e-9
+            node.pool.balancer.servers_by_address["s1"].info.weight = 1e-9
             advance(node, EXPIRES_S - 0.1)
             pending = asyncio.create_task(ask(node, request("read", "q1")))
             await until(lambda: first.seen)
--- a/tests/golden/test_golden_balancer.py
+++ b/tests/golden/test_golden_balancer.py
@@ -1,8 +1,8 @@
 """Golden file of the balancer's decisions: seeded sequences of events, and a hash over the exact actions and figures.
 
-Each scenario drives a `Balancer` as a host does, through `handle`, `turns_away`, `survey` and `threshold` alone. Floats
-enter the hash with all their digits, so that another order of the arithmetic, of the random draws or of the actions
-shows. The file was recorded with the balancer in one module, before it was split.
+Each scenario drives a `Balancer` as a host does, through `handle`, `reject_if_over_threshold`, `server_status` and
+`threshold` alone. Floats enter the hash with all their digits, so that another order of the arithmetic, of the random
+draws or of the actions shows. The file was recorded with the balancer in one module, before it was split.
 """
 
 from __future__ import annotations
@@ -99,7 +99,7 @@
         self.hash.update(repr(values).encode())
 
     def note_figures(self) -> None:
-        rows = [(info.address, *figures) for info, *figures in self.balancer.ranking.survey(self.now)]
+        rows = [(info.address, *figures) for info, *figures in self.balancer.ranking.server_status(self.now)]
         self.note("survey", rows)
         self.note("threshold", [self.balancer.threshold(worth, 6) for worth in (1.0, 0.5, 0.01)])
 
@@ -111,7 +111,7 @@
         if isinstance(event, api.Request):
             self.later(self.random.expovariate(1.0) * self.pause_ms(), self.next_request())
             if self.random.random() < 0.3:
-                refused = self.balancer.turns_away(self.now, event)
+                refused = self.balancer.reject_if_over_threshold(self.now, event)
                 self.note("turns away", refused and refused.retry_after_ms)
                 if refused is not None:
                     return False
--- a/tests/golden/test_golden_settings.py
+++ b/tests/golden/test_golden_settings.py
@@ -38,7 +38,7 @@
 from emberring.configuration.state import ControlState
 from emberring.errors import InvalidConfigurationError, SettingsError
 from loadbalancer.node.config import parse_config
-from loadbalancer.settings import report_from
+from loadbalancer.settings import parse_load_report
 
 ROLES = ("gateway", "control", "store")
 FOLDER = DATA / "settings"
@@ -209,7 +209,7 @@
         "JSON depth=1",
         "TEXT unknown=1",
     ]
-    check_golden("settings/node.reports.json", {text: report_from(text, names) for text in texts})
+    check_golden("settings/node.reports.json", {text: parse_load_report(text, names) for text in texts})
 
 
 def test_a_node_that_cannot_use_its_configuration_ends_as_recorded(tmp_path):
--- a/tests/overload/test_overload_limits.py
+++ b/tests/overload/test_overload_limits.py
@@ -155,8 +155,8 @@
     acts = bed.end(name, server, api.Result.NO_ROOM, done=False)
     assert kinds(acts) == [api.Refuse]
     assert (
-        bed.brain.peers[server].error_share,
-        bed.brain.peers[server].load,
+        bed.brain.servers_by_address[server].error_share,
+        bed.brain.servers_by_address[server].load,
         bed.brain.sender.failure_share,
     ) == (0.0, 0.0, 0.0)
 
@@ -195,7 +195,7 @@
     _, acts = bed.ask()
     used = sent(acts)[0].server
     bed.brain.handle(bed.now + 500.0, api.Alarm("none"), lag)
-    ranks = {info.address: rank for info, rank, _, _ in bed.brain.ranking.survey(bed.now + 500.0)}
+    ranks = {info.address: rank for info, rank, _, _ in bed.brain.ranking.server_status(bed.now + 500.0)}
     other = next(name for name in ranks if name != used)
     assert (ranks[used] > 20 * ranks[other]) is avoided
 
--- a/tests/runtime/test_budgets.py
+++ b/tests/runtime/test_budgets.py
@@ -31,8 +31,8 @@
 from loadbalancer.emulator.caller import Application
 from loadbalancer.emulator.tier import OWN, TRACE, TierApplication
 from loadbalancer.runtime.sidecar import Sidecar
-from loadbalancer.sidecar.models import START_MOST
-from loadbalancer.threshold_table import T1_ROOTS
+from loadbalancer.sidecar.models import MAX_START_CALLS
+from loadbalancer.threshold_table import T1_SQRT_FACTOR
 from loadbalancer.thrift.codec import field_at
 from loadbalancer.thrift.types import Form
 
@@ -210,7 +210,9 @@
             # The request goes round until one sidecar has so many open calls that its threshold table rejects the next.
             assert answer.status == 503
             assert (
-                2 < sum(app.begun for app in apps) <= 2 * (START_MOST + T1_ROOTS * math.sqrt(START_MOST)) + 2
+                2
+                < sum(app.begun for app in apps)
+                <= 2 * (MAX_START_CALLS + T1_SQRT_FACTOR * math.sqrt(MAX_START_CALLS)) + 2
             )
             caller.close()
             # Each application closes its own call when its caller leaves, so no request stays open.
--- a/tests/runtime/test_xds_pool.py
+++ b/tests/runtime/test_xds_pool.py
@@ -134,7 +134,7 @@
                 heavy = {"address": stuck, "load_balancing_weight": 100_000}
                 plane.put(endpoints("ledger", heavy, *rows_of(box)))
                 await until(lambda: stuck in sidecar.pools["boxes"].up)
-                peers = sidecar.pools["boxes"].balancer.peers
+                peers = sidecar.pools["boxes"].balancer.servers_by_address
                 peers[stuck].info.launched_ms = None  # the server is not cold any more
                 sidecar.pools["boxes"].back.connect_timeout_s = 60.0
                 pending = asyncio.create_task(application(sidecar).ask("POST", "/x", b"1"))
@@ -161,7 +161,7 @@
             assert (answer.status, b"never ran" in answer.headers[b"proxy-status"]) == (503, True)
             plane.put(endpoints("ledger", *rows_of(box)))
             await until(lambda: sidecar.pools["boxes"].up)
-            info = next(iter(sidecar.pools["boxes"].balancer.peers.values())).info
+            info = next(iter(sidecar.pools["boxes"].balancer.servers_by_address.values())).info
             assert info.launched_ms is not None  # it may be a new process, so it is cold
 
     asyncio.run(main())
@@ -221,7 +221,7 @@
             plane.put(cluster("other"), endpoints("other", *rows_of(two)))
             await sidecar.reload(configuration(row(pools=pools_of(plane, name="other"))))
             await until(lambda: sidecar.pools["boxes"].up == {two.endpoint})
-            info = next(iter(sidecar.pools["boxes"].balancer.peers.values())).info
+            info = next(iter(sidecar.pools["boxes"].balancer.servers_by_address.values())).info
             assert info.launched_ms is not None  # the previous list did not have it, so it is cold
             await sidecar.reload(configuration(row(three)))
             assert (await app.ask("GET", "/x")).headers[b"x-box"] == b"box-2"
--- a/tests/runtime/test_xds_shared.py
+++ b/tests/runtime/test_xds_shared.py
@@ -111,9 +111,9 @@
             assert sidecar.pools["ledger"] is not before
             assert up(sidecar, "ledger") == {one.endpoint}
             # The new pool takes over the previous one's list, so the server is not cold.
-            assert [peer.info.launched_ms for peer in sidecar.pools["ledger"].balancer.peers.values()] == [
-                None
-            ]
+            assert [
+                peer.info.launched_ms for peer in sidecar.pools["ledger"].balancer.servers_by_address.values()
+            ] == [None]
 
     asyncio.run(main())
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -255,7 +255,7 @@
     (cancel,) = bed.give(api.Lapsed(name))
     bed.end(name, "s0", api.Result.CANCELLED, 50.0, done=True)
     assert cancel == api.Cancel(name, 0)
-    (peer,) = bed.brain.peers.values()
+    (peer,) = bed.brain.servers_by_address.values()
     bed.period(after=300.0)
     assert peer.load == 1.0
     bed.period(after=150.0)
@@ -506,7 +506,7 @@
     for _ in range(6):
         bed.serve()
     bed.give(api.Membership(api.ListForm.DELTA, (api.Server("s0", "a", launched_ms=bed.now),)))
-    assert bed.brain.peers["s0"].latency_factor is None
+    assert bed.brain.servers_by_address["s0"].latency_factor is None
     assert [bed.serve(latency=1.0) for _ in range(20)].count("s0") < 10
 
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -60,7 +60,7 @@
             _, acts = bed.ask(service)
             if not sent(acts):
                 break
-        outcome[service] = sum(peer.load for peer in bed.brain.peers.values())
+        outcome[service] = sum(peer.load for peer in bed.brain.servers_by_address.values())
         assert kinds(acts) == [api.Refuse]
     assert outcome["post"] < outcome["read"]
 
@@ -105,7 +105,7 @@
     from loadbalancer.attempts import Attempt, RequestState
 
     request = api.Request("x", "read", 9e9)
-    attempt = Attempt(bed.brain.peers[server], bed.now - latency, 0.0)
+    attempt = Attempt(bed.brain.servers_by_address[server], bed.now - latency, 0.0)
     state = RequestState(request, SAFE, bed.now, 1.0, [attempt])
     return state, attempt, api.Outcome("x", 0, server, api.Result.OK, latency, True)
 
@@ -172,7 +172,7 @@
     bed = Bed(worth_by_work=True)
     bed.ask(cost_hint_ms=10.0)
     bed.ask(cost_hint_ms=100.0)
-    loads = sorted(peer.load for peer in bed.brain.peers.values())
+    loads = sorted(peer.load for peer in bed.brain.servers_by_address.values())
     assert loads[-1] > loads[-2] > 0
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -62,7 +62,7 @@
             assert seen.body == b'{"a":1}'
             assert (seen.headers["req-id"], seen.headers["idempotency-key"]) == ("q7", "k1")
             assert 0 < int(seen.headers["req-deadline-ms"]) < 9000
-            assert node.pool.balancer.peers["s0"].reported_queue == 3
+            assert node.pool.balancer.servers_by_address["s0"].reported_queue == 3
             assert node.pool.requests == {}
 
     asyncio.run(main())
@@ -161,10 +161,10 @@
             caller = await Caller.to(node)
             caller.writer.write(request())
             await until(lambda: server.seen)
-            assert node.pool.balancer.peers["s0"].load == 1.0
+            assert node.pool.balancer.servers_by_address["s0"].load == 1.0
             caller.writer.close()
             await until(lambda: not node.pool.requests)
-            await until(lambda: node.pool.balancer.peers["s0"].load == 0.0)
+            await until(lambda: node.pool.balancer.servers_by_address["s0"].load == 0.0)
             assert node.pool.capacity.open == 0
 
     asyncio.run(main())
@@ -506,7 +506,7 @@
         discovery = Discovery(reply(503), listing(5, True, s9=("127.0.0.1:9", "Ready")))
         async with running(Peer(), discovery=discovery, settings={"registryMode": "push"}) as node:
             await until(lambda: set(node.back._servers) == {"s9"})
-            assert set(node.pool.balancer.peers) == {"s9"}
+            assert set(node.pool.balancer.servers_by_address) == {"s9"}
 
     asyncio.run(main())
 
--- a/tests/test_reinstatement.py
+++ b/tests/test_reinstatement.py
@@ -22,7 +22,7 @@
 def balancer_with_failed_server(failures: int = 4, result: api.Result = api.Result.TIMEOUT, **changes) -> Bed:
     """Return a balancer whose s0 has this many consecutive failures, with three fast servers beside it."""
     bed = Bed(**changes)
-    while bed.brain.peers["s0"].consecutive_failures < failures:
+    while bed.brain.servers_by_address["s0"].consecutive_failures < failures:
         name, acts = bed.ask()
         at, server = 0, sent(acts)[0].server
         if server == "s0":
@@ -77,7 +77,7 @@
 
 def test_calls_that_may_not_be_retried_are_trial_calls_only_after_four_times_the_interval():
     bed = balancer_with_failed_server(failures=5)
-    last = bed.brain.peers["s0"].last_sent_ms
+    last = bed.brain.servers_by_address["s0"].last_sent_ms
     call_times = run_calls(bed, 4000, service="post")
     assert call_times
     assert call_times[0] - last >= 4 * 8 * TRIAL_INTERVAL_MS
@@ -101,7 +101,7 @@
 def test_an_idle_server_with_an_old_failure_gets_a_trial_call():
     """Guard: without calls, nothing could clear its error share, and it stayed excluded."""
     bed = balancer_with_failed_server(failures=1, result=api.Result.ERROR)
-    bed.brain.peers["s0"].error_share = 0.5
+    bed.brain.servers_by_address["s0"].error_share = 0.5
     start_ms = bed.now
     call_times = run_calls(bed, 4000)
     assert call_times
@@ -120,10 +120,10 @@
 ):
     bed = balancer_with_failed_server(result=result, starts_told=starts_listed, cold_from=0.1)
     run_calls(bed, 1500, every=3.0)
-    recovered_ms = bed.brain.peers["s0"].recovered_ms
+    recovered_ms = bed.brain.servers_by_address["s0"].recovered_ms
     assert (recovered_ms is None) == (starts_listed or result is ERROR)
     if recovered_ms is not None:
-        bed.brain.peers["s0"].recovered_ms = bed.now
+        bed.brain.servers_by_address["s0"].recovered_ms = bed.now
     share = len(run_calls(bed, 300, every=3.0)) / 300
     assert 0.0 < share <= max_share
 
@@ -131,7 +131,7 @@
 def test_the_state_of_a_server_is_reset_when_a_list_reports_its_restart():
     bed = balancer_with_failed_server()
     bed.give(api.Membership(api.ListForm.FULL, servers(4, launched_ms=bed.now - 60_000.0)))
-    assert bed.brain.peers["s0"].consecutive_failures == 0
+    assert bed.brain.servers_by_address["s0"].consecutive_failures == 0
 
 
 def test_a_server_that_rejects_all_calls_is_avoided_and_does_not_move_the_cursor():
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -11,7 +11,7 @@
 import orjson
 import pytest
 
-from loadbalancer.settings import settings_from
+from loadbalancer.settings import parse_settings
 from loadbalancer.simulator_adapter import Host, WireError, run
 
 ROOT = Path(__file__).parent.parent
@@ -145,7 +145,7 @@
     rows = [row for event in (catalog(), *start(), request("q")) for row in host.event(event)]
     server = of(rows, "ISSUE")[0]["server"]
     host.event(returned("q", server, 0, True, telemetry=[3, None]))
-    peer = host.nodes[0].balancer.peers[server]
+    peer = host.nodes[0].balancer.servers_by_address[server]
     assert peer.reported_queue == 3
     assert peer.reported_utilisation is None
 
@@ -155,7 +155,7 @@
     host.now = 1000.0
     for event in (catalog(0, 2), *start(0), catalog(0, 5), *start(1)):
         host.event(event)
-    assert [len(host.nodes[node].balancer.peers) for node in (0, 1)] == [2, 5]
+    assert [len(host.nodes[node].balancer.servers_by_address) for node in (0, 1)] == [2, 5]
 
 
 def test_a_stop_and_a_start_within_a_batch_leave_nothing_behind():
@@ -175,10 +175,10 @@
     assert [row["kind"] for row in failed] == ["SLEEP"]
     host.event(catalog(1, 1, stageState="removed"))
     host.event({"kind": "MEMBERSHIP", "node": 0, "form": "delta", "generation": 3, "ref": 1})
-    assert len(host.nodes[0].balancer.peers) == 2
+    assert len(host.nodes[0].balancer.servers_by_address) == 2
     host.event(catalog(2, 1))
     host.event({"kind": "MEMBERSHIP", "node": 0, "form": "full", "generation": 4, "ref": 2})
-    assert list(host.nodes[0].balancer.peers) == ["10.0.0.0:1"]
+    assert list(host.nodes[0].balancer.servers_by_address) == ["10.0.0.0:1"]
 
 
 def test_other_events_are_accepted():
@@ -207,11 +207,11 @@
         {"kind": "ALARM", "node": 0, "name": "not ours"},
     ]
     assert [host.event(event) for event in events] == [[], [], [], []]
-    assert host.nodes[0].balancer.peers["10.0.0.1:1"].reported_queue == 4
+    assert host.nodes[0].balancer.servers_by_address["10.0.0.1:1"].reported_queue == 4
 
 
 def test_absent_settings_take_their_defaults():
-    settings = settings_from({"categories": CONFIG["categories"][:1]})
+    settings = parse_settings({"categories": CONFIG["categories"][:1]})
     assert settings.siblings == 1
     assert settings.tenants == ()
     assert settings.max_attempts == 1
@@ -313,4 +313,4 @@
 def test_a_missing_setting_is_reported(key):
     lane = {name: value for name, value in CONFIG["categories"][0].items() if name != key}
     with pytest.raises(ValueError, match=f"categories.{key}: missing"):
-        settings_from({"categories": [lane]})
+        parse_settings({"categories": [lane]})
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -15,7 +15,7 @@
 from loadbalancer.http import server as server_module
 from loadbalancer.http.connection_pool import HttpConnectionPool
 from loadbalancer.interface import Result
-from loadbalancer.settings import report_from
+from loadbalancer.settings import parse_load_report
 
 
 @pytest.fixture
@@ -279,8 +279,8 @@
 
 @pytest.mark.parametrize("text", BAD_REPORTS.splitlines())
 def test_a_malformed_report_is_ignored(text):
-    assert report_from(text, ("queue",)) is None
-    assert report_from("TEXT inflight=7, queue=3, util=0.61", ("queue",)) == {"queue": 3.0}
+    assert parse_load_report(text, ("queue",)) is None
+    assert parse_load_report("TEXT inflight=7, queue=3, util=0.61", ("queue",)) == {"queue": 3.0}
 
 
 def test_a_response_with_a_malformed_report_is_still_a_success():
@@ -288,7 +288,7 @@
         server = Peer(lambda message: asyncio.sleep(0, reply(200, Srv_Load='{"')))
         async with running(server) as node:
             assert (await ask(node, request())).status == 200
-            assert node.pool.balancer.peers["s0"].reported_queue == 0.0
+            assert node.pool.balancer.servers_by_address["s0"].reported_queue == 0.0
 
     asyncio.run(main())
 
--- a/tests/thrift/test_oneway.py
+++ b/tests/thrift/test_oneway.py
@@ -62,7 +62,7 @@
             caller.send("note", posting("n"), ONEWAY)
             await until(lambda: servers[0].ran)
             assert sidecar.capacity.open == 0  # finished for its caller
-            assert [len(peer.pending) for peer in pool.balancer.peers.values()] == [1]
+            assert [len(peer.pending) for peer in pool.balancer.servers_by_address.values()] == [1]
             # Its connection carries no other call meanwhile, so the next call opens another one.
             assert box_of(await caller.call("post", posting("p"))) == "box-0"
             assert servers[0].accepted == 2
@@ -77,7 +77,7 @@
             pool = sidecar.pools["boxes"]
             caller.send("note", posting("n"), ONEWAY)
             await until(lambda: pool.counts["ok"] == 1)
-            assert [len(peer.pending) for peer in pool.balancer.peers.values()] == [0]
+            assert [len(peer.pending) for peer in pool.balancer.servers_by_address.values()] == [0]
             assert not pool.requests
             assert box_of(await caller.call("post", posting("p"))) == "box-0"
             assert servers[0].accepted == 1  # the same connection
