--- a/tests/budget/test_chain.py
+++ b/tests/budget/test_chain.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from beside import address, application, configuration, row
+from beside import address, application, configuration, configuration_data
 from loopback import until
 
 from loadbalancer.emulator.box import Behaviour, Box
@@ -51,7 +51,7 @@
         if budget is not None:
             listener["trust"] = "edge" if tier == 0 else "inside"
             more["budget"] = budget
-        return row(*around, listeners=[listener], **more)
+        return configuration_data(*around, listeners=[listener], **more)
 
 
 @contextlib.asynccontextmanager
--- a/tests/faults/test_callers_that_leave.py
+++ b/tests/faults/test_callers_that_leave.py
@@ -11,8 +11,8 @@
 import struct
 
 import pytest
-from beside import address, alongside, boxes, row
-from loopback import Caller, Held, Peer, Scripted, ask, reply, request, running, until
+from beside import address, boxes, configuration_data, running_sidecar
+from loopback import BlockedServer, Caller, Peer, ScriptedBalancer, ask, reply, request, running, until
 
 from loadbalancer import interface as api
 from loadbalancer.budget.repeats import RepeatTracker
@@ -78,7 +78,7 @@
     async def main():
         server = Peer()
         async with running(server, bounds=bounds(cancel)) as node:
-            node.pool.balancer = scripted = Scripted(first_to("s0"))
+            node.pool.balancer = scripted = ScriptedBalancer(first_to("s0"))
             gate = Gate(node, server.port)
             clients = await callers(node, MANY_REQUESTS, kind)
             await until(lambda: len(node.back._servers["s0"].waiting) == MANY_REQUESTS)
@@ -100,12 +100,12 @@
 @with_and_without_cancel
 def test_disconnect_while_the_request_is_queued_for_a_connection(cancel):
     async def main():
-        server = Held()
+        server = BlockedServer()
         async with running(server, bounds=bounds(cancel)) as node:
             node.back.limit = 1
             first = asyncio.create_task(ask(node, request(name="first")))
             await until(lambda: server.seen)
-            node.pool.balancer = Scripted(first_to("s0"))
+            node.pool.balancer = ScriptedBalancer(first_to("s0"))
             clients = [await Caller.to(node) for _ in range(30)]
             for at, caller in enumerate(clients):
                 caller.writer.write(request(name=f"q{at}"))
@@ -134,7 +134,7 @@
         first, second = Peer(script), Peer()
         headers = {"Idempotency_Key": "k"} if kind == "move" else {}
         async with running(first, second, bounds=bounds(cancel)) as node:
-            node.pool.balancer = Scripted(retry_at("s1"))
+            node.pool.balancer = ScriptedBalancer(retry_at("s1"))
             clients = [await Caller.to(node) for _ in range(20)]
             for at, caller in enumerate(clients):
                 caller.writer.write(request(kind, f"q{at}", **headers))
@@ -156,12 +156,12 @@
         first, second = Peer(script), Peer()
         async with running(first, second, bounds=bounds(cancel)) as node:
             gate = Gate(node, second.port)
-            node.pool.balancer = Scripted(retry_at("s1"))
+            node.pool.balancer = ScriptedBalancer(retry_at("s1"))
             clients = await callers(node, 20)
             await until(lambda: gate.delayed == 20)
             await disconnect(node, clients)
             gate.open()
-            node.pool.balancer = Scripted(first_to("s1"))
+            node.pool.balancer = ScriptedBalancer(first_to("s1"))
             assert (await ask(node, request(name="last"))).status == 200
             assert request_ids(second) == ["last"]
 
@@ -186,9 +186,9 @@
     """Guard: data and end of stream are delivered separately, so the request could be forwarded between them."""
 
     async def main():
-        server = Held()
+        server = BlockedServer()
         async with running(server, bounds=bounds(cancel)) as node:
-            node.pool.balancer = Scripted(first_to("s0"))
+            node.pool.balancer = ScriptedBalancer(first_to("s0"))
             # Establish a connection for each request, so that nothing else delays it.
             ready = [asyncio.create_task(ask(node, request(name=f"r{at}"))) for at in range(20)]
             await until(lambda: len(server.seen) == 20)
@@ -209,7 +209,7 @@
 @with_and_without_cancel
 def test_disconnect_while_pipelined_requests_wait_for_an_earlier_one(cancel):
     async def main():
-        server = Held()
+        server = BlockedServer()
         async with running(server, bounds=bounds(cancel)) as node:
             caller = await Caller.to(node)
             caller.writer.write(b"".join(request("post", f"q{at}") for at in range(5)))
@@ -259,7 +259,7 @@
     """Guard: end of stream can't be written after a reset, and the callback that tried raised an exception."""
 
     async def main():
-        server, errors = Held(), []
+        server, errors = BlockedServer(), []
         async with running(server) as node:
             node.loop.set_exception_handler(lambda loop, context: errors.append(context))
             raw = socket.create_connection(node.server.address)
@@ -283,10 +283,10 @@
 
 def test_a_hedged_attempt_that_waits_to_connect_is_not_sent_after_the_first_was_answered():
     async def main():
-        first, second = Held(), Peer()
+        first, second = BlockedServer(), Peer()
         async with running(first, second, bounds={"cancel": False}) as node:
             gate = Gate(node, second.port)
-            node.pool.balancer = Scripted(
+            node.pool.balancer = ScriptedBalancer(
                 lambda event: (
                     [api.Send(event.id, "s0"), api.Send(event.id, "s1")]
                     if isinstance(event, api.Request)
@@ -350,7 +350,7 @@
     async def main():
         (box,) = boxes(1)
         budget = {"share": 0.5, "floor_per_s": 5.0}
-        async with alongside((box,), lambda: row(box, budget=budget)) as sidecar:
+        async with running_sidecar((box,), lambda: configuration_data(box, budget=budget)) as sidecar:
             gate = Gate(sidecar.managed_pools["boxes"], int(box.endpoint.rpartition(":")[2]))
             _, writer = await asyncio.open_connection(*address(sidecar))
             writer.write(request("move", "q1", Idempotency_Key="k"))
--- a/tests/faults/test_connections.py
+++ b/tests/faults/test_connections.py
@@ -10,7 +10,7 @@
 from loopback import (
     Caller,
     Peer,
-    Scripted,
+    ScriptedBalancer,
     ask,
     reply,
     request,
@@ -50,7 +50,7 @@
                 s0=(f"127.0.0.1:{first.getsockname()[1]}", "Ready"), s1=(second.endpoint, "Ready")
             )
             async with running(known=known) as node:
-                node.pool.balancer = scripted = Scripted(first_then("s1"))
+                node.pool.balancer = scripted = ScriptedBalancer(first_then("s1"))
                 opened = node.back.open
 
                 async def open_and_lose(endpoint):
@@ -135,7 +135,7 @@
     async def main():
         server = Stalled()
         async with running(server, bounds={"cancel": cancel}) as node:
-            node.pool.balancer = scripted = Scripted(first_to("s0"))
+            node.pool.balancer = scripted = ScriptedBalancer(first_to("s0"))
             shrink_send_buffers(node)
             caller = await Caller.to(node)
             caller.writer.write(request("post", "q1", BODY))
@@ -167,7 +167,7 @@
                     return [api.Send(event.id, "s1", begin_within_ms=300.0)]
                 return [api.Fail(event.id)] if isinstance(event, api.Outcome) else []
 
-            node.pool.balancer = scripted = Scripted(act)
+            node.pool.balancer = scripted = ScriptedBalancer(act)
             shrink_send_buffers(node)
             caller = await Caller.to(node)
             caller.writer.write(request("move", "q1", BODY, Idempotency_Key="k"))
@@ -194,7 +194,7 @@
                 is_request = isinstance(event, api.Request)
                 return [api.Send(event.id, "s0", begin_within_ms=3.6e6)] if is_request else []
 
-            node.pool.balancer = Scripted(act)
+            node.pool.balancer = ScriptedBalancer(act)
             assert (await ask(node, request("move", Idempotency_Key="k"))).status == 200
             latest = node.loop.time() + 3000.0
             assert not [
@@ -211,7 +211,7 @@
         server = await Peer().start()
         known = targets(s0=("a..b:80", "Ready"), s1=(server.endpoint, "Ready"))
         async with running(known=known, bounds={"connectTimeoutMs": 30000.0}) as node:
-            node.pool.balancer = scripted = Scripted(first_then("s1"))
+            node.pool.balancer = scripted = ScriptedBalancer(first_then("s1"))
             assert (await ask(node, request("post"))).status == 200
             assert scripted.of(api.Outcome)[0].result is api.Result.CONNECT_FAILED
         server.stop()
@@ -240,7 +240,7 @@
 def test_a_pause_of_the_core_after_an_attempt_does_not_count_as_server_latency():
     async def main():
         async with running(Peer()) as node:
-            node.pool.balancer = scripted = Scripted(first_to("s0"))
+            node.pool.balancer = scripted = ScriptedBalancer(first_to("s0"))
             PausedAfterAttempt(node.pool)
             assert (await ask(node, request())).status == 200
             (outcome,) = scripted.of(api.Outcome)
--- a/tests/faults/test_drains.py
+++ b/tests/faults/test_drains.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from loopback import Caller, Held, Peer, Scripted, ask, request, running, until
+from loopback import BlockedServer, Caller, Peer, ScriptedBalancer, ask, request, running, until
 
 from loadbalancer import interface as api
 from loadbalancer.discovery.watcher import ServerListUpdate
@@ -36,7 +36,7 @@
     async def main():
         leaving, staying = Peer(), Peer()
         async with running(leaving, staying, bounds={"maxOpen": 1000}) as node:
-            node.pool.balancer = Scripted(try_in_order("s0", "s1"))
+            node.pool.balancer = ScriptedBalancer(try_in_order("s0", "s1"))
             may_open, opening = asyncio.Event(), node.back.open
 
             async def delayed_open(endpoint):
@@ -60,10 +60,10 @@
 
 def test_requests_that_are_queued_for_a_connection_are_sent_to_another_server():
     async def main():
-        leaving, staying = Held(), Peer()
+        leaving, staying = BlockedServer(), Peer()
         async with running(leaving, staying) as node:
             node.back.limit = 1
-            node.pool.balancer = Scripted(try_in_order("s0", "s1"))
+            node.pool.balancer = ScriptedBalancer(try_in_order("s0", "s1"))
             callers = [await Caller.to(node) for _ in range(6)]
             callers[0].writer.write(request("post", "q0"))
             await until(lambda: leaving.seen)
@@ -82,7 +82,7 @@
     async def main():
         leaving, staying = Peer(), Peer()
         async with running(leaving, staying) as node:
-            node.pool.balancer = Scripted(try_in_order("s0", "s1"))
+            node.pool.balancer = ScriptedBalancer(try_in_order("s0", "s1"))
             assert (await ask(node, request("post", "q1"))).status == 200
             drain(node, leaving.port)
             assert (await ask(node, request("post", "q2"))).status == 200
@@ -97,7 +97,7 @@
     async def main():
         server = Peer()
         async with running(server) as node:
-            node.pool.balancer = Scripted(try_in_order("s0"))
+            node.pool.balancer = ScriptedBalancer(try_in_order("s0"))
             may_open, opening = asyncio.Event(), node.back.open
 
             async def delayed_open(endpoint):
--- a/tests/faults/test_end_of_service.py
+++ b/tests/faults/test_end_of_service.py
@@ -9,9 +9,9 @@
 import orjson
 import pytest
 from loopback import (
+    BlockedServer,
     Caller,
     Discovery,
-    Held,
     Peer,
     config_row,
     read_message,
@@ -90,7 +90,7 @@
     async def main():
         monkeypatch.setattr(shutdown, "STOP_SLACK_S", 20.0)
         monkeypatch.setattr(shutdown, "STOP_FINISH_S", 30.0)
-        async with running(Held(), settings=SHORT_DEADLINE) as node:
+        async with running(BlockedServer(), settings=SHORT_DEADLINE) as node:
             caller = await Caller.to(node)
             await until(lambda: node.server.connections)
             idle_closes = count_idle_closes(node)
@@ -119,7 +119,7 @@
 
 def test_a_request_at_a_hanging_server_and_those_pipelined_behind_it_are_answered_at_the_end():
     async def main():
-        server = Held()
+        server = BlockedServer()
         async with running(server) as node:
             caller = await Caller.to(node)
             caller.writer.write(request("post", "q1") + request("post", "q2") + request("read", "q3"))
@@ -187,7 +187,7 @@
 
 def test_further_signals_during_shutdown_have_no_effect(tmp_path):
     async def main():
-        server, discovery = await Held().start(), await Discovery().start()
+        server, discovery = await BlockedServer().start(), await Discovery().start()
         with socket.create_server(("127.0.0.1", 0)) as free:
             address = free.getsockname()
         row = config_row(
--- a/tests/faults/test_expired_list.py
+++ b/tests/faults/test_expired_list.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from loopback import Discovery, Held, Peer, ask, listing, reply, request, running, until
+from loopback import BlockedServer, Discovery, Peer, ask, listing, reply, request, running, until
 
 from loadbalancer.discovery import watcher as lists
 
@@ -62,7 +62,7 @@
 
 def test_no_retry_is_made_after_the_list_expired_during_an_attempt():
     async def main():
-        first, others = Held(), Peer()
+        first, others = BlockedServer(), Peer()
         async with running(
             first, others, discovery=Failing(), settings=POLLED_DISCOVERY, bounds={"maxAttempts": 3}
         ) as node:
--- a/tests/faults/test_retired_listeners.py
+++ b/tests/faults/test_retired_listeners.py
@@ -6,7 +6,7 @@
 import socket
 
 import pytest
-from beside import address, application, boxes, configuration, row, running
+from beside import address, application, boxes, configuration, configuration_data, running
 from loopback import until
 
 from loadbalancer.core import shutdown
@@ -20,7 +20,7 @@
 
 def without(box, **more):
     """A configuration with a different listener."""
-    return configuration(row(box, listeners=[listener("two")], **more))
+    return configuration(configuration_data(box, listeners=[listener("two")], **more))
 
 
 @pytest.mark.parametrize("first", ["reload", "end"])
--- a/tests/faults/test_whose_settings.py
+++ b/tests/faults/test_whose_settings.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from loopback import SETTINGS, Caller, Peer, Scripted, ask, request, running
+from loopback import SETTINGS, Caller, Peer, ScriptedBalancer, ask, request, running
 
 from loadbalancer import interface as api
 
@@ -18,7 +18,7 @@
 
 def rejecting_module():
     """A decision module that rejects all requests."""
-    return Scripted(lambda event: [api.Refuse(event.id)] if isinstance(event, api.Request) else [])
+    return ScriptedBalancer(lambda event: [api.Refuse(event.id)] if isinstance(event, api.Request) else [])
 
 
 @pytest.mark.parametrize(
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -106,7 +106,7 @@
             writer.close()
 
 
-class Held(Peer):
+class BlockedServer(Peer):
     """A server that does not respond until it is released."""
 
     def __init__(self) -> None:
@@ -178,7 +178,7 @@
             peer.stop()
 
 
-class Scripted:
+class ScriptedBalancer:
     """A replacement for the decision module: records events and returns the actions of a function."""
 
     table = SimpleNamespace(cursor=0)
--- a/tests/runtime/beside.py
+++ b/tests/runtime/beside.py
@@ -30,7 +30,7 @@
 ]
 
 
-def row(*boxes: Box, **more: Any) -> dict[str, Any]:
+def configuration_data(*boxes: Box, **more: Any) -> dict[str, Any]:
     """Return the plain data of a configuration for these servers; `more` replaces top-level keys."""
     servers = [{"id": box.name, "address": box.endpoint} for box in boxes]
     data: dict[str, Any] = {
@@ -63,7 +63,9 @@
 
 
 @contextlib.asynccontextmanager
-async def alongside(all_boxes: Sequence[Any], data: Callable[[], dict[str, Any]]) -> AsyncIterator[Sidecar]:
+async def running_sidecar(
+    all_boxes: Sequence[Any], data: Callable[[], dict[str, Any]]
+) -> AsyncIterator[Sidecar]:
     """Start servers and a sidecar; `data` is called once the servers have addresses."""
     for box in all_boxes:
         await box.start()
@@ -78,10 +80,10 @@
 
 
 def running(*all_boxes: Box, **more: Any) -> contextlib.AbstractAsyncContextManager[Sidecar]:
-    return alongside(all_boxes, lambda: row(*all_boxes, **more))
+    return running_sidecar(all_boxes, lambda: configuration_data(*all_boxes, **more))
 
 
-async def what_is_open_ends(sidecar: Sidecar, pool: str = "boxes") -> None:
+async def wait_for_open_requests(sidecar: Sidecar, pool: str = "boxes") -> None:
     """Wait until the requests that are open now have ended.
 
     A request sent just before a drain was applied may still be on its way to the drained server.
--- a/tests/runtime/test_budgets.py
+++ b/tests/runtime/test_budgets.py
@@ -14,12 +14,12 @@
     LONG,
     address,
     admin_client,
-    alongside,
     application,
     boxes,
     configuration,
-    row,
+    configuration_data,
     running,
+    running_sidecar,
     send_raw,
 )
 from loopback import until
@@ -42,13 +42,13 @@
 
 
 def data(*all_boxes: Any, name: str = "beside", **more: Any) -> dict[str, Any]:
-    return row(*all_boxes, **({"name": name, "budget": BUDGET, "listeners": INSIDE} | more))
+    return configuration_data(*all_boxes, **({"name": name, "budget": BUDGET, "listeners": INSIDE} | more))
 
 
 @contextlib.asynccontextmanager
 async def budgeted_sidecar(*all_boxes: Any, **more: Any) -> AsyncIterator[tuple[Sidecar, Application]]:
     """Start servers and a sidecar with a budget; yields the sidecar and a client of it."""
-    async with alongside(all_boxes, lambda: data(*all_boxes, **more)) as sidecar:
+    async with running_sidecar(all_boxes, lambda: data(*all_boxes, **more)) as sidecar:
         app = application(sidecar)
         try:
             yield sidecar, app
@@ -224,7 +224,7 @@
 def test_server_list_with_the_sidecars_own_listener_is_detected_as_a_loop():
     async def main():
         (box,) = boxes(1)
-        async with alongside([box], lambda: data(box)) as sidecar:
+        async with running_sidecar([box], lambda: data(box)) as sidecar:
             me = "{}:{}".format(*address(sidecar))
             again = data(box)
             again["pools"][0]["list"]["servers"] = [{"id": "me", "address": me}]
@@ -335,7 +335,7 @@
     async def main():
         (box,) = boxes(1)
         box.behaviour = Behaviour(hang=True)
-        async with alongside([box], lambda: data(box)) as sidecar:
+        async with running_sidecar([box], lambda: data(box)) as sidecar:
             one, two = application(sidecar), application(sidecar)
             key = {"Idempotency-Key": "k1"}
             first = asyncio.create_task(one.ask("POST", "/move/1", b"a", key))
@@ -396,7 +396,7 @@
                 server["cell"] = cell
             return found
 
-        async with alongside(all_boxes, data_with_cells) as sidecar:
+        async with running_sidecar(all_boxes, data_with_cells) as sidecar:
             app = application(sidecar)
             for at in range(8):
                 key = {"Idempotency-Key": f"k{at}"}
@@ -460,7 +460,7 @@
     async def main():
         (box,) = boxes(1)
         small_budget = {"share": 0.0, "floor_per_s": 0.0}
-        async with alongside([box], lambda: data(box, budget=small_budget)) as sidecar:
+        async with running_sidecar([box], lambda: data(box, budget=small_budget)) as sidecar:
             box.behaviour = Behaviour(decline=True)
             app = application(sidecar)
             assert (await app.ask("GET", "/balance/1")).status == 503
@@ -499,7 +499,7 @@
         def hedging() -> dict[str, Any]:
             return data(*all_boxes, classes=hedged, routes=routes, budget=BUDGET | {"share": 1.0})
 
-        async with alongside(all_boxes, hedging) as sidecar:
+        async with running_sidecar(all_boxes, hedging) as sidecar:
             app = application(sidecar)
             for at in range(40):
                 assert (await app.ask("GET", f"/balance/{at}")).status == 200
@@ -542,13 +542,13 @@
 def test_reload_changes_budgets_and_keeps_learned_patience():
     async def main():
         (box,) = boxes(1)
-        async with alongside([box], lambda: data(box)) as sidecar:
+        async with running_sidecar([box], lambda: data(box)) as sidecar:
             sidecar.budgets.decider.patience_of("read").record_disconnect(5.0)
             await sidecar.reload(configuration(data(box, budget=BUDGET | {"extra": 0})))
             app = application(sidecar)
             await app.ask("GET", "/balance/1")
             assert read_http(box.seen[-1].headers).extra == 0
-            await sidecar.reload(configuration(row(box)))
+            await sidecar.reload(configuration(configuration_data(box)))
             await app.ask("GET", "/balance/1")
             assert box.seen[-1].header(b"baggage") is None
             app.close()
@@ -562,7 +562,7 @@
     async def main():
         (box,) = boxes(1)
         box.behaviour = Behaviour(hang=True)
-        async with alongside([box], lambda: data(box)) as sidecar:
+        async with running_sidecar([box], lambda: data(box)) as sidecar:
             while box.taken < 10:
                 app = application(sidecar)
                 taken = box.taken
@@ -617,7 +617,7 @@
         (box,) = thrift_boxes(1)
         thrift = {"form": box_form, "budget_field": FIELD}
         async with (
-            alongside([box], lambda: thrift_data(box, thrift=thrift)) as sidecar,
+            running_sidecar([box], lambda: thrift_data(box, thrift=thrift)) as sidecar,
             Caller(address(sidecar), form) as caller,
         ):
             reply = await caller.call("post", posting("p0", form))
@@ -638,7 +638,7 @@
     async def main():
         (box,) = thrift_boxes(1)
         async with (
-            alongside([box], lambda: thrift_data(box)) as sidecar,
+            running_sidecar([box], lambda: thrift_data(box)) as sidecar,
             Caller(address(sidecar)) as caller,
         ):
             loop = with_budget(posting("p1"), Form.BINARY, path=("beside", "front"))
@@ -655,7 +655,7 @@
         (box,) = thrift_boxes(1)
         box.behaviour.hang = True
         async with (
-            alongside([box], lambda: thrift_data(box)) as sidecar,
+            running_sidecar([box], lambda: thrift_data(box)) as sidecar,
             Caller(address(sidecar)) as one,
             Caller(address(sidecar)) as two,
         ):
@@ -684,7 +684,7 @@
 def test_baggage_in_several_fields_is_combined():
     async def main():
         (box,) = boxes(1)
-        async with alongside([box], lambda: data(box)) as sidecar:
+        async with running_sidecar([box], lambda: data(box)) as sidecar:
             request = b"GET /balance/1 HTTP/1.1\r\nHost: x\r\nBaggage: a=1\r\nBaggage: emberring-ms=700\r\n"
             request += b"baggage: b=2\r\nConnection: close\r\n\r\n"
             assert b" 200 OK" in await send_raw(sidecar, request)
@@ -700,7 +700,7 @@
         tier.behaviour.tries = 3
         tier.behaviour.passes = TRACE | OWN
         small_budget = {"share": 0.0, "floor_per_s": 0.1}
-        async with alongside([box], lambda: data(box, name="last", budget=small_budget)) as last:
+        async with running_sidecar([box], lambda: data(box, name="last", budget=small_budget)) as last:
             await tier.start()
             tier.next = address(last)
             front = Sidecar(configuration(data(tier, name="front")))
--- a/tests/runtime/test_http_frontend.py
+++ b/tests/runtime/test_http_frontend.py
@@ -6,7 +6,7 @@
 import re
 
 import pytest
-from beside import CLASSES, ROUTES, address, application, boxes, row, running, send_raw
+from beside import CLASSES, ROUTES, address, application, boxes, configuration_data, running, send_raw
 from loopback import until
 
 from loadbalancer.emulator.box import Box
@@ -495,7 +495,7 @@
 
 
 def test_fixture_data_is_a_configuration():
-    assert row()["kind"] == "configuration"
+    assert configuration_data()["kind"] == "configuration"
 
 
 def test_rejection_after_an_attempt_that_may_have_run_does_not_claim_that_nothing_ran():
--- a/tests/runtime/test_load.py
+++ b/tests/runtime/test_load.py
@@ -8,7 +8,17 @@
 
 import orjson
 import pytest
-from beside import CLASSES, ROUTES, address, admin_client, application, boxes, row, running, send_raw
+from beside import (
+    CLASSES,
+    ROUTES,
+    address,
+    admin_client,
+    application,
+    boxes,
+    configuration_data,
+    running,
+    send_raw,
+)
 from loopback import until
 
 from loadbalancer import interface as api
@@ -222,7 +232,7 @@
     with socket.create_server(("127.0.0.1", 0)) as taken:
         at = f"127.0.0.1:{taken.getsockname()[1]}"
         servers = [{"id": "b", "address": "127.0.0.1:9"}]
-        data = row(pools=[{"name": "boxes", "list": {"source": "static", "servers": servers}}])
+        data = configuration_data(pools=[{"name": "boxes", "list": {"source": "static", "servers": servers}}])
         (data["admin"] if place == "admin" else data["listeners"][0])["address"] = at
         path = tmp_path / "c.toml"
         path.write_text(dumps(data, {}))
--- a/tests/runtime/test_reload.py
+++ b/tests/runtime/test_reload.py
@@ -10,7 +10,16 @@
 
 import orjson
 import pytest
-from beside import CLASSES, ROUTES, admin_client, application, boxes, configuration, row, running
+from beside import (
+    CLASSES,
+    ROUTES,
+    admin_client,
+    application,
+    boxes,
+    configuration,
+    configuration_data,
+    running,
+)
 from loopback import until
 
 from loadbalancer.emulator.box import Box
@@ -32,7 +41,7 @@
             assert [(await app.ask("GET", path)).status for path in ("/a/1", "/b/1")] == [200, 404]
             pool = sidecar.pools["boxes"]
             other = [{"class": "read", "path": "/b/**"}]
-            await sidecar.reload(configuration(row(box, classes=CLASSES[:1], routes=other)))
+            await sidecar.reload(configuration(configuration_data(box, classes=CLASSES[:1], routes=other)))
             assert [(await app.ask("GET", path)).status for path in ("/a/1", "/b/1")] == [404, 200]
             assert sidecar.pools["boxes"] is pool  # the balancer and its state are kept
             assert box.accepted == 1
@@ -56,7 +65,9 @@
                 }
             ]
             kinds = [CLASSES[0] | {"pool": "other"}]
-            await sidecar.reload(configuration(row(pools=pools, classes=kinds, routes=ROUTES[:1])))
+            await sidecar.reload(
+                configuration(configuration_data(pools=pools, classes=kinds, routes=ROUTES[:1]))
+            )
             assert list(sidecar.pools) == ["other"]
             assert (await app.ask("POST", "/x", b"late")).status == 404
             assert (await app.ask("GET", "/x")).headers[b"x-box"] == b"box-1"
@@ -79,7 +90,7 @@
             app = application(sidecar, "one")
             pending = asyncio.create_task(app.ask("GET", "/x"))
             await until(lambda: box.taken)
-            await sidecar.reload(configuration(row(box, listeners=[listener("two")])))
+            await sidecar.reload(configuration(configuration_data(box, listeners=[listener("two")])))
             box.behaviour.cores = 9
             box._begin()
             answer = await pending
@@ -104,7 +115,7 @@
                     listener("more"),
                     listener("bad", taken.getsockname()[1]),
                 ]
-                new = row(box, listeners=wanted, rules={"max_attempts": 2})
+                new = configuration_data(box, listeners=wanted, rules={"max_attempts": 2})
                 gc.collect()  # descriptors left by other tests must not be closed in between
                 open_descriptors = len(os.listdir("/proc/self/fd"))
                 with pytest.raises(OSError, match="in use"):
@@ -125,7 +136,7 @@
         (box,) = boxes(1)
         async with running(box) as sidecar:
             with pytest.raises(ReloadError, match=r"name: 'else' can't replace 'beside'.*restart"):
-                await sidecar.reload(configuration(row(box, name="else")))
+                await sidecar.reload(configuration(configuration_data(box, name="else")))
             assert sidecar.configuration.name == "beside"
 
     asyncio.run(main())
@@ -138,7 +149,7 @@
             app, pool = application(sidecar), sidecar.pools["boxes"]
             assert (await app.ask("POST", "/x", b"y" * 500)).status == 200
             limits = {"max_body_bytes": 100, "max_open": 7, "descriptors": 128}
-            await sidecar.reload(configuration(row(box, limits=limits)))
+            await sidecar.reload(configuration(configuration_data(box, limits=limits)))
             assert sidecar.pools["boxes"] is pool
             assert sidecar.capacity.limit == 7
             assert (await application(sidecar).ask("POST", "/x", b"y" * 500)).status == 413
@@ -157,7 +168,7 @@
             await until(lambda: sidecar.ready)
             old = sidecar.pools["boxes"]
             discovery.stop()  # no further update arrives
-            await sidecar.reload(configuration(row(pools=pools, rules={"max_attempts": 1})))
+            await sidecar.reload(configuration(configuration_data(pools=pools, rules={"max_attempts": 1})))
             assert sidecar.pools["boxes"] is not old
             assert (await application(sidecar).ask("GET", "/x")).status == 200
 
@@ -171,7 +182,7 @@
         async with running(one) as sidecar:
             app, pool = application(sidecar), sidecar.pools["boxes"]
             assert (await app.ask("GET", "/x")).headers[b"x-box"] == b"box-0"
-            await sidecar.reload(configuration(row(two)))
+            await sidecar.reload(configuration(configuration_data(two)))
             assert sidecar.pools["boxes"] is pool
             for _ in range(5):
                 assert (await app.ask("GET", "/x")).headers[b"x-box"] == b"box-1"
@@ -191,7 +202,7 @@
         second.tell(three)
 
         def discovery_row(at: Discovery) -> dict[str, Any]:
-            return row(
+            return configuration_data(
                 pools=[
                     {"name": "boxes", "list": {"source": "discovery", "address": at.endpoint, "mode": "push"}}
                 ]
@@ -228,9 +239,12 @@
                 "limits": [{"limits": {"max_open": at}} for at in (500, 600)],
                 "list": [{}, {}],
             }[change]
-            rows = [row(*all_boxes, listeners=both) | variant for variant in variants]
+            rows = [configuration_data(*all_boxes, listeners=both) | variant for variant in variants]
             if change == "list":
-                rows = [row(*all_boxes[:2], listeners=both), row(*all_boxes, listeners=both)]
+                rows = [
+                    configuration_data(*all_boxes[:2], listeners=both),
+                    configuration_data(*all_boxes, listeners=both),
+                ]
             asked: list[str] = []
             answered: list[str] = []
             over = asyncio.Event()
@@ -270,7 +284,7 @@
             app = application(sidecar, "two")
             assert (await app.ask("GET", "/x")).status == 200
             (kept,) = app.idle
-            await sidecar.reload(configuration(row(box, listeners=[listener("one")])))
+            await sidecar.reload(configuration(configuration_data(box, listeners=[listener("one")])))
             await until(lambda: not kept.usable)
             with pytest.raises(OSError, match=r"refused|Connect|complete answer"):
                 await app.ask("GET", "/x")
--- a/tests/runtime/test_third_party_http_clients.py
+++ b/tests/runtime/test_third_party_http_clients.py
@@ -17,7 +17,7 @@
 import aiohttp
 import httpx
 import pytest
-from beside import boxes, row
+from beside import boxes, configuration_data
 from loopback import until
 
 from loadbalancer.emulator.box import Box
@@ -70,7 +70,7 @@
     pools = [
         {"name": "boxes", "list": {"source": "discovery", "address": discovery.endpoint, "mode": "push"}}
     ]
-    return row(pools=pools) | more
+    return configuration_data(pools=pools) | more
 
 
 @contextlib.asynccontextmanager
--- a/tests/runtime/test_xds_pool.py
+++ b/tests/runtime/test_xds_pool.py
@@ -11,7 +11,15 @@
 
 import orjson
 import pytest
-from beside import admin_client, alongside, application, boxes, configuration, row, what_is_open_ends
+from beside import (
+    admin_client,
+    application,
+    boxes,
+    configuration,
+    configuration_data,
+    running_sidecar,
+    wait_for_open_requests,
+)
 from envoy.config.endpoint.v3 import endpoint_pb2
 from loopback import until
 
@@ -45,7 +53,7 @@
     """Start a control plane, servers and a sidecar; `fill` fills the plane and returns the sidecar's configuration."""
     plane = await ControlPlane().start()
     try:
-        async with alongside(all_boxes, lambda: fill(plane)) as sidecar:
+        async with running_sidecar(all_boxes, lambda: fill(plane)) as sidecar:
             await until(lambda: sidecar.ready)
             yield plane, sidecar
     finally:
@@ -57,7 +65,7 @@
 ) -> contextlib.AbstractAsyncContextManager[tuple[ControlPlane, Sidecar]]:
     def fill(plane: ControlPlane) -> dict[str, Any]:
         plane.put(cluster("ledger", **more), endpoints("ledger", *rows_of(*all_boxes)))
-        return row(pools=pools_of(plane, updates))
+        return configuration_data(pools=pools_of(plane, updates))
 
     return with_control_plane(all_boxes, fill)
 
@@ -102,7 +110,7 @@
                 plane.put(endpoints("ledger", *others, {"address": last.endpoint} | REMOVALS[form]))
             # A request sent before the drain was applied may still start at the server.
             await until(lambda: last.endpoint not in sidecar.pools["boxes"].up)
-            await what_is_open_ends(sidecar)
+            await wait_for_open_requests(sidecar)
             begun, answered_before = last.taken, sum(statuses.values())
             await until(lambda: sum(statuses.values()) > answered_before + 200)
             assert last.taken == begun
@@ -219,11 +227,11 @@
         async with following("incremental", one) as (plane, sidecar):
             app = application(sidecar)
             plane.put(cluster("other"), endpoints("other", *rows_of(two)))
-            await sidecar.reload(configuration(row(pools=pools_of(plane, name="other"))))
+            await sidecar.reload(configuration(configuration_data(pools=pools_of(plane, name="other"))))
             await until(lambda: sidecar.pools["boxes"].up == {two.endpoint})
             info = next(iter(sidecar.pools["boxes"].balancer.servers_by_address.values())).info
             assert info.launched_ms is not None  # the previous list did not have it, so it is cold
-            await sidecar.reload(configuration(row(three)))
+            await sidecar.reload(configuration(configuration_data(three)))
             assert (await app.ask("GET", "/x")).headers[b"x-box"] == b"box-2"
             assert sidecar.pools["boxes"].balancer.servers.levels is None
         two.stop()
--- a/tests/runtime/test_xds_shared.py
+++ b/tests/runtime/test_xds_shared.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from beside import LONG, boxes, configuration, row
+from beside import LONG, boxes, configuration, configuration_data
 from loopback import until
 from test_xds_pool import WAYS, rows_of, with_control_plane
 
@@ -23,7 +23,7 @@
     """Return the data of a configuration in which each pool follows a cluster."""
     address = plane.rest_endpoint if way == "rest" else plane.endpoint
     source = {"source": "xds", "address": address} | WAYS[way]
-    return row(
+    return configuration_data(
         pools=[{"name": name, "list": source | {"cluster": found}} for name, found in clusters.items()],
         classes=[{"name": f"read-{name}", "pool": name, "effect": "safe"} | LONG for name in clusters],
         routes=[{"class": f"read-{name}", "path": f"/{name}/**"} for name in clusters],
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -12,11 +12,11 @@
 
 import pytest
 from loopback import (
+    BlockedServer,
     Caller,
     Discovery,
-    Held,
     Peer,
-    Scripted,
+    ScriptedBalancer,
     ask,
     config,
     listing,
@@ -71,7 +71,7 @@
 def test_the_balancer_receives_the_headers_of_the_request():
     async def main():
         async with running(Peer()) as node:
-            node.pool.balancer = scripted = Scripted(lambda event: [api.Refuse(event.id, 250.0)])
+            node.pool.balancer = scripted = ScriptedBalancer(lambda event: [api.Refuse(event.id, 250.0)])
             before = node.clock.ms()
             answer = await ask(
                 node,
@@ -99,7 +99,7 @@
 
         server = Peer(script)
         async with running(server) as node:
-            node.pool.balancer = scripted = Scripted(send_to("s0"))
+            node.pool.balancer = scripted = ScriptedBalancer(send_to("s0"))
             assert (await ask(node, request(kind, "q1"))).status == 200
             await until(lambda: node.back._servers["s0"].idle)  # idle after the response
             assert (await ask(node, request(kind, "q2"))).status == 502  # sent on the idle connection
@@ -138,13 +138,13 @@
                     return [api.Fail(event.id)] if moot else [api.Send(event.id, "s0")]
                 return []
 
-            node.pool.balancer = scripted = Scripted(act)
+            node.pool.balancer = scripted = ScriptedBalancer(act)
             assert (await ask(node, request())).status == 502
             assert len(server.seen) == 3
             outcomes = scripted.of(api.Outcome)
             assert [event.attempt for event in outcomes] == [0, 1, 2, 3]
             assert outcomes[-1].result is api.Result.MOOT
-            node.pool.balancer = scripted = Scripted()
+            node.pool.balancer = scripted = ScriptedBalancer()
             node.pool.act(api.Send("q1", "s0"))
             assert [(event.result, event.done) for event in scripted.of(api.Outcome)] == [
                 (api.Result.MOOT, True)
@@ -156,7 +156,7 @@
 
 def test_a_disconnect_lapses_the_request_and_its_attempt_still_gets_an_outcome():
     async def main():
-        server = Held()
+        server = BlockedServer()
         async with running(server) as node:
             caller = await Caller.to(node)
             caller.writer.write(request())
@@ -172,7 +172,7 @@
 
 def test_the_slower_of_two_attempts_gets_its_outcome_after_the_request_has_ended():
     async def main():
-        server = Held()
+        server = BlockedServer()
         async with running(server, Peer()) as node:
 
             def act(event):
@@ -180,7 +180,7 @@
                     return [api.Send(event.id, "s0"), api.Send(event.id, "s1")]
                 return []
 
-            node.pool.balancer = scripted = Scripted(act)
+            node.pool.balancer = scripted = ScriptedBalancer(act)
             assert (await ask(node, request())).body == b"done"
             server.release.set()
             await until(lambda: not node.pool.requests)
@@ -200,7 +200,7 @@
                     raise RuntimeError("broken")
                 return [api.Send(event.id, "s0")] if isinstance(event, api.Request) else []
 
-            node.pool.balancer = scripted = Scripted(act)
+            node.pool.balancer = scripted = ScriptedBalancer(act)
             assert (await ask(node, request())).status == 500
             assert scripted.of(api.Lapsed)
             assert not node.pool.requests
@@ -219,7 +219,7 @@
             return []
 
         async with running(Peer()) as node:
-            node.pool.balancer = scripted = Scripted(act)
+            node.pool.balancer = scripted = ScriptedBalancer(act)
             node.pool.act(api.Wake(1.0, "tick"))
             await until(lambda: len([event for event in scripted.of(api.Alarm) if event.name == "tick"]) == 2)
 
@@ -229,7 +229,7 @@
 def test_a_request_without_a_decision_is_answered_at_its_deadline():
     async def main():
         async with running(Peer()) as node:
-            node.pool.balancer = scripted = Scripted()
+            node.pool.balancer = scripted = ScriptedBalancer()
             assert (await ask(node, request(Req_Deadline_Ms="200"))).status == 504
             assert [event.id for event in scripted.of(api.Lapsed)] == ["q1"]
 
@@ -238,14 +238,14 @@
 
 def test_the_deadline_of_a_request_limits_the_timeout_of_its_attempts():
     async def main():
-        async with running(Held()) as node:
+        async with running(BlockedServer()) as node:
 
             def act(event):
                 if isinstance(event, api.Request):
                     return [api.Send(event.id, "s0", 60_000.0)]
                 return [api.Fail(event.id)] if isinstance(event, api.Outcome) else []
 
-            node.pool.balancer = scripted = Scripted(act)
+            node.pool.balancer = scripted = ScriptedBalancer(act)
             assert (await ask(node, request(Req_Deadline_Ms="300"))).status == 504
             # The timeout of the attempt came first, not the node's own deadline timer.
             assert [event.result for event in scripted.of(api.Outcome)] == [api.Result.TIMEOUT]
@@ -284,7 +284,7 @@
 def test_invalid_requests_are_answered_and_never_reach_the_balancer(data, status):
     async def main():
         async with running(Peer()) as node:
-            node.pool.balancer = scripted = Scripted()
+            node.pool.balancer = scripted = ScriptedBalancer()
             assert (await ask(node, data)).status == status
             assert not scripted.of(api.Request)
             assert not node.pool.requests
@@ -306,7 +306,7 @@
 
 def test_a_duplicate_id_in_flight_is_rejected():
     async def main():
-        server = Held()
+        server = BlockedServer()
         async with running(server) as node:
             first = asyncio.create_task(ask(node, request("post", "q1")))
             await until(lambda: server.seen)
@@ -332,7 +332,7 @@
 
 def test_more_open_requests_than_allowed_are_rejected_at_once():
     async def main():
-        server = Held()
+        server = BlockedServer()
         async with running(server, bounds={"maxOpen": 1}) as node:
             first = asyncio.create_task(ask(node, request(name="q1")))
             await until(lambda: server.seen)
@@ -378,7 +378,7 @@
 def test_busy_connections_over_the_limit_are_rejected_at_once_and_closed():
     async def main():
         async with running(Peer(), limits={"sockets": 132}) as node:
-            node.pool.balancer = scripted = Scripted()  # leaves every request open
+            node.pool.balancer = scripted = ScriptedBalancer()  # leaves every request open
             callers = [await Caller.to(node) for _ in range(node.server.limit)]
             for at, caller in enumerate(callers):
                 caller.writer.write(request(name=f"q{at}"))
@@ -427,7 +427,7 @@
             reply(503),
         )
         async with running(Peer(), discovery=discovery) as node:
-            node.pool.balancer = scripted = Scripted()
+            node.pool.balancer = scripted = ScriptedBalancer()
             # The first action of the balancer, on the cached list, was to start a watch.
             await until(lambda: len(scripted.of(api.Membership)) == 3)
             forms = [event.form for event in scripted.of(api.Membership)]
@@ -448,7 +448,7 @@
 def test_the_configured_list_is_delivered_first_as_cached():
     async def main():
         async with running(Peer()) as node:
-            node.pool.balancer = scripted = Scripted()
+            node.pool.balancer = scripted = ScriptedBalancer()
             await node.start()
             assert [event.form for event in scripted.of(api.Membership)] == [api.ListForm.CACHED]
             assert scripted.events[0].servers[0].launched_ms is None  # 0 means unknown
@@ -471,7 +471,7 @@
 def test_an_invalid_discovery_response_is_a_failure_and_keeps_the_list(news):
     async def main():
         async with running(Peer(), discovery=Discovery(news)) as node:
-            node.pool.balancer = scripted = Scripted()
+            node.pool.balancer = scripted = ScriptedBalancer()
             await until(lambda: scripted.of(api.Membership))
             assert [event.form for event in scripted.of(api.Membership)] == [api.ListForm.FAILED]
             assert (set(node.back._servers), node.server.ready) == ({"s0"}, True)
@@ -515,7 +515,7 @@
     async def main():
         server = Peer()
         async with running(server) as node:
-            node.pool.balancer = scripted = Scripted(send_to("s0", "s0"))
+            node.pool.balancer = scripted = ScriptedBalancer(send_to("s0", "s0"))
             caller = await Caller.to(node)
             hold = asyncio.Event()
 
@@ -579,7 +579,7 @@
                     return [api.Send(event.id, "s0"), api.Send(event.id, "s0")]
                 return [api.Refuse(event.id)] if isinstance(event, api.Outcome) else []
 
-            node.pool.balancer = scripted = Scripted(act)
+            node.pool.balancer = scripted = ScriptedBalancer(act)
             assert (await ask(node, request(Req_Deadline_Ms="0"))).status == 503
             outcomes = [(event.result, event.attempt) for event in scripted.of(api.Outcome)]
             assert outcomes == [(api.Result.MOOT, 0), (api.Result.MOOT, 1)]
@@ -619,7 +619,7 @@
     """Guard: each period moved the cursor right on responses to older calls, and admissible calls were rejected."""
 
     async def main():
-        server = Held()
+        server = BlockedServer()
         async with running(server) as node:
             node.back.turns = clock = ShiftedTurns()
 
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -8,7 +8,18 @@
 import weakref
 
 import pytest
-from loopback import Caller, Held, Peer, Scripted, ask, read_message, reply, request, running, until
+from loopback import (
+    BlockedServer,
+    Caller,
+    Peer,
+    ScriptedBalancer,
+    ask,
+    read_message,
+    reply,
+    request,
+    running,
+    until,
+)
 from test_upstream import RawBytesWire
 
 from loadbalancer import interface as api
@@ -159,7 +170,7 @@
 
 def test_the_number_of_pipelined_requests_is_limited():
     async def main():
-        server = Held()
+        server = BlockedServer()
         async with running(server) as node:
             caller = await Caller.to(node)
             caller.writer.write(b"".join(request("post", f"q{at}") for at in range(500)))
@@ -176,7 +187,7 @@
 
 def test_a_disconnect_is_detected_while_pipelined_requests_wait():
     async def main():
-        server = Held()
+        server = BlockedServer()
         async with running(server) as node:
             caller = await Caller.to(node)
             caller.writer.write(request("post", "q1") + request("post", "q2"))
@@ -190,9 +201,9 @@
 
 def test_a_duplicate_id_does_not_affect_the_request_in_flight():
     async def main():
-        server = Held()
+        server = BlockedServer()
         async with running(server) as node:
-            node.pool.balancer = scripted = Scripted(
+            node.pool.balancer = scripted = ScriptedBalancer(
                 lambda event: [api.Send(event.id, "s0")] if isinstance(event, api.Request) else []
             )
             first = asyncio.create_task(ask(node, request("post", "q1")))
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -8,7 +8,7 @@
 import struct
 
 import pytest
-from loopback import Held, Message, Peer, reply, until
+from loopback import BlockedServer, Message, Peer, reply, until
 
 from loadbalancer.core.connection_pool import MAX_OPENING
 from loadbalancer.core.outgoing import readable
@@ -284,7 +284,7 @@
 
 def test_a_pending_attempt_is_still_answered_when_its_server_drains():
     async def main():
-        server, servers = Held(), pool()
+        server, servers = BlockedServer(), pool()
         await server.start()
         servers.add("s", ("127.0.0.1", server.port))
         outcome = asyncio.create_task(result(servers))
@@ -301,7 +301,7 @@
 
 def test_the_pool_keeps_to_its_limit_by_closing_idle_connections_first():
     async def main():
-        quiet, busy, servers = await Peer().start(), Held(), pool(limit=2)
+        quiet, busy, servers = await Peer().start(), BlockedServer(), pool(limit=2)
         await busy.start()
         servers.add("s", ("127.0.0.1", quiet.port))
         assert await result(servers) is Result.OK
@@ -386,7 +386,7 @@
 
 def test_an_attempt_queued_behind_connects_uses_the_first_free_connection():
     async def main():
-        held = Held()
+        held = BlockedServer()
         server, servers = await held.start(), pool(limit=10 * MAX_OPENING)
         servers.add("s", ("127.0.0.1", server.port))
         first = asyncio.create_task(result(servers))
@@ -409,7 +409,7 @@
 
 def test_a_timeout_in_the_queue_of_the_pool_is_no_room():
     async def main():
-        held = Held()
+        held = BlockedServer()
         server, servers = await held.start(), pool(limit=1)
         servers.add("s", ("127.0.0.1", server.port))
         first = asyncio.create_task(result(servers))
--- a/tests/thrift/test_both_protocols.py
+++ b/tests/thrift/test_both_protocols.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from beside import alongside, application, configuration, row, what_is_open_ends
+from beside import application, configuration, configuration_data, running_sidecar, wait_for_open_requests
 from loopback import until
 from thrifty import Caller, address, box_of, posting, said, shape
 
@@ -30,7 +30,7 @@
 
     @staticmethod
     def data(*servers: Any, **more: Any) -> dict[str, Any]:
-        return row(*servers, **more)
+        return configuration_data(*servers, **more)
 
     @staticmethod
     async def ask(sidecar: Sidecar, name: str) -> str:
@@ -65,7 +65,7 @@
 @contextlib.asynccontextmanager
 async def serving(protocol: Any, count: int, **more: Any) -> AsyncIterator[tuple[Sidecar, list[Any]]]:
     servers = [protocol.box(f"box-{at}") for at in range(count)]
-    async with alongside(servers, lambda: protocol.data(*servers, **more)) as sidecar:
+    async with running_sidecar(servers, lambda: protocol.data(*servers, **more)) as sidecar:
         yield sidecar, servers
 
 
@@ -89,7 +89,7 @@
             last = servers[-1]
             await sidecar.reload(configuration(protocol.data(*servers[:-1])))
             # The new list is active; requests sent to the server before may still begin there.
-            await what_is_open_ends(sidecar)
+            await wait_for_open_requests(sidecar)
             taken_before, answered_before = last.taken, len(answers)
             await until(lambda: len(answers) > answered_before + 100)
             stop.set()
@@ -214,7 +214,7 @@
 
 
 def both(*servers: Box) -> dict[str, Any]:
-    return row(
+    return configuration_data(
         *servers,
         listeners=[
             {"name": "application", "address": "127.0.0.1:0"},
--- a/tests/thrift/thrifty.py
+++ b/tests/thrift/thrifty.py
@@ -6,7 +6,7 @@
 import contextlib
 from typing import Any
 
-from beside import address, alongside, row
+from beside import address, configuration_data, running_sidecar
 from random_thrift_values import body_of
 
 from loadbalancer.emulator.thrift import ThriftBox
@@ -43,7 +43,7 @@
         "connect_timeout_ms": 20000,  # long enough that a slow machine causes no timeout
         "list": {"source": "static", "servers": server_rows},
     }
-    data = row(
+    data = configuration_data(
         listeners=[{"name": "application", "address": "127.0.0.1:0", "protocol": "thrift"}],
         pools=[pool | ({"thrift": thrift} if thrift else {})],
         classes=CLASSES,
@@ -57,7 +57,7 @@
 
 
 def running(*servers: ThriftBox, **more: Any) -> contextlib.AbstractAsyncContextManager[Sidecar]:
-    return alongside(servers, lambda: shape(*servers, **more))
+    return running_sidecar(servers, lambda: shape(*servers, **more))
 
 
 def posting(name: str, form: Form = Form.BINARY, tenant: str = "") -> bytes:
--- a/tests/xds/test_faults.py
+++ b/tests/xds/test_faults.py
@@ -6,7 +6,7 @@
 import sys
 
 import pytest
-from beside import boxes, configuration, row, running
+from beside import boxes, configuration, configuration_data, running
 from loopback import until
 from test_stream import addresses, xds_client
 
@@ -66,7 +66,9 @@
             monkeypatch.setitem(sys.modules, "loadbalancer.runtime.xds", None)
             source = {"source": "xds", "address": "127.0.0.1:1", "cluster": "ledger"}
             with pytest.raises(ReloadError, match=r"pip install 'emberring\[xds\]'"):
-                await sidecar.reload(configuration(row(pools=[{"name": "boxes", "list": source}])))
+                await sidecar.reload(
+                    configuration(configuration_data(pools=[{"name": "boxes", "list": source}]))
+                )
             assert sidecar.pools["boxes"] is before
             assert sidecar.ready
 
--- a/tests/xds/test_xds_files.py
+++ b/tests/xds/test_xds_files.py
@@ -14,7 +14,7 @@
 
 import pytest
 import yaml
-from beside import application, boxes, configuration, row
+from beside import application, boxes, configuration, configuration_data
 from loopback import until
 
 from loadbalancer.cli import main
@@ -158,7 +158,7 @@
         box_ports = [int(box.endpoint.rpartition(":")[2]) for box in (one, two)]
         replace_file(path, static(*box_ports))
         source = {"source": "xds", "path": str(path), "cluster": "ledger"}
-        sidecar = Sidecar(configuration(row(pools=[{"name": "boxes", "list": source}])))
+        sidecar = Sidecar(configuration(configuration_data(pools=[{"name": "boxes", "list": source}])))
         await sidecar.start()
         try:
             await until(lambda: sidecar.ready)
