--- a/loadbalancer/runtime/building.py
+++ b/loadbalancer/runtime/building.py
@@ -10,12 +10,12 @@
 from loadbalancer.core.descriptors import descriptors_here
 from loadbalancer.discovery.endpoint_list import EndpointEntry
 from loadbalancer.http.server import FRAMING
-from loadbalancer.overload.connections import MOST
+from loadbalancer.overload.connections import MAX_DESCRIPTORS
 from loadbalancer.router.calls import CallTable
 from loadbalancer.router.router import Router
 from loadbalancer.sidecar.checks import call_route_of, route_of
 from loadbalancer.sidecar.models import (
-    NEAR_MS,
+    LATENCY_TOLERANCE_MS,
     BudgetModel,
     ClassModel,
     Configuration,
@@ -38,7 +38,7 @@
     """Return the sidecar's limit of file descriptors: the configured one, else that of the process."""
     if configuration.limits.descriptors is not None:
         return configuration.limits.descriptors
-    return min(MOST, descriptors_here())
+    return min(MAX_DESCRIPTORS, descriptors_here())
 
 
 def settings_of(configuration: Configuration, pool: PoolModel) -> api.Settings:
@@ -54,7 +54,7 @@
         siblings=pool.siblings,
         start_calls=initial_calls,
         quiet_calls=initial_calls,
-        near_ms=NEAR_MS,
+        near_ms=LATENCY_TOLERANCE_MS,
         ask_discovery=source is not None and source.source == "discovery" and source.mode != "push",
         over_share_worth=rules.over_share_worth,
         report_fields=tuple(pool.report_fields),
--- a/loadbalancer/runtime/http_frontend.py
+++ b/loadbalancer/runtime/http_frontend.py
@@ -14,7 +14,7 @@
 from functools import lru_cache, partial
 
 from loadbalancer import interface as api
-from loadbalancer.budget.carried import WRITTEN, read_http, write_http
+from loadbalancer.budget.carried import WRITTEN_HEADERS, read_http, write_http
 from loadbalancer.budget.decider import Denial
 from loadbalancer.core.pool import OpenRequest, Pool
 from loadbalancer.core.types import Answer, AnswerCause, AnswerKind
@@ -25,7 +25,7 @@
 from loadbalancer.runtime.admission_control import AdmissionControl
 from loadbalancer.runtime.budgets import FrontendBudget, SharedRequest
 from loadbalancer.runtime.frontend_common import ANSWER_MARGIN_S, caller_wait_ms, request_ids
-from loadbalancer.settings import report_from
+from loadbalancer.settings import parse_load_report
 
 DEADLINE_VALUE = re.compile(rb"[0-9]{1,9}")
 
@@ -112,7 +112,7 @@
 
     def read(self, response: Response) -> tuple[api.Result, dict[str, float] | None]:
         load = response.headers.get(b"srv-load")
-        report = report_from(load.decode("latin-1"), self._fields) if load else None
+        report = parse_load_report(load.decode("latin-1"), self._fields) if load else None
         if response.status in (503, 504) and response.headers.get(b"srv-declined") == b"1":
             return api.Result.FULL, report
         return (api.Result.ERROR if response.status in ERROR_STATUSES else api.Result.OK), report
@@ -147,7 +147,7 @@
         self._budget = budget
         self._dropped = REQUEST_DROPPED | {self._deadline_header}
         if budget is not None and budget.model.carry:
-            self._dropped |= WRITTEN
+            self._dropped |= WRITTEN_HEADERS
 
     # ------------------------------------------------------------------- requests
 
@@ -233,7 +233,7 @@
             if admitted is not None:
                 admitted.on_answered()
             source = self.admission.count_rejection(route.pool, kind.name, rejection.cause, tried=False)
-            self._reject(call, rejection.retry_after_ms, source.error, detail=source.words)
+            self._reject(call, rejection.retry_after_ms, source.error, detail=source.explanation)
             return
         always_forwarded = (b"host",) if key is None else (b"host", key)
         headers = end_to_end_fields(
@@ -256,7 +256,7 @@
                     pool, open_request.kind, answer.cause, bool(open_request.attempts)
                 )
                 self._reject(
-                    call, answer.retry_after_ms, source.error, open_request.may_have_run, source.words
+                    call, answer.retry_after_ms, source.error, open_request.may_have_run, source.explanation
                 )
             else:
                 status, error = FAILURES[answer.cause]
@@ -278,7 +278,7 @@
     ) -> None:
         """Reject a request for which no attempt was made."""
         self.admission.rejections.add(pool, kind, source)
-        self._reject(call, retry_after_ms, source.error, detail=source.words)
+        self._reject(call, retry_after_ms, source.error, detail=source.explanation)
 
     def _reject(
         self, call: Call, retry_after_ms: float, error: str, may_have_run: bool = False, detail: str = ""
--- a/loadbalancer/runtime/thrift_frontend.py
+++ b/loadbalancer/runtime/thrift_frontend.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from loadbalancer.budget.carried import NOTHING, Carried, read_baggage, write_baggage
+from loadbalancer.budget.carried import NO_BUDGET, PropagatedBudget, read_baggage, write_baggage
 from loadbalancer.budget.decider import Denial
 from loadbalancer.core.pool import OpenRequest, Pool
 from loadbalancer.core.types import Answer, AnswerCause, AnswerKind
@@ -28,7 +28,7 @@
 from loadbalancer.runtime.admission_control import AdmissionControl
 from loadbalancer.runtime.budgets import FrontendBudget, SharedRequest
 from loadbalancer.runtime.frontend_common import ANSWER_MARGIN_S, caller_wait_ms, request_ids
-from loadbalancer.thrift.client import Outbound
+from loadbalancer.thrift.client import OutgoingCall
 from loadbalancer.thrift.codec import check, field_at, transcode, with_text
 from loadbalancer.thrift.server import Limits, ThriftCall, ThriftServer, bad_call
 from loadbalancer.thrift.types import ExceptionKind, Form, Message, MessageKind, ProtocolError
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class ForwardedCall(Outbound):
+class ForwardedCall(OutgoingCall):
     """A call as it is sent to a server, and the request whose callers wait for its reply."""
 
     shared_request: SharedRequest | None = None
@@ -194,7 +194,7 @@
             if admitted is not None:
                 admitted.on_answered()
             source = self.admission.count_rejection(route.pool, kind.name, rejection.cause, tried=False)
-            self._reject(call, rejection.retry_after_ms, source.words or "no box takes it now")
+            self._reject(call, rejection.retry_after_ms, source.explanation or "no box takes it now")
             return
         message = ForwardedCall(
             incoming.kind, incoming.name, body, shared_request=shared_request, form=form, others=others
@@ -216,12 +216,12 @@
             if message.sent:
                 on_sent()
 
-    def _carried(self, incoming: Message) -> tuple[Carried, list[str]]:
+    def _carried(self, incoming: Message) -> tuple[PropagatedBudget, list[str]]:
         """Return the budget in the arguments, and the other baggage members beside it."""
         if self._budget is None or self._budget_field is None:
-            return NOTHING, []
+            return NO_BUDGET, []
         found = field_at(incoming.body, incoming.form, (self._budget_field,))
-        return read_baggage(found.decode("latin-1")) if isinstance(found, bytes) else (NOTHING, [])
+        return read_baggage(found.decode("latin-1")) if isinstance(found, bytes) else (NO_BUDGET, [])
 
     def _without_budget(self, incoming: Message) -> bytes:
         """Return the arguments without the budget, which differs between retries of the same call."""
@@ -260,7 +260,9 @@
             source = self.admission.count_rejection(
                 message.pool, open_request.kind, answer.cause, bool(open_request.attempts)
             )
-            self._reject(call, answer.retry_after_ms, source.words or "no box takes it now", message.sent > 0)
+            self._reject(
+                call, answer.retry_after_ms, source.explanation or "no box takes it now", message.sent > 0
+            )
         else:
             kind, detail = FAILURES[answer.cause]
             if message.sent:
@@ -291,7 +293,7 @@
     ) -> None:
         """Reject a call for which no attempt was made."""
         self.admission.rejections.add(pool, kind, source)
-        self._reject(call, retry_after_ms, source.words)
+        self._reject(call, retry_after_ms, source.explanation)
 
     def _reject(
         self, call: ThriftCall, retry_after_ms: float, detail: str, may_have_run: bool = False
--- a/tests/budget/test_chain.py
+++ b/tests/budget/test_chain.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from beside import address, application, configuration, row
+from beside import address, application, configuration, configuration_data
 from loopback import until
 
 from loadbalancer.emulator.box import Behaviour, Box
@@ -51,7 +51,7 @@
         if budget is not None:
             listener["trust"] = "edge" if tier == 0 else "inside"
             more["budget"] = budget
-        return row(*around, listeners=[listener], **more)
+        return configuration_data(*around, listeners=[listener], **more)
 
 
 @contextlib.asynccontextmanager
@@ -285,7 +285,7 @@
             for gate in gates:
                 gate.set()
             denied = lambda: sum(  # noqa: E731
-                sidecar.budgets.figures.of("boxes", "post").counts["over"]
+                sidecar.budgets.figures.class_statistics("boxes", "post").counts["over"]
                 for sidecar in deployment.sidecars[1]
             )
             await until(lambda: denied() == 1)
--- a/tests/faults/test_expired_list.py
+++ b/tests/faults/test_expired_list.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from loopback import Discovery, Held, Peer, ask, listing, reply, request, running, until
+from loopback import BlockedServer, Discovery, Peer, ask, listing, reply, request, running, until
 
 from loadbalancer.discovery import watcher as lists
 
@@ -62,13 +62,13 @@
 
 def test_no_retry_is_made_after_the_list_expired_during_an_attempt():
     async def main():
-        first, others = Held(), Peer()
+        first, others = BlockedServer(), Peer()
         async with running(
             first, others, discovery=Failing(), settings=POLLED_DISCOVERY, bounds={"maxAttempts": 3}
         ) as node:
             await until_failed(node)
             # The first attempt goes to the server that delays its response.
-            node.pool.balancer.peers["s1"].info.weight = 1e-9
+            node.pool.balancer.servers_by_address["s1"].info.weight = 1e-9
             advance(node, EXPIRES_S - 0.1)
             pending = asyncio.create_task(ask(node, request("read", "q1")))
             await until(lambda: first.seen)
--- a/tests/runtime/test_load.py
+++ b/tests/runtime/test_load.py
@@ -8,7 +8,17 @@
 
 import orjson
 import pytest
-from beside import CLASSES, ROUTES, address, admin_client, application, boxes, row, running, send_raw
+from beside import (
+    CLASSES,
+    ROUTES,
+    address,
+    admin_client,
+    application,
+    boxes,
+    configuration_data,
+    running,
+    send_raw,
+)
 from loopback import until
 
 from loadbalancer import interface as api
@@ -25,7 +35,7 @@
 
     def __init__(self, waited: float, turn: float) -> None:
         super().__init__()
-        self.told, self.waited, self.turn_s = True, waited, turn
+        self.has_polls, self.waited, self.turn_s = True, waited, turn
 
     def came(self, now: float) -> float:
         return now - self.waited
@@ -33,11 +43,11 @@
     def lag(self, now: float) -> float:
         return self.waited
 
-    def so_far(self, now: float) -> float:
+    def turn_length(self, now: float) -> float:
         return self.turn_s
 
     @property
-    def spent_s(self) -> float:
+    def own_time_s(self) -> float:
         return asyncio.get_running_loop().time()
 
 
@@ -175,7 +185,7 @@
             await until(lambda: sum(task.done() for task in answers) >= 2 * server.limit)
             assert {task.result() for task in answers if task.done()} == {b"HTTP/1.1 503"}
             assert len(server.connections) <= server.limit
-            assert sidecar.admission.rejections.by_owner()["callers' connections"] >= 2 * server.limit
+            assert sidecar.admission.rejections.by_source()["callers' connections"] >= 2 * server.limit
             for task in answers:
                 task.cancel()
             for _, writer in (*kept, *extra_connections):
@@ -194,10 +204,10 @@
             await until(lambda: server.connections)
             (connection,) = server.connections
             sent_requests = 0
-            while not connection._stuck:
+            while not connection._write_buffer_full:
                 writer.write(b"GET /big/100000 HTTP/1.1\r\nHost: x\r\n\r\n")
                 sent_requests += 1
-                await until(lambda n=sent_requests: connection._stuck or box.served == n)
+                await until(lambda n=sent_requests: connection._write_buffer_full or box.served == n)
             assert not connection._transport.is_reading()
             writer.write(REQUEST * 20)
             served = box.served
@@ -222,7 +232,7 @@
     with socket.create_server(("127.0.0.1", 0)) as taken:
         at = f"127.0.0.1:{taken.getsockname()[1]}"
         servers = [{"id": "b", "address": "127.0.0.1:9"}]
-        data = row(pools=[{"name": "boxes", "list": {"source": "static", "servers": servers}}])
+        data = configuration_data(pools=[{"name": "boxes", "list": {"source": "static", "servers": servers}}])
         (data["admin"] if place == "admin" else data["listeners"][0])["address"] = at
         path = tmp_path / "c.toml"
         path.write_text(dumps(data, {}))
@@ -244,7 +254,7 @@
             pool.server_ms += 40 * 100.0
             sidecar._stats()  # resets the counts of attempts
             admission.update()
-            assert 0.0 < admission.core.servers_s < 0.2
+            assert 0.0 < admission.core.server_latency_s < 0.2
 
     asyncio.run(main())
 
--- a/tests/runtime/test_xds_pool.py
+++ b/tests/runtime/test_xds_pool.py
@@ -11,7 +11,15 @@
 
 import orjson
 import pytest
-from beside import admin_client, alongside, application, boxes, configuration, row, what_is_open_ends
+from beside import (
+    admin_client,
+    application,
+    boxes,
+    configuration,
+    configuration_data,
+    running_sidecar,
+    wait_for_open_requests,
+)
 from envoy.config.endpoint.v3 import endpoint_pb2
 from loopback import until
 
@@ -45,7 +53,7 @@
     """Start a control plane, servers and a sidecar; `fill` fills the plane and returns the sidecar's configuration."""
     plane = await ControlPlane().start()
     try:
-        async with alongside(all_boxes, lambda: fill(plane)) as sidecar:
+        async with running_sidecar(all_boxes, lambda: fill(plane)) as sidecar:
             await until(lambda: sidecar.ready)
             yield plane, sidecar
     finally:
@@ -57,7 +65,7 @@
 ) -> contextlib.AbstractAsyncContextManager[tuple[ControlPlane, Sidecar]]:
     def fill(plane: ControlPlane) -> dict[str, Any]:
         plane.put(cluster("ledger", **more), endpoints("ledger", *rows_of(*all_boxes)))
-        return row(pools=pools_of(plane, updates))
+        return configuration_data(pools=pools_of(plane, updates))
 
     return with_control_plane(all_boxes, fill)
 
@@ -102,7 +110,7 @@
                 plane.put(endpoints("ledger", *others, {"address": last.endpoint} | REMOVALS[form]))
             # A request sent before the drain was applied may still start at the server.
             await until(lambda: last.endpoint not in sidecar.pools["boxes"].up)
-            await what_is_open_ends(sidecar)
+            await wait_for_open_requests(sidecar)
             begun, answered_before = last.taken, sum(statuses.values())
             await until(lambda: sum(statuses.values()) > answered_before + 200)
             assert last.taken == begun
@@ -134,7 +142,7 @@
                 heavy = {"address": stuck, "load_balancing_weight": 100_000}
                 plane.put(endpoints("ledger", heavy, *rows_of(box)))
                 await until(lambda: stuck in sidecar.pools["boxes"].up)
-                peers = sidecar.pools["boxes"].balancer.peers
+                peers = sidecar.pools["boxes"].balancer.servers_by_address
                 peers[stuck].info.launched_ms = None  # the server is not cold any more
                 sidecar.pools["boxes"].back.connect_timeout_s = 60.0
                 pending = asyncio.create_task(application(sidecar).ask("POST", "/x", b"1"))
@@ -161,7 +169,7 @@
             assert (answer.status, b"never ran" in answer.headers[b"proxy-status"]) == (503, True)
             plane.put(endpoints("ledger", *rows_of(box)))
             await until(lambda: sidecar.pools["boxes"].up)
-            info = next(iter(sidecar.pools["boxes"].balancer.peers.values())).info
+            info = next(iter(sidecar.pools["boxes"].balancer.servers_by_address.values())).info
             assert info.launched_ms is not None  # it may be a new process, so it is cold
 
     asyncio.run(main())
@@ -176,7 +184,7 @@
         async with following("incremental", box, **more) as (_, sidecar):
             pool = sidecar.pools["boxes"]
             assert pool.balancer.cfg.cold_ms == 90_000.0
-            assert sidecar.managed["boxes"].back.limit == 2
+            assert sidecar.managed_pools["boxes"].back.limit == 2
             box.behaviour.hang = True
             pending = asyncio.create_task(application(sidecar).ask("POST", "/x", b"1"))
             await until(lambda: box.taken)
@@ -219,11 +227,11 @@
         async with following("incremental", one) as (plane, sidecar):
             app = application(sidecar)
             plane.put(cluster("other"), endpoints("other", *rows_of(two)))
-            await sidecar.reload(configuration(row(pools=pools_of(plane, name="other"))))
+            await sidecar.reload(configuration(configuration_data(pools=pools_of(plane, name="other"))))
             await until(lambda: sidecar.pools["boxes"].up == {two.endpoint})
-            info = next(iter(sidecar.pools["boxes"].balancer.peers.values())).info
+            info = next(iter(sidecar.pools["boxes"].balancer.servers_by_address.values())).info
             assert info.launched_ms is not None  # the previous list did not have it, so it is cold
-            await sidecar.reload(configuration(row(three)))
+            await sidecar.reload(configuration(configuration_data(three)))
             assert (await app.ask("GET", "/x")).headers[b"x-box"] == b"box-2"
             assert sidecar.pools["boxes"].balancer.servers.levels is None
         two.stop()
@@ -241,7 +249,7 @@
             )
             message.policy.endpoint_stale_after.FromSeconds(3600)
             plane.put(packed(message))
-            watcher: Any = sidecar.managed["boxes"].watcher
+            watcher: Any = sidecar.managed_pools["boxes"].watcher
             await until(lambda: watcher.client.endpoints.held["ledger"].version == "2")
             now = sidecar.clock.ms()
             assert not watcher.client.tick(now + 3_599_000)
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -8,14 +8,25 @@
 import weakref
 
 import pytest
-from loopback import Caller, Held, Peer, Scripted, ask, read_message, reply, request, running, until
+from loopback import (
+    BlockedServer,
+    Caller,
+    Peer,
+    ScriptedBalancer,
+    ask,
+    read_message,
+    reply,
+    request,
+    running,
+    until,
+)
 from test_upstream import RawBytesWire
 
 from loadbalancer import interface as api
 from loadbalancer.http import server as server_module
 from loadbalancer.http.connection_pool import HttpConnectionPool
 from loadbalancer.interface import Result
-from loadbalancer.settings import report_from
+from loadbalancer.settings import parse_load_report
 
 
 @pytest.fixture
@@ -159,7 +170,7 @@
 
 def test_the_number_of_pipelined_requests_is_limited():
     async def main():
-        server = Held()
+        server = BlockedServer()
         async with running(server) as node:
             caller = await Caller.to(node)
             caller.writer.write(b"".join(request("post", f"q{at}") for at in range(500)))
@@ -176,7 +187,7 @@
 
 def test_a_disconnect_is_detected_while_pipelined_requests_wait():
     async def main():
-        server = Held()
+        server = BlockedServer()
         async with running(server) as node:
             caller = await Caller.to(node)
             caller.writer.write(request("post", "q1") + request("post", "q2"))
@@ -190,9 +201,9 @@
 
 def test_a_duplicate_id_does_not_affect_the_request_in_flight():
     async def main():
-        server = Held()
+        server = BlockedServer()
         async with running(server) as node:
-            node.pool.balancer = scripted = Scripted(
+            node.pool.balancer = scripted = ScriptedBalancer(
                 lambda event: [api.Send(event.id, "s0")] if isinstance(event, api.Request) else []
             )
             first = asyncio.create_task(ask(node, request("post", "q1")))
@@ -279,8 +290,8 @@
 
 @pytest.mark.parametrize("text", BAD_REPORTS.splitlines())
 def test_a_malformed_report_is_ignored(text):
-    assert report_from(text, ("queue",)) is None
-    assert report_from("TEXT inflight=7, queue=3, util=0.61", ("queue",)) == {"queue": 3.0}
+    assert parse_load_report(text, ("queue",)) is None
+    assert parse_load_report("TEXT inflight=7, queue=3, util=0.61", ("queue",)) == {"queue": 3.0}
 
 
 def test_a_response_with_a_malformed_report_is_still_a_success():
@@ -288,7 +299,7 @@
         server = Peer(lambda message: asyncio.sleep(0, reply(200, Srv_Load='{"')))
         async with running(server) as node:
             assert (await ask(node, request())).status == 200
-            assert node.pool.balancer.peers["s0"].reported_queue == 0.0
+            assert node.pool.balancer.servers_by_address["s0"].reported_queue == 0.0
 
     asyncio.run(main())
 
