--- a/emberring/admission/admission.py
+++ b/emberring/admission/admission.py
@@ -109,9 +109,9 @@
                     view.connections = max(1.0, service.max_connections / gateways)
                 if service is not None and service.kv_cache_tokens > 0:
                     view.kv_tokens = float(service.kv_cache_tokens)
-            total = load.totals.get(name) if load.usual is not None else None
+            total = load.totals.get(name) if load.smoothed is not None else None
             _update_other_calls(now_s, views, load, gateways, total)
-            pool.set_servers(views, gateways, total, load.true_s)
+            pool.set_servers(views, gateways, total, load.reported_s)
 
     def offer(self, now_s: float, call: CallInfo) -> Decision:
         """Decide on a call without waiting; an admitted call counts against its server from now on."""
@@ -209,9 +209,9 @@
     mean = others_share * total / len(views) if total is not None else 0.0
     for server_id, view in views.items():
         other_calls = max(0.0, load.calls.get(server_id, 0) - view.reported_calls)
-        if load.usual is None:
+        if load.smoothed is None:
             view.update_other_calls(now_s, other_calls)
-        elif server_id in load.usual:
-            view.update_other_calls(now_s, other_calls, others_share * load.usual[server_id])
+        elif server_id in load.smoothed:
+            view.update_other_calls(now_s, other_calls, others_share * load.smoothed[server_id])
         else:
             view.update_other_calls(now_s, mean, mean)
--- a/emberring/admission/server.py
+++ b/emberring/admission/server.py
@@ -11,7 +11,7 @@
 from emberring.admission.prefix_cache import PrefixCacheEstimate
 from emberring.admission.types import CallInfo, CallOutcome
 from emberring.distribution.records import ServerRecord
-from emberring.registry.known_load import GATEWAYS_BY_WORD, USUAL_S
+from emberring.registry.known_load import LOAD_SMOOTHING_S, MAX_GATEWAYS_FOR_EXACT_LOAD
 
 DEFAULT_CAPACITY = 16
 SLOWDOWN_GAIN = 0.15  # smoothing factor of the ratio of observed to predicted waits
@@ -28,7 +28,7 @@
     Reports are up to a second old. If many gateways relied on them fully, all of them would send their calls to the
     same servers that were reported idle, and the load would oscillate between servers.
     """
-    return min(1.0, GATEWAYS_BY_WORD / gateways)
+    return min(1.0, MAX_GATEWAYS_FOR_EXACT_LOAD / gateways)
 
 
 @attrs.define(eq=False)
@@ -67,7 +67,7 @@
         kv_tokens: capacity of the server's KV cache in tokens.
         calls: this gateway's calls at the server, by id.
         other_calls: the other gateways' calls at the server in the latest report.
-        smoothed_other_calls: `other_calls`, smoothed over `USUAL_S`.
+        smoothed_other_calls: `other_calls`, smoothed over `LOAD_SMOOTHING_S`.
         reported_calls: this gateway's calls at the server in the latest report that it sent.
         slowdown: smoothed ratio of observed to predicted waits; 1 if they are equal.
         event_gap_ms: smoothed time between two events of a stream.
@@ -118,7 +118,7 @@
         elif self.other_calls_updated_s == -math.inf:
             self.smoothed_other_calls = calls
         else:
-            weight = math.exp((self.other_calls_updated_s - now_s) / USUAL_S)
+            weight = math.exp((self.other_calls_updated_s - now_s) / LOAD_SMOOTHING_S)
             self.smoothed_other_calls = weight * self.smoothed_other_calls + (1.0 - weight) * calls
         self.other_calls = calls
         self.other_calls_updated_s = now_s
--- a/emberring/control/load_aggregator.py
+++ b/emberring/control/load_aggregator.py
@@ -12,7 +12,7 @@
 
 from emberring.distribution.contacts import sum_by_server
 from emberring.distribution.records import ServerRecord
-from emberring.registry.known_load import USUAL_S
+from emberring.registry.known_load import LOAD_SMOOTHING_S
 
 CACHE_S = 0.02  # minimum lifetime of cached sums
 # Lifetime of cached sums per server with calls: bounds the CPU time of summing to a few percent of a core.
@@ -82,7 +82,7 @@
         self._refresh(now_s)
         if self._smoothed_s == self._summed_s:
             return
-        decay = math.exp((self._smoothed_s - self._summed_s) / USUAL_S)
+        decay = math.exp((self._smoothed_s - self._summed_s) / LOAD_SMOOTHING_S)
         self._smoothed_s = self._summed_s
         smoothed = {server_id: decay * calls for server_id, calls in self._smoothed.items()}
         for server_id, count in self._calls.items():
--- a/emberring/distribution/load_report.py
+++ b/emberring/distribution/load_report.py
@@ -4,9 +4,9 @@
 
 from enum import Enum
 
-from emberring.registry.known_load import GATEWAYS_BY_WORD, USUAL_S
+from emberring.registry.known_load import LOAD_SMOOTHING_S, MAX_GATEWAYS_FOR_EXACT_LOAD
 
-DETAIL_INTERVAL_S = USUAL_S  # between rare requests for the load of single servers
+DETAIL_INTERVAL_S = LOAD_SMOOTHING_S  # between rare requests for the load of single servers
 MAX_PAIRS_FOR_EVERY_SERVER = 12_000  # gateways times servers; up to this, every reply has all servers
 
 
@@ -38,7 +38,7 @@
         `reporting` is whether the same pull reports this node's load. The load of the servers in use is requested only
         then, as it includes the reported calls.
         """
-        if gateways <= GATEWAYS_BY_WORD or gateways * servers <= MAX_PAIRS_FOR_EVERY_SERVER:
+        if gateways <= MAX_GATEWAYS_FOR_EXACT_LOAD or gateways * servers <= MAX_PAIRS_FOR_EVERY_SERVER:
             return LoadReportDetail.EVERY_SERVER
         due = now_s - self._requested_s >= DETAIL_INTERVAL_S
         return LoadReportDetail.SERVERS_IN_USE if due and reporting else LoadReportDetail.TOTALS
--- a/emberring/simulation/admission/simulator.py
+++ b/emberring/simulation/admission/simulator.py
@@ -152,7 +152,7 @@
         while len(self._sums) > 1 and self._sums[1][0] <= self.now_ms - LOAD_REPORT_DELAY_MS:
             self._sums.popleft()
         made_ms, sums = self._sums[0]
-        return KnownLoad(sums, true_s=(made_ms - REPORT_MS / 2.0) / 1000.0)
+        return KnownLoad(sums, reported_s=(made_ms - REPORT_MS / 2.0) / 1000.0)
 
     def _report(self, index: int) -> None:
         """Send this gateway's report, and schedule the next one."""
--- a/tests/emberring/admission/test_tier_job_pressure.py
+++ b/tests/emberring/admission/test_tier_job_pressure.py
@@ -86,7 +86,7 @@
     admission = Admission(AdmissionSettings(), seed=1)
     assert admission.status(1.0) == (0, 0.0, math.inf)
     records = [ServerRecord("s1", "llm", "10.0.0.1:1", "a", 12, ServerState.READY, 1)]
-    admission.set_servers(1.0, records, {}, 1, KnownLoad(true_s=0.8))
+    admission.set_servers(1.0, records, {}, 1, KnownLoad(reported_s=0.8))
     cursor, share, load_report_age_s = admission.status(1.1)
     assert (cursor, share) == (0, pytest.approx(0.85))
     assert load_report_age_s == pytest.approx(0.3)
--- a/tests/emberring/admission/test_tier_many_gateways.py
+++ b/tests/emberring/admission/test_tier_many_gateways.py
@@ -10,7 +10,7 @@
 from emberring.admission import Admission, AdmissionSettings, Admitted, CallInfo, CallOutcome
 from emberring.admission.server import ServerView
 from emberring.distribution.records import ServerRecord, ServerState
-from emberring.registry.known_load import GATEWAYS_BY_WORD, USUAL_S, KnownLoad
+from emberring.registry.known_load import LOAD_SMOOTHING_S, MAX_GATEWAYS_FOR_EXACT_LOAD, KnownLoad
 
 GATEWAYS, SERVERS, SLOTS = 50, 36, 12
 STEP_S = 0.01
@@ -27,7 +27,7 @@
     view = ServerView(record(1), 0.0)
     view.update_other_calls(0.0, 2.0)
     view.update_other_calls(0.1, 9.0)
-    assert view.estimated_load(GATEWAYS_BY_WORD) == pytest.approx(9.0)
+    assert view.estimated_load(MAX_GATEWAYS_FOR_EXACT_LOAD) == pytest.approx(9.0)
 
 
 def test_many_gateways_use_the_smoothed_load_and_follow_it() -> None:
@@ -38,7 +38,7 @@
     for number in range(1, 50):
         view.update_other_calls(0.3 + number * 0.3, 9.0)
     assert view.estimated_load(50) == pytest.approx(9.0, abs=0.2)
-    assert view.other_calls_updated_s > 2 * USUAL_S
+    assert view.other_calls_updated_s > 2 * LOAD_SMOOTHING_S
 
 
 class Simulation:
@@ -75,9 +75,9 @@
         self.reports.append((now_s, {**{one.id: 0 for one in self.records}, **self.loads}))
         while len(self.reports) > 1 and self.reports[1][0] <= now_s - REPORT_DELAY_S:
             self.reports.popleft()
-        true_s, calls = self.reports[0]
+        reported_s, calls = self.reports[0]
         for gateway in self.gateways:
-            gateway.set_servers(now_s, self.records, {}, GATEWAYS, KnownLoad(calls, true_s=true_s))
+            gateway.set_servers(now_s, self.records, {}, GATEWAYS, KnownLoad(calls, reported_s=reported_s))
 
 
 @pytest.mark.parametrize("seed", [1, 2])
--- a/tests/emberring/distribution/test_tier_calls_in_flight.py
+++ b/tests/emberring/distribution/test_tier_calls_in_flight.py
@@ -20,7 +20,7 @@
 from emberring.distribution.messages import Delta, Exchange, Pull, ServerEntry, Update
 from emberring.distribution.records import NodeRecord, NodeRole, ServerRecord, ServerState
 from emberring.distribution.view import FollowerView
-from emberring.registry.known_load import GATEWAYS_BY_WORD, USUAL_S, KnownLoad
+from emberring.registry.known_load import LOAD_SMOOTHING_S, MAX_GATEWAYS_FOR_EXACT_LOAD, KnownLoad
 from emberring.simulation.common.virtual_time import run_virtually
 from emberring.simulation.scale.metered_network import HollowNetwork
 from emberring.transport.network import Caller
@@ -80,9 +80,11 @@
         sources.aggregator.smoothed(step * 0.1, ())
     assert sources.aggregator.smoothed(20.0, ["a", "b"]) == {"a": pytest.approx(8.0, abs=0.1), "b": 0.0}
     sources.loads = [{}]
-    assert sources.aggregator.smoothed(20.0 + USUAL_S, ["a"])["a"] == pytest.approx(8.0 / 2.718, abs=0.1)
-    assert sources.aggregator.smoothed(21.0 + 8 * USUAL_S, ["a"]) == {"a": 0.0}
-    assert sources.aggregator.smoothed(21.0 + 8 * USUAL_S, ()) == {}
+    assert sources.aggregator.smoothed(20.0 + LOAD_SMOOTHING_S, ["a"])["a"] == pytest.approx(
+        8.0 / 2.718, abs=0.1
+    )
+    assert sources.aggregator.smoothed(21.0 + 8 * LOAD_SMOOTHING_S, ["a"]) == {"a": 0.0}
+    assert sources.aggregator.smoothed(21.0 + 8 * LOAD_SMOOTHING_S, ()) == {}
     assert NEGLIGIBLE_CALLS < 0.1
 
 
@@ -100,7 +102,7 @@
     ("gateways", "servers", "every_s"),
     [
         (1, 5, 0.0),
-        (GATEWAYS_BY_WORD, 12_000, 0.0),  # few gateways request every server
+        (MAX_GATEWAYS_FOR_EXACT_LOAD, 12_000, 0.0),  # few gateways request every server
         (100, MAX_PAIRS_FOR_EVERY_SERVER // 100, 0.0),
         (100, MAX_PAIRS_FOR_EVERY_SERVER // 100 + 1, 3.0),
         (410, 12_000, 3.0),
--- a/tests/test_glossary.py
+++ b/tests/test_glossary.py
@@ -44,7 +44,6 @@
 EXCEPTIONS = {
     "IN_DOUBT": "member whose value is the error kind on the wire",
     "DEAD_LETTER": "the state of an item on the given pages",
-    "GATEWAYS_BY_WORD": "used by three packages; to be renamed in one commit",
     "starts_told": "setting of the decision module, used by experiments and runtime",
 }
 
