--- a/emberring/control/node.py
+++ b/emberring/control/node.py
@@ -118,7 +118,7 @@
             )
             if others != reported:
                 reported = others
-                self._register.note_peers(others)
+                self._register.set_peers(others)
                 self._cache_peers(others)
             await asyncio.sleep(PEER_REPORT_INTERVAL_S)
 
--- a/emberring/control/register_port.py
+++ b/emberring/control/register_port.py
@@ -40,5 +40,5 @@
     def is_quorum(self, identities: frozenset[str]) -> bool:
         """Whether these replicas are a quorum of the current replica set, as far as this node knows."""
 
-    def note_peers(self, records: Sequence[NodeRecord]) -> None:
+    def set_peers(self, records: Sequence[NodeRecord]) -> None:
         """Report the other live control nodes."""
--- a/emberring/register/changes.py
+++ b/emberring/register/changes.py
@@ -28,18 +28,18 @@
     Attributes:
         unreachable_s: time since the last contact with each replica, in seconds.
         dead: the replicas that have been unreachable for too long.
-        address_taken_by: the identity of another replica that now replies at a replica's address.
+        successor_at_address: the identity of another replica that now replies at a replica's address.
         leaving: the replicas that are shutting down.
-        name_taken_by: the identity of another node that now has the node name of an unreachable replica.
+        successor_by_name: the identity of another node that now has the node name of an unreachable replica.
         zones: the zone of each replica, if known.
         candidates: the control nodes that may become replicas.
     """
 
     unreachable_s: Mapping[str, float]
     dead: frozenset[str]
-    address_taken_by: Mapping[str, str]
+    successor_at_address: Mapping[str, str]
     leaving: frozenset[str]
-    name_taken_by: Mapping[str, str]
+    successor_by_name: Mapping[str, str]
     zones: Mapping[str, str]
     candidates: tuple[Candidate, ...]
 
@@ -74,8 +74,8 @@
 def _member_to_replace(current: ReplicaSet, view: ReplicaSetView) -> Member | None:
     """Return the replica to replace, by priority: its disk or machine was replaced, it is dead, it is leaving."""
     criteria: tuple[Callable[[Member], bool], ...] = (
-        lambda member: member.identity in view.address_taken_by,
-        lambda member: member.identity in view.name_taken_by,
+        lambda member: member.identity in view.successor_at_address,
+        lambda member: member.identity in view.successor_by_name,
         lambda member: member.identity in view.dead,
         lambda member: member.identity in view.leaving,
     )
@@ -90,7 +90,10 @@
     current: ReplicaSet, view: ReplicaSetView, outgoing: Member, candidates: list[Candidate]
 ) -> Candidate:
     """Return the candidate that has the address or node name of `outgoing`, or else the one in the best zone."""
-    preferred = {view.address_taken_by.get(outgoing.identity), view.name_taken_by.get(outgoing.identity)}
+    preferred = {
+        view.successor_at_address.get(outgoing.identity),
+        view.successor_by_name.get(outgoing.identity),
+    }
     for candidate in candidates:
         if candidate.member.identity in preferred:
             return candidate
--- a/emberring/register/contacts.py
+++ b/emberring/register/contacts.py
@@ -141,7 +141,7 @@
         contact = self._contacts.get(self.address(member))
         return contact.learned if contact is not None and contact.identity == member.identity else None
 
-    def address_taken_by(self, member: Member) -> Member | None:
+    def successor_at_address(self, member: Member) -> Member | None:
         """Return the replica with another identity that now replies at a replica's address, or None."""
         address = self.address(member)
         contact = self._contacts.get(address)
@@ -149,7 +149,7 @@
             return None
         return Member(contact.identity, address)
 
-    def name_taken_by(self, member: Member) -> str:
+    def successor_by_name(self, member: Member) -> str:
         """Return the identity of another node that now has the node name of a replica, or an empty string."""
         name = self._node_names.get(member.identity, "")
         for identity, peer in self._peers.items():
--- a/emberring/register/replica_set_manager.py
+++ b/emberring/register/replica_set_manager.py
@@ -18,13 +18,13 @@
 
     Attributes:
         dead_after_s: time without contact after which a replica counts as dead.
-        name_silent_s: time without contact after which another node with its node name replaces a replica.
+        name_unreachable_s: time without contact after which another node with its node name replaces a replica.
         rank_delay_s: additional delay before proposing, per reachable replica that comes earlier in the set.
         joiner_wait_s: maximum time to wait until joining replicas have the value.
     """
 
     dead_after_s: float = 1.5
-    name_silent_s: float = 0.5
+    name_unreachable_s: float = 0.5
     rank_delay_s: float = 0.5
     joiner_wait_s: float = 1.0
 
@@ -118,25 +118,25 @@
         unreachable_s_by_identity = {
             member.identity: contacts.unreachable_s(now_s, member) for member in current.members
         }
-        address_taken_by: dict[str, str] = {}
-        name_taken_by: dict[str, str] = {}
+        successor_at_address: dict[str, str] = {}
+        successor_by_name: dict[str, str] = {}
         candidates = {
             peer.member.identity: Candidate(peer.member, peer.zone)
             for peer in contacts.peers
             if not peer.leaving and contacts.last_contact_age_s(now_s, peer.member) < RECENT_CONTACT_S
         }
         for member in current.members:
-            other = contacts.address_taken_by(member)
+            other = contacts.successor_at_address(member)
             if other is not None:
-                address_taken_by[member.identity] = other.identity
+                successor_at_address[member.identity] = other.identity
                 if contacts.last_contact_age_s(now_s, other) < RECENT_CONTACT_S:
                     candidates.setdefault(other.identity, Candidate(other))
-            successor = contacts.name_taken_by(member)
+            successor = contacts.successor_by_name(member)
             if (
                 successor in candidates
-                and unreachable_s_by_identity[member.identity] > self.timeouts.name_silent_s
+                and unreachable_s_by_identity[member.identity] > self.timeouts.name_unreachable_s
             ):
-                name_taken_by[member.identity] = successor
+                successor_by_name[member.identity] = successor
         return ReplicaSetView(
             unreachable_s=unreachable_s_by_identity,
             dead=frozenset(
@@ -144,9 +144,9 @@
                 for name, age_s in unreachable_s_by_identity.items()
                 if age_s > self.timeouts.dead_after_s
             ),
-            address_taken_by=address_taken_by,
+            successor_at_address=successor_at_address,
             leaving=frozenset(peer.member.identity for peer in contacts.peers if peer.leaving),
-            name_taken_by=name_taken_by,
+            successor_by_name=successor_by_name,
             zones={peer.member.identity: peer.zone for peer in contacts.peers},
             candidates=tuple(candidates[name] for name in sorted(candidates)),
         )
--- a/emberring/register/service.py
+++ b/emberring/register/service.py
@@ -70,7 +70,7 @@
 
 
 class NodeRecordLike(Protocol):
-    """The part of a node's status record that `note_peers` needs."""
+    """The part of a node's status record that `set_peers` needs."""
 
     @property
     def name(self) -> str:
@@ -198,7 +198,7 @@
         """Return whether these replicas are a quorum of the committed replica set; false if this node knows none."""
         return self._node is not None and self._node.is_quorum(identities)
 
-    def note_peers(self, records: Sequence[NodeRecordLike]) -> None:
+    def set_peers(self, records: Sequence[NodeRecordLike]) -> None:
         """Set the list of the other control nodes; those that are not replicas may become replicas."""
         self._peers = tuple(
             Peer(record.name, Member(record.identity, record.address), record.zone, record.leaving)
--- a/emberring/simulation/control_plane/control_machine.py
+++ b/emberring/simulation/control_plane/control_machine.py
@@ -258,6 +258,6 @@
         node = self._machine.node
         return node is not None and node.is_quorum(identities)
 
-    def note_peers(self, records: Sequence[NodeRecord]) -> None:
+    def set_peers(self, records: Sequence[NodeRecord]) -> None:
         """Report the other live control nodes."""
         self._machine.on_live_peers(records)
--- a/emberring/simulation/register/schedule.py
+++ b/emberring/simulation/register/schedule.py
@@ -23,12 +23,12 @@
 """Maximum number of changes and reads of a schedule, excluding those of a burst."""
 
 SHORT_TIMEOUTS = ReconfigurationTimeouts(
-    dead_after_s=0.4, name_silent_s=0.2, rank_delay_s=0.1, joiner_wait_s=0.2
+    dead_after_s=0.4, name_unreachable_s=0.2, rank_delay_s=0.1, joiner_wait_s=0.2
 )
 """Timeouts at which unresponsive replicas are replaced early."""
 
 SHORTEST_TIMEOUTS = ReconfigurationTimeouts(
-    dead_after_s=0.2, name_silent_s=0.1, rank_delay_s=0.0, joiner_wait_s=0.0
+    dead_after_s=0.2, name_unreachable_s=0.1, rank_delay_s=0.0, joiner_wait_s=0.0
 )
 """Timeouts at which several replicas try to change the replica set at the same time."""
 
--- a/tests/emberring/control/tier_control_fixture.py
+++ b/tests/emberring/control/tier_control_fixture.py
@@ -96,7 +96,7 @@
         members = self.shared.members or {replica.identity for replica in self.shared.replicas}
         return 2 * len(members & identities) > len(members)
 
-    def note_peers(self, records: Sequence[NodeRecord]) -> None:
+    def set_peers(self, records: Sequence[NodeRecord]) -> None:
         self.peers = list(records)
 
 
--- a/tests/emberring/register/register_deployment.py
+++ b/tests/emberring/register/register_deployment.py
@@ -105,9 +105,7 @@
     def note_peers(self) -> None:
         """Set the peers of each node to all other nodes."""
         for node in self.nodes.values():
-            node.register.note_peers(
-                [other.peer_record for other in self.nodes.values() if other is not node]
-            )
+            node.register.set_peers([other.peer_record for other in self.nodes.values() if other is not node])
 
     def __getitem__(self, number: int) -> RegisterService:
         return self.nodes[number].register
--- a/tests/emberring/register/test_tier_register_changes.py
+++ b/tests/emberring/register/test_tier_register_changes.py
@@ -31,16 +31,16 @@
         ({"dead": frozenset("c"), "candidates": SPARE_CANDIDATES}, with_replacement(C, D)),
         ({"leaving": frozenset("b"), "candidates": SPARE_CANDIDATES}, with_replacement(B, D)),
         (
-            {"address_taken_by": {"b": "e"}, "candidates": (*SPARE_CANDIDATES, Candidate(E))},
+            {"successor_at_address": {"b": "e"}, "candidates": (*SPARE_CANDIDATES, Candidate(E))},
             with_replacement(B, E),
         ),
-        ({"address_taken_by": {"b": "gone"}, "candidates": SPARE_CANDIDATES}, with_replacement(B, D)),
+        ({"successor_at_address": {"b": "gone"}, "candidates": SPARE_CANDIDATES}, with_replacement(B, D)),
         (
-            {"name_taken_by": {"a": "e"}, "candidates": (*SPARE_CANDIDATES, Candidate(E))},
+            {"successor_by_name": {"a": "e"}, "candidates": (*SPARE_CANDIDATES, Candidate(E))},
             with_replacement(A, E),
         ),
         (
-            {"address_taken_by": {"a": "e"}, "dead": frozenset("b"), "candidates": (Candidate(E),)},
+            {"successor_at_address": {"a": "e"}, "dead": frozenset("b"), "candidates": (Candidate(E),)},
             with_replacement(A, E),
         ),
         (
--- a/tests/emberring/register/test_tier_register_throttled.py
+++ b/tests/emberring/register/test_tier_register_throttled.py
@@ -55,6 +55,6 @@
 
 @pytest.mark.parametrize("dead_after_s", [0.08])
 def test_timeouts_shorter_than_the_pause_cause_a_replacement(dead_after_s: float) -> None:
-    short = ReconfigurationTimeouts(dead_after_s=dead_after_s, name_silent_s=dead_after_s)
+    short = ReconfigurationTimeouts(dead_after_s=dead_after_s, name_unreachable_s=dead_after_s)
     _, before, after = throttled_register(short)
     assert after != before
