--- a/emberring/jobs/claim_schedule.py
+++ b/emberring/jobs/claim_schedule.py
@@ -6,7 +6,7 @@
 
 from emberring.jobs.records import Term
 from emberring.jobs.replica import REPLICA_LEASE_S, Replica
-from emberring.placement.model import Group, in_order
+from emberring.placement.model import Group, sort_by_preference
 
 RANK_DELAY_S = 0.25  # additional delay for each live store that precedes this one in the claim order
 CLAIM_BACKOFF_S = (0.05, 0.25)  # bounds of the random delay after a claim or an ownership has ended
@@ -62,7 +62,7 @@
         """Return the identities of the group's replicas: members that stay in the group first, then all others."""
         remaining = group.joining or group.members
         staying = [identity for identity in group.members if identity in remaining]
-        order = in_order(group.shard, staying)
+        order = sort_by_preference(group.shard, staying)
         return order + [
-            identity for identity in in_order(group.shard, group.everyone) if identity not in order
+            identity for identity in sort_by_preference(group.shard, group.everyone) if identity not in order
         ]
--- a/emberring/jobs/directory.py
+++ b/emberring/jobs/directory.py
@@ -7,7 +7,7 @@
 
 from emberring.configuration.model import Configuration
 from emberring.distribution.records import NodeRecord, NodeRole
-from emberring.placement.model import Placement, in_order
+from emberring.placement.model import Placement, sort_by_preference
 
 
 class TierKnowledge(Protocol):
@@ -57,7 +57,7 @@
             for node in self._knowledge.nodes.values()
             if node.role is NodeRole.STORE
         }
-        identities = in_order(shard, placement.groups[shard].everyone)
+        identities = sort_by_preference(shard, placement.groups[shard].everyone)
         live_addresses = [live[identity] for identity in identities if identity in live]
         return live_addresses or [
             placement.stores[identity].address for identity in identities if identity in placement.stores
--- a/emberring/journal/journal.py
+++ b/emberring/journal/journal.py
@@ -286,7 +286,7 @@
 
     @property
     def _wants_reclaim(self) -> bool:
-        return self._ring_full or self._ring.crowded
+        return self._ring_full or self._ring.reclaim_needed
 
     async def _reclaim(self, rewriter: Rewriter) -> None:
         """Reclaim the oldest segments until there is capacity again, each at most once."""
--- a/emberring/journal/ring.py
+++ b/emberring/journal/ring.py
@@ -146,7 +146,7 @@
         return sum(segment_file.size for segment_file in tuple(self._segment_files.values()))
 
     @property
-    def crowded(self) -> bool:
+    def reclaim_needed(self) -> bool:
         """Whether the oldest segment should be reclaimed."""
         return self.used_bytes > self._reclaim_above
 
--- a/emberring/placement/model.py
+++ b/emberring/placement/model.py
@@ -73,7 +73,7 @@
     return int.from_bytes(digest, "big")
 
 
-def in_order(shard: int, identities: Sequence[str]) -> list[str]:
+def sort_by_preference(shard: int, identities: Sequence[str]) -> list[str]:
     """Return the identities sorted by preference as owner of a shard, the most preferred first."""
     return sorted(identities, key=lambda identity: -score(shard, identity))
 
--- a/emberring/placement/planning.py
+++ b/emberring/placement/planning.py
@@ -10,7 +10,7 @@
 import attrs
 
 from emberring.distribution.records import NodeRecord, NodeRole
-from emberring.placement.model import SHARDS, Group, Placement, StoreMember, in_order
+from emberring.placement.model import SHARDS, Group, Placement, StoreMember, sort_by_preference
 
 # Delay of the first placement after enough stores are live, because more stores may start in this time.
 FIRST_PLACEMENT_DELAY_S = 0.4
@@ -98,7 +98,7 @@
 def _choose_replicas(shard: int, stores: dict[str, StoreMember], replica_count: int) -> tuple[str, ...]:
     """Return the preferred stores of a shard, from as many different zones as possible."""
     chosen: list[str] = []
-    candidates = in_order(shard, list(stores))
+    candidates = sort_by_preference(shard, list(stores))
     while candidates and len(chosen) < replica_count:
         zones = {stores[identity].zone for identity in chosen}
         best = next(
@@ -176,7 +176,7 @@
         target = self._target_replicas(group)
         if target == set(group.joining or group.members):
             return group
-        joining = () if target == set(group.members) else tuple(in_order(group.shard, list(target)))
+        joining = () if target == set(group.members) else tuple(sort_by_preference(group.shard, list(target)))
         return attrs.evolve(group, epoch=group.epoch + 1, joining=joining)
 
     def _target_replicas(self, group: Group) -> set[str]:
@@ -216,6 +216,6 @@
 
     def _find_spare(self, shard: int, target: Sequence[str]) -> str | None:
         zones = {self.known_stores[identity].zone for identity in target}
-        spares = in_order(shard, [identity for identity in self.usable if identity not in target])
+        spares = sort_by_preference(shard, [identity for identity in self.usable if identity not in target])
         in_other_zones = [identity for identity in spares if self.usable[identity].zone not in zones]
         return next(iter(in_other_zones or spares), None)
--- a/emberring/simulation/control_plane/mutations.py
+++ b/emberring/simulation/control_plane/mutations.py
@@ -122,7 +122,7 @@
     ring = self._ring
     if ring is None:
         return
-    while ring.crowded and ring.oldest is not None:
+    while ring.reclaim_needed and ring.oldest is not None:
         ring.release(ring.oldest)
 
 
--- a/emberring/simulation/register/machine.py
+++ b/emberring/simulation/register/machine.py
@@ -346,7 +346,7 @@
 
     def _reclaim(self) -> None:
         ring = self._ring
-        if ring is None or self.node is None or not ring.crowded or ring.oldest is None:
+        if ring is None or self.node is None or not ring.reclaim_needed or ring.oldest is None:
             return
         try:
             ring.commit([self.node.acceptor.snapshot()], reclaiming=True)
@@ -354,7 +354,7 @@
             self._on_disk_failed()
             return
         self.folder.settle()
-        while ring.crowded and ring.oldest is not None:
+        while ring.reclaim_needed and ring.oldest is not None:
             ring.release(ring.oldest)
 
     def _on_disk_failed(self) -> None:
--- a/tests/emberring/jobs/test_tier_shard_owner.py
+++ b/tests/emberring/jobs/test_tier_shard_owner.py
@@ -14,7 +14,7 @@
 from emberring.jobs.records import DEFINITION, TOMBSTONE, Term
 from emberring.jobs.replica import REPLICA_LEASE_S
 from emberring.jobs.results import ResultState, encode_result, item_index
-from emberring.placement.model import Group, in_order
+from emberring.placement.model import Group, sort_by_preference
 
 ABC = Group(0, 1, ("a", "b", "c"))
 JOINING = Group(0, 2, ("a", "b", "c"), ("b", "c", "d"))
@@ -42,9 +42,9 @@
 
 def test_the_first_store_in_the_claim_order_is_the_only_owner() -> None:
     cluster = started_cluster()
-    assert cluster.the_owner() == in_order(0, "abc")[0]
+    assert cluster.the_owner() == sort_by_preference(0, "abc")[0]
     cluster.pass_time(5.0)
-    assert cluster.the_owner() == in_order(0, "abc")[0]
+    assert cluster.the_owner() == sort_by_preference(0, "abc")[0]
 
 
 def test_a_value_is_committed_by_a_quorum_and_replicated_to_all() -> None:
@@ -113,7 +113,7 @@
     cluster.tick(old, healthy=False)
     cluster.deliver_all()
     cluster.now_s += 0.05
-    for name in in_order(0, "abc"):
+    for name in sort_by_preference(0, "abc"):
         if name != old:
             cluster.tick(name)
             cluster.deliver_all()
@@ -202,7 +202,7 @@
     cluster = ShardCluster.of("abc", ABC)
     replica = cluster.nodes[lone].replica
     cluster.settle(cluster.nodes[lone], replica.handle(0.0, 1, ClaimOwnership(0, lone, Term(1, 50, lone))))
-    cluster.tick(next(name for name in in_order(0, "abc") if name != lone))
+    cluster.tick(next(name for name in sort_by_preference(0, "abc") if name != lone))
     # Its rejection is delivered last.
     cluster.in_flight.sort(key=lambda in_flight_call: in_flight_call.send.target == lone)
     cluster.deliver_all()
--- a/tests/emberring/journal/test_tier_journal_ring.py
+++ b/tests/emberring/journal/test_tier_journal_ring.py
@@ -206,7 +206,7 @@
     ring, _ = open_ring(folder)
     written = ring.commit([b"x" * 400] * 100)
     assert len(written) == LIMIT // SEGMENT - 1
-    assert ring.crowded
+    assert ring.reclaim_needed
     assert ring.commit([b"y" * 400]) == []
     assert len(ring.commit([b"z" * 400], reclaiming=True)) == 1
 
--- a/tests/emberring/placement/test_tier_placement.py
+++ b/tests/emberring/placement/test_tier_placement.py
@@ -9,7 +9,7 @@
 
 from emberring.distribution.records import NodeRecord, NodeRole
 from emberring.errors import ConflictError, NotFoundError
-from emberring.placement.model import SHARDS, Group, Placement, finish_move, in_order, shard_of
+from emberring.placement.model import SHARDS, Group, Placement, finish_move, shard_of, sort_by_preference
 from emberring.placement.planning import (
     FIRST_PLACEMENT_DELAY_S,
     FIRST_PLACEMENT_TIMEOUT_S,
@@ -175,7 +175,7 @@
 def test_shards_ignore_the_case_of_hosts_and_preference_is_the_same_everywhere() -> None:
     assert shard_of("Lots.Example") == shard_of("lots.example")
     assert len({shard_of(f"h{number}.example") for number in range(200)}) == SHARDS
-    assert in_order(3, ["x", "y", "z"]) == in_order(3, ["z", "x", "y"])
+    assert sort_by_preference(3, ["x", "y", "z"]) == sort_by_preference(3, ["z", "x", "y"])
 
 
 EVENTS = st.lists(
