--- a/emberring/cli/disk_reports.py
+++ b/emberring/cli/disk_reports.py
@@ -44,9 +44,9 @@
     damages = [*scan.damages, *_decode_errors(scan.records, acceptor.restore)]
     if scan.records and not acceptor.identity:
         damages.append("no record contains the replica's identity")
-    facts: dict[str, Any] = {"Promised": _ballot_text(acceptor.promised)}
+    facts: dict[str, Any] = {"Promised": _proposal_number_text(acceptor.promised)}
     if acceptor.accepted is not None:
-        facts["Accepted"] = _ballot_text(acceptor.accepted.number)
+        facts["Accepted"] = _proposal_number_text(acceptor.accepted.number)
         replicas = acceptor.accepted.state.replicas
         facts["Replicas"] = [f"{member.identity} at {member.address}" for member in replicas.members]
         facts["Joining"] = [f"{member.identity} at {member.address}" for member in replicas.joining]
@@ -68,8 +68,8 @@
     }
 
 
-def _ballot_text(ballot: ProposalNumber | None) -> str | None:
-    return None if ballot is None else f"{ballot.counter} by {ballot.proposer or 'nobody'}"
+def _proposal_number_text(number: ProposalNumber | None) -> str | None:
+    return None if number is None else f"{number.counter} by {number.proposer or 'nobody'}"
 
 
 def report_store(directory: Path) -> DiskReport:
--- a/emberring/simulation/register/schedule.py
+++ b/emberring/simulation/register/schedule.py
@@ -50,7 +50,7 @@
     WIPE_ONE_POWER_REST = "wipe_one_power_rest"
     FREEZE = "freeze"
     CUT_OFF = "cut_off"
-    CUT_APART = "cut_apart"
+    PARTITION_IN_TWO = "cut_apart"
     SLOW_DISK = "slow_disk"
     REFUSING_DISK = "refusing_disk"
     BAD_NETWORK = "bad network"
@@ -62,8 +62,8 @@
 _CONCENTRATED_FAULTS = (
     *_FAULTS,
     StepKind.CUT_OFF,
-    StepKind.CUT_APART,
-    StepKind.CUT_APART,
+    StepKind.PARTITION_IN_TWO,
+    StepKind.PARTITION_IN_TWO,
     StepKind.FREEZE,
     StepKind.WIPE,
     StepKind.WIPE,
--- a/emberring/simulation/register/simulator.py
+++ b/emberring/simulation/register/simulator.py
@@ -207,7 +207,7 @@
             ),
             StepKind.FREEZE: self._freeze,
             StepKind.CUT_OFF: self._partition_machine,
-            StepKind.CUT_APART: self._partition_in_two,
+            StepKind.PARTITION_IN_TWO: self._partition_in_two,
             StepKind.SLOW_DISK: self._slow_disk,
             StepKind.REFUSING_DISK: self._fail_disk,
             StepKind.BAD_NETWORK: self._degrade_network,
--- a/loadbalancer/budget/patience.py
+++ b/loadbalancer/budget/caller_timeout.py
@@ -16,7 +16,7 @@
 UPDATE_INTERVAL = 8  # observations between two updates of the estimate
 
 
-class Patience:
+class CallerTimeout:
     """The callers of one class. Times are milliseconds since the last byte of a request arrived."""
 
     def __init__(self) -> None:
--- a/loadbalancer/budget/carried.py
+++ b/loadbalancer/budget/carried.py
@@ -105,7 +105,7 @@
             fields["id"] = value
         case "path":
             names = tuple(value.split("/"))
-            if len(names) > MAX_PATH_NAMES or not all(NAME.fullmatch(word) for word in names):
+            if len(names) > MAX_PATH_NAMES or not all(NAME.fullmatch(segment) for segment in names):
                 return False
             fields["path"] = names
         case _:
@@ -239,7 +239,7 @@
     for member in text.split(","):
         key, _, value = member.strip(" \t").partition("=")
         if key == VENDOR:
-            return tuple(word for word in value.split("/") if NAME.fullmatch(word))
+            return tuple(segment for segment in value.split("/") if NAME.fullmatch(segment))
     return ()
 
 
--- a/loadbalancer/budget/decider.py
+++ b/loadbalancer/budget/decider.py
@@ -15,9 +15,9 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
+from loadbalancer.budget.caller_timeout import CallerTimeout
 from loadbalancer.budget.carried import PropagatedBudget, Stamp
 from loadbalancer.budget.elapsed import Elapsed
-from loadbalancer.budget.patience import Patience
 from loadbalancer.interface import ServiceClass
 
 
@@ -110,13 +110,13 @@
     """Decides for one node; holds the learned clock differences, and callers' patience by class."""
 
     elapsed: Elapsed = field(default_factory=Elapsed)
-    patience: dict[str, Patience] = field(default_factory=dict)
+    caller_timeouts: dict[str, CallerTimeout] = field(default_factory=dict)
 
-    def patience_of(self, service: str) -> Patience:
-        patience = self.patience.get(service)
-        if patience is None:
-            patience = self.patience[service] = Patience()
-        return patience
+    def caller_timeout(self, service: str) -> CallerTimeout:
+        timeout = self.caller_timeouts.get(service)
+        if timeout is None:
+            timeout = self.caller_timeouts[service] = CallerTimeout()
+        return timeout
 
     def decide(
         self,
@@ -148,9 +148,9 @@
         stated = bool(limits)
         wait_ms = min(limit_ms, *limits) if limits else limit_ms
         if stated:
-            self.patience_of(service_class.name).stated(wait_ms)
+            self.caller_timeout(service_class.name).stated(wait_ms)
         elif terms.learn:
-            wait_ms = min(wait_ms, self.patience_of(service_class.name).ms or wait_ms)
+            wait_ms = min(wait_ms, self.caller_timeout(service_class.name).ms or wait_ms)
         if wait_ms <= terms.min_wait_ms:
             return Denial.OVER
         attempt = carried.attempt if inside and carried.attempt is not None else None
--- a/loadbalancer/experiments/experiment.py
+++ b/loadbalancer/experiments/experiment.py
@@ -131,14 +131,14 @@
         return self
 
 
-TroubleName = Literal[
+FaultKind = Literal[
     "slow", "stalled", "failing", "refusing", "restart", "rolling_restart", "zone_lost", "zone_stopped", "partition",
     "list_late", "list_empty", "clock_jump", "node_killed",
 ]  # fmt: skip
 
 
-class Trouble(Model):
-    kind: TroubleName
+class Fault(Model):
+    kind: FaultKind
     at_s: float = Field(ge=0, le=86_400)
     until_s: float | None = Field(None, ge=0, le=86_400)
     servers: int = Field(1, ge=0, le=50_000, description="how many servers (node_killed: nodes) are affected")
@@ -198,7 +198,7 @@
     fleet: Fleet = Fleet()
     classes: list[Class] = Field([Class(name="read")], min_length=1, max_length=64)
     load: Load
-    troubles: list[Trouble] = Field([], max_length=256)
+    troubles: list[Fault] = Field([], max_length=256)
     policies: list[Policy] = Field([Policy(name=OURS)], min_length=1, max_length=32)
     sweep: list[Sweep] = Field([], max_length=4)
 
--- a/loadbalancer/experiments/report.py
+++ b/loadbalancer/experiments/report.py
@@ -20,7 +20,7 @@
 
 WIDTH_IN, HEIGHT_IN = 10.0, 3.2
 MAX_LINES = 12  # policies in one plot over time
-TROUBLE_COLOUR = "#c44e52"
+FAULT_COLOUR = "#c44e52"
 PLOT_STYLE: Any = {
     "svg.hashsalt": "orchidledge",  # fixed, so that equal plots are byte-identical
     "svg.fonttype": "path",
@@ -44,17 +44,17 @@
     return Markup(text[text.index("<svg") :])
 
 
-def _troubles(axes: Any, plan: dict[str, Any]) -> None:
-    for trouble in plan["troubles"]:
-        ends = trouble["until_s"] or trouble["at_s"] + 0.2
-        axes.axvspan(trouble["at_s"], min(ends, plan["seconds"]), color=TROUBLE_COLOUR, alpha=0.12, lw=0)
+def _mark_faults(axes: Any, plan: dict[str, Any]) -> None:
+    for fault in plan["troubles"]:
+        ends = fault["until_s"] or fault["at_s"] + 0.2
+        axes.axvspan(fault["at_s"], min(ends, plan["seconds"]), color=FAULT_COLOUR, alpha=0.12, lw=0)
         axes.annotate(
-            trouble["kind"].replace("_", " "),
-            (trouble["at_s"], 1.0),
+            fault["kind"].replace("_", " "),
+            (fault["at_s"], 1.0),
             xycoords=("data", "axes fraction"),
             va="top",
             fontsize=8,
-            color=TROUBLE_COLOUR,
+            color=FAULT_COLOUR,
         )
     if plan["warm_s"]:
         axes.axvspan(0, plan["warm_s"], color="grey", alpha=0.1, lw=0)
@@ -137,7 +137,7 @@
             lw=2.2 if name == OURS else 1.0,
             label=name,
         )
-    _troubles(axes, plan)
+    _mark_faults(axes, plan)
     axes.set_ylim(-0.02, 1.05)
     axes.set_xlabel("s")
     axes.set_ylabel("share of due requests in time")
@@ -155,7 +155,7 @@
         spread = [[row["load"][key] for row in samples] for key in ("least", "middle", "most")]
         axes.fill_between(seconds, spread[0], spread[2], alpha=0.2, color="#4c72b0", lw=0)
         axes.plot(seconds, spread[1], color="#4c72b0", lw=1.5)
-        _troubles(axes, run.manifest["plan"])
+        _mark_faults(axes, run.manifest["plan"])
         axes.set_title(f"{name}, seed {run.manifest['seed']}", fontsize=9)
         axes.set_xlabel("s")
         axes.set_ylim(0, 2.0)
@@ -173,7 +173,7 @@
             if samples:
                 axes.plot([row["s"] for row in samples], values, label=name, lw=1.5)
                 axes.legend(fontsize=7)
-        _troubles(axes, next(iter(rows.values()))[0].manifest["plan"])
+        _mark_faults(axes, next(iter(rows.values()))[0].manifest["plan"])
         axes.set_title(f"{title}, mean over nodes, one seed", fontsize=9)
         axes.set_xlabel("s")
         axes.set_ylim(bottom=0.0)
--- a/loadbalancer/experiments/returns.py
+++ b/loadbalancer/experiments/returns.py
@@ -13,7 +13,7 @@
 from itertools import product
 
 from loadbalancer.experiments.engine import simulate, worker_pool
-from loadbalancer.experiments.experiment import Experiment, Trouble
+from loadbalancer.experiments.experiment import Experiment, Fault
 from loadbalancer.experiments.results import Job
 
 BEGINS_S, ENDS_S = 5.0, 13.0  # start and end of each trouble
@@ -23,12 +23,12 @@
 SHORT = 0.02  # missing share of requests above which the service has not recovered
 
 
-def troubles(zone: str, servers: int) -> dict[str, list[Trouble]]:
+def faults_by_name(zone: str, servers: int) -> dict[str, list[Fault]]:
     """The troubles by name; `servers` is the number of servers in the fleet."""
     third, half = max(1, servers // 3), max(1, servers // 2)
 
-    def one(kind: str, begins: float = BEGINS_S, ends: float = ENDS_S, **more: object) -> Trouble:
-        return Trouble.model_validate({"kind": kind, "at_s": begins, "until_s": ends} | more)
+    def one(kind: str, begins: float = BEGINS_S, ends: float = ENDS_S, **more: object) -> Fault:
+        return Fault.model_validate({"kind": kind, "at_s": begins, "until_s": ends} | more)
 
     return {
         "zone stopped, back cold": [one("zone_stopped", zone=zone)],
@@ -68,7 +68,7 @@
         return self.without - self.with_it
 
 
-def _plan(base: Experiment, load: float, repeats: int, lists: str, chosen: list[Trouble]) -> Experiment:
+def _plan(base: Experiment, load: float, repeats: int, lists: str, chosen: list[Fault]) -> Experiment:
     row = base.model_dump()
     row["seconds"] = ENDS_S + RECOVERY_S + WINDOW_S
     row["load"] |= {"of_capacity": load, "rate_per_s": None}
@@ -86,10 +86,10 @@
     return in_time / max(1, due)
 
 
-def known(base: Experiment) -> dict[str, list[Trouble]]:
+def known(base: Experiment) -> dict[str, list[Fault]]:
     """The troubles that are possible in this fleet, by name."""
     zones = base.fleet.zones
-    chosen = troubles(zones[len(zones) // 2], base.fleet.servers)
+    chosen = faults_by_name(zones[len(zones) // 2], base.fleet.servers)
     if len(zones) == 1:  # with one zone, no other zone can take over
         chosen = {name: items for name, items in chosen.items() if not name.startswith("zone")}
     return chosen
--- a/loadbalancer/experiments/world.py
+++ b/loadbalancer/experiments/world.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from loadbalancer.experiments import draws
-from loadbalancer.experiments.experiment import OURS, Experiment, Policy, Service, Trouble
+from loadbalancer.experiments.experiment import OURS, Experiment, Fault, Policy, Service
 from loadbalancer.experiments.nodes import ModuleNode, Node, PolicyNode, settings_of
 from loadbalancer.experiments.policies import LIMITS, PICKERS
 from loadbalancer.experiments.recorder import Recorder
@@ -113,7 +113,7 @@
         ]
         self._base_rate = plan.rate_per_s if plan.load.kind == "open" else 0.0
         self._steady = plan.load.shape == "steady"
-        self._patience_ms, self._repeats = plan.load.patience_ms, plan.load.repeats
+        self._mean_timeout_ms, self._repeats = plan.load.patience_ms, plan.load.repeats
         self._think_ms = plan.load.think_ms
         self._network_ms, self._zones, self._cross_ms = fleet.network_ms, zones, fleet.cross_zone_ms
         self._overload = fleet.overload_factor
@@ -125,7 +125,7 @@
         self._draw_gap = draws.exponential(seed, "arrivals")
         self._draw_node = draws.uniform(seed, "node")
         self._draw_failure = draws.uniform(seed, "failing")
-        self._draw_patience = draws.exponential(seed, "patience")
+        self._draw_timeout = draws.exponential(seed, "patience")
         self._draw_think = draws.exponential(seed, "thinking")
         shares = [item.share for item in plan.classes]
         self._class_edges = [sum(shares[: index + 1]) / sum(shares) for index in range(len(shares))]
@@ -161,8 +161,8 @@
 
     def run(self) -> dict[str, Any]:
         """Simulate the whole run and return its figures."""
-        for trouble in self.plan.troubles:
-            self._schedule_trouble(trouble)
+        for fault in self.plan.troubles:
+            self._schedule_fault(fault)
         if self.plan.load.kind == "open":
             self.schedule(self._draw_gap() * 1000.0 / self._rate(0.0), self._arrive)
         else:
@@ -218,11 +218,11 @@
             position = self._draw_class()
             while self._class_edges[kind] < position:
                 kind += 1
-        name, safe, patience, _ = self._class_limits[kind]
-        if self._patience_ms:
-            patience = min(patience, self._draw_patience() * self._patience_ms)
+        name, safe, timeout, _ = self._class_limits[kind]
+        if self._mean_timeout_ms:
+            timeout = min(timeout, self._draw_timeout() * self._mean_timeout_ms)
         self._request_count += 1
-        call = Call(self._request_count, kind, name, safe, now, now + patience, self._draw_service[kind]())
+        call = Call(self._request_count, kind, name, safe, now, now + timeout, self._draw_service[kind]())
         call.caller = caller
         self.recorder.due(kind, now)
         self._dispatch(now, call)
@@ -347,21 +347,21 @@
         """Cancel an attempt; the server continues work that it has started."""
         self.schedule(now, self._end_attempt, attempt, Result.CANCELLED)
 
-    # --------------------------------------------------------------------- troubles
+    # ------------------------------------------------------------------------ faults
 
-    def _affected_servers(self, trouble: Trouble) -> list[int]:
-        if trouble.zone is not None:
-            return [index for index, server in enumerate(self.servers) if server.zone == trouble.zone]
-        return list(range(min(trouble.servers, len(self.servers))))
+    def _affected_servers(self, fault: Fault) -> list[int]:
+        if fault.zone is not None:
+            return [index for index, server in enumerate(self.servers) if server.zone == fault.zone]
+        return list(range(min(fault.servers, len(self.servers))))
 
-    def _schedule_trouble(self, trouble: Trouble) -> None:
-        begins = trouble.at_s * 1000.0
-        ends = trouble.until_s * 1000.0 if trouble.until_s is not None else self.end_ms
-        affected = self._affected_servers(trouble)
-        kind = trouble.kind
+    def _schedule_fault(self, fault: Fault) -> None:
+        begins = fault.at_s * 1000.0
+        ends = fault.until_s * 1000.0 if fault.until_s is not None else self.end_ms
+        affected = self._affected_servers(fault)
+        kind = fault.kind
         if kind in ("slow", "failing", "refusing"):
-            self.schedule(begins, self._set_fault, kind, affected, trouble.factor, True)
-            self.schedule(ends, self._set_fault, kind, affected, trouble.factor, False)
+            self.schedule(begins, self._set_fault, kind, affected, fault.factor, True)
+            self.schedule(ends, self._set_fault, kind, affected, fault.factor, False)
         elif kind == "stalled":
             self.schedule(begins, self._stall, affected, ends)
         elif kind == "restart":
@@ -382,11 +382,11 @@
                 self.schedule(ends, self._stop, index)
                 self.schedule(ends, self._start, index)
         elif kind == "partition":
-            assert trouble.zone is not None
-            self.schedule(begins, self._set_partition, trouble.zone, True)
-            self.schedule(ends, self._set_partition, trouble.zone, False)
+            assert fault.zone is not None
+            self.schedule(begins, self._set_partition, fault.zone, True)
+            self.schedule(ends, self._set_partition, fault.zone, False)
         elif kind == "list_late":
-            self.schedule(begins, self._set_list_delay, trouble.factor * 1000.0)
+            self.schedule(begins, self._set_list_delay, fault.factor * 1000.0)
             self.schedule(ends, self._set_list_delay, self.list_late_ms)
         elif kind == "list_empty":
             self.schedule(begins, self._publish_list, [])
@@ -394,9 +394,9 @@
         elif (
             kind == "clock_jump"
         ):  # of the clock that start times are reported with; simulated time is unaffected
-            self.schedule(begins, self._jump_clock, affected, trouble.factor * 1000.0)
+            self.schedule(begins, self._jump_clock, affected, fault.factor * 1000.0)
         else:
-            for index in range(min(trouble.servers, len(self.nodes))):
+            for index in range(min(fault.servers, len(self.nodes))):
                 self.schedule(begins, self._kill_node, index)
 
     def _set_fault(self, now: float, kind: str, affected: list[int], factor: float, begins: bool) -> None:
--- a/loadbalancer/runtime/budgets.py
+++ b/loadbalancer/runtime/budgets.py
@@ -42,9 +42,9 @@
                 if budget is not None
             },
             "learned_patience_ms": {
-                name: round(patience.ms, 1)
-                for name, patience in sorted(self.decider.patience.items())
-                if patience.ms is not None
+                name: round(timeout.ms, 1)
+                for name, timeout in sorted(self.decider.caller_timeouts.items())
+                if timeout.ms is not None
             },
             "repeats": dict(sorted(self.repeats.counts.items())) | {"bytes_kept": self.repeats.answer_bytes},
             "not_believed": dict(sorted(self.problems.items())),
@@ -148,14 +148,14 @@
         """Note that the caller left before its answer."""
         if not self.grant.stated:
             waited = self.pool.loop.time() - self.arrived
-            self.budget.budgets.decider.patience_of(self.kind.name).record_disconnect(waited * 1000.0)
+            self.budget.budgets.decider.caller_timeout(self.kind.name).record_disconnect(waited * 1000.0)
         self.figures.counts["left"] += 1
 
     def on_answered(self) -> None:
         """Note that the caller has been answered."""
         waited = (self.pool.loop.time() - self.arrived) * 1000.0
         if not self.grant.stated:
-            self.budget.budgets.decider.patience_of(self.kind.name).record_response(waited)
+            self.budget.budgets.decider.caller_timeout(self.kind.name).record_response(waited)
         self.figures.at_end.add(self.grant.wait_ms - waited)
 
 
--- a/loadbalancer/runtime/xds.py
+++ b/loadbalancer/runtime/xds.py
@@ -128,7 +128,7 @@
         assert self.client is not None  # once it has started
         return {
             "connected": self.client.connected,
-            "news_ms_ago": None if self.client.last_news_ms is None else now - self.client.last_news_ms,
+            "news_ms_ago": None if self.client.last_update_ms is None else now - self.client.last_update_ms,
             "resources": self.client.rows(now),
         }
 
--- a/loadbalancer/xds/files.py
+++ b/loadbalancer/xds/files.py
@@ -152,7 +152,7 @@
         self, path: str, cluster: str, now_ms: Callable[[], float], on_change: Callable[[], None]
     ) -> None:
         self.path, self.cluster = path, cluster
-        self.last_news_ms: float | None = None
+        self.last_update_ms: float | None = None
         self.rejected: dict[str, str] = {}
         self._now_ms = now_ms
         self._on_change = on_change
@@ -234,5 +234,5 @@
         self._file_stamps[path] = stamp
         self._loaded[path] = resources
         self.rejected.pop(path, None)
-        self.last_news_ms = self._now_ms()
+        self.last_update_ms = self._now_ms()
         return True
--- a/loadbalancer/xds/protocol.py
+++ b/loadbalancer/xds/protocol.py
@@ -57,13 +57,13 @@
 
     type_url: str
     subscribed: set[str] = field(default_factory=set)
-    held: dict[str, ResourceState] = field(default_factory=dict)
+    states: dict[str, ResourceState] = field(default_factory=dict)
     version: str = ""  # of the last response accepted (state of the world)
     nonce: str = ""  # of the last response on this stream
     requested: bool = False  # whether a request of this type was sent on this stream
 
     def resource_of(self, name: str) -> Any:
-        state = self.held.get(name)
+        state = self.states.get(name)
         return state.resource if state is not None else None
 
 
@@ -93,7 +93,7 @@
         self.clusters = Subscription(CLUSTER, set(clusters))
         self.endpoints = Subscription(ENDPOINTS)
         self.connected = False
-        self.last_news_ms: float | None = None
+        self.last_update_ms: float | None = None
         self.failures = 0
         self._active: dict[str, ActiveCluster] = {}
         self._warming: dict[str, float] = {}  # by cluster that waits for its endpoints: since when
@@ -127,7 +127,7 @@
         if subscription is None or not subscription.requested:
             return []  # not requested on this stream, so it is not acknowledged
         self.failures = 0
-        self.last_news_ms = now_ms
+        self.last_update_ms = now_ms
         subscription.nonce = response.nonce
         errors = (
             self._apply_delta(now_ms, subscription, response)
@@ -146,7 +146,7 @@
         removed, added = self.clusters.subscribed - names, names - self.clusters.subscribed
         self.clusters.subscribed = names
         for name in removed:
-            self.clusters.held.pop(name, None)
+            self.clusters.states.pop(name, None)
             self._active.pop(name, None)
             self._warming.pop(name, None)
         requests = (
@@ -180,7 +180,7 @@
                 "notes": list(state.resource.notes) if state.resource is not None else [],
             }
             for subscription in (self.clusters, self.endpoints)
-            for name, state in sorted(subscription.held.items())
+            for name, state in sorted(subscription.states.items())
         ]
 
     # --------------------------------------------------------------------- requests
@@ -214,7 +214,7 @@
         if first:  # "Incremental xDS": the versions accepted on earlier streams
             versions = {
                 name: state.version
-                for name, state in subscription.held.items()
+                for name, state in subscription.states.items()
                 if state.resource is not None and name in subscription.subscribed
             }
         nonce = subscription.nonce if not (subscribe or unsubscribe) else ""
@@ -231,7 +231,7 @@
     def _subscribe_endpoints(self) -> list[Request]:
         """Subscribe to exactly the endpoints that accepted and active clusters need."""
         wanted = set()
-        for state in self.clusters.held.values():
+        for state in self.clusters.states.values():
             cluster = state.resource
             if isinstance(cluster, Cluster) and cluster.kind is Kind.EDS and cluster.eds_path is None:
                 wanted.add(cluster.service)
@@ -263,7 +263,7 @@
             subscription.version = response.version_info
         # "Deleting resources": a response lists all clusters, but not all endpoints.
         if subscription is self.clusters and not any(error.resource.startswith("(") for error in errors):
-            for name in list(subscription.held):
+            for name in list(subscription.states):
                 if name not in names:
                     self._remove(subscription, name)
         return errors
@@ -300,17 +300,17 @@
         except ResourceError as error:
             errors.append(error)
             if error.resource in subscription.subscribed:
-                state = subscription.held.setdefault(error.resource, ResourceState())
+                state = subscription.states.setdefault(error.resource, ResourceState())
                 state.rejected, state.rejected_ms = str(error), now_ms
             return error.resource
         if name in subscription.subscribed:  # a server may send resources that were not requested
-            state = subscription.held.setdefault(name, ResourceState())
+            state = subscription.states.setdefault(name, ResourceState())
             state.resource, state.version, state.accepted_ms = resource, version, now_ms
             state.rejected = state.rejected_ms = None
         return name
 
     def _remove(self, subscription: Subscription, name: str) -> None:
-        subscription.held.pop(name, None)
+        subscription.states.pop(name, None)
         if subscription is self.endpoints:
             self._parsed.pop(name, None)
 
@@ -339,7 +339,7 @@
                 continue
             self._warming.pop(name, None)
             entries, levels = membership(cluster, assignment)
-            state = self.endpoints.held.get(cluster.service) if cluster.kind is Kind.EDS else None
+            state = self.endpoints.states.get(cluster.service) if cluster.kind is Kind.EDS else None
             accepted_ms = state.accepted_ms if state is not None else None
             stale_after_ms = assignment.stale_after_ms
             if (
--- a/tests/budget/test_decider.py
+++ b/tests/budget/test_decider.py
@@ -7,10 +7,10 @@
 import pytest
 
 from loadbalancer import interface as api
+from loadbalancer.budget.caller_timeout import MIN_OBSERVATIONS, CallerTimeout
 from loadbalancer.budget.carried import NO_BUDGET, PropagatedBudget, Stamp
 from loadbalancer.budget.decider import Allowance, Decider, Denial, Grant, ListenerTerms, Trust
 from loadbalancer.budget.elapsed import MAX_EXCESS_MS, MAX_WRITERS, WINDOW_MS, Elapsed
-from loadbalancer.budget.patience import MIN_OBSERVATIONS, Patience
 
 KIND = api.ServiceClass("read", aim_ms=1000, give_up_ms=2500, worth=12, effect=api.Effect.SAFE)
 INSIDE = ListenerTerms("post", Trust.INSIDE, extra=2, tenants=frozenset({"hotels"}))
@@ -193,7 +193,7 @@
 
 
 def test_patience_is_learned_from_disconnects_among_many_answered_requests():
-    patience = Patience()
+    patience = CallerTimeout()
     for _ in range(200):
         patience.record_response(30.0)
     assert patience.ms is None
@@ -203,7 +203,7 @@
 
 
 def test_two_kinds_of_callers_give_the_longer_time():
-    patience = Patience()
+    patience = CallerTimeout()
     for _ in range(40):
         patience.record_disconnect(500.0)
         patience.record_disconnect(2000.0)
@@ -211,7 +211,7 @@
 
 
 def test_the_estimate_follows_callers_that_become_more_patient():
-    patience = Patience()
+    patience = CallerTimeout()
     for _ in range(40):
         patience.record_disconnect(500.0)
     assert patience.ms == pytest.approx(525.0)
@@ -221,7 +221,7 @@
 
 
 def test_stated_times_apply_where_no_caller_has_disconnected():
-    patience = Patience()
+    patience = CallerTimeout()
     for _ in range(3 * MIN_OBSERVATIONS):
         patience.stated(800.0)
     assert patience.ms == pytest.approx(840.0)
@@ -230,10 +230,10 @@
 def test_learned_patience_limits_callers_without_a_deadline():
     decider = Decider()
     for _ in range(60):
-        decider.patience_of("read").record_disconnect(700.0)
+        decider.caller_timeout("read").record_disconnect(700.0)
     assert decide(decider=decider).wait_ms == pytest.approx(735.0)
     assert decide(requested=1500.0, decider=decider).wait_ms == 1500.0
     assert decide(terms=ListenerTerms("post", learn=False), decider=decider).wait_ms == 2500.0
     for _ in range(600):
-        decider.patience_of("read").record_disconnect(60_000.0)
+        decider.caller_timeout("read").record_disconnect(60_000.0)
     assert decide(decider=decider).wait_ms == 2500.0
--- a/tests/runtime/test_budgets.py
+++ b/tests/runtime/test_budgets.py
@@ -543,7 +543,7 @@
     async def main():
         (box,) = boxes(1)
         async with running_sidecar([box], lambda: data(box)) as sidecar:
-            sidecar.budgets.decider.patience_of("read").record_disconnect(5.0)
+            sidecar.budgets.decider.caller_timeout("read").record_disconnect(5.0)
             await sidecar.reload(configuration(data(box, budget=BUDGET | {"extra": 0})))
             app = application(sidecar)
             await app.ask("GET", "/balance/1")
@@ -553,7 +553,7 @@
             assert box.seen[-1].header(b"baggage") is None
             app.close()
             assert sidecar.pools["boxes"].balancer.sender.budget is None
-            assert "read" in sidecar.budgets.decider.patience
+            assert "read" in sidecar.budgets.decider.caller_timeouts
 
     asyncio.run(main())
 
--- a/tests/runtime/test_xds_pool.py
+++ b/tests/runtime/test_xds_pool.py
@@ -250,7 +250,7 @@
             message.policy.endpoint_stale_after.FromSeconds(3600)
             plane.put(packed(message))
             watcher: Any = sidecar.managed_pools["boxes"].watcher
-            await until(lambda: watcher.client.endpoints.held["ledger"].version == "2")
+            await until(lambda: watcher.client.endpoints.states["ledger"].version == "2")
             now = sidecar.clock.ms()
             assert not watcher.client.tick(now + 3_599_000)
             assert watcher.client.tick(now + 3_700_000)
--- a/tests/test_glossary.py
+++ b/tests/test_glossary.py
@@ -31,8 +31,26 @@
     "admission",
     "gateway",
     "emulator",
+    "cli",
+    "simulation",
+)
+FINISHED_LIBRARY = (
+    "core",
+    "http",
+    "discovery",
+    "node",
+    "overload",
+    "runtime",
+    "router",
+    "budget",
+    "sidecar",
+    "cli",
+    "thrift",
+    "xds",
+    "emulator",
+    "test_rig",
+    "experiments",
 )
-FINISHED_LIBRARY = ("core", "http", "discovery", "node", "overload")
 WITHDRAWN = frozenset(
     """
     lot lots told whole held heard mishap trouble troubles beat news word holder keeper fellow fellows kin mates errand
@@ -46,6 +64,15 @@
     "DEAD_LETTER": "the state of an item on the given pages",
     "GATEWAYS_BY_WORD": "used by three packages; to be renamed in one commit",
     "starts_told": "setting of the decision module, used by experiments and runtime",
+    "_may_be_dead_letter": "asks for that state of an item",
+    "LEDGER": "the simulated site of that name",
+    "ballots": "option `--ballots`",
+    "whole": "JSON key of the model check's result",
+    "learn_patience": "setting of the budgets",
+    "told_within_ms": "setting of the rules",
+    "patience_ms": "key of the experiment files",
+    "troubles": "key of the experiment files",
+    "trouble": "option `--trouble` and key of the results",
 }
 
 
--- a/tests/xds/test_stalls.py
+++ b/tests/xds/test_stalls.py
@@ -103,12 +103,12 @@
         many = [{"address": f"10.0.{at // 250}.{at % 250 + 1}:7000"} for at in range(1000)]
         async with xds_client(proxy.endpoint, delta) as client:
             await until(lambda: addresses(client) == ["127.0.0.1:7001"])
-            last_news_ms = client.last_news_ms
+            last_update_ms = client.last_update_ms
             proxy.remaining = forwarded
             plane.put(endpoints("ledger", *many))
             await until(lambda: len(proxy.held_back) > 1000 or proxy.remaining == 0)
             assert addresses(client) == ["127.0.0.1:7001"]
-            assert client.last_news_ms == last_news_ms  # so the age of the last update grows
+            assert client.last_update_ms == last_update_ms  # so the age of the last update grows
             opened = len(plane.streams)
             proxy.release()
             await until(lambda: len(addresses(client) or ()) == 1000)
