--- a/tests/faults/test_thrift_callers_that_leave.py
+++ b/tests/faults/test_thrift_callers_that_leave.py
@@ -29,7 +29,7 @@
     box.behaviour.hang = False
     for connection in list(box.connections):
         connection._busy = False
-        connection._finish(box.calls[-1])
+        connection._send_reply(box.calls[-1])
 
 
 async def until_nothing_is_open(sidecar):
